--- a/crates/lab/src/platform.rs
+++ b/crates/tools/lab/src/platform.rs
@@ -1,5 +1,5 @@
 //! The platform's messages from the surroundings' side: what a relay, a list, collectors and hosts say to a director, and
-//! what of its calls is an order. The forms are those of `crates/protocol`; no I/O here.
+//! what of its calls is an order. The forms are those of `crates/director/protocol`; no I/O here.
 
 use coppersail::interface::*;
 use serde_json::json;
