--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -8,7 +8,7 @@
 //! `docs/control.md` says what holds and why.
 //!
 //! ```
-//! use accord::{Acceptor, Ballot, Record, Witness};
+//! use coppersail_consensus::{Acceptor, Ballot, Record, Witness};
 //! let group: Vec<Witness> = ["a", "b", "c"].map(|id| Witness::new(id, 0)).into();
 //! let first = Record { epoch: Ballot::new(1, ""), primary: "a".into(), backups: vec!["b".into()], witnesses: group, before: vec![] };
 //! let mut one = Acceptor::first(first.clone());
@@ -114,7 +114,7 @@
 ///
 /// ```
 /// let all: Vec<String> = (0..9).map(|n| format!("10.0.0.{n}:80")).collect();
-/// let few = accord::watchers(&all[0], &all, 3);
+/// let few = coppersail_consensus::watchers(&all[0], &all, 3);
 /// assert_eq!(few.len(), 3);
 /// assert!(!few.contains(&all[0]));
 /// ```
--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -79,11 +79,11 @@
     assert!(world.ghost.acked.contains(&world.submitted), "change {} is not written", world.submitted);
 }
 
-fn record(world: &World) -> accord::Record {
+fn record(world: &World) -> coppersail_consensus::Record {
     let x = world.acting()[0];
     match &world.core(x).unwrap().role {
-        accord::Role::Acting(record) => record.clone(),
-        accord::Role::Idle => panic!("acts without a record"),
+        coppersail_consensus::Role::Acting(record) => record.clone(),
+        coppersail_consensus::Role::Idle => panic!("acts without a record"),
     }
 }
 
@@ -174,7 +174,8 @@
 
 #[test]
 fn a_second_loss_right_after_the_repair_of_the_first() {
-    let mut world = begun(Rules { spans: accord::Spans { patience: 60, ..spans() }, ..rules() });
+    let mut world =
+        begun(Rules { spans: coppersail_consensus::Spans { patience: 60, ..spans() }, ..rules() });
     change(&mut world);
     go(&mut world, &[Step::Gone(0)]);
     let mut ticks = 0;
@@ -253,7 +254,8 @@
 
 #[test]
 fn a_member_back_with_an_old_disk_after_it_was_replaced() {
-    let mut world = begun(Rules { spans: accord::Spans { patience: 40, ..spans() }, ..rules() });
+    let mut world =
+        begun(Rules { spans: coppersail_consensus::Spans { patience: 40, ..spans() }, ..rules() });
     change(&mut world);
     go(&mut world, &[Step::Crash(0, 0)]);
     world.rest(100).unwrap();
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -52,7 +52,7 @@
 
 fn case(name: &str) -> World {
     let one = Budget::default();
-    let patient = Rules { spans: accord::Spans { patience: 40, ..spans() }, ..rules() };
+    let patient = Rules { spans: coppersail_consensus::Spans { patience: 40, ..spans() }, ..rules() };
     let short = |without| Step::Short { keep: None, without };
     match name {
         "takeovers" => {
@@ -230,7 +230,7 @@
 
 #[test]
 fn walks_of_five_of_whom_two_disks_may_be_lost() {
-    let spans = accord::Spans { survive: 2, patience: 300, leave: 1_000_000, ..spans() };
+    let spans = coppersail_consensus::Spans { survive: 2, patience: 300, leave: 1_000_000, ..spans() };
     walks(
         "five, two",
         0..seeds(),
@@ -240,7 +240,7 @@
 
 #[test]
 fn walks_of_five_of_whom_one_disk_may_be_lost() {
-    let spans = accord::Spans { patience: 300, leave: 1_000_000, ..spans() };
+    let spans = coppersail_consensus::Spans { patience: 300, leave: 1_000_000, ..spans() };
     walks(
         "five, one",
         0..seeds(),
@@ -298,7 +298,7 @@
 #[cfg(feature = "flaws")]
 #[test]
 fn every_flaw_is_found() {
-    use accord::Flaw::*;
+    use coppersail_consensus::Flaw::*;
     let all = [
         (BeforeBackup, "takeovers"),
         (FromAnswer, "late answers"),
@@ -310,7 +310,7 @@
         (JoinUnproven, "replaced"),
     ];
     for (flaw, name) in all {
-        let found = search(case(name), LIMIT, 0, &|| accord::choose(Some(flaw)));
+        let found = search(case(name), LIMIT, 0, &|| coppersail_consensus::choose(Some(flaw)));
         let (why, steps, story) = found.broken.unwrap_or_else(|| panic!("{flaw:?} is not found by {name}"));
         println!(
             "{flaw:?}, by {name}: {why}; {steps} steps, {} states, {:.1} s\n{story}",
--- a/crates/control-plane/consensus/tests/model/world.rs
+++ b/crates/control-plane/consensus/tests/model/world.rs
@@ -1,5 +1,5 @@
 //! The world around the cores: members with disks, a network, a clock, faults within a budget, and what must hold.
-use accord::{
+use coppersail_consensus::{
     Ballot, Call, Change, Core, Held, Out, Put, Record, Role, Say, Spans, Start, Told, Witness, WitnessCall,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -8,7 +8,7 @@
 //! let text = serde_json::to_string(&follow).unwrap();
 //! assert_eq!(serde_json::from_str::<tidings::Follow>(&text).unwrap().seq, 7);
 //! ```
-use accord::{Ballot, Id, Record};
+use coppersail_consensus::{Ballot, Id, Record};
 use serde::{Deserialize, Serialize};
 
 /// An edge's poll. `feed` and `seq` are those of the last answer taken (0 and 0 at first).
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -2,7 +2,7 @@
 use crate::node::{Admin, Effect};
 use crate::orders::{digest, Judged};
 use crate::state::{Beat, Kind, Parked, Say, State};
-use accord::{Caller, Ms};
+use coppersail_consensus::{Caller, Ms};
 use serde::Deserialize;
 use tidings::{HostNews, Settings, Stage};
 
--- a/crates/control-plane/server/src/lanes.rs
+++ b/crates/control-plane/server/src/lanes.rs
@@ -2,7 +2,7 @@
 //! poll or a long snapshot holds up nothing else.
 use crate::node::{Peer, PeerSay};
 use crate::state::peer_address;
-use accord::{Call, Id, Ms, Token};
+use coppersail_consensus::{Call, Id, Ms, Token};
 use errand::Caller;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod store;
 pub mod voice;
 
-use accord::{Caller, Ms};
+use coppersail_consensus::{Caller, Ms};
 use eyre::{eyre, Result};
 use lanes::Lanes;
 use node::{Begin, Effect, Event, Node, PeerSay};
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -1,7 +1,7 @@
 //! Whom this centre follows, and the polls that are its heartbeats. No I/O.
 use crate::node::{Effect, Peer};
 use crate::state::{Say, State};
-use accord::{Id, Ms, Out, Token};
+use coppersail_consensus::{Id, Ms, Out, Token};
 use std::collections::{BTreeMap, BTreeSet};
 use tidings::{Asked, Follow, News};
 
--- a/crates/control-plane/server/src/muster.rs
+++ b/crates/control-plane/server/src/muster.rs
@@ -1,6 +1,6 @@
 //! When the first layout of a divided service is due. Pure. Hosts that are there at the start are heard of one after
 //! another; what is laid on the first of them only goes on to the others at the pace of balancing.
-use accord::Ms;
+use coppersail_consensus::Ms;
 
 /// The hosts of one service until it is laid out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -3,7 +3,7 @@
 use crate::links::Links;
 use crate::state::{Say, Spans, State};
 use crate::store::{Batch, Found, Kept};
-use accord::{Caller, Core, Id, Ms, Out, Put, Role, Start, Token};
+use coppersail_consensus::{Caller, Core, Id, Ms, Out, Put, Role, Start, Token};
 use std::collections::VecDeque;
 use terms::Boot;
 use tidings::{Follow, News};
@@ -45,12 +45,12 @@
 /// Calls of directors.
 pub enum Peer {
     Follow(Box<Follow>),
-    Core(accord::Call),
+    Core(coppersail_consensus::Call),
 }
 
 pub enum PeerSay {
     News(Box<News>),
-    Core(accord::Say),
+    Core(coppersail_consensus::Say),
 }
 
 pub enum Effect {
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,7 +1,7 @@
 //! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
 //! of plans is. No I/O; decisions are those of `stride`.
 use crate::store::Put;
-use accord::Ms;
+use coppersail_consensus::Ms;
 use std::collections::BTreeMap;
 use stride::judge::Fleet;
 use stride::ledger::Kind;
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -5,7 +5,7 @@
 use crate::orders::Orders;
 use crate::rollouts::{self, Hosts, Rollouts};
 use crate::store::Put;
-use accord::{Caller, Change, Core, Id, Ms, Out, Told};
+use coppersail_consensus::{Caller, Change, Core, Id, Ms, Out, Told};
 use std::collections::{BTreeMap, BTreeSet};
 use tenure::{Host, Keys};
 use terms::{Boot, Config};
@@ -14,7 +14,7 @@
 /// Time spans that follow from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Spans {
-    pub core: accord::Spans,
+    pub core: coppersail_consensus::Spans,
     /// For how long a host holds its keys. Half of what is allowed: a restart of the whole core is shorter, and a host
     /// that is lost takes its keys along for no longer.
     pub keep: Ms,
@@ -28,7 +28,7 @@
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         // A takeover, with the beats after it, is to be over within the time after which machines count as in touch.
         let lease = (ms(boot.limits.in_contact) * 2 / 5).clamp(300, 3000);
-        let core = accord::Spans {
+        let core = coppersail_consensus::Spans {
             lease,
             round: lease / 3,
             call: lease / 2,
@@ -180,8 +180,12 @@
     /// Leases that run were granted by the spans of the start, and so were keys: those stay for this life.
     pub fn respan(&mut self, spans: Spans) {
         let old = self.spans;
-        let core =
-            accord::Spans { lease: old.core.lease, round: old.core.round, call: old.core.call, ..spans.core };
+        let core = coppersail_consensus::Spans {
+            lease: old.core.lease,
+            round: old.core.round,
+            call: old.core.call,
+            ..spans.core
+        };
         self.spans = Spans { core, keep: old.keep, ..spans };
         self.core.spans = core;
     }
--- a/crates/control-plane/server/src/store.rs
+++ b/crates/control-plane/server/src/store.rs
@@ -6,7 +6,7 @@
 //! and not written since is found lost again, and never fresh.
 pub mod mark;
 
-use accord::Ms;
+use coppersail_consensus::Ms;
 use eyre::Result;
 use fjall::{Database, Keyspace, KeyspaceCreateOptions, PersistMode};
 use mark::{Mark, Said};
@@ -447,7 +447,7 @@
         // fjall's journal is synced already. What the mark adds is worth a second sync for promises and epochs, which
         // are rare, and for the first batch of all; for changes of the state, which bring their number, it is written
         // without one.
-        let synced = self.said == 0 || batch.own.iter().any(|(name, _)| name != accord::SEQ);
+        let synced = self.said == 0 || batch.own.iter().any(|(name, _)| name != coppersail_consensus::SEQ);
         self.mark.write(number, synced)?;
         self.said = number;
         Ok(())
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -35,9 +35,13 @@
     core.up();
     core.kill(0);
     let found = council::store::read(&core.data(0)).unwrap();
-    let held: accord::Held = serde_json::from_str(&found.own["witness"]).unwrap();
-    let floor: accord::Ballot = serde_json::from_str(&found.own["floor"]).unwrap();
-    let nothing = (accord::Ballot::default(), accord::Ballot::default(), accord::Record::default());
+    let held: coppersail_consensus::Held = serde_json::from_str(&found.own["witness"]).unwrap();
+    let floor: coppersail_consensus::Ballot = serde_json::from_str(&found.own["floor"]).unwrap();
+    let nothing = (
+        coppersail_consensus::Ballot::default(),
+        coppersail_consensus::Ballot::default(),
+        coppersail_consensus::Record::default(),
+    );
     assert_eq!(
         (floor, held.promised, held.record),
         nothing,
--- a/crates/data-plane/session-affinity/src/desk.rs
+++ b/crates/data-plane/session-affinity/src/desk.rs
@@ -143,7 +143,7 @@
 
 impl Mine {
     fn majority(&self) -> usize {
-        accord::majority(self.seats.len())
+        coppersail_consensus::majority(self.seats.len())
     }
 
     fn idle(&self) -> bool {
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -2,7 +2,7 @@
 use crate::script::{Moment, What};
 use crate::world::{Ev, Origin};
 use crate::{Ms, Us};
-use accord::{Caller, Token};
+use coppersail_consensus::{Caller, Token};
 use council::node::{Effect, Node};
 use council::store::{Batch, Found, Kept};
 use fastrand::Rng;
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -10,7 +10,7 @@
 use crate::operator::Operator;
 use crate::script::{Day, Moment, Seeds, Way, What, Who};
 use crate::{Ms, Tally, Us, CONFIRM, LEEWAY, LISTED, SETTLE, SYNC};
-use accord::Token;
+use coppersail_consensus::Token;
 use council::node::{Begin, Effect, Event, Node, Peer, PeerSay};
 use council::store::Kept;
 use fastrand::Rng;
@@ -764,7 +764,7 @@
                 },
                 Effect::Reply { caller, say } => match p.callers.remove(&caller) {
                     Some(origin) => {
-                        if let (PeerSay::Core(accord::Say::Copy(say)), End::Machine(from)) =
+                        if let (PeerSay::Core(coppersail_consensus::Say::Copy(say)), End::Machine(from)) =
                             (&say, origin.end)
                         {
                             if say.ok && Some(from) == self.primary {
