--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -1,6 +1,6 @@
 //! What the disk of a centre costs after many changes: `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`.
 //! Each change writes one configuration anew; every tenth also the centre's own floor.
-use council::store::{Batch, Scribe};
+use coppersail_control_plane::store::{Batch, Scribe};
 use std::path::Path;
 use std::sync::mpsc::channel;
 use std::time::Instant;
--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -1,6 +1,6 @@
 //! `council --inspect FOLDER`: what the disk of a stopped centre holds. Opening writes, so it is done on a copy in the
 //! temporary folder.
-use council::store::{self, Fault, Found, Kept};
+use coppersail_control_plane::store::{self, Fault, Found, Kept};
 use std::path::Path;
 
 /// Prints one line a fact; the exit status.
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -1,4 +1,4 @@
-//! `council`: the program of a centre. Settings: the file that COPPERSAIL_SETTINGS names.
+//! `coppersail-control-plane`: the program of a centre. Settings: the file that COPPERSAIL_SETTINGS names.
 mod file;
 
 use file::File;
@@ -79,7 +79,7 @@
         exit(101)
     }));
     let log = slog::Logger::root(Lines.fuse(), slog::o!());
-    let centre = council::Centre::start(&boot, log).unwrap_or_else(|e| {
+    let centre = coppersail_control_plane::Centre::start(&boot, log).unwrap_or_else(|e| {
         eprintln!("council! {e:#}");
         exit(1)
     });
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -60,7 +60,7 @@
         });
         let log = File::options().create(true).append(true).open(self.folder.join(format!("{n}.log")));
         std::fs::write(self.settings_file(n), boot.to_string()).unwrap();
-        let mut command = Command::new(env!("CARGO_BIN_EXE_council"));
+        let mut command = Command::new(env!("CARGO_BIN_EXE_coppersail-control-plane"));
         command.env("COPPERSAIL_SETTINGS", self.settings_file(n)).stderr(log.unwrap());
         self.children[n] = Some(command.spawn().unwrap());
     }
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -1,5 +1,5 @@
 //! The pure machine of a centre, without threads, sockets or a disk.
-use council::node::{Begin, Effect, Event, Node, Peer, PeerSay};
+use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
 use serde_json::json;
 use tidings::{Detail, Follow, HostNews, News, Standing};
 
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -1,6 +1,6 @@
 //! The disk of a centre: real folders, cut, put back and taken apart; and stand-ins that are full, hang or fail.
 use assert_matches::assert_matches;
-use council::store::{mark, Batch, Disk, Fault, Folder, Found, Kept, Put, Scribe};
+use coppersail_control_plane::store::{mark, Batch, Disk, Fault, Folder, Found, Kept, Put, Scribe};
 use std::cell::RefCell;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -325,7 +325,7 @@
     assert!(write(&scribe, state(vec![put("config", serde_json::to_string(&settings).unwrap())])));
     drop(scribe);
     let say = |words: &[&str]| {
-        let told = Command::new(env!("CARGO_BIN_EXE_council")).args(words).output().unwrap();
+        let told = Command::new(env!("CARGO_BIN_EXE_coppersail-control-plane")).args(words).output().unwrap();
         let text = String::from_utf8(told.stdout).unwrap() + &String::from_utf8(told.stderr).unwrap();
         (told.status.code().unwrap(), text)
     };
--- a/crates/tools/simulator/src/callers.rs
+++ b/crates/tools/simulator/src/callers.rs
@@ -1,7 +1,7 @@
 //! What callers of `admin` have in common: whom they ask, and what they do when it fails.
 use crate::machine::Body;
 use crate::{Us, World};
-use council::node::Admin;
+use coppersail_control_plane::node::Admin;
 
 /// What is sent; it goes out again on 307.
 #[derive(Debug, Clone)]
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -3,7 +3,7 @@
 use crate::host::SPLIT;
 use crate::world::{Ask, End, Ev, Origin, Say};
 use crate::{Us, World, APPLY, EMPTY};
-use council::node::{Peer, PeerSay};
+use coppersail_control_plane::node::{Peer, PeerSay};
 use course::Book;
 use std::collections::{BTreeMap, BTreeSet};
 use tidings::{Asked, Follow, News, Stage};
