--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -6,8 +6,8 @@
 use crate::rollouts::{self, Hosts, Rollouts};
 use crate::store::Put;
 use coppersail_consensus::{Caller, Change, Core, Id, Ms, Out, Told};
+use coppersail_shard_leases::{Host, Keys};
 use std::collections::{BTreeMap, BTreeSet};
-use tenure::{Host, Keys};
 use terms::{Boot, Config};
 use tidings::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
 
@@ -655,14 +655,17 @@
                 let (beat, most) = (self.spans.beat, self.spans.keep);
                 let muster = self.laid.entry(service.clone()).or_default();
                 if muster.complete(now, hosts.len(), beat, most) {
-                    let (slices, pieces) = (tenure::slices_for(hosts.len()), tenure::pieces_for(hosts.len()));
+                    let (slices, pieces) = (
+                        coppersail_shard_leases::slices_for(hosts.len()),
+                        coppersail_shard_leases::pieces_for(hosts.len()),
+                    );
                     let puts = self.keys.lay(now, &service, slices, pieces, &hosts);
                     self.queue(puts);
                 }
                 continue;
             }
             // Half of what a host has at first may be under way at a time.
-            let most = tenure::pieces_for(hosts.len()) as usize / hosts.len().max(1) / 2 + 1;
+            let most = coppersail_shard_leases::pieces_for(hosts.len()) as usize / hosts.len().max(1) / 2 + 1;
             let settled = now >= self.settled_at;
             self.keys.plan(now, &service, &hosts, most, settled);
             let puts = self.keys.expire(now, &service);
--- a/crates/control-plane/shard-leases/src/lib.rs
+++ b/crates/control-plane/shard-leases/src/lib.rs
@@ -6,7 +6,7 @@
 //! A row passes on in two ways only: its holder has released it, or `until` is over.
 //!
 //! ```
-//! use tenure::{Host, Keys};
+//! use coppersail_shard_leases::{Host, Keys};
 //! let mut keys = Keys::new(4000);
 //! let hosts = [Host::new("i-1", 0), Host::new("i-2", 1)];
 //! let puts = keys.lay(0, "shelf", 4, 4, &hosts);
