--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -84,7 +84,7 @@
     /// Reads settings from their text.
     ///
     /// ```
-    /// let boot = terms::Boot::from_json(r#"{
+    /// let boot = coppersail_config::Boot::from_json(r#"{
     ///     "self": {"ipAddress": "10.1.0.34", "area": "north", "mood": "new to us"},
     ///     "network": {"sparePorts": [7540, 7555]},
     ///     "provider": {"heartbeat": "1300ms"},
--- a/crates/control-plane/config/src/config.rs
+++ b/crates/control-plane/config/src/config.rs
@@ -99,11 +99,11 @@
 /// let body = br#"{"revision": "r7",
 ///     "routes": {"columns": ["domain", "pathStart", "backend"], "rows": [["a.example", "/x/", "main"]]},
 ///     "backends": {"columns": ["name"], "rows": [["main"]]}}"#;
-/// let config = terms::config::parse(body).unwrap();
+/// let config = coppersail_config::config::parse(body).unwrap();
 /// assert_eq!((config.revision, config.routes[0].shares[0].1), (7, 1.0));
 ///
 /// let body = String::from_utf8_lossy(body).replace("\"main\"]]},", "\"gone\"]]},");
-/// let fault = terms::config::parse(body.as_bytes()).unwrap_err();
+/// let fault = coppersail_config::config::parse(body.as_bytes()).unwrap_err();
 /// assert_eq!(fault.to_string(), "routes.rows[0].backend is \"gone\", expected a service of this configuration");
 /// ```
 pub fn parse(body: &[u8]) -> Result<Config, Fault> {
@@ -180,7 +180,7 @@
 /// Routes by domain and, within one, by prefix.
 ///
 /// ```
-/// use terms::{Config, Route, Routes};
+/// use coppersail_config::{Config, Route, Routes};
 /// let route = |start: &str| Route { domain: "a.example".into(), path_start: start.into(), ..Default::default() };
 /// let routes = Routes::new(&Config { routes: vec![route("/"), route("/x/y/")], ..Default::default() });
 /// assert_eq!(routes.lookup("A.example:80", "/x/y/z").unwrap().path_start, "/x/y/");
--- a/crates/control-plane/config/src/field.rs
+++ b/crates/control-plane/config/src/field.rs
@@ -7,7 +7,7 @@
 /// A setting that can't be taken.
 ///
 /// ```
-/// let fault = terms::Boot::from_json(r#"{"self": {"ipAddress": 7}}"#).unwrap_err();
+/// let fault = coppersail_config::Boot::from_json(r#"{"self": {"ipAddress": 7}}"#).unwrap_err();
 /// assert_eq!(fault.to_string(), "self.ipAddress is 7, expected text");
 /// ```
 #[derive(Debug, Clone, PartialEq)]
@@ -229,10 +229,10 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// assert_eq!(terms::duration("1500ms"), Some(Duration::from_millis(1500)));
-/// assert_eq!(terms::duration("2.5s"), Some(Duration::from_millis(2500)));
-/// assert_eq!(terms::duration("-1s"), None);
-/// assert_eq!(terms::duration("1500"), None);
+/// assert_eq!(coppersail_config::duration("1500ms"), Some(Duration::from_millis(1500)));
+/// assert_eq!(coppersail_config::duration("2.5s"), Some(Duration::from_millis(2500)));
+/// assert_eq!(coppersail_config::duration("-1s"), None);
+/// assert_eq!(coppersail_config::duration("1500"), None);
 /// ```
 pub fn duration(text: &str) -> Option<Duration> {
     let (number, part) = match text.strip_suffix("ms") {
@@ -250,8 +250,8 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// assert_eq!(terms::written(Duration::from_millis(4000)), "4000ms");
-/// assert_eq!(terms::written(Duration::from_micros(1500)), "1.5ms");
+/// assert_eq!(coppersail_config::written(Duration::from_millis(4000)), "4000ms");
+/// assert_eq!(coppersail_config::written(Duration::from_micros(1500)), "1.5ms");
 /// ```
 pub fn written(time: Duration) -> String {
     match (time.as_micros() / 1000, time.as_micros() / 100 % 10) {
--- a/crates/control-plane/config/src/reread.rs
+++ b/crates/control-plane/config/src/reread.rs
@@ -21,9 +21,9 @@
 /// let read = |area: &str, leeway: &str| {
 ///     let text = format!(r#"{{"self": {{"ipAddress": "10.1.0.34", "area": "{area}"}},
 ///         "network": {{"sparePorts": [7540, 7555]}}, "terms": {{"timeLimits": {{"leeway": "{leeway}"}}}}}}"#);
-///     terms::Boot::from_json(&text).unwrap()
+///     coppersail_config::Boot::from_json(&text).unwrap()
 /// };
-/// let reread = terms::reread(&read("north", "6s"), read("south", "4s"));
+/// let reread = coppersail_config::reread(&read("north", "6s"), read("south", "4s"));
 /// assert_eq!((reread.boot.area.as_str(), reread.boot.limits.leeway.as_secs()), ("north", 4));
 /// assert_eq!(reread.applied, ["terms.timeLimits.leeway: 6s, now 4s"]);
 /// assert_eq!(reread.restart, [r#"self.area: "north", after a restart "south""#]);
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -154,12 +154,12 @@
 /// ```
 /// let body = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"},
 ///     "steps": [{"share": 0.05, "least": "60s"}, {"share": 0.5, "pass": "operator"}]}"#;
-/// assert_eq!(terms::rollout::parse(body).unwrap().steps[1].share, 0.5);
-/// let fault = terms::rollout::parse(&body.replace("0.05", "0.7")).unwrap_err();
+/// assert_eq!(coppersail_config::rollout::parse(body).unwrap().steps[1].share, 0.5);
+/// let fault = coppersail_config::rollout::parse(&body.replace("0.05", "0.7")).unwrap_err();
 /// assert!(fault.to_string().ends_with("expected 1 to 64 steps whose shares rise from above 0"));
-/// let fault = terms::rollout::parse(&body.replace("\"60s\"", "60")).unwrap_err();
+/// let fault = coppersail_config::rollout::parse(&body.replace("\"60s\"", "60")).unwrap_err();
 /// assert_eq!(fault.to_string(), "steps[0].least is 60, expected a time such as \"1500ms\" or \"2.5s\"");
-/// let fault = terms::rollout::parse(&body.replace("\"v2\"", "\"v1\"")).unwrap_err();
+/// let fault = coppersail_config::rollout::parse(&body.replace("\"v2\"", "\"v1\"")).unwrap_err();
 /// assert_eq!(fault.to_string(), "to is {\"revision\":\"v1\"}, expected another version than `from`, of the same kind");
 /// ```
 pub fn parse(body: &str) -> Result<Rollout, Fault> {
@@ -191,9 +191,9 @@
     /// Why a configuration does not carry the plan.
     ///
     /// ```
-    /// let plan = terms::rollout::parse(r#"{"service": "a", "from": {"backend": "a"}, "to": {"backend": "b"},
+    /// let plan = coppersail_config::rollout::parse(r#"{"service": "a", "from": {"backend": "a"}, "to": {"backend": "b"},
     ///     "steps": [{"share": 0.1}]}"#).unwrap();
-    /// let fault = plan.fits(&terms::Config::default()).unwrap_err();
+    /// let fault = plan.fits(&coppersail_config::Config::default()).unwrap_err();
     /// assert_eq!(fault.to_string(), "service is \"a\", expected a service of the configuration in force");
     /// ```
     pub fn fits(&self, config: &crate::Config) -> Result<(), Fault> {
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -48,12 +48,12 @@
     /// let file = r#"{"cookie": "stay", "keys": ["/etc/coppersail/session.key"], "wait": "300ms",
     ///     "routes": [{"domain": "a.example", "pathStart": "/confirm/", "confirms": true}],
     ///     "sites": {"1": {"1": "10.0.0.1:7541", "2": "10.0.0.2:7541", "3": "10.0.0.3:7541"}}}"#;
-    /// let sessions = terms::Sessions::from_json(file).unwrap();
+    /// let sessions = coppersail_config::Sessions::from_json(file).unwrap();
     /// assert_eq!((sessions.wait.as_millis(), sessions.routes[0].confirms), (300, true));
     ///
-    /// let fault = terms::Sessions::from_json(&file.replace("\"cookie\": \"stay\",", "")).unwrap_err();
+    /// let fault = coppersail_config::Sessions::from_json(&file.replace("\"cookie\": \"stay\",", "")).unwrap_err();
     /// assert_eq!(fault.to_string(), "header is left out, expected a header or a cookie, one of them");
-    /// let fault = terms::Sessions::from_json(&file.replace("10.0.0.3", "the-third")).unwrap_err();
+    /// let fault = coppersail_config::Sessions::from_json(&file.replace("10.0.0.3", "the-third")).unwrap_err();
     /// assert_eq!(
     ///     fault.to_string(),
     ///     "sites.1.3 is \"the-third:7541\", expected an address such as \"10.0.0.4:7541\"",
--- a/crates/control-plane/config/tests/terms.rs
+++ b/crates/control-plane/config/tests/terms.rs
@@ -1,7 +1,7 @@
 use assert_matches::assert_matches;
+use coppersail_config::config::{parse, Caps};
+use coppersail_config::{Boot, Config, Fault, Route, Routes};
 use std::time::Duration;
-use terms::config::{parse, Caps};
-use terms::{Boot, Config, Fault, Route, Routes};
 
 const BODY: &str = r#"{"revision":"r7","routes":{
 "columns":["name","domain","pathStart","sort","giveUp","target_time","rank","shares","tries","backend"],
@@ -147,16 +147,16 @@
 fn times_are_exact_and_nothing_else_is_one() {
     for ms in 0..20_000 {
         let time = Duration::from_millis(ms);
-        assert_eq!(terms::duration(&format!("{ms}ms")), Some(time));
-        assert_eq!(terms::duration(&format!("{}.{:03}s", ms / 1000, ms % 1000)), Some(time));
-        assert_eq!(terms::duration(&terms::written(time)), Some(time));
+        assert_eq!(coppersail_config::duration(&format!("{ms}ms")), Some(time));
+        assert_eq!(coppersail_config::duration(&format!("{}.{:03}s", ms / 1000, ms % 1000)), Some(time));
+        assert_eq!(coppersail_config::duration(&coppersail_config::written(time)), Some(time));
     }
     for text in
         ["", "s", "ms", "5", "-5s", "+5s", "5 s", " 5s", "5m", "1e3s", "infs", "nans", "1.2.3s", ".s", "5S"]
     {
-        assert_eq!(terms::duration(text), None, "{text}");
+        assert_eq!(coppersail_config::duration(text), None, "{text}");
     }
-    assert_eq!(terms::duration(&format!("{}s", "9".repeat(400))), None);
+    assert_eq!(coppersail_config::duration(&format!("{}s", "9".repeat(400))), None);
 }
 
 const SETTINGS: &str = r#"{"permits": "pulse",
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -68,8 +68,11 @@
         if pulse.calls < beat.calls {
             return say.push(Say::Text(caller, 200, "{}".into()));
         }
-        let cold_ms =
-            pulse.warm_left.as_deref().and_then(terms::duration).map_or(0, |d| d.as_millis() as u64);
+        let cold_ms = pulse
+            .warm_left
+            .as_deref()
+            .and_then(coppersail_config::duration)
+            .map_or(0, |d| d.as_millis() as u64);
         (beat.at, beat.calls, beat.capacity, beat.service) =
             (now, pulse.calls, pulse.capacity, pulse.backend.clone());
         let emptied =
@@ -130,7 +133,7 @@
 
     /// One number has one content: the same again is acknowledged, another is refused.
     fn replace(&mut self, now: Ms, caller: Caller, body: String, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
-        let config = match terms::config::parse(body.as_bytes()) {
+        let config = match coppersail_config::config::parse(body.as_bytes()) {
             Ok(config) => config,
             Err(fault) => {
                 out.push(Effect::Note(format!("A configuration is refused: {fault}.")));
--- a/crates/control-plane/server/src/file.rs
+++ b/crates/control-plane/server/src/file.rs
@@ -7,7 +7,7 @@
 
 impl File {
     pub fn now() -> File {
-        let path = std::env::var(terms::boot::VARIABLE).unwrap_or_default();
+        let path = std::env::var(coppersail_config::boot::VARIABLE).unwrap_or_default();
         let seen = std::fs::metadata(path).and_then(|file| Ok((file.modified()?, file.len())));
         File(seen.ok())
     }
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -17,6 +17,7 @@
 pub mod store;
 pub mod voice;
 
+use coppersail_config::Boot;
 use coppersail_consensus::{Caller, Ms};
 use eyre::{eyre, Result};
 use lanes::Lanes;
@@ -26,7 +27,6 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
 use store::Scribe;
-use terms::Boot;
 use tiny_http::Request;
 
 pub struct Centre {
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -68,7 +68,7 @@
     });
     // Looked at before it is read: what is written meanwhile is seen as a change.
     let mut file = File::now();
-    let boot = terms::Boot::read().unwrap_or_else(|fault| {
+    let boot = coppersail_config::Boot::read().unwrap_or_else(|fault| {
         eprintln!("council! {fault}");
         exit(2)
     });
@@ -102,7 +102,7 @@
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => exit(1),
         }
-        match terms::Boot::read() {
+        match coppersail_config::Boot::read() {
             Ok(boot) => centre.reread(boot),
             Err(fault) => centre.note(&format!("Settings are not taken, nothing changes: {fault}.")),
         }
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -3,9 +3,9 @@
 use crate::links::Links;
 use crate::state::{Say, Spans, State};
 use crate::store::{Batch, Found, Kept};
+use coppersail_config::Boot;
 use coppersail_consensus::{Caller, Core, Id, Ms, Out, Put, Role, Start, Token};
 use std::collections::VecDeque;
-use terms::Boot;
 use tidings::{Follow, News};
 
 /// What a centre begins with.
@@ -237,7 +237,7 @@
 
     /// Takes over what can be while it runs; one line for each field, one for what needs a restart.
     fn reread(&mut self, now: Ms, boot: Boot, outs: &mut Vec<Out>, out: &mut Vec<Effect>) {
-        let reread = terms::reread(&self.boot, boot);
+        let reread = coppersail_config::reread(&self.boot, boot);
         let line = |line: &String| Effect::Note(format!("Settings: {line}."));
         out.extend(reread.applied.iter().chain(&reread.restart).map(line));
         self.boot = reread.boot;
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,13 +1,13 @@
 //! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
 //! of plans is. No I/O; decisions are those of `stride`.
 use crate::store::Put;
+use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use std::collections::BTreeMap;
 use stride::judge::Fleet;
 use stride::ledger::Kind;
 use stride::pace::{Order, Phase, Since, Stand};
 use stride::{Judge, Report, Rollout, Verdict, Version};
-use terms::Config;
 use tidings::{HostNews, Seen, Stage};
 
 /// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
@@ -136,7 +136,7 @@
         if name.is_empty() || name.len() > 64 || !name.chars().all(sound) {
             return Err((400, format!("name is \"{name}\", expected letters, digits and -_. of up to 64")));
         }
-        let plan = terms::rollout::parse(body).map_err(|fault| (400, fault.to_string()))?;
+        let plan = coppersail_config::rollout::parse(body).map_err(|fault| (400, fault.to_string()))?;
         if let Some(config) = config {
             plan.fits(config).map_err(|fault| (400, fault.to_string()))?;
         }
@@ -268,7 +268,7 @@
             r#"{{"revision": "r1", "routes": {{"columns": ["name", "domain", "backend"],
             "rows": [["x", "a.example", "{service}"]]}}, "backends": {{"columns": ["name"], "rows": [["{service}"]]}}}}"#
         );
-        terms::config::parse(text.as_bytes()).unwrap()
+        coppersail_config::config::parse(text.as_bytes()).unwrap()
     }
 
     fn tick(rollouts: &mut Rollouts, now: Ms, service: &str) -> Vec<(Put, String)> {
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -5,10 +5,10 @@
 use crate::orders::Orders;
 use crate::rollouts::{self, Hosts, Rollouts};
 use crate::store::Put;
+use coppersail_config::{Boot, Config};
 use coppersail_consensus::{Caller, Change, Core, Id, Ms, Out, Told};
 use coppersail_shard_leases::{Host, Keys};
 use std::collections::{BTreeMap, BTreeSet};
-use terms::{Boot, Config};
 use tidings::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
 
 /// Time spans that follow from the settings.
@@ -265,7 +265,7 @@
         let revision = self.feed.settings().map(|s| s.revision);
         if revision != self.config.as_ref().map(|c| c.revision) {
             let body = self.feed.settings().map(|s| s.body.clone()).unwrap_or_default();
-            self.config = terms::config::parse(body.as_bytes()).ok();
+            self.config = coppersail_config::config::parse(body.as_bytes()).ok();
         }
     }
 
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -1,6 +1,8 @@
 //! What all requests of this process share.
 use crate::conns::Pools;
 use crate::steer::Steer;
+use coppersail_config::config::Routes;
+use coppersail_config::{Boot, Config};
 use course::budget::{self, Budget};
 use course::{Book, Ms};
 use rustc_hash::FxHashMap;
@@ -8,8 +10,6 @@
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
-use terms::config::Routes;
-use terms::{Boot, Config};
 use tidings::{Asked, News};
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
@@ -130,7 +130,7 @@
         self.told.borrow().clone()
     }
 
-    pub fn caps(&self) -> terms::config::Caps {
+    pub fn caps(&self) -> coppersail_config::config::Caps {
         self.told.borrow().as_ref().map(|told| told.config.caps.clone()).unwrap_or_default()
     }
 
@@ -145,7 +145,7 @@
         if let Some(settings) = &news.settings {
             let held = self.told.borrow().as_ref().map_or(0, |told| told.config.revision);
             if settings.revision > held || self.told.borrow().is_none() {
-                match terms::config::parse(settings.body.as_bytes()) {
+                match coppersail_config::config::parse(settings.body.as_bytes()) {
                     Ok(config) => {
                         info!(self.log, "edge: configuration r{} in force", config.revision);
                         let routes = Routes::new(&config);
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -1,13 +1,13 @@
 //! Follows one centre at a time, in a thread of its own.
 use crate::edge::Tallies;
 use crate::steer::{self, Outbox};
+use coppersail_config::Boot;
 use course::pause;
 use errand::Caller;
 use slog::{info, Logger};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use terms::Boot;
 use tidings::{Follow, News};
 use tokio::sync::mpsc::UnboundedSender;
 
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -12,6 +12,7 @@
 pub mod sessions;
 pub mod steer;
 
+use coppersail_config::Boot;
 use course::pause;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
@@ -19,7 +20,6 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use terms::Boot;
 use tidings::News;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
@@ -86,7 +86,7 @@
 }
 
 fn stamped() -> Option<SystemTime> {
-    let path = PathBuf::from(std::env::var_os(terms::boot::VARIABLE)?);
+    let path = PathBuf::from(std::env::var_os(coppersail_config::boot::VARIABLE)?);
     std::fs::metadata(path).ok()?.modified().ok()
 }
 
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -6,6 +6,7 @@
 use crate::sessions::Stay;
 use crate::steer::{self, Way};
 use bytes::{Bytes, BytesMut};
+use coppersail_config::Route;
 use course::health::Sign;
 use course::pick::{self, Ask, Choice};
 use course::{pause, Ms};
@@ -20,7 +21,6 @@
 use std::net::IpAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use terms::Route;
 use tokio::time::{timeout_at, Instant};
 use verdict::{Broke, Closing, Tally, Turned, Unsent, Verdict};
 
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -3,6 +3,7 @@
 use crate::pass::{self, Held, Passed, Taken};
 use crate::reply::{self, Kind, Reply};
 use bytes::Bytes;
+use coppersail_config::{Boot, Route};
 use eyre::{eyre, WrapErr};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -23,7 +24,6 @@
 use std::hash::BuildHasher;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
-use terms::{Boot, Route};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::spawn_local;
@@ -102,7 +102,7 @@
 
 pub struct Sessions {
     log: Logger,
-    file: terms::Sessions,
+    file: coppersail_config::Sessions,
     keys: Keys,
     rosters: Rosters,
     me: Place,
@@ -132,7 +132,12 @@
 
 impl Sessions {
     /// `address`: where other edges reach this one.
-    pub fn new(file: terms::Sessions, address: &str, fresh: bool, log: Logger) -> eyre::Result<Rc<Sessions>> {
+    pub fn new(
+        file: coppersail_config::Sessions,
+        address: &str,
+        fresh: bool,
+        log: Logger,
+    ) -> eyre::Result<Rc<Sessions>> {
         let read = |path: &String| std::fs::read(path).wrap_err_with(|| format!("key file {path}"));
         let keys = file.keys.iter().map(read).collect::<eyre::Result<Vec<_>>>()?;
         let keys = Keys::new(keys).map_err(|expected| eyre!("sessions: expected {expected}"))?;
@@ -180,7 +185,10 @@
             return Err(eyre!("sessions: there is no second spare port"));
         }
         let address = format!("{}:{port}", boot.ip);
-        Ok((Sessions::new(terms::Sessions::read(path)?, &address, boot.initial_boot, log)?, address))
+        Ok((
+            Sessions::new(coppersail_config::Sessions::read(path)?, &address, boot.initial_boot, log)?,
+            address,
+        ))
     }
 
     pub fn start(self: &Rc<Self>, listener: TcpListener) {
@@ -402,7 +410,7 @@
     }
 
     fn part(&self, route: &Route) -> Option<Part> {
-        let same = |place: &&terms::sessions::Place| {
+        let same = |place: &&coppersail_config::sessions::Place| {
             place.domain.eq_ignore_ascii_case(&route.domain) && place.path_start == route.path_start
         };
         let place = self.file.routes.iter().find(same)?;
--- a/crates/data-plane/edge-proxy/tests/transit/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/follow.rs
@@ -1,10 +1,10 @@
 //! The follower among centres that fail, and when an edge calls itself ready.
 use crate::stand_ins::*;
+use coppersail_config::Boot;
 use slog::{o, Discard, Logger};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
-use terms::Boot;
 use tidings::{Follow, News, Settings, Stage};
 
 /// A centre that answers polls one after the other as told, and hands out what it was asked.
--- a/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
@@ -1,11 +1,11 @@
 //! An edge on loopback, hosts that do as a script says, and clients that write raw bytes.
+use coppersail_config::Boot;
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use terms::Boot;
 use tidings::{HostNews, News, Settings, SliceNews, Stage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
--- a/crates/data-plane/rollout/src/judge.rs
+++ b/crates/data-plane/rollout/src/judge.rs
@@ -10,10 +10,10 @@
 //! sound version.
 use crate::ledger::{Counts, Kind, Report, Row};
 use crate::Ms;
+use coppersail_config::rollout::Rollout;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{Hash, Hasher};
-use terms::rollout::Rollout;
 
 /// How often a round of bets is settled.
 pub const ROUND: Ms = 2000;
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -25,10 +25,10 @@
 #[cfg(test)]
 mod tests;
 
+pub use coppersail_config::rollout::{Rollout, Version};
 pub use judge::{Judge, Verdict};
 pub use ledger::{Kind, Ledger, Report};
 pub use pace::{Order, Phase, Stand};
 pub use side::{Side, Sides};
-pub use terms::rollout::{Rollout, Version};
 
 pub type Ms = u64;
--- a/crates/data-plane/rollout/src/pace.rs
+++ b/crates/data-plane/rollout/src/pace.rs
@@ -1,8 +1,8 @@
 //! A plan's state, as the centre keeps it on two disks. Every change has the next number; edges take the highest.
 use crate::judge::Verdict;
 use crate::Ms;
+use coppersail_config::rollout::{Pass, Pause, Rollout};
 use serde::{Deserialize, Serialize};
-use terms::rollout::{Pass, Pause, Rollout};
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
@@ -69,7 +69,7 @@
 impl Stand {
     /// A new plan, or the next under the name of one that has ended.
     pub fn submit(name: &str, body: &str, before: Option<&Stand>) -> Result<Stand, String> {
-        terms::rollout::parse(body).map_err(|fault| fault.to_string())?;
+        coppersail_config::rollout::parse(body).map_err(|fault| fault.to_string())?;
         match before {
             Some(old) if old.phase != Phase::Ended && old.body == body => Ok(old.clone()),
             Some(old) if old.phase != Phase::Ended => Err("a plan of that name is in force".into()),
@@ -89,7 +89,7 @@
     }
 
     pub fn plan(&self) -> Rollout {
-        terms::rollout::parse(&self.body).unwrap_or_default()
+        coppersail_config::rollout::parse(&self.body).unwrap_or_default()
     }
 
     /// The share of the new version; nothing where the plan does not steer.
--- a/crates/data-plane/rollout/src/side.rs
+++ b/crates/data-plane/rollout/src/side.rs
@@ -1,7 +1,7 @@
 //! What an edge makes of plans.
 use crate::pace::{Phase, Stand};
 use crate::{share, Ms};
-use terms::rollout::{Rollout, Version};
+use coppersail_config::rollout::{Rollout, Version};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
--- a/crates/data-plane/rollout/src/tests.rs
+++ b/crates/data-plane/rollout/src/tests.rs
@@ -5,7 +5,7 @@
 use crate::side::{Side, Sides};
 use crate::Ms;
 use assert_matches::assert_matches;
-use terms::rollout::Rollout;
+use coppersail_config::rollout::Rollout;
 
 const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"}, "ends": "3600s",
     "steps": [{"share": 0.05, "least": "10s", "evidence": 20}, {"share": 0.5, "least": "10s", "evidence": 20}]}"#;
@@ -351,7 +351,10 @@
             "to is {\"backend\":\"b\"}, expected another version than `from`, of the same kind",
         ),
     ] {
-        assert_eq!(terms::rollout::parse(&BODY.replacen(from, to, 1)).unwrap_err().to_string(), line);
+        assert_eq!(
+            coppersail_config::rollout::parse(&BODY.replacen(from, to, 1)).unwrap_err().to_string(),
+            line
+        );
     }
     let _: Rollout = stand().plan();
 }
--- a/crates/tools/fleet-emulator/src/walk.rs
+++ b/crates/tools/fleet-emulator/src/walk.rs
@@ -56,7 +56,7 @@
 ///
 /// ```
 /// let size = hollow::Size { revision: 4, routes: 530, services: 55, split: 5 };
-/// let config = terms::config::parse(hollow::settings(size).as_bytes()).unwrap();
+/// let config = coppersail_config::config::parse(hollow::settings(size).as_bytes()).unwrap();
 /// assert_eq!((config.revision, config.routes.len(), config.services.len()), (4, 530, 55));
 /// assert_eq!(config.services.iter().filter(|service| service.split_up).count(), 5);
 /// ```
--- a/crates/tools/gatewayctl/src/rollout.rs
+++ b/crates/tools/gatewayctl/src/rollout.rs
@@ -31,7 +31,7 @@
     let (wish, centre) = asked(words)?;
     let read = |file: &str| std::fs::read_to_string(file).wrap_err_with(|| file.to_string());
     if let Wish::Check(file) = &wish {
-        terms::rollout::parse(&read(file)?)?;
+        coppersail_config::rollout::parse(&read(file)?)?;
         return Ok("sound\n".into());
     }
     let centre = centre.ok_or_else(|| eyre!("--centre is missing"))?;
@@ -39,7 +39,7 @@
         Wish::Check(_) => Ok(String::new()),
         Wish::Submit(name, file) => {
             let body = read(&file)?;
-            terms::rollout::parse(&body)?;
+            coppersail_config::rollout::parse(&body)?;
             call(&centre, &format!("/rollouts/{name}"), Some(&body))?;
             Ok(format!("{name} is in force\n"))
         }
--- a/crates/tools/simulator/src/host.rs
+++ b/crates/tools/simulator/src/host.rs
@@ -187,7 +187,7 @@
         }
         let host = &mut self.hosts[n];
         if let (true, Some(rows)) = (host.split, &reply.held) {
-            let keep = reply.keep_time.as_deref().and_then(terms::duration).unwrap_or_default();
+            let keep = reply.keep_time.as_deref().and_then(coppersail_config::duration).unwrap_or_default();
             let at = |t: Us| local(t, host.start, host.pace);
             host.keys.granted(at(now), at(sent.at), keep, rows);
             self.tally.grants += 1;
--- a/crates/tools/stub-backend/src/life.rs
+++ b/crates/tools/stub-backend/src/life.rs
@@ -200,7 +200,7 @@
             revision: plan.revision.clone(),
             capacity: plan.capacity,
             stage: if self.leaving.is_some() { "emptying" } else { "ready" }.into(),
-            warm_left: terms::written(plan.warm.saturating_sub(now)),
+            warm_left: coppersail_config::written(plan.warm.saturating_sub(now)),
             call_count: self.calls,
             held: plan.split.then_some(held),
             released: plan.split.then_some(released),
@@ -215,7 +215,7 @@
         }
         self.keys.acknowledged();
         if let (true, Some(rows)) = (self.plan.split, &reply.held) {
-            let keep = reply.keep_time.as_deref().and_then(terms::duration).unwrap_or_default();
+            let keep = reply.keep_time.as_deref().and_then(coppersail_config::duration).unwrap_or_default();
             self.keys.granted(now, sent, keep, rows);
         }
     }
