--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -4,9 +4,9 @@
 //! or after `wait_ms`. What a poll says it has is the receipt for the answer before it.
 //!
 //! ```
-//! let follow = tidings::Follow { edge: "10.1.0.34".into(), seq: 7, ..Default::default() };
+//! let follow = coppersail_peer_protocol::Follow { edge: "10.1.0.34".into(), seq: 7, ..Default::default() };
 //! let text = serde_json::to_string(&follow).unwrap();
-//! assert_eq!(serde_json::from_str::<tidings::Follow>(&text).unwrap().seq, 7);
+//! assert_eq!(serde_json::from_str::<coppersail_peer_protocol::Follow>(&text).unwrap().seq, 7);
 //! ```
 use coppersail_consensus::{Ballot, Id, Record};
 use serde::{Deserialize, Serialize};
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -3,8 +3,8 @@
 use crate::orders::{digest, Judged};
 use crate::state::{Beat, Kind, Parked, Say, State};
 use coppersail_consensus::{Caller, Ms};
+use coppersail_peer_protocol::{HostNews, Settings, Stage};
 use serde::Deserialize;
-use tidings::{HostNews, Settings, Stage};
 
 #[derive(Deserialize)]
 struct Pulse {
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -1,9 +1,9 @@
 //! What followers are told: hosts, rows, the configuration. Pure. Everything in it only goes forward (revision, number,
 //! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
 //! that edges follow it, and tells on what was new to it.
+use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
 use std::collections::BTreeMap;
 use stride::{Phase, Stand};
-use tidings::{HostNews, News, Settings, SliceNews, Stage};
 
 #[derive(Debug, Default)]
 pub struct Feed {
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -1,5 +1,5 @@
 use crate::feed::Feed;
-use tidings::{HostNews, Stage};
+use coppersail_peer_protocol::{HostNews, Stage};
 
 fn host(ident: &str, calls: u64, stage: Stage) -> HostNews {
     HostNews { ident: ident.into(), calls, stage, via: "a".into(), ..HostNews::default() }
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -2,8 +2,8 @@
 use crate::node::{Effect, Peer};
 use crate::state::{Say, State};
 use coppersail_consensus::{Id, Ms, Out, Token};
+use coppersail_peer_protocol::{Asked, Follow, News};
 use std::collections::{BTreeMap, BTreeSet};
-use tidings::{Asked, Follow, News};
 
 /// How many others a centre's heartbeats go to, besides the witnesses and who holds the state.
 const FEW: usize = 3;
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -5,8 +5,8 @@
 use crate::store::{Batch, Found, Kept};
 use coppersail_config::Boot;
 use coppersail_consensus::{Caller, Core, Id, Ms, Out, Put, Role, Start, Token};
+use coppersail_peer_protocol::{Follow, News};
 use std::collections::VecDeque;
-use tidings::{Follow, News};
 
 /// What a centre begins with.
 pub struct Begin {
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -1,9 +1,9 @@
 //! One number, one content: which content of an operator's order has which number. Pure. What is remembered is part of
 //! the control state, written in one batch with the configuration, so it outlives takeovers and restarts.
 use crate::store::Put;
+use coppersail_peer_protocol::Settings;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
-use tidings::Settings;
 
 /// How many numbers are remembered: a day holds hundreds of changes. The lowest go first.
 pub const MOST: usize = 1000;
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,8 +1,8 @@
 //! One handler for each resource: what hosts and operators call on `admin`, and what directors call among themselves.
 use crate::admin::one_line;
 use crate::node::{Admin, Peer};
+use coppersail_peer_protocol::Follow;
 use std::io::Read;
-use tidings::Follow;
 use tiny_http::{Method, Request};
 
 /// A call, as the centre takes it.
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -3,12 +3,12 @@
 use crate::store::Put;
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
+use coppersail_peer_protocol::{HostNews, Seen, Stage};
 use std::collections::BTreeMap;
 use stride::judge::Fleet;
 use stride::ledger::Kind;
 use stride::pace::{Order, Phase, Since, Stand};
 use stride::{Judge, Report, Rollout, Verdict, Version};
-use tidings::{HostNews, Seen, Stage};
 
 /// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
 const MOST_REPORTS: usize = 4096;
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -7,9 +7,9 @@
 use crate::store::Put;
 use coppersail_config::{Boot, Config};
 use coppersail_consensus::{Caller, Change, Core, Id, Ms, Out, Told};
+use coppersail_peer_protocol::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
 use coppersail_shard_leases::{Host, Keys};
 use std::collections::{BTreeMap, BTreeSet};
-use tidings::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
 
 /// Time spans that follow from the settings.
 #[derive(Debug, Clone, Copy)]
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -2,9 +2,9 @@
 mod common;
 
 use common::{settings, Core};
+use coppersail_peer_protocol::{Follow, News};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
-use tidings::{Follow, News};
 
 #[test]
 fn an_acknowledged_configuration_is_on_two_disks_and_outlives_any_one_of_them() {
@@ -98,7 +98,7 @@
         let follow = Follow { edge: "e".into(), ..Follow::default() };
         let news: News = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
         let host = news.hosts.iter().find(|h| h.ident == "i-1").expect("every centre knows it");
-        assert_eq!(host.stage, tidings::Stage::Emptying);
+        assert_eq!(host.stage, coppersail_peer_protocol::Stage::Emptying);
     }
 }
 
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -1,7 +1,7 @@
 //! The pure machine of a centre, without threads, sockets or a disk.
 use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
+use coppersail_peer_protocol::{Detail, Follow, HostNews, News, Standing};
 use serde_json::json;
-use tidings::{Detail, Follow, HostNews, News, Standing};
 
 const PEERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
 
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -3,6 +3,7 @@
 use crate::steer::Steer;
 use coppersail_config::config::Routes;
 use coppersail_config::{Boot, Config};
+use coppersail_peer_protocol::{Asked, News};
 use course::budget::{self, Budget};
 use course::{Book, Ms};
 use rustc_hash::FxHashMap;
@@ -10,7 +11,6 @@
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
 use std::sync::{Arc, Mutex};
-use tidings::{Asked, News};
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -2,13 +2,13 @@
 use crate::edge::Tallies;
 use crate::steer::{self, Outbox};
 use coppersail_config::Boot;
+use coppersail_peer_protocol::{Follow, News};
 use course::pause;
 use errand::Caller;
 use slog::{info, Logger};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
 use std::time::{Duration, Instant};
-use tidings::{Follow, News};
 use tokio::sync::mpsc::UnboundedSender;
 
 /// How long a centre may hold a poll that has nothing new.
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -13,6 +13,7 @@
 pub mod steer;
 
 use coppersail_config::Boot;
+use coppersail_peer_protocol::News;
 use course::pause;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
@@ -20,7 +21,6 @@
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, SystemTime};
-use tidings::News;
 use tokio::net::TcpListener;
 use tokio::signal::unix::{signal, SignalKind};
 use tokio::sync::mpsc::UnboundedReceiver;
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -1,6 +1,7 @@
 //! Plans at an edge: the version of a request, and what both versions do, counted. Decisions are those of `stride`;
 //! where no plan is in force, nothing here is done.
 use crate::edge::Edge;
+use coppersail_peer_protocol::News;
 use course::Ms;
 use hyper::header::HeaderValue;
 use slog::{info, warn};
@@ -10,7 +11,6 @@
 use std::sync::{Arc, Mutex};
 use stride::ledger::Kind;
 use stride::{Ledger, Report, Side, Sides, Version};
-use tidings::News;
 use tokio::time::Instant;
 use verdict::{Broke, Verdict};
 
--- a/crates/data-plane/edge-proxy/tests/transit/answers.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/answers.rs
@@ -1,7 +1,7 @@
 //! Answers that come late, twice or too soon: none reaches another caller, and none is taken for what it is not.
 use crate::stand_ins::*;
+use coppersail_peer_protocol::{HostNews, News, Stage};
 use std::rc::Rc;
-use tidings::{HostNews, News, Stage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[test]
--- a/crates/data-plane/edge-proxy/tests/transit/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/follow.rs
@@ -1,11 +1,11 @@
 //! The follower among centres that fail, and when an edge calls itself ready.
 use crate::stand_ins::*;
 use coppersail_config::Boot;
+use coppersail_peer_protocol::{Follow, News, Settings, Stage};
 use slog::{o, Discard, Logger};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
-use tidings::{Follow, News, Settings, Stage};
 
 /// A centre that answers polls one after the other as told, and hands out what it was asked.
 fn centre(listener: TcpListener, answers: Vec<(u16, News)>) -> Receiver<Follow> {
@@ -134,7 +134,7 @@
             ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
         rig.edge.take(News { hosts: vec![parted], ..News::default() });
         assert!(!rig.edge.ready(), "and nobody holds its keys");
-        let slices = vec![tidings::SliceNews {
+        let slices = vec![coppersail_peer_protocol::SliceNews {
             backend: "parted".into(),
             slices: 4,
             rows: vec![(0, 0, "i-2".into(), 1)],
--- a/crates/data-plane/edge-proxy/tests/transit/main.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/main.rs
@@ -5,9 +5,9 @@
 mod sessions;
 mod stand_ins;
 
+use coppersail_peer_protocol::{News, Stage};
 use stand_ins::*;
 use std::rc::Rc;
-use tidings::{News, Stage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::Notify;
 
@@ -288,7 +288,10 @@
         let old = host("i-1", |_, head| Act::Send(answer(head, "421 Unheld", "Not-Run: 1\r\n", ""))).await;
         let new = host("i-2", |_, head| Act::Send(good(head, "held"))).await;
         for host in [&old, &new] {
-            news.push(tidings::HostNews { backend: "parted".into(), ..host.news(Stage::Ready, 1) });
+            news.push(coppersail_peer_protocol::HostNews {
+                backend: "parted".into(),
+                ..host.news(Stage::Ready, 1)
+            });
         }
         let rig = rig(&[]).await;
         rig.edge.take(News { hosts: news, ..News::default() });
--- a/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
@@ -1,12 +1,12 @@
 //! An edge on loopback, hosts that do as a script says, and clients that write raw bytes.
 use coppersail_config::Boot;
+use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
-use tidings::{HostNews, News, Settings, SliceNews, Stage};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc::UnboundedSender, Notify};
--- a/crates/data-plane/load-balancing/src/book.rs
+++ b/crates/data-plane/load-balancing/src/book.rs
@@ -2,10 +2,10 @@
 use crate::health::Health;
 use crate::load::Load;
 use crate::Ms;
+use coppersail_peer_protocol::{HostNews, News, SliceNews, Stage};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
-use tidings::{HostNews, News, SliceNews, Stage};
 
 /// Centres that have just started hear of all hosts within a few beats; before that, what they do not name may live.
 const YOUNG: Ms = 5_000;
@@ -96,7 +96,7 @@
 }
 
 /// ```
-/// use tidings::{HostNews, News, Stage};
+/// use coppersail_peer_protocol::{HostNews, News, Stage};
 /// let mut book = course::Book::new("north");
 /// let host = |stage, calls| HostNews {
 ///     ident: "i-1".into(), backend: "b".into(), address: "10.0.0.9:80".into(), stage, calls, ..HostNews::default()
--- a/crates/data-plane/load-balancing/src/pick.rs
+++ b/crates/data-plane/load-balancing/src/pick.rs
@@ -141,7 +141,7 @@
 mod tests {
     use super::*;
     use crate::health::Sign;
-    use tidings::{HostNews, News, SliceNews, Stage};
+    use coppersail_peer_protocol::{HostNews, News, SliceNews, Stage};
 
     fn book(hosts: u32) -> Book {
         let host = |n: u32| HostNews {
--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -1,6 +1,7 @@
 //! `hollow`: the members' sockets and the windows in which they are counted.
 mod line;
 
+use coppersail_peer_protocol::{Asked, News};
 use eyre::{bail, eyre, Result};
 use hollow::{settings, table, walk, Follower, Size, Spent, Tally};
 use keeper::{Life, Plan, Reply, Way};
@@ -10,7 +11,6 @@
 use std::process::ExitCode;
 use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
-use tidings::{Asked, News};
 use tokio::time::sleep;
 
 const USAGE: &str = "\
--- a/crates/tools/fleet-emulator/src/walk.rs
+++ b/crates/tools/fleet-emulator/src/walk.rs
@@ -1,6 +1,6 @@
 //! What one hollow edge says from poll to poll, and a configuration for hollow hosts.
+use coppersail_peer_protocol::{Asked, Follow, News};
 use serde_json::json;
-use tidings::{Asked, Follow, News};
 
 /// An edge that polls and keeps only what it needs for the next poll.
 ///
@@ -8,7 +8,7 @@
 /// use hollow::Follower;
 /// let mut edge = Follower::new(3, "north".into(), 1000);
 /// assert_eq!((edge.poll(&[]).edge.as_str(), edge.poll(&[]).seq), ("127.64.0.3", 0));
-/// let news = tidings::News { feed: 5, seq: 9, whole: true, ..Default::default() };
+/// let news = coppersail_peer_protocol::News { feed: 5, seq: 9, whole: true, ..Default::default() };
 /// assert!(edge.took(&news));
 /// assert!(!edge.took(&news), "nothing new the second time");
 /// assert_eq!((edge.poll(&[]).feed, edge.poll(&[]).seq), (5, 9));
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -4,9 +4,9 @@
 use crate::world::{Ask, End, Ev, Origin, Say};
 use crate::{Us, World, APPLY, EMPTY};
 use coppersail_control_plane::node::{Peer, PeerSay};
+use coppersail_peer_protocol::{Asked, Follow, News, Stage};
 use course::Book;
 use std::collections::{BTreeMap, BTreeSet};
-use tidings::{Asked, Follow, News, Stage};
 
 const HELD: u64 = 700;
 const WHOLE: Us = 1_600_000;
