--- a/crates/control-plane/peer-client/tests/once.rs
+++ b/crates/control-plane/peer-client/tests/once.rs
@@ -1,5 +1,5 @@
 //! Nothing is sent a second time by itself, and no answer is taken for another call's.
-use errand::Caller;
+use coppersail_peer_client::Caller;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
--- a/crates/control-plane/server/src/lanes.rs
+++ b/crates/control-plane/server/src/lanes.rs
@@ -3,7 +3,7 @@
 use crate::node::{Peer, PeerSay};
 use crate::state::peer_address;
 use coppersail_consensus::{Call, Id, Ms, Token};
-use errand::Caller;
+use coppersail_peer_client::Caller;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -1,8 +1,8 @@
 //! Three real centres on loopback, seen from outside. Waits are polls that a centre holds, with an end.
 #![allow(dead_code)]
 
+use coppersail_peer_client::Caller;
 use coppersail_peer_protocol::{Follow, News};
-use errand::Caller;
 use serde_json::{json, Value};
 use std::fs::File;
 use std::path::PathBuf;
