--- a/crates/data-plane/edge-proxy/src/main.rs
+++ b/crates/data-plane/edge-proxy/src/main.rs
@@ -1,4 +1,4 @@
-//! `transit`: the edge of the gateway.
+//! `coppersail-edge-proxy`: the edge of the gateway.
 use std::process::ExitCode;
 
 const HELP: &str = "\
@@ -35,7 +35,7 @@
         Ok(boot) => boot,
         Err(fault) => return wrong(&fault.to_string()),
     };
-    if let Err(fault) = transit::able(&boot) {
+    if let Err(fault) = coppersail_edge_proxy::able(&boot) {
         return wrong(&fault);
     }
     if let Some(Err(fault)) = sessions.as_deref().map(coppersail_config::Sessions::read) {
@@ -44,7 +44,7 @@
     if check {
         return ExitCode::SUCCESS;
     }
-    match transit::run(boot, sessions, transit::log::root()) {
+    match coppersail_edge_proxy::run(boot, sessions, coppersail_edge_proxy::log::root()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
             eprintln!("edge: {fault:#}");
--- a/crates/data-plane/edge-proxy/tests/transit/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/follow.rs
@@ -58,10 +58,17 @@
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..Boot::default()
     };
-    let tallies = std::sync::Arc::new(transit::edge::Tallies::default());
+    let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
     tallies.count("parted", 4);
     let (send, mut taken) = tokio::sync::mpsc::unbounded_channel();
-    transit::follow::start(&boot, Logger::root(Discard, o!()), tallies, Default::default(), send).unwrap();
+    coppersail_edge_proxy::follow::start(
+        &boot,
+        Logger::root(Discard, o!()),
+        tallies,
+        Default::default(),
+        send,
+    )
+    .unwrap();
     for seq in 5..7 {
         assert_eq!(taken.blocking_recv().map(|news| (news.feed, news.seq)), Some((9, seq)));
     }
@@ -104,10 +111,17 @@
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..Boot::default()
     };
-    let tallies = std::sync::Arc::new(transit::edge::Tallies::default());
+    let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
     tallies.count("parted", 4);
     let (send, mut taken) = tokio::sync::mpsc::unbounded_channel();
-    transit::follow::start(&boot, Logger::root(Discard, o!()), tallies, Default::default(), send).unwrap();
+    coppersail_edge_proxy::follow::start(
+        &boot,
+        Logger::root(Discard, o!()),
+        tallies,
+        Default::default(),
+        send,
+    )
+    .unwrap();
     let mut heard = || News { asked_at: None, ..taken.blocking_recv().unwrap() };
     assert_eq!(
         [heard(), heard()],
--- a/crates/data-plane/edge-proxy/tests/transit/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/sessions.rs
@@ -1,11 +1,11 @@
 //! Three edges, one session, and a client that goes from one to the other.
 use crate::stand_ins::*;
+use coppersail_edge_proxy::sessions::{Listed, Sessions};
 use slog::{o, Discard, Logger};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
-use transit::sessions::{Listed, Sessions};
 
 struct Trio {
     edges: Vec<(Rig, Rc<Sessions>, String)>,
@@ -233,7 +233,7 @@
     });
 }
 
-/// Figures for docs/sessions.md: `cargo test --release -p transit --test transit figures -- --ignored --nocapture`.
+/// Figures for docs/sessions.md: `cargo test --release -p coppersail-edge-proxy --test transit figures -- --ignored --nocapture`.
 #[test]
 #[ignore = "a measurement"]
 fn figures() {
--- a/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/stand_ins.rs
@@ -1,5 +1,6 @@
 //! An edge on loopback, hosts that do as a script says, and clients that write raw bytes.
 use coppersail_config::Boot;
+use coppersail_edge_proxy::edge::Edge;
 use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
@@ -11,7 +12,6 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::{mpsc::UnboundedSender, Notify};
 use tokio::task::{spawn_local, LocalSet};
-use transit::edge::Edge;
 
 /// Far longer than anything here takes; only a test that hangs meets it.
 const HANGS: Duration = Duration::from_secs(20);
@@ -217,7 +217,7 @@
     let readiness = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let at = (clients.local_addr().unwrap(), readiness.local_addr().unwrap());
     let (news, taken) = tokio::sync::mpsc::unbounded_channel();
-    transit::start(&edge, clients, readiness, taken);
+    coppersail_edge_proxy::start(&edge, clients, readiness, taken);
     let body = SETTINGS.replace("HEADWAIT", head_wait);
     edge.take(News {
         settings: Some(Settings { revision: 4, body }),
--- a/crates/tools/gatewayctl/src/session.rs
+++ b/crates/tools/gatewayctl/src/session.rs
@@ -1,9 +1,9 @@
 //! Sessions that travel between edges, as an edge tells of them.
+use coppersail_edge_proxy::sessions::Listed;
 use eyre::{bail, eyre, WrapErr};
 use serde_json::Value;
 use std::fmt::Write as _;
 use std::time::Duration;
-use transit::sessions::Listed;
 
 pub const HELP: &str = concat!(
     "  regard session list --edge ADDR      sessions at an edge, and its counters; ADDR is its second spare port\n",
