--- a/crates/data-plane/edge-proxy/src/conns.rs
+++ b/crates/data-plane/edge-proxy/src/conns.rs
@@ -2,8 +2,8 @@
 use crate::edge::Edge;
 use crate::reply::Sent;
 use crate::steer::{Lookout, Way};
-use course::health::Sign;
-use course::pause;
+use coppersail_load_balancing::health::Sign;
+use coppersail_load_balancing::pause;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderValue;
 use hyper::rt::{Read, ReadBufCursor, Write};
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -3,9 +3,9 @@
 use crate::steer::Steer;
 use coppersail_config::config::Routes;
 use coppersail_config::{Boot, Config};
+use coppersail_load_balancing::budget::{self, Budget};
+use coppersail_load_balancing::{Book, Ms};
 use coppersail_peer_protocol::{Asked, News};
-use course::budget::{self, Budget};
-use course::{Book, Ms};
 use rustc_hash::FxHashMap;
 use slog::{info, warn, Logger};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -171,7 +171,7 @@
     /// Once a second: what only time changes.
     pub fn tick(&self) {
         self.report();
-        let mut changed = course::book::Changed::default();
+        let mut changed = coppersail_load_balancing::book::Changed::default();
         self.book.borrow_mut().sweep(self.now(), &mut changed);
         let mut pools = self.pools.borrow_mut();
         changed.left.iter().for_each(|ident| pools.drop_idle(ident));
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -2,9 +2,9 @@
 use crate::edge::Tallies;
 use crate::steer::{self, Outbox};
 use coppersail_config::Boot;
+use coppersail_load_balancing::pause;
 use coppersail_peer_client::Caller;
 use coppersail_peer_protocol::{Follow, News};
-use course::pause;
 use slog::{info, Logger};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The edge: takes requests of clients and passes them to hosts.
 //!
-//! One thread drives all sockets; another follows a centre. Decisions are those of `course` and `verdict`.
+//! One thread drives all sockets; another follows a centre. Decisions are those of `coppersail-load-balancing` and `verdict`.
 pub mod conns;
 pub mod edge;
 pub mod follow;
@@ -13,8 +13,8 @@
 pub mod steer;
 
 use coppersail_config::Boot;
+use coppersail_load_balancing::pause;
 use coppersail_peer_protocol::News;
-use course::pause;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
 use slog::{info, Logger};
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -7,9 +7,9 @@
 use crate::steer::{self, Way};
 use bytes::{Bytes, BytesMut};
 use coppersail_config::Route;
-use course::health::Sign;
-use course::pick::{self, Ask, Choice};
-use course::{pause, Ms};
+use coppersail_load_balancing::health::Sign;
+use coppersail_load_balancing::pick::{self, Ask, Choice};
+use coppersail_load_balancing::{pause, Ms};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
--- a/crates/data-plane/edge-proxy/src/reply.rs
+++ b/crates/data-plane/edge-proxy/src/reply.rs
@@ -195,7 +195,7 @@
 }
 
 /// A refusal: it has not run; come back after so many milliseconds.
-pub fn later(back: course::Ms) -> Response<Reply> {
+pub fn later(back: coppersail_load_balancing::Ms) -> Response<Reply> {
     let mut answer = own(503);
     let text = format!("{}.{:03}", back / 1000, back % 1000);
     answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from_str(&text).expect("digits"));
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -54,8 +54,9 @@
     pub fn steer(&self, edge: &Edge, taken: &Taken<'_>, picked: Rc<str>, tried: &[Rc<str>]) -> Rc<str> {
         let book = edge.book.borrow();
         let usable = |ident: &str| {
-            let serves =
-                |host: &course::book::Host| &*host.service == taken.service && host.usable(edge.now());
+            let serves = |host: &coppersail_load_balancing::book::Host| {
+                &*host.service == taken.service && host.usable(edge.now())
+            };
             !tried.iter().any(|one| &**one == ident) && book.host(ident).is_some_and(serves)
         };
         // Who holds a key is not for a session to say.
@@ -590,7 +591,11 @@
             Said::Unknown => outcome(502, "unknown"),
             Said::Other => outcome(422, "another request went under this key"),
             Said::NotNow => {
-                let wait = course::pause::back(ms(self.file.wait), true, edge.chance.borrow_mut().f64());
+                let wait = coppersail_load_balancing::pause::back(
+                    ms(self.file.wait),
+                    true,
+                    edge.chance.borrow_mut().f64(),
+                );
                 let mut answer = reply::later(wait);
                 answer.headers_mut().insert(OUTCOME, HeaderValue::from_static("not run"));
                 answer
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -1,8 +1,8 @@
 //! Plans at an edge: the version of a request, and what both versions do, counted. Decisions are those of `stride`;
 //! where no plan is in force, nothing here is done.
 use crate::edge::Edge;
+use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::News;
-use course::Ms;
 use hyper::header::HeaderValue;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
--- a/crates/data-plane/load-balancing/src/book.rs
+++ b/crates/data-plane/load-balancing/src/book.rs
@@ -97,7 +97,7 @@
 
 /// ```
 /// use coppersail_peer_protocol::{HostNews, News, Stage};
-/// let mut book = course::Book::new("north");
+/// let mut book = coppersail_load_balancing::Book::new("north");
 /// let host = |stage, calls| HostNews {
 ///     ident: "i-1".into(), backend: "b".into(), address: "10.0.0.9:80".into(), stage, calls, ..HostNews::default()
 /// };
--- a/crates/data-plane/load-balancing/src/budget.rs
+++ b/crates/data-plane/load-balancing/src/budget.rs
@@ -25,7 +25,7 @@
 }
 
 /// ```
-/// use course::budget::{Budget, Terms};
+/// use coppersail_load_balancing::budget::{Budget, Terms};
 /// let mut budget = Budget::default();
 /// let terms = Terms { ratio: 0.2, window: 10_000, extra: 0 };
 /// assert!(!budget.spend(&terms, 8, 0), "nothing has been asked for yet");
--- a/crates/data-plane/load-balancing/src/pick.rs
+++ b/crates/data-plane/load-balancing/src/pick.rs
@@ -47,7 +47,7 @@
 }
 
 /// ```
-/// use course::{pick, Ask, Book, Choice};
+/// use coppersail_load_balancing::{pick, Ask, Book, Choice};
 /// let ask = Ask { service: "b", key: None, repeatable: true, rank: 0, left: 900, stays: 0, revision: None, tried: &[] };
 /// assert_eq!(pick::pick(&Book::new("north"), &ask, 0, &mut fastrand::Rng::with_seed(1)), Choice::Nobody);
 /// ```
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -4,8 +4,8 @@
 use crate::world::{Ask, End, Ev, Origin, Say};
 use crate::{Us, World, APPLY, EMPTY};
 use coppersail_control_plane::node::{Peer, PeerSay};
+use coppersail_load_balancing::Book;
 use coppersail_peer_protocol::{Asked, Follow, News, Stage};
-use course::Book;
 use std::collections::{BTreeMap, BTreeSet};
 
 const HELD: u64 = 700;
