--- a/crates/data-plane/edge-proxy/src/conns.rs
+++ b/crates/data-plane/edge-proxy/src/conns.rs
@@ -4,6 +4,7 @@
 use crate::steer::{Lookout, Way};
 use coppersail_load_balancing::health::Sign;
 use coppersail_load_balancing::pause;
+use coppersail_retry::Unsent;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderValue;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -20,7 +21,6 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
-use verdict::Unsent;
 
 /// What a host sends that is not acknowledged for so long is lost: links deliver within half a second even when choked.
 const UNACKNOWLEDGED: Duration = Duration::from_millis(1_500);
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -1,6 +1,6 @@
 //! The edge: takes requests of clients and passes them to hosts.
 //!
-//! One thread drives all sockets; another follows a centre. Decisions are those of `coppersail-load-balancing` and `verdict`.
+//! One thread drives all sockets; another follows a centre. Decisions are those of `coppersail-load-balancing` and `coppersail-retry`.
 pub mod conns;
 pub mod edge;
 pub mod follow;
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -10,6 +10,7 @@
 use coppersail_load_balancing::health::Sign;
 use coppersail_load_balancing::pick::{self, Ask, Choice};
 use coppersail_load_balancing::{pause, Ms};
+use coppersail_retry::{Broke, Closing, Tally, Turned, Unsent, Verdict};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -22,7 +23,6 @@
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
-use verdict::{Broke, Closing, Tally, Turned, Unsent, Verdict};
 
 /// Bodies up to this are held whole, so that a further try can repeat them and a broken answer never begins. It is
 /// many times a usual body, and a few hundred of them fit beside each other.
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -4,6 +4,7 @@
 use crate::reply::{self, Kind, Reply};
 use bytes::Bytes;
 use coppersail_config::{Boot, Route};
+use coppersail_retry::Closing;
 use eyre::{eyre, WrapErr};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -28,7 +29,6 @@
 use tokio::sync::mpsc::{unbounded_channel, UnboundedSender};
 use tokio::task::spawn_local;
 use tokio::time::timeout;
-use verdict::Closing;
 
 const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
 const REPLAYED: HeaderName = HeaderName::from_static("idempotent-replayed");
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -3,6 +3,7 @@
 use crate::edge::Edge;
 use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::News;
+use coppersail_retry::{Broke, Verdict};
 use hyper::header::HeaderValue;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -12,7 +13,6 @@
 use stride::ledger::Kind;
 use stride::{Ledger, Report, Side, Sides, Version};
 use tokio::time::Instant;
-use verdict::{Broke, Verdict};
 
 /// Bytes of evidence in one poll; with a plan there are three polls a second, and a row or two in two seconds.
 const MOST_BYTES: usize = 600;
--- a/crates/data-plane/retry/src/lib.rs
+++ b/crates/data-plane/retry/src/lib.rs
@@ -4,7 +4,7 @@
 //! [`Tally`], which answer the client gets when the request is given up.
 //!
 //! ```
-//! use verdict::{Broke, Closing, Tally, Unsent, Verdict};
+//! use coppersail_retry::{Broke, Closing, Tally, Unsent, Verdict};
 //! let mut tally = Tally::default();
 //! let unreached: Verdict<()> = Verdict::NotSent(Unsent::Unreachable);
 //! assert!(unreached.again(false), "what no host has read may go to another one");
--- a/crates/data-plane/retry/tests/table.rs
+++ b/crates/data-plane/retry/tests/table.rs
@@ -1,5 +1,5 @@
 //! Every way in which a try can end, and what follows.
-use verdict::{Broke, Closing, Tally, Turned, Unsent, Verdict};
+use coppersail_retry::{Broke, Closing, Tally, Turned, Unsent, Verdict};
 
 /// All of them; a new one does not compile until it has its line in [`follows`].
 fn all() -> Vec<Verdict<()>> {
