--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -1,10 +1,14 @@
-//! Sessions that travel between edges: the sockets and headers around `sojourn`, which decides. Off without a file.
+//! Sessions that travel between edges: the sockets and headers around `coppersail-session-affinity`, which decides. Off without a file.
 use crate::edge::{Edge, Told};
 use crate::pass::{self, Held, Passed, Taken};
 use crate::reply::{self, Kind, Reply};
 use bytes::Bytes;
 use coppersail_config::{Boot, Route};
 use coppersail_retry::Closing;
+use coppersail_session_affinity::token::{print, Keys, Token};
+use coppersail_session_affinity::{
+    Answer, Ask, Counts, Id, Ms, Msg, Out, Outcome, Place, Reply as Said, Rosters, Site, Terms,
+};
 use eyre::{eyre, WrapErr};
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -16,8 +20,6 @@
 use serde::{Deserialize, Serialize};
 use serde_json::value::{to_raw_value, RawValue};
 use slog::{info, Logger};
-use sojourn::token::{print, Keys, Token};
-use sojourn::{Answer, Ask, Counts, Id, Ms, Msg, Out, Outcome, Place, Reply as Said, Rosters, Site, Terms};
 use std::cell::{Cell, RefCell};
 use std::collections::hash_map::RandomState;
 use std::collections::VecDeque;
@@ -61,7 +63,9 @@
         };
         // Who holds a key is not for a session to say.
         let had = self.had.as_ref().filter(|_| taken.key.is_none());
-        let stays = had.filter(|had| sojourn::prefer(Some(had), &picked, usable) == &***had).cloned();
+        let stays = had
+            .filter(|had| coppersail_session_affinity::prefer(Some(had), &picked, usable) == &***had)
+            .cloned();
         let ident = stays.unwrap_or(picked);
         *self.chosen.borrow_mut() = Some(ident.clone());
         ident
--- a/crates/data-plane/session-affinity/examples/night.rs
+++ b/crates/data-plane/session-affinity/examples/night.rs
@@ -1,10 +1,10 @@
 //! Busy nights in simulated time: clients that move between sites while sites are killed, zones cut off, answers lost
 //! and connections reset. The ledger of the stand-in host is the judge.
 //!
-//! `cargo run --release -p sojourn --example night -- docs/sessions.md` plays them all and writes its tables there.
+//! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` plays them all and writes its tables there.
+use coppersail_session_affinity::{Answer, Ask, Id, Msg, Out, Outcome, Place, Reply, Rosters, Site, Terms};
 use plotters::prelude::*;
 use rustc_hash::FxHashMap;
-use sojourn::{Answer, Ask, Id, Msg, Out, Outcome, Place, Reply, Rosters, Site, Terms};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap};
 use std::fmt::Write as _;
--- a/crates/data-plane/session-affinity/examples/room.rs
+++ b/crates/data-plane/session-affinity/examples/room.rs
@@ -1,5 +1,5 @@
-//! What sessions weigh: `cargo run --release -p sojourn --example room -- CONFIRMATIONS`.
-use sojourn::{Answer, Ask, Id, Out, Outcome, Site, Terms};
+//! What sessions weigh: `cargo run --release -p coppersail-session-affinity --example room -- CONFIRMATIONS`.
+use coppersail_session_affinity::{Answer, Ask, Id, Out, Outcome, Site, Terms};
 
 fn resident() -> usize {
     let text = std::fs::read_to_string("/proc/self/statm").unwrap_or_default();
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -8,7 +8,7 @@
 //! All here is pure: times (milliseconds of the time of day) and messages are given in, messages and answers come out.
 //!
 //! ```
-//! use sojourn::{Ask, Id, Out, Outcome, Reply, Site, Terms};
+//! use coppersail_session_affinity::{Ask, Id, Out, Outcome, Reply, Site, Terms};
 //! let terms = Terms::default();
 //! let mut site = Site::new(1, &terms, 1, 0);
 //! let ask = |ticket| Ask {
@@ -16,7 +16,7 @@
 //! };
 //! // The only seat of a roster of one: nothing has to be waited for.
 //! assert!(matches!(site.ask(60_000, ask(1))[..], [Out::Run { ticket: 1 }]));
-//! let answer = sojourn::Answer { status: 200, headers: vec![], body: b"taken".to_vec() };
+//! let answer = coppersail_session_affinity::Answer { status: 200, headers: vec![], body: b"taken".to_vec() };
 //! assert!(matches!(site.ran(60_010, 1, Outcome::Ran(answer))[..], [Out::Done { ticket: 1 }]));
 //! let again = site.ask(60_020, ask(2));
 //! assert!(matches!(&again[..], [Out::Answer { ticket: 2, reply: Reply::Kept(kept) }] if kept.body == b"taken"));
--- a/crates/data-plane/session-affinity/src/model.rs
+++ b/crates/data-plane/session-affinity/src/model.rs
@@ -326,7 +326,7 @@
     }
 }
 
-/// `cargo test --release -p sojourn model -- --ignored --nocapture`
+/// `cargo test --release -p coppersail-session-affinity model -- --ignored --nocapture`
 #[test]
 #[ignore = "some minutes long; docs/sessions.md has its figures"]
 fn no_order_of_events_with_a_loss_runs_a_confirmation_twice() {
--- a/crates/data-plane/session-affinity/src/roster.rs
+++ b/crates/data-plane/session-affinity/src/roster.rs
@@ -18,7 +18,7 @@
     /// The sites that the id names, home first, then the next ones on the ring; nothing for an unknown list.
     ///
     /// ```
-    /// use sojourn::{Id, Rosters};
+    /// use coppersail_session_affinity::{Id, Rosters};
     /// let sites = (1..=8).map(|n| (n, format!("10.0.0.{n}:7001"))).collect();
     /// let rosters = Rosters([(4, sites)].into());
     /// let seats = rosters.seats(4, Id([3, 9])).unwrap();
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -67,9 +67,9 @@
     }
 
     /// ```
-    /// use sojourn::token::{Keys, Token, Unfit};
+    /// use coppersail_session_affinity::token::{Keys, Token, Unfit};
     /// let keys = Keys::new(vec![vec![1; 32]]).unwrap();
-    /// let token = Token { id: sojourn::Id([1, 2]), roster: 1, born: 5_000, signed: 5_000 };
+    /// let token = Token { id: coppersail_session_affinity::Id([1, 2]), roster: 1, born: 5_000, signed: 5_000 };
     /// let text = keys.sign(&token);
     /// assert_eq!(keys.read(&text, 6_000, 60_000, 100), Ok((token, true)));
     /// assert_eq!(keys.read(&text[1..], 6_000, 60_000, 100), Err(Unfit::Cut));
