--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -28,7 +28,7 @@
     pub asked: Vec<Asked>,
     /// What was counted of versions since, where a plan steers; centres that are not primary pass it on.
     #[serde(skip_serializing_if = "nothing")]
-    pub evidence: Vec<stride::Report>,
+    pub evidence: Vec<coppersail_rollout::Report>,
     /// Where a centre follows another: who it is, and how it stands.
     #[serde(skip_serializing_if = "nothing")]
     pub standing: Option<Standing>,
@@ -123,7 +123,7 @@
     pub slices: Vec<SliceNews>,
     /// Plans; the higher number counts.
     #[serde(skip_serializing_if = "nothing")]
-    pub plans: Vec<stride::Stand>,
+    pub plans: Vec<coppersail_rollout::Stand>,
     /// How new all plans are that this centre has told, where there are any.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub plans_seen: Option<Seen>,
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -2,8 +2,8 @@
 //! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
 //! that edges follow it, and tells on what was new to it.
 use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
+use coppersail_rollout::{Phase, Stand};
 use std::collections::BTreeMap;
-use stride::{Phase, Stand};
 
 #[derive(Debug, Default)]
 pub struct Feed {
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -21,7 +21,7 @@
 struct Poll {
     token: Token,
     asked_at: Ms,
-    evidence: Vec<stride::Report>,
+    evidence: Vec<coppersail_rollout::Report>,
 }
 
 #[derive(Default)]
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,14 +1,14 @@
 //! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
-//! of plans is. No I/O; decisions are those of `stride`.
+//! of plans is. No I/O; decisions are those of `coppersail-rollout`.
 use crate::store::Put;
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{HostNews, Seen, Stage};
+use coppersail_rollout::judge::Fleet;
+use coppersail_rollout::ledger::Kind;
+use coppersail_rollout::pace::{Order, Phase, Since, Stand};
+use coppersail_rollout::{Judge, Report, Rollout, Verdict, Version};
 use std::collections::BTreeMap;
-use stride::judge::Fleet;
-use stride::ledger::Kind;
-use stride::pace::{Order, Phase, Since, Stand};
-use stride::{Judge, Report, Rollout, Verdict, Version};
 
 /// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
 const MOST_REPORTS: usize = 4096;
@@ -199,7 +199,7 @@
     pub fn show(&self, now: Ms, name: &str) -> Option<serde_json::Value> {
         let entry = self.plans.get(name)?;
         let stand = &entry.stand;
-        let side = |c: &stride::ledger::Counts| {
+        let side = |c: &coppersail_rollout::ledger::Counts| {
             let of = |k| c.of(k);
             let all: u64 = c.times.iter().map(|t| u64::from(t.1)).sum();
             let at = |part: f64| {
@@ -258,7 +258,7 @@
 mod tests {
     use super::*;
     use assert_matches::assert_matches;
-    use stride::ledger::Row;
+    use coppersail_rollout::ledger::Row;
 
     const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"},
         "steps": [{"share": 0.1, "least": "5s", "evidence": 0}, {"share": 1}]}"#;
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -1,17 +1,17 @@
-//! Plans at an edge: the version of a request, and what both versions do, counted. Decisions are those of `stride`;
+//! Plans at an edge: the version of a request, and what both versions do, counted. Decisions are those of `coppersail-rollout`;
 //! where no plan is in force, nothing here is done.
 use crate::edge::Edge;
 use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::News;
 use coppersail_retry::{Broke, Verdict};
+use coppersail_rollout::ledger::Kind;
+use coppersail_rollout::{Ledger, Report, Side, Sides, Version};
 use hyper::header::HeaderValue;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::{Arc, Mutex};
-use stride::ledger::Kind;
-use stride::{Ledger, Report, Side, Sides, Version};
 use tokio::time::Instant;
 
 /// Bytes of evidence in one poll; with a plan there are three polls a second, and a row or two in two seconds.
--- a/crates/data-plane/edge-proxy/tests/transit/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/transit/rollout.rs
@@ -1,9 +1,9 @@
 //! A plan at an edge, among hosts of two revisions.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{HostNews, News, Seen, Stage};
+use coppersail_rollout::ledger::Kind;
+use coppersail_rollout::pace::{Order, Stand};
 use std::time::Instant;
-use stride::ledger::Kind;
-use stride::pace::{Order, Stand};
 
 const BODY: &str = r#"{"service": "plain", "from": {"revision": "v1"}, "to": {"revision": "v2"}, "member": "Session",
     "steps": [{"share": 0.5}, {"share": 1}]}"#;
--- a/crates/data-plane/rollout/examples/evening/main.rs
+++ b/crates/data-plane/rollout/examples/evening/main.rs
@@ -1,6 +1,6 @@
 //! Plays busy evenings in simulated time and writes the tables and charts of `docs/rollout.md`.
 //!
-//! `cargo run --release -p stride --example evening -- docs` (or `-- docs 20 4` with fewer seeds).
+//! `cargo run --release -p coppersail-rollout --example evening -- docs` (or `-- docs 20 4` with fewer seeds).
 mod page;
 mod world;
 
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -1,12 +1,12 @@
 //! Hosts, clients, edges and a centre of one busy evening, in simulated time. What decides are the modules of
-//! `stride`; only hosts, clients and the ways between are played here.
+//! `coppersail-rollout`; only hosts, clients and the ways between are played here.
+use coppersail_rollout::judge::{Fleet, Judge};
+use coppersail_rollout::ledger::{Kind, Ledger, Report};
+use coppersail_rollout::pace::{Phase, Since, Stand};
+use coppersail_rollout::side::{Side, Sides};
+use coppersail_rollout::{Ms, Verdict};
 use fastrand::Rng;
 use std::collections::BTreeMap;
-use stride::judge::{Fleet, Judge};
-use stride::ledger::{Kind, Ledger, Report};
-use stride::pace::{Phase, Since, Stand};
-use stride::side::{Side, Sides};
-use stride::{Ms, Verdict};
 
 /// What is wrong with the new version, or else goes on.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -212,7 +212,8 @@
         };
         let hosts = ["n", "o"].map(|v| (0..size.hosts).map(|n| host(v, n)).collect());
         // The worst client to be hot: one of the first that the new version gets.
-        let first = |n: &u32| stride::share::place("ledger", "friday", format!("c{n}").as_bytes()) < 0.02;
+        let first =
+            |n: &u32| coppersail_rollout::share::place("ledger", "friday", format!("c{n}").as_bytes()) < 0.02;
         let hot = format!("c{}", (0..5000).find(first).unwrap_or(0));
         Evening {
             case,
@@ -537,7 +538,7 @@
         Fleet { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
     }
 
-    fn centre(&mut self, now: Ms, plan: &stride::Rollout) {
+    fn centre(&mut self, now: Ms, plan: &coppersail_rollout::Rollout) {
         if now < self.no_primary_until {
             return;
         }
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`judge`]: what the centre makes of it.
 //!
 //! ```
-//! use stride::pace::{Order, Phase, Stand};
+//! use coppersail_rollout::pace::{Order, Phase, Stand};
 //! let body = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"},
 //!     "steps": [{"share": 0.05}, {"share": 0.5}]}"#;
 //! let stand = Stand::submit("friday", body, None).unwrap();
--- a/crates/data-plane/rollout/src/pace.rs
+++ b/crates/data-plane/rollout/src/pace.rs
@@ -30,7 +30,7 @@
 
 impl Order {
     /// ```
-    /// use stride::pace::Order;
+    /// use coppersail_rollout::pace::Order;
     /// assert_eq!(Order::named("undo"), Some(Order::Undo));
     /// ```
     pub fn named(name: &str) -> Option<Order> {
--- a/crates/data-plane/rollout/src/share.rs
+++ b/crates/data-plane/rollout/src/share.rs
@@ -4,7 +4,7 @@
 /// The place of a member, from 0 up to 1. Plans on other services or with other names have other first members.
 ///
 /// ```
-/// let place = |who: &str| stride::share::place("ledger", "friday", who.as_bytes());
+/// let place = |who: &str| coppersail_rollout::share::place("ledger", "friday", who.as_bytes());
 /// assert_eq!(place("10.1.2.3"), place("10.1.2.3"));
 /// let within = |share: f64| (0..10_000).filter(|n| place(&n.to_string()) < share).count();
 /// assert!((400..600).contains(&within(0.05)) && within(1.0) == 10_000);
--- a/crates/data-plane/rollout/src/side.rs
+++ b/crates/data-plane/rollout/src/side.rs
@@ -32,7 +32,7 @@
 }
 
 /// ```
-/// use stride::{pace::Stand, Side, Sides};
+/// use coppersail_rollout::{pace::Stand, Side, Sides};
 /// let body = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"}, "steps": [{"share": 1}]}"#;
 /// let mut sides = Sides::default();
 /// sides.take(&Stand::submit("p", body, None).unwrap());
