--- a/crates/control-plane/shard-leases/src/lib.rs
+++ b/crates/control-plane/shard-leases/src/lib.rs
@@ -19,7 +19,7 @@
 #[cfg(test)]
 mod tests;
 
-use poise::Balance;
+use coppersail_rebalancer::Balance;
 use std::collections::BTreeMap;
 
 pub type Ms = u64;
--- a/crates/control-plane/shard-leases/src/place.rs
+++ b/crates/control-plane/shard-leases/src/place.rs
@@ -1,6 +1,6 @@
 //! Which slices should go where: the paper's mechanism over pieces, and what it needs to know of them.
 use crate::{row_bytes, Host, Keys, Ms, Piece, Row, Table, ANSWER};
-use poise::{Board, Holder};
+use coppersail_rebalancer::{Board, Holder};
 use std::collections::BTreeMap;
 
 /// A piece is cut in two when it alone brings this part of a mean host's requests: then a few of them even out what
@@ -11,7 +11,7 @@
 
 pub(crate) fn lay(pieces: usize, hosts: &[Host]) -> Vec<Option<usize>> {
     let holders: Vec<Holder> = hosts.iter().map(|h| holder(h, mean(hosts))).collect();
-    poise::lay(pieces, &holders)
+    coppersail_rebalancer::lay(pieces, &holders)
 }
 
 impl Table {
@@ -107,7 +107,7 @@
         let pinned = firsts.iter().enumerate().filter(|(_, r)| under_way(r)).map(|(n, _)| n).collect();
         let of = |p: &Piece| table.counts[p.first..p.first + p.len].iter().sum::<f64>();
         let counts: Vec<[f64; 1]> = table.pieces.iter().map(|p| [of(p)]).collect();
-        let scores = poise::scores(&counts, None, 1.0);
+        let scores = coppersail_rebalancer::scores(&counts, None, 1.0);
         let mut board = Board { holders, owners, scores, pinned, ..Board::default() };
         // What nobody holds or what its holder is about to drop is no choice: it is not paced.
         let must = |row: &&&Row| !under_way(row) && !open(&row.holder);
--- a/crates/director/rebalancer/src/lib.rs
+++ b/crates/director/rebalancer/src/lib.rs
@@ -6,7 +6,7 @@
 //! A round of one who keeps slices with their holders: scores from counts, then a few moves at a time.
 //!
 //! ```
-//! use poise::{lay, scores, units, Balance, Board, Holder};
+//! use coppersail_rebalancer::{lay, scores, units, Balance, Board, Holder};
 //!
 //! // Two holders that weigh 1 and 3; a third has just been listed.
 //! let weights = units(&[Some(1.0), Some(3.0), Some(2.0)]);
--- a/crates/director/rebalancer/src/relief.rs
+++ b/crates/director/rebalancer/src/relief.rs
@@ -10,7 +10,7 @@
     /// but by no more than the gap that starts balancing; while that moves slices this waits.
     ///
     /// ```
-    /// use poise::{Balance, Board, Holder};
+    /// use coppersail_rebalancer::{Balance, Board, Holder};
     /// let holders = vec![Holder::default(); 2];
     /// let owners = vec![Some(0), Some(1), Some(0), Some(1)];
     /// let board = Board { holders, owners, scores: vec![9.0, 1.0, 1.0, 1.0], ..Board::default() };
--- a/crates/director/rebalancer/src/seats.rs
+++ b/crates/director/rebalancer/src/seats.rs
@@ -12,7 +12,7 @@
 /// that sit close together, go to different holders.
 ///
 /// ```
-/// use poise::{lay, Holder};
+/// use coppersail_rebalancer::{lay, Holder};
 /// let (one, gone) = (Holder::default(), Holder { open: false, leaving: true, ..Holder::default() });
 /// assert_eq!(lay(3, &[one.clone(), gone, one]), [Some(0), Some(2), Some(0)]);
 /// ```
--- a/src/logic/owners.rs
+++ b/src/logic/owners.rs
@@ -1,12 +1,13 @@
 //! Who owns a slice: weights, scores, rooms; start, moves off hosts that leave, balancing.
 
 use super::*;
-use poise::{Board, Holder};
+use coppersail_rebalancer::{Board, Holder};
 
 impl Tables {
     /// The weight by which counts are reckoned: as listed, less what a young host can't carry yet.
     pub(super) fn unit(&self, host: HostId) -> f64 {
-        self.views.get(&host).map_or(1.0, |v| poise::unit(v.weight, self.weight) * v.ramp) * self.wish(host)
+        self.views.get(&host).map_or(1.0, |v| coppersail_rebalancer::unit(v.weight, self.weight) * v.ramp)
+            * self.wish(host)
     }
 
     /// The paper's score; a slice without counted calls scores as the average one.
@@ -15,7 +16,7 @@
         const INC: f64 = 1.5;
         let heaviest = (0..f.slo_times.len()).max_by(|a, b| f.slo_times[*a].total_cmp(&f.slo_times[*b]));
         let rows: Vec<&[f64]> = self.slices.values().map(|slice| &slice.demand[..]).collect();
-        let scores = poise::scores(&rows, heaviest, INC);
+        let scores = coppersail_rebalancer::scores(&rows, heaviest, INC);
         self.slices.values_mut().zip(scores).for_each(|(slice, score)| slice.score = score);
     }
 
@@ -56,7 +57,7 @@
         };
         let room = |host: &HostId| owner.is_none() || rooms[host] >= score;
         let fits = |host: &HostId| Some(*host) != owner && room(host) && !self.apart(id, *host);
-        poise::seat(self.open().into_iter().filter(fits).map(|host| (key(host), host)))
+        coppersail_rebalancer::seat(self.open().into_iter().filter(fits).map(|host| (key(host), host)))
     }
 
     /// Takes a slice from a host and gives it to the emptiest one, in a plan of counts and rooms.
--- a/src/state.rs
+++ b/src/state.rs
@@ -71,7 +71,7 @@
     pub withdrawn: Sums,
     pub again: bool,
     pub retold_at: f64,
-    pub balancing: poise::Balance,
+    pub balancing: coppersail_rebalancer::Balance,
     /// Most hosts that were ready at a time; by these a host's part is reckoned, however many fail.
     pub most: usize,
     /// The fleet's median response time; the mean weight, and the mean speed of the hosts that report one.
