--- a/crates/director/admin-socket/src/lib.rs
+++ b/crates/director/admin-socket/src/lib.rs
@@ -2,7 +2,7 @@
 //! both JSON. A request that cannot be read is answered so and its connection stays; one that is too long ends it.
 
 use coppersail_changes::{Change, Submission, Version};
-use coppersail_operator::{Edits, Field, Value};
+use coppersail_operator_config::{Edits, Field, Value};
 use serde::{Deserialize, Serialize};
 
 /// Longest line either way: a submission of all the fields that a file may hold.
--- a/crates/director/changes/src/book.rs
+++ b/crates/director/changes/src/book.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::record::Record;
 use crate::stacks::Stacks;
-use coppersail_operator::{checked_edit, Document, Edits, Field, Known, Value};
+use coppersail_operator_config::{checked_edit, Document, Edits, Field, Known, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A change whose orders are not settled so long after it was applied goes back whole: far past any call that is
--- a/crates/director/changes/src/book_tests.rs
+++ b/crates/director/changes/src/book_tests.rs
@@ -3,7 +3,7 @@
 
 use super::*;
 use crate::pool::PoolHost;
-use coppersail_operator::KnownRoute;
+use coppersail_operator_config::KnownRoute;
 use test_case::test_case;
 
 fn known() -> Known {
--- a/crates/director/changes/src/change.rs
+++ b/crates/director/changes/src/change.rs
@@ -1,6 +1,6 @@
 //! One change: what it sets, who wants it, and how far it has come.
 
-use coppersail_operator::{Document, Edits, Field};
+use coppersail_operator_config::{Document, Edits, Field};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
@@ -36,7 +36,7 @@
     pub draft: bool,
     /// It comes from the operators' file, which holds all of this.
     #[serde(default)]
-    pub file: Option<Vec<(Field, coppersail_operator::Value)>>,
+    pub file: Option<Vec<(Field, coppersail_operator_config::Value)>>,
 }
 
 impl Submission {
--- a/crates/director/changes/src/leaving.rs
+++ b/crates/director/changes/src/leaving.rs
@@ -1,7 +1,7 @@
 //! Hosts that are announced to leave: a deploy tells beforehand when it will take each one down, so that its slices have
 //! moved, in peace, before it goes.
 
-use coppersail_operator::{Document, Field, Value};
+use coppersail_operator_config::{Document, Field, Value};
 
 /// So long before its time a host gives up its slices, seconds: tables are told within a few seconds, and the second
 /// half is for the caches of those who take over. Longer would leave the fleet smaller for longer.
--- a/crates/director/changes/src/pool.rs
+++ b/crates/director/changes/src/pool.rs
@@ -1,7 +1,7 @@
 //! Whether what is set would leave nobody to answer.
 
 use crate::leaving::away_together;
-use coppersail_operator::{Document, Field, Value};
+use coppersail_operator_config::{Document, Field, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/director/changes/src/record.rs
+++ b/crates/director/changes/src/record.rs
@@ -1,7 +1,7 @@
 //! What is remembered of changes, in the order in which it happened. From these the same book is made again.
 
 use crate::change::{Stage, Submission, Version};
-use coppersail_operator::{Field, Value};
+use coppersail_operator_config::{Field, Value};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
--- a/crates/director/changes/src/stacks.rs
+++ b/crates/director/changes/src/stacks.rs
@@ -3,8 +3,8 @@
 
 use crate::change::Version;
 #[cfg(test)]
-use coppersail_operator::Document;
-use coppersail_operator::{Edits, Field, Value};
+use coppersail_operator_config::Document;
+use coppersail_operator_config::{Edits, Field, Value};
 use std::collections::BTreeMap;
 
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/director/service/src/main.rs
+++ b/crates/director/service/src/main.rs
@@ -17,7 +17,7 @@
 
 use bounds::Bounds;
 use coppersail_changes::Version;
-use coppersail_operator::LogForm;
+use coppersail_operator_config::LogForm;
 use coppersail_protocol::config::Config;
 use reducer::{Effect, Event, Reducer};
 use std::process::ExitCode;
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -21,7 +21,7 @@
 use coppersail_changes::{Record, Version};
 use coppersail_control::{Answer, Request};
 use coppersail_guard::{Guarded, Mode};
-use coppersail_operator::{Known, Sheet};
+use coppersail_operator_config::{Known, Sheet};
 use coppersail_protocol::collector::{readable, Line, ALIVE};
 use coppersail_protocol::config::Config;
 use coppersail_protocol::discovery;
--- a/crates/director/service/src/reducer/operators.rs
+++ b/crates/director/service/src/reducer/operators.rs
@@ -11,7 +11,7 @@
 use coppersail_control::{Answer, Differs, Request, Status, Trial, PAGE};
 use coppersail_guard::{Change, Guarded, Mode, Pending};
 use coppersail_judge::{Judge, Touch, TrialId};
-use coppersail_operator::{difference, Again, Field, GuardMode, Known, Sheet, Value};
+use coppersail_operator_config::{difference, Again, Field, GuardMode, Known, Sheet, Value};
 use coppersail_settings::Names;
 use std::collections::{BTreeMap, BTreeSet};
 use tracing::Level;
--- a/crates/director/service/src/sheets.rs
+++ b/crates/director/service/src/sheets.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' file. Plain JSON is read here; a template is evaluated by `coppersail evaluate` in a process of
 //! its own, which has bounds of time and memory and cannot take the director along.
 
-use coppersail_operator::{sheet, Fault, Known, Sheet};
+use coppersail_operator_config::{sheet, Fault, Known, Sheet};
 use std::path::Path;
 use std::time::Duration;
 use tokio::process::Command;
--- a/crates/director/settings/src/lib.rs
+++ b/crates/director/settings/src/lib.rs
@@ -10,7 +10,7 @@
 
 use boot::{Admission, Class, Discovery, Flag, Group, List, Semantics, WeightSource};
 use coppersail::interface as api;
-use coppersail_operator::{Known, KnownRoute};
+use coppersail_operator_config::{Known, KnownRoute};
 
 pub fn span(ns: u64) -> f64 {
     ns as f64 / 1e9
--- a/crates/tools/cli/src/main.rs
+++ b/crates/tools/cli/src/main.rs
@@ -8,7 +8,7 @@
 use clap::{Args, CommandFactory, Parser, Subcommand};
 use coppersail_changes::{Stage, Submission, Version, EXPIRES};
 use coppersail_control::{Answer, Request, Status};
-use coppersail_operator::{sheet, Edits, Fault, Field, Known, Value};
+use coppersail_operator_config::{sheet, Edits, Fault, Field, Known, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
 use std::process::ExitCode;
--- a/crates/tools/cli/src/show.rs
+++ b/crates/tools/cli/src/show.rs
@@ -2,7 +2,7 @@
 
 use coppersail_changes::{Change, Stage};
 use coppersail_control::{Differs, Status};
-use coppersail_operator::{Field, Value};
+use coppersail_operator_config::{Field, Value};
 
 fn value(value: Option<&Value>) -> String {
     value.map_or("as decided".to_string(), Value::to_string)
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -8,7 +8,7 @@
 use coppersail_control::{Answer, Request};
 use coppersail_director::framing::Framed;
 use coppersail_director::reducer::{ConnId, ControlId, Effect, Event, LinkId, ProbeEnd, Reducer};
-use coppersail_operator::Sheet;
+use coppersail_operator_config::Sheet;
 use coppersail_protocol::config::Config;
 use std::collections::{BTreeMap, VecDeque};
 use std::net::{Ipv4Addr, SocketAddr};
--- a/crates/tools/lab/src/scenario.rs
+++ b/crates/tools/lab/src/scenario.rs
@@ -119,9 +119,9 @@
 
 impl Change {
     /// The fields and values, or what is wrong with one.
-    pub fn edits(&self) -> Result<coppersail_operator::Edits, String> {
+    pub fn edits(&self) -> Result<coppersail_operator_config::Edits, String> {
         let edit = |(path, value): (&String, &String)| {
-            let field: coppersail_operator::Field = path.parse()?;
+            let field: coppersail_operator_config::Field = path.parse()?;
             let value =
                 field.value(value).map_err(|expected| format!("field {path}: expected {expected}"))?;
             Ok((field, value))
