--- a/crates/director/change-analysis/benches/judge.rs
+++ b/crates/director/change-analysis/benches/judge.rs
@@ -1,7 +1,7 @@
 //! What a period costs the judge with one trial under way, at 150 proxies with 30 hosts and at 1,600 with 120.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_judge::{Judge, Touch, TrialId};
+use coppersail_change_analysis::{Judge, Touch, TrialId};
 use criterion::{criterion_group, criterion_main, Criterion};
 
 fn period(judge: &mut Judge, slices: u16, hosts: u32) {
--- a/crates/director/change-analysis/examples/memory.rs
+++ b/crates/director/change-analysis/examples/memory.rs
@@ -2,7 +2,7 @@
 //! given out. `cargo run --release -p coppersail-judge --example memory`
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_judge::{Judge, Touch, TrialId};
+use coppersail_change_analysis::{Judge, Touch, TrialId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
--- a/crates/director/change-analysis/examples/model/mod.rs
+++ b/crates/director/change-analysis/examples/model/mod.rs
@@ -2,7 +2,7 @@
 //! for each slice, sums that come late, and now and then a trouble that hits everybody, though not evenly.
 
 use coppersail::interface::{RouteId, SliceId};
-use coppersail_judge::{Found, Judge, Touch, TrialId};
+use coppersail_change_analysis::{Found, Judge, Touch, TrialId};
 use fastrand::Rng;
 use std::collections::VecDeque;
 
--- a/crates/director/change-analysis/tests/judge.rs
+++ b/crates/director/change-analysis/tests/judge.rs
@@ -1,7 +1,7 @@
 //! The judge on fleets of chance: what it finds, how soon, and what it leaves alone.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_judge::{Judge, Part, Touch, TrialId};
+use coppersail_change_analysis::{Judge, Part, Touch, TrialId};
 use test_case::test_case;
 
 #[path = "../examples/model/mod.rs"]
--- a/crates/director/service/src/reducer/operators.rs
+++ b/crates/director/service/src/reducer/operators.rs
@@ -5,12 +5,12 @@
 use super::news::Standing;
 use super::{ControlId, Effect, Out};
 use coppersail::interface as api;
+use coppersail_change_analysis::{Judge, Touch, TrialId};
 use coppersail_changes::{
     announced, Act, Book, Leaving, Pool, PoolHost, Ready, Record, Refusal, Submission, Version,
 };
 use coppersail_control::{Answer, Differs, Request, Status, Trial, PAGE};
 use coppersail_guard::{Change, Guarded, Mode, Pending};
-use coppersail_judge::{Judge, Touch, TrialId};
 use coppersail_operator_config::{difference, Again, Field, GuardMode, Known, Sheet, Value};
 use coppersail_settings::Names;
 use std::collections::{BTreeMap, BTreeSet};
@@ -284,10 +284,10 @@
         self.book.document().get(&Field::Judge) != Some(&Value::Flag(false))
     }
 
-    fn said(&self, found: &coppersail_judge::Found, names: &Names) -> String {
+    fn said(&self, found: &coppersail_change_analysis::Found, names: &Names) -> String {
         let text = found.to_string();
         match found.part {
-            coppersail_judge::Part::Route(route) => {
+            coppersail_change_analysis::Part::Route(route) => {
                 text.replacen(&format!("route {}", route.0), &format!("route {}", names.route_name(route)), 1)
             }
             _ => text,
