--- a/crates/director/capacity-guard/benches/guard.rs
+++ b/crates/director/capacity-guard/benches/guard.rs
@@ -2,7 +2,7 @@
 //! reckoning everything anew.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_guard::{Bounds, Estimate, Guard, Host, Loads, Pool, Table};
+use coppersail_capacity_guard::{Bounds, Estimate, Guard, Host, Loads, Pool, Table};
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::collections::BTreeMap;
 
--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -4,7 +4,7 @@
 mod model;
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_guard::{Bounds, Estimate, Guard, Host, Pool, Table, Verdict};
+use coppersail_capacity_guard::{Bounds, Estimate, Guard, Host, Pool, Table, Verdict};
 use model::{badness, best, is_unsafe, less, told, worsens, Case, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -2,7 +2,7 @@
 //! `docs/guard.md`, sharing no code with the guard; on small pools also the best table there is, by trying all.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_guard::{Bounds, Change, Estimate, Guard, Host, Pending, Pool, State, Table};
+use coppersail_capacity_guard::{Bounds, Change, Estimate, Guard, Host, Pending, Pool, State, Table};
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/director/capacity-guard/tests/guard.rs
+++ b/crates/director/capacity-guard/tests/guard.rs
@@ -4,7 +4,7 @@
 mod model;
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_guard::*;
+use coppersail_capacity_guard::*;
 use model::{badness, is_unsafe, less, told, Case, World};
 use std::collections::BTreeMap;
 use test_case::test_case;
--- a/crates/director/capacity-guard/tests/guarded.rs
+++ b/crates/director/capacity-guard/tests/guarded.rs
@@ -2,7 +2,7 @@
 //! lost of what both know of the tables.
 
 use coppersail::interface::*;
-use coppersail_guard::{Change, Guarded, Mode, Pending};
+use coppersail_capacity_guard::{Change, Guarded, Mode, Pending};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
--- a/crates/tools/bench-adapter/src/host.rs
+++ b/crates/tools/bench-adapter/src/host.rs
@@ -3,7 +3,7 @@
 
 use crate::names::{scope_of, Names};
 use coppersail::interface::{Input, Listing};
-use coppersail_guard::{Guarded, Mode};
+use coppersail_capacity_guard::{Guarded, Mode};
 use coppersail_settings::{settings, Clock};
 use coppersail_wire::{Batch, Event, Fault, Order, Text};
 use std::collections::BTreeMap;
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -3,7 +3,7 @@
 mod host;
 mod names;
 
-use coppersail_guard::Mode;
+use coppersail_capacity_guard::Mode;
 use coppersail_wire::{write_reply, Fault, Reader};
 use std::io::{self, Write};
 
--- a/crates/tools/cli/src/offline.rs
+++ b/crates/tools/cli/src/offline.rs
@@ -1,7 +1,7 @@
 //! The guard's judgement and its plans without a director, from files. Their forms are in `docs/guard.md`.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_guard::{
+use coppersail_capacity_guard::{
     drain as plan, Bounds, Change, Drain, Estimate, Guard, Host, Pending, Pool, Reason, Refused, State,
     Table, Verdict,
 };
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -7,7 +7,7 @@
 use crate::reduced::Reduced;
 use crate::Scenario;
 use coppersail::interface::*;
-use coppersail_guard::{Guarded, Mode};
+use coppersail_capacity_guard::{Guarded, Mode};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
