--- a/crates/director/service/src/history.rs
+++ b/crates/director/service/src/history.rs
@@ -2,8 +2,8 @@
 //! for its word.
 
 use crate::reducer::Event;
+use coppersail_append_log::Log;
 use coppersail_changes::Record;
-use coppersail_history::Log;
 use std::path::Path;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
