--- a/crates/director/service/src/control.rs
+++ b/crates/director/service/src/control.rs
@@ -4,7 +4,7 @@
 use crate::framing::{Framed, Framer};
 use crate::net::Task;
 use crate::reducer::{ControlId, Event};
-use coppersail_control::{line, request, Answer, LINE_MOST};
+use coppersail_admin_socket::{line, request, Answer, LINE_MOST};
 use std::collections::BTreeMap;
 use std::io;
 use std::os::unix::fs::{FileTypeExt, MetadataExt, PermissionsExt};
--- a/crates/director/service/src/reducer/operators.rs
+++ b/crates/director/service/src/reducer/operators.rs
@@ -5,12 +5,12 @@
 use super::news::Standing;
 use super::{ControlId, Effect, Out};
 use coppersail::interface as api;
+use coppersail_admin_socket::{Answer, Differs, Request, Status, Trial, PAGE};
 use coppersail_capacity_guard::{Change, Guarded, Mode, Pending};
 use coppersail_change_analysis::{Judge, Touch, TrialId};
 use coppersail_changes::{
     announced, Act, Book, Leaving, Pool, PoolHost, Ready, Record, Refusal, Submission, Version,
 };
-use coppersail_control::{Answer, Differs, Request, Status, Trial, PAGE};
 use coppersail_operator_config::{difference, Again, Field, GuardMode, Known, Sheet, Value};
 use coppersail_settings::Names;
 use std::collections::{BTreeMap, BTreeSet};
--- a/crates/tools/cli/src/main.rs
+++ b/crates/tools/cli/src/main.rs
@@ -6,8 +6,8 @@
 mod talk;
 
 use clap::{Args, CommandFactory, Parser, Subcommand};
+use coppersail_admin_socket::{Answer, Request, Status};
 use coppersail_changes::{Stage, Submission, Version, EXPIRES};
-use coppersail_control::{Answer, Request, Status};
 use coppersail_operator_config::{sheet, Edits, Fault, Field, Known, Value};
 use std::io::Write;
 use std::path::{Path, PathBuf};
--- a/crates/tools/cli/src/show.rs
+++ b/crates/tools/cli/src/show.rs
@@ -1,7 +1,7 @@
 //! How answers are shown to a person.
 
+use coppersail_admin_socket::{Differs, Status};
 use coppersail_changes::{Change, Stage};
-use coppersail_control::{Differs, Status};
 use coppersail_operator_config::{Field, Value};
 
 fn value(value: Option<&Value>) -> String {
--- a/crates/tools/cli/src/talk.rs
+++ b/crates/tools/cli/src/talk.rs
@@ -1,6 +1,6 @@
 //! One director over its Unix socket.
 
-use coppersail_control::{answer, line, Answer, Request, LINE_MOST};
+use coppersail_admin_socket::{answer, line, Answer, Request, LINE_MOST};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -4,8 +4,8 @@
 use crate::platform::{Places, Platform, Standing};
 use crate::policy::Truth;
 use coppersail::interface::*;
+use coppersail_admin_socket::{Answer, Request};
 use coppersail_changes::{Submission, Version};
-use coppersail_control::{Answer, Request};
 use coppersail_director::framing::Framed;
 use coppersail_director::reducer::{ConnId, ControlId, Effect, Event, LinkId, ProbeEnd, Reducer};
 use coppersail_operator_config::Sheet;
