--- a/crates/tools/cli/src/main.rs
+++ b/crates/tools/cli/src/main.rs
@@ -270,7 +270,7 @@
     let fault = |wrong: std::io::Error| format!("{name}: the file: expected a text ({wrong})");
     let source = unreadable(std::fs::read_to_string(file).map_err(fault))?;
     let plain = file.extension().is_some_and(|ending| ending == "json");
-    let text = if plain { source.clone() } else { unreadable(coppersail_template::evaluate(file))? };
+    let text = if plain { source.clone() } else { unreadable(coppersail_jsonnet::evaluate(file))? };
     match sheet(&name, &source, &text, known.as_ref()) {
         Ok(sheet) if json => {
             say(&serde_json::json!({"is": "sound", "fields": sheet.document.len()}).to_string());
@@ -439,7 +439,7 @@
     match cli.command {
         Command::Check { file, config } => check(&file, config.as_deref(), json),
         Command::Evaluate { file } => {
-            say(&unreadable(coppersail_template::evaluate(&file))?);
+            say(&unreadable(coppersail_jsonnet::evaluate(&file))?);
             Ok(())
         }
         Command::Guard { pool, tables, orders, pending } => {
