--- a/crates/tools/gatewayctl/src/main.rs
+++ b/crates/tools/gatewayctl/src/main.rs
@@ -1,4 +1,4 @@
-//! `regard`: what operators look at.
+//! `gatewayctl`: what operators look at.
 mod rollout;
 mod session;
 
