--- a/crates/tools/simulator/src/lib.rs
+++ b/crates/tools/simulator/src/lib.rs
@@ -12,8 +12,8 @@
 //! a lost disk), rollouts, sessions, clients' requests, zones or regions lost whole, clocks that jump.
 //!
 //! ```
-//! let day = ordeal::Day { length: 8_000, ..ordeal::Day::default() };
-//! let (one, other) = (ordeal::play(&day, false), ordeal::play(&day, false));
+//! let day = coppersail_simulator::Day { length: 8_000, ..coppersail_simulator::Day::default() };
+//! let (one, other) = (coppersail_simulator::play(&day, false), coppersail_simulator::play(&day, false));
 //! assert_eq!(one.tally.steps, other.tally.steps);
 //! ```
 mod callers;
--- a/crates/tools/simulator/src/main.rs
+++ b/crates/tools/simulator/src/main.rs
@@ -1,7 +1,7 @@
 //! Plays days of trouble by seed.
+use coppersail_simulator::{play, shrink, Day, Tally};
 use eyre::{bail, eyre, Result};
 use lexopt::prelude::*;
-use ordeal::{play, shrink, Day, Tally};
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
--- a/crates/tools/simulator/tests/checks.rs
+++ b/crates/tools/simulator/tests/checks.rs
@@ -1,5 +1,5 @@
 //! Each rule that the ledger checks, on histories made up to break it and on the nearest that don't.
-use ordeal::checks::{apart, rule, Fences, Ledger};
+use coppersail_simulator::checks::{apart, rule, Fences, Ledger};
 
 fn orders(numbers: &[u64]) -> Ledger {
     let mut ledger = Ledger::default();
--- a/crates/tools/simulator/tests/days.rs
+++ b/crates/tools/simulator/tests/days.rs
@@ -1,5 +1,5 @@
 //! Days by fixed seeds, and that a seed decides a day.
-use ordeal::{play, Day};
+use coppersail_simulator::{play, Day};
 
 #[test]
 fn a_seed_decides_its_day() {
@@ -12,7 +12,7 @@
 fn days(seeds: std::ops::Range<u64>) {
     for seed in seeds {
         let outcome = play(&Day::by_seed(seed), false);
-        assert_eq!(outcome.broken, None, "cargo run --release -p ordeal -- --seed {seed}");
+        assert_eq!(outcome.broken, None, "cargo run --release -p coppersail-simulator -- --seed {seed}");
     }
 }
 
--- a/crates/tools/simulator/tests/scenarios.rs
+++ b/crates/tools/simulator/tests/scenarios.rs
@@ -1,5 +1,5 @@
 //! The hard cases by name: scripts of faults at fixed times, judged by all rules.
-use ordeal::{play, Day, Fault, Moment, Ms, Seeds, Way, What, Who};
+use coppersail_simulator::{play, Day, Fault, Moment, Ms, Seeds, Way, What, Who};
 
 const PLACES: [Who; 3] = [Who::Place(0), Who::Place(1), Who::Place(2)];
 const SOMEBODY: [Who; 3] = [Who::Primary, Who::Backup, Who::Witness];
--- a/crates/tools/simulator/tests/story.rs
+++ b/crates/tools/simulator/tests/story.rs
@@ -1,5 +1,5 @@
 //! A day that must break a rule does; it is shrunk to what breaks it, and the command tells of bad words in one line.
-use ordeal::{play, shrink, Day, Fault, What, Who};
+use coppersail_simulator::{play, shrink, Day, Fault, What, Who};
 use std::process::Command;
 
 #[test]
@@ -8,7 +8,7 @@
     let mut faults: Vec<Fault> = (0..3).map(lose).collect();
     faults.push(Fault::new(6000, Who::Place(0), What::HostLeaves(1)));
     faults.push(Fault::new(7000, Who::Place(1), What::Again));
-    faults.push(Fault::new(8000, Who::Place(2), What::Hup { seeds: ordeal::Seeds::Running }));
+    faults.push(Fault::new(8000, Who::Place(2), What::Hup { seeds: coppersail_simulator::Seeds::Running }));
     let day = Day { length: 12_000, forced: true, faults, ..Day::default() };
     let broken = play(&day, false).broken.expect("all that was acknowledged is gone");
     let fewest = shrink(&day, broken.rule);
@@ -31,7 +31,7 @@
         &["--sead", "1"],
         &[],
     ] {
-        let out = Command::new(env!("CARGO_BIN_EXE_ordeal")).args(words).output().unwrap();
+        let out = Command::new(env!("CARGO_BIN_EXE_coppersail-simulator")).args(words).output().unwrap();
         let text = String::from_utf8(out.stderr).unwrap();
         assert_eq!((out.status.code(), text.lines().count()), (Some(2), 1), "{words:?}: {text}");
     }
@@ -39,8 +39,10 @@
 
 #[test]
 fn a_table_of_days_says_what_was_played() {
-    let out =
-        Command::new(env!("CARGO_BIN_EXE_ordeal")).args(["--days", "1", "--from", "7"]).output().unwrap();
+    let out = Command::new(env!("CARGO_BIN_EXE_coppersail-simulator"))
+        .args(["--days", "1", "--from", "7"])
+        .output()
+        .unwrap();
     let text = String::from_utf8(out.stdout).unwrap();
     assert!(text.starts_with("days                1\n") && text.contains("no rule broken"), "{text}");
     assert_eq!(out.status.code(), Some(0));
