--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -2,9 +2,9 @@
 mod line;
 
 use coppersail_peer_protocol::{Asked, News};
+use coppersail_stub_backend::{Life, Plan, Reply, Way};
 use eyre::{bail, eyre, Result};
 use hollow::{settings, table, walk, Follower, Size, Spent, Tally};
-use keeper::{Life, Plan, Reply, Way};
 use lexopt::prelude::*;
 use line::{Line, Traffic};
 use std::net::SocketAddr;
@@ -168,7 +168,7 @@
             }
             let call = line.post(&target, &path, body.clone(), &self.traffic);
             let (status, location, body) = tokio::time::timeout(most, call).await??;
-            match (status, location.as_deref().and_then(keeper::way::location)) {
+            match (status, location.as_deref().and_then(coppersail_stub_backend::way::location)) {
                 (200..=299, _) => return Ok(body),
                 (307, Some((to, at))) => (target, path) = (to.to_string(), at.to_string()),
                 _ => bail!("answered {status}"),
--- a/crates/tools/simulator/src/host.rs
+++ b/crates/tools/simulator/src/host.rs
@@ -4,7 +4,7 @@
 use crate::machine::Body;
 use crate::world::{local, one_holder, Ask, End, Ev, Origin, Say};
 use crate::{Us, World, BEAT, EMPTY};
-use keeper::{Beat, Keys, Reply};
+use coppersail_stub_backend::{Beat, Keys, Reply};
 use std::time::Duration;
 
 /// The service that is divided by key, and the other.
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -704,7 +704,9 @@
             }
             if let End::Host(n) = origin.end {
                 let host = &self.hosts[n];
-                if let (true, Some(reply)) = (host.split, keeper::Reply::read(body.as_bytes())) {
+                if let (true, Some(reply)) =
+                    (host.split, coppersail_stub_backend::Reply::read(body.as_bytes()))
+                {
                     let rows = reply.held.unwrap_or_default();
                     // The caller is who sent the beat only as long as it is the same life.
                     if host.life == origin.life {
--- a/crates/tools/stub-backend/src/keys.rs
+++ b/crates/tools/stub-backend/src/keys.rs
@@ -27,7 +27,7 @@
 }
 
 /// ```
-/// use keeper::Keys;
+/// use coppersail_stub_backend::Keys;
 /// use std::time::Duration;
 /// let at = Duration::from_secs;
 /// let mut keys = Keys::default();
--- a/crates/tools/stub-backend/src/main.rs
+++ b/crates/tools/stub-backend/src/main.rs
@@ -1,7 +1,7 @@
-//! `keeper`: one host on a real socket. Decisions are in the library; this passes on what comes in and what is due.
+//! `coppersail-stub-backend`: one host on a real socket. Decisions are in the library; this passes on what comes in and what is due.
+use coppersail_stub_backend::way::location;
+use coppersail_stub_backend::{Ask, Life, Plan, Reply, Verdict, Way};
 use eyre::{eyre, Result, WrapErr};
-use keeper::way::location;
-use keeper::{Ask, Life, Plan, Reply, Verdict, Way};
 use lexopt::prelude::*;
 use signal_hook::consts::{SIGINT, SIGTERM};
 use slog::{info, o, warn, Logger};
@@ -144,7 +144,7 @@
     let _ = request.respond(response);
 }
 
-fn work(host: &Host, mut request: Request, job: keeper::life::Job) {
+fn work(host: &Host, mut request: Request, job: coppersail_stub_backend::life::Job) {
     let mut verdict = host.life().start(host.now(), job);
     let mut said = String::new();
     if let Verdict::Runs(id, end) = verdict {
@@ -162,7 +162,7 @@
 }
 
 fn serve(host: &Arc<Host>, server: &Server, slots: u32) {
-    let (jobs, queue) = mpsc::channel::<(Request, keeper::life::Job)>();
+    let (jobs, queue) = mpsc::channel::<(Request, coppersail_stub_backend::life::Job)>();
     let queue = Arc::new(Mutex::new(queue));
     for _ in 0..slots {
         let (host, queue) = (host.clone(), queue.clone());
--- a/crates/tools/stub-backend/src/way.rs
+++ b/crates/tools/stub-backend/src/way.rs
@@ -6,7 +6,7 @@
 const PAUSE_MAX: Duration = Duration::from_secs(1);
 
 /// ```
-/// use keeper::Way;
+/// use coppersail_stub_backend::Way;
 /// let mut way = Way::new(vec!["10.0.0.1:80".into(), "10.0.0.2:80".into()], 0);
 /// way.answered(Some("10.0.0.9:80"));
 /// assert_eq!(way.target(), "10.0.0.9:80");
--- a/crates/tools/stub-backend/tests/life.rs
+++ b/crates/tools/stub-backend/tests/life.rs
@@ -1,7 +1,7 @@
 use assert_matches::assert_matches;
-use keeper::keys::Grant;
-use keeper::life::Job;
-use keeper::{Ask, Keys, Life, Plan, Reply, Verdict};
+use coppersail_stub_backend::keys::Grant;
+use coppersail_stub_backend::life::Job;
+use coppersail_stub_backend::{Ask, Keys, Life, Plan, Reply, Verdict};
 use std::time::Duration;
 
 fn at(ms: u64) -> Duration {
