--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -1,10 +1,10 @@
-//! `hollow`: the members' sockets and the windows in which they are counted.
+//! `coppersail-fleet-emulator`: the members' sockets and the windows in which they are counted.
 mod line;
 
+use coppersail_fleet_emulator::{settings, table, walk, Follower, Size, Spent, Tally};
 use coppersail_peer_protocol::{Asked, News};
 use coppersail_stub_backend::{Life, Plan, Reply, Way};
 use eyre::{bail, eyre, Result};
-use hollow::{settings, table, walk, Follower, Size, Spent, Tally};
 use lexopt::prelude::*;
 use line::{Line, Traffic};
 use std::net::SocketAddr;
--- a/crates/tools/fleet-emulator/src/spent.rs
+++ b/crates/tools/fleet-emulator/src/spent.rs
@@ -17,7 +17,7 @@
     ///
     /// ```
     /// let stat = "7 (a b) c) S 1 7 7 0 -1 4194560 200 0 0 0 250 150 0 0 20 0 3 0";
-    /// let spent = hollow::Spent::read(stat, "VmHWM:\t  4096 kB\nVmRSS:\t  2048 kB\n").unwrap();
+    /// let spent = coppersail_fleet_emulator::Spent::read(stat, "VmHWM:\t  4096 kB\nVmRSS:\t  2048 kB\n").unwrap();
     /// assert_eq!((spent.cpu, spent.rss, spent.peak), (4.0, 2.0, 4.0));
     /// ```
     pub fn read(stat: &str, status: &str) -> Option<Spent> {
--- a/crates/tools/fleet-emulator/src/table.rs
+++ b/crates/tools/fleet-emulator/src/table.rs
@@ -60,11 +60,11 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// let mut tally = hollow::Tally::default();
+/// let mut tally = coppersail_fleet_emulator::Tally::default();
 /// (tally.failed, tally.bytes_in) = (2, 4000);
 /// (1..=100).for_each(|ms| tally.answered(Duration::from_millis(ms), false));
-/// let spent = |cpu, rss| hollow::Spent { cpu, rss, peak: 30.0 };
-/// let row = hollow::table::row(10, 10.0, &tally, &[(spent(1.0, 20.0), spent(1.5, 25.0))]);
+/// let spent = |cpu, rss| coppersail_fleet_emulator::Spent { cpu, rss, peak: 30.0 };
+/// let row = coppersail_fleet_emulator::table::row(10, 10.0, &tally, &[(spent(1.0, 20.0), spent(1.5, 25.0))]);
 /// let cells: Vec<&str> = row.split_whitespace().collect();
 /// assert_eq!(cells[..5], ["10", "100", "10.0", "0.0", "2"]);
 /// assert_eq!(cells[7..], ["40.0", "0.0", "|", "5.00", "25.0", "30.0"]);
--- a/crates/tools/fleet-emulator/src/walk.rs
+++ b/crates/tools/fleet-emulator/src/walk.rs
@@ -5,7 +5,7 @@
 /// An edge that polls and keeps only what it needs for the next poll.
 ///
 /// ```
-/// use hollow::Follower;
+/// use coppersail_fleet_emulator::Follower;
 /// let mut edge = Follower::new(3, "north".into(), 1000);
 /// assert_eq!((edge.poll(&[]).edge.as_str(), edge.poll(&[]).seq), ("127.64.0.3", 0));
 /// let news = coppersail_peer_protocol::News { feed: 5, seq: 9, whole: true, ..Default::default() };
@@ -55,8 +55,8 @@
 /// A configuration for hollow hosts, as `POST /settings/replace` takes it.
 ///
 /// ```
-/// let size = hollow::Size { revision: 4, routes: 530, services: 55, split: 5 };
-/// let config = coppersail_config::config::parse(hollow::settings(size).as_bytes()).unwrap();
+/// let size = coppersail_fleet_emulator::Size { revision: 4, routes: 530, services: 55, split: 5 };
+/// let config = coppersail_config::config::parse(coppersail_fleet_emulator::settings(size).as_bytes()).unwrap();
 /// assert_eq!((config.revision, config.routes.len(), config.services.len()), (4, 530, 55));
 /// assert_eq!(config.services.iter().filter(|service| service.split_up).count(), 5);
 /// ```
