--- a/crates/tools/bench-adapter/src/host.rs
+++ b/crates/tools/bench-adapter/src/host.rs
@@ -3,9 +3,9 @@
 
 use crate::names::{scope_of, Names};
 use coppersail::interface::{Input, Listing};
+use coppersail_bench_codec::{Batch, Event, Fault, Order, Text};
 use coppersail_capacity_guard::{Guarded, Mode};
 use coppersail_settings::{settings, Clock};
-use coppersail_wire::{Batch, Event, Fault, Order, Text};
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
@@ -149,7 +149,7 @@
 #[cfg(test)]
 mod tests {
     use super::*;
-    use coppersail_wire::Reader;
+    use coppersail_bench_codec::Reader;
     use test_case::test_case;
 
     const CONFIGURE: &str = "CONFIGURE who=1 init-seed=2 discovery=pushed kinds=k zones=a classes.count=1 \
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -3,8 +3,8 @@
 mod host;
 mod names;
 
+use coppersail_bench_codec::{write_reply, Fault, Reader};
 use coppersail_capacity_guard::Mode;
-use coppersail_wire::{write_reply, Fault, Reader};
 use std::io::{self, Write};
 
 fn complain(faults: &[Fault]) {
--- a/crates/tools/bench-adapter/src/names.rs
+++ b/crates/tools/bench-adapter/src/names.rs
@@ -1,8 +1,8 @@
 //! Where the wire's names end: its events become a director's inputs, a director's orders its lines.
 
 use coppersail::interface as api;
+use coppersail_bench_codec as wire;
 use coppersail_settings::{self as settings, span, Clock};
-use coppersail_wire as wire;
 
 /// A field of a sound line that does not fit the settings: its name and what was expected.
 pub type Misfit = (&'static str, String);
--- a/crates/tools/lab/src/build.rs
+++ b/crates/tools/lab/src/build.rs
@@ -3,9 +3,9 @@
 
 use crate::platform::{host_name, Places, Platform};
 use coppersail::interface::*;
+use coppersail_bench_codec as wire;
 use coppersail_protocol::config::Config;
 use coppersail_settings::Boot;
-use coppersail_wire as wire;
 use std::io::{BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
