--- a/crates/director/capacity-guard/src/lib.rs
+++ b/crates/director/capacity-guard/src/lib.rs
@@ -17,10 +17,10 @@
 mod verdict;
 
 pub use asked::Asked;
-pub use coppersail_retry::{Guard, Refused, Verdict};
 pub use danger::{Danger, Moment, Reason, Unsafe};
 pub use drain::{drain, Drain, Step};
 pub use guarded::{Counts, Guarded, Mode};
 pub use loads::{Brought, Loads, Table};
 pub use pool::{Bounds, Carrying, Change, Estimate, Host, Pending, Pool, Span, State};
 pub use repair::{Move, Repair, STEPS_MOST};
+pub use verdict::{Guard, Refused, Verdict};
