--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -6,7 +6,10 @@
 /// Prints one line a fact; the exit status.
 pub fn run(folder: &Path) -> i32 {
     if !folder.is_dir() {
-        eprintln!("council! --inspect: {}, expected the data folder of a stopped centre", folder.display());
+        eprintln!(
+            "control-plane! --inspect: {}, expected the data folder of a stopped centre",
+            folder.display()
+        );
         return 2;
     }
     match store::read(folder) {
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -19,7 +19,8 @@
     type Err = Never;
 
     fn log(&self, record: &Record, _values: &OwnedKVList) -> Result<(), Never> {
-        let mark = if record.level().is_at_least(Level::Warning) { "council! " } else { "council: " };
+        let mark =
+            if record.level().is_at_least(Level::Warning) { "control-plane! " } else { "control-plane: " };
         eprintln!("{mark}{}", record.msg());
         Ok(())
     }
@@ -42,34 +43,34 @@
     match words.next() {
         Ok(None) => {}
         Ok(Some(lexopt::Arg::Long("help"))) => {
-            println!("council: a centre of the gateway. COPPERSAIL_SETTINGS names its settings file.");
-            println!("council --inspect FOLDER: what the data folder of a stopped centre holds; 0 if it is whole, else 1.");
+            println!("coppersail-control-plane: a centre of the gateway. COPPERSAIL_SETTINGS names its settings file.");
+            println!("coppersail-control-plane --inspect FOLDER: what the data folder of a stopped centre holds; 0 if it is whole, else 1.");
             return;
         }
         Ok(Some(lexopt::Arg::Long("inspect"))) => match (words.value(), words.next()) {
             (Ok(folder), Ok(None)) => exit(inspect::run(folder.as_ref())),
             (Err(_), _) => {
-                eprintln!("council! --inspect: nothing, expected a folder");
+                eprintln!("control-plane! --inspect: nothing, expected a folder");
                 exit(2);
             }
             (_, other) => {
-                eprintln!("council! word: {other:?}, expected none after the folder");
+                eprintln!("control-plane! word: {other:?}, expected none after the folder");
                 exit(2);
             }
         },
         other => {
-            eprintln!("council! word: {other:?}, expected none, --inspect FOLDER or --help");
+            eprintln!("control-plane! word: {other:?}, expected none, --inspect FOLDER or --help");
             exit(2);
         }
     }
     let told = signals().unwrap_or_else(|e| {
-        eprintln!("council! signals can't be taken: {e}");
+        eprintln!("control-plane! signals can't be taken: {e}");
         exit(1)
     });
     // Looked at before it is read: what is written meanwhile is seen as a change.
     let mut file = File::now();
     let boot = coppersail_config::Boot::read().unwrap_or_else(|fault| {
-        eprintln!("council! {fault}");
+        eprintln!("control-plane! {fault}");
         exit(2)
     });
     // Nothing is mended by going on without one of the threads.
@@ -80,7 +81,7 @@
     }));
     let log = slog::Logger::root(Lines.fuse(), slog::o!());
     let centre = coppersail_control_plane::Centre::start(&boot, log).unwrap_or_else(|e| {
-        eprintln!("council! {e:#}");
+        eprintln!("control-plane! {e:#}");
         exit(1)
     });
     loop {
--- a/crates/data-plane/edge-proxy/src/main.rs
+++ b/crates/data-plane/edge-proxy/src/main.rs
@@ -2,9 +2,9 @@
 use std::process::ExitCode;
 
 const HELP: &str = "\
-transit: the edge of the gateway; takes requests of clients and passes them to hosts
+coppersail-edge-proxy: the edge of the gateway; takes requests of clients and passes them to hosts
 
-Usage: transit [--check] [--sessions FILE]
+Usage: coppersail-edge-proxy [--check] [--sessions FILE]
 
   --check          read the settings, say what is wrong with them, and end
   --sessions FILE  sessions travel between edges as FILE says (docs/sessions.md)
--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -14,11 +14,11 @@
 use tokio::time::sleep;
 
 const USAGE: &str = "\
-hollow: many hosts or edges without the work, to see what a centre spends on each (loopback only)
+coppersail-fleet-emulator: many hosts or edges without the work, to see what a centre spends on each (loopback only)
 
-hollow hosts --centre ADDR [options]      beats to the admin address of a centre
-hollow edges --centre ADDR [options]      polls at a centre's address for directors
-hollow settings [options]                 prints a configuration for POST /settings/replace
+coppersail-fleet-emulator hosts --centre ADDR [options]      beats to the admin address of a centre
+coppersail-fleet-emulator edges --centre ADDR [options]      polls at a centre's address for directors
+coppersail-fleet-emulator settings [options]                 prints a configuration for POST /settings/replace
   --centre ADDR     may be given several times; members spread over them
   --count N,N,...   members, one window each, rising (10,100,1000)
   --seconds S       length of a window (10)
@@ -309,7 +309,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("hollow: {fault:#}");
+            eprintln!("coppersail-fleet-emulator: {fault:#}");
             ExitCode::from(2)
         }
     }
--- a/crates/tools/gatewayctl/src/main.rs
+++ b/crates/tools/gatewayctl/src/main.rs
@@ -14,7 +14,7 @@
     let words: Vec<String> = std::env::args().skip(1).collect();
     let name = words.first().map_or("", String::as_str);
     let Some((_, _, run)) = GROUPS.iter().find(|(group, ..)| *group == name) else {
-        println!("regard: what operators look at\n\nUsage:");
+        println!("gatewayctl: what operators look at\n\nUsage:");
         GROUPS.iter().for_each(|(_, help, _)| print!("{help}"));
         return if ["", "--help", "-h"].contains(&name) { ExitCode::SUCCESS } else { ExitCode::from(2) };
     };
@@ -24,7 +24,7 @@
             ExitCode::SUCCESS
         }
         Err(fault) => {
-            eprintln!("regard: {fault:#}");
+            eprintln!("gatewayctl: {fault:#}");
             ExitCode::FAILURE
         }
     }
--- a/crates/tools/gatewayctl/src/rollout.rs
+++ b/crates/tools/gatewayctl/src/rollout.rs
@@ -5,10 +5,10 @@
 use std::time::Duration;
 
 pub const HELP: &str = "\
-  regard rollout check FILE                          says what is wrong with a plan
-  regard rollout submit NAME FILE --centre ADDR      puts it in force
-  regard rollout status [NAME] --centre ADDR         shares, evidence, verdict
-  regard rollout pause|resume|pass|undo|end NAME --centre ADDR
+  gatewayctl rollout check FILE                          says what is wrong with a plan
+  gatewayctl rollout submit NAME FILE --centre ADDR      puts it in force
+  gatewayctl rollout status [NAME] --centre ADDR         shares, evidence, verdict
+  gatewayctl rollout pause|resume|pass|undo|end NAME --centre ADDR
                                                      ADDR is where a centre serves hosts and operators
 ";
 
--- a/crates/tools/gatewayctl/src/session.rs
+++ b/crates/tools/gatewayctl/src/session.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 pub const HELP: &str = concat!(
-    "  regard session list --edge ADDR      sessions at an edge, and its counters; ADDR is its second spare port\n",
-    "  regard session show ID --edge ADDR   one session, as that edge knows it\n",
+    "  gatewayctl session list --edge ADDR      sessions at an edge, and its counters; ADDR is its second spare port\n",
+    "  gatewayctl session show ID --edge ADDR   one session, as that edge knows it\n",
 );
 
 /// A person waits for it.
--- a/crates/tools/simulator/src/main.rs
+++ b/crates/tools/simulator/src/main.rs
@@ -7,10 +7,10 @@
 use std::sync::Mutex;
 
 const USAGE: &str = "\
-ordeal: days of trouble for the control plane, in simulated time, decided by their seed
+coppersail-simulator: days of trouble for the control plane, in simulated time, decided by their seed
 
-ordeal --seed N              one day with its story; of a day that breaks a rule, the fewest faults that still break it
-ordeal --days N [options]    many days and a table of them
+coppersail-simulator --seed N              one day with its story; of a day that breaks a rule, the fewest faults that still break it
+coppersail-simulator --days N [options]    many days and a table of them
   --from SEED    the first seed (1)
   --threads T    days played side by side, 6 at most (1)
   --whole        with --seed: the day as it is, not shrunk
@@ -101,7 +101,7 @@
         Some(Options { days, from, threads, .. }) => many(days.unwrap_or(1), from, threads),
     });
     done.unwrap_or_else(|fault| {
-        eprintln!("ordeal: {fault}");
+        eprintln!("coppersail-simulator: {fault}");
         ExitCode::from(2)
     })
 }
--- a/crates/tools/stub-backend/src/main.rs
+++ b/crates/tools/stub-backend/src/main.rs
@@ -13,9 +13,9 @@
 use tiny_http::{Header, Request, Response, Server};
 
 const USAGE: &str = "\
-keeper: a stand-in host that beats to a centre, serves requests and holds keys
+coppersail-stub-backend: a stand-in host that beats to a centre, serves requests and holds keys
 
-keeper --backend NAME --listen ADDR --centre ADDR --area NAME [options]
+coppersail-stub-backend --backend NAME --listen ADDR --centre ADDR --area NAME [options]
   --backend NAME    the service whose host this is
   --listen ADDR     where it serves, as ip:port
   --centre ADDR     a centre's admin address; may be given several times
@@ -44,7 +44,7 @@
 
     fn log(&self, record: &slog::Record, _: &slog::OwnedKVList) -> Result<(), slog::Never> {
         // A reader that has gone is no reason to end.
-        let _ = writeln!(std::io::stderr(), "keeper: {}", record.msg());
+        let _ = writeln!(std::io::stderr(), "coppersail-stub-backend: {}", record.msg());
         Ok(())
     }
 }
@@ -282,7 +282,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(fault) => {
-            eprintln!("keeper: {fault:#}");
+            eprintln!("coppersail-stub-backend: {fault:#}");
             ExitCode::from(2)
         }
     }
