--- /dev/null
+++ b/crates/director/protocol/src/collector/tests.rs
@@ -0,0 +1,61 @@
+//! Tests of the module `collector`.
+use super::*;
+use test_case::test_case;
+
+#[test]
+fn sums_are_read() {
+    let line = br#"{"avg":41.5,"az":"a","bad":3,"host":"s-5","msg":"outcomes","n":212,"new":[1],"report":{"q":7},"window":1000.0}"#;
+    let Ok(Line::Tries { tries: 212, dropped: 3, rt, span, host, report, .. }) = Line::parse(line) else {
+        panic!("{:?}", Line::parse(line));
+    };
+    assert_eq!((rt, span, report.get("q")), (0.0415, 1.0, Some(7.0)));
+    assert!(matches!(host, Cow::Borrowed("s-5")), "a name stays the bytes that came");
+}
+
+#[test]
+fn demand_and_zones_are_read() {
+    let line = br#"{"msg":"hot","partition":88,"kind":"lookup","n":40,"bad":1,"window":500.0}"#;
+    let demand = Line::Demand { slice: 88, route: "lookup".into(), calls: 40, dropped: 1, span: 0.5 };
+    assert_eq!(Line::parse(line), Ok(demand));
+    assert_eq!(Line::parse(br#"{"msg":"agent","az":"a"}"#), Ok(Line::Zone("a".into())));
+}
+
+#[test]
+fn more_may_be_dropped_than_came() {
+    let line = br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":2,"window":1000.0}"#;
+    assert!(matches!(Line::parse(line), Ok(Line::Demand { calls: 1, dropped: 2, .. })));
+}
+
+#[test_case(br#"{"msg":"news"}"#, true ; "an unknown kind")]
+#[test_case(br#"{"msg":"agent","az":7}"#, true ; "a wrong type")]
+#[test_case(br#"{"msg":"agent""#, false ; "cut off")]
+#[test_case(b"7", false ; "no object")]
+#[test_case(b"", false ; "nothing")]
+fn messages_with_faults_are_told_from_what_is_none(line: &[u8], expected: bool) {
+    assert_eq!(readable(line), expected);
+}
+
+#[test_case(b" {\"msg\":", false ; "a message so far")]
+#[test_case(b"GET / HT", true ; "HTTP")]
+#[test_case(b"\x00\x00\x00\x20{", true ; "a binary length")]
+#[test_case(b"{\"msg\":\x01", true ; "a control character")]
+#[test_case(b"", false ; "nothing yet")]
+fn what_cannot_become_a_message(begun: &[u8], expected: bool) {
+    assert_eq!(hopeless(begun, begun), expected);
+}
+
+#[test_case(b"{", "EOF" ; "cut off")]
+#[test_case(b"\xff\xff", "expected value" ; "no text")]
+#[test_case(br#"[]"#, "invalid length" ; "no object")]
+#[test_case(br#"{"msg":"news"}"#, "field msg" ; "an unknown kind")]
+#[test_case(br#"{"msg":"agent"}"#, "field az: missing" ; "a missing field")]
+#[test_case(br#"{"msg":"hot","partition":-1,"kind":"a","n":1,"bad":0,"window":1}"#, "u16" ; "a negative slice")]
+#[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":"4","bad":0,"window":1}"#, "u64" ; "a word for a number")]
+#[test_case(br#"{"msg":"outcomes","az":"a","host":"h","n":1,"bad":0,"avg":-4,"window":1}"#, "field avg" ; "a negative time")]
+#[test_case(br#"{"msg":"outcomes","az":"a","host":"h","n":1,"bad":0,"window":1}"#, "field avg" ; "no time of answered tries")]
+#[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":1e30}"#, "field window" ; "an endless span")]
+#[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":0}"#, "field window" ; "no span")]
+fn faults(line: &[u8], expected: &str) {
+    let fault = Line::parse(line).unwrap_err().0;
+    assert!(fault.contains(expected), "{fault}");
+}
--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -118,48 +118,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    const ENTRY: &str = r#"{"id":"s-5","addr":"127.0.0.1:8000","zone":"a","kind":"m2","cell":3,"state":"terminating","weight":1.0,"started_ms":7}"#;
-
-    fn list(entries: &str) -> String {
-        format!(r#"{{"version":43,"full":false,"servers":[{entries}]}}"#)
-    }
-
-    #[test]
-    fn entries_are_read() {
-        let text = list(ENTRY);
-        let list = List::parse(text.as_bytes()).unwrap();
-        let server = list.servers[0].as_ref().unwrap();
-        assert_eq!((list.version, list.full, server.state), (43, false, State::Draining));
-        assert_eq!((server.cell, server.started_ms, server.address.port()), (3, 7, 8000));
-        assert!(matches!(server.id, Cow::Borrowed("s-5")));
-    }
-
-    #[test_case(r#""started_ms":7"#, r#""started_ms":"x""#, Some("s-5") ; "a wrong type")]
-    #[test_case("terminating", "asleep", Some("s-5") ; "an unknown state")]
-    #[test_case("127.0.0.1:8000", "nowhere", Some("s-5") ; "no address")]
-    #[test_case(r#""id":"s-5","#, "", None ; "no id")]
-    #[test_case(r#""id":"s-5""#, r#""id":"s;DEL,4""#, Some("s;DEL,4") ; "an id that would be an order")]
-    fn an_unsound_entry_costs_only_itself(sound: &str, unsound: &str, id: Option<&str>) {
-        let text = list(&format!("{},{ENTRY}", ENTRY.replace(sound, unsound)));
-        let list = List::parse(text.as_bytes()).unwrap();
-        assert_eq!(list.servers[0].as_ref().unwrap_err().id.as_deref(), id);
-        assert!(list.servers[1].is_ok());
-    }
-
-    #[test_case(b"{\"version\":43" ; "cut off")]
-    #[test_case(b"{\"version\":-1,\"full\":true,\"servers\":[]}" ; "a negative version")]
-    #[test_case(b"<html>" ; "no object")]
-    fn no_list(text: &[u8]) {
-        assert!(List::parse(text).is_err());
-    }
-
-    #[test]
-    fn paths() {
-        assert_eq!(watch(Some(41)), "/v1/endpoints?follow=1&since=41");
-        assert_eq!(watch(None), "/v1/endpoints?follow=1");
-    }
-}
+mod tests;
--- a/crates/director/protocol/src/load.rs
+++ b/crates/director/protocol/src/load.rs
@@ -55,25 +55,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    #[test_case(b"TEXT q=2, lat_ms=181.685", Some(2.0), Some(181.685), 0 ; "both")]
-    #[test_case(b"TEXT q=-1, lat_ms=NaN", None, None, 2 ; "odd figures")]
-    #[test_case(b"TEXT q, lat_ms=3", None, Some(3.0), 1 ; "a name alone")]
-    #[test_case(b"", None, None, 0 ; "nothing")]
-    #[test_case(b"\xff\xfe<html>", None, None, 1 ; "no report")]
-    fn texts(body: &[u8], q: Option<f64>, time: Option<f64>, odd: u64) {
-        let report = Report::text(body);
-        assert_eq!((report.get("q"), report.get("lat_ms"), report.odd), (q, time, odd));
-    }
-
-    #[test_case(r#"{"q":2,"lat_ms":"slow"}"#, Some(2.0), 1 ; "a word for a figure")]
-    #[test_case(r#"[1]"#, None, 1 ; "no object")]
-    #[test_case("null", None, 0 ; "none")]
-    fn objects(json: &str, q: Option<f64>, odd: u64) {
-        let report = Report::json(&serde_json::from_str(json).unwrap());
-        assert_eq!((report.get("q"), report.odd), (q, odd));
-    }
-}
+mod tests;
--- a/crates/director/service/src/framing.rs
+++ b/crates/director/service/src/framing.rs
@@ -67,29 +67,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use test_case::test_case;
-
-    fn line(text: &str) -> Framed {
-        Framed::Line(text.as_bytes().to_vec())
-    }
-
-    #[test_case(&["ab\ncd", "\n"], vec![line("ab"), line("cd")] ; "pieces")]
-    #[test_case(&["ab\r\n\r\n"], vec![line("ab"), line("")] ; "a CR before the end")]
-    #[test_case(&["abcdefg\nab\n"], vec![Framed::TooLong, line("ab")] ; "too long at once")]
-    #[test_case(&["abcdef", "gh", "ij\nab\n"], vec![Framed::TooLong, line("ab")] ; "too long in pieces, told once")]
-    #[test_case(&["abcd"], vec![] ; "no end yet")]
-    fn lines(pieces: &[&str], expected: Vec<Framed>) {
-        let mut framer = Framer::new(5);
-        let lines: Vec<Framed> = pieces.iter().flat_map(|piece| framer.take(piece.as_bytes())).collect();
-        assert_eq!(lines, expected);
-    }
-
-    #[test]
-    fn a_line_without_an_end_is_not_kept() {
-        let mut framer = Framer::new(5);
-        let told: usize = (0..100).map(|_| framer.take(b"abc").len()).sum();
-        assert_eq!((told, framer.buffer.len()), (1, 0));
-    }
-}
+mod tests;
--- a/crates/tools/lab/src/stats.rs
+++ b/crates/tools/lab/src/stats.rs
@@ -25,17 +25,7 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn an_interval_covers_and_narrows() {
-        let (mean, half) = paired(&[1.0, 2.0, 3.0, 4.0]);
-        assert_eq!(mean, 2.5);
-        assert!((half - 3.182 * (5.0_f64 / 3.0 / 4.0).sqrt()).abs() < 1e-9);
-        assert_eq!(paired(&[0.3]).1, f64::INFINITY);
-    }
-}
+mod tests;
 
 /// Places of figures from the least up; equal ones share the mean of their places.
 fn ranks(figures: &[f64]) -> Vec<f64> {
