--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -10,16 +10,19 @@
 mod writing;
 
 use crate::flaw::{flaw, Flaw};
-use crate::{Acceptor, Ballot, Held, Id, Leases, Ms, No, Record, Witness, WitnessCall, WitnessSay};
+use crate::{
+    Acceptor, Id, LeadershipRecord, LeaseGrants, Ms, Rejection, Term, Voter, VoterRequest, VoterResponse,
+    VoterState,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Who waits for an answer: given by the adapter.
-pub type Caller = u64;
+pub type RequestId = u64;
 /// A call or a write of the core's own; each comes back once.
-pub type Token = u64;
+pub type OperationId = u64;
 /// A name of the control state and its value.
-pub type Put = (String, String);
+pub type KeyValue = (String, String);
 
 /// The number of the last change, as it stands beside the floor. Alone it comes with each change; whatever else a
 /// centre writes about itself is a promise.
@@ -27,88 +30,106 @@
 
 /// Time spans; all follow from the settings.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Spans {
+pub struct Timeouts {
     pub lease: Ms,
     /// How often a primary asks for its lease again, and centres hear of each other.
-    pub round: Ms,
+    pub heartbeat_interval: Ms,
     /// How long anything between directors may take.
-    pub call: Ms,
+    pub rpc_timeout: Ms,
     /// After so long a silence a witness is replaced, if anybody is there to take its place.
-    pub patience: Ms,
+    pub replace_after: Ms,
     /// How long a centre that is told to end has to hand over.
-    pub leave: Ms,
+    pub shutdown_grace: Ms,
     /// How many disks may be lost at once: so many backups, and twice as many witnesses and one.
-    pub survive: usize,
+    pub max_failures: usize,
 }
 
 /// What a primary writes to a backup.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum CopyKind {
+pub enum ReplicaWriteKind {
     /// All of the state, with a sum over it.
     Snapshot { sum: u64 },
     /// Nothing, if the backup holds just this number of this epoch.
-    Join { epoch: Ballot, seq: u64 },
+    #[serde(rename = "Join")]
+    Probe { epoch: Term, seq: u64 },
     /// The change after `seq - 1`.
     #[default]
-    Change,
+    #[serde(rename = "Change")]
+    Append,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Copy {
+pub struct ReplicaWrite {
     /// The form of what follows; another one is refused.
     pub version: u32,
-    pub epoch: Ballot,
-    pub seq: u64,
-    pub kind: CopyKind,
-    pub puts: Vec<Put>,
+    #[serde(rename = "epoch")]
+    pub term: Term,
+    #[serde(rename = "seq")]
+    pub sequence: u64,
+    pub kind: ReplicaWriteKind,
+    #[serde(rename = "puts")]
+    pub writes: Vec<KeyValue>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct CopySay {
-    pub ok: bool,
-    pub why: String,
-    pub life: u64,
+pub struct ReplicaWriteResponse {
+    #[serde(rename = "ok")]
+    pub accepted: bool,
+    #[serde(rename = "why")]
+    pub reason: String,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
 const VERSION: u32 = 1;
 
 /// The sum of a snapshot: what is taken is what was sent, whole.
-fn sum(puts: &[Put]) -> u64 {
+fn sum(puts: &[KeyValue]) -> u64 {
     let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     let text = |h: u64, t: &str| mix(t.bytes().fold(h, mix), 0xff);
     puts.iter().fold(0xcbf2_9ce4_8422_2325, |h, (n, v)| text(text(h, n), v)) >> 12
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Call {
-    Witness(WitnessCall),
-    Copy(Copy),
+pub enum Request {
+    #[serde(rename = "Witness")]
+    Voter(VoterRequest),
+    #[serde(rename = "Copy")]
+    ReplicaWrite(ReplicaWrite),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Say {
-    Witness(WitnessSay),
-    Copy(CopySay),
+pub enum Response {
+    #[serde(rename = "Witness")]
+    Voter(VoterResponse),
+    #[serde(rename = "Copy")]
+    ReplicaWrite(ReplicaWriteResponse),
 }
 
 /// What a centre says of itself with every heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Told {
+pub struct PeerStatus {
     pub id: Id,
     /// It is the primary and holds the lease.
-    pub acting: bool,
+    #[serde(rename = "acting")]
+    pub holds_lease: bool,
     /// Its disk takes writes.
-    pub fit: bool,
+    #[serde(rename = "fit")]
+    pub disk_healthy: bool,
     /// It was told to end.
-    pub leaving: bool,
-    pub life: u64,
-    pub floor: Ballot,
-    pub area: String,
+    #[serde(rename = "leaving")]
+    pub draining: bool,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    #[serde(rename = "floor")]
+    pub last_durable_term: Term,
+    #[serde(rename = "area")]
+    pub zone: String,
     /// The newest record that it knows.
-    pub record: Record,
+    pub record: LeadershipRecord,
     pub members: Vec<Id>,
 }
 
@@ -116,27 +137,27 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Change {
     pub ticket: u64,
-    pub puts: Vec<Put>,
+    pub puts: Vec<KeyValue>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Out {
+pub enum Output {
     Call {
-        token: Token,
+        token: OperationId,
         to: Id,
-        call: Call,
+        call: Request,
         wait: Ms,
     },
     Reply {
-        caller: Caller,
-        say: Say,
+        caller: RequestId,
+        say: Response,
     },
     /// Synced, whole or not at all, in this order.
     Write {
-        token: Token,
-        state: Vec<Put>,
+        token: OperationId,
+        state: Vec<KeyValue>,
         whole: bool,
-        own: Vec<Put>,
+        own: Vec<KeyValue>,
     },
     Note(String),
     /// It acts from now on; `fresh`: it did not right before.
@@ -153,7 +174,7 @@
 pub enum Role {
     #[default]
     Idle,
-    Acting(Record),
+    Acting(LeadershipRecord),
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -162,17 +183,17 @@
     pub seen: Ms,
     /// When a call was sent that it has answered.
     pub contact: Ms,
-    pub told: Told,
+    pub told: PeerStatus,
 }
 
 /// What waits for an answer of another centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Ask {
-    Prepare { to: Id, ballot: Ballot },
-    Accept { to: Id, epoch: Ballot, asked: Ms },
-    Renew { to: Id, epoch: Ballot, asked: Ms },
-    Bring { to: Id, epoch: Ballot, snapshot: bool },
-    Change { to: Id, epoch: Ballot, seq: u64, again: bool },
+    Prepare { to: Id, ballot: Term },
+    Accept { to: Id, epoch: Term, asked: Ms },
+    Renew { to: Id, epoch: Term, asked: Ms },
+    Bring { to: Id, epoch: Term, snapshot: bool },
+    Change { to: Id, epoch: Term, seq: u64, again: bool },
     Release,
 }
 
@@ -181,27 +202,27 @@
 enum Job {
     /// A witness's yes; `to`: the caller, or the ask of this centre itself.
     Vote {
-        to: Result<Caller, Ask>,
-        held: Box<Held>,
-        say: Box<WitnessSay>,
+        to: Result<RequestId, Ask>,
+        held: Box<VoterState>,
+        say: Box<VoterResponse>,
     },
     /// The floor of a bid.
     Floor {
-        ballot: Ballot,
+        ballot: Term,
     },
     Copied {
-        caller: Caller,
-        epoch: Ballot,
+        caller: RequestId,
+        epoch: Term,
         seq: u64,
         snapshot: bool,
     },
     Change {
-        epoch: Ballot,
+        epoch: Term,
         seq: u64,
     },
     /// All of the state anew, after a write that failed.
     Whole {
-        epoch: Ballot,
+        epoch: Term,
         seq: u64,
     },
     Own,
@@ -209,7 +230,7 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Pending {
-    token: Token,
+    token: OperationId,
     since: Ms,
     job: Job,
 }
@@ -218,37 +239,37 @@
 enum Stage {
     Prepare,
     Bring,
-    Accept(Record),
+    Accept(LeadershipRecord),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Group {
-    witnesses: Vec<Witness>,
-    before: Vec<Witness>,
+    witnesses: Vec<Voter>,
+    before: Vec<Voter>,
 }
 
 /// Standing for an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Bid {
-    ballot: Ballot,
+    ballot: Term,
     /// The newest record among the answers.
-    base: Record,
+    base: LeadershipRecord,
     /// The group to write, where the acting primary changes it.
     group: Option<Group>,
     /// The epoch in which it acts, if it does.
-    from: Option<Ballot>,
+    from: Option<Term>,
     stage: Stage,
     until: Ms,
     asked: BTreeSet<Id>,
-    promised: BTreeSet<Witness>,
+    promised: BTreeSet<Voter>,
     refused: BTreeSet<Id>,
     own: bool,
     /// What this disk held before, by which a backup may join without a snapshot.
-    was: Option<(Ballot, u64)>,
+    was: Option<(Term, u64)>,
     able: Vec<Id>,
     under_way: BTreeSet<Id>,
     joined: Vec<Id>,
-    leases: Leases,
+    leases: LeaseGrants,
 }
 
 /// A write under way.
@@ -257,7 +278,7 @@
     seq: u64,
     began: Ms,
     changes: Vec<Change>,
-    puts: Vec<Put>,
+    puts: Vec<KeyValue>,
     here: bool,
     away: BTreeSet<Id>,
 }
@@ -267,7 +288,7 @@
 pub struct Start {
     pub me: Id,
     pub area: String,
-    pub spans: Spans,
+    pub spans: Timeouts,
     pub peers: Vec<Id>,
     /// The whole system starts for the first time, and the folder was empty.
     pub first: bool,
@@ -281,14 +302,14 @@
 pub struct Core {
     pub me: Id,
     pub area: String,
-    pub spans: Spans,
+    pub spans: Timeouts,
     acceptor: Acceptor,
     /// What of the acceptor is on the disk.
-    durable: Option<Held>,
+    durable: Option<VoterState>,
     /// The newest record that was heard of; a hint until a quorum has said so.
-    pub record: Record,
+    pub record: LeadershipRecord,
     /// The newest epoch in which this disk took part, and the number of its last change there.
-    floor: Ballot,
+    floor: Term,
     seq: u64,
     held: BTreeMap<String, String>,
     /// The disk may hold a change that was not acknowledged: only a snapshot brings others to this state.
@@ -296,16 +317,16 @@
     /// Memory and disk may differ: only a snapshot is taken.
     broken: bool,
     pub role: Role,
-    leases: Leases,
+    leases: LeaseGrants,
     renewed: BTreeMap<Id, Ms>,
     pub peers: BTreeMap<Id, Peer>,
     pub members: BTreeSet<Id>,
     bid: Option<Bid>,
     flight: Option<Flight>,
     queue: VecDeque<Change>,
-    asks: BTreeMap<Token, Ask>,
+    asks: BTreeMap<OperationId, Ask>,
     jobs: VecDeque<Pending>,
-    tokens: Token,
+    tokens: OperationId,
     sound: bool,
     pub fit: bool,
     probe_at: Ms,
@@ -325,7 +346,7 @@
 }
 
 impl Core {
-    pub fn start(now: Ms, start: Start, out: &mut Vec<Out>) -> Core {
+    pub fn start(now: Ms, start: Start, out: &mut Vec<Output>) -> Core {
         fn read<T: for<'a> Deserialize<'a>>(own: &BTreeMap<String, String>, name: &str) -> Option<T> {
             own.get(name).and_then(|text| serde_json::from_str(text).ok())
         }
@@ -347,32 +368,39 @@
         core.record = read(&start.own, "record").unwrap_or_default();
         core.floor = read(&start.own, "floor").unwrap_or_default();
         core.seq = read(&start.own, SEQ).unwrap_or_default();
-        if let Some(held) = read::<Held>(&start.own, "witness") {
-            if held.record.epoch > core.record.epoch {
+        if let Some(held) = read::<VoterState>(&start.own, "witness") {
+            if held.record.term > core.record.term {
                 core.record = held.record.clone();
             }
             core.durable = Some(held.clone());
-            core.acceptor = Acceptor::again(now, held, core.spans.lease);
+            core.acceptor = Acceptor::restart(now, held, core.spans.lease);
             return core;
         }
-        core.acceptor = Acceptor::fresh(if flaw(Flaw::LostDiskVotes) { 0 } else { start.life.max(1) });
+        core.acceptor =
+            Acceptor::with_empty_disk(if flaw(Flaw::LostDiskVotes) { 0 } else { start.life.max(1) });
         if start.first {
             let mut seats = start.peers.clone();
             seats.sort();
             seats.dedup();
             let primary = seats.first().unwrap_or(&core.me).clone();
-            let backups = seats.iter().skip(1).take(core.spans.survive).cloned().collect();
-            let witnesses = seats.iter().map(|id| Witness::new(id, 0)).collect();
-            let record = Record { epoch: Ballot::new(1, ""), primary, backups, witnesses, before: vec![] };
-            if record.sits(&core.me) {
-                core.acceptor = Acceptor::first(record.clone());
+            let backups = seats.iter().skip(1).take(core.spans.max_failures).cloned().collect();
+            let witnesses = seats.iter().map(|id| Voter::new(id, 0)).collect();
+            let record = LeadershipRecord {
+                term: Term::new(1, ""),
+                leader: primary,
+                backups,
+                voters: witnesses,
+                outgoing_voters: vec![],
+            };
+            if record.is_voter(&core.me) {
+                core.acceptor = Acceptor::bootstrap(record.clone());
             }
-            if record.names(&core.me) {
-                core.floor = record.epoch.clone();
+            if record.is_replica(&core.me) {
+                core.floor = record.term.clone();
             }
             core.record = record;
         }
-        let held = core.acceptor.held.clone();
+        let held = core.acceptor.state.clone();
         let mut own = core.floor_puts();
         own.push(("record".into(), json(&core.record)));
         own.push(("witness".into(), json(&held)));
@@ -382,7 +410,7 @@
     }
 
     /// The epoch in which the disk takes part, and the number of its last change there.
-    fn floor_puts(&self) -> Vec<Put> {
+    fn floor_puts(&self) -> Vec<KeyValue> {
         vec![("floor".into(), json(&self.floor)), (SEQ.into(), json(&self.seq))]
     }
 
@@ -391,10 +419,10 @@
     }
 
     pub fn life(&self) -> u64 {
-        self.acceptor.held.life
+        self.acceptor.state.incarnation
     }
 
-    pub fn floor(&self) -> &Ballot {
+    pub fn floor(&self) -> &Term {
         &self.floor
     }
 
@@ -406,29 +434,29 @@
     /// The epoch in which it acts or acted until now.
     pub fn epoch(&self) -> Option<u64> {
         match &self.role {
-            Role::Acting(record) => Some(record.epoch.n),
+            Role::Acting(record) => Some(record.term.number),
             Role::Idle => None,
         }
     }
 
     /// Where the primary is, if any is heard to act.
     pub fn primary(&self, now: Ms) -> Option<&Id> {
-        let heard = |p: &&Peer| now < p.seen + self.spans.lease && p.told.acting;
-        let best = self.peers.values().filter(heard).max_by_key(|p| p.told.record.epoch.clone());
+        let heard = |p: &&Peer| now < p.seen + self.spans.lease && p.told.holds_lease;
+        let best = self.peers.values().filter(heard).max_by_key(|p| p.told.record.term.clone());
         best.map(|p| &p.told.id)
     }
 
     /// In touch: a quorum of witnesses has answered calls of this centre that were sent within the span of a lease.
     pub fn in_touch(&self, now: Ms) -> bool {
-        let near = |w: &Witness| {
+        let near = |w: &Voter| {
             if w.id == self.me {
-                return w.life == self.life();
+                return w.incarnation == self.life();
             }
-            self.peers
-                .get(&w.id)
-                .is_some_and(|p| p.contact > 0 && now < p.contact + self.spans.lease && p.told.life == w.life)
+            self.peers.get(&w.id).is_some_and(|p| {
+                p.contact > 0 && now < p.contact + self.spans.lease && p.told.incarnation == w.incarnation
+            })
         };
-        self.record.quorum(near)
+        self.record.has_quorum(near)
     }
 
     /// Heard within the span of a lease.
@@ -438,25 +466,25 @@
 
     /// Near, its disk takes writes, and it stays.
     fn good(&self, now: Ms, id: &str) -> bool {
-        self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.fit && !p.told.leaving)
+        self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.disk_healthy && !p.told.draining)
     }
 
-    pub fn told(&self, now: Ms) -> Told {
-        Told {
+    pub fn told(&self, now: Ms) -> PeerStatus {
+        PeerStatus {
             id: self.me.clone(),
-            acting: self.acting(now),
-            fit: self.fit,
-            leaving: self.leaving.is_some(),
-            life: self.life(),
-            floor: self.floor.clone(),
-            area: self.area.clone(),
+            holds_lease: self.acting(now),
+            disk_healthy: self.fit,
+            draining: self.leaving.is_some(),
+            incarnation: self.life(),
+            last_durable_term: self.floor.clone(),
+            zone: self.area.clone(),
             record: self.record.clone(),
             members: self.members.iter().cloned().collect(),
         }
     }
 
     /// A heartbeat. `asked`: when the call was sent that it answers.
-    pub fn hear(&mut self, now: Ms, told: &Told, asked: Option<Ms>, out: &mut Vec<Out>) {
+    pub fn hear(&mut self, now: Ms, told: &PeerStatus, asked: Option<Ms>, out: &mut Vec<Output>) {
         if told.id == self.me {
             return;
         }
@@ -464,7 +492,7 @@
         peer.seen = now;
         peer.contact = peer.contact.max(asked.unwrap_or(0));
         peer.told = told.clone();
-        if told.acting {
+        if told.holds_lease {
             self.led_at = now;
         }
         self.join(now, std::iter::once(&told.id).chain(&told.members), out);
@@ -472,7 +500,7 @@
     }
 
     /// Members that this centre had not heard of. They are kept, so that a restart finds somebody.
-    pub fn join<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Out>) {
+    pub fn join<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
         let before = self.members.len();
         self.members.extend(ids.cloned());
         if self.members.len() > before {
@@ -487,8 +515,8 @@
     pub fn wanted(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
         let (near, far): (Vec<Id>, Vec<Id>) =
             self.members.iter().filter(|id| **id != self.me).cloned().partition(|id| self.near(now, id));
-        let mut all: BTreeSet<Id> = self.record.group().into_iter().collect();
-        all.extend(std::iter::once(&self.record.primary).chain(&self.record.backups).cloned());
+        let mut all: BTreeSet<Id> = self.record.voter_ids().into_iter().collect();
+        all.extend(std::iter::once(&self.record.leader).chain(&self.record.backups).cloned());
         all.extend(self.primary(now).cloned());
         let mut ring = near;
         ring.push(self.me.clone());
@@ -502,69 +530,75 @@
         all
     }
 
-    fn learn(&mut self, now: Ms, record: &Record, out: &mut Vec<Out>) {
-        self.top = self.top.max(record.epoch.n);
-        if record.epoch > self.record.epoch {
+    fn learn(&mut self, now: Ms, record: &LeadershipRecord, out: &mut Vec<Output>) {
+        self.top = self.top.max(record.term.number);
+        if record.term > self.record.term {
             self.record = record.clone();
             let own = vec![("record".into(), json(record))];
             self.write(now, Job::Own, (Vec::new(), false, own), out);
         }
     }
 
-    fn token(&mut self) -> Token {
+    fn token(&mut self) -> OperationId {
         self.tokens += 1;
         self.tokens
     }
 
-    fn write(&mut self, now: Ms, job: Job, what: (Vec<Put>, bool, Vec<Put>), out: &mut Vec<Out>) {
+    fn write(
+        &mut self,
+        now: Ms,
+        job: Job,
+        what: (Vec<KeyValue>, bool, Vec<KeyValue>),
+        out: &mut Vec<Output>,
+    ) {
         let token = self.token();
         self.jobs.push_back(Pending { token, since: now, job });
         let (state, whole, own) = what;
-        out.push(Out::Write { token, state, whole, own });
+        out.push(Output::Write { token, state, whole, own });
     }
 
-    fn call(&mut self, ask: Ask, to: &Id, call: Call, out: &mut Vec<Out>) {
+    fn call(&mut self, ask: Ask, to: &Id, call: Request, out: &mut Vec<Output>) {
         let token = self.token();
         self.asks.insert(token, ask);
-        out.push(Out::Call { token, to: to.clone(), call, wait: self.spans.call });
+        out.push(Output::Call { token, to: to.clone(), call, wait: self.spans.rpc_timeout });
     }
 
     /// Another centre calls.
-    pub fn called(&mut self, now: Ms, caller: Caller, call: Call, out: &mut Vec<Out>) {
+    pub fn called(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
         match call {
-            Call::Witness(call) => self.vote(now, Ok(caller), call, out),
-            Call::Copy(copy) => self.copy(now, caller, copy, out),
+            Request::Voter(call) => self.vote(now, Ok(caller), call, out),
+            Request::ReplicaWrite(copy) => self.copy(now, caller, copy, out),
         }
     }
 
     /// What changes the acceptor is on the disk before it is answered.
-    fn vote(&mut self, now: Ms, to: Result<Caller, Ask>, call: WitnessCall, out: &mut Vec<Out>) {
+    fn vote(&mut self, now: Ms, to: Result<RequestId, Ask>, call: VoterRequest, out: &mut Vec<Output>) {
         let outcome = match &call {
-            WitnessCall::Prepare(ballot) => self.acceptor.prepare(now, ballot).map(Some),
-            WitnessCall::Accept(record, span) | WitnessCall::Renew(record, span) => {
+            VoterRequest::Prepare(ballot) => self.acceptor.prepare(now, ballot).map(Some),
+            VoterRequest::Accept(record, span) | VoterRequest::Renew(record, span) => {
                 self.acceptor.accept(now, record, *span).map(|()| None)
             }
-            WitnessCall::Release(epoch) => {
+            VoterRequest::Release(epoch) => {
                 self.acceptor.release(epoch);
                 Ok(None)
             }
         };
         let life = self.life();
         let say = match outcome {
-            Ok(record) => WitnessSay { life, record, no: None },
-            Err(no) => WitnessSay { life, record: None, no: Some(no) },
+            Ok(record) => VoterResponse { incarnation: life, record, rejection: None },
+            Err(no) => VoterResponse { incarnation: life, record: None, rejection: Some(no) },
         };
-        if say.no.is_none() {
-            if let WitnessCall::Accept(record, _) | WitnessCall::Renew(record, _) = &call {
-                let older = matches!(&self.role, Role::Acting(r) if r.epoch < record.epoch);
-                if older && record.primary != self.me {
+        if say.rejection.is_none() {
+            if let VoterRequest::Accept(record, _) | VoterRequest::Renew(record, _) = &call {
+                let older = matches!(&self.role, Role::Acting(r) if r.term < record.term);
+                if older && record.leader != self.me {
                     self.step_down(now, out);
                 }
                 self.learn(now, record, out);
             }
             // A write that failed or waits still: what is answered must be on the disk all the same.
-            if self.durable.as_ref() != Some(&self.acceptor.held) {
-                let held = self.acceptor.held.clone();
+            if self.durable.as_ref() != Some(&self.acceptor.state) {
+                let held = self.acceptor.state.clone();
                 let own = vec![("witness".to_string(), json(&held))];
                 return self.write(
                     now,
@@ -577,22 +611,22 @@
         self.voted(now, to, say, out);
     }
 
-    fn voted(&mut self, now: Ms, to: Result<Caller, Ask>, say: WitnessSay, out: &mut Vec<Out>) {
+    fn voted(&mut self, now: Ms, to: Result<RequestId, Ask>, say: VoterResponse, out: &mut Vec<Output>) {
         match to {
-            Ok(caller) => out.push(Out::Reply { caller, say: Say::Witness(say) }),
-            Err(ask) => self.answered(now, ask, Some(Say::Witness(say)), out),
+            Ok(caller) => out.push(Output::Reply { caller, say: Response::Voter(say) }),
+            Err(ask) => self.answered(now, ask, Some(Response::Voter(say)), out),
         }
     }
 
     /// What came of a write.
-    pub fn disk(&mut self, now: Ms, token: Token, ok: bool, out: &mut Vec<Out>) {
+    pub fn disk(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
         let Some(at) = self.jobs.iter().position(|p| p.token == token) else { return };
         let Some(Pending { job, .. }) = self.jobs.remove(at) else { return };
         if ok && !self.sound {
-            out.push(Out::Note("The disk takes writes again.".into()));
+            out.push(Output::Note("The disk takes writes again.".into()));
         }
         if !ok && self.sound {
-            out.push(Out::Note("The disk does not take a write.".into()));
+            out.push(Output::Note("The disk does not take a write.".into()));
         }
         self.sound = ok;
         match job {
@@ -603,8 +637,8 @@
                     // The first write of all, with the floor: it is made again.
                     self.broken = true;
                 }
-                let no = No { why: "the disk does not take it".into(), ..No::default() };
-                let say = if ok { *say } else { WitnessSay { no: Some(no), record: None, ..*say } };
+                let no = Rejection { reason: "the disk does not take it".into(), ..Rejection::default() };
+                let say = if ok { *say } else { VoterResponse { rejection: Some(no), record: None, ..*say } };
                 if !matches!(to, Err(Ask::Release)) {
                     self.voted(now, to, say, out);
                 }
@@ -626,12 +660,15 @@
                 } else if ok && snapshot && current && self.seq == seq {
                     self.broken = false;
                 }
-                let say =
-                    CopySay { ok: ok && !self.broken && current, why: String::new(), life: self.life() };
-                out.push(Out::Reply { caller, say: Say::Copy(say) });
+                let say = ReplicaWriteResponse {
+                    accepted: ok && !self.broken && current,
+                    reason: String::new(),
+                    incarnation: self.life(),
+                };
+                out.push(Output::Reply { caller, say: Response::ReplicaWrite(say) });
             }
             Job::Change { epoch, seq } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.epoch == epoch);
+                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
                 match self.flight.as_mut().filter(|f| mine && f.seq == seq) {
                     Some(flight) if ok => {
                         flight.here = true;
@@ -651,52 +688,56 @@
     }
 
     /// What came of a call.
-    pub fn said(&mut self, now: Ms, token: Token, say: Option<Say>, out: &mut Vec<Out>) {
+    pub fn said(&mut self, now: Ms, token: OperationId, say: Option<Response>, out: &mut Vec<Output>) {
         if let Some(ask) = self.asks.remove(&token) {
             self.answered(now, ask, say, out);
         }
     }
 
-    fn answered(&mut self, now: Ms, ask: Ask, say: Option<Say>, out: &mut Vec<Out>) {
+    fn answered(&mut self, now: Ms, ask: Ask, say: Option<Response>, out: &mut Vec<Output>) {
         let witness = match &say {
-            Some(Say::Witness(say)) => Some(say.clone()),
+            Some(Response::Voter(say)) => Some(say.clone()),
             _ => None,
         };
         let copied = match &say {
-            Some(Say::Copy(say)) => Some(say.clone()),
+            Some(Response::ReplicaWrite(say)) => Some(say.clone()),
             _ => None,
         };
-        if let Some(no) = witness.as_ref().and_then(|w| w.no.as_ref()) {
-            self.top = self.top.max(no.promised.n);
+        if let Some(no) = witness.as_ref().and_then(|w| w.rejection.as_ref()) {
+            self.top = self.top.max(no.promised.number);
         }
-        let yes = |w: &WitnessSay| w.no.is_none();
+        let yes = |w: &VoterResponse| w.rejection.is_none();
         match ask {
             Ask::Prepare { to, ballot } => {
                 let say = witness.unwrap_or_default();
-                match say.record.filter(|_| say.no.is_none()) {
-                    Some(record) => {
-                        self.promised(now, Witness { id: to, life: say.life }, &ballot, record, out)
-                    }
-                    None => self.refused(now, to, &ballot, say.no, out),
+                match say.record.filter(|_| say.rejection.is_none()) {
+                    Some(record) => self.promised(
+                        now,
+                        Voter { id: to, incarnation: say.incarnation },
+                        &ballot,
+                        record,
+                        out,
+                    ),
+                    None => self.refused(now, to, &ballot, say.rejection, out),
                 }
             }
             Ask::Accept { to, epoch, asked } => {
                 let span = self.spans.lease;
                 let Some(say) = witness.clone().filter(yes) else {
-                    return self.refused(now, to, &epoch, witness.and_then(|w| w.no), out);
+                    return self.refused(now, to, &epoch, witness.and_then(|w| w.rejection), out);
                 };
                 let Some(bid) = self.bid.as_mut() else { return };
                 let Stage::Accept(record) = &bid.stage else { return };
-                if record.epoch == epoch {
-                    bid.leases.add(Witness { id: to, life: say.life }, asked, span);
+                if record.term == epoch {
+                    bid.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, span);
                     self.chosen(now, out);
                 }
             }
             Ask::Renew { to, epoch, asked } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.epoch == epoch);
+                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
                 if let Some(say) = witness.filter(yes).filter(|_| mine) {
                     let asked = if flaw(Flaw::FromAnswer) { now } else { asked };
-                    self.leases.add(Witness { id: to, life: say.life }, asked, self.spans.lease);
+                    self.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, self.spans.lease);
                 }
             }
             Ask::Bring { to, epoch, snapshot } => {
@@ -706,11 +747,11 @@
                 };
                 bid.under_way.remove(&to);
                 match copied {
-                    Some(say) if say.ok => {
+                    Some(say) if say.accepted => {
                         bid.joined.push(to.clone());
                         // What it says now is newer than its last heartbeat.
                         if let Some(peer) = self.peers.get_mut(&to) {
-                            peer.told.life = say.life;
+                            peer.told.incarnation = say.incarnation;
                         }
                         self.brought(now, out);
                     }
@@ -722,21 +763,27 @@
                 }
             }
             Ask::Change { to, epoch, seq, again } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.epoch == epoch);
+                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
                 let Some(flight) = self.flight.as_mut().filter(|f| mine && f.seq == seq) else { return };
                 match copied {
-                    Some(say) if say.ok => {
+                    Some(say) if say.accepted => {
                         flight.away.remove(&to);
                         self.landed(now, out);
                     }
                     // No answer: it may have been lost on its way; the number makes it harmless twice.
                     None if !again => {
-                        let (puts, kind) = (flight.puts.clone(), CopyKind::Change);
-                        let copy = Copy { version: VERSION, epoch: epoch.clone(), seq, kind, puts };
+                        let (puts, kind) = (flight.puts.clone(), ReplicaWriteKind::Append);
+                        let copy = ReplicaWrite {
+                            version: VERSION,
+                            term: epoch.clone(),
+                            sequence: seq,
+                            kind,
+                            writes: puts,
+                        };
                         self.call(
                             Ask::Change { to: to.clone(), epoch, seq, again: true },
                             &to,
-                            Call::Copy(copy),
+                            Request::ReplicaWrite(copy),
                             out,
                         );
                     }
@@ -750,20 +797,20 @@
         }
     }
 
-    fn ask(&mut self, now: Ms, to: &Id, ask: Ask, call: WitnessCall, out: &mut Vec<Out>) {
+    fn ask(&mut self, now: Ms, to: &Id, ask: Ask, call: VoterRequest, out: &mut Vec<Output>) {
         if *to == self.me {
             self.vote(now, Err(ask), call, out);
         } else {
-            self.call(ask, to, Call::Witness(call), out);
+            self.call(ask, to, Request::Voter(call), out);
         }
     }
 
     /// Twenty times a second.
-    pub fn tick(&mut self, now: Ms, out: &mut Vec<Out>) {
-        let stuck = self.jobs.front().is_some_and(|p| now > p.since + self.spans.call);
+    pub fn tick(&mut self, now: Ms, out: &mut Vec<Output>) {
+        let stuck = self.jobs.front().is_some_and(|p| now > p.since + self.spans.rpc_timeout);
         self.fit = self.sound && !stuck;
         if !self.sound && self.jobs.is_empty() && now >= self.probe_at {
-            self.probe_at = now + self.spans.round;
+            self.probe_at = now + self.spans.heartbeat_interval;
             self.write(now, Job::Own, (Vec::new(), false, vec![("probe".into(), now.to_string())]), out);
         }
         if self.broken && self.sound && self.jobs.is_empty() {
@@ -775,7 +822,7 @@
         if self.bid.as_ref().is_some_and(|b| now > b.until) {
             self.give_up(now, "no answer from enough", out);
         }
-        if self.flight.as_ref().is_some_and(|f| now > f.began + 3 * self.spans.call) {
+        if self.flight.as_ref().is_some_and(|f| now > f.began + 3 * self.spans.rpc_timeout) {
             self.crashed(now, "in time", out);
         }
         if matches!(self.role, Role::Acting(_)) {
@@ -785,21 +832,21 @@
         }
     }
 
-    fn lead(&mut self, now: Ms, out: &mut Vec<Out>) {
+    fn lead(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Acting(record) = self.role.clone() else { return };
         if !self.fit || self.bid.is_none() && !self.acting(now) {
-            out.push(Out::Note("The lease is over or the disk fails: steps down.".into()));
+            out.push(Output::Note("The lease is over or the disk fails: steps down.".into()));
             return self.step_down(now, out);
         }
         self.led_at = now;
         if self.bid.is_some() {
             return;
         }
-        for id in record.group() {
-            if now >= self.renewed.get(&id).copied().unwrap_or(0) + self.spans.round {
+        for id in record.voter_ids() {
+            if now >= self.renewed.get(&id).copied().unwrap_or(0) + self.spans.heartbeat_interval {
                 self.renewed.insert(id.clone(), now);
-                let ask = Ask::Renew { to: id.clone(), epoch: record.epoch.clone(), asked: now };
-                self.ask(now, &id, ask, WitnessCall::Renew(record.clone(), self.spans.lease), out);
+                let ask = Ask::Renew { to: id.clone(), epoch: record.term.clone(), asked: now };
+                self.ask(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
             }
         }
         if self.flight.is_some() || !matches!(self.role, Role::Acting(_)) {
@@ -814,17 +861,17 @@
             && self.queue.is_empty()
             && record.backups.iter().any(|id| self.good(now, id))
         {
-            out.push(Out::Note("Hands over and stops acting.".into()));
+            out.push(Output::Note("Hands over and stops acting.".into()));
             self.step_down(now, out);
-            for id in record.group() {
-                self.ask(now, &id, Ask::Release, WitnessCall::Release(record.epoch.clone()), out);
+            for id in record.voter_ids() {
+                self.ask(now, &id, Ask::Release, VoterRequest::Release(record.term.clone()), out);
             }
             return;
         }
         self.pump(now, out);
     }
 
-    fn step_down(&mut self, now: Ms, out: &mut Vec<Out>) {
+    fn step_down(&mut self, now: Ms, out: &mut Vec<Output>) {
         if self.role == Role::Idle {
             return;
         }
@@ -842,9 +889,9 @@
         }
         failed.extend(self.queue.drain(..).map(|c| c.ticket));
         self.bid_at = self.bid_at.max(now);
-        out.push(Out::Stops);
+        out.push(Output::Stops);
         if !failed.is_empty() {
-            out.push(Out::Failed(failed));
+            out.push(Output::Failed(failed));
         }
     }
 }
--- a/crates/control-plane/consensus/src/core/group.rs
+++ b/crates/control-plane/consensus/src/core/group.rs
@@ -4,13 +4,15 @@
 impl Core {
     /// Who may be a backup, best first: whose disk takes writes and who stays; of another zone, which may be lost
     /// whole; named already, as it holds all; a witness.
-    pub(super) fn partners(&self, now: Ms, base: &Record) -> Vec<Id> {
-        let fit = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.fit);
+    pub(super) fn partners(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
+        let fit = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.disk_healthy);
         let mut all: Vec<Id> = self.members.iter().filter(|id| **id != self.me && fit(id)).cloned().collect();
-        let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.area == self.area);
-        let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.leaving);
+        let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.zone == self.area);
+        let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.draining);
         let shun = |id: &Id| self.shunned.get(id).is_some_and(|until| now < *until);
-        all.sort_by_key(|id| (leaves(id), shun(id), beside(id), !base.names(id), !base.sits(id), id.clone()));
+        all.sort_by_key(|id| {
+            (leaves(id), shun(id), beside(id), !base.is_replica(id), !base.is_voter(id), id.clone())
+        });
         all
     }
 
@@ -18,22 +20,24 @@
     pub(super) fn due(&self, now: Ms) -> bool {
         let record = &self.record;
         let able = self.fit && !self.broken && self.in_touch(now) && self.primary(now).is_none();
-        if !able || !record.lets(&self.me, &self.floor) || now < self.bid_at {
+        if !able || !record.may_lead(&self.me, &self.floor) || now < self.bid_at {
             return false;
         }
         let there = |id: &Id| {
             let peer = self.peers.get(id);
-            peer.is_some_and(|p| now < p.seen + 2 * self.spans.round && p.told.fit && !p.told.leaving)
+            peer.is_some_and(|p| {
+                now < p.seen + 2 * self.spans.heartbeat_interval && p.told.disk_healthy && !p.told.draining
+            })
         };
         let other =
-            std::iter::once(&record.primary).chain(&record.backups).any(|id| *id != self.me && there(id));
+            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.me && there(id));
         // Who leaves hands over where there is anybody to take it.
         if self.leaving.is_some() && other {
             return false;
         }
-        let place = std::iter::once(&record.primary).chain(&record.backups).position(|id| *id == self.me);
+        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.me);
         let place = place.unwrap_or(0);
-        let earlier = std::iter::once(&record.primary).chain(&record.backups).take(place).any(there);
+        let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
         // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
         place == 0 || !earlier || now > self.led_at + (1 + place as Ms) * self.spans.lease
     }
@@ -41,68 +45,68 @@
     /// What the acting primary would have otherwise: another backup, another group.
     pub(super) fn wants(&self, now: Ms) -> Option<Option<Group>> {
         let Role::Acting(record) = &self.role else { return None };
-        if !record.before.is_empty() {
-            return Some(Some(Group { witnesses: record.witnesses.clone(), before: Vec::new() }));
+        if !record.outgoing_voters.is_empty() {
+            return Some(Some(Group { witnesses: record.voters.clone(), before: Vec::new() }));
         }
         let reborn = |id: &Id| {
             self.peers
                 .get(id)
-                .is_some_and(|p| p.told.floor < record.epoch && p.told.record.epoch >= record.epoch)
+                .is_some_and(|p| p.told.last_durable_term < record.term && p.told.record.term >= record.term)
         };
         let bad = |id: &Id| !self.good(now, id) || reborn(id);
         let able = self.partners(now, record).into_iter().filter(|id| self.good(now, id));
         let able: Vec<Id> =
             able.filter(|id| self.shunned.get(id).is_none_or(|until| now >= *until)).collect();
-        let lost = record.backups.iter().any(bad) || record.backups.len() < self.spans.survive;
-        if lost && able.len() >= self.spans.survive {
+        let lost = record.backups.iter().any(bad) || record.backups.len() < self.spans.max_failures;
+        if lost && able.len() >= self.spans.max_failures {
             return Some(None);
         }
         // Of who was heard once it is known; the first witnesses have 0.
-        let life = |id: &Id| self.peers.get(id).map(|p| p.told.life);
+        let life = |id: &Id| self.peers.get(id).map(|p| p.told.incarnation);
         let spare =
-            |id: &&Id| **id != self.me && !record.sits(id) && self.good(now, id) && life(id).is_some();
+            |id: &&Id| **id != self.me && !record.is_voter(id) && self.good(now, id) && life(id).is_some();
         let mut spares = self.members.iter().filter(spare);
-        let change = |old: &Witness, new: Witness| {
-            let mut witnesses: Vec<Witness> =
-                record.witnesses.iter().map(|w| if w == old { new.clone() } else { w.clone() }).collect();
+        let change = |old: &Voter, new: Voter| {
+            let mut witnesses: Vec<Voter> =
+                record.voters.iter().map(|w| if w == old { new.clone() } else { w.clone() }).collect();
             if flaw(Flaw::TwoAtOnce) {
                 let other = witnesses.iter().position(|w| *w != new && w.id != self.me);
                 other.map(|at| witnesses.remove(at));
             }
-            Some(Some(Group { witnesses, before: record.witnesses.clone() }))
+            Some(Some(Group { witnesses, before: record.voters.clone() }))
         };
-        for w in &record.witnesses {
+        for w in &record.voters {
             let (now_life, near) = if w.id == self.me {
                 (Some(self.life()), true)
             } else {
                 (life(&w.id), self.near(now, &w.id))
             };
-            if near && now_life.is_some_and(|life| life != w.life) {
-                return change(w, Witness { id: w.id.clone(), life: now_life.unwrap_or_default() });
+            if near && now_life.is_some_and(|life| life != w.incarnation) {
+                return change(w, Voter { id: w.id.clone(), incarnation: now_life.unwrap_or_default() });
             }
         }
-        for w in record.witnesses.iter().filter(|w| w.id != self.me) {
+        for w in record.voters.iter().filter(|w| w.id != self.me) {
             let seen = self.peers.get(&w.id).map_or(0, |p| p.seen).max(self.since);
-            let leaves = self.peers.get(&w.id).is_some_and(|p| p.told.leaving) && self.near(now, &w.id);
-            if leaves || now > seen + self.spans.patience {
+            let leaves = self.peers.get(&w.id).is_some_and(|p| p.told.draining) && self.near(now, &w.id);
+            if leaves || now > seen + self.spans.replace_after {
                 if let Some(id) = spares.next() {
-                    return change(w, Witness { id: id.clone(), life: life(id).unwrap_or_default() });
+                    return change(w, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
                 }
             }
         }
         // Its own place, before it goes.
-        if let (Some(_), Some(own)) = (self.leaving, record.witnesses.iter().find(|w| w.id == self.me)) {
+        if let (Some(_), Some(own)) = (self.leaving, record.voters.iter().find(|w| w.id == self.me)) {
             if let Some(id) = spares.next() {
-                return change(own, Witness { id: id.clone(), life: life(id).unwrap_or_default() });
+                return change(own, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
             }
         }
-        let wanted = 2 * self.spans.survive + 1;
-        if record.witnesses.len() < wanted {
+        let wanted = 2 * self.spans.max_failures + 1;
+        if record.voters.len() < wanted {
             let spare: Vec<&Id> = spares.collect();
-            if record.witnesses.len() + spare.len() >= wanted {
-                let new = Witness { id: spare[0].clone(), life: life(spare[0]).unwrap_or_default() };
-                let witnesses = record.witnesses.iter().cloned().chain([new]).collect();
-                return Some(Some(Group { witnesses, before: record.witnesses.clone() }));
+            if record.voters.len() + spare.len() >= wanted {
+                let new = Voter { id: spare[0].clone(), incarnation: life(spare[0]).unwrap_or_default() };
+                let witnesses = record.voters.iter().cloned().chain([new]).collect();
+                return Some(Some(Group { witnesses, before: record.voters.clone() }));
             }
         }
         None
@@ -121,15 +125,15 @@
     /// waits for them: what it takes along then would be a loss.
     pub fn may_leave(&self, now: Ms) -> bool {
         let Some(since) = self.leaving else { return false };
-        if now > since + self.spans.leave {
+        if now > since + self.spans.shutdown_grace {
             return true;
         }
         let led = self.primary(now).is_some();
         let mut others = self.members.iter().filter(|id| **id != self.me && self.good(now, id));
-        let spare = others.any(|id| !self.record.sits(id));
-        let stays = self.record.names(&self.me) || self.record.sits(&self.me) && spare;
+        let spare = others.any(|id| !self.record.is_voter(id));
+        let stays = self.record.is_replica(&self.me) || self.record.is_voter(&self.me) && spare;
         // All stop at once: nobody stays to whom anything could be handed.
-        let gone = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.leaving);
+        let gone = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.draining);
         let all = self.members.iter().filter(|id| **id != self.me).all(gone);
         self.role == Role::Idle && (!stays && led || all && self.bid.is_none())
     }
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -1,6 +1,6 @@
 //! Who may act: epochs, leases and the group of witnesses, without I/O. Times are milliseconds of a steady clock, given in.
 //!
-//! A small group of witnesses holds one [`Record`] (epoch, primary, backups, and the group itself) as a register that a
+//! A small group of witnesses holds one [`LeadershipRecord`] (epoch, primary, backups, and the group itself) as a register that a
 //! quorum changes: a candidate has a ballot promised, reads the newest record, and only who stands in it may write the
 //! next one. What was acknowledged is on the disks of all that the record names, so each of them can go on alone.
 //! Witnesses hold no configuration and no log. The group changes one witness at a time, by a record that both the old
@@ -23,9 +23,10 @@
 mod flaw;
 
 pub use crate::core::{
-    Call, Caller, Change, Copy, CopyKind, CopySay, Core, Out, Put, Role, Say, Spans, Start, Token, Told, SEQ,
+    Change, Core, KeyValue, OperationId, Output, PeerStatus, ReplicaWrite, ReplicaWriteKind,
+    ReplicaWriteResponse, Request, RequestId, Response, Role, Start, Timeouts, SEQ,
 };
-pub use acceptor::{Acceptor, Held, Leases, No, WitnessCall, WitnessSay};
+pub use acceptor::{Acceptor, LeaseGrants, Rejection, VoterRequest, VoterResponse, VoterState};
 #[cfg(feature = "flaws")]
 pub use flaw::choose;
 pub use flaw::Flaw;
@@ -41,71 +42,79 @@
 
 /// Ballots are never the same for two candidates. A record's ballot is its epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Ballot {
-    pub n: u64,
-    pub by: Id,
+pub struct Term {
+    #[serde(rename = "n")]
+    pub number: u64,
+    #[serde(rename = "by")]
+    pub candidate: Id,
 }
 
-impl Ballot {
-    pub fn new(n: u64, by: &str) -> Ballot {
-        Ballot { n, by: by.into() }
+impl Term {
+    pub fn new(n: u64, by: &str) -> Term {
+        Term { number: n, candidate: by.into() }
     }
 }
 
 /// One disk of one director. A director whose disk was lost is another witness at the same place: it has forgotten
 /// what it promised, and counts for nothing until a group names its new life.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Witness {
+pub struct Voter {
     pub id: Id,
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
 }
 
-impl Witness {
-    pub fn new(id: &str, life: u64) -> Witness {
-        Witness { id: id.into(), life }
+impl Voter {
+    pub fn new(id: &str, life: u64) -> Voter {
+        Voter { id: id.into(), incarnation: life }
     }
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Record {
-    pub epoch: Ballot,
-    pub primary: Id,
+pub struct LeadershipRecord {
+    #[serde(rename = "epoch")]
+    pub term: Term,
+    #[serde(rename = "primary")]
+    pub leader: Id,
     /// Whose disks hold all that was acknowledged, besides the primary's.
     pub backups: Vec<Id>,
-    pub witnesses: Vec<Witness>,
+    #[serde(rename = "witnesses")]
+    pub voters: Vec<Voter>,
     /// While the group changes: the group before, whose majority is needed as well.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub before: Vec<Witness>,
+    #[serde(rename = "before")]
+    pub outgoing_voters: Vec<Voter>,
 }
 
-impl Record {
-    pub fn names(&self, who: &str) -> bool {
-        self.primary == who || self.backups.iter().any(|b| b == who)
+impl LeadershipRecord {
+    pub fn is_replica(&self, who: &str) -> bool {
+        self.leader == who || self.backups.iter().any(|b| b == who)
     }
 
     /// Only who holds all that was acknowledged may be the next primary: it stands in the record, and its disk, by
     /// the epoch it last took part in, is the one that was named and not an empty one put in its place.
-    pub fn lets(&self, who: &str, floor: &Ballot) -> bool {
-        self.names(who) && *floor >= self.epoch
+    pub fn may_lead(&self, who: &str, floor: &Term) -> bool {
+        self.is_replica(who) && *floor >= self.term
     }
 
     /// Whether these witnesses decide.
-    pub fn quorum(&self, yes: impl Fn(&Witness) -> bool) -> bool {
-        let most = |group: &[Witness]| group.iter().filter(|w| yes(w)).count() > group.len() / 2;
-        let new = most(&self.witnesses) || flaw::flaw(Flaw::OldMajority) && !self.before.is_empty();
-        new && (self.before.is_empty() || most(&self.before))
+    pub fn has_quorum(&self, yes: impl Fn(&Voter) -> bool) -> bool {
+        let most = |group: &[Voter]| group.iter().filter(|w| yes(w)).count() > group.len() / 2;
+        let new = most(&self.voters) || flaw::flaw(Flaw::OldMajority) && !self.outgoing_voters.is_empty();
+        new && (self.outgoing_voters.is_empty() || most(&self.outgoing_voters))
     }
 
     /// Everybody who is asked, each once.
-    pub fn group(&self) -> Vec<Id> {
-        let mut all: Vec<Id> = self.witnesses.iter().chain(&self.before).map(|w| w.id.clone()).collect();
+    pub fn voter_ids(&self) -> Vec<Id> {
+        let mut all: Vec<Id> =
+            self.voters.iter().chain(&self.outgoing_voters).map(|w| w.id.clone()).collect();
         all.sort();
         all.dedup();
         all
     }
 
-    pub fn sits(&self, who: &str) -> bool {
-        self.witnesses.iter().chain(&self.before).any(|w| w.id == who)
+    pub fn is_voter(&self, who: &str) -> bool {
+        self.voters.iter().chain(&self.outgoing_voters).any(|w| w.id == who)
     }
 }
 
--- a/crates/control-plane/consensus/src/tests.rs
+++ b/crates/control-plane/consensus/src/tests.rs
@@ -2,84 +2,106 @@
 use super::*;
 use assert_matches::assert_matches;
 
-fn group() -> Vec<Witness> {
-    ["a", "b", "c"].map(|id| Witness::new(id, 0)).into()
+fn group() -> Vec<Voter> {
+    ["a", "b", "c"].map(|id| Voter::new(id, 0)).into()
 }
 
-fn record(n: u64, primary: &str, backup: &str) -> Record {
-    let (epoch, backups) = (Ballot::new(n, primary), vec![backup.to_string()]);
-    Record { epoch, primary: primary.into(), backups, witnesses: group(), before: vec![] }
+fn record(n: u64, primary: &str, backup: &str) -> LeadershipRecord {
+    let (epoch, backups) = (Term::new(n, primary), vec![backup.to_string()]);
+    LeadershipRecord {
+        term: epoch,
+        leader: primary.into(),
+        backups,
+        voters: group(),
+        outgoing_voters: vec![],
+    }
 }
 
-fn genesis() -> Record {
-    Record { epoch: Ballot::new(1, ""), ..record(1, "a", "b") }
+fn genesis() -> LeadershipRecord {
+    LeadershipRecord { term: Term::new(1, ""), ..record(1, "a", "b") }
 }
 
 #[test]
 fn a_deposed_primary_is_not_renewed() {
-    let mut one = Acceptor::first(genesis());
+    let mut one = Acceptor::bootstrap(genesis());
     let old = record(2, "a", "b");
-    one.prepare(0, &old.epoch).unwrap();
+    one.prepare(0, &old.term).unwrap();
     one.accept(0, &old, 100).unwrap();
-    assert_matches!(one.prepare(50, &Ballot::new(3, "b")), Err(No { why, .. }) if why == "another has the lease");
-    one.prepare(100, &Ballot::new(3, "b")).unwrap();
-    assert_matches!(one.accept(101, &old, 100), Err(No { promised, .. }) if promised.n == 3);
+    assert_matches!(one.prepare(50, &Term::new(3, "b")), Err(Rejection { reason: why, .. }) if why == "another has the lease");
+    one.prepare(100, &Term::new(3, "b")).unwrap();
+    assert_matches!(one.accept(101, &old, 100), Err(Rejection { promised, .. }) if promised.number == 3);
 }
 
 #[test]
 fn a_witness_that_restarts_keeps_an_earlier_lease() {
-    let held =
-        Held { promised: Ballot::new(2, "a"), record: record(2, "a", "b"), span: 100, ..Held::default() };
+    let held = VoterState {
+        promised: Term::new(2, "a"),
+        record: record(2, "a", "b"),
+        longest_lease: 100,
+        ..VoterState::default()
+    };
     // The settings were others when the lease was granted.
-    let mut one = Acceptor::again(0, held, 50);
-    assert_matches!(one.prepare(99, &Ballot::new(3, "b")), Err(_));
+    let mut one = Acceptor::restart(0, held, 50);
+    assert_matches!(one.prepare(99, &Term::new(3, "b")), Err(_));
     let mut other = one.clone();
-    assert_matches!(other.prepare(1, &Ballot::new(3, "a")), Ok(_), "who acted knows that it has ended");
-    assert_matches!(one.prepare(100, &Ballot::new(3, "b")), Ok(_));
+    assert_matches!(other.prepare(1, &Term::new(3, "a")), Ok(_), "who acted knows that it has ended");
+    assert_matches!(one.prepare(100, &Term::new(3, "b")), Ok(_));
 }
 
 #[test]
 fn a_primary_that_hands_over_need_not_be_waited_for_and_no_other_lease_goes_with_it() {
-    let mut one = Acceptor::first(genesis());
+    let mut one = Acceptor::bootstrap(genesis());
     one.accept(0, &record(2, "a", "b"), 100).unwrap();
-    one.release(&Ballot::new(1, ""));
-    assert_matches!(one.prepare(1, &Ballot::new(3, "b")), Err(_), "a release of an epoch before");
-    one.release(&Ballot::new(2, "a"));
-    assert_matches!(one.prepare(1, &Ballot::new(3, "b")), Ok(_));
+    one.release(&Term::new(1, ""));
+    assert_matches!(one.prepare(1, &Term::new(3, "b")), Err(_), "a release of an epoch before");
+    one.release(&Term::new(2, "a"));
+    assert_matches!(one.prepare(1, &Term::new(3, "b")), Ok(_));
 }
 
 #[test]
 fn a_lost_disk_counts_for_nothing_in_the_group_that_named_the_old_one() {
-    let (old, new) = (genesis(), Witness::new("c", 77));
-    assert!(old.quorum(|w| w.id == "a" || w.id == "b"));
-    assert!(!old.quorum(|w| w.id == "a" || *w == new));
-    let replaced = vec![Witness::new("a", 0), Witness::new("b", 0), new.clone()];
-    let joint = Record { witnesses: replaced, before: group(), ..record(2, "a", "b") };
-    assert!(!joint.quorum(|w| w.id == "a" || *w == new), "the group before has its say");
-    assert!(joint.quorum(|w| w.id == "a" || w.id == "b"));
+    let (old, new) = (genesis(), Voter::new("c", 77));
+    assert!(old.has_quorum(|w| w.id == "a" || w.id == "b"));
+    assert!(!old.has_quorum(|w| w.id == "a" || *w == new));
+    let replaced = vec![Voter::new("a", 0), Voter::new("b", 0), new.clone()];
+    let joint = LeadershipRecord { voters: replaced, outgoing_voters: group(), ..record(2, "a", "b") };
+    assert!(!joint.has_quorum(|w| w.id == "a" || *w == new), "the group before has its say");
+    assert!(joint.has_quorum(|w| w.id == "a" || w.id == "b"));
 }
 
 #[test]
 fn a_primary_counts_from_when_it_asked_and_gives_up_a_fiftieth() {
-    let (mut leases, record) = (Leases::default(), genesis());
-    leases.add(Witness::new("a", 0), 1000, 500);
+    let (mut leases, record) = (LeaseGrants::default(), genesis());
+    leases.add(Voter::new("a", 0), 1000, 500);
     assert!(!leases.hold(&record, 1001));
-    leases.add(Witness::new("c", 0), 900, 500);
+    leases.add(Voter::new("c", 0), 900, 500);
     assert!(leases.hold(&record, 1388) && !leases.hold(&record, 1390));
-    leases.add(Witness::new("c", 9), 5000, 500);
+    leases.add(Voter::new("c", 9), 5000, 500);
     assert!(!leases.hold(&record, 1390), "another disk at the same place");
 }
 
 #[test]
 fn who_is_told_to_end_and_hears_nobody_waits_for_them() {
-    let spans = Spans { lease: 1200, round: 400, call: 600, patience: 2000, leave: 3000, survive: 1 };
+    let spans = Timeouts {
+        lease: 1200,
+        heartbeat_interval: 400,
+        rpc_timeout: 600,
+        replace_after: 2000,
+        shutdown_grace: 3000,
+        max_failures: 1,
+    };
     let peers: Vec<Id> = ["a", "b", "c"].map(String::from).into();
     let start = Start { me: "b".into(), spans, peers, first: true, life: 5, ..Start::default() };
     let (mut core, mut out) = (Core::start(0, start, &mut Vec::new()), Vec::new());
     core.leave(100);
     assert!(!core.may_leave(2000) && core.may_leave(3101), "a place in the group would go with it");
     for id in ["a", "c"] {
-        core.hear(3000, &Told { id: id.into(), fit: true, leaving: true, ..Told::default() }, None, &mut out);
+        core.hear(
+            3000,
+            &PeerStatus { id: id.into(), disk_healthy: true, draining: true, ..PeerStatus::default() },
+            None,
+            &mut out,
+        );
     }
     assert!(core.may_leave(3050), "all of them end");
 }
--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -79,7 +79,7 @@
     assert!(world.ghost.acked.contains(&world.submitted), "change {} is not written", world.submitted);
 }
 
-fn record(world: &World) -> coppersail_consensus::Record {
+fn record(world: &World) -> coppersail_consensus::LeadershipRecord {
     let x = world.acting()[0];
     match &world.core(x).unwrap().role {
         coppersail_consensus::Role::Acting(record) => record.clone(),
@@ -88,7 +88,7 @@
 }
 
 fn sits(world: &World, id: &str) -> bool {
-    record(world).witnesses.iter().any(|w| w.id == id)
+    record(world).voters.iter().any(|w| w.id == id)
 }
 
 #[test]
@@ -167,15 +167,15 @@
     world.rest(100).unwrap();
     change(&mut world);
     let record = record(&world);
-    assert!(record.before.is_empty());
-    assert!(record.witnesses.iter().any(|w| w.id == "b" && w.life > 0), "its new life sits: {record:?}");
+    assert!(record.outgoing_voters.is_empty());
+    assert!(record.voters.iter().any(|w| w.id == "b" && w.incarnation > 0), "its new life sits: {record:?}");
     assert_eq!(world.ghost.seen, [1, 2]);
 }
 
 #[test]
 fn a_second_loss_right_after_the_repair_of_the_first() {
     let mut world =
-        begun(Rules { spans: coppersail_consensus::Spans { patience: 60, ..spans() }, ..rules() });
+        begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 60, ..spans() }, ..rules() });
     change(&mut world);
     go(&mut world, &[Step::Gone(0)]);
     let mut ticks = 0;
@@ -247,7 +247,7 @@
     }
     assert!(ticks < 60, "{ticks}: not by the time that it has to hand over");
     let record = record(&world);
-    assert!(!record.names("a") && !record.sits("a"), "{record:?}");
+    assert!(!record.is_replica("a") && !record.is_voter("a"), "{record:?}");
     go(&mut world, &[Step::Gone(0)]);
     change(&mut world);
 }
@@ -255,7 +255,7 @@
 #[test]
 fn a_member_back_with_an_old_disk_after_it_was_replaced() {
     let mut world =
-        begun(Rules { spans: coppersail_consensus::Spans { patience: 40, ..spans() }, ..rules() });
+        begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 40, ..spans() }, ..rules() });
     change(&mut world);
     go(&mut world, &[Step::Crash(0, 0)]);
     world.rest(100).unwrap();
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -52,7 +52,7 @@
 
 fn case(name: &str) -> World {
     let one = Budget::default();
-    let patient = Rules { spans: coppersail_consensus::Spans { patience: 40, ..spans() }, ..rules() };
+    let patient = Rules { spans: coppersail_consensus::Timeouts { replace_after: 40, ..spans() }, ..rules() };
     let short = |without| Step::Short { keep: None, without };
     match name {
         "takeovers" => {
@@ -148,7 +148,7 @@
         let may = |x: &usize| world.core(*x).is_some_and(|core| core.may_leave(world.clock(*x)));
         if let Some(x) = world.ups().into_iter().find(may) {
             let free = world.mended() && !world.rests_on(x);
-            if free || losses < rules.spans.survive {
+            if free || losses < rules.spans.max_failures {
                 world.budget = everything();
                 world.step(&Step::Gone(x), true).unwrap_or_else(|why| panic!("seed {seed}: {why}"));
                 losses += !free as usize;
@@ -174,7 +174,7 @@
                 },
                 Step::Submit(_) => lot.usize(0..3) == 0,
                 Step::Restart(_) => true,
-                Step::Wipe(_) | Step::Gone(_) if losses >= rules.spans.survive => false,
+                Step::Wipe(_) | Step::Gone(_) if losses >= rules.spans.max_failures => false,
                 Step::Wipe(_) | Step::Refuse(_) | Step::Crash(..) => wild,
                 Step::Gone(_) => wild && lot.usize(0..20) == 0 && world.ups().len() > 3,
                 Step::Leave(_) => wild && !left && world.ups().len() == rules.members,
@@ -204,7 +204,7 @@
         let all: Vec<String> = (0..rules.members).map(|x| world.view(x)).collect();
         panic!("seed {seed}: {why}\n{tail}\n{}", all.join("\n"));
     });
-    [faults, world.ghost.top.n as usize, world.ghost.acked.len(), gone]
+    [faults, world.ghost.top.number as usize, world.ghost.acked.len(), gone]
 }
 
 fn walks(name: &str, seeds: std::ops::Range<u64>, rules: Rules) {
@@ -230,7 +230,12 @@
 
 #[test]
 fn walks_of_five_of_whom_two_disks_may_be_lost() {
-    let spans = coppersail_consensus::Spans { survive: 2, patience: 300, leave: 1_000_000, ..spans() };
+    let spans = coppersail_consensus::Timeouts {
+        max_failures: 2,
+        replace_after: 300,
+        shutdown_grace: 1_000_000,
+        ..spans()
+    };
     walks(
         "five, two",
         0..seeds(),
@@ -240,7 +245,7 @@
 
 #[test]
 fn walks_of_five_of_whom_one_disk_may_be_lost() {
-    let spans = coppersail_consensus::Spans { patience: 300, leave: 1_000_000, ..spans() };
+    let spans = coppersail_consensus::Timeouts { replace_after: 300, shutdown_grace: 1_000_000, ..spans() };
     walks(
         "five, one",
         0..seeds(),
--- a/crates/control-plane/consensus/tests/model/world.rs
+++ b/crates/control-plane/consensus/tests/model/world.rs
@@ -1,6 +1,7 @@
 //! The world around the cores: members with disks, a network, a clock, faults within a budget, and what must hold.
 use coppersail_consensus::{
-    Ballot, Call, Change, Core, Held, Out, Put, Record, Role, Say, Spans, Start, Told, Witness, WitnessCall,
+    Change, Core, KeyValue, LeadershipRecord, Output, PeerStatus, Request, Response, Role, Start, Term,
+    Timeouts, Voter, VoterRequest, VoterState,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -37,7 +38,7 @@
 pub struct Rules {
     pub members: usize,
     pub first: usize,
-    pub spans: Spans,
+    pub spans: Timeouts,
     /// On whose disks each write is a step, may be refused, and is lost or kept at a crash; else it is done at once.
     pub slow: u8,
     /// An answer comes as soon as it is given, or is lost; else it is under way like a call.
@@ -53,9 +54,9 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Write {
     token: u64,
-    state: Vec<Put>,
+    state: Vec<KeyValue>,
     whole: bool,
-    own: Vec<Put>,
+    own: Vec<KeyValue>,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
@@ -74,8 +75,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum What {
-    Call(Call),
-    Reply(Say),
+    Call(Request),
+    Reply(Response),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -93,11 +94,11 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Ghost {
     /// By epoch: the record and the disks that ever held it.
-    accepted: BTreeMap<Ballot, (Record, BTreeSet<Witness>)>,
+    accepted: BTreeMap<Term, (LeadershipRecord, BTreeSet<Voter>)>,
     /// Changes that were acknowledged or could be read, in their order.
     pub seen: Vec<u64>,
     pub acked: BTreeSet<u64>,
-    pub top: Ballot,
+    pub top: Term,
     /// In how many epochs somebody acted, and how many groups were chosen.
     pub epochs: usize,
     pub groups: usize,
@@ -211,12 +212,12 @@
 }
 
 /// Of the model's own, so that the core's is not its own judge.
-fn most(group: &[Witness], yes: &BTreeSet<Witness>) -> bool {
+fn most(group: &[Voter], yes: &BTreeSet<Voter>) -> bool {
     2 * group.iter().filter(|w| yes.contains(w)).count() > group.len()
 }
 
-fn decides(record: &Record, yes: &BTreeSet<Witness>) -> bool {
-    most(&record.witnesses, yes) && (record.before.is_empty() || most(&record.before, yes))
+fn decides(record: &LeadershipRecord, yes: &BTreeSet<Voter>) -> bool {
+    most(&record.voters, yes) && (record.outgoing_voters.is_empty() || most(&record.outgoing_voters, yes))
 }
 
 /// The life that the world gave a member's disk.
@@ -227,8 +228,15 @@
     100 * (x as u64 + 1) + disk
 }
 
-pub fn spans() -> Spans {
-    Spans { lease: 100, round: 30, call: 20, patience: 100_000, leave: 1_000, survive: 1 }
+pub fn spans() -> Timeouts {
+    Timeouts {
+        lease: 100,
+        heartbeat_interval: 30,
+        rpc_timeout: 20,
+        replace_after: 100_000,
+        shutdown_grace: 1_000,
+        max_failures: 1,
+    }
 }
 
 /// More of each than any script needs.
@@ -339,7 +347,7 @@
     }
 
     /// Lets a member's core work, and does what follows.
-    pub fn with(&mut self, x: usize, f: impl FnOnce(&mut Core, u64, &mut Vec<Out>)) -> Result<(), String> {
+    pub fn with(&mut self, x: usize, f: impl FnOnce(&mut Core, u64, &mut Vec<Output>)) -> Result<(), String> {
         let now = self.clock(x);
         let mut out = Vec::new();
         if let Some(core) = self.node(x).core.as_mut() {
@@ -348,17 +356,17 @@
         self.follow(x, out)
     }
 
-    fn follow(&mut self, x: usize, out: Vec<Out>) -> Result<(), String> {
+    fn follow(&mut self, x: usize, out: Vec<Output>) -> Result<(), String> {
         for out in out {
             match out {
-                Out::Call { token, to, call, wait } => {
+                Output::Call { token, to, call, wait } => {
                     let until = self.now + wait;
                     let node = self.node(x);
                     node.waits.insert(token, until);
                     let (boot, to) = (node.boot, NAMES.iter().position(|n| *n == to).unwrap());
                     self.send(Message { from: x, boot, token, to, late: false, what: What::Call(call) });
                 }
-                Out::Reply { caller, say } if caller & LATE == 0 => {
+                Output::Reply { caller, say } if caller & LATE == 0 => {
                     let (from, boot, token) =
                         ((caller >> 48) as usize, caller >> 32 & 0xffff, caller & 0xffff_ffff);
                     if self.nodes[from].boot != boot || !self.nodes[from].waits.contains_key(&token) {
@@ -371,12 +379,12 @@
                         self.send(Message { from, boot, token, to: x, late: false, what: What::Reply(say) });
                     }
                 }
-                Out::Write { token, state, whole, own } => {
+                Output::Write { token, state, whole, own } => {
                     self.node(x).writes.push_back(Write { token, state, whole, own });
                     self.quick(x)?;
                 }
-                Out::Wrote(changes) => self.wrote(x, &changes)?,
-                Out::Note(text) if self.loud => println!("{:>6} {}: {text}", self.now, NAMES[x]),
+                Output::Wrote(changes) => self.wrote(x, &changes)?,
+                Output::Note(text) if self.loud => println!("{:>6} {}: {text}", self.now, NAMES[x]),
                 _ => {}
             }
         }
@@ -392,7 +400,7 @@
     /// Writes that need no step of their own: all, or those that are hints only.
     fn quick(&mut self, x: usize) -> Result<(), String> {
         while let Some(write) = self.nodes[x].writes.front() {
-            let hint = |(name, _): &Put| ["record", "members", "probe"].contains(&name.as_str());
+            let hint = |(name, _): &KeyValue| ["record", "members", "probe"].contains(&name.as_str());
             if self.rules.slow >> x & 1 == 1
                 && !(write.state.is_empty() && !write.whole && write.own.iter().all(hint))
             {
@@ -414,7 +422,7 @@
 
     fn store(&mut self, x: usize, write: Write) -> Result<(), String> {
         let (first, node) = (self.rules.first, self.node(x));
-        let me = Witness::new(NAMES[x], life(x, node.disk, first));
+        let me = Voter::new(NAMES[x], life(x, node.disk, first));
         if write.whole {
             node.state.clear();
         }
@@ -423,20 +431,20 @@
         let held = write.own.iter().find(|(name, _)| name == "witness").map(|(_, held)| held.clone());
         node.own.extend(write.own);
         let Some(held) = held else { return Ok(()) };
-        let record = serde_json::from_str::<Held>(&held).unwrap().record;
-        if record.witnesses.is_empty() {
+        let record = serde_json::from_str::<VoterState>(&held).unwrap().record;
+        if record.voters.is_empty() {
             return Ok(());
         }
-        let known = self.ghost.accepted.get(&record.epoch);
+        let known = self.ghost.accepted.get(&record.term);
         if known.is_some_and(|(_, by)| by.contains(&me)) {
             return Ok(());
         }
         if known.is_some_and(|(one, _)| *one != record) {
-            return Err(format!("two records of epoch {:?}", record.epoch));
+            return Err(format!("two records of epoch {:?}", record.term));
         }
         let ghost = Arc::make_mut(&mut self.ghost);
         let (record, by) =
-            ghost.accepted.entry(record.epoch.clone()).or_insert_with(|| (record, BTreeSet::new()));
+            ghost.accepted.entry(record.term.clone()).or_insert_with(|| (record, BTreeSet::new()));
         by.insert(me);
         if decides(record, by) {
             let groups = self.groups()?;
@@ -447,21 +455,23 @@
 
     /// Each group that was chosen follows from the one before.
     fn groups(&self) -> Result<usize, String> {
-        let chosen: Vec<&Record> =
+        let chosen: Vec<&LeadershipRecord> =
             self.ghost.accepted.values().filter(|(r, by)| decides(r, by)).map(|(r, _)| r).collect();
         for pair in chosen.windows(2) {
             let (old, new) = (pair[0], pair[1]);
-            let same = old.witnesses == new.witnesses && old.before == new.before;
-            let ends = !old.before.is_empty() && new.before.is_empty() && old.witnesses == new.witnesses;
-            let fewer = old.witnesses.iter().filter(|w| !new.witnesses.contains(w)).count();
-            let more = new.witnesses.iter().filter(|w| !old.witnesses.contains(w)).count();
-            let begins = old.before.is_empty() && new.before == old.witnesses;
+            let same = old.voters == new.voters && old.outgoing_voters == new.outgoing_voters;
+            let ends =
+                !old.outgoing_voters.is_empty() && new.outgoing_voters.is_empty() && old.voters == new.voters;
+            let fewer = old.voters.iter().filter(|w| !new.voters.contains(w)).count();
+            let more = new.voters.iter().filter(|w| !old.voters.contains(w)).count();
+            let begins = old.outgoing_voters.is_empty() && new.outgoing_voters == old.voters;
             if !(same || ends || begins && fewer <= more && more <= 1) {
                 return Err(format!("a group that does not follow: {old:?} then {new:?}"));
             }
         }
-        let others =
-            |pair: &&[&Record]| pair[0].witnesses != pair[1].witnesses || pair[0].before != pair[1].before;
+        let others = |pair: &&[&LeadershipRecord]| {
+            pair[0].voters != pair[1].voters || pair[0].outgoing_voters != pair[1].outgoing_voters
+        };
         Ok(1 + chosen.windows(2).filter(others).count())
     }
 
@@ -484,10 +494,10 @@
         let Some(x) = acting.first().copied() else { return Ok(()) };
         let core = self.core(x).unwrap();
         let Role::Acting(record) = &core.role else { return Err("acts without a record".into()) };
-        if record.epoch < self.ghost.top {
+        if record.term < self.ghost.top {
             return Err(format!("{} acts in an older epoch", NAMES[x]));
         }
-        let by = self.ghost.accepted.get(&record.epoch).filter(|(one, _)| one == record).map(|(_, by)| by);
+        let by = self.ghost.accepted.get(&record.term).filter(|(one, _)| one == record).map(|(_, by)| by);
         if !by.is_some_and(|by| decides(record, by)) {
             return Err(format!("{} acts by a record that no quorum of its group's disks took", NAMES[x]));
         }
@@ -505,11 +515,11 @@
         if held.get("last") != last.as_ref() {
             return Err(format!("{} has the changes in another order: {held:?}, {seen:?}", NAMES[x]));
         }
-        for id in std::iter::once(&record.primary).chain(&record.backups) {
+        for id in std::iter::once(&record.leader).chain(&record.backups) {
             let node = &self.nodes[NAMES.iter().position(|n| n == id).unwrap()];
             let lost = node.gone
                 || !node.own.get("floor").is_some_and(|floor| {
-                    serde_json::from_str::<Ballot>(floor).is_ok_and(|floor| floor >= record.epoch)
+                    serde_json::from_str::<Term>(floor).is_ok_and(|floor| floor >= record.term)
                 });
             // A disk that was lost since is replaced in time, and one that goes on by a newer bid holds all the same.
             if !lost && seen.iter().any(|n| !holds(&node.state, *n)) {
@@ -521,7 +531,7 @@
                 return Err(format!("the disk of {id} is not at the epoch of the record that names it"));
             }
         }
-        let top = record.epoch.clone();
+        let top = record.term.clone();
         if top != self.ghost.top || !new.is_empty() {
             let ghost = Arc::make_mut(&mut self.ghost);
             ghost.epochs += (top != ghost.top) as usize;
@@ -535,9 +545,11 @@
         let Some(core) = self.acting().first().and_then(|x| self.core(*x)) else { return false };
         let Role::Acting(record) = &core.role else { return false };
         let node = |id: &String| &self.nodes[NAMES.iter().position(|n| n == id).unwrap()];
-        let sits = |w: &Witness| node(&w.id).core.as_ref().is_some_and(|core| core.life() == w.life);
-        let holds = |id: &String| node(id).core.as_ref().is_some_and(|core| *core.floor() >= record.epoch);
-        record.before.is_empty() && record.witnesses.iter().all(sits) && record.backups.iter().all(holds)
+        let sits = |w: &Voter| node(&w.id).core.as_ref().is_some_and(|core| core.life() == w.incarnation);
+        let holds = |id: &String| node(id).core.as_ref().is_some_and(|core| *core.floor() >= record.term);
+        record.outgoing_voters.is_empty()
+            && record.voters.iter().all(sits)
+            && record.backups.iter().all(holds)
     }
 
     /// To whom a step belongs, where it does.
@@ -555,7 +567,7 @@
     /// Whether the record of who acts has this member.
     pub fn rests_on(&self, x: usize) -> bool {
         let core = self.acting().first().and_then(|x| self.core(*x));
-        core.is_some_and(|core| core.record.names(NAMES[x]) || core.record.sits(NAMES[x]))
+        core.is_some_and(|core| core.record.is_replica(NAMES[x]) || core.record.is_voter(NAMES[x]))
     }
 
     /// What a member has, for a story.
@@ -563,13 +575,14 @@
         let (node, at) = (&self.nodes[x], NAMES[x]);
         let Some(core) = &node.core else { return format!("{at}: down, gone {}, {:?}", node.gone, node.own) };
         let record = &core.record;
-        let ids = |group: &[Witness]| group.iter().map(|w| format!("{}{}", w.id, w.life)).collect::<Vec<_>>();
-        let (group, before) = (ids(&record.witnesses), ids(&record.before));
-        let (epoch, names) = (record.epoch.n, &record.backups);
+        let ids =
+            |group: &[Voter]| group.iter().map(|w| format!("{}{}", w.id, w.incarnation)).collect::<Vec<_>>();
+        let (group, before) = (ids(&record.voters), ids(&record.outgoing_voters));
+        let (epoch, names) = (record.term.number, &record.backups);
         let (floor, life, leaving) = (core.floor(), core.life(), core.leaving());
         format!(
             "{at}: life {life}, floor {}{}, fit {}, leaving {leaving}, knows {epoch} of {} with {names:?}, group {group:?} before {before:?}",
-            floor.n, floor.by, core.fit, record.primary
+            floor.number, floor.candidate, core.fit, record.leader
         )
     }
 
@@ -602,7 +615,7 @@
         for (x, token) in over {
             self.with(x, |core, now, out| core.said(now, token, None, out))?;
         }
-        let told: Vec<Option<Told>> =
+        let told: Vec<Option<PeerStatus>> =
             (0..self.nodes.len()).map(|x| self.core(x).map(|core| core.told(self.clock(x)))).collect();
         let awake = |x: &usize| without != Without::Asleep(*x);
         let heard = |x: &usize| awake(x) && without != Without::Unheard(*x);
@@ -626,7 +639,8 @@
         let Message { from, boot, token, to, late, what } = (*message).clone();
         match what {
             What::Call(call) => {
-                let grant = matches!(&call, Call::Witness(WitnessCall::Accept(..) | WitnessCall::Renew(..)));
+                let grant =
+                    matches!(&call, Request::Voter(VoterRequest::Accept(..) | VoterRequest::Renew(..)));
                 if grant {
                     self.ends.insert(to, self.now + self.rules.spans.lease);
                 }
@@ -670,7 +684,7 @@
                 continue;
             }
             all.push(Step::Deliver(at, Then::Answer));
-            let renew = matches!(&message.what, What::Call(Call::Witness(WitnessCall::Renew(..))));
+            let renew = matches!(&message.what, What::Call(Request::Voter(VoterRequest::Renew(..))));
             if budget.silences > 0 && !message.late && !renew {
                 all.push(Step::Deliver(at, Then::Silence));
             }
--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -8,7 +8,7 @@
 //! let text = serde_json::to_string(&follow).unwrap();
 //! assert_eq!(serde_json::from_str::<coppersail_peer_protocol::Follow>(&text).unwrap().seq, 7);
 //! ```
-use coppersail_consensus::{Ballot, Id, Record};
+use coppersail_consensus::{Id, LeadershipRecord, Term};
 use serde::{Deserialize, Serialize};
 
 /// An edge's poll. `feed` and `seq` are those of the last answer taken (0 and 0 at first).
@@ -60,9 +60,9 @@
     /// Of its disk: drawn anew when that was lost.
     pub life: u64,
     /// The newest epoch in which its disk took part.
-    pub floor: Ballot,
+    pub floor: Term,
     /// The newest record that it knows.
-    pub record: Record,
+    pub record: LeadershipRecord,
     pub members: Vec<Id>,
     /// Edges that follow it.
     pub edges: Vec<String>,
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -2,7 +2,7 @@
 use crate::node::{Admin, Effect};
 use crate::orders::{digest, Judged};
 use crate::state::{Beat, Kind, Parked, Say, State};
-use coppersail_consensus::{Caller, Ms};
+use coppersail_consensus::{Ms, RequestId};
 use coppersail_peer_protocol::{HostNews, Settings, Stage};
 use serde::Deserialize;
 
@@ -44,7 +44,14 @@
         }
     }
 
-    pub fn admin(&mut self, now: Ms, caller: Caller, call: Admin, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
+    pub fn admin(
+        &mut self,
+        now: Ms,
+        caller: RequestId,
+        call: Admin,
+        say: &mut Vec<Say>,
+        out: &mut Vec<Effect>,
+    ) {
         match call {
             Admin::Pulse { ident, body } => self.pulse(now, caller, &ident, &body, say),
             Admin::SignOff { ident } => self.sign_off(now, caller, &ident, say),
@@ -54,7 +61,7 @@
         }
     }
 
-    fn pulse(&mut self, now: Ms, caller: Caller, ident: &str, body: &str, say: &mut Vec<Say>) {
+    fn pulse(&mut self, now: Ms, caller: RequestId, ident: &str, body: &str, say: &mut Vec<Say>) {
         let pulse: Pulse = match serde_json::from_str(body) {
             Ok(pulse) => pulse,
             Err(e) => return say.push(Say::Text(caller, 400, one_line(format!("beat: {e}")))),
@@ -116,7 +123,7 @@
         self.settle(now, say);
     }
 
-    fn sign_off(&mut self, now: Ms, caller: Caller, ident: &str, say: &mut Vec<Say>) {
+    fn sign_off(&mut self, now: Ms, caller: RequestId, ident: &str, say: &mut Vec<Say>) {
         if self.alone(now) {
             return say.push(Say::Text(caller, 503, one_line("out of touch with most witnesses")));
         }
@@ -132,7 +139,14 @@
     }
 
     /// One number has one content: the same again is acknowledged, another is refused.
-    fn replace(&mut self, now: Ms, caller: Caller, body: String, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
+    fn replace(
+        &mut self,
+        now: Ms,
+        caller: RequestId,
+        body: String,
+        say: &mut Vec<Say>,
+        out: &mut Vec<Effect>,
+    ) {
         let config = match coppersail_config::config::parse(body.as_bytes()) {
             Ok(config) => config,
             Err(fault) => {
@@ -169,11 +183,11 @@
                 (self.queue(puts), Kind::Order)
             }
         };
-        let until = now + 4 * self.spans.core.call;
+        let until = now + 4 * self.spans.core.rpc_timeout;
         self.parked.push(Parked { caller, until, ticket, heard: 0, kind });
     }
 
-    fn read(&mut self, now: Ms, caller: Caller, say: &mut Vec<Say>) {
+    fn read(&mut self, now: Ms, caller: RequestId, say: &mut Vec<Say>) {
         if !self.acting(now) {
             let (status, text) = self.elsewhere(now, "/settings/read");
             return say.push(Say::Text(caller, status, text));
@@ -186,7 +200,7 @@
     fn plans(
         &mut self,
         now: Ms,
-        caller: Caller,
+        caller: RequestId,
         (post, rest, body): (bool, &str, &str),
         say: &mut Vec<Say>,
         out: &mut Vec<Effect>,
@@ -224,7 +238,7 @@
             Ok(puts) => {
                 // An order that changes nothing waits for what made it so.
                 let ticket = if puts.is_empty() { self.last_ticket() } else { self.queue(puts) };
-                let until = now + 4 * self.spans.core.call;
+                let until = now + 4 * self.spans.core.rpc_timeout;
                 self.parked.push(Parked { caller, until, ticket, heard: 0, kind: Kind::Order });
             }
             Err((status, text)) => {
--- a/crates/control-plane/server/src/lanes.rs
+++ b/crates/control-plane/server/src/lanes.rs
@@ -2,7 +2,7 @@
 //! poll or a long snapshot holds up nothing else.
 use crate::node::{Peer, PeerSay};
 use crate::state::peer_address;
-use coppersail_consensus::{Call, Id, Ms, Token};
+use coppersail_consensus::{Id, Ms, OperationId, Request};
 use coppersail_peer_client::Caller;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Takes what came of a call.
-pub type Told = Arc<dyn Fn(Token, Option<PeerSay>) + Send + Sync>;
+pub type Told = Arc<dyn Fn(OperationId, Option<PeerSay>) + Send + Sync>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
@@ -20,7 +20,7 @@
 }
 
 struct Job {
-    token: Token,
+    token: OperationId,
     call: Peer,
     wait: Ms,
     since: Instant,
@@ -36,11 +36,11 @@
         Lanes { port, lanes: Mutex::default() }
     }
 
-    pub fn send(&self, token: Token, to: Id, call: Peer, wait: Ms, told: &Told) {
+    pub fn send(&self, token: OperationId, to: Id, call: Peer, wait: Ms, told: &Told) {
         let kind = match &call {
             Peer::Follow(_) => Kind::Polls,
-            Peer::Core(Call::Witness(_)) => Kind::Witnesses,
-            Peer::Core(Call::Copy(_)) => Kind::Copies,
+            Peer::Core(Request::Voter(_)) => Kind::Witnesses,
+            Peer::Core(Request::ReplicaWrite(_)) => Kind::Copies,
         };
         let job = Job { token, call, wait, since: Instant::now() };
         let mut lanes = self.lanes.lock().unwrap_or_else(|e| e.into_inner());
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -18,7 +18,7 @@
 pub mod voice;
 
 use coppersail_config::Boot;
-use coppersail_consensus::{Caller, Ms};
+use coppersail_consensus::{Ms, RequestId};
 use eyre::{eyre, Result};
 use lanes::Lanes;
 use node::{Begin, Effect, Event, Node, PeerSay};
@@ -130,7 +130,7 @@
         }
     }
 
-    fn respond(&self, caller: Caller, status: u16, body: String) {
+    fn respond(&self, caller: RequestId, status: u16, body: String) {
         let request = lock(&self.waiting).try_remove(caller as usize);
         if let Some(request) = request {
             voice::respond(request, status, body);
@@ -138,7 +138,7 @@
     }
 
     fn take(self: &Arc<Self>, request: Request, taken: Taken) {
-        let caller = lock(&self.waiting).insert(request) as Caller;
+        let caller = lock(&self.waiting).insert(request) as RequestId;
         self.event(match taken {
             Taken::Admin(call) => Event::Admin { caller, call },
             Taken::Peer(call) => Event::Peer { caller, call },
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -1,14 +1,14 @@
 //! Whom this centre follows, and the polls that are its heartbeats. No I/O.
 use crate::node::{Effect, Peer};
 use crate::state::{Say, State};
-use coppersail_consensus::{Id, Ms, Out, Token};
+use coppersail_consensus::{Id, Ms, OperationId, Output};
 use coppersail_peer_protocol::{Asked, Follow, News};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many others a centre's heartbeats go to, besides the witnesses and who holds the state.
 const FEW: usize = 3;
 /// Tokens of polls, apart from those of the core.
-const POLLS: Token = 1 << 48;
+const POLLS: OperationId = 1 << 48;
 
 #[derive(Default)]
 struct Link {
@@ -19,7 +19,7 @@
 }
 
 struct Poll {
-    token: Token,
+    token: OperationId,
     asked_at: Ms,
     evidence: Vec<coppersail_rollout::Report>,
 }
@@ -28,7 +28,7 @@
 pub struct Links {
     wanted: BTreeSet<Id>,
     links: BTreeMap<Id, Link>,
-    tokens: Token,
+    tokens: OperationId,
     turn: usize,
 }
 
@@ -60,7 +60,7 @@
                 area: String::new(),
                 feed: link.feed,
                 seq: link.seq,
-                wait_ms: state.spans.core.round,
+                wait_ms: state.spans.core.heartbeat_interval,
                 asked: asked.collect(),
                 evidence: evidence.clone(),
                 standing: Some(state.standing(now, peer)),
@@ -68,13 +68,13 @@
             self.tokens += 1;
             let token = POLLS + self.tokens;
             link.under_way = Some(Poll { token, asked_at: now, evidence });
-            let (call, wait) = (Peer::Follow(Box::new(follow)), state.spans.core.call);
+            let (call, wait) = (Peer::Follow(Box::new(follow)), state.spans.core.rpc_timeout);
             out.push(Effect::Call { token, to: peer.clone(), call, wait });
         }
     }
 
     /// Whose poll this was, if it was one.
-    pub fn ended(&self, token: Token) -> Option<Id> {
+    pub fn ended(&self, token: OperationId) -> Option<Id> {
         let of = |(id, link): (&Id, &Link)| {
             link.under_way.as_ref().is_some_and(|p| p.token == token).then(|| id.clone())
         };
@@ -88,12 +88,12 @@
         peer: &Id,
         news: Option<Box<News>>,
         say: &mut Vec<Say>,
-        outs: &mut Vec<Out>,
+        outs: &mut Vec<Output>,
     ) {
         let Some(link) = self.links.get_mut(peer) else { return };
         let Some(poll) = link.under_way.take() else { return };
         let Some(news) = news else {
-            link.next_at = now + state.spans.core.round / 4;
+            link.next_at = now + state.spans.core.heartbeat_interval / 4;
             return state.rollouts.put_back(poll.evidence);
         };
         (link.feed, link.seq, link.next_at) = (news.feed, news.seq, now);
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -4,7 +4,7 @@
 use crate::state::{Say, Spans, State};
 use crate::store::{Batch, Found, Kept};
 use coppersail_config::Boot;
-use coppersail_consensus::{Caller, Core, Id, Ms, Out, Put, Role, Start, Token};
+use coppersail_consensus::{Core, Id, KeyValue, Ms, OperationId, Output, RequestId, Role, Start};
 use coppersail_peer_protocol::{Follow, News};
 use std::collections::VecDeque;
 
@@ -20,13 +20,13 @@
     /// About twenty times a second.
     Tick,
     /// A host or an operator calls.
-    Admin { caller: Caller, call: Admin },
+    Admin { caller: RequestId, call: Admin },
     /// A director calls.
-    Peer { caller: Caller, call: Peer },
+    Peer { caller: RequestId, call: Peer },
     /// What came of [`Effect::Call`]; none: refused, cut off, reset or silent.
-    Told { token: Token, say: Option<PeerSay> },
+    Told { token: OperationId, say: Option<PeerSay> },
     /// What came of [`Effect::Write`], in the order of the writes.
-    Disk { token: Token, ok: bool },
+    Disk { token: OperationId, ok: bool },
     /// SIGTERM.
     Term,
     /// The settings file was read again, and is sound.
@@ -45,35 +45,35 @@
 /// Calls of directors.
 pub enum Peer {
     Follow(Box<Follow>),
-    Core(coppersail_consensus::Call),
+    Core(coppersail_consensus::Request),
 }
 
 pub enum PeerSay {
     News(Box<News>),
-    Core(coppersail_consensus::Say),
+    Core(coppersail_consensus::Response),
 }
 
 pub enum Effect {
     /// With 307 the body is where to.
     Answer {
-        caller: Caller,
+        caller: RequestId,
         status: u16,
         body: String,
     },
     Reply {
-        caller: Caller,
+        caller: RequestId,
         say: PeerSay,
     },
     /// `to`: where the member serves hosts and operators, "ip:port".
     Call {
-        token: Token,
+        token: OperationId,
         to: Id,
         call: Peer,
         wait: Ms,
     },
     /// Synced, whole or not at all, one after the other.
     Write {
-        token: Token,
+        token: OperationId,
         write: Batch,
     },
     Note(String),
@@ -166,7 +166,7 @@
     }
 
     /// Twenty times a second: what has waited long enough, who fell silent, where keys should be.
-    fn tick(&mut self, now: Ms, outs: &mut Vec<Out>, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
+    fn tick(&mut self, now: Ms, outs: &mut Vec<Output>, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
         self.round += 1;
         self.state.core.tick(now, outs);
         if self.round.is_multiple_of(4) {
@@ -196,8 +196,8 @@
     }
 
     /// Carries out what the core says, and what follows from it in turn.
-    fn carry(&mut self, now: Ms, outs: Vec<Out>, out: &mut Vec<Effect>) {
-        let (mut todo, mut say): (VecDeque<Out>, Vec<Say>) = (outs.into(), Vec::new());
+    fn carry(&mut self, now: Ms, outs: Vec<Output>, out: &mut Vec<Effect>) {
+        let (mut todo, mut say): (VecDeque<Output>, Vec<Say>) = (outs.into(), Vec::new());
         loop {
             for change in std::mem::take(&mut self.state.todo) {
                 let mut more = Vec::new();
@@ -206,18 +206,18 @@
             }
             let Some(one) = todo.pop_front() else { break };
             match one {
-                Out::Call { token, to, call, wait } => {
+                Output::Call { token, to, call, wait } => {
                     out.push(Effect::Call { token, to, call: Peer::Core(call), wait });
                 }
-                Out::Reply { caller, say } => out.push(Effect::Reply { caller, say: PeerSay::Core(say) }),
-                Out::Write { token, state, whole, own } => {
+                Output::Reply { caller, say } => out.push(Effect::Reply { caller, say: PeerSay::Core(say) }),
+                Output::Write { token, state, whole, own } => {
                     out.push(Effect::Write { token, write: Batch { state, whole, own } });
                 }
-                Out::Note(line) => out.push(Effect::Note(line)),
-                Out::Acts { fresh } => self.state.acts(now, fresh),
-                Out::Stops => self.state.stops(),
-                Out::Wrote(changes) => self.state.wrote(now, &changes),
-                Out::Failed(tickets) => self.state.failed(&tickets),
+                Output::Note(line) => out.push(Effect::Note(line)),
+                Output::Acts { fresh } => self.state.acts(now, fresh),
+                Output::Stops => self.state.stops(),
+                Output::Wrote(changes) => self.state.wrote(now, &changes),
+                Output::Failed(tickets) => self.state.failed(&tickets),
             }
             if todo.is_empty() {
                 self.state.settle_if_due(now, &mut say);
@@ -236,7 +236,7 @@
     }
 
     /// Takes over what can be while it runs; one line for each field, one for what needs a restart.
-    fn reread(&mut self, now: Ms, boot: Boot, outs: &mut Vec<Out>, out: &mut Vec<Effect>) {
+    fn reread(&mut self, now: Ms, boot: Boot, outs: &mut Vec<Output>, out: &mut Vec<Effect>) {
         let reread = coppersail_config::reread(&self.boot, boot);
         let line = |line: &String| Effect::Note(format!("Settings: {line}."));
         out.extend(reread.applied.iter().chain(&reread.restart).map(line));
@@ -251,6 +251,6 @@
 }
 
 /// A change of the control state.
-pub fn put(name: &str, value: String) -> Put {
+pub fn put(name: &str, value: String) -> KeyValue {
     (name.into(), value)
 }
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -6,7 +6,7 @@
 use crate::rollouts::{self, Hosts, Rollouts};
 use crate::store::Put;
 use coppersail_config::{Boot, Config};
-use coppersail_consensus::{Caller, Change, Core, Id, Ms, Out, Told};
+use coppersail_consensus::{Change, Core, Id, Ms, Output, PeerStatus, RequestId};
 use coppersail_peer_protocol::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
 use coppersail_shard_leases::{Host, Keys};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,7 +14,7 @@
 /// Time spans that follow from the settings.
 #[derive(Debug, Clone, Copy)]
 pub struct Spans {
-    pub core: coppersail_consensus::Spans,
+    pub core: coppersail_consensus::Timeouts,
     /// For how long a host holds its keys. Half of what is allowed: a restart of the whole core is shorter, and a host
     /// that is lost takes its keys along for no longer.
     pub keep: Ms,
@@ -28,14 +28,14 @@
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         // A takeover, with the beats after it, is to be over within the time after which machines count as in touch.
         let lease = (ms(boot.limits.in_contact) * 2 / 5).clamp(300, 3000);
-        let core = coppersail_consensus::Spans {
+        let core = coppersail_consensus::Timeouts {
             lease,
-            round: lease / 3,
-            call: lease / 2,
+            heartbeat_interval: lease / 3,
+            rpc_timeout: lease / 2,
             // Once it has been replaced and that time is over, the next may be lost: half of it is left for the repair.
-            patience: ms(boot.limits.sync_time) / 2,
-            leave: ms(boot.limits.leeway) / 2,
-            survive: boot.survive as usize,
+            replace_after: ms(boot.limits.sync_time) / 2,
+            shutdown_grace: ms(boot.limits.leeway) / 2,
+            max_failures: boot.survive as usize,
         };
         Spans { core, keep: ms(boot.limits.keep_max) / 2, beat: ms(boot.heartbeat), receipt: 600 }
     }
@@ -43,7 +43,7 @@
 
 /// A caller of `admin` whose answer is not due yet.
 pub struct Parked {
-    pub caller: Caller,
+    pub caller: RequestId,
     pub until: Ms,
     /// Waits for this to be written; 0 for nothing.
     pub ticket: u64,
@@ -63,7 +63,7 @@
 }
 
 pub struct Poll {
-    pub caller: Caller,
+    pub caller: RequestId,
     pub seq: u64,
     pub until: Ms,
     /// The centre that asks, if it is one.
@@ -139,8 +139,8 @@
 
 /// An answer that is due.
 pub enum Say {
-    News(Caller, Box<News>),
-    Text(Caller, u16, String),
+    News(RequestId, Box<News>),
+    Text(RequestId, u16, String),
 }
 
 impl State {
@@ -180,10 +180,10 @@
     /// Leases that run were granted by the spans of the start, and so were keys: those stay for this life.
     pub fn respan(&mut self, spans: Spans) {
         let old = self.spans;
-        let core = coppersail_consensus::Spans {
+        let core = coppersail_consensus::Timeouts {
             lease: old.core.lease,
-            round: old.core.round,
-            call: old.core.call,
+            heartbeat_interval: old.core.heartbeat_interval,
+            rpc_timeout: old.core.rpc_timeout,
             ..spans.core
         };
         self.spans = Spans { core, keep: old.keep, ..spans };
@@ -213,20 +213,20 @@
         let live = |f: &(&String, &Follower)| f.1.edge && now < f.1.seen + 10_000;
         let told = self.core.told(now);
         let detail = Detail {
-            life: told.life,
-            floor: told.floor,
+            life: told.incarnation,
+            floor: told.last_durable_term,
             record: told.record,
             members: told.members,
             edges: self.followers.iter().filter(live).map(|(e, _)| e.clone()).collect(),
-            area: told.area,
+            area: told.zone,
         };
         let (sum, other) = (detail.sum(), self.standings.get(peer));
         let known = other.is_some_and(|o| o.seen == sum);
         Standing {
             id: told.id,
-            acting: told.acting,
-            fit: told.fit,
-            leaving: told.leaving,
+            acting: told.holds_lease,
+            fit: told.disk_healthy,
+            leaving: told.draining,
             sum,
             seen: other.filter(|o| o.detail.is_some()).map_or(0, |o| o.sum),
             detail: (!known).then_some(detail),
@@ -234,7 +234,7 @@
     }
 
     /// A heartbeat of another centre. `asked`: when the call was sent that it answers.
-    pub fn hear(&mut self, now: Ms, standing: &Standing, asked: Option<Ms>, outs: &mut Vec<Out>) {
+    pub fn hear(&mut self, now: Ms, standing: &Standing, asked: Option<Ms>, outs: &mut Vec<Output>) {
         let kept = self.standings.entry(standing.id.clone()).or_default();
         let mut new = standing.clone();
         if new.detail.is_none() {
@@ -243,14 +243,14 @@
         *kept = new;
         // What it is was lost on the way: its next call brings it, as it is told that it is not known.
         let Some(detail) = kept.detail.clone() else { return };
-        let told = Told {
+        let told = PeerStatus {
             id: standing.id.clone(),
-            acting: standing.acting,
-            fit: standing.fit,
-            leaving: standing.leaving,
-            life: detail.life,
-            floor: detail.floor,
-            area: detail.area,
+            holds_lease: standing.acting,
+            disk_healthy: standing.fit,
+            draining: standing.leaving,
+            incarnation: detail.life,
+            last_durable_term: detail.floor,
+            zone: detail.area,
             record: detail.record,
             members: detail.members,
         };
@@ -325,9 +325,9 @@
         &mut self,
         now: Ms,
         follow: &Follow,
-        caller: Caller,
+        caller: RequestId,
         say: &mut Vec<Say>,
-        outs: &mut Vec<Out>,
+        outs: &mut Vec<Output>,
     ) {
         let centre = follow.standing.as_ref().map(|s| s.id.clone());
         if let Some(standing) = &follow.standing {
@@ -401,7 +401,7 @@
 
     /// Have all who follow heard up to here? Who has been silent for longer than a poll is not in touch.
     pub fn all_heard(&self, now: Ms, seq: u64) -> bool {
-        let live = |f: &&Follower| now < f.seen + 1000 + self.spans.core.round;
+        let live = |f: &&Follower| now < f.seen + 1000 + self.spans.core.heartbeat_interval;
         self.followers.values().filter(live).all(|f| f.heard >= seq)
     }
 
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -35,19 +35,19 @@
     core.up();
     core.kill(0);
     let found = coppersail_control_plane::store::read(&core.data(0)).unwrap();
-    let held: coppersail_consensus::Held = serde_json::from_str(&found.own["witness"]).unwrap();
-    let floor: coppersail_consensus::Ballot = serde_json::from_str(&found.own["floor"]).unwrap();
+    let held: coppersail_consensus::VoterState = serde_json::from_str(&found.own["witness"]).unwrap();
+    let floor: coppersail_consensus::Term = serde_json::from_str(&found.own["floor"]).unwrap();
     let nothing = (
-        coppersail_consensus::Ballot::default(),
-        coppersail_consensus::Ballot::default(),
-        coppersail_consensus::Record::default(),
+        coppersail_consensus::Term::default(),
+        coppersail_consensus::Term::default(),
+        coppersail_consensus::LeadershipRecord::default(),
     );
     assert_eq!(
         (floor, held.promised, held.record),
         nothing,
         "it made itself a witness of the first three again"
     );
-    assert!(held.life > 0, "it has the life of the disk that was torn");
+    assert!(held.incarnation > 0, "it has the life of the disk that was torn");
 }
 
 #[test]
--- a/crates/control-plane/shard-leases/src/lib.rs
+++ b/crates/control-plane/shard-leases/src/lib.rs
@@ -1,6 +1,6 @@
 //! Which host holds which slices of a divided service's keys, and until when. Pure: times are milliseconds, given in.
 //!
-//! What is durable is a row for each slice: holder, fence, handover. A change of a row is a [`Put`] that the caller
+//! What is durable is a row for each slice: holder, fence, handover. A change of a row is a [`KeyValue`] that the caller
 //! writes to both disks, then gives back to [`Keys::apply`]; only then is a host told. A renewal is not durable: what
 //! counts is `until`, the latest time at which a holder may still hold a row by anything that was ever sent to it.
 //! A row passes on in two ways only: its holder has released it, or `until` is over.
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -2,7 +2,7 @@
 use crate::script::{Moment, What};
 use crate::world::{Ev, Origin};
 use crate::{Ms, Us};
-use coppersail_consensus::{Caller, Token};
+use coppersail_consensus::{OperationId, RequestId};
 use coppersail_control_plane::node::{Effect, Node};
 use coppersail_control_plane::store::{Batch, Found, Kept};
 use fastrand::Rng;
@@ -17,7 +17,7 @@
     pub own: BTreeMap<String, String>,
     pub kept: Kept,
     /// Writes under way, in order, with the time at which each is done.
-    pub under_way: VecDeque<(Token, Batch, bool)>,
+    pub under_way: VecDeque<(OperationId, Batch, bool)>,
     pub busy: Us,
     pub slow_until: Us,
     pub hangs_until: Us,
@@ -84,9 +84,9 @@
     /// What comes at its next such moment.
     pub trap: Option<(Moment, What, u64)>,
     /// Calls of its own under way.
-    pub calls: BTreeSet<Token>,
-    pub writes: BTreeSet<Token>,
-    pub callers: BTreeMap<Caller, Origin>,
+    pub calls: BTreeSet<OperationId>,
+    pub writes: BTreeSet<OperationId>,
+    pub callers: BTreeMap<RequestId, Origin>,
     pub leaving: bool,
 }
 
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -10,7 +10,7 @@
 use crate::operator::Operator;
 use crate::script::{Day, Moment, Seeds, Way, What, Who};
 use crate::{Ms, Tally, Us, CONFIRM, LEEWAY, LISTED, SETTLE, SYNC};
-use coppersail_consensus::Token;
+use coppersail_consensus::OperationId;
 use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
 use coppersail_control_plane::store::Kept;
 use fastrand::Rng;
@@ -83,12 +83,12 @@
     Disk {
         m: usize,
         ends: u32,
-        token: Token,
+        token: OperationId,
     },
     Told {
         m: usize,
         life: u32,
-        token: Token,
+        token: OperationId,
         ok: bool,
     },
     Start {
@@ -766,10 +766,12 @@
                 },
                 Effect::Reply { caller, say } => match p.callers.remove(&caller) {
                     Some(origin) => {
-                        if let (PeerSay::Core(coppersail_consensus::Say::Copy(say)), End::Machine(from)) =
-                            (&say, origin.end)
+                        if let (
+                            PeerSay::Core(coppersail_consensus::Response::ReplicaWrite(say)),
+                            End::Machine(from),
+                        ) = (&say, origin.end)
                         {
-                            if say.ok && Some(from) == self.primary {
+                            if say.accepted && Some(from) == self.primary {
                                 self.backup = Some(m);
                             }
                         }
