--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -137,53 +137,53 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Change {
     pub ticket: u64,
-    pub puts: Vec<KeyValue>,
+    pub writes: Vec<KeyValue>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Output {
-    Call {
-        token: OperationId,
+    Send {
+        operation_id: OperationId,
         to: Id,
         call: Request,
-        wait: Ms,
+        timeout: Ms,
     },
-    Reply {
-        caller: RequestId,
-        say: Response,
+    Respond {
+        request_id: RequestId,
+        response: Response,
     },
     /// Synced, whole or not at all, in this order.
-    Write {
+    Persist {
         token: OperationId,
         state: Vec<KeyValue>,
-        whole: bool,
-        own: Vec<KeyValue>,
+        replace: bool,
+        metadata: Vec<KeyValue>,
     },
-    Note(String),
+    Log(String),
     /// It acts from now on; `fresh`: it did not right before.
-    Acts {
-        fresh: bool,
+    BecameLeader {
+        newly_elected: bool,
     },
-    Stops,
+    SteppedDown,
     /// On all disks of the record, and the lease is held: these are in force.
-    Wrote(Vec<Change>),
+    Committed(Vec<Change>),
     Failed(Vec<u64>),
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub enum Role {
     #[default]
-    Idle,
-    Acting(LeadershipRecord),
+    Follower,
+    Leader(LeadershipRecord),
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Peer {
     /// When it was last heard, either way.
-    pub seen: Ms,
+    pub last_heard: Ms,
     /// When a call was sent that it has answered.
-    pub contact: Ms,
-    pub told: PeerStatus,
+    pub last_contact: Ms,
+    pub status: PeerStatus,
 }
 
 /// What waits for an answer of another centre.
@@ -285,23 +285,23 @@
 
 /// What a centre begins with: of its settings, and of its disk.
 #[derive(Debug, Clone, Default)]
-pub struct Start {
+pub struct InitialState {
     pub me: Id,
     pub area: String,
-    pub spans: Timeouts,
+    pub timeouts: Timeouts,
     pub peers: Vec<Id>,
     /// The whole system starts for the first time, and the folder was empty.
-    pub first: bool,
+    pub bootstrap: bool,
     pub state: BTreeMap<String, String>,
     pub own: BTreeMap<String, String>,
     /// Drawn by lot: the life of the disk, if it has none yet.
-    pub life: u64,
+    pub new_incarnation: u64,
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Core {
-    pub me: Id,
-    pub area: String,
+    pub id: Id,
+    pub zone: String,
     pub spans: Timeouts,
     acceptor: Acceptor,
     /// What of the acceptor is on the disk.
@@ -328,7 +328,7 @@
     jobs: VecDeque<Pending>,
     tokens: OperationId,
     sound: bool,
-    pub fit: bool,
+    pub disk_healthy: bool,
     probe_at: Ms,
     /// The highest number of a ballot that anybody named.
     top: u64,
@@ -346,20 +346,20 @@
 }
 
 impl Core {
-    pub fn start(now: Ms, start: Start, out: &mut Vec<Output>) -> Core {
+    pub fn start(now: Ms, start: InitialState, out: &mut Vec<Output>) -> Core {
         fn read<T: for<'a> Deserialize<'a>>(own: &BTreeMap<String, String>, name: &str) -> Option<T> {
             own.get(name).and_then(|text| serde_json::from_str(text).ok())
         }
         let mut core = Core {
-            me: start.me.clone(),
-            area: start.area,
-            spans: start.spans,
+            id: start.me.clone(),
+            zone: start.area,
+            spans: start.timeouts,
             held: start.state.into_iter().filter(|(_, value)| !value.is_empty()).collect(),
             sound: true,
-            fit: true,
+            disk_healthy: true,
             led_at: now,
             since: now,
-            luck: start.life | 1,
+            luck: start.new_incarnation | 1,
             members: start.peers.iter().cloned().collect(),
             ..Core::default()
         };
@@ -376,13 +376,16 @@
             core.acceptor = Acceptor::restart(now, held, core.spans.lease);
             return core;
         }
-        core.acceptor =
-            Acceptor::with_empty_disk(if flaw(Flaw::LostDiskVotes) { 0 } else { start.life.max(1) });
-        if start.first {
+        core.acceptor = Acceptor::with_empty_disk(if flaw(Flaw::LostDiskVotes) {
+            0
+        } else {
+            start.new_incarnation.max(1)
+        });
+        if start.bootstrap {
             let mut seats = start.peers.clone();
             seats.sort();
             seats.dedup();
-            let primary = seats.first().unwrap_or(&core.me).clone();
+            let primary = seats.first().unwrap_or(&core.id).clone();
             let backups = seats.iter().skip(1).take(core.spans.max_failures).cloned().collect();
             let witnesses = seats.iter().map(|id| Voter::new(id, 0)).collect();
             let record = LeadershipRecord {
@@ -392,10 +395,10 @@
                 voters: witnesses,
                 outgoing_voters: vec![],
             };
-            if record.is_voter(&core.me) {
+            if record.is_voter(&core.id) {
                 core.acceptor = Acceptor::bootstrap(record.clone());
             }
-            if record.is_replica(&core.me) {
+            if record.is_replica(&core.id) {
                 core.floor = record.term.clone();
             }
             core.record = record;
@@ -422,85 +425,94 @@
         self.acceptor.state.incarnation
     }
 
-    pub fn floor(&self) -> &Term {
+    pub fn last_durable_term(&self) -> &Term {
         &self.floor
     }
 
-    pub fn acting(&self, now: Ms) -> bool {
+    pub fn holds_leader_lease(&self, now: Ms) -> bool {
         let holds = |record| self.leases.hold(record, now) || flaw(Flaw::NoLease);
-        matches!(&self.role, Role::Acting(record) if holds(record))
+        matches!(&self.role, Role::Leader(record) if holds(record))
     }
 
     /// The epoch in which it acts or acted until now.
-    pub fn epoch(&self) -> Option<u64> {
+    pub fn leader_term(&self) -> Option<u64> {
         match &self.role {
-            Role::Acting(record) => Some(record.term.number),
-            Role::Idle => None,
+            Role::Leader(record) => Some(record.term.number),
+            Role::Follower => None,
         }
     }
 
     /// Where the primary is, if any is heard to act.
-    pub fn primary(&self, now: Ms) -> Option<&Id> {
-        let heard = |p: &&Peer| now < p.seen + self.spans.lease && p.told.holds_lease;
-        let best = self.peers.values().filter(heard).max_by_key(|p| p.told.record.term.clone());
-        best.map(|p| &p.told.id)
+    pub fn known_leader(&self, now: Ms) -> Option<&Id> {
+        let heard = |p: &&Peer| now < p.last_heard + self.spans.lease && p.status.holds_lease;
+        let best = self.peers.values().filter(heard).max_by_key(|p| p.status.record.term.clone());
+        best.map(|p| &p.status.id)
     }
 
     /// In touch: a quorum of witnesses has answered calls of this centre that were sent within the span of a lease.
-    pub fn in_touch(&self, now: Ms) -> bool {
+    pub fn has_quorum_contact(&self, now: Ms) -> bool {
         let near = |w: &Voter| {
-            if w.id == self.me {
+            if w.id == self.id {
                 return w.incarnation == self.life();
             }
             self.peers.get(&w.id).is_some_and(|p| {
-                p.contact > 0 && now < p.contact + self.spans.lease && p.told.incarnation == w.incarnation
+                p.last_contact > 0
+                    && now < p.last_contact + self.spans.lease
+                    && p.status.incarnation == w.incarnation
             })
         };
         self.record.has_quorum(near)
     }
 
     /// Heard within the span of a lease.
-    pub fn near(&self, now: Ms, id: &str) -> bool {
-        self.peers.get(id).is_some_and(|p| p.seen > 0 && now < p.seen + self.spans.lease)
+    pub fn is_peer_alive(&self, now: Ms, id: &str) -> bool {
+        self.peers.get(id).is_some_and(|p| p.last_heard > 0 && now < p.last_heard + self.spans.lease)
     }
 
     /// Near, its disk takes writes, and it stays.
     fn good(&self, now: Ms, id: &str) -> bool {
-        self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.disk_healthy && !p.told.draining)
+        self.is_peer_alive(now, id)
+            && self.peers.get(id).is_some_and(|p| p.status.disk_healthy && !p.status.draining)
     }
 
     pub fn told(&self, now: Ms) -> PeerStatus {
         PeerStatus {
-            id: self.me.clone(),
-            holds_lease: self.acting(now),
-            disk_healthy: self.fit,
+            id: self.id.clone(),
+            holds_lease: self.holds_leader_lease(now),
+            disk_healthy: self.disk_healthy,
             draining: self.leaving.is_some(),
             incarnation: self.life(),
             last_durable_term: self.floor.clone(),
-            zone: self.area.clone(),
+            zone: self.zone.clone(),
             record: self.record.clone(),
             members: self.members.iter().cloned().collect(),
         }
     }
 
     /// A heartbeat. `asked`: when the call was sent that it answers.
-    pub fn hear(&mut self, now: Ms, told: &PeerStatus, asked: Option<Ms>, out: &mut Vec<Output>) {
-        if told.id == self.me {
+    pub fn handle_peer_status(
+        &mut self,
+        now: Ms,
+        told: &PeerStatus,
+        asked: Option<Ms>,
+        out: &mut Vec<Output>,
+    ) {
+        if told.id == self.id {
             return;
         }
         let peer = self.peers.entry(told.id.clone()).or_default();
-        peer.seen = now;
-        peer.contact = peer.contact.max(asked.unwrap_or(0));
-        peer.told = told.clone();
+        peer.last_heard = now;
+        peer.last_contact = peer.last_contact.max(asked.unwrap_or(0));
+        peer.status = told.clone();
         if told.holds_lease {
             self.led_at = now;
         }
-        self.join(now, std::iter::once(&told.id).chain(&told.members), out);
+        self.add_members(now, std::iter::once(&told.id).chain(&told.members), out);
         self.learn(now, &told.record, out);
     }
 
     /// Members that this centre had not heard of. They are kept, so that a restart finds somebody.
-    pub fn join<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
+    pub fn add_members<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
         let before = self.members.len();
         self.members.extend(ids.cloned());
         if self.members.len() > before {
@@ -512,20 +524,24 @@
 
     /// Whom heartbeats go to: the group, who holds the state, the few that the ring names of those that are there, and
     /// in turn one of those that are not.
-    pub fn wanted(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
-        let (near, far): (Vec<Id>, Vec<Id>) =
-            self.members.iter().filter(|id| **id != self.me).cloned().partition(|id| self.near(now, id));
+    pub fn heartbeat_targets(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
+        let (near, far): (Vec<Id>, Vec<Id>) = self
+            .members
+            .iter()
+            .filter(|id| **id != self.id)
+            .cloned()
+            .partition(|id| self.is_peer_alive(now, id));
         let mut all: BTreeSet<Id> = self.record.voter_ids().into_iter().collect();
         all.extend(std::iter::once(&self.record.leader).chain(&self.record.backups).cloned());
-        all.extend(self.primary(now).cloned());
+        all.extend(self.known_leader(now).cloned());
         let mut ring = near;
-        ring.push(self.me.clone());
-        all.extend(crate::watchers(&self.me, &ring, few));
+        ring.push(self.id.clone());
+        all.extend(crate::ring_successors(&self.id, &ring, few));
         let far: Vec<Id> = far.into_iter().filter(|id| !all.contains(id)).collect();
         if !far.is_empty() {
             all.extend((0..few.min(far.len())).map(|n| far[(turn * few + n) % far.len()].clone()));
         }
-        all.remove(&self.me);
+        all.remove(&self.id);
         all.remove("");
         all
     }
@@ -554,17 +570,17 @@
         let token = self.token();
         self.jobs.push_back(Pending { token, since: now, job });
         let (state, whole, own) = what;
-        out.push(Output::Write { token, state, whole, own });
+        out.push(Output::Persist { token, state, replace: whole, metadata: own });
     }
 
     fn call(&mut self, ask: Ask, to: &Id, call: Request, out: &mut Vec<Output>) {
         let token = self.token();
         self.asks.insert(token, ask);
-        out.push(Output::Call { token, to: to.clone(), call, wait: self.spans.rpc_timeout });
+        out.push(Output::Send { operation_id: token, to: to.clone(), call, timeout: self.spans.rpc_timeout });
     }
 
     /// Another centre calls.
-    pub fn called(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
+    pub fn handle_request(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
         match call {
             Request::Voter(call) => self.vote(now, Ok(caller), call, out),
             Request::ReplicaWrite(copy) => self.copy(now, caller, copy, out),
@@ -590,8 +606,8 @@
         };
         if say.rejection.is_none() {
             if let VoterRequest::Accept(record, _) | VoterRequest::Renew(record, _) = &call {
-                let older = matches!(&self.role, Role::Acting(r) if r.term < record.term);
-                if older && record.leader != self.me {
+                let older = matches!(&self.role, Role::Leader(r) if r.term < record.term);
+                if older && record.leader != self.id {
                     self.step_down(now, out);
                 }
                 self.learn(now, record, out);
@@ -613,20 +629,20 @@
 
     fn voted(&mut self, now: Ms, to: Result<RequestId, Ask>, say: VoterResponse, out: &mut Vec<Output>) {
         match to {
-            Ok(caller) => out.push(Output::Reply { caller, say: Response::Voter(say) }),
+            Ok(caller) => out.push(Output::Respond { request_id: caller, response: Response::Voter(say) }),
             Err(ask) => self.answered(now, ask, Some(Response::Voter(say)), out),
         }
     }
 
     /// What came of a write.
-    pub fn disk(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
+    pub fn handle_write_result(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
         let Some(at) = self.jobs.iter().position(|p| p.token == token) else { return };
         let Some(Pending { job, .. }) = self.jobs.remove(at) else { return };
         if ok && !self.sound {
-            out.push(Output::Note("The disk takes writes again.".into()));
+            out.push(Output::Log("The disk takes writes again.".into()));
         }
         if !ok && self.sound {
-            out.push(Output::Note("The disk does not take a write.".into()));
+            out.push(Output::Log("The disk does not take a write.".into()));
         }
         self.sound = ok;
         match job {
@@ -665,10 +681,10 @@
                     reason: String::new(),
                     incarnation: self.life(),
                 };
-                out.push(Output::Reply { caller, say: Response::ReplicaWrite(say) });
+                out.push(Output::Respond { request_id: caller, response: Response::ReplicaWrite(say) });
             }
             Job::Change { epoch, seq } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
+                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
                 match self.flight.as_mut().filter(|f| mine && f.seq == seq) {
                     Some(flight) if ok => {
                         flight.here = true;
@@ -688,7 +704,13 @@
     }
 
     /// What came of a call.
-    pub fn said(&mut self, now: Ms, token: OperationId, say: Option<Response>, out: &mut Vec<Output>) {
+    pub fn handle_response(
+        &mut self,
+        now: Ms,
+        token: OperationId,
+        say: Option<Response>,
+        out: &mut Vec<Output>,
+    ) {
         if let Some(ask) = self.asks.remove(&token) {
             self.answered(now, ask, say, out);
         }
@@ -734,7 +756,7 @@
                 }
             }
             Ask::Renew { to, epoch, asked } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
+                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
                 if let Some(say) = witness.filter(yes).filter(|_| mine) {
                     let asked = if flaw(Flaw::FromAnswer) { now } else { asked };
                     self.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, self.spans.lease);
@@ -751,7 +773,7 @@
                         bid.joined.push(to.clone());
                         // What it says now is newer than its last heartbeat.
                         if let Some(peer) = self.peers.get_mut(&to) {
-                            peer.told.incarnation = say.incarnation;
+                            peer.status.incarnation = say.incarnation;
                         }
                         self.brought(now, out);
                     }
@@ -763,7 +785,7 @@
                 }
             }
             Ask::Change { to, epoch, seq, again } => {
-                let mine = matches!(&self.role, Role::Acting(r) if r.term == epoch);
+                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
                 let Some(flight) = self.flight.as_mut().filter(|f| mine && f.seq == seq) else { return };
                 match copied {
                     Some(say) if say.accepted => {
@@ -798,7 +820,7 @@
     }
 
     fn ask(&mut self, now: Ms, to: &Id, ask: Ask, call: VoterRequest, out: &mut Vec<Output>) {
-        if *to == self.me {
+        if *to == self.id {
             self.vote(now, Err(ask), call, out);
         } else {
             self.call(ask, to, Request::Voter(call), out);
@@ -808,7 +830,7 @@
     /// Twenty times a second.
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Output>) {
         let stuck = self.jobs.front().is_some_and(|p| now > p.since + self.spans.rpc_timeout);
-        self.fit = self.sound && !stuck;
+        self.disk_healthy = self.sound && !stuck;
         if !self.sound && self.jobs.is_empty() && now >= self.probe_at {
             self.probe_at = now + self.spans.heartbeat_interval;
             self.write(now, Job::Own, (Vec::new(), false, vec![("probe".into(), now.to_string())]), out);
@@ -825,7 +847,7 @@
         if self.flight.as_ref().is_some_and(|f| now > f.began + 3 * self.spans.rpc_timeout) {
             self.crashed(now, "in time", out);
         }
-        if matches!(self.role, Role::Acting(_)) {
+        if matches!(self.role, Role::Leader(_)) {
             self.lead(now, out);
         } else if self.bid.is_none() && self.due(now) {
             self.stand(now, None, out);
@@ -833,9 +855,9 @@
     }
 
     fn lead(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Role::Acting(record) = self.role.clone() else { return };
-        if !self.fit || self.bid.is_none() && !self.acting(now) {
-            out.push(Output::Note("The lease is over or the disk fails: steps down.".into()));
+        let Role::Leader(record) = self.role.clone() else { return };
+        if !self.disk_healthy || self.bid.is_none() && !self.holds_leader_lease(now) {
+            out.push(Output::Log("The lease is over or the disk fails: steps down.".into()));
             return self.step_down(now, out);
         }
         self.led_at = now;
@@ -849,7 +871,7 @@
                 self.ask(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
             }
         }
-        if self.flight.is_some() || !matches!(self.role, Role::Acting(_)) {
+        if self.flight.is_some() || !matches!(self.role, Role::Leader(_)) {
             return;
         }
         if now >= self.bid_at {
@@ -861,7 +883,7 @@
             && self.queue.is_empty()
             && record.backups.iter().any(|id| self.good(now, id))
         {
-            out.push(Output::Note("Hands over and stops acting.".into()));
+            out.push(Output::Log("Hands over and stops acting.".into()));
             self.step_down(now, out);
             for id in record.voter_ids() {
                 self.ask(now, &id, Ask::Release, VoterRequest::Release(record.term.clone()), out);
@@ -872,10 +894,10 @@
     }
 
     fn step_down(&mut self, now: Ms, out: &mut Vec<Output>) {
-        if self.role == Role::Idle {
+        if self.role == Role::Follower {
             return;
         }
-        self.role = Role::Idle;
+        self.role = Role::Follower;
         self.leases.clear();
         self.renewed.clear();
         if self.bid.as_ref().is_some_and(|b| b.from.is_some()) {
@@ -889,7 +911,7 @@
         }
         failed.extend(self.queue.drain(..).map(|c| c.ticket));
         self.bid_at = self.bid_at.max(now);
-        out.push(Output::Stops);
+        out.push(Output::SteppedDown);
         if !failed.is_empty() {
             out.push(Output::Failed(failed));
         }
--- a/crates/control-plane/consensus/src/core/bid.rs
+++ b/crates/control-plane/consensus/src/core/bid.rs
@@ -13,14 +13,14 @@
     pub(super) fn stand(&mut self, now: Ms, group: Option<Group>, out: &mut Vec<Output>) {
         let high =
             [self.record.term.number, self.acceptor.state.promised.number, self.top, self.floor.number];
-        let ballot = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.me);
+        let ballot = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.id);
         let from = match &self.role {
-            Role::Acting(record) => Some(record.term.clone()),
-            Role::Idle => None,
+            Role::Leader(record) => Some(record.term.clone()),
+            Role::Follower => None,
         };
         let base = match &self.role {
-            Role::Acting(record) => record.clone(),
-            Role::Idle => self.record.clone(),
+            Role::Leader(record) => record.clone(),
+            Role::Follower => self.record.clone(),
         };
         let ids = base.voter_ids();
         self.bid = Some(Bid {
@@ -63,7 +63,8 @@
             _ => &bid.base,
         };
         // Of those that have not answered yet, only who was heard lately is worth waiting for.
-        let may = |w: &Voter| !bid.refused.contains(&w.id) && (w.id == self.me || self.near(now, &w.id));
+        let may =
+            |w: &Voter| !bid.refused.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id));
         if !record.has_quorum(may) {
             let why = no.map_or("no answer".into(), |no| no.reason);
             self.give_up(now, &format!("{who}: {why}"), out);
@@ -99,7 +100,7 @@
             return;
         }
         let other = bid.from.as_ref().is_some_and(|from| *from != bid.base.term);
-        if other || !bid.base.may_lead(&self.me, &self.floor) || self.floor > *ballot || self.broken {
+        if other || !bid.base.may_lead(&self.id, &self.floor) || self.floor > *ballot || self.broken {
             return self.give_up(now, "another stands in the record", out);
         }
         // From here on nothing of an earlier epoch is taken: what goes to the backups is all there is.
@@ -130,8 +131,9 @@
         }
         let to = bid.able.remove(0);
         let was = bid.was.clone();
-        let alike = was
-            .is_some_and(|(epoch, _)| self.peers.get(&to).is_some_and(|p| p.told.last_durable_term == epoch));
+        let alike = was.is_some_and(|(epoch, _)| {
+            self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == epoch)
+        });
         self.bring(now, &to, !alike, out);
     }
 
@@ -165,7 +167,7 @@
         });
         let record = LeadershipRecord {
             term: bid.ballot.clone(),
-            leader: self.me.clone(),
+            leader: self.id.clone(),
             backups: bid.joined.clone(),
             voters: group.witnesses,
             outgoing_voters: group.before,
@@ -191,16 +193,16 @@
         (self.leases, self.bid_at) = (leases, now);
         let joint = if record.outgoing_voters.is_empty() { "" } else { ", the group changes" };
         let names = record.backups.join(", ");
-        out.push(Output::Note(format!("Acts in epoch {} with backup {names}{joint}.", record.term.number)));
+        out.push(Output::Log(format!("Acts in epoch {} with backup {names}{joint}.", record.term.number)));
         self.learn(now, &record, out);
-        self.role = Role::Acting(record);
-        out.push(Output::Acts { fresh });
+        self.role = Role::Leader(record);
+        out.push(Output::BecameLeader { newly_elected: fresh });
         self.pump(now, out);
     }
 
     pub(super) fn give_up(&mut self, now: Ms, why: &str, out: &mut Vec<Output>) {
         self.bid = None;
-        out.push(Output::Note(format!("Could not take the next epoch: {why}.")));
+        out.push(Output::Log(format!("Could not take the next epoch: {why}.")));
         self.step_down(now, out);
         self.bid_at = now + self.chance(self.spans.heartbeat_interval / 2);
     }
--- a/crates/control-plane/consensus/src/core/group.rs
+++ b/crates/control-plane/consensus/src/core/group.rs
@@ -5,10 +5,12 @@
     /// Who may be a backup, best first: whose disk takes writes and who stays; of another zone, which may be lost
     /// whole; named already, as it holds all; a witness.
     pub(super) fn partners(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
-        let fit = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.disk_healthy);
-        let mut all: Vec<Id> = self.members.iter().filter(|id| **id != self.me && fit(id)).cloned().collect();
-        let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.zone == self.area);
-        let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.told.draining);
+        let fit = |id: &Id| {
+            self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.disk_healthy)
+        };
+        let mut all: Vec<Id> = self.members.iter().filter(|id| **id != self.id && fit(id)).cloned().collect();
+        let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.zone == self.zone);
+        let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.draining);
         let shun = |id: &Id| self.shunned.get(id).is_some_and(|until| now < *until);
         all.sort_by_key(|id| {
             (leaves(id), shun(id), beside(id), !base.is_replica(id), !base.is_voter(id), id.clone())
@@ -19,23 +21,28 @@
     /// Whether it is up to this centre to stand, now.
     pub(super) fn due(&self, now: Ms) -> bool {
         let record = &self.record;
-        let able = self.fit && !self.broken && self.in_touch(now) && self.primary(now).is_none();
-        if !able || !record.may_lead(&self.me, &self.floor) || now < self.bid_at {
+        let able = self.disk_healthy
+            && !self.broken
+            && self.has_quorum_contact(now)
+            && self.known_leader(now).is_none();
+        if !able || !record.may_lead(&self.id, &self.floor) || now < self.bid_at {
             return false;
         }
         let there = |id: &Id| {
             let peer = self.peers.get(id);
             peer.is_some_and(|p| {
-                now < p.seen + 2 * self.spans.heartbeat_interval && p.told.disk_healthy && !p.told.draining
+                now < p.last_heard + 2 * self.spans.heartbeat_interval
+                    && p.status.disk_healthy
+                    && !p.status.draining
             })
         };
         let other =
-            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.me && there(id));
+            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && there(id));
         // Who leaves hands over where there is anybody to take it.
         if self.leaving.is_some() && other {
             return false;
         }
-        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.me);
+        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
         let place = place.unwrap_or(0);
         let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
         // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
@@ -44,14 +51,14 @@
 
     /// What the acting primary would have otherwise: another backup, another group.
     pub(super) fn wants(&self, now: Ms) -> Option<Option<Group>> {
-        let Role::Acting(record) = &self.role else { return None };
+        let Role::Leader(record) = &self.role else { return None };
         if !record.outgoing_voters.is_empty() {
             return Some(Some(Group { witnesses: record.voters.clone(), before: Vec::new() }));
         }
         let reborn = |id: &Id| {
-            self.peers
-                .get(id)
-                .is_some_and(|p| p.told.last_durable_term < record.term && p.told.record.term >= record.term)
+            self.peers.get(id).is_some_and(|p| {
+                p.status.last_durable_term < record.term && p.status.record.term >= record.term
+            })
         };
         let bad = |id: &Id| !self.good(now, id) || reborn(id);
         let able = self.partners(now, record).into_iter().filter(|id| self.good(now, id));
@@ -62,32 +69,33 @@
             return Some(None);
         }
         // Of who was heard once it is known; the first witnesses have 0.
-        let life = |id: &Id| self.peers.get(id).map(|p| p.told.incarnation);
+        let life = |id: &Id| self.peers.get(id).map(|p| p.status.incarnation);
         let spare =
-            |id: &&Id| **id != self.me && !record.is_voter(id) && self.good(now, id) && life(id).is_some();
+            |id: &&Id| **id != self.id && !record.is_voter(id) && self.good(now, id) && life(id).is_some();
         let mut spares = self.members.iter().filter(spare);
         let change = |old: &Voter, new: Voter| {
             let mut witnesses: Vec<Voter> =
                 record.voters.iter().map(|w| if w == old { new.clone() } else { w.clone() }).collect();
             if flaw(Flaw::TwoAtOnce) {
-                let other = witnesses.iter().position(|w| *w != new && w.id != self.me);
+                let other = witnesses.iter().position(|w| *w != new && w.id != self.id);
                 other.map(|at| witnesses.remove(at));
             }
             Some(Some(Group { witnesses, before: record.voters.clone() }))
         };
         for w in &record.voters {
-            let (now_life, near) = if w.id == self.me {
+            let (now_life, near) = if w.id == self.id {
                 (Some(self.life()), true)
             } else {
-                (life(&w.id), self.near(now, &w.id))
+                (life(&w.id), self.is_peer_alive(now, &w.id))
             };
             if near && now_life.is_some_and(|life| life != w.incarnation) {
                 return change(w, Voter { id: w.id.clone(), incarnation: now_life.unwrap_or_default() });
             }
         }
-        for w in record.voters.iter().filter(|w| w.id != self.me) {
-            let seen = self.peers.get(&w.id).map_or(0, |p| p.seen).max(self.since);
-            let leaves = self.peers.get(&w.id).is_some_and(|p| p.told.draining) && self.near(now, &w.id);
+        for w in record.voters.iter().filter(|w| w.id != self.id) {
+            let seen = self.peers.get(&w.id).map_or(0, |p| p.last_heard).max(self.since);
+            let leaves =
+                self.peers.get(&w.id).is_some_and(|p| p.status.draining) && self.is_peer_alive(now, &w.id);
             if leaves || now > seen + self.spans.replace_after {
                 if let Some(id) = spares.next() {
                     return change(w, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
@@ -95,7 +103,7 @@
             }
         }
         // Its own place, before it goes.
-        if let (Some(_), Some(own)) = (self.leaving, record.voters.iter().find(|w| w.id == self.me)) {
+        if let (Some(_), Some(own)) = (self.leaving, record.voters.iter().find(|w| w.id == self.id)) {
             if let Some(id) = spares.next() {
                 return change(own, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
             }
@@ -113,28 +121,29 @@
     }
 
     /// It was told to end: hands over what it has first.
-    pub fn leave(&mut self, now: Ms) {
+    pub fn begin_shutdown(&mut self, now: Ms) {
         self.leaving.get_or_insert(now);
     }
 
-    pub fn leaving(&self) -> bool {
+    pub fn is_shutting_down(&self) -> bool {
         self.leaving.is_some()
     }
 
     /// Whether the process may end: nothing rests on it, all others end as well, or its time is over. Who hears nobody
     /// waits for them: what it takes along then would be a loss.
-    pub fn may_leave(&self, now: Ms) -> bool {
+    pub fn may_exit(&self, now: Ms) -> bool {
         let Some(since) = self.leaving else { return false };
         if now > since + self.spans.shutdown_grace {
             return true;
         }
-        let led = self.primary(now).is_some();
-        let mut others = self.members.iter().filter(|id| **id != self.me && self.good(now, id));
+        let led = self.known_leader(now).is_some();
+        let mut others = self.members.iter().filter(|id| **id != self.id && self.good(now, id));
         let spare = others.any(|id| !self.record.is_voter(id));
-        let stays = self.record.is_replica(&self.me) || self.record.is_voter(&self.me) && spare;
+        let stays = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && spare;
         // All stop at once: nobody stays to whom anything could be handed.
-        let gone = |id: &Id| self.near(now, id) && self.peers.get(id).is_some_and(|p| p.told.draining);
-        let all = self.members.iter().filter(|id| **id != self.me).all(gone);
-        self.role == Role::Idle && (!stays && led || all && self.bid.is_none())
+        let gone =
+            |id: &Id| self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.draining);
+        let all = self.members.iter().filter(|id| **id != self.id).all(gone);
+        self.role == Role::Follower && (!stays && led || all && self.bid.is_none())
     }
 }
--- a/crates/control-plane/consensus/src/core/writing.rs
+++ b/crates/control-plane/consensus/src/core/writing.rs
@@ -7,7 +7,7 @@
         let life = self.life();
         let mut refuse = |why: &str| {
             let say = ReplicaWriteResponse { accepted: false, reason: why.into(), incarnation: life };
-            out.push(Output::Reply { caller, say: Response::ReplicaWrite(say) });
+            out.push(Output::Respond { request_id: caller, response: Response::ReplicaWrite(say) });
         };
         if copy.version != VERSION {
             return refuse("another version");
@@ -72,8 +72,8 @@
     }
 
     /// A change to be written; its ticket comes back in [`Output::Wrote`] or [`Output::Failed`].
-    pub fn submit(&mut self, now: Ms, change: Change, out: &mut Vec<Output>) {
-        if !self.acting(now) {
+    pub fn propose(&mut self, now: Ms, change: Change, out: &mut Vec<Output>) {
+        if !self.holds_leader_lease(now) {
             return out.push(Output::Failed(vec![change.ticket]));
         }
         self.queue.push_back(change);
@@ -82,13 +82,17 @@
 
     /// Writes what is queued, all of it at a time, to all disks of the record.
     pub(super) fn pump(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Role::Acting(record) = &self.role else { return };
-        if self.flight.is_some() || self.bid.is_some() || self.queue.is_empty() || !self.acting(now) {
+        let Role::Leader(record) = &self.role else { return };
+        if self.flight.is_some()
+            || self.bid.is_some()
+            || self.queue.is_empty()
+            || !self.holds_leader_lease(now)
+        {
             return;
         }
         let record = record.clone();
         let changes: Vec<Change> = self.queue.drain(..).collect();
-        let puts: Vec<KeyValue> = changes.iter().flat_map(|c| c.puts.clone()).collect();
+        let puts: Vec<KeyValue> = changes.iter().flat_map(|c| c.writes.clone()).collect();
         self.seq += 1;
         let (seq, away) = (self.seq, record.backups.iter().cloned().collect());
         self.flight = Some(Flight { seq, began: now, changes, puts: puts.clone(), here: false, away });
@@ -117,17 +121,17 @@
         if !self.flight.as_ref().is_some_and(|f| f.here && (f.away.is_empty() || flaw(Flaw::BeforeBackup))) {
             return;
         }
-        if !self.acting(now) {
+        if !self.holds_leader_lease(now) {
             return self.crashed(now, "within the lease", out);
         }
         let Some(flight) = self.flight.take() else { return };
         self.take(&flight.puts);
-        out.push(Output::Wrote(flight.changes));
+        out.push(Output::Committed(flight.changes));
         self.pump(now, out);
     }
 
     pub(super) fn crashed(&mut self, now: Ms, whence: &str, out: &mut Vec<Output>) {
-        out.push(Output::Note(format!("A change is not written {whence}: steps down.")));
+        out.push(Output::Log(format!("A change is not written {whence}: steps down.")));
         self.step_down(now, out);
     }
 }
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -23,8 +23,8 @@
 mod flaw;
 
 pub use crate::core::{
-    Change, Core, KeyValue, OperationId, Output, PeerStatus, ReplicaWrite, ReplicaWriteKind,
-    ReplicaWriteResponse, Request, RequestId, Response, Role, Start, Timeouts, SEQ,
+    Change, Core, InitialState, KeyValue, OperationId, Output, PeerStatus, ReplicaWrite, ReplicaWriteKind,
+    ReplicaWriteResponse, Request, RequestId, Response, Role, Timeouts, SEQ,
 };
 pub use acceptor::{Acceptor, LeaseGrants, Rejection, VoterRequest, VoterResponse, VoterState};
 #[cfg(feature = "flaws")]
@@ -127,7 +127,7 @@
 /// assert_eq!(few.len(), 3);
 /// assert!(!few.contains(&all[0]));
 /// ```
-pub fn watchers(me: &str, all: &[Id], few: usize) -> Vec<Id> {
+pub fn ring_successors(me: &str, all: &[Id], few: usize) -> Vec<Id> {
     let place = |id: &str| {
         id.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ b as u64).wrapping_mul(0x100_0000_01b3))
     };
--- a/crates/control-plane/consensus/src/tests.rs
+++ b/crates/control-plane/consensus/src/tests.rs
@@ -91,17 +91,24 @@
         max_failures: 1,
     };
     let peers: Vec<Id> = ["a", "b", "c"].map(String::from).into();
-    let start = Start { me: "b".into(), spans, peers, first: true, life: 5, ..Start::default() };
+    let start = InitialState {
+        me: "b".into(),
+        timeouts: spans,
+        peers,
+        bootstrap: true,
+        new_incarnation: 5,
+        ..InitialState::default()
+    };
     let (mut core, mut out) = (Core::start(0, start, &mut Vec::new()), Vec::new());
-    core.leave(100);
-    assert!(!core.may_leave(2000) && core.may_leave(3101), "a place in the group would go with it");
+    core.begin_shutdown(100);
+    assert!(!core.may_exit(2000) && core.may_exit(3101), "a place in the group would go with it");
     for id in ["a", "c"] {
-        core.hear(
+        core.handle_peer_status(
             3000,
             &PeerStatus { id: id.into(), disk_healthy: true, draining: true, ..PeerStatus::default() },
             None,
             &mut out,
         );
     }
-    assert!(core.may_leave(3050), "all of them end");
+    assert!(core.may_exit(3050), "all of them end");
 }
--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -82,8 +82,8 @@
 fn record(world: &World) -> coppersail_consensus::LeadershipRecord {
     let x = world.acting()[0];
     match &world.core(x).unwrap().role {
-        coppersail_consensus::Role::Acting(record) => record.clone(),
-        coppersail_consensus::Role::Idle => panic!("acts without a record"),
+        coppersail_consensus::Role::Leader(record) => record.clone(),
+        coppersail_consensus::Role::Follower => panic!("acts without a record"),
     }
 }
 
@@ -240,7 +240,7 @@
     change(&mut world);
     go(&mut world, &[Step::Leave(0)]);
     let mut ticks = 0;
-    while !world.core(0).unwrap().may_leave(world.clock(0)) {
+    while !world.core(0).unwrap().may_exit(world.clock(0)) {
         world.rest(1).unwrap();
         ticks += 1;
         assert!(ticks < 100, "never lets go");
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -145,7 +145,7 @@
             outcome.unwrap_or_else(|why| panic!("seed {seed}: {why}"));
         }
         // Who may go does. It is a loss only where somebody's record still has it: it heard of nobody to take its place.
-        let may = |x: &usize| world.core(*x).is_some_and(|core| core.may_leave(world.clock(*x)));
+        let may = |x: &usize| world.core(*x).is_some_and(|core| core.may_exit(world.clock(*x)));
         if let Some(x) = world.ups().into_iter().find(may) {
             let free = world.mended() && !world.rests_on(x);
             if free || losses < rules.spans.max_failures {
--- a/crates/control-plane/consensus/tests/model/world.rs
+++ b/crates/control-plane/consensus/tests/model/world.rs
@@ -1,7 +1,7 @@
 //! The world around the cores: members with disks, a network, a clock, faults within a budget, and what must hold.
 use coppersail_consensus::{
-    Change, Core, KeyValue, LeadershipRecord, Output, PeerStatus, Request, Response, Role, Start, Term,
-    Timeouts, Voter, VoterRequest, VoterState,
+    Change, Core, InitialState, KeyValue, LeadershipRecord, Output, PeerStatus, Request, Response, Role,
+    Term, Timeouts, Voter, VoterRequest, VoterState,
 };
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::hash::{Hash, Hasher};
@@ -300,7 +300,7 @@
     }
 
     pub fn acting(&self) -> Vec<usize> {
-        self.ups().into_iter().filter(|x| self.core(*x).unwrap().acting(self.clock(*x))).collect()
+        self.ups().into_iter().filter(|x| self.core(*x).unwrap().holds_leader_lease(self.clock(*x))).collect()
     }
 
     /// Equal for equal states, but for how they were reached.
@@ -326,15 +326,15 @@
     fn start(&mut self, x: usize, first: bool) -> Result<(), String> {
         let (now, rules) = (self.clock(x), self.rules.clone());
         let node = self.node(x);
-        let begin = Start {
+        let begin = InitialState {
             me: NAMES[x].into(),
             area: "z".into(),
-            spans: rules.spans,
+            timeouts: rules.spans,
             peers: NAMES[..rules.first].iter().map(|n| n.to_string()).collect(),
-            first: first && node.own.is_empty(),
+            bootstrap: first && node.own.is_empty(),
             state: node.state.clone(),
             own: node.own.clone(),
-            life: life(x, node.disk, rules.first),
+            new_incarnation: life(x, node.disk, rules.first),
         };
         node.boot += 1;
         let again = node.boot > 1 && !node.own.is_empty();
@@ -359,14 +359,14 @@
     fn follow(&mut self, x: usize, out: Vec<Output>) -> Result<(), String> {
         for out in out {
             match out {
-                Output::Call { token, to, call, wait } => {
+                Output::Send { operation_id: token, to, call, timeout: wait } => {
                     let until = self.now + wait;
                     let node = self.node(x);
                     node.waits.insert(token, until);
                     let (boot, to) = (node.boot, NAMES.iter().position(|n| *n == to).unwrap());
                     self.send(Message { from: x, boot, token, to, late: false, what: What::Call(call) });
                 }
-                Output::Reply { caller, say } if caller & LATE == 0 => {
+                Output::Respond { request_id: caller, response: say } if caller & LATE == 0 => {
                     let (from, boot, token) =
                         ((caller >> 48) as usize, caller >> 32 & 0xffff, caller & 0xffff_ffff);
                     if self.nodes[from].boot != boot || !self.nodes[from].waits.contains_key(&token) {
@@ -374,17 +374,17 @@
                     }
                     if self.rules.swift && !self.mute {
                         self.node(from).waits.remove(&token);
-                        self.with(from, |core, now, out| core.said(now, token, Some(say), out))?;
+                        self.with(from, |core, now, out| core.handle_response(now, token, Some(say), out))?;
                     } else if !self.rules.swift {
                         self.send(Message { from, boot, token, to: x, late: false, what: What::Reply(say) });
                     }
                 }
-                Output::Write { token, state, whole, own } => {
+                Output::Persist { token, state, replace: whole, metadata: own } => {
                     self.node(x).writes.push_back(Write { token, state, whole, own });
                     self.quick(x)?;
                 }
-                Output::Wrote(changes) => self.wrote(x, &changes)?,
-                Output::Note(text) if self.loud => println!("{:>6} {}: {text}", self.now, NAMES[x]),
+                Output::Committed(changes) => self.wrote(x, &changes)?,
+                Output::Log(text) if self.loud => println!("{:>6} {}: {text}", self.now, NAMES[x]),
                 _ => {}
             }
         }
@@ -417,7 +417,7 @@
         if ok {
             self.store(x, write)?;
         }
-        self.with(x, |core, now, out| core.disk(now, token, ok, out))
+        self.with(x, |core, now, out| core.handle_write_result(now, token, ok, out))
     }
 
     fn store(&mut self, x: usize, write: Write) -> Result<(), String> {
@@ -493,7 +493,7 @@
         }
         let Some(x) = acting.first().copied() else { return Ok(()) };
         let core = self.core(x).unwrap();
-        let Role::Acting(record) = &core.role else { return Err("acts without a record".into()) };
+        let Role::Leader(record) = &core.role else { return Err("acts without a record".into()) };
         if record.term < self.ghost.top {
             return Err(format!("{} acts in an older epoch", NAMES[x]));
         }
@@ -543,10 +543,11 @@
     /// Whether what was lost is replaced: somebody acts, and all disks that its record names are those it means.
     pub fn mended(&self) -> bool {
         let Some(core) = self.acting().first().and_then(|x| self.core(*x)) else { return false };
-        let Role::Acting(record) = &core.role else { return false };
+        let Role::Leader(record) = &core.role else { return false };
         let node = |id: &String| &self.nodes[NAMES.iter().position(|n| n == id).unwrap()];
         let sits = |w: &Voter| node(&w.id).core.as_ref().is_some_and(|core| core.life() == w.incarnation);
-        let holds = |id: &String| node(id).core.as_ref().is_some_and(|core| *core.floor() >= record.term);
+        let holds =
+            |id: &String| node(id).core.as_ref().is_some_and(|core| *core.last_durable_term() >= record.term);
         record.outgoing_voters.is_empty()
             && record.voters.iter().all(sits)
             && record.backups.iter().all(holds)
@@ -579,10 +580,10 @@
             |group: &[Voter]| group.iter().map(|w| format!("{}{}", w.id, w.incarnation)).collect::<Vec<_>>();
         let (group, before) = (ids(&record.voters), ids(&record.outgoing_voters));
         let (epoch, names) = (record.term.number, &record.backups);
-        let (floor, life, leaving) = (core.floor(), core.life(), core.leaving());
+        let (floor, life, leaving) = (core.last_durable_term(), core.life(), core.is_shutting_down());
         format!(
             "{at}: life {life}, floor {}{}, fit {}, leaving {leaving}, knows {epoch} of {} with {names:?}, group {group:?} before {before:?}",
-            floor.number, floor.candidate, core.fit, record.leader
+            floor.number, floor.candidate, core.disk_healthy, record.leader
         )
     }
 
@@ -613,7 +614,7 @@
             self.send(kept);
         }
         for (x, token) in over {
-            self.with(x, |core, now, out| core.said(now, token, None, out))?;
+            self.with(x, |core, now, out| core.handle_response(now, token, None, out))?;
         }
         let told: Vec<Option<PeerStatus>> =
             (0..self.nodes.len()).map(|x| self.core(x).map(|core| core.told(self.clock(x)))).collect();
@@ -622,7 +623,7 @@
         for x in self.ups().into_iter().filter(heard) {
             for (_, told) in told.iter().enumerate().filter(|(y, _)| *y != x && heard(y)) {
                 let Some(told) = told else { continue };
-                self.with(x, |core, now, out| core.hear(now, told, Some(now), out))?;
+                self.with(x, |core, now, out| core.handle_peer_status(now, told, Some(now), out))?;
             }
         }
         for x in self.ups().into_iter().filter(awake) {
@@ -645,13 +646,13 @@
                     self.ends.insert(to, self.now + self.rules.spans.lease);
                 }
                 let caller = (from as u64) << 48 | boot << 32 | token | if late { LATE } else { 0 };
-                self.with(to, |core, now, out| core.called(now, caller, call, out))
+                self.with(to, |core, now, out| core.handle_request(now, caller, call, out))
             }
             What::Reply(say) => {
                 if self.nodes[from].boot != boot || self.node(from).waits.remove(&token).is_none() {
                     return Ok(());
                 }
-                self.with(from, |core, now, out| core.said(now, token, Some(say), out))
+                self.with(from, |core, now, out| core.handle_response(now, token, Some(say), out))
             }
         }
     }
@@ -734,7 +735,7 @@
             if budget.gone > 0 {
                 all.push(Step::Gone(x));
             }
-            if self.fresh && budget.leaves > 0 && !self.core(x).unwrap().leaving() {
+            if self.fresh && budget.leaves > 0 && !self.core(x).unwrap().is_shutting_down() {
                 all.push(Step::Leave(x));
             }
         }
@@ -814,7 +815,7 @@
             }
             Step::Leave(x) => {
                 budget.leaves -= 1;
-                self.with(*x, |core, now, _| core.leave(now))
+                self.with(*x, |core, now, _| core.begin_shutdown(now))
             }
         }?;
         self.check()
@@ -833,7 +834,7 @@
         self.submitted += 1;
         let n = self.submitted;
         let puts = vec![(format!("k{n}"), n.to_string()), ("last".into(), n.to_string())];
-        self.with(x, |core, now, out| core.submit(now, Change { ticket: n, puts }, out))
+        self.with(x, |core, now, out| core.propose(now, Change { ticket: n, writes: puts }, out))
     }
 
     /// Nothing fails: all that is under way comes, in order.
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -95,7 +95,7 @@
             silent: false,
             cold_ms,
             calls: pulse.calls,
-            via: self.core.me.clone(),
+            via: self.core.id.clone(),
         };
         self.feed.put_host(&host);
         let heard = if emptied { self.feed.seq } else { 0 };
@@ -128,7 +128,7 @@
             return say.push(Say::Text(caller, 503, one_line("out of touch with most witnesses")));
         }
         let calls = self.beats.get(ident).map_or(0, |b| b.calls) + 1;
-        let via = self.core.me.clone();
+        let via = self.core.id.clone();
         if let Some(host) = self.feed.host(ident).cloned() {
             self.feed.put_host(&HostNews { stage: Stage::Gone, calls, via, ..host });
         }
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -35,7 +35,7 @@
 impl Links {
     pub fn choose(&mut self, now: Ms, state: &State) {
         self.turn += 1;
-        self.wanted = state.core.wanted(now, self.turn, FEW);
+        self.wanted = state.core.heartbeat_targets(now, self.turn, FEW);
         let wanted = &self.wanted;
         self.links.retain(|id, link| wanted.contains(id) || link.under_way.is_some());
     }
@@ -56,7 +56,7 @@
                 asked.into_iter().map(|(backend, c)| Asked { backend, counts: c.into_iter().collect() });
             let evidence = if to_primary { state.rollouts.relay() } else { Vec::new() };
             let follow = Follow {
-                edge: state.core.me.clone(),
+                edge: state.core.id.clone(),
                 area: String::new(),
                 feed: link.feed,
                 seq: link.seq,
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -4,7 +4,7 @@
 use crate::state::{Say, Spans, State};
 use crate::store::{Batch, Found, Kept};
 use coppersail_config::Boot;
-use coppersail_consensus::{Core, Id, KeyValue, Ms, OperationId, Output, RequestId, Role, Start};
+use coppersail_consensus::{Core, Id, InitialState, KeyValue, Ms, OperationId, Output, RequestId, Role};
 use coppersail_peer_protocol::{Follow, News};
 use std::collections::VecDeque;
 
@@ -95,15 +95,15 @@
         let Begin { boot, found, life } = begin;
         let spans = Spans::new(&boot);
         let mut outs = Vec::new();
-        let start = Start {
+        let start = InitialState {
             me: boot.admin.clone().unwrap_or_default(),
             area: boot.area.clone(),
-            spans: spans.core,
+            timeouts: spans.core,
             peers: boot.known_peers.clone(),
-            first: boot.initial_boot && found.kept == Kept::Fresh,
+            bootstrap: boot.initial_boot && found.kept == Kept::Fresh,
             state: found.state,
             own: found.own,
-            life,
+            new_incarnation: life,
         };
         let core = Core::start(now, start, &mut outs);
         let state = State::new(&boot, spans, core, life);
@@ -131,7 +131,7 @@
                 }
             }
             Event::Peer { caller, call: Peer::Core(call) } => {
-                self.state.core.called(now, caller, call, &mut outs);
+                self.state.core.handle_request(now, caller, call, &mut outs);
             }
             Event::Told { token, say: told } => match self.links.ended(token) {
                 Some(peer) => {
@@ -147,14 +147,14 @@
                         Some(PeerSay::Core(say)) => Some(say),
                         _ => None,
                     };
-                    self.state.core.said(now, token, told, &mut outs);
+                    self.state.core.handle_response(now, token, told, &mut outs);
                 }
             },
-            Event::Disk { token, ok } => self.state.core.disk(now, token, ok, &mut outs),
+            Event::Disk { token, ok } => self.state.core.handle_write_result(now, token, ok, &mut outs),
             Event::Term => {
-                if !self.state.core.leaving() {
+                if !self.state.core.is_shutting_down() {
                     out.push(Effect::Note("Leaving: hands over what it holds.".into()));
-                    self.state.core.leave(now);
+                    self.state.core.begin_shutdown(now);
                     // Everybody is told at once.
                     self.state.flush_all(now, &mut say);
                 }
@@ -178,7 +178,7 @@
             self.state.keys.fade();
         }
         // Edges are not left waiting for news of a centre that has none.
-        let in_touch = self.state.core.in_touch(now);
+        let in_touch = self.state.core.has_quorum_contact(now);
         if self.in_touch && !in_touch {
             self.state.flush_edges(now, say);
         }
@@ -188,7 +188,7 @@
             self.links.choose(now, &self.state);
         }
         self.links.start(now, &mut self.state, None, out);
-        if !self.left && self.state.core.may_leave(now) {
+        if !self.left && self.state.core.may_exit(now) {
             self.left = true;
             out.push(Effect::Note("Left.".into()));
             out.push(Effect::Leave);
@@ -201,22 +201,24 @@
         loop {
             for change in std::mem::take(&mut self.state.todo) {
                 let mut more = Vec::new();
-                self.state.core.submit(now, change, &mut more);
+                self.state.core.propose(now, change, &mut more);
                 todo.extend(more);
             }
             let Some(one) = todo.pop_front() else { break };
             match one {
-                Output::Call { token, to, call, wait } => {
+                Output::Send { operation_id: token, to, call, timeout: wait } => {
                     out.push(Effect::Call { token, to, call: Peer::Core(call), wait });
                 }
-                Output::Reply { caller, say } => out.push(Effect::Reply { caller, say: PeerSay::Core(say) }),
-                Output::Write { token, state, whole, own } => {
+                Output::Respond { request_id: caller, response: say } => {
+                    out.push(Effect::Reply { caller, say: PeerSay::Core(say) })
+                }
+                Output::Persist { token, state, replace: whole, metadata: own } => {
                     out.push(Effect::Write { token, write: Batch { state, whole, own } });
                 }
-                Output::Note(line) => out.push(Effect::Note(line)),
-                Output::Acts { fresh } => self.state.acts(now, fresh),
-                Output::Stops => self.state.stops(),
-                Output::Wrote(changes) => self.state.wrote(now, &changes),
+                Output::Log(line) => out.push(Effect::Note(line)),
+                Output::BecameLeader { newly_elected: fresh } => self.state.acts(now, fresh),
+                Output::SteppedDown => self.state.stops(),
+                Output::Committed(changes) => self.state.wrote(now, &changes),
                 Output::Failed(tickets) => self.state.failed(&tickets),
             }
             if todo.is_empty() {
@@ -242,11 +244,11 @@
         out.extend(reread.applied.iter().chain(&reread.restart).map(line));
         self.boot = reread.boot;
         self.state.respan(Spans::new(&self.boot));
-        self.state.core.join(now, self.boot.known_peers.iter(), outs);
+        self.state.core.add_members(now, self.boot.known_peers.iter(), outs);
     }
 
     pub fn acts(&self) -> bool {
-        matches!(self.state.core.role, Role::Acting(_))
+        matches!(self.state.core.role, Role::Leader(_))
     }
 }
 
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -191,21 +191,21 @@
     }
 
     pub fn acting(&self, now: Ms) -> bool {
-        self.core.acting(now)
+        self.core.holds_leader_lease(now)
     }
 
     fn acts_by(&self) -> Option<u64> {
-        self.core.epoch()
+        self.core.leader_term()
     }
 
     /// Where the primary is, if any is heard to act.
     pub fn primary(&self, now: Ms) -> Option<&Id> {
-        self.core.primary(now)
+        self.core.known_leader(now)
     }
 
     /// Out of touch with most witnesses: others know better, and nothing that this centre says may be relied on.
     pub fn alone(&self, now: Ms) -> bool {
-        !self.core.in_touch(now)
+        !self.core.has_quorum_contact(now)
     }
 
     /// For `peer`; with the detail unless it has said that it has it.
@@ -254,7 +254,7 @@
             record: detail.record,
             members: detail.members,
         };
-        self.core.hear(now, &told, asked, outs);
+        self.core.handle_peer_status(now, &told, asked, outs);
         detail.edges.into_iter().for_each(|e| {
             self.edges.insert(e, now);
         });
@@ -287,15 +287,19 @@
 
     /// Where centres listen for edges: those that are there. Where those are fewer than two, all that ever were.
     fn centres_now(&self, now: Ms) -> Vec<String> {
-        let there: Vec<&Id> =
-            self.core.members.iter().filter(|id| **id == self.core.me || self.core.near(now, id)).collect();
+        let there: Vec<&Id> = self
+            .core
+            .members
+            .iter()
+            .filter(|id| **id == self.core.id || self.core.is_peer_alive(now, id))
+            .collect();
         let all = if there.len() < 2 { self.core.members.iter().collect() } else { there };
         all.into_iter().map(|id| peer_address(id, self.port)).collect()
     }
 
     /// A centre that was not there before is told to all followers, whatever they have.
     fn meet(&mut self, now: Ms) {
-        let new = |id: &&Id| !self.centres.contains_key(*id) && self.core.near(now, id);
+        let new = |id: &&Id| !self.centres.contains_key(*id) && self.core.is_peer_alive(now, id);
         let new: Vec<Id> = self.core.members.iter().filter(new).cloned().collect();
         if !new.is_empty() {
             let at = self.feed.stir();
@@ -408,7 +412,7 @@
     /// A change of the control state, to be written. Its ticket tells when.
     pub fn queue(&mut self, puts: Vec<Put>) -> u64 {
         self.tickets += 1;
-        self.todo.push(Change { ticket: self.tickets, puts });
+        self.todo.push(Change { ticket: self.tickets, writes: puts });
         self.tickets
     }
 
@@ -500,8 +504,8 @@
             return (503, "{}".into());
         }
         let mut answer = serde_json::json!({});
-        if !self.core.leaving() {
-            answer["reportTo"] = serde_json::json!(self.core.me);
+        if !self.core.is_shutting_down() {
+            answer["reportTo"] = serde_json::json!(self.core.id);
         }
         if let Some(service) = service {
             if !self.acting(now) {
@@ -584,11 +588,11 @@
     /// On all disks of the record: it is in force.
     pub fn wrote(&mut self, now: Ms, changes: &[Change]) {
         for change in changes {
-            self.keys.apply(now, &change.puts);
-            for stand in change.puts.iter().filter_map(rollouts::read) {
+            self.keys.apply(now, &change.writes);
+            for stand in change.writes.iter().filter_map(rollouts::read) {
                 self.feed.put_plan(&stand);
             }
-            let config = change.puts.iter().find(|(name, _)| name == "config");
+            let config = change.writes.iter().find(|(name, _)| name == "config");
             if let Some(settings) = config.and_then(|(_, text)| serde_json::from_str::<Settings>(text).ok()) {
                 self.feed.put_settings(&settings);
                 self.took_settings();
@@ -604,7 +608,7 @@
         if !self.acting(now) || !self.feed.planned() {
             return Vec::new();
         }
-        let (feed, beats, beat, me) = (&self.feed, &self.beats, self.spans.beat, &self.core.me);
+        let (feed, beats, beat, me) = (&self.feed, &self.beats, self.spans.beat, &self.core.id);
         let all = || feed.hosts().cloned().collect();
         let dead = |ident: &str, told: Ms| match feed.host(ident) {
             None => Some(true),
@@ -685,9 +689,13 @@
         let mut lost = Vec::new();
         for host in self.feed.hosts().filter(|h| judges && !h.silent && h.stage < Stage::Gone) {
             let Some(beat) = self.beats.get(&host.ident) else { continue };
-            let mine = host.via == self.core.me;
+            let mine = host.via == self.core.id;
             let orphan = !mine
-                && self.core.peers.get(&host.via).is_none_or(|p| now > p.seen + 2 * self.spans.core.lease);
+                && self
+                    .core
+                    .peers
+                    .get(&host.via)
+                    .is_none_or(|p| now > p.last_heard + 2 * self.spans.core.lease);
             if (mine && now > beat.at + quiet) || (orphan && now > beat.at + 2 * quiet) {
                 let calls = beat.calls.max(host.calls);
                 lost.push(HostNews { silent: true, calls, ..host.clone() });
@@ -700,8 +708,10 @@
         let heard: Vec<(String, Ms)> = self
             .feed
             .hosts()
-            .filter(|h| h.via != self.core.me && !h.silent)
-            .filter(|h| self.core.peers.get(&h.via).is_some_and(|p| now < p.seen + self.spans.core.lease))
+            .filter(|h| h.via != self.core.id && !h.silent)
+            .filter(|h| {
+                self.core.peers.get(&h.via).is_some_and(|p| now < p.last_heard + self.spans.core.lease)
+            })
             .map(|h| (h.ident.clone(), now))
             .collect();
         for (ident, at) in heard {
--- a/crates/data-plane/session-affinity/src/roster.rs
+++ b/crates/data-plane/session-affinity/src/roster.rs
@@ -28,7 +28,7 @@
     pub fn seats(&self, roster: u16, id: Id) -> Option<Vec<Place>> {
         let sites = self.0.get(&roster)?;
         let names: Vec<String> = sites.iter().map(|(_, name)| name.clone()).collect();
-        let few = coppersail_consensus::watchers(&id.to_string(), &names, SEATS);
+        let few = coppersail_consensus::ring_successors(&id.to_string(), &names, SEATS);
         let place = |name: &String| sites.iter().find(|(_, other)| other == name).map(|(place, _)| *place);
         Some(few.iter().filter_map(place).collect())
     }
