--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -17,7 +17,7 @@
         rows.join(","),
         tenants.join(",")
     );
-    serde_json::to_string(&coppersail_peer_protocol::Settings { revision, body }).unwrap_or_default()
+    serde_json::to_string(&coppersail_peer_protocol::ConfigDocument { revision, body }).unwrap_or_default()
 }
 
 fn size(folder: &Path) -> u64 {
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -3,7 +3,7 @@
 use crate::orders::{digest, Judged};
 use crate::state::{Beat, Kind, Parked, Say, State};
 use coppersail_consensus::{Ms, RequestId};
-use coppersail_peer_protocol::{HostNews, Settings, Stage};
+use coppersail_peer_protocol::{ConfigDocument, EndpointState, EndpointUpdate};
 use serde::Deserialize;
 
 #[derive(Deserialize)]
@@ -17,7 +17,7 @@
     #[serde(default)]
     capacity: f64,
     #[serde(default)]
-    stage: Stage,
+    stage: EndpointState,
     #[serde(default, rename = "warmLeft")]
     warm_left: Option<String>,
     #[serde(default, rename = "callCount")]
@@ -82,20 +82,20 @@
             .map_or(0, |d| d.as_millis() as u64);
         (beat.at, beat.calls, beat.capacity, beat.service) =
             (now, pulse.calls, pulse.capacity, pulse.backend.clone());
-        let emptied =
-            pulse.stage > Stage::Ready && self.feed.host(ident).is_none_or(|h| h.stage == Stage::Ready);
-        let host = HostNews {
-            ident: ident.into(),
-            backend: pulse.backend.clone(),
+        let emptied = pulse.stage > EndpointState::Ready
+            && self.feed.host(ident).is_none_or(|h| h.state == EndpointState::Ready);
+        let host = EndpointUpdate {
+            id: ident.into(),
+            service: pulse.backend.clone(),
             address: pulse.address,
-            area: pulse.area,
+            zone: pulse.area,
             capacity: pulse.capacity.round() as u32,
-            revision: pulse.revision,
-            stage: pulse.stage,
-            silent: false,
-            cold_ms,
-            calls: pulse.calls,
-            via: self.core.id.clone(),
+            version: pulse.revision,
+            state: pulse.stage,
+            suspect: false,
+            slow_start_ms: cold_ms,
+            heartbeat_sequence: pulse.calls,
+            reported_by: self.core.id.clone(),
         };
         self.feed.put_host(&host);
         let heard = if emptied { self.feed.seq } else { 0 };
@@ -130,7 +130,12 @@
         let calls = self.beats.get(ident).map_or(0, |b| b.calls) + 1;
         let via = self.core.id.clone();
         if let Some(host) = self.feed.host(ident).cloned() {
-            self.feed.put_host(&HostNews { stage: Stage::Gone, calls, via, ..host });
+            self.feed.put_host(&EndpointUpdate {
+                state: EndpointState::Removed,
+                heartbeat_sequence: calls,
+                reported_by: via,
+                ..host
+            });
         }
         let (until, heard) = (now + self.spans.receipt, self.feed.seq);
         let kind = Kind::Beat { ident: ident.into(), service: None };
@@ -177,7 +182,7 @@
                 // Of several only the highest comes into force, and only above the one held.
                 if self.newest().is_none_or(|newest| newest < revision) {
                     self.queued(revision);
-                    let settings = Settings { revision, body };
+                    let settings = ConfigDocument { revision, body };
                     puts.push(("config".into(), serde_json::to_string(&settings).unwrap_or_default()));
                 }
                 (self.queue(puts), Kind::Order)
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -1,7 +1,7 @@
 //! What followers are told: hosts, rows, the configuration. Pure. Everything in it only goes forward (revision, number,
 //! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
 //! that edges follow it, and tells on what was new to it.
-use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
+use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
 use coppersail_rollout::{Phase, Stand};
 use std::collections::BTreeMap;
 
@@ -10,8 +10,8 @@
     /// Which life of this centre speaks.
     pub id: u64,
     pub seq: u64,
-    settings: Option<(Settings, u64)>,
-    hosts: BTreeMap<String, (HostNews, u64)>,
+    settings: Option<(ConfigDocument, u64)>,
+    hosts: BTreeMap<String, (EndpointUpdate, u64)>,
     slices: BTreeMap<String, Vec<(String, u64, u64)>>,
     plans: BTreeMap<String, (Stand, u64)>,
 }
@@ -21,15 +21,15 @@
         Feed { id, ..Feed::default() }
     }
 
-    pub fn settings(&self) -> Option<&Settings> {
+    pub fn settings(&self) -> Option<&ConfigDocument> {
         self.settings.as_ref().map(|(s, _)| s)
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &HostNews> {
+    pub fn hosts(&self) -> impl Iterator<Item = &EndpointUpdate> {
         self.hosts.values().map(|(h, _)| h)
     }
 
-    pub fn host(&self, ident: &str) -> Option<&HostNews> {
+    pub fn host(&self, ident: &str) -> Option<&EndpointUpdate> {
         self.hosts.get(ident).map(|(h, _)| h)
     }
 
@@ -40,7 +40,7 @@
     }
 
     /// An acknowledged configuration. An older one changes nothing.
-    pub fn put_settings(&mut self, new: &Settings) -> bool {
+    pub fn put_settings(&mut self, new: &ConfigDocument) -> bool {
         if self.settings().is_some_and(|old| old.revision >= new.revision) {
             return false;
         }
@@ -50,26 +50,32 @@
     }
 
     /// One life of a host. Its stage never goes back; besides that, the later call counts.
-    pub fn put_host(&mut self, new: &HostNews) -> bool {
-        let old = self.hosts.get(&new.ident).map(|(h, _)| h);
+    pub fn put_host(&mut self, new: &EndpointUpdate) -> bool {
+        let old = self.hosts.get(&new.id).map(|(h, _)| h);
         let mut new = new.clone();
         if let Some(old) = old {
-            let stage = old.stage.max(new.stage);
+            let stage = old.state.max(new.state);
             // One call that two centres heard, as the first of them sent it on to the other: all agree on one of them, or
             // each would take the host for its own, and the first would soon miss its beats.
-            let lower = old.silent || new.via < old.via;
-            let same_call = new.calls == old.calls && new.via != old.via && !new.silent;
-            if new.calls < old.calls || (same_call && lower) {
+            let lower = old.suspect || new.reported_by < old.reported_by;
+            let same_call = new.heartbeat_sequence == old.heartbeat_sequence
+                && new.reported_by != old.reported_by
+                && !new.suspect;
+            if new.heartbeat_sequence < old.heartbeat_sequence || (same_call && lower) {
                 new = old.clone();
             }
-            new.stage = stage;
-            let same = HostNews { calls: old.calls, cold_ms: old.cold_ms, ..new.clone() } == *old;
+            new.state = stage;
+            let same = EndpointUpdate {
+                heartbeat_sequence: old.heartbeat_sequence,
+                slow_start_ms: old.slow_start_ms,
+                ..new.clone()
+            } == *old;
             if same {
                 return false;
             }
         }
         self.seq += 1;
-        self.hosts.insert(new.ident.clone(), (new, self.seq));
+        self.hosts.insert(new.id.clone(), (new, self.seq));
         true
     }
 
@@ -105,21 +111,21 @@
     }
 
     /// What another centre told.
-    pub fn merge(&mut self, news: &News) -> bool {
+    pub fn merge(&mut self, news: &Update) -> bool {
         let before = self.seq;
-        news.settings.iter().for_each(|s| {
+        news.config.iter().for_each(|s| {
             self.put_settings(s);
         });
-        news.hosts.iter().for_each(|h| {
+        news.endpoints.iter().for_each(|h| {
             self.put_host(h);
         });
-        news.plans.iter().for_each(|p| {
+        news.rollouts.iter().for_each(|p| {
             self.put_plan(p);
         });
-        for table in &news.slices {
+        for table in &news.assignments {
             for (first, last, ident, number) in &table.rows {
-                for slice in *first..=(*last).min(table.slices.saturating_sub(1)) {
-                    self.put_row(&table.backend, table.slices, slice, ident, *number);
+                for slice in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
+                    self.put_row(&table.service, table.slice_count, slice, ident, *number);
                 }
             }
         }
@@ -127,11 +133,11 @@
     }
 
     /// What is new since `seq` of feed `id`; everything for who has another feed or none.
-    pub fn since(&self, id: u64, seq: u64) -> News {
+    pub fn since(&self, id: u64, seq: u64) -> Update {
         let whole = id != self.id || seq > self.seq;
         let seq = if whole { 0 } else { seq };
         let settings = self.settings.as_ref().filter(|(_, at)| *at > seq).map(|(s, _)| s.clone());
-        let gone = |h: &HostNews| whole && h.stage == Stage::Gone;
+        let gone = |h: &EndpointUpdate| whole && h.state == EndpointState::Removed;
         let hosts =
             self.hosts.values().filter(|(h, at)| *at > seq && !gone(h)).map(|(h, _)| h.clone()).collect();
         let slices = self.slices.iter().filter_map(|(backend, all)| {
@@ -144,18 +150,22 @@
                 }
             }
             let slices = all.len() as u32;
-            (!rows.is_empty()).then(|| SliceNews { backend: backend.clone(), slices, rows })
+            (!rows.is_empty()).then(|| AssignmentUpdate {
+                service: backend.clone(),
+                slice_count: slices,
+                rows,
+            })
         });
         let plans = self.plans.values().filter(|(_, at)| *at > seq).map(|(p, _)| p.clone()).collect();
-        News {
-            feed: self.id,
-            seq: self.seq,
-            whole,
-            settings,
-            hosts,
-            slices: slices.collect(),
-            plans,
-            ..News::default()
+        Update {
+            feed_id: self.id,
+            sequence: self.seq,
+            is_snapshot: whole,
+            config: settings,
+            endpoints: hosts,
+            assignments: slices.collect(),
+            rollouts: plans,
+            ..Update::default()
         }
     }
 }
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -1,14 +1,23 @@
 use crate::feed::Feed;
-use coppersail_peer_protocol::{HostNews, Stage};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate};
 
-fn host(ident: &str, calls: u64, stage: Stage) -> HostNews {
-    HostNews { ident: ident.into(), calls, stage, via: "a".into(), ..HostNews::default() }
+fn host(ident: &str, calls: u64, stage: EndpointState) -> EndpointUpdate {
+    EndpointUpdate {
+        id: ident.into(),
+        heartbeat_sequence: calls,
+        state: stage,
+        reported_by: "a".into(),
+        ..EndpointUpdate::default()
+    }
 }
 
 #[test]
 fn a_host_that_was_sent_on_is_missed_by_neither_centre() {
     for (first, other) in [("a", "b"), ("b", "a")] {
-        let heard = |via: &str, calls| HostNews { via: via.into(), ..host("i", calls, Stage::Ready) };
+        let heard = |via: &str, calls| EndpointUpdate {
+            reported_by: via.into(),
+            ..host("i", calls, EndpointState::Ready)
+        };
         let (mut here, mut there) = (Feed::new(7), Feed::new(8));
         here.put_host(&heard(first, 1));
         there.put_host(&heard(other, 1));
@@ -20,15 +29,15 @@
         // It goes on to beat there.
         there.put_host(&heard(other, 2));
         here.merge(&there.since(0, 0));
-        assert_eq!(here.host("i").unwrap().via, other);
+        assert_eq!(here.host("i").unwrap().reported_by, other);
     }
 }
 
 #[test]
 fn a_call_that_was_sent_on_does_not_end_a_silence() {
     let mut feed = Feed::new(7);
-    feed.put_host(&HostNews { silent: true, ..host("i", 4, Stage::Ready) });
-    assert!(!feed.put_host(&HostNews { via: "b".into(), ..host("i", 4, Stage::Ready) }));
-    assert!(feed.put_host(&HostNews { via: "b".into(), ..host("i", 5, Stage::Ready) }));
-    assert!(!feed.host("i").unwrap().silent);
+    feed.put_host(&EndpointUpdate { suspect: true, ..host("i", 4, EndpointState::Ready) });
+    assert!(!feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 4, EndpointState::Ready) }));
+    assert!(feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 5, EndpointState::Ready) }));
+    assert!(!feed.host("i").unwrap().suspect);
 }
--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -37,7 +37,7 @@
     let bytes: usize = found.state.iter().map(|(name, value)| name.len() + value.len()).sum();
     let config = found.state.get("config").and_then(|text| serde_json::from_str(text).ok());
     let revision =
-        config.map_or("none".into(), |c: coppersail_peer_protocol::Settings| c.revision.to_string());
+        config.map_or("none".into(), |c: coppersail_peer_protocol::ConfigDocument| c.revision.to_string());
     let mut lines = vec![format!("kept: {kept}"), format!("batches: {}", found.number)];
     lines.extend(found.own.iter().map(|(name, value)| format!("own {name}: {value}")));
     lines.push(format!("state: {} entries, {bytes} bytes", found.state.len()));
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/links.rs
@@ -2,7 +2,7 @@
 use crate::node::{Effect, Peer};
 use crate::state::{Say, State};
 use coppersail_consensus::{Id, Ms, OperationId, Output};
-use coppersail_peer_protocol::{Asked, Follow, News};
+use coppersail_peer_protocol::{RequestCounts, Update, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// How many others a centre's heartbeats go to, besides the witnesses and who holds the state.
@@ -52,18 +52,19 @@
             }
             let to_primary = state.primary(now) == Some(peer);
             let asked = if to_primary { std::mem::take(&mut state.asked) } else { Default::default() };
-            let asked =
-                asked.into_iter().map(|(backend, c)| Asked { backend, counts: c.into_iter().collect() });
+            let asked = asked
+                .into_iter()
+                .map(|(backend, c)| RequestCounts { service: backend, counts: c.into_iter().collect() });
             let evidence = if to_primary { state.rollouts.relay() } else { Vec::new() };
-            let follow = Follow {
+            let follow = WatchRequest {
                 edge: state.core.id.clone(),
-                area: String::new(),
-                feed: link.feed,
-                seq: link.seq,
+                zone: String::new(),
+                feed_id: link.feed,
+                sequence: link.seq,
                 wait_ms: state.spans.core.heartbeat_interval,
-                asked: asked.collect(),
-                evidence: evidence.clone(),
-                standing: Some(state.standing(now, peer)),
+                request_counts: asked.collect(),
+                rollout_reports: evidence.clone(),
+                status: Some(state.standing(now, peer)),
             };
             self.tokens += 1;
             let token = POLLS + self.tokens;
@@ -86,7 +87,7 @@
         now: Ms,
         state: &mut State,
         peer: &Id,
-        news: Option<Box<News>>,
+        news: Option<Box<Update>>,
         say: &mut Vec<Say>,
         outs: &mut Vec<Output>,
     ) {
@@ -96,12 +97,12 @@
             link.next_at = now + state.spans.core.heartbeat_interval / 4;
             return state.rollouts.put_back(poll.evidence);
         };
-        (link.feed, link.seq, link.next_at) = (news.feed, news.seq, now);
-        if let Some(standing) = &news.standing {
+        (link.feed, link.seq, link.next_at) = (news.feed_id, news.sequence, now);
+        if let Some(standing) = &news.status {
             state.hear(now, standing, Some(poll.asked_at), outs);
         }
         state.merge(&news);
-        state.rollouts.hear(poll.asked_at, &news.plans_seen);
+        state.rollouts.hear(poll.asked_at, &news.rollouts_as_of);
         state.settle(now, say);
     }
 }
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -5,7 +5,7 @@
 use crate::store::{Batch, Found, Kept};
 use coppersail_config::Boot;
 use coppersail_consensus::{Core, Id, InitialState, KeyValue, Ms, OperationId, Output, RequestId, Role};
-use coppersail_peer_protocol::{Follow, News};
+use coppersail_peer_protocol::{Update, WatchRequest};
 use std::collections::VecDeque;
 
 /// What a centre begins with.
@@ -44,12 +44,12 @@
 
 /// Calls of directors.
 pub enum Peer {
-    Follow(Box<Follow>),
+    Follow(Box<WatchRequest>),
     Core(coppersail_consensus::Request),
 }
 
 pub enum PeerSay {
-    News(Box<News>),
+    News(Box<Update>),
     Core(coppersail_consensus::Response),
 }
 
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -1,7 +1,7 @@
 //! One number, one content: which content of an operator's order has which number. Pure. What is remembered is part of
 //! the control state, written in one batch with the configuration, so it outlives takeovers and restarts.
 use crate::store::Put;
-use coppersail_peer_protocol::Settings;
+use coppersail_peer_protocol::ConfigDocument;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
@@ -70,7 +70,7 @@
         let (mut known, mut newest) = (BTreeMap::new(), None);
         for (name, value) in state {
             if name == "config" {
-                newest = serde_json::from_str::<Settings>(value).ok();
+                newest = serde_json::from_str::<ConfigDocument>(value).ok();
             } else if let Some(revision) = name.strip_prefix(PREFIX).and_then(|r| r.parse().ok()) {
                 if !value.is_empty() {
                     known.insert(revision, value.to_string());
--- a/crates/control-plane/server/src/orders_tests.rs
+++ b/crates/control-plane/server/src/orders_tests.rs
@@ -74,7 +74,7 @@
 
 #[test]
 fn the_newest_of_a_state_that_remembers_no_numbers_is_known_by_its_body() {
-    let settings = Settings { revision: 7, body: r#"{"revision": "r7"}"#.into() };
+    let settings = ConfigDocument { revision: 7, body: r#"{"revision": "r7"}"#.into() };
     let disk = Disk::from([("config".into(), serde_json::to_string(&settings).unwrap())]);
     let orders = recovered(&disk);
     assert_eq!(orders.judge(7, &digest(&settings.body), Some(7)), Judged::Again);
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,7 +1,7 @@
 //! One handler for each resource: what hosts and operators call on `admin`, and what directors call among themselves.
 use crate::admin::one_line;
 use crate::node::{Admin, Peer};
-use coppersail_peer_protocol::Follow;
+use coppersail_peer_protocol::WatchRequest;
 use std::io::Read;
 use tiny_http::{Method, Request};
 
@@ -99,7 +99,7 @@
     }
 
     fn read(&self, _method: &Method, _part: &str, body: String) -> Result<Taken, String> {
-        let follow = serde_json::from_str::<Follow>(&body).map_err(|_| one_line("not a poll"))?;
+        let follow = serde_json::from_str::<WatchRequest>(&body).map_err(|_| one_line("not a poll"))?;
         Ok(Taken::Peer(Peer::Follow(Box::new(follow))))
     }
 }
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -3,7 +3,7 @@
 use crate::store::Put;
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
-use coppersail_peer_protocol::{HostNews, Seen, Stage};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
 use coppersail_rollout::judge::Fleet;
 use coppersail_rollout::ledger::Kind;
 use coppersail_rollout::pace::{Order, Phase, Since, Stand};
@@ -58,7 +58,7 @@
 
 /// What a plan is told about hosts.
 pub struct Hosts<'a> {
-    pub all: &'a dyn Fn() -> Vec<HostNews>,
+    pub all: &'a dyn Fn() -> Vec<EndpointUpdate>,
     /// Whether a host has died, for a loss that was told at a time.
     pub dead: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
@@ -88,17 +88,17 @@
     }
 
     /// What another centre says about how new its plans are, asked for at a time.
-    pub fn hear(&mut self, asked: Ms, seen: &Option<Seen>) {
+    pub fn hear(&mut self, asked: Ms, seen: &Option<RolloutsAsOf>) {
         if let Some(seen) = seen {
-            self.heard = self.heard.max(Some((seen.epoch, asked.saturating_sub(seen.age_ms))));
+            self.heard = self.heard.max(Some((seen.term, asked.saturating_sub(seen.age_ms))));
         }
     }
 
     /// How new the plans here are: of now where this centre is primary.
-    pub fn seen(&self, now: Ms, epoch: Option<u64>) -> Option<Seen> {
+    pub fn seen(&self, now: Ms, epoch: Option<u64>) -> Option<RolloutsAsOf> {
         match (epoch, self.heard) {
-            (Some(epoch), _) => Some(Seen { epoch, age_ms: 0 }),
-            (None, Some((epoch, at))) => Some(Seen { epoch, age_ms: now.saturating_sub(at) }),
+            (Some(epoch), _) => Some(RolloutsAsOf { term: epoch, age_ms: 0 }),
+            (None, Some((epoch, at))) => Some(RolloutsAsOf { term: epoch, age_ms: now.saturating_sub(at) }),
             (None, None) => None,
         }
     }
@@ -237,12 +237,12 @@
     }
 }
 
-fn fleet(plan: &Rollout, hosts: &[HostNews]) -> Fleet {
+fn fleet(plan: &Rollout, hosts: &[EndpointUpdate]) -> Fleet {
     let mut fleet = Fleet::default();
-    for host in hosts.iter().filter(|h| h.stage == Stage::Ready && !h.silent) {
+    for host in hosts.iter().filter(|h| h.state == EndpointState::Ready && !h.suspect) {
         let of = |version: &Version| match version {
-            Version::Backend(name) => host.backend == *name,
-            Version::Revision(name) => host.backend == plan.service && host.revision == *name,
+            Version::Backend(name) => host.service == *name,
+            Version::Revision(name) => host.service == plan.service && host.version == *name,
         };
         if of(&plan.to) {
             fleet.new_hosts += 1;
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -70,8 +70,8 @@
 fn how_new_plans_are_is_what_the_primary_said_and_grows_old() {
     let mut rollouts = Rollouts::default();
     assert_eq!(rollouts.seen(5, None), None);
-    rollouts.hear(100, &Some(Seen { epoch: 3, age_ms: 20 }));
-    rollouts.hear(90, &Some(Seen { epoch: 2, age_ms: 0 }));
-    assert_eq!(rollouts.seen(500, None), Some(Seen { epoch: 3, age_ms: 420 }));
-    assert_eq!(rollouts.seen(500, Some(4)), Some(Seen { epoch: 4, age_ms: 0 }));
+    rollouts.hear(100, &Some(RolloutsAsOf { term: 3, age_ms: 20 }));
+    rollouts.hear(90, &Some(RolloutsAsOf { term: 2, age_ms: 0 }));
+    assert_eq!(rollouts.seen(500, None), Some(RolloutsAsOf { term: 3, age_ms: 420 }));
+    assert_eq!(rollouts.seen(500, Some(4)), Some(RolloutsAsOf { term: 4, age_ms: 0 }));
 }
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -7,7 +7,10 @@
 use crate::store::Put;
 use coppersail_config::{Boot, Config};
 use coppersail_consensus::{Change, Core, Id, Ms, Output, PeerStatus, RequestId};
-use coppersail_peer_protocol::{Asked, Detail, Follow, HostNews, News, Settings, Stage, Standing};
+use coppersail_peer_protocol::{
+    ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus, RequestCounts, Update,
+    WatchRequest,
+};
 use coppersail_shard_leases::{Host, Keys};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -103,7 +106,7 @@
     pub area: String,
     pub spans: Spans,
     /// What other centres last said of themselves, with what seldom changes.
-    standings: BTreeMap<Id, Standing>,
+    standings: BTreeMap<Id, MemberStatus>,
     pub feed: Feed,
     /// Centres that were there, each since which number of the feed followers are told of it.
     centres: BTreeMap<Id, u64>,
@@ -139,7 +142,7 @@
 
 /// An answer that is due.
 pub enum Say {
-    News(RequestId, Box<News>),
+    News(RequestId, Box<Update>),
     Text(RequestId, u16, String),
 }
 
@@ -209,48 +212,48 @@
     }
 
     /// For `peer`; with the detail unless it has said that it has it.
-    pub fn standing(&self, now: Ms, peer: &str) -> Standing {
+    pub fn standing(&self, now: Ms, peer: &str) -> MemberStatus {
         let live = |f: &(&String, &Follower)| f.1.edge && now < f.1.seen + 10_000;
         let told = self.core.told(now);
-        let detail = Detail {
-            life: told.incarnation,
-            floor: told.last_durable_term,
+        let detail = MemberDetail {
+            incarnation: told.incarnation,
+            last_durable_term: told.last_durable_term,
             record: told.record,
             members: told.members,
             edges: self.followers.iter().filter(live).map(|(e, _)| e.clone()).collect(),
-            area: told.zone,
+            zone: told.zone,
         };
         let (sum, other) = (detail.sum(), self.standings.get(peer));
-        let known = other.is_some_and(|o| o.seen == sum);
-        Standing {
+        let known = other.is_some_and(|o| o.acknowledged_sum == sum);
+        MemberStatus {
             id: told.id,
-            acting: told.holds_lease,
-            fit: told.disk_healthy,
-            leaving: told.draining,
-            sum,
-            seen: other.filter(|o| o.detail.is_some()).map_or(0, |o| o.sum),
+            holds_lease: told.holds_lease,
+            disk_healthy: told.disk_healthy,
+            draining: told.draining,
+            detail_sum: sum,
+            acknowledged_sum: other.filter(|o| o.detail.is_some()).map_or(0, |o| o.detail_sum),
             detail: (!known).then_some(detail),
         }
     }
 
     /// A heartbeat of another centre. `asked`: when the call was sent that it answers.
-    pub fn hear(&mut self, now: Ms, standing: &Standing, asked: Option<Ms>, outs: &mut Vec<Output>) {
+    pub fn hear(&mut self, now: Ms, standing: &MemberStatus, asked: Option<Ms>, outs: &mut Vec<Output>) {
         let kept = self.standings.entry(standing.id.clone()).or_default();
         let mut new = standing.clone();
         if new.detail.is_none() {
-            new.detail = kept.detail.take().filter(|_| kept.sum == new.sum);
+            new.detail = kept.detail.take().filter(|_| kept.detail_sum == new.detail_sum);
         }
         *kept = new;
         // What it is was lost on the way: its next call brings it, as it is told that it is not known.
         let Some(detail) = kept.detail.clone() else { return };
         let told = PeerStatus {
             id: standing.id.clone(),
-            holds_lease: standing.acting,
-            disk_healthy: standing.fit,
-            draining: standing.leaving,
-            incarnation: detail.life,
-            last_durable_term: detail.floor,
-            zone: detail.area,
+            holds_lease: standing.holds_lease,
+            disk_healthy: standing.disk_healthy,
+            draining: standing.draining,
+            incarnation: detail.incarnation,
+            last_durable_term: detail.last_durable_term,
+            zone: detail.zone,
             record: detail.record,
             members: detail.members,
         };
@@ -274,15 +277,22 @@
         self.config.as_ref().map(|c| c.service(service).is_some_and(|s| s.split_up))
     }
 
-    pub fn merge(&mut self, news: &News) {
+    pub fn merge(&mut self, news: &Update) {
         self.feed.merge(news);
         self.took_settings();
     }
 
     /// The answer to an edge where this centre is out of touch: where else to ask, and nothing to go by.
-    fn nothing(&self, now: Ms, (feed, seq): (u64, u64)) -> News {
+    fn nothing(&self, now: Ms, (feed, seq): (u64, u64)) -> Update {
         let centres = self.core.members.iter().map(|id| peer_address(id, self.port)).collect();
-        News { feed, seq, alone: true, up_ms: now, centres, ..News::default() }
+        Update {
+            feed_id: feed,
+            sequence: seq,
+            isolated: true,
+            uptime_ms: now,
+            control_plane_addresses: centres,
+            ..Update::default()
+        }
     }
 
     /// Where centres listen for edges: those that are there. Where those are fewer than two, all that ever were.
@@ -308,19 +318,19 @@
     }
 
     /// The answer to a follower.
-    pub fn news(&self, now: Ms, feed: u64, seq: u64, centre: Option<&str>) -> News {
+    pub fn news(&self, now: Ms, feed: u64, seq: u64, centre: Option<&str>) -> Update {
         let mut news = self.feed.since(feed, seq);
         if self.feed.planned() {
             let epoch = self.acts_by().filter(|_| self.acting(now));
-            news.plans_seen = self.rollouts.seen(now, epoch);
+            news.rollouts_as_of = self.rollouts.seen(now, epoch);
         }
-        news.alone = self.alone(now);
-        news.up_ms = now;
-        news.edges = self.edges.values().filter(|at| now < **at + 30_000).count() as u32;
+        news.isolated = self.alone(now);
+        news.uptime_ms = now;
+        news.edge_count = self.edges.values().filter(|at| now < **at + 30_000).count() as u32;
         if let Some(peer) = centre {
-            news.standing = Some(self.standing(now, peer));
-        } else if news.whole || self.centres.values().any(|at| *at > seq) {
-            news.centres = self.centres_now(now);
+            news.status = Some(self.standing(now, peer));
+        } else if news.is_snapshot || self.centres.values().any(|at| *at > seq) {
+            news.control_plane_addresses = self.centres_now(now);
         }
         news
     }
@@ -328,45 +338,45 @@
     pub fn follow(
         &mut self,
         now: Ms,
-        follow: &Follow,
+        follow: &WatchRequest,
         caller: RequestId,
         say: &mut Vec<Say>,
         outs: &mut Vec<Output>,
     ) {
-        let centre = follow.standing.as_ref().map(|s| s.id.clone());
-        if let Some(standing) = &follow.standing {
+        let centre = follow.status.as_ref().map(|s| s.id.clone());
+        if let Some(standing) = &follow.status {
             self.hear(now, standing, None, outs);
         } else {
             self.edges.insert(follow.edge.clone(), now);
         }
-        self.count(&follow.asked);
-        if !follow.evidence.is_empty() {
+        self.count(&follow.request_counts);
+        if !follow.rollout_reports.is_empty() {
             let acts = self.acts_by().is_some();
-            self.rollouts.take(now, acts, &follow.evidence);
+            self.rollouts.take(now, acts, &follow.rollout_reports);
         }
-        let known = follow.feed == self.feed.id;
-        let heard = if known { follow.seq } else { 0 };
+        let known = follow.feed_id == self.feed.id;
+        let heard = if known { follow.sequence } else { 0 };
         let follower = Follower { heard, seen: now, edge: centre.is_none() };
         self.followers.insert(follow.edge.clone(), follower);
-        let has = (follow.feed, follow.seq);
+        let has = (follow.feed_id, follow.sequence);
         if centre.is_none() && self.alone(now) {
             say.push(Say::News(caller, Box::new(self.nothing(now, has))));
-        } else if !known || follow.seq != self.feed.seq {
-            let news = self.news(now, follow.feed, follow.seq, centre.as_deref());
+        } else if !known || follow.sequence != self.feed.seq {
+            let news = self.news(now, follow.feed_id, follow.sequence, centre.as_deref());
             say.push(Say::News(caller, Box::new(news)));
         } else {
             let until = now + follow.wait_ms;
-            self.polls.push(Poll { caller, seq: follow.seq, until, centre, has });
+            self.polls.push(Poll { caller, seq: follow.sequence, until, centre, has });
         }
     }
 
-    pub fn count(&mut self, asked: &[Asked]) {
+    pub fn count(&mut self, asked: &[RequestCounts]) {
         let acts = self.acts_by().is_some();
         for a in asked {
             if acts {
-                self.keys.count(&a.backend, &a.counts);
+                self.keys.count(&a.service, &a.counts);
             } else {
-                let sums = self.asked.entry(a.backend.clone()).or_default();
+                let sums = self.asked.entry(a.service.clone()).or_default();
                 a.counts.iter().for_each(|(slice, many)| *sums.entry(*slice).or_default() += many);
             }
         }
@@ -513,7 +523,7 @@
             }
             let back = self.back(now);
             // A host that leaves has its keys taken within the time that it stays.
-            let leaves = self.feed.host(ident).is_some_and(|h| h.stage > Stage::Ready);
+            let leaves = self.feed.host(ident).is_some_and(|h| h.state > EndpointState::Ready);
             let patience = if leaves { self.spans.beat / 2 } else { self.spans.beat * 3 / 2 };
             let rows = self.keys.grant(now, service, ident, &back, patience);
             let rows: Vec<_> = rows.iter().map(|g| (g.from, g.to, g.fence, &g.handover)).collect();
@@ -593,7 +603,9 @@
                 self.feed.put_plan(&stand);
             }
             let config = change.writes.iter().find(|(name, _)| name == "config");
-            if let Some(settings) = config.and_then(|(_, text)| serde_json::from_str::<Settings>(text).ok()) {
+            if let Some(settings) =
+                config.and_then(|(_, text)| serde_json::from_str::<ConfigDocument>(text).ok())
+            {
                 self.feed.put_settings(&settings);
                 self.took_settings();
             }
@@ -612,10 +624,10 @@
         let all = || feed.hosts().cloned().collect();
         let dead = |ident: &str, told: Ms| match feed.host(ident) {
             None => Some(true),
-            Some(host) if host.silent || host.stage == Stage::Gone => Some(true),
+            Some(host) if host.suspect || host.state == EndpointState::Removed => Some(true),
             // A host that beats elsewhere is known to live once it would have been found silent.
             Some(host) => {
-                let beaten = host.via == *me && beats.get(ident).is_some_and(|b| b.at > told);
+                let beaten = host.reported_by == *me && beats.get(ident).is_some_and(|b| b.at > told);
                 (beaten || now > told + 3 * beat).then_some(false)
             }
         };
@@ -629,16 +641,16 @@
 
     /// Hosts of a divided service, as placement sees them.
     pub fn hosts_of(&self, now: Ms, service: &str) -> Vec<Host> {
-        let of = self.feed.hosts().filter(|h| h.backend == service && h.stage < Stage::Gone);
-        let host = |h: &HostNews| {
-            let beat = self.beats.get(&h.ident)?;
-            let silent = h.silent || now > beat.at + self.spans.beat * 5 / 2;
+        let of = self.feed.hosts().filter(|h| h.service == service && h.state < EndpointState::Removed);
+        let host = |h: &EndpointUpdate| {
+            let beat = self.beats.get(&h.id)?;
+            let silent = h.suspect || now > beat.at + self.spans.beat * 5 / 2;
             Some(Host {
-                ident: h.ident.clone(),
+                ident: h.id.clone(),
                 listed: beat.listed,
                 capacity: beat.capacity.max(1.0),
                 young: now < beat.born + 2 * self.spans.keep,
-                leaving: h.stage > Stage::Ready || silent,
+                leaving: h.state > EndpointState::Ready || silent,
                 silent,
                 beat_at: beat.at + self.spans.beat,
             })
@@ -687,18 +699,18 @@
         self.touch_since = if self.alone(now) { None } else { self.touch_since.or(Some(now)) };
         let judges = self.touch_since.is_some_and(|since| now >= since + quiet);
         let mut lost = Vec::new();
-        for host in self.feed.hosts().filter(|h| judges && !h.silent && h.stage < Stage::Gone) {
-            let Some(beat) = self.beats.get(&host.ident) else { continue };
-            let mine = host.via == self.core.id;
+        for host in self.feed.hosts().filter(|h| judges && !h.suspect && h.state < EndpointState::Removed) {
+            let Some(beat) = self.beats.get(&host.id) else { continue };
+            let mine = host.reported_by == self.core.id;
             let orphan = !mine
                 && self
                     .core
                     .peers
-                    .get(&host.via)
+                    .get(&host.reported_by)
                     .is_none_or(|p| now > p.last_heard + 2 * self.spans.core.lease);
             if (mine && now > beat.at + quiet) || (orphan && now > beat.at + 2 * quiet) {
-                let calls = beat.calls.max(host.calls);
-                lost.push(HostNews { silent: true, calls, ..host.clone() });
+                let calls = beat.calls.max(host.heartbeat_sequence);
+                lost.push(EndpointUpdate { suspect: true, heartbeat_sequence: calls, ..host.clone() });
             }
         }
         for host in lost {
@@ -708,17 +720,20 @@
         let heard: Vec<(String, Ms)> = self
             .feed
             .hosts()
-            .filter(|h| h.via != self.core.id && !h.silent)
+            .filter(|h| h.reported_by != self.core.id && !h.suspect)
             .filter(|h| {
-                self.core.peers.get(&h.via).is_some_and(|p| now < p.last_heard + self.spans.core.lease)
+                self.core
+                    .peers
+                    .get(&h.reported_by)
+                    .is_some_and(|p| now < p.last_heard + self.spans.core.lease)
             })
-            .map(|h| (h.ident.clone(), now))
+            .map(|h| (h.id.clone(), now))
             .collect();
-        for (ident, at) in heard {
-            if let Some(host) = self.feed.host(&ident) {
-                let (capacity, service) = (host.capacity as f64, host.backend.clone());
+        for (id, at) in heard {
+            if let Some(host) = self.feed.host(&id) {
+                let (capacity, service) = (host.capacity as f64, host.service.clone());
                 let listed = self.beats.len() as u64;
-                let beat = self.beats.entry(ident).or_insert(Beat { listed, born: at, ..Beat::default() });
+                let beat = self.beats.entry(id).or_insert(Beat { listed, born: at, ..Beat::default() });
                 (beat.at, beat.capacity, beat.service) = (at, capacity, service);
             }
         }
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -2,7 +2,7 @@
 mod common;
 
 use common::{settings, Core};
-use coppersail_peer_protocol::{Follow, News};
+use coppersail_peer_protocol::{Update, WatchRequest};
 use serde_json::{json, Value};
 use std::time::{Duration, Instant};
 
@@ -95,10 +95,10 @@
     };
     assert_eq!((beat("ready", 3), beat("emptying", 5), beat("ready", 4)), (200, 200, 200));
     for ip in &core.ips {
-        let follow = Follow { edge: "e".into(), ..Follow::default() };
-        let news: News = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
-        let host = news.hosts.iter().find(|h| h.ident == "i-1").expect("every centre knows it");
-        assert_eq!(host.stage, coppersail_peer_protocol::Stage::Emptying);
+        let follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        let news: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
+        let host = news.endpoints.iter().find(|h| h.id == "i-1").expect("every centre knows it");
+        assert_eq!(host.state, coppersail_peer_protocol::EndpointState::Draining);
     }
 }
 
@@ -124,9 +124,13 @@
     let report = coppersail_rollout::Report { edge: "e".into(), rows: vec![row], ..Default::default() };
     // To both that are left: one of them is not primary and passes it on; taken twice, it counts once.
     for ip in &core.ips[1..] {
-        let follow = Follow { edge: "e".into(), evidence: vec![report.clone()], ..Follow::default() };
-        let news: News = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
-        assert!(news.plans_seen.is_some_and(|seen| seen.age_ms < 5_000), "{:?}", news.plans_seen);
+        let follow = WatchRequest {
+            edge: "e".into(),
+            rollout_reports: vec![report.clone()],
+            ..WatchRequest::default()
+        };
+        let news: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
+        assert!(news.rollouts_as_of.is_some_and(|seen| seen.age_ms < 5_000), "{:?}", news.rollouts_as_of);
     }
     let end = Instant::now() + Duration::from_secs(20);
     while read()["phase"] != "withdrawn" {
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -2,7 +2,7 @@
 #![allow(dead_code)]
 
 use coppersail_peer_client::Caller;
-use coppersail_peer_protocol::{Follow, News};
+use coppersail_peer_protocol::{Update, WatchRequest};
 use serde_json::{json, Value};
 use std::fs::File;
 use std::path::PathBuf;
@@ -119,12 +119,12 @@
         panic!("nobody took {method} {path}: {:#?}", [0, 1, 2].map(|n| self.log(n)));
     }
 
-    pub fn held(&self, wait_ms: u64) -> Option<News> {
+    pub fn held(&self, wait_ms: u64) -> Option<Update> {
         let live = self.children.iter().position(|c| c.is_some()).unwrap_or(0);
         let address = format!("{}:7540", self.ips[live]);
-        let mut follow = Follow { edge: "e".into(), ..Follow::default() };
-        let news: News = self.caller.post(&address, "/follow", &follow).ok()?;
-        (follow.feed, follow.seq, follow.wait_ms) = (news.feed, news.seq, wait_ms);
+        let mut follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        let news: Update = self.caller.post(&address, "/follow", &follow).ok()?;
+        (follow.feed_id, follow.sequence, follow.wait_ms) = (news.feed_id, news.sequence, wait_ms);
         self.caller.post(&address, "/follow", &follow).ok().or(Some(news))
     }
 
@@ -135,8 +135,8 @@
 
     fn up_at(&self, n: usize) {
         let (end, address) = (Instant::now() + Duration::from_secs(20), format!("{}:7540", self.ips[n]));
-        let follow = Follow { edge: "e".into(), ..Follow::default() };
-        while self.caller.post::<_, News>(&address, "/follow", &follow).is_err() {
+        let follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        while self.caller.post::<_, Update>(&address, "/follow", &follow).is_err() {
             assert!(Instant::now() < end, "{n} does not start");
             std::thread::yield_now();
         }
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -1,6 +1,6 @@
 //! The pure machine of a centre, without threads, sockets or a disk.
 use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
-use coppersail_peer_protocol::{Detail, Follow, HostNews, News, Standing};
+use coppersail_peer_protocol::{EndpointUpdate, MemberDetail, MemberStatus, Update, WatchRequest};
 use serde_json::json;
 
 const PEERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
@@ -11,12 +11,12 @@
     node: Node,
     now: u64,
     due: Vec<Event>,
-    hosts: Option<Vec<HostNews>>,
-    news: Vec<News>,
+    hosts: Option<Vec<EndpointUpdate>>,
+    news: Vec<Update>,
 }
 
 impl One {
-    fn start(hosts: Vec<HostNews>) -> One {
+    fn start(hosts: Vec<EndpointUpdate>) -> One {
         let boot = json!({
             "self": {"ipAddress": "10.1.0.1", "area": "a", "initialBoot": true, "dataFolder": "unused"},
             "network": {"binds": {"admin": PEERS[0]}, "sparePorts": [7540, 7555], "knownPeers": PEERS},
@@ -47,9 +47,21 @@
     fn answer(&self, to: &str, call: &Peer) -> Option<PeerSay> {
         let Peer::Follow(_) = call else { return None };
         let hosts = self.hosts.clone().filter(|_| to == PEERS[1])?;
-        let detail = Some(Detail::default());
-        let standing = Some(Standing { id: to.into(), fit: true, sum: 9, detail, ..Standing::default() });
-        Some(PeerSay::News(Box::new(News { feed: 3, seq: 1, hosts, standing, ..News::default() })))
+        let detail = Some(MemberDetail::default());
+        let standing = Some(MemberStatus {
+            id: to.into(),
+            disk_healthy: true,
+            detail_sum: 9,
+            detail,
+            ..MemberStatus::default()
+        });
+        Some(PeerSay::News(Box::new(Update {
+            feed_id: 3,
+            sequence: 1,
+            endpoints: hosts,
+            status: standing,
+            ..Update::default()
+        })))
     }
 
     fn step(&mut self, event: Event) {
@@ -71,58 +83,67 @@
     }
 
     /// What it tells who has nothing yet: an edge, or another centre.
-    fn ask(&mut self, from: Option<&str>) -> News {
-        let standing = from.map(|id| Standing { id: id.into(), sum: 5, ..Standing::default() });
-        let follow = Follow { edge: "e".into(), wait_ms: 1, standing, ..Follow::default() };
+    fn ask(&mut self, from: Option<&str>) -> Update {
+        let standing =
+            from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
+        let follow =
+            WatchRequest { edge: "e".into(), wait_ms: 1, status: standing, ..WatchRequest::default() };
         self.step(Event::Peer { caller: 1, call: Peer::Follow(Box::new(follow)) });
         self.news.pop().expect("who has nothing is answered at once")
     }
 }
 
-fn host() -> HostNews {
+fn host() -> EndpointUpdate {
     let (ident, backend, via) = ("i-1".into(), "s".into(), PEERS[1].into());
-    HostNews { ident, backend, via, address: "10.9.0.1:80".into(), calls: 4, ..HostNews::default() }
+    EndpointUpdate {
+        id: ident,
+        service: backend,
+        reported_by: via,
+        address: "10.9.0.1:80".into(),
+        heartbeat_sequence: 4,
+        ..EndpointUpdate::default()
+    }
 }
 
 #[test]
 fn a_centre_out_of_touch_judges_no_host() {
     let mut one = One::start(vec![host()]);
     one.run(5_000);
-    assert!(!one.ask(None).alone, "itself and one other are two of three");
+    assert!(!one.ask(None).isolated, "itself and one other are two of three");
     one.hosts = None;
     one.run(20_000);
-    let told = one.ask(Some(PEERS[2])).hosts;
-    assert!(!told[0].silent, "its own deafness would be news to who hears it again");
+    let told = one.ask(Some(PEERS[2])).endpoints;
+    assert!(!told[0].suspect, "its own deafness would be news to who hears it again");
 }
 
 #[test]
 fn an_edge_is_told_nothing_but_where_else_to_ask_once_touch_is_lost() {
     let mut one = One::start(vec![host()]);
     one.run(5_000);
-    let follow = |news: &News| Follow {
+    let follow = |news: &Update| WatchRequest {
         edge: "e".into(),
-        feed: news.feed,
-        seq: news.seq,
+        feed_id: news.feed_id,
+        sequence: news.sequence,
         wait_ms: 60_000,
-        ..Follow::default()
+        ..WatchRequest::default()
     };
     let before = one.ask(None);
-    assert_eq!(before.hosts.len(), 1);
+    assert_eq!(before.endpoints.len(), 1);
     one.step(Event::Peer { caller: 2, call: Peer::Follow(Box::new(follow(&before))) });
     one.run(1_000);
     assert!(one.news.is_empty(), "nothing is new");
     one.hosts = None;
     one.run(2_000);
     let after = one.news.pop().expect("a held poll is answered once touch is lost");
-    let nothing = News {
-        alone: true,
-        up_ms: after.up_ms,
-        centres: after.centres.clone(),
-        feed: before.feed,
-        seq: before.seq,
-        ..News::default()
+    let nothing = Update {
+        isolated: true,
+        uptime_ms: after.uptime_ms,
+        control_plane_addresses: after.control_plane_addresses.clone(),
+        feed_id: before.feed_id,
+        sequence: before.sequence,
+        ..Update::default()
     };
     assert_eq!(after, nothing);
-    assert_eq!(after.centres.len(), 3);
-    assert!(one.ask(None).alone);
+    assert_eq!(after.control_plane_addresses.len(), 3);
+    assert!(one.ask(None).isolated);
 }
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -320,7 +320,7 @@
 #[test]
 fn inspect_says_what_a_folder_holds_and_changes_nothing_in_it() {
     let (place, _) = real("inspect", 3);
-    let settings = coppersail_peer_protocol::Settings { revision: 12, body: "{}".into() };
+    let settings = coppersail_peer_protocol::ConfigDocument { revision: 12, body: "{}".into() };
     let (scribe, ..) = open(&place.0);
     assert!(write(&scribe, state(vec![put("config", serde_json::to_string(&settings).unwrap())])));
     drop(scribe);
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -5,7 +5,7 @@
 use coppersail_config::{Boot, Config};
 use coppersail_load_balancing::budget::{self, Budget};
 use coppersail_load_balancing::{Book, Ms};
-use coppersail_peer_protocol::{Asked, News};
+use coppersail_peer_protocol::{RequestCounts, Update};
 use rustc_hash::FxHashMap;
 use slog::{info, warn, Logger};
 use std::cell::{Cell, OnceCell, RefCell};
@@ -49,20 +49,20 @@
         }
     }
 
-    pub fn take(&self) -> Vec<Asked> {
+    pub fn take(&self) -> Vec<RequestCounts> {
         let counts = std::mem::take(&mut *self.0.lock().expect("tallies"));
         let asked = counts.into_iter().map(|(backend, counts)| {
             let mut counts: Vec<(u32, u32)> = counts.into_iter().collect();
             counts.sort_unstable();
-            Asked { backend, counts }
+            RequestCounts { service: backend, counts }
         });
         asked.collect()
     }
 
     /// Back with what a failed poll had taken.
-    pub fn put_back(&self, asked: Vec<Asked>) {
+    pub fn put_back(&self, asked: Vec<RequestCounts>) {
         let mut counts = self.0.lock().expect("tallies");
-        for Asked { backend, counts: back } in asked {
+        for RequestCounts { service: backend, counts: back } in asked {
             let counts = counts.entry(backend).or_default();
             for (slice, count) in back {
                 if counts.len() < Self::MOST || counts.contains_key(&slice) {
@@ -139,10 +139,10 @@
     }
 
     /// Takes what a centre told; that it may, `follow::Round::heed` has decided.
-    pub fn take(&self, news: News) {
-        debug_assert!(!news.alone, "a centre without a majority is not heeded");
+    pub fn take(&self, news: Update) {
+        debug_assert!(!news.isolated, "a centre without a majority is not heeded");
         let now = self.now();
-        if let Some(settings) = &news.settings {
+        if let Some(settings) = &news.config {
             let held = self.told.borrow().as_ref().map_or(0, |told| told.config.revision);
             if settings.revision > held || self.told.borrow().is_none() {
                 match coppersail_config::config::parse(settings.body.as_bytes()) {
@@ -162,7 +162,7 @@
         for ident in &changed.left {
             self.pools.borrow_mut().drop_idle(ident);
         }
-        if self.steer.on() || !news.plans.is_empty() {
+        if self.steer.on() || !news.rollouts.is_empty() {
             self.take_plans(&news);
         }
         self.news.notify_waiters();
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -4,7 +4,7 @@
 use coppersail_config::Boot;
 use coppersail_load_balancing::pause;
 use coppersail_peer_client::Caller;
-use coppersail_peer_protocol::{Follow, News};
+use coppersail_peer_protocol::{Update, WatchRequest};
 use slog::{info, Logger};
 use std::sync::atomic::Ordering;
 use std::sync::Arc;
@@ -59,17 +59,17 @@
     /// The one decision on a centre's answer. A centre that can't show a majority of the witnesses may speak of a
     /// state that others have left behind: an edge takes nothing of it, not even its place in the feed, and an edge
     /// that has heard no other is not ready. The next centre is asked instead, after the pause that is given back.
-    pub fn heed(&mut self, follow: &mut Follow, news: News) -> Result<News, Duration> {
-        if news.alone {
-            if !news.centres.is_empty() {
-                self.learn(|round| round.hinted = news.centres);
+    pub fn heed(&mut self, follow: &mut WatchRequest, news: Update) -> Result<Update, Duration> {
+        if news.isolated {
+            if !news.control_plane_addresses.is_empty() {
+                self.learn(|round| round.hinted = news.control_plane_addresses);
             }
             return Err(self.bad());
         }
-        if !news.centres.is_empty() && news.centres != self.known {
-            self.learn(|round| round.known = news.centres.clone());
+        if !news.control_plane_addresses.is_empty() && news.control_plane_addresses != self.known {
+            self.learn(|round| round.known = news.control_plane_addresses.clone());
         }
-        (follow.feed, follow.seq) = (news.feed, news.seq);
+        (follow.feed_id, follow.sequence) = (news.feed_id, news.sequence);
         self.good();
         Ok(news)
     }
@@ -110,14 +110,14 @@
     log: Logger,
     tallies: Arc<Tallies>,
     outbox: Arc<Outbox>,
-    news: UnboundedSender<News>,
+    news: UnboundedSender<Update>,
 ) -> eyre::Result<()> {
     let round = Round::new(boot);
-    let follow = Follow {
+    let follow = WatchRequest {
         edge: boot.ip.clone(),
-        area: boot.area.clone(),
+        zone: boot.area.clone(),
         wait_ms: HELD.as_millis() as u64,
-        ..Follow::default()
+        ..WatchRequest::default()
     };
     let thread = std::thread::Builder::new().name("follow".into()).stack_size(STACK);
     thread.spawn(move || run(round, follow, &log, &tallies, &outbox, &news))?;
@@ -126,11 +126,11 @@
 
 fn run(
     mut round: Round,
-    mut follow: Follow,
+    mut follow: WatchRequest,
     log: &Logger,
     tallies: &Tallies,
     outbox: &Outbox,
-    news: &UnboundedSender<News>,
+    news: &UnboundedSender<Update>,
 ) {
     let caller = Caller::new(CONNECT, WHOLE);
     let mut touch = false;
@@ -139,20 +139,20 @@
             info!(log, "follow: no centre is known");
             return;
         };
-        follow.asked = tallies.take();
+        follow.request_counts = tallies.take();
         let planned = outbox.on.load(Ordering::Relaxed);
         let held = if planned { steer::HELD } else { HELD };
         follow.wait_ms = if touch { held.as_millis() as u64 } else { 0 };
-        follow.evidence = if planned { outbox.take() } else { Vec::new() };
+        follow.rollout_reports = if planned { outbox.take() } else { Vec::new() };
         let asked_at = Instant::now();
         let told = if touch {
-            caller.post::<_, News>(&centre, "/follow", &follow)
+            caller.post::<_, Update>(&centre, "/follow", &follow)
         } else {
             caller.post_within(&centre, "/follow", &follow, round.patience())
         };
         let pause = match told {
             Ok(mut told) => {
-                told.asked_at = Some(asked_at);
+                told.requested_at = Some(asked_at);
                 match round.heed(&mut follow, told) {
                     Ok(told) => {
                         if !touch {
@@ -190,9 +190,9 @@
 }
 
 /// What a poll brought that no centre has taken goes with the next.
-fn unheard(follow: &mut Follow, tallies: &Tallies, outbox: &Outbox) {
-    tallies.put_back(std::mem::take(&mut follow.asked));
-    outbox.put_back(std::mem::take(&mut follow.evidence));
+fn unheard(follow: &mut WatchRequest, tallies: &Tallies, outbox: &Outbox) {
+    tallies.put_back(std::mem::take(&mut follow.request_counts));
+    outbox.put_back(std::mem::take(&mut follow.rollout_reports));
 }
 
 #[cfg(test)]
--- a/crates/data-plane/edge-proxy/src/follow_tests.rs
+++ b/crates/data-plane/edge-proxy/src/follow_tests.rs
@@ -12,7 +12,13 @@
     assert_ne!(round.centre(), Some(&first));
     assert!(!round.bad().is_zero());
     let centres = vec!["10.0.0.7:75".into(), "10.0.0.1:75".into()];
-    assert_matches!(round.heed(&mut Follow::default(), News { centres, ..News::default() }), Ok(_));
+    assert_matches!(
+        round.heed(
+            &mut WatchRequest::default(),
+            Update { control_plane_addresses: centres, ..Update::default() }
+        ),
+        Ok(_)
+    );
     assert_eq!(round.centre(), Some(&first));
     assert_eq!(round.all().count(), 3);
 }
@@ -22,17 +28,23 @@
     let known_peers = vec!["10.0.0.1:99".into(), "10.0.0.2:99".into()];
     let boot = Boot { ip: "10.0.9.9".into(), spare_ports: (75, 80), known_peers, ..Boot::default() };
     let mut round = Round::new(&boot);
-    let mut follow = Follow { feed: 4, seq: 40, ..Follow::default() };
+    let mut follow = WatchRequest { feed_id: 4, sequence: 40, ..WatchRequest::default() };
     let centres = vec!["10.0.0.2:75".into()];
-    let sound = News { feed: 5, seq: 50, centres: centres.clone(), ..News::default() };
+    let sound =
+        Update { feed_id: 5, sequence: 50, control_plane_addresses: centres.clone(), ..Update::default() };
     assert_matches!(round.heed(&mut follow, sound.clone()), Ok(news) if news == sound);
-    assert_eq!((follow.feed, follow.seq, &round.known), (5, 50, &centres));
+    assert_eq!((follow.feed_id, follow.sequence, &round.known), (5, 50, &centres));
     let other = round.all().find(|one| Some(*one) != round.centre()).cloned();
-    let alone =
-        News { feed: 3, seq: 99, alone: true, centres: vec!["10.0.0.7:75".into()], ..News::default() };
+    let alone = Update {
+        feed_id: 3,
+        sequence: 99,
+        isolated: true,
+        control_plane_addresses: vec!["10.0.0.7:75".into()],
+        ..Update::default()
+    };
     assert_matches!(round.heed(&mut follow, alone), Err(pause) if pause.is_zero());
     // It goes on from where it was, at the next one, and what it knew of centres stands.
-    assert_eq!((follow.feed, follow.seq, &round.known), (5, 50, &centres));
+    assert_eq!((follow.feed_id, follow.sequence, &round.known), (5, 50, &centres));
     assert_eq!(round.centre(), other.as_ref());
     assert!(round.all().count() == 3 && round.all().any(|one| one == "10.0.0.7:75"));
 }
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -14,7 +14,7 @@
 
 use coppersail_config::Boot;
 use coppersail_load_balancing::pause;
-use coppersail_peer_protocol::News;
+use coppersail_peer_protocol::Update;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
 use slog::{info, Logger};
@@ -91,7 +91,7 @@
 }
 
 /// Starts everything that runs beside the signals.
-pub fn start(edge: &Rc<Edge>, clients: TcpListener, asked: TcpListener, mut news: UnboundedReceiver<News>) {
+pub fn start(edge: &Rc<Edge>, clients: TcpListener, asked: TcpListener, mut news: UnboundedReceiver<Update>) {
     spawn_local(ready::answer(edge.clone(), asked));
     spawn_local(front::accept(edge.clone(), clients));
     let edge = edge.clone();
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -2,7 +2,7 @@
 //! where no plan is in force, nothing here is done.
 use crate::edge::Edge;
 use coppersail_load_balancing::Ms;
-use coppersail_peer_protocol::News;
+use coppersail_peer_protocol::Update;
 use coppersail_retry::{Broke, Verdict};
 use coppersail_rollout::ledger::Kind;
 use coppersail_rollout::{Ledger, Report, Side, Sides, Version};
@@ -116,10 +116,10 @@
 }
 
 impl Edge {
-    pub fn take_plans(&self, news: &News) {
+    pub fn take_plans(&self, news: &Update) {
         let steer = &self.steer;
         let mut sides = steer.sides.borrow_mut();
-        for stand in &news.plans {
+        for stand in &news.rollouts {
             if sides.take(stand) {
                 let share = stand.share().map_or(0.0, |s| s * 100.0);
                 info!(self.log, "edge: plan {} is {:?} at {share}%: {}", stand.name, stand.phase, stand.why);
@@ -132,13 +132,13 @@
             steer.ledger.borrow_mut().clear();
         }
         // What a primary before the one heard of had says nothing of now.
-        let seen = news.plans_seen.filter(|seen| seen.epoch >= steer.epoch.get());
-        if let (Some(seen), Some(asked)) = (seen, news.asked_at) {
+        let seen = news.rollouts_as_of.filter(|seen| seen.term >= steer.epoch.get());
+        if let (Some(seen), Some(asked)) = (seen, news.requested_at) {
             let ago = asked.elapsed().as_millis() as Ms + seen.age_ms;
             if let Some(at) = self.now().checked_sub(ago) {
                 sides.fresh(at);
             }
-            if seen.epoch > steer.epoch.replace(seen.epoch) {
+            if seen.term > steer.epoch.replace(seen.term) {
                 steer.ledger.borrow_mut().again();
             }
         }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/answers.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/answers.rs
@@ -1,6 +1,6 @@
 //! Answers that come late, twice or too soon: none reaches another caller, and none is taken for what it is not.
 use crate::stand_ins::*;
-use coppersail_peer_protocol::{HostNews, News, Stage};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate, Update};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
@@ -56,8 +56,8 @@
         })
         .await;
         let rig = rig(&[]).await;
-        let parted = HostNews { backend: "parted".into(), ..host.news(Stage::Ready, 1) };
-        rig.edge.take(News { hosts: vec![parted], ..News::default() });
+        let parted = EndpointUpdate { service: "parted".into(), ..host.news(EndpointState::Ready, 1) };
+        rig.edge.take(Update { endpoints: vec![parted], ..Update::default() });
         rig.rows(vec![(1, "i-1".into(), 1)]);
         let asked = request("/seat/", "1", "Shard-Key: 20000\r\nConnection: close\r\n");
         let answer = rig.raw(asked.as_bytes()).await;
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -5,7 +5,7 @@
 mod sessions;
 mod stand_ins;
 
-use coppersail_peer_protocol::{News, Stage};
+use coppersail_peer_protocol::{EndpointState, Update};
 use stand_ins::*;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -144,7 +144,8 @@
             let answer = rig.get("/once/", "1").await;
             assert_eq!((status(&answer), failing.count()), (502, 1), "{way}: {answer}");
             let sound = host("i-2", |_, head| Act::Send(good(head, "sound"))).await;
-            rig.edge.take(News { hosts: vec![sound.news(Stage::Ready, 1)], ..News::default() });
+            rig.edge
+                .take(Update { endpoints: vec![sound.news(EndpointState::Ready, 1)], ..Update::default() });
             for id in 0..4 {
                 let answer = rig.get("/again/", &format!("r{id}")).await;
                 assert!(answer.ends_with("\r\n\r\nsound"), "{way}: {answer}");
@@ -210,8 +211,8 @@
             assert!(read_message(&mut client).await.unwrap().ends_with("leaving"));
         }
         assert_eq!(leaving.connections.get(), 1);
-        let hosts = vec![leaving.news(Stage::Emptying, 2), staying.news(Stage::Ready, 1)];
-        rig.edge.take(News { hosts, ..News::default() });
+        let hosts = vec![leaving.news(EndpointState::Draining, 2), staying.news(EndpointState::Ready, 1)];
+        rig.edge.take(Update { endpoints: hosts, ..Update::default() });
         leaving.ended(1).await;
         client.write_all(request("/once/", "3", "").as_bytes()).await.unwrap();
         assert!(read_message(&mut client).await.unwrap().ends_with("staying"));
@@ -234,8 +235,8 @@
             Act::Send(stand_ins::answer(head, "421 Other", "Not-Run: 1\r\nServer-Id: i-9\r\n", ""))
         })
         .await;
-        let hosts = vec![sound.news(Stage::Ready, 1), moved.news(Stage::Ready, 1)];
-        rig.edge.take(News { hosts, ..News::default() });
+        let hosts = vec![sound.news(EndpointState::Ready, 1), moved.news(EndpointState::Ready, 1)];
+        rig.edge.take(Update { endpoints: hosts, ..Update::default() });
         for id in 0..6 {
             assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
@@ -247,10 +248,10 @@
 fn a_dead_host_costs_no_request() {
     play(|| async {
         let sound = host("i-1", |_, head| Act::Send(good(head, "sound"))).await;
-        let mut dead = sound.news(Stage::Ready, 1);
-        (dead.ident, dead.address) = ("i-0".into(), "127.0.0.1:1".into());
+        let mut dead = sound.news(EndpointState::Ready, 1);
+        (dead.id, dead.address) = ("i-0".into(), "127.0.0.1:1".into());
         let rig = rig(&[&sound]).await;
-        rig.edge.take(News { hosts: vec![dead], ..News::default() });
+        rig.edge.take(Update { endpoints: vec![dead], ..Update::default() });
         for id in 0..6 {
             assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
@@ -288,13 +289,13 @@
         let old = host("i-1", |_, head| Act::Send(answer(head, "421 Unheld", "Not-Run: 1\r\n", ""))).await;
         let new = host("i-2", |_, head| Act::Send(good(head, "held"))).await;
         for host in [&old, &new] {
-            news.push(coppersail_peer_protocol::HostNews {
-                backend: "parted".into(),
-                ..host.news(Stage::Ready, 1)
+            news.push(coppersail_peer_protocol::EndpointUpdate {
+                service: "parted".into(),
+                ..host.news(EndpointState::Ready, 1)
             });
         }
         let rig = rig(&[]).await;
-        rig.edge.take(News { hosts: news, ..News::default() });
+        rig.edge.take(Update { endpoints: news, ..Update::default() });
         let key = "Shard-Key: 20000\r\nConnection: close\r\n";
         let unheld = rig.raw(request("/key/", "1", key).as_bytes()).await;
         assert_eq!(status(&unheld), 503);
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -1,6 +1,6 @@
 //! A plan at an edge, among hosts of two revisions.
 use crate::stand_ins::*;
-use coppersail_peer_protocol::{HostNews, News, Seen, Stage};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf, Update};
 use coppersail_rollout::ledger::Kind;
 use coppersail_rollout::pace::{Order, Stand};
 use std::time::Instant;
@@ -12,20 +12,25 @@
     Stand::submit("friday", BODY, None).unwrap()
 }
 
-fn of(host: &Host, revision: &str) -> HostNews {
-    HostNews { revision: revision.into(), ..host.news(Stage::Ready, 1) }
+fn of(host: &Host, revision: &str) -> EndpointUpdate {
+    EndpointUpdate { version: revision.into(), ..host.news(EndpointState::Ready, 1) }
 }
 
 /// What a primary says now.
-fn told(plans: Vec<Stand>, epoch: u64) -> News {
-    let plans_seen = Some(Seen { epoch, age_ms: 0 });
-    News { plans, plans_seen, asked_at: Some(Instant::now()), ..News::default() }
+fn told(plans: Vec<Stand>, epoch: u64) -> Update {
+    let plans_seen = Some(RolloutsAsOf { term: epoch, age_ms: 0 });
+    Update {
+        rollouts: plans,
+        rollouts_as_of: plans_seen,
+        requested_at: Some(Instant::now()),
+        ..Update::default()
+    }
 }
 
 async fn two(old: &Host, new: &Host) -> Rig {
     let rig = rig(&[]).await;
     // Time enough that a proof of now does not lie before the edge's start.
-    rig.edge.take(News { hosts: vec![of(old, "v1"), of(new, "v2")], ..News::default() });
+    rig.edge.take(Update { endpoints: vec![of(old, "v1"), of(new, "v2")], ..Update::default() });
     rig
 }
 
@@ -128,16 +133,24 @@
         let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
         let new = host("i-new", |_, head| Act::Send(good(head, "new"))).await;
         let rig = two(&old, &new).await;
-        rig.edge.take(News { plans: vec![stand()], ..News::default() });
+        rig.edge.take(Update { rollouts: vec![stand()], ..Update::default() });
         // A word that is older than the lease is none.
-        let old_word = Some(Seen { epoch: 1, age_ms: 2_600 });
-        rig.edge.take(News { plans_seen: old_word, asked_at: Some(Instant::now()), ..News::default() });
+        let old_word = Some(RolloutsAsOf { term: 1, age_ms: 2_600 });
+        rig.edge.take(Update {
+            rollouts_as_of: old_word,
+            requested_at: Some(Instant::now()),
+            ..Update::default()
+        });
         for n in 0..30 {
             assert!(ask(&rig, "/once/", n).await.ends_with("old"));
         }
         // Nor is one of a primary before the one last heard of.
-        let last = Some(Seen { epoch: 2, age_ms: 2_600 });
-        rig.edge.take(News { plans_seen: last, asked_at: Some(Instant::now()), ..News::default() });
+        let last = Some(RolloutsAsOf { term: 2, age_ms: 2_600 });
+        rig.edge.take(Update {
+            rollouts_as_of: last,
+            requested_at: Some(Instant::now()),
+            ..Update::default()
+        });
         rig.edge.take(told(vec![], 1));
         for n in 30..60 {
             assert!(ask(&rig, "/once/", n).await.ends_with("old"));
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -1,7 +1,7 @@
 //! An edge on loopback, hosts that do as a script says, and clients that write raw bytes.
 use coppersail_config::Boot;
 use coppersail_edge_proxy::edge::Edge;
-use coppersail_peer_protocol::{HostNews, News, Settings, SliceNews, Stage};
+use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
 use slog::{o, Discard, Logger};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
@@ -172,23 +172,23 @@
         }
     }
 
-    pub fn news(&self, stage: Stage, calls: u64) -> HostNews {
-        HostNews {
-            ident: self.ident.clone(),
-            backend: "plain".into(),
+    pub fn news(&self, stage: EndpointState, calls: u64) -> EndpointUpdate {
+        EndpointUpdate {
+            id: self.ident.clone(),
+            service: "plain".into(),
             address: self.address.to_string(),
-            area: "north".into(),
+            zone: "north".into(),
             capacity: 4,
-            stage,
-            calls,
-            ..HostNews::default()
+            state: stage,
+            heartbeat_sequence: calls,
+            ..EndpointUpdate::default()
         }
     }
 }
 
 pub struct Rig {
     pub edge: Rc<Edge>,
-    pub news: UnboundedSender<News>,
+    pub news: UnboundedSender<Update>,
     pub clients: SocketAddr,
     pub readiness: SocketAddr,
 }
@@ -219,10 +219,10 @@
     let (news, taken) = tokio::sync::mpsc::unbounded_channel();
     coppersail_edge_proxy::start(&edge, clients, readiness, taken);
     let body = SETTINGS.replace("HEADWAIT", head_wait);
-    edge.take(News {
-        settings: Some(Settings { revision: 4, body }),
-        hosts: hosts.iter().map(|host| host.news(Stage::Ready, 1)).collect(),
-        ..News::default()
+    edge.take(Update {
+        config: Some(ConfigDocument { revision: 4, body }),
+        endpoints: hosts.iter().map(|host| host.news(EndpointState::Ready, 1)).collect(),
+        ..Update::default()
     });
     Rig { edge, news, clients: at.0, readiness: at.1 }
 }
@@ -230,8 +230,8 @@
 impl Rig {
     pub fn rows(&self, rows: Vec<(u32, String, u64)>) {
         let rows = rows.into_iter().map(|(slice, ident, number)| (slice, slice, ident, number)).collect();
-        let slices = vec![SliceNews { backend: "parted".into(), slices: 4, rows }];
-        self.news.send(News { slices, ..News::default() }).unwrap();
+        let slices = vec![AssignmentUpdate { service: "parted".into(), slice_count: 4, rows }];
+        self.news.send(Update { assignments: slices, ..Update::default() }).unwrap();
     }
 
     pub async fn connect(&self) -> TcpStream {
--- a/crates/data-plane/load-balancing/src/book.rs
+++ b/crates/data-plane/load-balancing/src/book.rs
@@ -2,7 +2,7 @@
 use crate::health::Health;
 use crate::load::Load;
 use crate::Ms;
-use coppersail_peer_protocol::{HostNews, News, SliceNews, Stage};
+use coppersail_peer_protocol::{AssignmentUpdate, EndpointState, EndpointUpdate, Update};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -26,7 +26,7 @@
     /// In this edge's zone.
     pub near: bool,
     pub capacity: u32,
-    pub stage: Stage,
+    pub stage: EndpointState,
     /// When this edge heard that it leaves: not later than that was acknowledged to it.
     left_at: Ms,
     pub silent: bool,
@@ -42,19 +42,21 @@
 impl Host {
     /// Whether requests may be sent to it at all.
     pub fn usable(&self, now: Ms) -> bool {
-        self.stage == Stage::Ready && now >= self.spurned_until
+        self.stage == EndpointState::Ready && now >= self.spurned_until
     }
 
     /// Whether a request may be sent to it that was meant for it a moment ago.
     pub fn serves(&self, now: Ms, key: Option<u16>, stays: Ms) -> bool {
-        self.stage == Stage::Ready || (key.is_some() && self.holds(now, stays))
+        self.stage == EndpointState::Ready || (key.is_some() && self.holds(now, stays))
     }
 
     /// Whether requests for keys that it holds may be sent to it: nobody else may run them, so also, for `stays`,
     /// after it has said that it leaves.
     pub fn holds(&self, now: Ms, stays: Ms) -> bool {
         self.usable(now)
-            || (self.stage == Stage::Emptying && now >= self.spurned_until && now < self.left_at + stays)
+            || (self.stage == EndpointState::Draining
+                && now >= self.spurned_until
+                && now < self.left_at + stays)
     }
 }
 
@@ -157,51 +159,51 @@
         })
     }
 
-    pub fn merge(&mut self, news: &News, now: Ms) -> Changed {
+    pub fn merge(&mut self, news: &Update, now: Ms) -> Changed {
         let mut changed = Changed::default();
         // One that has heard of no host at all is not trusted about those that it misses.
-        if news.whole && !news.hosts.is_empty() {
-            let until = now + YOUNG.saturating_sub(news.up_ms);
-            let named: FxHashSet<&str> = news.hosts.iter().map(|host| host.ident.as_str()).collect();
+        if news.is_snapshot && !news.endpoints.is_empty() {
+            let until = now + YOUNG.saturating_sub(news.uptime_ms);
+            let named: FxHashSet<&str> = news.endpoints.iter().map(|host| host.id.as_str()).collect();
             for host in self.hosts.values_mut().filter(|host| !named.contains(&*host.ident)) {
                 host.unnamed_until.get_or_insert(until);
             }
         }
-        for host in &news.hosts {
+        for host in &news.endpoints {
             self.take_host(host, now, &mut changed);
         }
-        for slices in &news.slices {
+        for slices in &news.assignments {
             changed.rows |= self.take_slices(slices);
         }
-        self.edges = self.edges.max(news.edges);
+        self.edges = self.edges.max(news.edge_count);
         self.sweep(now, &mut changed);
         changed
     }
 
-    fn take_host(&mut self, news: &HostNews, now: Ms, changed: &mut Changed) {
+    fn take_host(&mut self, news: &EndpointUpdate, now: Ms, changed: &mut Changed) {
         let Ok(address) = news.address.parse::<SocketAddr>() else { return };
-        if self.ended.contains(news.ident.as_str()) {
+        if self.ended.contains(news.id.as_str()) {
             return;
         }
-        if news.stage == Stage::Gone {
-            self.end(&news.ident, changed);
+        if news.state == EndpointState::Removed {
+            self.end(&news.id, changed);
             return;
         }
-        if let Some(host) = self.hosts.get_mut(news.ident.as_str()) {
+        if let Some(host) = self.hosts.get_mut(news.id.as_str()) {
             host.unnamed_until = None;
-            let newer = news.calls > host.calls;
-            if host.stage < news.stage {
-                (host.stage, host.left_at) = (news.stage, now);
+            let newer = news.heartbeat_sequence > host.calls;
+            if host.stage < news.state {
+                (host.stage, host.left_at) = (news.state, now);
                 changed.left.push(host.ident.clone());
             }
             if newer {
                 // Its own beat speaks for the address.
                 (host.spurned_until, host.address) = (0, address);
-                host.calls = news.calls;
-                host.cold_until = now + news.cold_ms;
+                host.calls = news.heartbeat_sequence;
+                host.cold_until = now + news.slow_start_ms;
             }
-            if news.calls >= host.calls {
-                host.silent = news.silent;
+            if news.heartbeat_sequence >= host.calls {
+                host.silent = news.suspect;
                 if host.capacity != news.capacity {
                     host.capacity = news.capacity;
                     host.load.capacity(news.capacity);
@@ -211,28 +213,28 @@
         }
         // Whoever had the address before has ended without a word. Which of two that seem well came later cannot be
         // told (news come in no order): that is left to the host that answers there.
-        if news.stage == Stage::Ready && !news.silent {
+        if news.state == EndpointState::Ready && !news.suspect {
             for host in self.hosts.values_mut().filter(|host| host.address == address && host.silent) {
                 host.spurned_until = Ms::MAX;
                 changed.left.push(host.ident.clone());
             }
         }
-        let (ident, service): (Rc<str>, Rc<str>) = (news.ident.as_str().into(), news.backend.as_str().into());
+        let (ident, service): (Rc<str>, Rc<str>) = (news.id.as_str().into(), news.service.as_str().into());
         let part = self.parts.entry(service.clone()).or_default();
         part.hosts.push(ident.clone());
         let host = Host {
             ident: ident.clone(),
             service,
-            revision: news.revision.as_str().into(),
+            revision: news.version.as_str().into(),
             address,
-            near: news.area == self.area,
+            near: news.zone == self.area,
             capacity: news.capacity,
-            stage: news.stage,
+            stage: news.state,
             // Since when is not known: it may be about to end.
             left_at: 0,
-            silent: news.silent,
-            cold_until: now + news.cold_ms,
-            calls: news.calls,
+            silent: news.suspect,
+            cold_until: now + news.slow_start_ms,
+            calls: news.heartbeat_sequence,
             unnamed_until: None,
             spurned_until: 0,
             load: Load::new(news.capacity),
@@ -264,7 +266,7 @@
         let gone: Vec<Rc<str>> = self.hosts.values().filter(over).map(|host| host.ident.clone()).collect();
         for ident in gone {
             // One that was leaving must not come back as ready.
-            if self.hosts[&ident].stage > Stage::Ready {
+            if self.hosts[&ident].stage > EndpointState::Ready {
                 self.end(&ident, changed);
             } else {
                 self.drop_host(&ident);
@@ -273,19 +275,19 @@
         }
     }
 
-    fn take_slices(&mut self, news: &SliceNews) -> bool {
-        if news.slices == 0 || news.slices > 65_536 {
+    fn take_slices(&mut self, news: &AssignmentUpdate) -> bool {
+        if news.slice_count == 0 || news.slice_count > 65_536 {
             return false;
         }
-        let part = self.parts.entry(news.backend.as_str().into()).or_default();
+        let part = self.parts.entry(news.service.as_str().into()).or_default();
         let slices = part.slices.get_or_insert_with(Slices::default);
-        if slices.rows.len() != news.slices as usize {
+        if slices.rows.len() != news.slice_count as usize {
             // Late news of how it was divided before takes no row back.
             let held = slices.rows.iter().map(|row| row.fence).max();
             if held >= news.rows.iter().map(|(.., fence)| *fence).max() && held.is_some() {
                 return false;
             }
-            slices.rows = vec![Row::default(); news.slices as usize];
+            slices.rows = vec![Row::default(); news.slice_count as usize];
         }
         let mut any = false;
         for (first, last, ident, fence) in &news.rows {
--- a/crates/data-plane/load-balancing/src/pick/tests.rs
+++ b/crates/data-plane/load-balancing/src/pick/tests.rs
@@ -1,20 +1,20 @@
 //! Tests of the module `pick`.
 use super::*;
 use crate::health::Sign;
-use coppersail_peer_protocol::{HostNews, News, SliceNews, Stage};
+use coppersail_peer_protocol::{AssignmentUpdate, EndpointState, EndpointUpdate, Update};
 
 fn book(hosts: u32) -> Book {
-    let host = |n: u32| HostNews {
-        ident: format!("i-{n}"),
-        backend: "b".into(),
+    let host = |n: u32| EndpointUpdate {
+        id: format!("i-{n}"),
+        service: "b".into(),
         address: format!("10.0.0.{n}:80"),
-        area: "north".into(),
+        zone: "north".into(),
         capacity: 2,
-        calls: 1,
-        ..HostNews::default()
+        heartbeat_sequence: 1,
+        ..EndpointUpdate::default()
     };
     let mut book = Book::new("north");
-    book.merge(&News { hosts: (0..hosts).map(host).collect(), ..News::default() }, 0);
+    book.merge(&Update { endpoints: (0..hosts).map(host).collect(), ..Update::default() }, 0);
     book
 }
 
@@ -30,13 +30,13 @@
     }
     let picked = |book: &Book, chance: &mut _| pick(book, &ask(true), 0, chance);
     assert_eq!(picked(&book, &mut chance), Choice::Host("i-3".into()));
-    let news = HostNews {
-        ident: "i-3".into(),
+    let news = EndpointUpdate {
+        id: "i-3".into(),
         address: "10.0.0.3:80".into(),
-        stage: Stage::Emptying,
-        ..HostNews::default()
+        state: EndpointState::Draining,
+        ..EndpointUpdate::default()
     };
-    book.merge(&News { hosts: vec![news], ..News::default() }, 0);
+    book.merge(&Update { endpoints: vec![news], ..Update::default() }, 0);
     assert!((0..50).all(|_| picked(&book, &mut chance) != Choice::Host("i-3".into())));
 }
 
@@ -56,8 +56,9 @@
 fn a_key_goes_to_its_holder_alone() {
     let (mut book, mut chance) = (book(4), fastrand::Rng::with_seed(7));
     let ask = Ask { key: Some(40_000), ..ask(true) };
-    let slices = vec![SliceNews { backend: "b".into(), slices: 2, rows: vec![(1, 1, "i-2".into(), 1)] }];
-    book.merge(&News { slices, ..News::default() }, 0);
+    let slices =
+        vec![AssignmentUpdate { service: "b".into(), slice_count: 2, rows: vec![(1, 1, "i-2".into(), 1)] }];
+    book.merge(&Update { assignments: slices, ..Update::default() }, 0);
     assert_eq!(pick(&book, &ask, 0, &mut chance), Choice::Host("i-2".into()));
     book.spurn("i-2", 0);
     assert_eq!(pick(&book, &ask, 0, &mut chance), Choice::Unheld);
--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -2,7 +2,7 @@
 mod line;
 
 use coppersail_fleet_emulator::{settings, table, walk, Follower, Size, Spent, Tally};
-use coppersail_peer_protocol::{Asked, News};
+use coppersail_peer_protocol::{RequestCounts, Update};
 use coppersail_stub_backend::{Life, Plan, Reply, Way};
 use eyre::{bail, eyre, Result};
 use lexopt::prelude::*;
@@ -226,9 +226,9 @@
         let mut edge = Follower::new(number as u32, self.area(number), self.of.wait);
         let (mut line, mut way) = (Line::default(), self.way(number));
         let counts: Vec<(u32, u32)> = (0..self.of.asked).map(|slice| (slice, 1)).collect();
-        let asked: Vec<Asked> = match counts.is_empty() {
+        let asked: Vec<RequestCounts> = match counts.is_empty() {
             true => Vec::new(),
-            false => vec![Asked { backend: walk::service(0, 1), counts }],
+            false => vec![RequestCounts { service: walk::service(0, 1), counts }],
         };
         let most = Duration::from_millis(self.of.wait) + PATIENCE;
         sleep(Duration::from_secs(1).mul_f64(fastrand::f64())).await;
@@ -237,7 +237,7 @@
             let body = serde_json::to_vec(&edge.poll(&asked)).unwrap_or_default();
             let target = way.target().to_string();
             let answer = self.call(&mut line, &target, "/follow", body, most).await;
-            match answer.and_then(|body| Ok(serde_json::from_slice::<News>(&body)?)) {
+            match answer.and_then(|body| Ok(serde_json::from_slice::<Update>(&body)?)) {
                 Ok(news) => {
                     let new = edge.took(&news);
                     self.tally().answered(self.now() - began, new);
--- a/crates/tools/fleet-emulator/src/walk.rs
+++ b/crates/tools/fleet-emulator/src/walk.rs
@@ -1,5 +1,5 @@
 //! What one hollow edge says from poll to poll, and a configuration for hollow hosts.
-use coppersail_peer_protocol::{Asked, Follow, News};
+use coppersail_peer_protocol::{RequestCounts, Update, WatchRequest};
 use serde_json::json;
 
 /// An edge that polls and keeps only what it needs for the next poll.
@@ -15,24 +15,24 @@
 /// ```
 #[derive(Debug, Clone)]
 pub struct Follower {
-    follow: Follow,
+    follow: WatchRequest,
 }
 
 impl Follower {
     /// Addresses of the loopback net, so that no real edge is taken for one.
     pub fn new(number: u32, area: String, wait_ms: u64) -> Follower {
         let edge = format!("127.{}.{}.{}", 64 + (number >> 16 & 63), number >> 8 & 255, number & 255);
-        Follower { follow: Follow { edge, area, wait_ms, ..Follow::default() } }
+        Follower { follow: WatchRequest { edge, zone: area, wait_ms, ..WatchRequest::default() } }
     }
 
-    pub fn poll(&self, asked: &[Asked]) -> Follow {
-        Follow { asked: asked.to_vec(), ..self.follow.clone() }
+    pub fn poll(&self, asked: &[RequestCounts]) -> WatchRequest {
+        WatchRequest { request_counts: asked.to_vec(), ..self.follow.clone() }
     }
 
     /// Takes an answer; whether it told anything new.
-    pub fn took(&mut self, news: &News) -> bool {
-        let new = (news.feed, news.seq) != (self.follow.feed, self.follow.seq);
-        (self.follow.feed, self.follow.seq) = (news.feed, news.seq);
+    pub fn took(&mut self, news: &Update) -> bool {
+        let new = (news.feed_id, news.sequence) != (self.follow.feed_id, self.follow.sequence);
+        (self.follow.feed_id, self.follow.sequence) = (news.feed_id, news.sequence);
         new
     }
 }
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -5,7 +5,7 @@
 use crate::{Us, World, APPLY, EMPTY};
 use coppersail_control_plane::node::{Peer, PeerSay};
 use coppersail_load_balancing::Book;
-use coppersail_peer_protocol::{Asked, Follow, News, Stage};
+use coppersail_peer_protocol::{EndpointState, RequestCounts, Update, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 const HELD: u64 = 700;
@@ -64,7 +64,7 @@
     no: u32,
     call: u64,
     waits: bool,
-    follow: Follow,
+    follow: WatchRequest,
     round: Round,
     revision: u64,
     order: Option<usize>,
@@ -77,19 +77,19 @@
 impl Edge {
     /// Takes what a centre in touch told. All that is kept only goes forward, as in an edge; what is told under a
     /// number that it has must be the same.
-    fn take(&mut self, now: Us, news: &mut News) -> Held<()> {
-        for table in &news.slices {
-            let rows = self.rows.entry(table.backend.clone()).or_default();
-            if rows.len() < table.slices as usize {
-                rows.resize(table.slices as usize, (0, String::new()));
+    fn take(&mut self, now: Us, news: &mut Update) -> Held<()> {
+        for table in &news.assignments {
+            let rows = self.rows.entry(table.service.clone()).or_default();
+            if rows.len() < table.slice_count as usize {
+                rows.resize(table.slice_count as usize, (0, String::new()));
             }
             for (first, last, ident, number) in &table.rows {
-                for slice in *first..=(*last).min(table.slices.saturating_sub(1)) {
+                for slice in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
                     let row = &mut rows[slice as usize];
                     if row.0 == *number && row.1 != *ident {
                         let what = format!(
                             "slice {slice} of {} is {}'s and {ident}'s under number {number}",
-                            table.backend, row.1
+                            table.service, row.1
                         );
                         return Err((rule::EDGE, what));
                     }
@@ -99,16 +99,16 @@
                 }
             }
         }
-        news.slices.clear();
+        news.assignments.clear();
         self.book.merge(news, now / 1000);
-        for host in &news.hosts {
-            let stage = self.book.host(&host.ident).map(|h| h.stage);
+        for host in &news.endpoints {
+            let stage = self.book.host(&host.id).map(|h| h.stage);
             match stage {
-                Some(Stage::Ready) if self.left.contains(&host.ident) => {
-                    return Err((rule::EDGE, format!("{} has left, and is ready again", host.ident)));
+                Some(EndpointState::Ready) if self.left.contains(&host.id) => {
+                    return Err((rule::EDGE, format!("{} has left, and is ready again", host.id)));
                 }
-                Some(Stage::Ready) => {}
-                _ => drop(self.left.insert(host.ident.clone())),
+                Some(EndpointState::Ready) => {}
+                _ => drop(self.left.insert(host.id.clone())),
             }
         }
         Ok(())
@@ -121,8 +121,12 @@
         for n in 0..self.day.edges {
             let zone = n % self.day.zones;
             let ip = format!("10.{}.1.{}", zone + 1, n + 1);
-            let follow =
-                Follow { edge: ip.clone(), area: format!("zone-{zone}"), wait_ms: HELD, ..Follow::default() };
+            let follow = WatchRequest {
+                edge: ip.clone(),
+                zone: format!("zone-{zone}"),
+                wait_ms: HELD,
+                ..WatchRequest::default()
+            };
             let round = Round { named: named.clone(), at: n, ..Round::default() };
             self.edges.push(Edge { zone, ip, follow, round, ..Edge::default() });
             let at = self.luck.u64(0..300_000);
@@ -145,7 +149,7 @@
         let at = self.luck.usize(0..9);
         let edge = &mut self.edges[n];
         edge.round = Round { named, at, ..Round::default() };
-        (edge.follow.feed, edge.follow.seq, edge.follow.asked) = (0, 0, Vec::new());
+        (edge.follow.feed_id, edge.follow.sequence, edge.follow.request_counts) = (0, 0, Vec::new());
         (edge.revision, edge.order, edge.waits) = (0, None, false);
         edge.touched = edge.touched.max(self.now);
         edge.book = Book::new("");
@@ -162,13 +166,13 @@
         let Some(centre) = self.edges[n].round.centre() else { return };
         // Traffic, so that keys move: one part of them is busy, and another one later.
         let slices = self.edges[n].rows.get(SPLIT).map_or(0, |r| r.len() as u32);
-        if slices > 0 && self.edges[n].follow.asked.is_empty() {
+        if slices > 0 && self.edges[n].follow.request_counts.is_empty() {
             let busy = (self.now / 20_000_000) as u32 * 37 % slices;
             let mut counts: Vec<(u32, u32)> = (0..4).map(|_| (self.luck.u32(0..slices), 1)).collect();
             counts.push((busy, 20));
             counts.sort_unstable();
             counts.dedup_by_key(|c| c.0);
-            self.edges[n].follow.asked = vec![Asked { backend: SPLIT.into(), counts }];
+            self.edges[n].follow.request_counts = vec![RequestCounts { service: SPLIT.into(), counts }];
         }
         let edge = &mut self.edges[n];
         (edge.call, edge.waits) = (call, true);
@@ -192,17 +196,17 @@
             let pause = edge.round.bad();
             return self.edge_wake(n, pause);
         };
-        edge.follow.asked.clear();
-        edge.round.told(&news.centres);
-        if news.alone {
+        edge.follow.request_counts.clear();
+        edge.round.told(&news.control_plane_addresses);
+        if news.isolated {
             let pause = edge.round.bad();
             return self.edge_wake(n, pause);
         }
-        (edge.follow.feed, edge.follow.seq) = (news.feed, news.seq);
+        (edge.follow.feed_id, edge.follow.sequence) = (news.feed_id, news.sequence);
         (edge.round.failed, edge.round.pause) = (0, 0);
         let held = edge.take(now, &mut news);
         self.check(held);
-        if let Some(settings) = &news.settings {
+        if let Some(settings) = &news.config {
             if settings.revision > self.edges[n].revision || self.edges[n].order.is_none() {
                 let held = self.ledger.told(&settings.body, settings.revision);
                 if let Some(order) = self.check(held) {
@@ -235,7 +239,8 @@
         }
         for edge in self.edges.iter().filter(|e| now >= e.touched + contact) {
             let ready = |(ident, at): &&(String, Us)| {
-                now > at + EMPTY * 1000 && edge.book.host(ident).is_some_and(|h| h.stage == Stage::Ready)
+                now > at + EMPTY * 1000
+                    && edge.book.host(ident).is_some_and(|h| h.stage == EndpointState::Ready)
             };
             if let Some((ident, at)) = self.emptied.iter().find(ready) {
                 let what = format!("{} has {ident} as ready, acknowledged at {} ms", edge.ip, at / 1000);
