--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -1,6 +1,6 @@
 //! The settings file of a process (`COPPERSAIL_SETTINGS`), read once and checked.
 use crate::field::{
-    any, filled, flag, fraction, list, maybe, must, object, or, table, text, texts, time, whole, Fault,
+    any, filled, flag, fraction, list, maybe, must, object, or, table, text, texts, time, whole, FieldError,
 };
 use serde_json::Value;
 use std::collections::BTreeMap;
@@ -15,7 +15,7 @@
 
 table! {
     /// Every field of the settings that the programs use. Unknown fields are passed over.
-    pub struct Boot {
+    pub struct ProcessSettings {
         node: String = "self.nodeName", text, or(String::new()), any;
         ip: String = "self.ipAddress", text, must(), ip;
         area: String = "self.area", text, must(), filled;
@@ -40,14 +40,14 @@
         /// `survive.boxes`
         survive: u32 = "terms.survive.boxes", whole, or(0), any, live;
         promises: Vec<String> = "terms.promises", list(text), or(Vec::new()), any, live;
-        limits: Limits = "terms.timeLimits", limits, or(Limits::default()), any, each;
+        limits: TimeLimits = "terms.timeLimits", limits, or(TimeLimits::default()), any, each;
     }
 }
 
 table! {
     /// `terms.timeLimits`. A limit is left out where no promise needs it; what stands here then is the careful side:
     /// quick where the system has to act, long where it has to wait.
-    pub struct Limits {
+    pub struct TimeLimits {
         peer_delay: Duration = "peerDelay", time, ms(3000), any, live;
         recycle_after: Duration = "recycleAfter", time, ms(1000), any, live;
         in_contact: Duration = "inContact", time, ms(3000), any, live;
@@ -68,17 +68,17 @@
     }
 }
 
-impl Boot {
+impl ProcessSettings {
     /// Reads the file that the environment names.
-    pub fn read() -> Result<Boot, Fault> {
+    pub fn read() -> Result<ProcessSettings, FieldError> {
         let path = std::env::var(VARIABLE).unwrap_or_default();
-        let fault = |value, expected| Fault { field: VARIABLE.into(), value, expected };
+        let fault = |value, expected| FieldError { field: VARIABLE.into(), value, expected };
         if path.is_empty() {
             return Err(fault(String::new(), "the path of the settings file"));
         }
         let text = std::fs::read_to_string(&path)
             .map_err(|e| fault(format!("{path:?} ({e})"), "a file that can be read"))?;
-        Boot::from_json(&text)
+        ProcessSettings::from_json(&text)
     }
 
     /// Reads settings from their text.
@@ -92,24 +92,24 @@
     /// }"#).unwrap();
     /// assert_eq!((boot.spare_ports.0, boot.limits.leeway.as_secs()), (7540, 6));
     /// ```
-    pub fn from_json(text: &str) -> Result<Boot, Fault> {
-        let value: Value = serde_json::from_str(text).map_err(|e| Fault {
+    pub fn from_json(text: &str) -> Result<ProcessSettings, FieldError> {
+        let value: Value = serde_json::from_str(text).map_err(|e| FieldError {
             field: String::new(),
             value: format!("not JSON ({e})"),
             expected: "the settings as one table",
         })?;
-        Boot::from_source(object(&value)?)
+        ProcessSettings::from_source(object(&value)?)
     }
 }
 
-fn limits(value: &Value) -> Result<Limits, Fault> {
-    Limits::from_source(object(value)?)
+fn limits(value: &Value) -> Result<TimeLimits, FieldError> {
+    TimeLimits::from_source(object(value)?)
 }
 
-fn span(value: &Value) -> Result<(u16, u16), Fault> {
+fn span(value: &Value) -> Result<(u16, u16), FieldError> {
     match list(whole)(value)?[..] {
         [first, last] if first <= last => Ok((first, last)),
-        _ => Err(Fault::new(value, "the first and the last port")),
+        _ => Err(FieldError::new(value, "the first and the last port")),
     }
 }
 
--- a/crates/control-plane/config/src/config.rs
+++ b/crates/control-plane/config/src/config.rs
@@ -4,7 +4,7 @@
 //! a service, or with the same domain and prefix, the last counts; `shares` go before `backend`; a route that names no
 //! service is one with an unknown service; a kind of route that isn't known is not repeated.
 use crate::field::{
-    any, filled, flag, fraction, list, maybe, must, object, or, table, text, time, whole, Fault,
+    any, filled, flag, fraction, list, maybe, must, object, or, table, text, time, whole, FieldError,
 };
 use crate::field::{Row, Source};
 use serde_json::Value;
@@ -70,17 +70,17 @@
     }
 }
 
-fn repeatable(value: &Value) -> Result<bool, Fault> {
+fn repeatable(value: &Value) -> Result<bool, FieldError> {
     Ok(text(value)? == "repeatable")
 }
 
-fn tries(value: &Value) -> Result<u32, Fault> {
+fn tries(value: &Value) -> Result<u32, FieldError> {
     whole(value).map(|n: u32| n.max(1))
 }
 
-fn share(value: &Value) -> Result<(String, f64), Fault> {
+fn share(value: &Value) -> Result<(String, f64), FieldError> {
     let table = object(value)?;
-    let backend = table.field("backend").ok_or_else(|| Fault::left_out("a service").under("backend"))?;
+    let backend = table.field("backend").ok_or_else(|| FieldError::left_out("a service").under("backend"))?;
     let share = table.field("share").map_or(Ok(1.0), fraction).map_err(|f| f.under("share"))?;
     Ok((text(backend).map_err(|f| f.under("backend"))?, share))
 }
@@ -106,14 +106,14 @@
 /// let fault = coppersail_config::config::parse(body.as_bytes()).unwrap_err();
 /// assert_eq!(fault.to_string(), "routes.rows[0].backend is \"gone\", expected a service of this configuration");
 /// ```
-pub fn parse(body: &[u8]) -> Result<Config, Fault> {
-    let whole: Value = serde_json::from_slice(body).map_err(|e| Fault {
+pub fn parse(body: &[u8]) -> Result<Config, FieldError> {
+    let whole: Value = serde_json::from_slice(body).map_err(|e| FieldError {
         field: String::new(),
         value: format!("not JSON ({e})"),
         expected: "a configuration as one table",
     })?;
     let top = object(&whole)?;
-    let part = |name: &str| top.field(name).ok_or_else(|| Fault::left_out("it to be given").under(name));
+    let part = |name: &str| top.field(name).ok_or_else(|| FieldError::left_out("it to be given").under(name));
     let revision = revision(part("revision")?).map_err(|f| f.under("revision"))?;
     let services =
         rows(part("backends")?, |row| Service::from_source(row)).map_err(|f| f.under("backends"))?;
@@ -124,23 +124,23 @@
     Ok(Config { revision, routes, services, caps })
 }
 
-fn revision(value: &Value) -> Result<u64, Fault> {
+fn revision(value: &Value) -> Result<u64, FieldError> {
     let digits = value.as_str().and_then(|text| text.strip_prefix('r'));
     let digits = digits.filter(|d| d.bytes().all(|b| b.is_ascii_digit()));
-    digits.and_then(|d| d.parse().ok()).ok_or_else(|| Fault::new(value, "\"r\" and a whole number"))
+    digits.and_then(|d| d.parse().ok()).ok_or_else(|| FieldError::new(value, "\"r\" and a whole number"))
 }
 
-fn rows<T>(table: &Value, read: impl Fn(&Row) -> Result<T, Fault>) -> Result<Vec<T>, Fault> {
+fn rows<T>(table: &Value, read: impl Fn(&Row) -> Result<T, FieldError>) -> Result<Vec<T>, FieldError> {
     let table = object(table)?;
     let part = |name: &str| {
-        let value = table.field(name).ok_or_else(|| Fault::left_out("a list").under(name))?;
-        value.as_array().ok_or_else(|| Fault::new(value, "a list").under(name))
+        let value = table.field(name).ok_or_else(|| FieldError::left_out("a list").under(name))?;
+        value.as_array().ok_or_else(|| FieldError::new(value, "a list").under(name))
     };
-    let name = |v| Value::as_str(v).ok_or_else(|| Fault::new(v, "names of fields").under("columns"));
-    let columns = part("columns")?.iter().map(name).collect::<Result<Vec<&str>, Fault>>()?;
+    let name = |v| Value::as_str(v).ok_or_else(|| FieldError::new(v, "names of fields").under("columns"));
+    let columns = part("columns")?.iter().map(name).collect::<Result<Vec<&str>, FieldError>>()?;
     let one = |(at, value): (usize, &Value)| {
         let values = value.as_array().filter(|values| values.len() == columns.len());
-        let values = values.ok_or_else(|| Fault::new(value, "a value for each column"));
+        let values = values.ok_or_else(|| FieldError::new(value, "a value for each column"));
         values
             .and_then(|values| read(&Row { columns: &columns, values }))
             .map_err(|f| f.under(&format!("rows[{at}]")))
@@ -148,16 +148,18 @@
     part("rows")?.iter().enumerate().map(one).collect()
 }
 
-fn route(row: &Row, known: &HashSet<&str>) -> Result<Route, Fault> {
+fn route(row: &Row, known: &HashSet<&str>) -> Result<Route, FieldError> {
     let mut route = Route::from_source(row)?;
     let other = Whither::from_source(row)?.backend;
     let field = if other.is_some() || route.shares.is_empty() { "backend" } else { "shares" };
     if route.shares.is_empty() && other.is_none() {
-        return Err(Fault::left_out("a service, here or under shares").under(field));
+        return Err(FieldError::left_out("a service, here or under shares").under(field));
     }
     let unknown = |name: &&String| !known.contains(name.as_str());
     if let Some(name) = other.iter().chain(route.shares.iter().map(|(name, _)| name)).find(unknown) {
-        return Err(Fault::new(&Value::from(name.as_str()), "a service of this configuration").under(field));
+        return Err(
+            FieldError::new(&Value::from(name.as_str()), "a service of this configuration").under(field)
+        );
     }
     if let (true, Some(name)) = (route.shares.is_empty(), other) {
         route.shares = vec![(name, 1.0)];
@@ -165,7 +167,11 @@
     if let (Some(target), Some(give_up)) = (route.target_time, route.give_up) {
         if target >= give_up + TARGET_ABOVE {
             let expected = "less than a minute above giveUp";
-            return Err(Fault { field: "target_time".into(), value: crate::written(target), expected });
+            return Err(FieldError {
+                field: "target_time".into(),
+                value: crate::format_duration(target),
+                expected,
+            });
         }
     }
     Ok(route)
--- a/crates/control-plane/config/src/field.rs
+++ b/crates/control-plane/config/src/field.rs
@@ -11,7 +11,7 @@
 /// assert_eq!(fault.to_string(), "self.ipAddress is 7, expected text");
 /// ```
 #[derive(Debug, Clone, PartialEq)]
-pub struct Fault {
+pub struct FieldError {
     /// Where it stands: `network.binds.admin`, `routes.rows[3].giveUp`.
     pub field: String,
     /// As it was given, cut short; empty if it was left out.
@@ -22,24 +22,24 @@
 /// Enough of a value to recognise it in a log.
 const SHOWN: usize = 60;
 
-impl Fault {
-    pub(crate) fn new(value: &Value, expected: &'static str) -> Fault {
-        Fault { field: String::new(), value: shown(value), expected }
+impl FieldError {
+    pub(crate) fn new(value: &Value, expected: &'static str) -> FieldError {
+        FieldError { field: String::new(), value: shown(value), expected }
     }
 
-    pub(crate) fn left_out(expected: &'static str) -> Fault {
-        Fault { field: String::new(), value: String::new(), expected }
+    pub(crate) fn left_out(expected: &'static str) -> FieldError {
+        FieldError { field: String::new(), value: String::new(), expected }
     }
 
     /// The same fault, seen from the table around it.
-    pub(crate) fn under(mut self, place: &str) -> Fault {
+    pub(crate) fn under(mut self, place: &str) -> FieldError {
         let dot = if self.field.is_empty() || self.field.starts_with('[') { "" } else { "." };
         self.field = format!("{place}{dot}{}", self.field);
         self
     }
 }
 
-impl fmt::Display for Fault {
+impl fmt::Display for FieldError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let field = if self.field.is_empty() { "the whole" } else { &self.field };
         match self.value.as_str() {
@@ -49,7 +49,7 @@
     }
 }
 
-impl std::error::Error for Fault {}
+impl std::error::Error for FieldError {}
 
 fn shown(value: &Value) -> String {
     cut(match value {
@@ -114,17 +114,17 @@
         }
 
         impl $table {
-            pub(crate) fn from_source(source: &impl $crate::field::Source) -> Result<Self, $crate::field::Fault> {
+            pub(crate) fn from_source(source: &impl $crate::field::Source) -> Result<Self, $crate::field::FieldError> {
                 Ok($table { $($field: $crate::field::take(source, $name, $read, $default, |taken: &$kind| $check(taken))?,)* })
             }
         }
 
-        impl $crate::reread::Again for $table {
-            fn again(&mut self, new: Self, place: &str, told: &mut $crate::reread::Told) {
-                use $crate::reread::*;
+        impl $crate::reload::Again for $table {
+            fn again(&mut self, new: Self, place: &str, told: &mut $crate::reload::Told) {
+                use $crate::reload::*;
                 $(
-                    let again: $crate::reread::Column<$kind> = $crate::field::given!(restart $(, $again)?);
-                    again(&mut self.$field, new.$field, &$crate::reread::under(place, $name), told);
+                    let again: $crate::reload::Column<$kind> = $crate::field::given!(restart $(, $again)?);
+                    again(&mut self.$field, new.$field, &$crate::reload::under(place, $name), told);
                 )*
             }
         }
@@ -146,15 +146,15 @@
 pub(crate) fn take<T>(
     source: &impl Source,
     name: &str,
-    read: impl Fn(&Value) -> Result<T, Fault>,
+    read: impl Fn(&Value) -> Result<T, FieldError>,
     default: Option<T>,
     check: impl Fn(&T) -> Result<(), &'static str>,
-) -> Result<T, Fault> {
+) -> Result<T, FieldError> {
     let Some(value) = source.field(name) else {
-        return default.ok_or_else(|| Fault::left_out("it to be given").under(name));
+        return default.ok_or_else(|| FieldError::left_out("it to be given").under(name));
     };
     let taken = read(value).map_err(|fault| fault.under(name))?;
-    check(&taken).map_err(|expected| Fault::new(value, expected).under(name))?;
+    check(&taken).map_err(|expected| FieldError::new(value, expected).under(name))?;
     Ok(taken)
 }
 
@@ -177,52 +177,54 @@
     }
 }
 
-pub(crate) fn text(value: &Value) -> Result<String, Fault> {
-    value.as_str().map(str::to_owned).ok_or_else(|| Fault::new(value, "text"))
+pub(crate) fn text(value: &Value) -> Result<String, FieldError> {
+    value.as_str().map(str::to_owned).ok_or_else(|| FieldError::new(value, "text"))
 }
 
 pub(crate) fn maybe<T>(
-    read: impl Fn(&Value) -> Result<T, Fault>,
-) -> impl Fn(&Value) -> Result<Option<T>, Fault> {
+    read: impl Fn(&Value) -> Result<T, FieldError>,
+) -> impl Fn(&Value) -> Result<Option<T>, FieldError> {
     move |value| read(value).map(Some)
 }
 
-pub(crate) fn flag(value: &Value) -> Result<bool, Fault> {
-    value.as_bool().ok_or_else(|| Fault::new(value, "true or false"))
+pub(crate) fn flag(value: &Value) -> Result<bool, FieldError> {
+    value.as_bool().ok_or_else(|| FieldError::new(value, "true or false"))
 }
 
 /// A whole number of any size that fits; `2.0` is one too.
-pub(crate) fn whole<T: TryFrom<u64>>(value: &Value) -> Result<T, Fault> {
+pub(crate) fn whole<T: TryFrom<u64>>(value: &Value) -> Result<T, FieldError> {
     let exact =
         value.as_f64().filter(|n| n.fract() == 0.0 && (0.0..u64::MAX as f64).contains(n)).map(|n| n as u64);
     let number = value.as_u64().or(exact).and_then(|n| T::try_from(n).ok());
-    number.ok_or_else(|| Fault::new(value, "a whole number that isn't below 0 and fits"))
+    number.ok_or_else(|| FieldError::new(value, "a whole number that isn't below 0 and fits"))
 }
 
-pub(crate) fn fraction(value: &Value) -> Result<f64, Fault> {
+pub(crate) fn fraction(value: &Value) -> Result<f64, FieldError> {
     let number = value.as_f64().filter(|n| n.is_finite() && *n >= 0.0);
-    number.ok_or_else(|| Fault::new(value, "a number that isn't below 0"))
+    number.ok_or_else(|| FieldError::new(value, "a number that isn't below 0"))
 }
 
-pub(crate) fn time(value: &Value) -> Result<Duration, Fault> {
+pub(crate) fn time(value: &Value) -> Result<Duration, FieldError> {
     let read = value.as_str().and_then(duration);
-    read.ok_or_else(|| Fault::new(value, "a time such as \"1500ms\" or \"2.5s\""))
+    read.ok_or_else(|| FieldError::new(value, "a time such as \"1500ms\" or \"2.5s\""))
 }
 
-pub(crate) fn list<T>(read: impl Fn(&Value) -> Result<T, Fault>) -> impl Fn(&Value) -> Result<Vec<T>, Fault> {
+pub(crate) fn list<T>(
+    read: impl Fn(&Value) -> Result<T, FieldError>,
+) -> impl Fn(&Value) -> Result<Vec<T>, FieldError> {
     move |value| {
-        let items = value.as_array().ok_or_else(|| Fault::new(value, "a list"))?;
+        let items = value.as_array().ok_or_else(|| FieldError::new(value, "a list"))?;
         let one = |(at, item)| read(item).map_err(|fault| fault.under(&format!("[{at}]")));
         items.iter().enumerate().map(one).collect()
     }
 }
 
-pub(crate) fn texts(value: &Value) -> Result<BTreeMap<String, String>, Fault> {
+pub(crate) fn texts(value: &Value) -> Result<BTreeMap<String, String>, FieldError> {
     object(value)?.iter().map(|(key, v)| Ok((key.clone(), text(v).map_err(|f| f.under(key))?))).collect()
 }
 
-pub(crate) fn object(value: &Value) -> Result<&Map<String, Value>, Fault> {
-    value.as_object().ok_or_else(|| Fault::new(value, "a table"))
+pub(crate) fn object(value: &Value) -> Result<&Map<String, Value>, FieldError> {
+    value.as_object().ok_or_else(|| FieldError::new(value, "a table"))
 }
 
 /// A time as the settings and the protocol write it: a number and its unit.
@@ -253,7 +255,7 @@
 /// assert_eq!(coppersail_config::written(Duration::from_millis(4000)), "4000ms");
 /// assert_eq!(coppersail_config::written(Duration::from_micros(1500)), "1.5ms");
 /// ```
-pub fn written(time: Duration) -> String {
+pub fn format_duration(time: Duration) -> String {
     match (time.as_micros() / 1000, time.as_micros() / 100 % 10) {
         (ms, 0) => format!("{ms}ms"),
         (ms, tenth) => format!("{ms}.{tenth}ms"),
--- a/crates/control-plane/config/src/lib.rs
+++ b/crates/control-plane/config/src/lib.rs
@@ -2,12 +2,12 @@
 pub mod boot;
 pub mod config;
 mod field;
-pub mod reread;
+pub mod reload;
 pub mod rollout;
 pub mod sessions;
 
-pub use boot::Boot;
+pub use boot::ProcessSettings;
 pub use config::{Config, Route, Routes, Service};
-pub use field::{duration, written, Fault};
-pub use reread::reread;
-pub use sessions::Sessions;
+pub use field::{duration, format_duration, FieldError};
+pub use reload::reload;
+pub use sessions::SessionSettings;
--- a/crates/control-plane/config/src/reread.rs
+++ b/crates/control-plane/config/src/reload.rs
@@ -1,14 +1,14 @@
 //! Settings that are read again while the process runs: what is taken over at once, and what needs a restart. Which it
 //! is stands with each field's declaration.
-use crate::boot::Boot;
+use crate::boot::ProcessSettings;
 use crate::field::cut;
 use std::fmt::Debug;
 
 /// What came of a second reading.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Reread {
+pub struct Reload {
     /// The settings from now on.
-    pub boot: Boot,
+    pub boot: ProcessSettings,
     /// A line for each field that was taken over.
     pub applied: Vec<String>,
     /// A line for each field that stays as it is until a restart.
@@ -28,10 +28,10 @@
 /// assert_eq!(reread.applied, ["terms.timeLimits.leeway: 6s, now 4s"]);
 /// assert_eq!(reread.restart, [r#"self.area: "north", after a restart "south""#]);
 /// ```
-pub fn reread(old: &Boot, new: Boot) -> Reread {
+pub fn reload(old: &ProcessSettings, new: ProcessSettings) -> Reload {
     let (mut boot, mut told) = (old.clone(), Told::default());
     boot.again(new, "", &mut told);
-    Reread { boot, applied: told.applied, restart: told.restart }
+    Reload { boot, applied: told.applied, restart: told.restart }
 }
 
 #[derive(Default)]
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -1,5 +1,7 @@
 //! A plan that moves a share of a service's requests onto a new version, as an operator sends it.
-use crate::field::{any, filled, fraction, list, maybe, must, object, or, table, text, time, whole, Fault};
+use crate::field::{
+    any, filled, fraction, list, maybe, must, object, or, table, text, time, whole, FieldError,
+};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,7 +15,7 @@
 const LEASE_MAX: Duration = Duration::from_secs(60);
 
 table! {
-    pub struct Rollout {
+    pub struct RolloutPlan {
         service: String = "service", text, must(), filled;
         from: Version = "from", version, must(), any;
         to: Version = "to", version, must(), any;
@@ -80,35 +82,35 @@
     Withdraw,
 }
 
-fn version(value: &Value) -> Result<Version, Fault> {
+fn version(value: &Value) -> Result<Version, FieldError> {
     let given = object(value)?;
     let one =
         |name: &str| given.get(name).and_then(Value::as_str).filter(|t| !t.is_empty()).map(String::from);
     match (one("backend"), one("revision"), given.len()) {
         (Some(name), None, 1) => Ok(Version::Backend(name)),
         (None, Some(name), 1) => Ok(Version::Revision(name)),
-        _ => Err(Fault::new(value, "{\"backend\": name} or {\"revision\": name}")),
+        _ => Err(FieldError::new(value, "{\"backend\": name} or {\"revision\": name}")),
     }
 }
 
-fn word<T: Copy>(value: &Value, all: &[(&str, T)], expected: &'static str) -> Result<T, Fault> {
+fn word<T: Copy>(value: &Value, all: &[(&str, T)], expected: &'static str) -> Result<T, FieldError> {
     let found = all.iter().find(|(name, _)| value.as_str() == Some(name));
-    found.map(|(_, it)| *it).ok_or_else(|| Fault::new(value, expected))
+    found.map(|(_, it)| *it).ok_or_else(|| FieldError::new(value, expected))
 }
 
-fn pass(value: &Value) -> Result<Pass, Fault> {
+fn pass(value: &Value) -> Result<Pass, FieldError> {
     word(value, &[("itself", Pass::Itself), ("operator", Pass::Operator)], "\"itself\" or \"operator\"")
 }
 
-fn pause(value: &Value) -> Result<Pause, Fault> {
+fn pause(value: &Value) -> Result<Pause, FieldError> {
     word(value, &[("freeze", Pause::Freeze), ("withdraw", Pause::Withdraw)], "\"freeze\" or \"withdraw\"")
 }
 
-fn step(value: &Value) -> Result<Step, Fault> {
+fn step(value: &Value) -> Result<Step, FieldError> {
     Step::from_source(object(value)?)
 }
 
-fn bounds(value: &Value) -> Result<Bounds, Fault> {
+fn bounds(value: &Value) -> Result<Bounds, FieldError> {
     Bounds::from_source(object(value)?)
 }
 
@@ -162,8 +164,8 @@
 /// let fault = coppersail_config::rollout::parse(&body.replace("\"v2\"", "\"v1\"")).unwrap_err();
 /// assert_eq!(fault.to_string(), "to is {\"revision\":\"v1\"}, expected another version than `from`, of the same kind");
 /// ```
-pub fn parse(body: &str) -> Result<Rollout, Fault> {
-    let whole: Value = serde_json::from_str(body).map_err(|e| Fault {
+pub fn parse(body: &str) -> Result<RolloutPlan, FieldError> {
+    let whole: Value = serde_json::from_str(body).map_err(|e| FieldError {
         field: String::new(),
         value: format!("not JSON ({e})"),
         expected: "a plan as one table",
@@ -173,21 +175,23 @@
     let known =
         ["service", "from", "to", "routes", "member", "steps", "bounds", "error", "pause", "lease", "ends"];
     if let Some(name) = top.keys().find(|name| !known.contains(&name.as_str())) {
-        return Err(Fault::new(&Value::from(name.as_str()), "no such setting"));
+        return Err(FieldError::new(&Value::from(name.as_str()), "no such setting"));
     }
-    let plan = Rollout::from_source(top)?;
+    let plan = RolloutPlan::from_source(top)?;
     let alike = matches!((&plan.from, &plan.to), (Version::Backend(_), Version::Backend(_)))
         || matches!((&plan.from, &plan.to), (Version::Revision(_), Version::Revision(_)));
     if !alike || plan.from == plan.to {
-        return Err(Fault::new(&whole["to"], "another version than `from`, of the same kind").under("to"));
+        return Err(
+            FieldError::new(&whole["to"], "another version than `from`, of the same kind").under("to")
+        );
     }
     if matches!(&plan.from, Version::Backend(name) if *name != plan.service) {
-        return Err(Fault::new(&whole["from"], "the service itself").under("from"));
+        return Err(FieldError::new(&whole["from"], "the service itself").under("from"));
     }
     Ok(plan)
 }
 
-impl Rollout {
+impl RolloutPlan {
     /// Why a configuration does not carry the plan.
     ///
     /// ```
@@ -196,9 +200,10 @@
     /// let fault = plan.fits(&coppersail_config::Config::default()).unwrap_err();
     /// assert_eq!(fault.to_string(), "service is \"a\", expected a service of the configuration in force");
     /// ```
-    pub fn fits(&self, config: &crate::Config) -> Result<(), Fault> {
-        let missing =
-            |name: &str, field: &str, expected| Err(Fault::new(&Value::from(name), expected).under(field));
+    pub fn fits(&self, config: &crate::Config) -> Result<(), FieldError> {
+        let missing = |name: &str, field: &str, expected| {
+            Err(FieldError::new(&Value::from(name), expected).under(field))
+        };
         if config.service(&self.service).is_none() {
             return missing(&self.service, "service", "a service of the configuration in force");
         }
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -1,5 +1,5 @@
 //! The operators' file for sessions that travel between edges; without one there are none.
-use crate::field::{any, filled, flag, list, maybe, must, object, or, table, text, time, whole, Fault};
+use crate::field::{any, filled, flag, list, maybe, must, object, or, table, text, time, whole, FieldError};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,11 +9,11 @@
 }
 
 table! {
-    pub struct Sessions {
+    pub struct SessionSettings {
         /// The name of the header or cookie that carries the token; one of them.
         header: Option<String> = "header", maybe(text), or(None), filled_too;
         cookie: Option<String> = "cookie", maybe(text), or(None), filled_too;
-        routes: Vec<Place> = "routes", list(place), must(), some;
+        routes: Vec<PeerSite> = "routes", list(place), must(), some;
         /// Services whose host stays with a session as long as it can.
         stay: Vec<String> = "services", list(text), or(Vec::new()), any;
         /// List number -> site number -> "ip:port". Numbers are never given again; a former list stays until the
@@ -35,7 +35,7 @@
 
 table! {
     /// A route of the configuration, by its own domain and prefix.
-    pub struct Place {
+    pub struct PeerSite {
         domain: String = "domain", text, must(), filled;
         path_start: String = "pathStart", text, must(), filled;
         /// Its requests are confirmations or deposits: they carry a key and run once.
@@ -43,7 +43,7 @@
     }
 }
 
-impl Sessions {
+impl SessionSettings {
     /// ```
     /// let file = r#"{"cookie": "stay", "keys": ["/etc/coppersail/session.key"], "wait": "300ms",
     ///     "routes": [{"domain": "a.example", "pathStart": "/confirm/", "confirms": true}],
@@ -59,56 +59,59 @@
     ///     "sites.1.3 is \"the-third:7541\", expected an address such as \"10.0.0.4:7541\"",
     /// );
     /// ```
-    pub fn from_json(text: &str) -> Result<Sessions, Fault> {
-        let value: Value = serde_json::from_str(text).map_err(|e| Fault {
+    pub fn from_json(text: &str) -> Result<SessionSettings, FieldError> {
+        let value: Value = serde_json::from_str(text).map_err(|e| FieldError {
             field: String::new(),
             value: format!("not JSON ({e})"),
             expected: "the settings of sessions as one table",
         })?;
-        let sessions = Sessions::from_source(object(&value)?)?;
+        let sessions = SessionSettings::from_source(object(&value)?)?;
         if sessions.header.is_some() == sessions.cookie.is_some() {
-            return Err(Fault::left_out("a header or a cookie, one of them").under("header"));
+            return Err(FieldError::left_out("a header or a cookie, one of them").under("header"));
         }
         Ok(sessions)
     }
 
-    pub fn read(path: &str) -> Result<Sessions, Fault> {
-        let text = std::fs::read_to_string(path).map_err(|e| Fault {
+    pub fn read(path: &str) -> Result<SessionSettings, FieldError> {
+        let text = std::fs::read_to_string(path).map_err(|e| FieldError {
             field: "--sessions".into(),
             value: format!("{path:?} ({e})"),
             expected: "a file that can be read",
         })?;
-        Sessions::from_json(&text)
+        SessionSettings::from_json(&text)
     }
 }
 
-fn place(value: &Value) -> Result<Place, Fault> {
-    Place::from_source(object(value)?)
+fn place(value: &Value) -> Result<PeerSite, FieldError> {
+    PeerSite::from_source(object(value)?)
 }
 
-fn numbered<T>(value: &Value, read: impl Fn(&Value) -> Result<T, Fault>) -> Result<BTreeMap<u16, T>, Fault> {
+fn numbered<T>(
+    value: &Value,
+    read: impl Fn(&Value) -> Result<T, FieldError>,
+) -> Result<BTreeMap<u16, T>, FieldError> {
     let one = |(name, value): (&String, &Value)| {
-        let number = name.parse().map_err(|_| Fault::new(&Value::from(name.as_str()), "a number"))?;
+        let number = name.parse().map_err(|_| FieldError::new(&Value::from(name.as_str()), "a number"))?;
         Ok((number, read(value).map_err(|fault| fault.under(name))?))
     };
     object(value)?.iter().map(one).collect()
 }
 
-fn rosters(value: &Value) -> Result<BTreeMap<u16, BTreeMap<u16, String>>, Fault> {
+fn rosters(value: &Value) -> Result<BTreeMap<u16, BTreeMap<u16, String>>, FieldError> {
     let site = |value: &Value| {
         let address = text(value)?;
         match address.parse::<std::net::SocketAddr>() {
             Ok(_) => Ok(address),
-            Err(_) => Err(Fault::new(value, "an address such as \"10.0.0.4:7541\"")),
+            Err(_) => Err(FieldError::new(value, "an address such as \"10.0.0.4:7541\"")),
         }
     };
     let all = numbered(value, |sites| match numbered(sites, site)? {
         // With fewer there is no second one to keep what is sent on.
-        few if few.len() < 2 => Err(Fault::new(sites, "two sites at least; three, to bear a loss")),
+        few if few.len() < 2 => Err(FieldError::new(sites, "two sites at least; three, to bear a loss")),
         sites => Ok(sites),
     })?;
     match all.is_empty() {
-        true => Err(Fault::new(value, "a list of sites at least")),
+        true => Err(FieldError::new(value, "a list of sites at least")),
         false => Ok(all),
     }
 }
--- a/crates/control-plane/config/tests/reread.rs
+++ b/crates/control-plane/config/tests/reload.rs
@@ -1,4 +1,4 @@
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 
 const SETTINGS: &str = r#"{"self": {"nodeName": "centre-1", "ipAddress": "10.1.0.34", "area": "north", "place": "town",
     "countsAsLoss": true, "initialBoot": true, "dataFolder": "/data", "caps": {"ramMb": 260, "openFiles": 4100}},
@@ -10,12 +10,12 @@
     "apply": "11s", "revert": "11s", "stretch_time": "11s", "retryRatio": 0.5, "retryWindow": "11s", "extraTries": 7,
     "heal": "11s", "keepMax": "11s", "unfreeze": "11s"}}}"#;
 
-fn boot(changes: &[(&str, &str)]) -> Boot {
+fn boot(changes: &[(&str, &str)]) -> ProcessSettings {
     let text = changes.iter().fold(SETTINGS.to_string(), |text, (from, to)| {
         assert!(text.contains(from), "{from}");
         text.replace(from, to)
     });
-    Boot::from_json(&text).unwrap()
+    ProcessSettings::from_json(&text).unwrap()
 }
 
 #[test]
@@ -30,7 +30,7 @@
         ("\"inContact\": \"11s\"", "\"inContact\": \"2s\""),
         ("[\"base\"]", "[\"base\", \"own\"]"),
     ];
-    let reread = coppersail_config::reread(&boot(&[]), boot(&changes));
+    let reread = coppersail_config::reload(&boot(&[]), boot(&changes));
     assert_eq!(reread.boot, boot(&changes));
     assert_eq!(reread.restart, [""; 0]);
     let lines = [
@@ -59,7 +59,7 @@
         ("[7540, 7555]", "[7560, 7575]"),
         ("\"centre-1\"", "\"centre-2\""),
     ];
-    let reread = coppersail_config::reread(&boot(&[]), boot(&changes));
+    let reread = coppersail_config::reload(&boot(&[]), boot(&changes));
     assert_eq!(reread.boot, boot(&[]));
     assert_eq!(reread.applied, [""; 0]);
     let lines = [
@@ -79,7 +79,7 @@
 #[test]
 fn what_is_equal_says_nothing_and_only_the_first_reading_says_that_all_is_new() {
     let reread =
-        coppersail_config::reread(&boot(&[]), boot(&[("\"initialBoot\": true", "\"initialBoot\": false")]));
+        coppersail_config::reload(&boot(&[]), boot(&[("\"initialBoot\": true", "\"initialBoot\": false")]));
     assert_eq!((reread.boot, reread.applied.len(), reread.restart.len()), (boot(&[]), 0, 0));
 }
 
@@ -87,10 +87,10 @@
 #[test]
 fn no_field_is_passed_over() {
     let bare = r#"{"self": {"ipAddress": "127.0.0.1", "area": "a"}, "network": {"sparePorts": [1, 2]}}"#;
-    let reread = coppersail_config::reread(&boot(&[]), Boot::from_json(bare).unwrap());
+    let reread = coppersail_config::reload(&boot(&[]), ProcessSettings::from_json(bare).unwrap());
     // All that SETTINGS gives but `initialBoot`: 17 limits and 17 others.
     assert_eq!(reread.applied.len() + reread.restart.len(), 34, "{reread:#?}");
     let peers = format!("{:?}", ["10.1.0.36:8544"; 40]);
-    let reread = coppersail_config::reread(&boot(&[]), boot(&[("[\"10.1.0.36:8544\"]", &peers)]));
+    let reread = coppersail_config::reload(&boot(&[]), boot(&[("[\"10.1.0.36:8544\"]", &peers)]));
     assert!(reread.applied[0].len() < 150, "{}", reread.applied[0]);
 }
--- a/crates/control-plane/config/tests/terms.rs
+++ b/crates/control-plane/config/tests/terms.rs
@@ -1,6 +1,6 @@
 use assert_matches::assert_matches;
 use coppersail_config::config::{parse, Caps};
-use coppersail_config::{Boot, Config, Fault, Route, Routes};
+use coppersail_config::{Config, FieldError, ProcessSettings, Route, Routes};
 use std::time::Duration;
 
 const BODY: &str = r#"{"revision":"r7","routes":{
@@ -11,7 +11,7 @@
 "rows":[["main","/wellness",130,"h1",false,true,"2s","pulse"],["side","/wellness",110,"h1",false,null,null,null],["next",null,null,null,null,null,null,null]]},
 "caps":{"headSizeBytes":8192,"bodySizeBytes":1000000,"headWait":"2000ms","quiet":"10s"}}"#;
 
-fn with(from: &str, to: &str) -> Result<Config, Fault> {
+fn with(from: &str, to: &str) -> Result<Config, FieldError> {
     assert!(BODY.contains(from), "{from}");
     parse(BODY.replacen(from, to, 1).as_bytes())
 }
@@ -149,7 +149,7 @@
         let time = Duration::from_millis(ms);
         assert_eq!(coppersail_config::duration(&format!("{ms}ms")), Some(time));
         assert_eq!(coppersail_config::duration(&format!("{}.{:03}s", ms / 1000, ms % 1000)), Some(time));
-        assert_eq!(coppersail_config::duration(&coppersail_config::written(time)), Some(time));
+        assert_eq!(coppersail_config::duration(&coppersail_config::format_duration(time)), Some(time));
     }
     for text in
         ["", "s", "ms", "5", "-5s", "+5s", "5 s", " 5s", "5m", "1e3s", "infs", "nans", "1.2.3s", ".s", "5S"]
@@ -170,7 +170,7 @@
 
 #[test]
 fn settings_are_read_and_wrong_ones_named() {
-    let boot = Boot::from_json(SETTINGS).unwrap();
+    let boot = ProcessSettings::from_json(SETTINGS).unwrap();
     assert_eq!((boot.ip.as_str(), boot.initial_boot, boot.data_folder), ("10.1.0.34", true, None));
     assert_eq!((boot.public_plain.as_deref(), boot.admin), (Some("10.1.0.34:8548"), None));
     assert_eq!((boot.spare_ports, boot.survive, boot.ram_mb), ((7540, 7555), 1, 260));
@@ -207,8 +207,8 @@
         ),
     ];
     for (from, to, line) in wrong {
-        let fault = Boot::from_json(&SETTINGS.replacen(from, to, 1)).expect_err(to);
+        let fault = ProcessSettings::from_json(&SETTINGS.replacen(from, to, 1)).expect_err(to);
         assert_eq!(fault.to_string(), line);
     }
-    assert_matches!(Boot::from_json("{"), Err(fault) if fault.to_string().starts_with("the whole is not JSON"));
+    assert_matches!(ProcessSettings::from_json("{"), Err(fault) if fault.to_string().starts_with("the whole is not JSON"));
 }
--- a/crates/control-plane/peer-client/src/lib.rs
+++ b/crates/control-plane/peer-client/src/lib.rs
@@ -23,13 +23,13 @@
 const MOST: u64 = 64 << 20;
 
 /// Keeps one connection to each peer that it calls.
-pub struct Caller {
+pub struct PeerClient {
     agent: ureq::Agent,
 }
 
-impl Caller {
+impl PeerClient {
     /// `connect`: for the connection; `whole`: for all of a call.
-    pub fn new(connect: Duration, whole: Duration) -> Caller {
+    pub fn new(connect: Duration, whole: Duration) -> PeerClient {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
@@ -43,7 +43,7 @@
             .input_buffer_size(8 * 1024)
             .output_buffer_size(8 * 1024)
             .build();
-        Caller { agent: ureq::Agent::with_parts(config, DefaultConnector::default(), Numbers) }
+        PeerClient { agent: ureq::Agent::with_parts(config, DefaultConnector::default(), Numbers) }
     }
 
     /// Anything but a 200 with the JSON that is expected is an error, in words.
@@ -57,7 +57,7 @@
     }
 
     /// The same for a call that is answered at once: the answer has to begin within this.
-    pub fn post_within<T: Serialize, R: DeserializeOwned>(
+    pub fn post_with_response_timeout<T: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
--- a/crates/control-plane/peer-client/tests/once.rs
+++ b/crates/control-plane/peer-client/tests/once.rs
@@ -1,5 +1,5 @@
 //! Nothing is sent a second time by itself, and no answer is taken for another call's.
-use coppersail_peer_client::Caller;
+use coppersail_peer_client::PeerClient;
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver, Sender};
@@ -100,7 +100,7 @@
     for act in [Twice, Drop, End, Reset, Late, Cut] {
         // The second call goes on a kept connection, where a client might think that sending it again does no harm.
         let (address, calls) = peer(vec![Answer, act]);
-        let caller = Caller::new(Duration::from_millis(300), Duration::from_millis(300));
+        let caller = PeerClient::new(Duration::from_millis(300), Duration::from_millis(300));
         let call = |number: u32| caller.post::<u32, u32>(&address, "/follow", &number).ok();
         let answered = matches!(act, Twice | Drop).then_some(2);
         assert_eq!([call(1), call(2)], [Some(1), answered], "{act:?}");
@@ -118,9 +118,9 @@
 #[test]
 fn a_peer_that_takes_the_connection_and_says_nothing_is_given_up_early_where_that_is_asked() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
-    let caller = Caller::new(Duration::from_secs(5), Duration::from_secs(60));
+    let caller = PeerClient::new(Duration::from_secs(5), Duration::from_secs(60));
     let begun = std::time::Instant::now();
     let address = silent.local_addr().unwrap().to_string();
-    let said = caller.post_within::<_, u32>(&address, "/", &1, Duration::from_millis(50));
+    let said = caller.post_with_response_timeout::<_, u32>(&address, "/", &1, Duration::from_millis(50));
     assert!(said.is_err() && begun.elapsed() < Duration::from_secs(30));
 }
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -108,7 +108,7 @@
         let (mut ticket, mut service) = (0, None);
         if split {
             let released = pulse.released.unwrap_or_default();
-            let puts = self.keys.released(&pulse.backend, ident, &released);
+            let puts = self.keys.release(&pulse.backend, ident, &released);
             if !puts.is_empty() {
                 ticket = self.queue(puts);
             }
--- a/crates/control-plane/server/src/lanes.rs
+++ b/crates/control-plane/server/src/lanes.rs
@@ -3,7 +3,7 @@
 use crate::node::{Peer, PeerSay};
 use crate::state::peer_address;
 use coppersail_consensus::{Id, Ms, OperationId, Request};
-use coppersail_peer_client::Caller;
+use coppersail_peer_client::PeerClient;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::sync::{Arc, Mutex};
@@ -61,7 +61,7 @@
 }
 
 fn run(address: &str, todo: &Receiver<Job>, told: &Told) {
-    let mut caller: Option<(Ms, Caller)> = None;
+    let mut caller: Option<(Ms, PeerClient)> = None;
     while let Ok(job) = todo.recv() {
         let wait = Duration::from_millis(job.wait);
         // What has waited behind another call for as long as it may take is not sent any more.
@@ -70,7 +70,7 @@
             continue;
         }
         if caller.as_ref().is_none_or(|(for_wait, _)| *for_wait != job.wait) {
-            caller = Some((job.wait, Caller::new(wait / 2, wait)));
+            caller = Some((job.wait, PeerClient::new(wait / 2, wait)));
         }
         let Some((_, to)) = &caller else { continue };
         let say = match &job.call {
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -17,7 +17,7 @@
 pub mod store;
 pub mod voice;
 
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Ms, RequestId};
 use eyre::{eyre, Result};
 use lanes::Lanes;
@@ -46,7 +46,7 @@
 }
 
 impl Centre {
-    pub fn start(boot: &Boot, log: slog::Logger) -> Result<Arc<Centre>> {
+    pub fn start(boot: &ProcessSettings, log: slog::Logger) -> Result<Arc<Centre>> {
         let folder =
             boot.data_folder.clone().ok_or_else(|| eyre!("self.dataFolder: null, expected a folder"))?;
         let admin =
@@ -146,7 +146,7 @@
     }
 
     /// The settings were read again.
-    pub fn reread(self: &Arc<Self>, boot: Boot) {
+    pub fn reread(self: &Arc<Self>, boot: ProcessSettings) {
         self.event(Event::Reread(Box::new(boot)));
     }
 
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -69,7 +69,7 @@
     });
     // Looked at before it is read: what is written meanwhile is seen as a change.
     let mut file = File::now();
-    let boot = coppersail_config::Boot::read().unwrap_or_else(|fault| {
+    let boot = coppersail_config::ProcessSettings::read().unwrap_or_else(|fault| {
         eprintln!("control-plane! {fault}");
         exit(2)
     });
@@ -103,7 +103,7 @@
             Err(RecvTimeoutError::Timeout) => continue,
             Err(RecvTimeoutError::Disconnected) => exit(1),
         }
-        match coppersail_config::Boot::read() {
+        match coppersail_config::ProcessSettings::read() {
             Ok(boot) => centre.reread(boot),
             Err(fault) => centre.note(&format!("Settings are not taken, nothing changes: {fault}.")),
         }
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -3,14 +3,14 @@
 use crate::links::Links;
 use crate::state::{Say, Spans, State};
 use crate::store::{Batch, Found, Kept};
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Core, Id, InitialState, KeyValue, Ms, OperationId, Output, RequestId, Role};
 use coppersail_peer_protocol::{Update, WatchRequest};
 use std::collections::VecDeque;
 
 /// What a centre begins with.
 pub struct Begin {
-    pub boot: Boot,
+    pub boot: ProcessSettings,
     pub found: Found,
     /// Drawn by lot, from 1 to below 2^53.
     pub life: u64,
@@ -30,7 +30,7 @@
     /// SIGTERM.
     Term,
     /// The settings file was read again, and is sound.
-    Reread(Box<Boot>),
+    Reread(Box<ProcessSettings>),
 }
 
 /// Calls of hosts and operators. Bodies are JSON.
@@ -84,7 +84,7 @@
 pub struct Node {
     pub state: State,
     links: Links,
-    boot: Boot,
+    boot: ProcessSettings,
     round: u64,
     left: bool,
     in_touch: bool,
@@ -175,7 +175,7 @@
             out.extend(self.state.steer(now).into_iter().map(Effect::Note));
         }
         if self.round.is_multiple_of(100) {
-            self.state.keys.fade();
+            self.state.keys.decay_counts();
         }
         // Edges are not left waiting for news of a centre that has none.
         let in_touch = self.state.core.has_quorum_contact(now);
@@ -238,8 +238,8 @@
     }
 
     /// Takes over what can be while it runs; one line for each field, one for what needs a restart.
-    fn reread(&mut self, now: Ms, boot: Boot, outs: &mut Vec<Output>, out: &mut Vec<Effect>) {
-        let reread = coppersail_config::reread(&self.boot, boot);
+    fn reread(&mut self, now: Ms, boot: ProcessSettings, outs: &mut Vec<Output>, out: &mut Vec<Effect>) {
+        let reread = coppersail_config::reload(&self.boot, boot);
         let line = |line: &String| Effect::Note(format!("Settings: {line}."));
         out.extend(reread.applied.iter().chain(&reread.restart).map(line));
         self.boot = reread.boot;
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -7,7 +7,7 @@
 use coppersail_rollout::judge::Fleet;
 use coppersail_rollout::ledger::Kind;
 use coppersail_rollout::pace::{Order, Phase, Since, Stand};
-use coppersail_rollout::{Judge, Report, Rollout, Verdict, Version};
+use coppersail_rollout::{Judge, Report, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
 /// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
@@ -16,7 +16,7 @@
 struct Entry {
     /// As last queued: it is in force once it is on both disks.
     stand: Stand,
-    plan: Rollout,
+    plan: RolloutPlan,
     since: Since,
     judge: Judge,
     verdict: Verdict,
@@ -140,7 +140,7 @@
         if let Some(config) = config {
             plan.fits(config).map_err(|fault| (400, fault.to_string()))?;
         }
-        let of = |p: &Rollout| {
+        let of = |p: &RolloutPlan| {
             let to = match &p.to {
                 Version::Backend(to) => Some(to.clone()),
                 Version::Revision(_) => None,
@@ -148,7 +148,7 @@
             [Some(p.service.clone()), to]
         };
         let mine = of(&plan);
-        let shares = |p: &Rollout| of(p).iter().flatten().any(|s| mine.iter().flatten().any(|m| m == s));
+        let shares = |p: &RolloutPlan| of(p).iter().flatten().any(|s| mine.iter().flatten().any(|m| m == s));
         let other = self.plans.iter().find(|(n, e)| *n != name && e.live() && shares(&e.plan));
         if let Some((other, _)) = other {
             return Err((409, format!("plan {other} moves the same service; end it first")));
@@ -237,7 +237,7 @@
     }
 }
 
-fn fleet(plan: &Rollout, hosts: &[EndpointUpdate]) -> Fleet {
+fn fleet(plan: &RolloutPlan, hosts: &[EndpointUpdate]) -> Fleet {
     let mut fleet = Fleet::default();
     for host in hosts.iter().filter(|h| h.state == EndpointState::Ready && !h.suspect) {
         let of = |version: &Version| match version {
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -5,13 +5,13 @@
 use crate::orders::Orders;
 use crate::rollouts::{self, Hosts, Rollouts};
 use crate::store::Put;
-use coppersail_config::{Boot, Config};
+use coppersail_config::{Config, ProcessSettings};
 use coppersail_consensus::{Change, Core, Id, Ms, Output, PeerStatus, RequestId};
 use coppersail_peer_protocol::{
     ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus, RequestCounts, Update,
     WatchRequest,
 };
-use coppersail_shard_leases::{Host, Keys};
+use coppersail_shard_leases::{Candidate, LeaseTable};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time spans that follow from the settings.
@@ -27,7 +27,7 @@
 }
 
 impl Spans {
-    pub fn new(boot: &Boot) -> Spans {
+    pub fn new(boot: &ProcessSettings) -> Spans {
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         // A takeover, with the beats after it, is to be over within the time after which machines count as in touch.
         let lease = (ms(boot.limits.in_contact) * 2 / 5).clamp(300, 3000);
@@ -126,7 +126,7 @@
     /// Something was written, or will not be.
     stirred: bool,
     pub beats: BTreeMap<String, Beat>,
-    pub keys: Keys,
+    pub keys: LeaseTable,
     /// Before this a primary may not know all hosts that are there.
     pub settled_at: Ms,
     /// Since when it is in touch.
@@ -148,7 +148,7 @@
 
 impl State {
     /// `life`: of the feed.
-    pub fn new(boot: &Boot, spans: Spans, core: Core, life: u64) -> State {
+    pub fn new(boot: &ProcessSettings, spans: Spans, core: Core, life: u64) -> State {
         State {
             core,
             port: boot.spare_ports.0,
@@ -169,7 +169,7 @@
             queued: None,
             stirred: false,
             beats: BTreeMap::new(),
-            keys: Keys::new(spans.keep),
+            keys: LeaseTable::new(spans.keep),
             settled_at: 0,
             touch_since: None,
             shown: 0,
@@ -374,7 +374,7 @@
         let acts = self.acts_by().is_some();
         for a in asked {
             if acts {
-                self.keys.count(&a.service, &a.counts);
+                self.keys.record_requests(&a.service, &a.counts);
             } else {
                 let sums = self.asked.entry(a.service.clone()).or_default();
                 a.counts.iter().for_each(|(slice, many)| *sums.entry(*slice).or_default() += many);
@@ -474,7 +474,7 @@
             let awaited = match &parked.kind {
                 Kind::Beat { ident, service: Some(s) } if now < parked.until => {
                     let due = |b: &Beat| b.at + self.spans.beat <= parked.until;
-                    self.keys.awaited(s, ident, |holder| self.beats.get(holder).is_some_and(due))
+                    self.keys.has_pending_transfer(s, ident, |holder| self.beats.get(holder).is_some_and(due))
                 }
                 _ => false,
             };
@@ -525,10 +525,10 @@
             // A host that leaves has its keys taken within the time that it stays.
             let leaves = self.feed.host(ident).is_some_and(|h| h.state > EndpointState::Ready);
             let patience = if leaves { self.spans.beat / 2 } else { self.spans.beat * 3 / 2 };
-            let rows = self.keys.grant(now, service, ident, &back, patience);
-            let rows: Vec<_> = rows.iter().map(|g| (g.from, g.to, g.fence, &g.handover)).collect();
+            let rows = self.keys.renew(now, service, ident, &back, patience);
+            let rows: Vec<_> = rows.iter().map(|g| (g.from, g.to, g.fencing_token, &g.handover)).collect();
             answer["held"] = serde_json::json!(rows);
-            answer["keep_time"] = serde_json::json!(format!("{}ms", self.keys.keep()));
+            answer["keep_time"] = serde_json::json!(format!("{}ms", self.keys.lease_duration()));
         }
         (200, answer.to_string())
     }
@@ -538,14 +538,14 @@
         let Some(epoch) = self.acts_by() else { return };
         let base = epoch << 32;
         let mut seen = std::collections::BTreeSet::new();
-        for (service, slice, ident) in self.keys.shown() {
+        for (service, slice, id) in self.keys.take_owner_changes() {
             // Neighbours with one number are told as one; a row that changes twice needs two.
             if seen.is_empty() || !seen.insert((service.clone(), slice)) {
                 seen = std::collections::BTreeSet::from([(service.clone(), slice)]);
                 self.shown += 1;
             }
             let slices = self.keys.slices(&service);
-            self.feed.put_row(&service, slices, slice, &ident, base + self.shown);
+            self.feed.put_row(&service, slices, slice, &id, base + self.shown);
         }
     }
 
@@ -556,13 +556,14 @@
             return;
         }
         let state = || self.core.held().iter().map(|(n, v)| (n.as_str(), v.as_str()));
-        (self.keys, self.orders) = (Keys::recover(self.spans.keep, now, state()), Orders::recover(state()));
+        (self.keys, self.orders) =
+            (LeaseTable::recover(self.spans.keep, now, state()), Orders::recover(state()));
         self.queued = None;
         self.shown = 1;
         let base = self.acts_by().unwrap_or(0) << 32;
-        for (service, slice, ident) in self.keys.all_shown() {
+        for (service, slice, id) in self.keys.all_owners() {
             let slices = self.keys.slices(&service);
-            self.feed.put_row(&service, slices, slice, &ident, base + self.shown);
+            self.feed.put_row(&service, slices, slice, &id, base + self.shown);
         }
         let settings = self.core.held().get("config").and_then(|text| serde_json::from_str(text).ok());
         if let Some(settings) = settings {
@@ -640,19 +641,19 @@
     }
 
     /// Hosts of a divided service, as placement sees them.
-    pub fn hosts_of(&self, now: Ms, service: &str) -> Vec<Host> {
+    pub fn hosts_of(&self, now: Ms, service: &str) -> Vec<Candidate> {
         let of = self.feed.hosts().filter(|h| h.service == service && h.state < EndpointState::Removed);
         let host = |h: &EndpointUpdate| {
             let beat = self.beats.get(&h.id)?;
             let silent = h.suspect || now > beat.at + self.spans.beat * 5 / 2;
-            Some(Host {
-                ident: h.id.clone(),
-                listed: beat.listed,
+            Some(Candidate {
+                id: h.id.clone(),
+                listing_order: beat.listed,
                 capacity: beat.capacity.max(1.0),
-                young: now < beat.born + 2 * self.spans.keep,
-                leaving: h.state > EndpointState::Ready || silent,
-                silent,
-                beat_at: beat.at + self.spans.beat,
+                new: now < beat.born + 2 * self.spans.keep,
+                draining: h.state > EndpointState::Ready || silent,
+                suspect: silent,
+                next_heartbeat_at: beat.at + self.spans.beat,
             })
         };
         of.filter_map(host).collect()
@@ -675,7 +676,7 @@
                         coppersail_shard_leases::slices_for(hosts.len()),
                         coppersail_shard_leases::pieces_for(hosts.len()),
                     );
-                    let puts = self.keys.lay(now, &service, slices, pieces, &hosts);
+                    let puts = self.keys.assign_initially(now, &service, slices, pieces, &hosts);
                     self.queue(puts);
                 }
                 continue;
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! Three real centres on loopback, seen from outside. Waits are polls that a centre holds, with an end.
 #![allow(dead_code)]
 
-use coppersail_peer_client::Caller;
+use coppersail_peer_client::PeerClient;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use serde_json::{json, Value};
 use std::fs::File;
@@ -13,7 +13,7 @@
     pub ips: Vec<String>,
     folder: PathBuf,
     pub children: Vec<Option<Child>>,
-    pub caller: Caller,
+    pub caller: PeerClient,
 }
 
 impl Drop for Core {
@@ -28,7 +28,7 @@
         let net = std::process::id() % 200 + 20;
         let ips = (1..4).map(|n| format!("127.{net}.{test}.{n}")).collect();
         let folder = std::env::temp_dir().join(format!("council-{}-{test}", std::process::id()));
-        let caller = Caller::new(Duration::from_millis(300), Duration::from_millis(1500));
+        let caller = PeerClient::new(Duration::from_millis(300), Duration::from_millis(1500));
         let mut core = Core { ips, folder, children: vec![None, None, None], caller };
         (0..3).for_each(|n| core.run(n, true));
         // Who is killed before its first write has lost its disk, and two such are more than may be lost.
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -23,7 +23,7 @@
             "provider": {"heartbeat": "1s"},
             "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
         });
-        let boot = coppersail_config::Boot::from_json(&boot.to_string()).unwrap();
+        let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
         let (node, effects) = Node::start(1, Begin { boot, found: Default::default(), life: 7 });
         let mut one = One { node, now: 1, due: Vec::new(), hosts: Some(hosts), news: Vec::new() };
         one.carry(effects);
--- a/crates/control-plane/shard-leases/src/place.rs
+++ b/crates/control-plane/shard-leases/src/place.rs
@@ -1,5 +1,5 @@
 //! Which slices should go where: the paper's mechanism over pieces, and what it needs to know of them.
-use crate::{row_bytes, Host, Keys, Ms, Piece, Row, Table, ANSWER};
+use crate::{row_bytes, Candidate, LeaseTable, Ms, Piece, SliceLease, Table, ANSWER};
 use coppersail_rebalancer::{Board, Holder};
 use std::collections::BTreeMap;
 
@@ -9,7 +9,7 @@
 /// So many counted requests, for each host, say something about how they are spread.
 const TELLING: f64 = 10.0;
 
-pub(crate) fn lay(pieces: usize, hosts: &[Host]) -> Vec<Option<usize>> {
+pub(crate) fn lay(pieces: usize, hosts: &[Candidate]) -> Vec<Option<usize>> {
     let holders: Vec<Holder> = hosts.iter().map(|h| holder(h, mean(hosts))).collect();
     coppersail_rebalancer::lay(pieces, &holders)
 }
@@ -50,8 +50,8 @@
     }
 }
 
-impl Row {
-    fn alike(&self, other: &Row) -> bool {
+impl SliceLease {
+    fn alike(&self, other: &SliceLease) -> bool {
         self.holder == other.holder
             && self.wanted == other.wanted
             && self.busy == other.busy
@@ -60,14 +60,13 @@
     }
 }
 
-impl Keys {
+impl LeaseTable {
     /// The paper's mechanism says which slices should go where. At most `most` are under way at a time. `settled`: all
     /// hosts have had the time to beat here, so that one that is not known is gone.
-    pub fn plan(&mut self, now: Ms, service: &str, hosts: &[Host], most: usize, settled: bool) {
+    pub fn plan(&mut self, now: Ms, service: &str, hosts: &[Candidate], most: usize, settled: bool) {
         let Some(table) = self.tables.get_mut(service) else { return };
-        let at: BTreeMap<&str, usize> =
-            hosts.iter().enumerate().map(|(n, h)| (h.ident.as_str(), n)).collect();
-        let open = |ident: &str| at.get(ident).is_some_and(|n| !hosts[*n].leaving && !hosts[*n].silent);
+        let at: BTreeMap<&str, usize> = hosts.iter().enumerate().map(|(n, h)| (h.id.as_str(), n)).collect();
+        let open = |ident: &str| at.get(ident).is_some_and(|n| !hosts[*n].draining && !hosts[*n].suspect);
         table.cut(hosts.len());
         for row in &mut table.rows {
             // Who is to get it has gone meanwhile.
@@ -75,7 +74,7 @@
                 row.wanted = None;
             }
             // One that can't be asked lets go by the end of its time.
-            let lost = |holder: &str| at.get(holder).map_or(settled, |n| hosts[*n].silent);
+            let lost = |holder: &str| at.get(holder).map_or(settled, |n| hosts[*n].suspect);
             if row.wanted.is_some() && !row.holder.is_empty() && lost(&row.holder) {
                 row.asked = true;
             }
@@ -87,12 +86,12 @@
         let mut holders: Vec<Holder> = hosts.iter().map(|h| holder(h, mean(hosts))).collect();
         // Of a host that has as many as an answer can tell, no more is asked.
         for (host, holder) in hosts.iter().zip(&mut holders) {
-            holder.open &= table.bytes(&host.ident) < ANSWER * 9 / 10;
+            holder.open &= table.bytes(&host.id) < ANSWER * 9 / 10;
         }
         // A holder that is not known any more: its rows wait out their time.
         holders.push(Holder { listed_at: None, open: false, leaving: true, ..Holder::default() });
         let lost = holders.len() - 1;
-        let owner = |row: &Row| {
+        let owner = |row: &SliceLease| {
             let who = row.wanted.as_deref().unwrap_or(&row.holder);
             if who.is_empty() {
                 None
@@ -100,17 +99,18 @@
                 Some(at.get(who).copied().unwrap_or(lost))
             }
         };
-        let firsts: Vec<&Row> = table.pieces.iter().map(|p| &table.rows[p.first]).collect();
+        let firsts: Vec<&SliceLease> = table.pieces.iter().map(|p| &table.rows[p.first]).collect();
         let owners = firsts.iter().map(|r| owner(r)).collect();
-        let unsure = |row: &Row| !settled && !row.holder.is_empty() && !at.contains_key(row.holder.as_str());
-        let under_way = |row: &Row| row.busy || row.wanted.is_some() || unsure(row);
+        let unsure =
+            |row: &SliceLease| !settled && !row.holder.is_empty() && !at.contains_key(row.holder.as_str());
+        let under_way = |row: &SliceLease| row.busy || row.wanted.is_some() || unsure(row);
         let pinned = firsts.iter().enumerate().filter(|(_, r)| under_way(r)).map(|(n, _)| n).collect();
         let of = |p: &Piece| table.counts[p.first..p.first + p.len].iter().sum::<f64>();
         let counts: Vec<[f64; 1]> = table.pieces.iter().map(|p| [of(p)]).collect();
         let scores = coppersail_rebalancer::scores(&counts, None, 1.0);
         let mut board = Board { holders, owners, scores, pinned, ..Board::default() };
         // What nobody holds or what its holder is about to drop is no choice: it is not paced.
-        let must = |row: &&&Row| !under_way(row) && !open(&row.holder);
+        let must = |row: &&&SliceLease| !under_way(row) && !open(&row.holder);
         let (must, busy) =
             (firsts.iter().filter(must).count(), firsts.iter().filter(|r| under_way(r)).count());
         let most = must.max(most.saturating_sub(busy));
@@ -127,9 +127,9 @@
             let Some(host) = hosts.get(next.to) else { continue };
             let piece = table.pieces[next.slice];
             for row in &mut table.rows[piece.first..piece.first + piece.len] {
-                (row.wanted, row.wanted_at) = (Some(host.ident.clone()), now);
+                (row.wanted, row.wanted_at) = (Some(host.id.clone()), now);
                 row.asked |=
-                    !row.holder.is_empty() && at.get(row.holder.as_str()).is_none_or(|n| hosts[*n].silent);
+                    !row.holder.is_empty() && at.get(row.holder.as_str()).is_none_or(|n| hosts[*n].suspect);
                 if row.holder.is_empty() {
                     row.until = row.until.min(now);
                 }
@@ -150,17 +150,17 @@
     }
 }
 
-fn mean(hosts: &[Host]) -> f64 {
+fn mean(hosts: &[Candidate]) -> f64 {
     hosts.iter().map(|h| h.capacity).sum::<f64>().max(1.0) / hosts.len().max(1) as f64
 }
 
-fn holder(host: &Host, mean: f64) -> Holder {
+fn holder(host: &Candidate, mean: f64) -> Holder {
     let unit = (host.capacity / mean).max(0.01);
-    let open = !host.leaving && !host.silent;
+    let open = !host.draining && !host.suspect;
     Holder {
         unit,
-        listed_at: Some(host.listed as f64),
-        young: host.young,
+        listed_at: Some(host.listing_order as f64),
+        young: host.new,
         open,
         leaving: !open,
         ..Holder::default()
--- a/crates/control-plane/shard-leases/src/tests.rs
+++ b/crates/control-plane/shard-leases/src/tests.rs
@@ -1,18 +1,18 @@
 //! Rows that pass on: by release, by time, over takeovers; and by lot, against what hosts could hold.
 use super::*;
 
-fn hosts(n: u64) -> Vec<Host> {
-    (0..n).map(|i| Host::new(&format!("i-{i}"), i)).collect()
+fn hosts(n: u64) -> Vec<Candidate> {
+    (0..n).map(|i| Candidate::new(&format!("i-{i}"), i)).collect()
 }
 
-fn laid(n: u64, slices: u32) -> (Keys, Vec<Host>) {
-    let (mut keys, hosts) = (Keys::new(1000), hosts(n));
-    let puts = keys.lay(0, "s", slices, slices, &hosts);
+fn laid(n: u64, slices: u32) -> (LeaseTable, Vec<Candidate>) {
+    let (mut keys, hosts) = (LeaseTable::new(1000), hosts(n));
+    let puts = keys.assign_initially(0, "s", slices, slices, &hosts);
     keys.apply(0, &puts);
     (keys, hosts)
 }
 
-fn state(keys: &Keys) -> Vec<Put> {
+fn state(keys: &LeaseTable) -> Vec<Write> {
     let rows = keys.tables["s"].rows.iter().enumerate();
     rows.map(|(n, r)| (row_name("s", n), format!("{} {} {}", r.fence, r.holder, r.handover))).collect()
 }
@@ -20,40 +20,40 @@
 #[test]
 fn a_row_passes_on_by_release_with_its_handover_and_a_higher_fence() {
     let (mut keys, mut hosts) = laid(2, 64);
-    let before = keys.grant(0, "s", "i-0", &[], 5000);
-    hosts[0].leaving = true;
+    let before = keys.renew(0, "s", "i-0", &[], 5000);
+    hosts[0].draining = true;
     keys.plan(5, "s", &hosts, 4, true);
-    let left = keys.grant(10, "s", "i-0", &["i-1".into()], 5000);
+    let left = keys.renew(10, "s", "i-0", &["i-1".into()], 5000);
     assert!(left.is_empty(), "all that is to go is left out once its new holder can be told");
-    assert!(keys.released("s", "i-1", &[(0, 65535, "x".into())]).is_empty(), "only its holder may release");
-    let puts = keys.released("s", "i-0", &[(before[0].from, before[0].to, "token".into())]);
+    assert!(keys.release("s", "i-1", &[(0, 65535, "x".into())]).is_empty(), "only its holder may release");
+    let puts = keys.release("s", "i-0", &[(before[0].from, before[0].to, "token".into())]);
     assert_eq!(puts.len(), 1);
     keys.apply(20, &puts);
-    let got = keys.grant(20, "s", "i-1", &[], 5000);
+    let got = keys.renew(20, "s", "i-1", &[], 5000);
     let row = got.iter().find(|g| g.from == before[0].from).unwrap();
-    assert_eq!((row.handover.as_str(), row.fence > before[0].fence), ("token", true));
+    assert_eq!((row.handover.as_str(), row.fencing_token > before[0].fencing_token), ("token", true));
 }
 
 #[test]
 fn a_silent_holder_keeps_its_rows_until_its_slow_clock_has_run_out() {
     let (mut keys, mut hosts) = laid(2, 64);
-    keys.grant(100, "s", "i-0", &[], 5000);
-    hosts[0].silent = true;
+    keys.renew(100, "s", "i-0", &[], 5000);
+    hosts[0].suspect = true;
     keys.plan(500, "s", &hosts, 4, true);
     assert!(keys.expire(100 + 1020, "s").is_empty(), "its clock may be 2% slow");
     let puts = keys.expire(100 + 1030, "s");
     assert_eq!(puts.len(), 32);
     keys.apply(1130, &puts);
-    assert_eq!(keys.grant(1130, "s", "i-1", &[], 5000).len(), 64);
+    assert_eq!(keys.renew(1130, "s", "i-1", &[], 5000).len(), 64);
 }
 
 #[test]
 fn a_takeover_waits_out_what_an_earlier_primary_may_have_renewed() {
     let (mut keys, mut hosts) = laid(2, 64);
-    keys.grant(990, "s", "i-0", &[], 5000);
+    keys.renew(990, "s", "i-0", &[], 5000);
     let all = state(&keys);
-    let mut next = Keys::recover(1000, 1000, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-    hosts[0].silent = true;
+    let mut next = LeaseTable::recover(1000, 1000, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+    hosts[0].suspect = true;
     next.plan(1000, "s", &hosts, 4, true);
     assert!(next.expire(2020, "s").is_empty());
     let puts = next.expire(2030, "s");
@@ -65,20 +65,20 @@
 #[test]
 fn a_handover_whose_old_host_dies_waits_and_whose_new_host_dies_goes_elsewhere() {
     let (mut keys, mut hosts) = laid(3, 96);
-    let held = keys.grant(0, "s", "i-0", &[], 5000);
-    hosts[0].leaving = true;
+    let held = keys.renew(0, "s", "i-0", &[], 5000);
+    hosts[0].draining = true;
     keys.plan(0, "s", &hosts, 96, true);
-    keys.grant(10, "s", "i-0", &["i-1".into(), "i-2".into()], 5000);
-    hosts[1].silent = true;
+    keys.renew(10, "s", "i-0", &["i-1".into(), "i-2".into()], 5000);
+    hosts[1].suspect = true;
     keys.plan(20, "s", &hosts, 96, true);
     let released: Vec<_> = held.iter().map(|g| (g.from, g.to, "t".to_string())).collect();
-    let puts = keys.released("s", "i-0", &released);
+    let puts = keys.release("s", "i-0", &released);
     keys.apply(30, &puts);
     assert!(keys.tables["s"].rows.iter().all(|r| r.holder != "i-0"));
     keys.plan(40, "s", &hosts, 96, true);
     let puts = keys.expire(40, "s");
     keys.apply(40, &puts);
-    assert!(keys.grant(50, "s", "i-2", &[], 5000).iter().filter(|g| g.handover == "t").count() == held.len());
+    assert!(keys.renew(50, "s", "i-2", &[], 5000).iter().filter(|g| g.handover == "t").count() == held.len());
 }
 
 /// Hosts with slow clocks, lost answers, moves and takeovers by lot: no key is ever held by two.
@@ -97,11 +97,11 @@
             let h = luck.usize(0..4);
             let ident = format!("i-{h}");
             match luck.u8(0..10) {
-                0 => hosts[h].leaving = !hosts[h].leaving,
-                1 => hosts[h].silent = !hosts[h].silent,
+                0 => hosts[h].draining = !hosts[h].draining,
+                1 => hosts[h].suspect = !hosts[h].suspect,
                 2 => {
                     let all = state(&keys);
-                    keys = Keys::recover(1000, now, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+                    keys = LeaseTable::recover(1000, now, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
                 }
                 3 => {
                     keys.plan(now, "s", &hosts, 8, luck.bool());
@@ -109,11 +109,11 @@
                     keys.apply(now, &puts);
                 }
                 _ => {
-                    let puts = keys.released("s", &ident, &told[h]);
+                    let puts = keys.release("s", &ident, &told[h]);
                     keys.apply(now, &puts);
                     let back: Vec<String> =
                         (0..4).filter(|_| luck.bool()).map(|n| format!("i-{n}")).collect();
-                    let rows = keys.grant(now, "s", &ident, &back, 300);
+                    let rows = keys.renew(now, "s", &ident, &back, 300);
                     if luck.u8(0..4) == 0 {
                         continue;
                     }
@@ -139,11 +139,11 @@
 #[test]
 fn rows_of_a_host_that_goes_while_they_wait_to_be_asked_for_pass_on_by_time() {
     let (mut keys, mut hosts) = laid(3, 96);
-    keys.grant(0, "s", "i-0", &[], 5000);
-    hosts[0].leaving = true;
+    keys.renew(0, "s", "i-0", &[], 5000);
+    hosts[0].draining = true;
     keys.plan(0, "s", &hosts, 96, true);
     // Its new holder's beat is not due, so it is not asked yet; then it signs off.
-    assert_eq!(keys.grant(10, "s", "i-0", &[], 5000).len(), 32);
+    assert_eq!(keys.renew(10, "s", "i-0", &[], 5000).len(), 32);
     let left = &hosts[1..];
     keys.plan(20, "s", left, 96, true);
     let puts = keys.expire(2000, "s");
@@ -162,34 +162,35 @@
 #[test]
 fn an_answer_never_grows_past_what_a_host_takes() {
     let (mut keys, mut hosts) = laid(2, 512);
-    hosts[0].silent = true;
+    hosts[0].suspect = true;
     keys.plan(0, "s", &hosts, 512, true);
     let puts = keys.expire(5000, "s");
     keys.apply(5000, &puts);
-    let text = |g: &Grant| format!("[{},{},{},\"{}\"],", g.from, g.to, g.fence, g.handover).len();
-    let bytes: usize = keys.grant(5000, "s", "i-1", &[], 5000).iter().map(text).sum();
+    let text =
+        |g: &LeaseGrant| format!("[{},{},{},\"{}\"],", g.from, g.to, g.fencing_token, g.handover).len();
+    let bytes: usize = keys.renew(5000, "s", "i-1", &[], 5000).iter().map(text).sum();
     assert!((3000..3900).contains(&bytes), "{bytes}");
 }
 
 #[test]
 fn a_busy_stretch_of_keys_is_cut_and_spread_though_counts_are_even() {
-    let (mut keys, hosts) = (Keys::new(1000), hosts(4));
-    let puts = keys.lay(0, "s", 1024, 128, &hosts);
+    let (mut keys, hosts) = (LeaseTable::new(1000), hosts(4));
+    let puts = keys.assign_initially(0, "s", 1024, 128, &hosts);
     keys.apply(0, &puts);
-    hosts.iter().for_each(|h| drop(keys.grant(0, "s", &h.ident, &[], 0)));
+    hosts.iter().for_each(|h| drop(keys.renew(0, "s", &h.id, &[], 0)));
     // Half of all requests go to the eight rows of one piece, the rest everywhere.
     let counts: Vec<(u32, u32)> = (0..1024).map(|n| (n, if n < 8 { 128 } else { 1 })).collect();
-    keys.count("s", &counts);
+    keys.record_requests("s", &counts);
     for round in 0..60 {
         let now = round * 10;
         keys.plan(now, "s", &hosts, 16, true);
         for host in &hosts {
             let held = keys.tables["s"].rows.iter().enumerate();
-            let gone: Vec<_> = held.filter(|(_, r)| r.holder == host.ident && r.wanted.is_some()).collect();
+            let gone: Vec<_> = held.filter(|(_, r)| r.holder == host.id && r.wanted.is_some()).collect();
             let gone: Vec<_> =
                 gone.iter().map(|(n, _)| (*n as u32 * 64, *n as u32 * 64 + 63, "t".into())).collect();
-            keys.grant(now, "s", &host.ident, &[], 0);
-            let puts = keys.released("s", &host.ident, &gone);
+            keys.renew(now, "s", &host.id, &[], 0);
+            let puts = keys.release("s", &host.id, &gone);
             keys.apply(now, &puts);
         }
     }
@@ -197,6 +198,6 @@
         let rows = keys.tables["s"].rows.iter().enumerate().filter(|(_, r)| r.holder == ident);
         rows.map(|(n, _)| counts[n].1).sum::<u32>()
     };
-    let loads: Vec<u32> = hosts.iter().map(|h| load(&h.ident)).collect();
+    let loads: Vec<u32> = hosts.iter().map(|h| load(&h.id)).collect();
     assert!(loads.iter().all(|l| (350..=700).contains(l)), "{loads:?}");
 }
--- a/crates/data-plane/edge-proxy/src/conns.rs
+++ b/crates/data-plane/edge-proxy/src/conns.rs
@@ -4,7 +4,7 @@
 use crate::steer::{Lookout, Way};
 use coppersail_load_balancing::health::Sign;
 use coppersail_load_balancing::pause;
-use coppersail_retry::Unsent;
+use coppersail_retry::SendFailure;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderValue;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -268,7 +268,7 @@
         ident: &Rc<str>,
         address: SocketAddr,
         need: Need<'_>,
-    ) -> Result<Lease, Unsent> {
+    ) -> Result<Lease, SendFailure> {
         let (edge, ident) = (edge.clone(), ident.clone());
         let keep = None;
         let kept = edge.pools.borrow_mut().kept(&ident, &need);
@@ -284,7 +284,7 @@
             if pool.open >= need.part {
                 // Idle ones that this request must not use make room for one that it may.
                 if pool.idle.is_empty() {
-                    return Err(Unsent::Full);
+                    return Err(SendFailure::ConnectionLimit);
                 }
                 pool.idle.remove(0);
             }
@@ -293,7 +293,7 @@
         };
         let stream = match timeout(need.most, TcpStream::connect(address)).await {
             Ok(Ok(stream)) => stream,
-            _ => return Err(Unsent::Unreachable),
+            _ => return Err(SendFailure::Unreachable),
         };
         let socket = SockRef::from(&stream);
         let _ = socket.set_tcp_nodelay(true);
@@ -302,7 +302,7 @@
         let line = Line::new(stream, taken + pause::kept(keep, need.repeatable));
         let wire = Wire(line.clone());
         let handshake = http1::Builder::new().max_buf_size(HELD).handshake(wire).await;
-        let Ok((sender, connection)) = handshake else { return Err(Unsent::Unreachable) };
+        let Ok((sender, connection)) = handshake else { return Err(SendFailure::Unreachable) };
         tokio::task::spawn_local(async move {
             let _seat = seat;
             let _ = connection.await;
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -2,7 +2,7 @@
 use crate::conns::Pools;
 use crate::steer::Steer;
 use coppersail_config::config::Routes;
-use coppersail_config::{Boot, Config};
+use coppersail_config::{Config, ProcessSettings};
 use coppersail_load_balancing::budget::{self, Budget};
 use coppersail_load_balancing::{Book, Ms};
 use coppersail_peer_protocol::{RequestCounts, Update};
@@ -76,7 +76,7 @@
 pub struct Edge {
     pub log: Logger,
     start: Instant,
-    pub boot: RefCell<Rc<Boot>>,
+    pub boot: RefCell<Rc<ProcessSettings>>,
     pub told: RefCell<Option<Rc<Told>>>,
     pub book: RefCell<Book>,
     pub pools: RefCell<Pools>,
@@ -96,7 +96,7 @@
 }
 
 impl Edge {
-    pub fn new(boot: Boot, log: Logger) -> Rc<Edge> {
+    pub fn new(boot: ProcessSettings, log: Logger) -> Rc<Edge> {
         let seed = boot.ip.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
         Rc::new(Edge {
             log,
@@ -224,13 +224,13 @@
 
     /// Reads the settings again; bad ones leave the old in force.
     pub fn reload(&self) {
-        match Boot::read() {
+        match ProcessSettings::read() {
             Ok(boot) => self.retell(boot),
             Err(fault) => warn!(self.log, "edge: settings left as they were: {fault}"),
         }
     }
 
-    pub fn retell(&self, boot: Boot) {
+    pub fn retell(&self, boot: ProcessSettings) {
         if **self.boot.borrow() != boot {
             info!(self.log, "edge: settings read again");
             *self.boot.borrow_mut() = Rc::new(boot);
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -1,9 +1,9 @@
 //! Follows one centre at a time, in a thread of its own.
 use crate::edge::Tallies;
 use crate::steer::{self, Outbox};
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_load_balancing::pause;
-use coppersail_peer_client::Caller;
+use coppersail_peer_client::PeerClient;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use slog::{info, Logger};
 use std::sync::atomic::Ordering;
@@ -38,7 +38,7 @@
 
 impl Round {
     /// Begins with a centre that this edge's address names, so that edges spread over the centres.
-    pub fn new(boot: &Boot) -> Round {
+    pub fn new(boot: &ProcessSettings) -> Round {
         let at = boot.ip.bytes().fold(0, |sum: usize, byte| sum * 31 % 65_521 + usize::from(byte));
         let port = boot.spare_ports.0;
         let ip = |peer: &String| peer.rsplit_once(':').map_or(peer.clone(), |(ip, _)| ip.into());
@@ -106,7 +106,7 @@
 
 /// Starts the thread. It ends when nobody takes its news any more.
 pub fn start(
-    boot: &Boot,
+    boot: &ProcessSettings,
     log: Logger,
     tallies: Arc<Tallies>,
     outbox: Arc<Outbox>,
@@ -132,7 +132,7 @@
     outbox: &Outbox,
     news: &UnboundedSender<Update>,
 ) {
-    let caller = Caller::new(CONNECT, WHOLE);
+    let caller = PeerClient::new(CONNECT, WHOLE);
     let mut touch = false;
     while !news.is_closed() {
         let Some(centre) = round.centre().cloned() else {
@@ -148,7 +148,7 @@
         let told = if touch {
             caller.post::<_, Update>(&centre, "/follow", &follow)
         } else {
-            caller.post_within(&centre, "/follow", &follow, round.patience())
+            caller.post_with_response_timeout(&centre, "/follow", &follow, round.patience())
         };
         let pause = match told {
             Ok(mut told) => {
--- a/crates/data-plane/edge-proxy/src/follow_tests.rs
+++ b/crates/data-plane/edge-proxy/src/follow_tests.rs
@@ -5,7 +5,12 @@
 #[test]
 fn every_centre_has_its_turn_and_only_whole_rounds_pause() {
     let known_peers = vec!["10.0.0.1:99".into(), "10.0.0.2:99".into()];
-    let boot = Boot { ip: "10.0.9.9".into(), spare_ports: (75, 80), known_peers, ..Boot::default() };
+    let boot = ProcessSettings {
+        ip: "10.0.9.9".into(),
+        spare_ports: (75, 80),
+        known_peers,
+        ..ProcessSettings::default()
+    };
     let mut round = Round::new(&boot);
     let first = round.centre().unwrap().clone();
     assert!(round.bad().is_zero());
@@ -26,7 +31,12 @@
 #[test]
 fn a_centre_without_a_majority_only_names_others_to_ask() {
     let known_peers = vec!["10.0.0.1:99".into(), "10.0.0.2:99".into()];
-    let boot = Boot { ip: "10.0.9.9".into(), spare_ports: (75, 80), known_peers, ..Boot::default() };
+    let boot = ProcessSettings {
+        ip: "10.0.9.9".into(),
+        spare_ports: (75, 80),
+        known_peers,
+        ..ProcessSettings::default()
+    };
     let mut round = Round::new(&boot);
     let mut follow = WatchRequest { feed_id: 4, sequence: 40, ..WatchRequest::default() };
     let centres = vec!["10.0.0.2:75".into()];
@@ -52,7 +62,12 @@
 #[test]
 fn a_silent_centre_is_left_early_and_waited_for_longer_where_all_are_slow() {
     let known_peers = vec!["10.0.0.1:99".into(), "10.0.0.2:99".into()];
-    let boot = Boot { ip: "10.0.9.9".into(), spare_ports: (75, 80), known_peers, ..Boot::default() };
+    let boot = ProcessSettings {
+        ip: "10.0.9.9".into(),
+        spare_ports: (75, 80),
+        known_peers,
+        ..ProcessSettings::default()
+    };
     let mut round = Round::new(&boot);
     let mut waits = Vec::new();
     for _ in 0..40 {
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -12,7 +12,7 @@
 pub mod sessions;
 pub mod steer;
 
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_load_balancing::pause;
 use coppersail_peer_protocol::Update;
 use edge::{Edge, Stay};
@@ -28,7 +28,7 @@
 use tokio::time::{sleep_until, Instant};
 
 /// What an edge needs of its settings besides what every process does.
-pub fn able(boot: &Boot) -> Result<(), String> {
+pub fn able(boot: &ProcessSettings) -> Result<(), String> {
     let need = |field: &str, value: &Option<String>| match value {
         Some(_) => Ok(()),
         None => Err(format!("network.binds.{field} is left out; expected \"ip:port\"")),
@@ -38,13 +38,13 @@
 }
 
 /// `sessions`: the operators' file for sessions that travel, if there is one.
-pub fn run(boot: Boot, sessions: Option<String>, log: Logger) -> eyre::Result<()> {
+pub fn run(boot: ProcessSettings, sessions: Option<String>, log: Logger) -> eyre::Result<()> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_all().on_thread_park(conns::look).build()?;
     LocalSet::new().block_on(&runtime, stay(boot, sessions, log))
 }
 
-async fn stay(boot: Boot, sessions: Option<String>, log: Logger) -> eyre::Result<()> {
+async fn stay(boot: ProcessSettings, sessions: Option<String>, log: Logger) -> eyre::Result<()> {
     let mut term = signal(SignalKind::terminate())?;
     let mut hup = signal(SignalKind::hangup())?;
     let bind = |address: &Option<String>| {
--- a/crates/data-plane/edge-proxy/src/main.rs
+++ b/crates/data-plane/edge-proxy/src/main.rs
@@ -31,14 +31,14 @@
             Err(fault) => return wrong(&fault.to_string()),
         }
     }
-    let boot = match coppersail_config::Boot::read() {
+    let boot = match coppersail_config::ProcessSettings::read() {
         Ok(boot) => boot,
         Err(fault) => return wrong(&fault.to_string()),
     };
     if let Err(fault) = coppersail_edge_proxy::able(&boot) {
         return wrong(&fault);
     }
-    if let Some(Err(fault)) = sessions.as_deref().map(coppersail_config::Sessions::read) {
+    if let Some(Err(fault)) = sessions.as_deref().map(coppersail_config::SessionSettings::read) {
         return wrong(&fault.to_string());
     }
     if check {
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -10,7 +10,9 @@
 use coppersail_load_balancing::health::Sign;
 use coppersail_load_balancing::pick::{self, Ask, Choice};
 use coppersail_load_balancing::{pause, Ms};
-use coppersail_retry::{Broke, Closing, Tally, Turned, Unsent, Verdict};
+use coppersail_retry::{
+    AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, RejectReason, SendFailure,
+};
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
 use hyper::header::{
@@ -258,7 +260,7 @@
 pub(crate) struct Passed {
     pub answer: Response<Reply>,
     /// None: the answer is the host's own.
-    pub closing: Option<Closing>,
+    pub closing: Option<FinalOutcome>,
 }
 
 impl Passed {
@@ -287,7 +289,7 @@
     if let Some(slice) = taken.key.and_then(|key| edge.book.borrow().slice(taken.service, key)) {
         edge.tallies.count(taken.service, slice);
     }
-    let mut tally = Tally::default();
+    let mut tally = AttemptHistory::default();
     let mut tried: Vec<Rc<str>> = Vec::new();
     // A host's own failure, kept in case that no other host does better.
     let mut failed: Option<Answer> = None;
@@ -300,7 +302,7 @@
     loop {
         let now = edge.now();
         let left = taken.left(now);
-        if left == 0 || tally.arrived >= taken.route.tries.max(1) || tally.unsent >= MOST_UNSENT {
+        if left == 0 || tally.delivered >= taken.route.tries.max(1) || tally.unsent >= MOST_UNSENT {
             break;
         }
         let ask = Ask {
@@ -338,7 +340,7 @@
             }
             Choice::Nobody | Choice::Overrun => break,
         };
-        if tally.arrived > 0 {
+        if tally.delivered > 0 {
             let (terms, edges) = (edge.budget_terms(), edge.book.borrow().edges);
             if !edge.with_budget(taken.service, |budget| budget.spend(&terms, edges, now)) {
                 break;
@@ -359,38 +361,41 @@
         let (verdict, unused) =
             go(edge, &taken, &ident, body, &mut told_back, &mut carried, way.as_ref()).await;
         if let (Some(way), Some(since)) = (&way, since) {
-            let failed = matches!(&verdict, Verdict::Ran(answer) if answer.status.is_server_error());
+            let failed =
+                matches!(&verdict, AttemptOutcome::Completed(answer) if answer.status.is_server_error());
             let aim = taken.route.target_time.map_or(Ms::MAX, |time| time.as_millis() as Ms);
             edge.weigh(way, &taken.route.name, &ident, &verdict, failed, steer::took(since), aim, aside);
         }
         if let (Held::Long(flow), Some(Sent::Flow(back, _))) = (&mut held, unused) {
             *flow = Some(back);
         }
-        tally.take(&verdict);
+        tally.record(&verdict);
         match &verdict {
-            Verdict::NotSent(Unsent::Closed) => {}
-            Verdict::TurnedAway(Turned::Unheld) => {
+            AttemptOutcome::NotSent(SendFailure::ConnectionClosed) => {}
+            AttemptOutcome::Rejected(RejectReason::NotOwner) => {
                 for_key = true;
                 let key = taken.key.unwrap_or_default();
                 edge.book.borrow_mut().doubt(taken.service, key, &ident, edge.now());
             }
             // The holder alone can run it, so that it is asked again, but not before one of its slots may be free.
-            Verdict::TurnedAway(Turned::Full) if taken.key.is_some() => {
+            AttemptOutcome::Rejected(RejectReason::Full) if taken.key.is_some() => {
                 if edge.now() >= wait_until {
                     break;
                 }
                 tokio::time::sleep_until(edge.at(wait_until)).await;
             }
-            Verdict::TurnedAway(Turned::Elsewhere) => edge.book.borrow_mut().spurn(&ident, edge.now()),
+            AttemptOutcome::Rejected(RejectReason::StaleAddress) => {
+                edge.book.borrow_mut().spurn(&ident, edge.now())
+            }
             _ => tried.push(ident),
         }
-        let again = verdict.again(taken.route.repeatable);
+        let again = verdict.is_retryable(taken.route.repeatable);
         match verdict {
-            Verdict::Ran(answer) => return Passed::own(answer),
-            Verdict::Failed(answer) if again && failed.is_none() && matches!(held, Held::Whole(_)) => {
+            AttemptOutcome::Completed(answer) => return Passed::own(answer),
+            AttemptOutcome::Failed(answer) if again && failed.is_none() && matches!(held, Held::Whole(_)) => {
                 failed = Some(answer);
             }
-            Verdict::Failed(answer) => return Passed::own(answer),
+            AttemptOutcome::Failed(answer) => return Passed::own(answer),
             _ if !again => break,
             _ => {}
         }
@@ -398,9 +403,9 @@
     if let Some(answer) = failed {
         return Passed::own(answer);
     }
-    let closing = tally.closing();
+    let closing = tally.final_outcome();
     let answer = match closing {
-        Closing::Later => {
+        FinalOutcome::Unavailable => {
             let left = taken.left(edge.now());
             reply::later(told_back.map_or_else(|| back(edge, left, for_key), |told: Ms| told.min(left / 3)))
         }
@@ -418,20 +423,20 @@
     told_back: &mut Option<Ms>,
     carried: &mut Vec<u64>,
     way: Option<&Way>,
-) -> (Verdict<Answer>, Option<Sent>) {
+) -> (AttemptOutcome<Answer>, Option<Sent>) {
     let mut working = Working::new(edge, ident);
     let Some(address) = edge.book.borrow().host(ident).map(|host| host.address) else {
-        return (Verdict::NotSent(Unsent::Leaving), Some(body));
+        return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body));
     };
     let most = pause::for_connect(taken.route.target_time, taken.left(edge.now()));
     let need = Need { repeatable: taken.route.repeatable, part: taken.part, most, before: carried };
     let mut lease = match Lease::take(edge, ident, address, need).await {
         Ok(lease) => lease,
         Err(unsent) => {
-            if unsent == Unsent::Unreachable {
+            if unsent == SendFailure::Unreachable {
                 working.bad(Sign::Unreachable);
             }
-            return (Verdict::NotSent(unsent), Some(body));
+            return (AttemptOutcome::NotSent(unsent), Some(body));
         }
     };
     // News may have come while the connection did.
@@ -440,10 +445,10 @@
         Some(host) if host.serves(sent_at, taken.key, edge.stays()) && host.address == address => {
             host.load.busy(sent_at, 0.0)
         }
-        _ => return (Verdict::NotSent(Unsent::Leaving), Some(body)),
+        _ => return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body)),
     };
     let Ok(wanted) = HeaderValue::from_str(ident) else {
-        return (Verdict::NotSent(Unsent::Leaving), Some(body));
+        return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body));
     };
     carried.push(lease.number);
     let taken_whole = body.taken();
@@ -465,16 +470,24 @@
                 working.bad(Sign::Broken);
             }
             if body.is_some() || !lease.begun() {
-                let unsent = if lease.reused { Unsent::Closed } else { Unsent::Unreachable };
-                return (Verdict::NotSent(unsent), body);
+                let unsent =
+                    if lease.reused { SendFailure::ConnectionClosed } else { SendFailure::Unreachable };
+                return (AttemptOutcome::NotSent(unsent), body);
             }
             let foreign = wrong.error().is_parse();
-            return (Verdict::MayHaveRun(if foreign { Broke::Foreign } else { Broke::Reset }), None);
+            return (
+                AttemptOutcome::Indeterminate(if foreign {
+                    IndeterminateCause::ForeignResponse
+                } else {
+                    IndeterminateCause::Reset
+                }),
+                None,
+            );
         }
-        Err(_) if !lease.begun() => return (Verdict::NotSent(Unsent::Late), None),
+        Err(_) if !lease.begun() => return (AttemptOutcome::NotSent(SendFailure::DeadlineExceeded), None),
         Err(_) => {
             working.bad(Sign::Silent);
-            return (Verdict::MayHaveRun(Broke::Silent), None);
+            return (AttemptOutcome::Indeterminate(IndeterminateCause::Timeout), None);
         }
     };
     // What comes before all of the request was sent may be answered again when the rest has come.
@@ -483,8 +496,8 @@
     match one.read(answer, &mut working, told_back).await {
         Ok(verdict) => (verdict, None),
         Err(broke) => {
-            working.bad(if broke == Broke::Silent { Sign::Silent } else { Sign::Broken });
-            (Verdict::MayHaveRun(broke), None)
+            working.bad(if broke == IndeterminateCause::Timeout { Sign::Silent } else { Sign::Broken });
+            (AttemptOutcome::Indeterminate(broke), None)
         }
     }
 }
@@ -508,12 +521,12 @@
         answer: Response<Incoming>,
         working: &mut Working,
         told_back: &mut Option<Ms>,
-    ) -> Result<Verdict<Answer>, Broke> {
+    ) -> Result<AttemptOutcome<Answer>, IndeterminateCause> {
         let (head, body) = answer.into_parts();
         let (status, mut headers) = (head.status, head.headers);
         // One answer too many may have been waiting on the connection.
         if only(&headers, &TRY_ID) != Ok(Some(&self.taken.id)) || status == StatusCode::SWITCHING_PROTOCOLS {
-            return Err(Broke::Foreign);
+            return Err(IndeterminateCause::ForeignResponse);
         }
         self.note_load(&headers);
         self.lease.keep = kept_for(&headers);
@@ -521,7 +534,7 @@
         let framed = body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING);
         let until = self.edge.at(self.taken.until);
         if let Some(turned) = self.turned(status, &headers) {
-            if turned == Turned::Full {
+            if turned == RejectReason::Full {
                 *told_back = seconds(headers.get(RETRY_AFTER)).or(*told_back);
                 let now = self.edge.now();
                 if let Some(host) = self.edge.book.borrow_mut().host_mut(self.ident) {
@@ -535,25 +548,25 @@
                     self.lease.give_back();
                 }
             }
-            return Ok(Verdict::TurnedAway(turned));
+            return Ok(AttemptOutcome::Rejected(turned));
         }
         // A promise that the host did not make must not be passed on as one, nor one beside an answer.
         if [408, 429, 503].contains(&status.as_u16()) || headers.contains_key(&NOT_RUN) {
-            return Err(Broke::Unsealed);
+            return Err(IndeterminateCause::Unsealed);
         }
         let sealed = !status.is_success() || headers.contains_key(&SERVER_SEAL);
         if !sealed || headers.contains_key(CONTENT_ENCODING) {
-            return Err(Broke::Unsealed);
+            return Err(IndeterminateCause::Unsealed);
         }
         // A body that ends with its connection cannot be told from one that was cut.
         if !framed {
-            return Err(Broke::Cut);
+            return Err(IndeterminateCause::Truncated);
         }
         strip(&mut headers);
         let held = match timeout_at(until, hold(body, u64::MAX)).await {
             Ok(Ok(held)) => held,
-            Ok(Err(_)) => return Err(Broke::Cut),
-            Err(_) => return Err(Broke::Silent),
+            Ok(Err(_)) => return Err(IndeterminateCause::Truncated),
+            Err(_) => return Err(IndeterminateCause::Timeout),
         };
         if status.is_success() {
             self.note_time();
@@ -577,18 +590,22 @@
         let answer = Answer { status, headers, body };
         // Such a failure is a host's own; a 504 has used up the time.
         Ok(match status {
-            StatusCode::INTERNAL_SERVER_ERROR | StatusCode::BAD_GATEWAY => Verdict::Failed(answer),
-            _ => Verdict::Ran(answer),
+            StatusCode::INTERNAL_SERVER_ERROR | StatusCode::BAD_GATEWAY => AttemptOutcome::Failed(answer),
+            _ => AttemptOutcome::Completed(answer),
         })
     }
 
-    fn turned(&self, status: StatusCode, headers: &HeaderMap) -> Option<Turned> {
+    fn turned(&self, status: StatusCode, headers: &HeaderMap) -> Option<RejectReason> {
         if status != StatusCode::MISDIRECTED_REQUEST {
             let error = status.is_client_error() || status.is_server_error();
-            return (error && headers.contains_key(&NOT_RUN)).then_some(Turned::Full);
+            return (error && headers.contains_key(&NOT_RUN)).then_some(RejectReason::Full);
         }
         let other = headers.get(&SERVER_ID).is_some_and(|id| id.as_bytes() != self.ident.as_bytes());
-        Some(if self.taken.key.is_some() && !other { Turned::Unheld } else { Turned::Elsewhere })
+        Some(if self.taken.key.is_some() && !other {
+            RejectReason::NotOwner
+        } else {
+            RejectReason::StaleAddress
+        })
     }
 
     /// "running,waiting,slots"
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -3,8 +3,8 @@
 use crate::pass::{self, Held, Passed, Taken};
 use crate::reply::{self, Kind, Reply};
 use bytes::Bytes;
-use coppersail_config::{Boot, Route};
-use coppersail_retry::Closing;
+use coppersail_config::{ProcessSettings, Route};
+use coppersail_retry::FinalOutcome;
 use coppersail_session_affinity::token::{print, Keys, Token};
 use coppersail_session_affinity::{
     Answer, Ask, Counts, Id, Ms, Msg, Out, Outcome, Place, Reply as Said, Rosters, Site, Terms,
@@ -107,7 +107,7 @@
 
 pub struct Sessions {
     log: Logger,
-    file: coppersail_config::Sessions,
+    file: coppersail_config::SessionSettings,
     keys: Keys,
     rosters: Rosters,
     me: Place,
@@ -138,7 +138,7 @@
 impl Sessions {
     /// `address`: where other edges reach this one.
     pub fn new(
-        file: coppersail_config::Sessions,
+        file: coppersail_config::SessionSettings,
         address: &str,
         fresh: bool,
         log: Logger,
@@ -184,14 +184,18 @@
     }
 
     /// With the file of `--sessions`, as the settings place this edge: on the second of the spare ports.
-    pub fn from_boot(path: &str, boot: &Boot, log: Logger) -> eyre::Result<(Rc<Sessions>, String)> {
+    pub fn from_boot(
+        path: &str,
+        boot: &ProcessSettings,
+        log: Logger,
+    ) -> eyre::Result<(Rc<Sessions>, String)> {
         let port = boot.spare_ports.0 + 1;
         if port > boot.spare_ports.1 {
             return Err(eyre!("sessions: there is no second spare port"));
         }
         let address = format!("{}:{port}", boot.ip);
         Ok((
-            Sessions::new(coppersail_config::Sessions::read(path)?, &address, boot.initial_boot, log)?,
+            Sessions::new(coppersail_config::SessionSettings::read(path)?, &address, boot.initial_boot, log)?,
             address,
         ))
     }
@@ -415,7 +419,7 @@
     }
 
     fn part(&self, route: &Route) -> Option<Part> {
-        let same = |place: &&coppersail_config::sessions::Place| {
+        let same = |place: &&coppersail_config::sessions::PeerSite| {
             place.domain.eq_ignore_ascii_case(&route.domain) && place.path_start == route.path_start
         };
         let place = self.file.routes.iter().find(same)?;
@@ -622,8 +626,8 @@
 /// What is kept of how a sending ended.
 fn ended(Passed { answer, closing }: &Passed) -> Outcome {
     match closing {
-        Some(Closing::Later) => return Outcome::NotRun,
-        Some(Closing::Unknown | Closing::Late) => return Outcome::Unknown,
+        Some(FinalOutcome::Unavailable) => return Outcome::NotRun,
+        Some(FinalOutcome::OutcomeUnknown | FinalOutcome::Late) => return Outcome::Unknown,
         None => {}
     }
     let Kind::Whole(body) = &answer.body().kind else { return Outcome::RanLong };
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -3,7 +3,7 @@
 use crate::edge::Edge;
 use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::Update;
-use coppersail_retry::{Broke, Verdict};
+use coppersail_retry::{AttemptOutcome, IndeterminateCause};
 use coppersail_rollout::ledger::Kind;
 use coppersail_rollout::{Ledger, Report, Side, Sides, Version};
 use hyper::header::HeaderValue;
@@ -168,7 +168,7 @@
         way: &Way,
         route: &str,
         ident: &str,
-        verdict: &Verdict<A>,
+        verdict: &AttemptOutcome<A>,
         failed: bool,
         took: Ms,
         aim: Ms,
@@ -178,17 +178,20 @@
             return;
         }
         let kind = match verdict {
-            Verdict::NotSent(_) | Verdict::TurnedAway(_) => None,
-            Verdict::Ran(_) if aside => Some(Kind::Aside),
-            Verdict::Failed(_) if aside => Some(Kind::Aside),
-            Verdict::Failed(_) => Some(Kind::Failed),
-            Verdict::Ran(_) if failed => Some(Kind::Failed),
-            Verdict::Ran(_) if took > aim => Some(Kind::Late),
-            Verdict::Ran(_) => Some(Kind::Good),
-            Verdict::MayHaveRun(Broke::Foreign | Broke::Unsealed) => Some(Kind::Foreign),
-            Verdict::MayHaveRun(_) => Some(Kind::Lost),
+            AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => None,
+            AttemptOutcome::Completed(_) if aside => Some(Kind::Aside),
+            AttemptOutcome::Failed(_) if aside => Some(Kind::Aside),
+            AttemptOutcome::Failed(_) => Some(Kind::Failed),
+            AttemptOutcome::Completed(_) if failed => Some(Kind::Failed),
+            AttemptOutcome::Completed(_) if took > aim => Some(Kind::Late),
+            AttemptOutcome::Completed(_) => Some(Kind::Good),
+            AttemptOutcome::Indeterminate(
+                IndeterminateCause::ForeignResponse | IndeterminateCause::Unsealed,
+            ) => Some(Kind::Foreign),
+            AttemptOutcome::Indeterminate(_) => Some(Kind::Lost),
         };
-        let answered = matches!(verdict, Verdict::Ran(_) | Verdict::Failed(_)).then_some(took);
+        let answered =
+            matches!(verdict, AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_)).then_some(took);
         let (now, mut ledger) = (self.now(), self.steer.ledger.borrow_mut());
         ledger.note(now, &way.plan, way.number, route, way.side, Kind::Offered, None, None);
         if let Some(kind) = kind {
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
@@ -1,6 +1,6 @@
 //! The follower among centres that fail, and when an edge calls itself ready.
 use crate::stand_ins::*;
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_peer_protocol::{ConfigDocument, EndpointState, Update, WatchRequest};
 use slog::{o, Discard, Logger};
 use std::io::{Read, Write};
@@ -57,12 +57,12 @@
     };
     let failing = centre(first, vec![(500, Update::default()); 3]);
     let sound = centre(second, vec![(200, news(5, false)), (200, news(6, false)), (200, news(7, true))]);
-    let boot = Boot {
+    let boot = ProcessSettings {
         ip: "127.0.0.9".into(),
         area: "north".into(),
         spare_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
-        ..Boot::default()
+        ..ProcessSettings::default()
     };
     let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
     tallies.count("parted", 4);
@@ -111,11 +111,11 @@
     let no = (500, Update::default());
     let named = centre(named, vec![no.clone(), no.clone(), (200, sound(9, 5)), (200, alone)]);
     let hinted = centre(hinted, vec![no.clone(), no.clone(), no.clone(), no, (200, sound(11, 1))]);
-    let boot = Boot {
+    let boot = ProcessSettings {
         ip: "127.0.0.9".into(),
         spare_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
-        ..Boot::default()
+        ..ProcessSettings::default()
     };
     let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
     tallies.count("parted", 4);
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
@@ -42,7 +42,7 @@
     let mut edges = vec![];
     for listener in listeners {
         let (rig, address) = (rig(hosts).await, listener.local_addr().unwrap().to_string());
-        let file = coppersail_config::Sessions::from_json(&file).unwrap();
+        let file = coppersail_config::SessionSettings::from_json(&file).unwrap();
         let sessions = Sessions::new(file, &address, true, Logger::root(Discard, o!())).unwrap();
         sessions.start(listener);
         rig.edge.sessions.set(sessions.clone()).ok().unwrap();
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -1,5 +1,5 @@
 //! An edge on loopback, hosts that do as a script says, and clients that write raw bytes.
-use coppersail_config::Boot;
+use coppersail_config::ProcessSettings;
 use coppersail_edge_proxy::edge::Edge;
 use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
 use slog::{o, Discard, Logger};
@@ -207,7 +207,12 @@
 }
 
 pub async fn rig_with(hosts: &[&Host], head_wait: &str) -> Rig {
-    let mut boot = Boot { area: "north".into(), ip: "127.0.0.1".into(), open_files: 4000, ..Boot::default() };
+    let mut boot = ProcessSettings {
+        area: "north".into(),
+        ip: "127.0.0.1".into(),
+        open_files: 4000,
+        ..ProcessSettings::default()
+    };
     // Enough that the budget never decides here; it has tests of its own.
     boot.limits.retry_ratio = 100.0;
     boot.limits.retry_window = Duration::from_secs(10);
--- a/crates/data-plane/retry/src/lib.rs
+++ b/crates/data-plane/retry/src/lib.rs
@@ -1,7 +1,7 @@
 //! Whether a request may have run, and what follows from that.
 //!
-//! A try ends in one [`Verdict`]. It alone decides whether the request may go to another host, and, summed up in a
-//! [`Tally`], which answer the client gets when the request is given up.
+//! A try ends in one [`AttemptOutcome`]. It alone decides whether the request may go to another host, and, summed up in a
+//! [`AttemptHistory`], which answer the client gets when the request is given up.
 //!
 //! ```
 //! use coppersail_retry::{Broke, Closing, Tally, Unsent, Verdict};
@@ -18,113 +18,115 @@
 
 /// How a try ended; `A` is a whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Verdict<A> {
+pub enum AttemptOutcome<A> {
     /// No byte of it reached a host.
-    NotSent(Unsent),
+    NotSent(SendFailure),
     /// The host says that it did not run it and never will.
-    TurnedAway(Turned),
-    Ran(A),
+    Rejected(RejectReason),
+    Completed(A),
     /// It ran, and the host says that it failed: another host may do better.
     Failed(A),
-    MayHaveRun(Broke),
+    Indeterminate(IndeterminateCause),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unsent {
+pub enum SendFailure {
     /// No connection came up.
     Unreachable,
     /// This edge's part of the host's connections is used up.
-    Full,
+    ConnectionLimit,
     /// The connection had ended, or could no longer be trusted, before the request's first byte.
-    Closed,
+    ConnectionClosed,
     /// The time was up before its first byte.
-    Late,
+    DeadlineExceeded,
     /// The host began to leave, or ended, in the meantime.
-    Leaving,
+    EndpointDraining,
 }
 
 /// Why a host turned a request away.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turned {
+pub enum RejectReason {
     /// 503, 429 and the like.
     Full,
     /// 421 of another host, which has the address now.
-    Elsewhere,
+    StaleAddress,
     /// 421 of the host that was meant: it does not hold the key.
-    Unheld,
+    NotOwner,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Broke {
+pub enum IndeterminateCause {
     /// The connection ended without an answer.
     Reset,
     /// What came is no answer, or that to another request.
-    Foreign,
+    ForeignResponse,
     /// The answer ended early, or nothing shows that it is whole.
-    Cut,
+    Truncated,
     /// A success that lacks the host's seal, or whose body is not the host's own.
     Unsealed,
     /// No answer by the deadline.
-    Silent,
+    Timeout,
 }
 
-impl<A> Verdict<A> {
+impl<A> AttemptOutcome<A> {
     /// Whether the request may go to another host.
-    pub fn again(&self, repeatable: bool) -> bool {
+    pub fn is_retryable(&self, repeatable: bool) -> bool {
         match self {
-            Verdict::NotSent(_) | Verdict::TurnedAway(_) => true,
-            Verdict::MayHaveRun(Broke::Silent) => false,
-            Verdict::MayHaveRun(_) | Verdict::Failed(_) => repeatable,
-            Verdict::Ran(_) => false,
+            AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => true,
+            AttemptOutcome::Indeterminate(IndeterminateCause::Timeout) => false,
+            AttemptOutcome::Indeterminate(_) | AttemptOutcome::Failed(_) => repeatable,
+            AttemptOutcome::Completed(_) => false,
         }
     }
 
     /// Whether a host has, or may have, read it.
     pub fn arrived(&self) -> bool {
-        !matches!(self, Verdict::NotSent(_))
+        !matches!(self, AttemptOutcome::NotSent(_))
     }
 }
 
 /// The answer of a request that is given up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Closing {
+pub enum FinalOutcome {
     /// 503: it has not run and never will; come back.
-    Later,
+    Unavailable,
     /// 502: it may have run.
-    Unknown,
+    OutcomeUnknown,
     /// 504: it was at work when the time was up.
     Late,
 }
 
-impl Closing {
+impl FinalOutcome {
     pub fn status(self) -> u16 {
         match self {
-            Closing::Later => 503,
-            Closing::Unknown => 502,
-            Closing::Late => 504,
+            FinalOutcome::Unavailable => 503,
+            FinalOutcome::OutcomeUnknown => 502,
+            FinalOutcome::Late => 504,
         }
     }
 }
 
 /// What the tries of one request so far add up to.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub struct AttemptHistory {
     /// Tries that a host has read.
-    pub arrived: u32,
+    pub delivered: u32,
     pub unsent: u32,
     ran: bool,
     silent: bool,
 }
 
-impl Tally {
-    pub fn take<A>(&mut self, verdict: &Verdict<A>) {
+impl AttemptHistory {
+    pub fn record<A>(&mut self, verdict: &AttemptOutcome<A>) {
         match verdict {
-            Verdict::NotSent(_) => self.unsent += 1,
-            Verdict::TurnedAway(_) => self.arrived += 1,
-            Verdict::Ran(_) | Verdict::Failed(_) => (self.arrived, self.ran) = (self.arrived + 1, true),
-            Verdict::MayHaveRun(cause) => {
-                (self.arrived, self.ran) = (self.arrived + 1, true);
-                self.silent = *cause == Broke::Silent;
+            AttemptOutcome::NotSent(_) => self.unsent += 1,
+            AttemptOutcome::Rejected(_) => self.delivered += 1,
+            AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_) => {
+                (self.delivered, self.ran) = (self.delivered + 1, true)
+            }
+            AttemptOutcome::Indeterminate(cause) => {
+                (self.delivered, self.ran) = (self.delivered + 1, true);
+                self.silent = *cause == IndeterminateCause::Timeout;
             }
         }
     }
@@ -135,11 +137,11 @@
     }
 
     /// A request that may have run is never told to come back: the promise of a 503 would be broken.
-    pub fn closing(&self) -> Closing {
+    pub fn final_outcome(&self) -> FinalOutcome {
         match (self.ran, self.silent) {
-            (false, _) => Closing::Later,
-            (true, true) => Closing::Late,
-            (true, false) => Closing::Unknown,
+            (false, _) => FinalOutcome::Unavailable,
+            (true, true) => FinalOutcome::Late,
+            (true, false) => FinalOutcome::OutcomeUnknown,
         }
     }
 }
--- a/crates/data-plane/retry/tests/table.rs
+++ b/crates/data-plane/retry/tests/table.rs
@@ -1,31 +1,48 @@
 //! Every way in which a try can end, and what follows.
-use coppersail_retry::{Broke, Closing, Tally, Turned, Unsent, Verdict};
+use coppersail_retry::{
+    AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, RejectReason, SendFailure,
+};
 
 /// All of them; a new one does not compile until it has its line in [`follows`].
-fn all() -> Vec<Verdict<()>> {
-    use Unsent::*;
-    let unsent = [Unreachable, Full, Closed, Late, Leaving].map(Verdict::NotSent);
-    let turned = [Turned::Full, Turned::Elsewhere, Turned::Unheld].map(Verdict::TurnedAway);
-    let broke = [Broke::Reset, Broke::Foreign, Broke::Cut, Broke::Unsealed, Broke::Silent];
-    let ran = [Verdict::Ran(()), Verdict::Failed(())];
-    unsent.into_iter().chain(turned).chain(broke.map(Verdict::MayHaveRun)).chain(ran).collect()
+fn all() -> Vec<AttemptOutcome<()>> {
+    use SendFailure::*;
+    let unsent = [Unreachable, ConnectionLimit, ConnectionClosed, DeadlineExceeded, EndpointDraining]
+        .map(AttemptOutcome::NotSent);
+    let turned = [RejectReason::Full, RejectReason::StaleAddress, RejectReason::NotOwner]
+        .map(AttemptOutcome::Rejected);
+    let broke = [
+        IndeterminateCause::Reset,
+        IndeterminateCause::ForeignResponse,
+        IndeterminateCause::Truncated,
+        IndeterminateCause::Unsealed,
+        IndeterminateCause::Timeout,
+    ];
+    let ran = [AttemptOutcome::Completed(()), AttemptOutcome::Failed(())];
+    unsent.into_iter().chain(turned).chain(broke.map(AttemptOutcome::Indeterminate)).chain(ran).collect()
 }
 
 /// Whether one that may run once goes on, whether one that may be repeated does, and what the client gets.
-fn follows(verdict: &Verdict<()>) -> (bool, bool, Closing) {
+fn follows(verdict: &AttemptOutcome<()>) -> (bool, bool, FinalOutcome) {
     match verdict {
-        Verdict::NotSent(
-            Unsent::Unreachable | Unsent::Full | Unsent::Closed | Unsent::Late | Unsent::Leaving,
-        ) => (true, true, Closing::Later),
-        Verdict::TurnedAway(Turned::Full | Turned::Elsewhere | Turned::Unheld) => {
-            (true, true, Closing::Later)
-        }
-        Verdict::MayHaveRun(Broke::Reset | Broke::Foreign | Broke::Cut | Broke::Unsealed) => {
-            (false, true, Closing::Unknown)
-        }
-        Verdict::MayHaveRun(Broke::Silent) => (false, false, Closing::Late),
-        Verdict::Failed(()) => (false, true, Closing::Unknown),
-        Verdict::Ran(()) => (false, false, Closing::Unknown),
+        AttemptOutcome::NotSent(
+            SendFailure::Unreachable
+            | SendFailure::ConnectionLimit
+            | SendFailure::ConnectionClosed
+            | SendFailure::DeadlineExceeded
+            | SendFailure::EndpointDraining,
+        ) => (true, true, FinalOutcome::Unavailable),
+        AttemptOutcome::Rejected(
+            RejectReason::Full | RejectReason::StaleAddress | RejectReason::NotOwner,
+        ) => (true, true, FinalOutcome::Unavailable),
+        AttemptOutcome::Indeterminate(
+            IndeterminateCause::Reset
+            | IndeterminateCause::ForeignResponse
+            | IndeterminateCause::Truncated
+            | IndeterminateCause::Unsealed,
+        ) => (false, true, FinalOutcome::OutcomeUnknown),
+        AttemptOutcome::Indeterminate(IndeterminateCause::Timeout) => (false, false, FinalOutcome::Late),
+        AttemptOutcome::Failed(()) => (false, true, FinalOutcome::OutcomeUnknown),
+        AttemptOutcome::Completed(()) => (false, false, FinalOutcome::OutcomeUnknown),
     }
 }
 
@@ -33,11 +50,15 @@
 fn each_verdict_decides_alone() {
     for verdict in all() {
         let (once, repeatable, closing) = follows(&verdict);
-        assert_eq!((verdict.again(false), verdict.again(true)), (once, repeatable), "{verdict:?}");
-        let mut tally = Tally::default();
-        tally.take(&verdict);
-        assert_eq!(tally.closing(), closing, "{verdict:?}");
-        assert_eq!((tally.arrived, tally.unsent), if verdict.arrived() { (1, 0) } else { (0, 1) });
+        assert_eq!(
+            (verdict.is_retryable(false), verdict.is_retryable(true)),
+            (once, repeatable),
+            "{verdict:?}"
+        );
+        let mut tally = AttemptHistory::default();
+        tally.record(&verdict);
+        assert_eq!(tally.final_outcome(), closing, "{verdict:?}");
+        assert_eq!((tally.delivered, tally.unsent), if verdict.arrived() { (1, 0) } else { (0, 1) });
     }
 }
 
@@ -49,13 +70,14 @@
     for order in 0..count.pow(3) {
         let tries = [order / count / count, order / count % count, order % count].map(|at| &all[at]);
         for repeatable in [false, true] {
-            let (mut tally, mut ran) = (Tally::default(), 0);
+            let (mut tally, mut ran) = (AttemptHistory::default(), 0);
             for verdict in tries {
-                tally.take(verdict);
-                ran += u32::from(!matches!(verdict, Verdict::NotSent(_) | Verdict::TurnedAway(_)));
+                tally.record(verdict);
+                ran +=
+                    u32::from(!matches!(verdict, AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_)));
                 assert_eq!(tally.may_have_run(), ran > 0);
-                assert_eq!(tally.closing() == Closing::Later, ran == 0, "{tries:?}");
-                if !verdict.again(repeatable) {
+                assert_eq!(tally.final_outcome() == FinalOutcome::Unavailable, ran == 0, "{tries:?}");
+                if !verdict.is_retryable(repeatable) {
                     break;
                 }
             }
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -538,7 +538,7 @@
         Fleet { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
     }
 
-    fn centre(&mut self, now: Ms, plan: &coppersail_rollout::Rollout) {
+    fn centre(&mut self, now: Ms, plan: &coppersail_rollout::RolloutPlan) {
         if now < self.no_primary_until {
             return;
         }
--- a/crates/data-plane/rollout/src/judge.rs
+++ b/crates/data-plane/rollout/src/judge.rs
@@ -10,7 +10,7 @@
 //! sound version.
 use crate::ledger::{Counts, Kind, Report, Row};
 use crate::Ms;
-use coppersail_config::rollout::Rollout;
+use coppersail_config::rollout::RolloutPlan;
 use std::collections::hash_map::DefaultHasher;
 use std::collections::{BTreeMap, BTreeSet, HashMap};
 use std::hash::{Hash, Hasher};
@@ -116,7 +116,7 @@
 }
 
 pub struct Judge {
-    plan: Rollout,
+    plan: RolloutPlan,
     run: u64,
     rounds: f64,
     /// Answers that the step in force asks for.
@@ -174,7 +174,7 @@
 
 impl Judge {
     /// Of what was counted from number `run` on.
-    pub fn new(plan: &Rollout, run: u64) -> Judge {
+    pub fn new(plan: &RolloutPlan, run: u64) -> Judge {
         let rounds = (plan.ends.as_millis() as f64 / ROUND as f64).max(1.0);
         Judge {
             plan: plan.clone(),
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -25,7 +25,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use coppersail_config::rollout::{Rollout, Version};
+pub use coppersail_config::rollout::{RolloutPlan, Version};
 pub use judge::{Judge, Verdict};
 pub use ledger::{Kind, Ledger, Report};
 pub use pace::{Order, Phase, Stand};
--- a/crates/data-plane/rollout/src/pace.rs
+++ b/crates/data-plane/rollout/src/pace.rs
@@ -1,7 +1,7 @@
 //! A plan's state, as the centre keeps it on two disks. Every change has the next number; edges take the highest.
 use crate::judge::Verdict;
 use crate::Ms;
-use coppersail_config::rollout::{Pass, Pause, Rollout};
+use coppersail_config::rollout::{Pass, Pause, RolloutPlan};
 use serde::{Deserialize, Serialize};
 
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -88,13 +88,13 @@
         }
     }
 
-    pub fn plan(&self) -> Rollout {
+    pub fn plan(&self) -> RolloutPlan {
         coppersail_config::rollout::parse(&self.body).unwrap_or_default()
     }
 
     /// The share of the new version; nothing where the plan does not steer.
     pub fn share(&self) -> Option<f64> {
-        let at = |plan: Rollout| plan.steps.get(self.step).map_or(0.0, |s| s.share);
+        let at = |plan: RolloutPlan| plan.steps.get(self.step).map_or(0.0, |s| s.share);
         match self.phase {
             Phase::Running | Phase::Frozen | Phase::Done => Some(at(self.plan())),
             Phase::Withdrawn => Some(0.0),
@@ -143,7 +143,7 @@
     }
 
     /// What time and the verdict make of it.
-    pub fn tick(&self, plan: &Rollout, now: Ms, since: Since, verdict: &Verdict) -> Option<Stand> {
+    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<Stand> {
         let ran = now.saturating_sub(since.0);
         let stop = |why: &str| self.order(ran, Order::Pause, why).ok().flatten();
         match self.phase {
@@ -170,7 +170,7 @@
     }
 
     /// Until the next step may be taken, as far as time decides.
-    pub fn left(&self, plan: &Rollout, now: Ms, since: Since) -> Option<Ms> {
+    pub fn left(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
         Some((step.least.as_millis() as Ms).saturating_sub(now.saturating_sub(since.0)))
     }
--- a/crates/data-plane/rollout/src/side.rs
+++ b/crates/data-plane/rollout/src/side.rs
@@ -1,7 +1,7 @@
 //! What an edge makes of plans.
 use crate::pace::{Phase, Stand};
 use crate::{share, Ms};
-use coppersail_config::rollout::{Rollout, Version};
+use coppersail_config::rollout::{RolloutPlan, Version};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Side {
@@ -15,7 +15,7 @@
     pub name: String,
     pub number: u64,
     pub run: u64,
-    pub plan: Rollout,
+    pub plan: RolloutPlan,
     share: f64,
     phase: Phase,
     /// This edge has seen enough, before the fleet has.
--- a/crates/data-plane/rollout/src/tests.rs
+++ b/crates/data-plane/rollout/src/tests.rs
@@ -5,7 +5,7 @@
 use crate::side::{Side, Sides};
 use crate::Ms;
 use assert_matches::assert_matches;
-use coppersail_config::rollout::Rollout;
+use coppersail_config::rollout::RolloutPlan;
 
 const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"}, "ends": "3600s",
     "steps": [{"share": 0.05, "least": "10s", "evidence": 20}, {"share": 0.5, "least": "10s", "evidence": 20}]}"#;
@@ -356,5 +356,5 @@
             line
         );
     }
-    let _: Rollout = stand().plan();
+    let _: RolloutPlan = stand().plan();
 }
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -177,7 +177,7 @@
             || self.disk.troubled(now)
     }
 
-    pub fn boot(&self, contact: Ms, survive: usize) -> coppersail_config::Boot {
+    pub fn boot(&self, contact: Ms, survive: usize) -> coppersail_config::ProcessSettings {
         let text = json!({
             "self": {"ipAddress": self.ip, "area": format!("zone-{}", self.zone), "countsAsLoss": true,
                 "initialBoot": self.first, "dataFolder": "/data"},
@@ -189,7 +189,8 @@
                 "empty": format!("{}ms", crate::EMPTY), "leeway": format!("{}ms", crate::LEEWAY),
                 "apply": format!("{}ms", crate::APPLY), "keepMax": format!("{}ms", crate::KEEP_MAX)}}
         });
-        coppersail_config::Boot::from_json(&text.to_string()).expect("settings of the simulator's own")
+        coppersail_config::ProcessSettings::from_json(&text.to_string())
+            .expect("settings of the simulator's own")
     }
 }
 
--- a/crates/tools/stub-backend/src/keys.rs
+++ b/crates/tools/stub-backend/src/keys.rs
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Whether a request on a key may start; if so, it is at work until [`Keys::finish`].
+    /// Whether a request on a key may start; if so, it is at work until [`LeaseTable::finish`].
     pub fn start(&mut self, now: Duration, id: usize, key: u32) -> bool {
         self.expire(now);
         let held = self.holds.iter().any(|hold| !hold.leaving && (hold.from..=hold.to).contains(&key));
@@ -166,7 +166,7 @@
         (self.holds.iter().map(|h| (h.from, h.to, h.fence)).collect(), self.released.clone())
     }
 
-    /// The beat that [`Keys::told`] filled was acknowledged.
+    /// The beat that [`LeaseTable::told`] filled was acknowledged.
     pub fn acknowledged(&mut self) {
         self.released.drain(..std::mem::take(&mut self.told));
     }
--- a/crates/tools/stub-backend/src/life.rs
+++ b/crates/tools/stub-backend/src/life.rs
@@ -200,7 +200,7 @@
             revision: plan.revision.clone(),
             capacity: plan.capacity,
             stage: if self.leaving.is_some() { "emptying" } else { "ready" }.into(),
-            warm_left: coppersail_config::written(plan.warm.saturating_sub(now)),
+            warm_left: coppersail_config::format_duration(plan.warm.saturating_sub(now)),
             call_count: self.calls,
             held: plan.split.then_some(held),
             released: plan.split.then_some(released),
