--- a/crates/data-plane/edge-proxy/src/conns.rs
+++ b/crates/data-plane/edge-proxy/src/conns.rs
@@ -2,8 +2,8 @@
 use crate::edge::Edge;
 use crate::reply::Sent;
 use crate::steer::{Lookout, Way};
-use coppersail_load_balancing::health::Sign;
-use coppersail_load_balancing::pause;
+use coppersail_load_balancing::backoff;
+use coppersail_load_balancing::health::FailureSign;
 use coppersail_retry::SendFailure;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderValue;
@@ -202,7 +202,7 @@
     pub fn sweep(&mut self, now: Instant) {
         for pool in self.hosts.values_mut() {
             pool.idle.retain(|idle| {
-                !idle.sender.is_closed() && now.duration_since(idle.since) < pause::kept(idle.keep, true)
+                !idle.sender.is_closed() && now.duration_since(idle.since) < backoff::kept(idle.keep, true)
             });
         }
         self.hosts.retain(|_, pool| pool.open > 0 || !pool.idle.is_empty());
@@ -215,8 +215,8 @@
         for at in (0..idle.len()).rev() {
             let one = &idle[at];
             let since = if need.repeatable { one.since } else { one.at_least };
-            let until = since + pause::kept(one.keep, need.repeatable);
-            let over = now >= one.since + pause::kept(one.keep, true) || one.sender.is_closed();
+            let until = since + backoff::kept(one.keep, need.repeatable);
+            let over = now >= one.since + backoff::kept(one.keep, true) || one.sender.is_closed();
             // It may still do for another request.
             if !over && (now >= until || need.before.contains(&one.number)) {
                 continue;
@@ -299,7 +299,7 @@
         let _ = socket.set_tcp_nodelay(true);
         let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
         let taken = Instant::now();
-        let line = Line::new(stream, taken + pause::kept(keep, need.repeatable));
+        let line = Line::new(stream, taken + backoff::kept(keep, need.repeatable));
         let wire = Wire(line.clone());
         let handshake = http1::Builder::new().max_buf_size(HELD).handshake(wire).await;
         let Ok((sender, connection)) = handshake else { return Err(SendFailure::Unreachable) };
@@ -347,7 +347,7 @@
 
 impl Edge {
     fn keep(&self, ident: &str, idle: Idle) {
-        let usable = self.book.borrow().host(ident).is_some_and(|host| host.usable(self.now()));
+        let usable = self.book.borrow().endpoint(ident).is_some_and(|host| host.usable(self.now()));
         if let (true, Some(pool)) = (usable, self.pools.borrow_mut().hosts.get_mut(ident)) {
             pool.idle.push(idle);
         }
@@ -363,7 +363,7 @@
 
 impl Working {
     pub fn new(edge: &Rc<Edge>, ident: &Rc<str>) -> Working {
-        if let Some(host) = edge.book.borrow_mut().host_mut(ident) {
+        if let Some(host) = edge.book.borrow_mut().endpoint_mut(ident) {
             host.load.own += 1;
             host.health.begin();
         }
@@ -372,22 +372,22 @@
 
     pub fn good(&mut self) {
         self.judged = true;
-        if let Some(host) = self.edge.book.borrow_mut().host_mut(&self.ident) {
-            host.health.good();
+        if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(&self.ident) {
+            host.health.record_success();
         }
     }
 
-    pub fn bad(&mut self, sign: Sign) {
+    pub fn bad(&mut self, sign: FailureSign) {
         self.judged = true;
-        if let Some(host) = self.edge.book.borrow_mut().host_mut(&self.ident) {
-            host.health.bad(sign, self.edge.now());
+        if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(&self.ident) {
+            host.health.record_failure(sign, self.edge.now());
         }
     }
 }
 
 impl Drop for Working {
     fn drop(&mut self) {
-        if let Some(host) = self.edge.book.borrow_mut().host_mut(&self.ident) {
+        if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(&self.ident) {
             host.load.own = host.load.own.saturating_sub(1);
             if !self.judged {
                 host.health.untried();
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -3,8 +3,8 @@
 use crate::steer::Steer;
 use coppersail_config::config::Routes;
 use coppersail_config::{Config, ProcessSettings};
-use coppersail_load_balancing::budget::{self, Budget};
-use coppersail_load_balancing::{Book, Ms};
+use coppersail_load_balancing::budget::{self, RetryBudget};
+use coppersail_load_balancing::{EndpointRegistry, Ms};
 use coppersail_peer_protocol::{RequestCounts, Update};
 use rustc_hash::FxHashMap;
 use slog::{info, warn, Logger};
@@ -78,9 +78,9 @@
     start: Instant,
     pub boot: RefCell<Rc<ProcessSettings>>,
     pub told: RefCell<Option<Rc<Told>>>,
-    pub book: RefCell<Book>,
+    pub book: RefCell<EndpointRegistry>,
     pub pools: RefCell<Pools>,
-    budgets: RefCell<FxHashMap<String, Budget>>,
+    budgets: RefCell<FxHashMap<String, RetryBudget>>,
     pub chance: RefCell<fastrand::Rng>,
     /// Wakes requests that wait for a key's holder.
     pub news: Notify,
@@ -101,7 +101,7 @@
         Rc::new(Edge {
             log,
             start: Instant::now(),
-            book: RefCell::new(Book::new(&boot.area)),
+            book: RefCell::new(EndpointRegistry::new(&boot.area)),
             steer: Steer::new(&boot.ip, &boot.area),
             boot: RefCell::new(Rc::new(boot)),
             told: RefCell::default(),
@@ -171,8 +171,8 @@
     /// Once a second: what only time changes.
     pub fn tick(&self) {
         self.report();
-        let mut changed = coppersail_load_balancing::book::Changed::default();
-        self.book.borrow_mut().sweep(self.now(), &mut changed);
+        let mut changed = coppersail_load_balancing::registry::RegistryChanges::default();
+        self.book.borrow_mut().remove_expired(self.now(), &mut changed);
         let mut pools = self.pools.borrow_mut();
         changed.left.iter().for_each(|ident| pools.drop_idle(ident));
         pools.sweep(Instant::now());
@@ -207,17 +207,17 @@
         self.boot.borrow().limits.empty.as_millis() as Ms * 2 / 5
     }
 
-    pub fn budget_terms(&self) -> budget::Terms {
+    pub fn budget_terms(&self) -> budget::BudgetSettings {
         let boot = self.boot.borrow();
         let limits = &boot.limits;
         let window = limits.retry_window.as_millis() as Ms;
-        budget::Terms { ratio: limits.retry_ratio, window, extra: limits.extra_tries }
+        budget::BudgetSettings { ratio: limits.retry_ratio, window, extra: limits.extra_tries }
     }
 
-    pub fn with_budget<T>(&self, service: &str, use_it: impl FnOnce(&mut Budget) -> T) -> T {
+    pub fn with_budget<T>(&self, service: &str, use_it: impl FnOnce(&mut RetryBudget) -> T) -> T {
         let mut budgets = self.budgets.borrow_mut();
         if !budgets.contains_key(service) {
-            budgets.insert(service.into(), Budget::default());
+            budgets.insert(service.into(), RetryBudget::default());
         }
         use_it(budgets.get_mut(service).expect("just put in"))
     }
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ b/crates/data-plane/edge-proxy/src/follow.rs
@@ -2,7 +2,7 @@
 use crate::edge::Tallies;
 use crate::steer::{self, Outbox};
 use coppersail_config::ProcessSettings;
-use coppersail_load_balancing::pause;
+use coppersail_load_balancing::backoff;
 use coppersail_peer_client::PeerClient;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use slog::{info, Logger};
@@ -99,7 +99,7 @@
         if !self.failed.is_multiple_of(self.all().count().max(1)) {
             return Duration::ZERO;
         }
-        self.pause = pause::round(self.pause);
+        self.pause = backoff::round(self.pause);
         self.pause
     }
 }
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod steer;
 
 use coppersail_config::ProcessSettings;
-use coppersail_load_balancing::pause;
+use coppersail_load_balancing::backoff;
 use coppersail_peer_protocol::Update;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
@@ -105,7 +105,7 @@
 /// Leaves in order: says so, takes connections for as long as some may come, and lets what is under way end.
 pub async fn leave(edge: &Rc<Edge>) {
     let leeway = edge.boot.borrow().limits.leeway;
-    let (taken, end) = pause::leave(leeway);
+    let (taken, end) = backoff::leave(leeway);
     let begun = Instant::now();
     info!(edge.log, "edge: leaving, {} connections open", edge.open.get());
     edge.stay.send_replace(Stay::Leaving);
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -7,9 +7,9 @@
 use crate::steer::{self, Way};
 use bytes::{Bytes, BytesMut};
 use coppersail_config::Route;
-use coppersail_load_balancing::health::Sign;
-use coppersail_load_balancing::pick::{self, Ask, Choice};
-use coppersail_load_balancing::{pause, Ms};
+use coppersail_load_balancing::health::FailureSign;
+use coppersail_load_balancing::selection::{self, Selection, SelectionRequest};
+use coppersail_load_balancing::{backoff, Ms};
 use coppersail_retry::{
     AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, RejectReason, SendFailure,
 };
@@ -105,7 +105,7 @@
 }
 
 fn back(edge: &Edge, left: Ms, for_key: bool) -> Ms {
-    pause::back(left, for_key, edge.chance.borrow_mut().f64())
+    backoff::back(left, for_key, edge.chance.borrow_mut().f64())
 }
 
 /// Why a head goes nowhere.
@@ -151,7 +151,7 @@
     }
     let route = host.to_str().ok().and_then(|host| told.routes.lookup(host, uri.path()));
     let route = route.ok_or(Unfit::NoRoute)?;
-    let mut name = pick::service(&route.shares, id.as_bytes()).ok_or(Unfit::NoRoute)?;
+    let mut name = selection::service(&route.shares, id.as_bytes()).ok_or(Unfit::NoRoute)?;
     let way = if edge.steer.on() { way(edge, told, route, &headers, from, &mut name, now) } else { None };
     let service = told.config.service(name);
     let divided = service.is_some_and(|service| service.split_up);
@@ -165,8 +165,8 @@
     strip(&mut headers);
     headers.remove(EXPECT);
     let most = service.map_or(0, |service| service.max_connections);
-    let part = pause::part(most, edge.book.borrow().edges);
-    let until = now + pick::deadline(left, route.give_up);
+    let part = backoff::part(most, edge.book.borrow().edges);
+    let until = now + selection::deadline(left, route.give_up);
     // In absolute form the authority is the client's business with this edge.
     let uri = match uri.path_and_query() {
         Some(path) if uri.authority().is_some() => Uri::from(path.clone()),
@@ -298,14 +298,14 @@
     let mut way = taken.way.clone();
     // Connections that have carried it.
     let mut carried: Vec<u64> = Vec::new();
-    let wait_until = now + pause::for_holder(taken.route.target_time, taken.left(now));
+    let wait_until = now + backoff::for_holder(taken.route.target_time, taken.left(now));
     loop {
         let now = edge.now();
         let left = taken.left(now);
         if left == 0 || tally.delivered >= taken.route.tries.max(1) || tally.unsent >= MOST_UNSENT {
             break;
         }
-        let ask = Ask {
+        let ask = SelectionRequest {
             service: taken.service,
             key: taken.key,
             repeatable: taken.route.repeatable,
@@ -315,13 +315,14 @@
             revision: way.as_ref().and_then(Way::hosts),
             tried: &tried,
         };
-        let choice = pick::pick(&edge.book.borrow(), &ask, now, &mut edge.chance.borrow_mut());
+        let choice =
+            selection::select_endpoint(&edge.book.borrow(), &ask, now, &mut edge.chance.borrow_mut());
         let ident = match choice {
-            Choice::Host(ident) => match &taken.stay {
+            Selection::Endpoint(ident) => match &taken.stay {
                 Some(stay) => stay.steer(edge, &taken, ident, &tried),
                 None => ident,
             },
-            Choice::Unheld => {
+            Selection::NoLeaseHolder => {
                 for_key = true;
                 // A row is doubted for a while only, so that there is more to wait for than news.
                 let news = edge.news.notified();
@@ -331,14 +332,14 @@
                 continue;
             }
             // What has certainly not run may go to the sound version.
-            Choice::Nobody
+            Selection::NoEndpoint
                 if !tally.may_have_run()
                     && way.as_ref().is_some_and(|way| way.hosts().is_some_and(|h| h.1)) =>
             {
                 way = way.map(Way::old);
                 continue;
             }
-            Choice::Nobody | Choice::Overrun => break,
+            Selection::NoEndpoint | Selection::Overloaded => break,
         };
         if tally.delivered > 0 {
             let (terms, edges) = (edge.budget_terms(), edge.book.borrow().edges);
@@ -375,17 +376,17 @@
             AttemptOutcome::Rejected(RejectReason::NotOwner) => {
                 for_key = true;
                 let key = taken.key.unwrap_or_default();
-                edge.book.borrow_mut().doubt(taken.service, key, &ident, edge.now());
+                edge.book.borrow_mut().suspect_owner(taken.service, key, &ident, edge.now());
             }
             // The holder alone can run it, so that it is asked again, but not before one of its slots may be free.
-            AttemptOutcome::Rejected(RejectReason::Full) if taken.key.is_some() => {
+            AttemptOutcome::Rejected(RejectReason::Overloaded) if taken.key.is_some() => {
                 if edge.now() >= wait_until {
                     break;
                 }
                 tokio::time::sleep_until(edge.at(wait_until)).await;
             }
             AttemptOutcome::Rejected(RejectReason::StaleAddress) => {
-                edge.book.borrow_mut().spurn(&ident, edge.now())
+                edge.book.borrow_mut().mark_stale_address(&ident, edge.now())
             }
             _ => tried.push(ident),
         }
@@ -425,23 +426,23 @@
     way: Option<&Way>,
 ) -> (AttemptOutcome<Answer>, Option<Sent>) {
     let mut working = Working::new(edge, ident);
-    let Some(address) = edge.book.borrow().host(ident).map(|host| host.address) else {
+    let Some(address) = edge.book.borrow().endpoint(ident).map(|host| host.address) else {
         return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body));
     };
-    let most = pause::for_connect(taken.route.target_time, taken.left(edge.now()));
+    let most = backoff::for_connect(taken.route.target_time, taken.left(edge.now()));
     let need = Need { repeatable: taken.route.repeatable, part: taken.part, most, before: carried };
     let mut lease = match Lease::take(edge, ident, address, need).await {
         Ok(lease) => lease,
         Err(unsent) => {
             if unsent == SendFailure::Unreachable {
-                working.bad(Sign::Unreachable);
+                working.bad(FailureSign::Unreachable);
             }
             return (AttemptOutcome::NotSent(unsent), Some(body));
         }
     };
     // News may have come while the connection did.
     let sent_at = edge.now();
-    let busy = match edge.book.borrow().host(ident) {
+    let busy = match edge.book.borrow().endpoint(ident) {
         Some(host) if host.serves(sent_at, taken.key, edge.stays()) && host.address == address => {
             host.load.busy(sent_at, 0.0)
         }
@@ -467,7 +468,7 @@
             // Kept connections end for many reasons; a new one ends for the host's.
             // Nor is a host to blame for what the client sent.
             if !lease.reused && !wrong.error().is_user() {
-                working.bad(Sign::Broken);
+                working.bad(FailureSign::Broken);
             }
             if body.is_some() || !lease.begun() {
                 let unsent =
@@ -479,14 +480,14 @@
                 AttemptOutcome::Indeterminate(if foreign {
                     IndeterminateCause::ForeignResponse
                 } else {
-                    IndeterminateCause::Reset
+                    IndeterminateCause::ConnectionReset
                 }),
                 None,
             );
         }
         Err(_) if !lease.begun() => return (AttemptOutcome::NotSent(SendFailure::DeadlineExceeded), None),
         Err(_) => {
-            working.bad(Sign::Silent);
+            working.bad(FailureSign::Silent);
             return (AttemptOutcome::Indeterminate(IndeterminateCause::Timeout), None);
         }
     };
@@ -496,7 +497,11 @@
     match one.read(answer, &mut working, told_back).await {
         Ok(verdict) => (verdict, None),
         Err(broke) => {
-            working.bad(if broke == IndeterminateCause::Timeout { Sign::Silent } else { Sign::Broken });
+            working.bad(if broke == IndeterminateCause::Timeout {
+                FailureSign::Silent
+            } else {
+                FailureSign::Broken
+            });
             (AttemptOutcome::Indeterminate(broke), None)
         }
     }
@@ -534,10 +539,10 @@
         let framed = body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING);
         let until = self.edge.at(self.taken.until);
         if let Some(turned) = self.turned(status, &headers) {
-            if turned == RejectReason::Full {
+            if turned == RejectReason::Overloaded {
                 *told_back = seconds(headers.get(RETRY_AFTER)).or(*told_back);
                 let now = self.edge.now();
-                if let Some(host) = self.edge.book.borrow_mut().host_mut(self.ident) {
+                if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(self.ident) {
                     host.load.full(now);
                 }
             }
@@ -598,7 +603,7 @@
     fn turned(&self, status: StatusCode, headers: &HeaderMap) -> Option<RejectReason> {
         if status != StatusCode::MISDIRECTED_REQUEST {
             let error = status.is_client_error() || status.is_server_error();
-            return (error && headers.contains_key(&NOT_RUN)).then_some(RejectReason::Full);
+            return (error && headers.contains_key(&NOT_RUN)).then_some(RejectReason::Overloaded);
         }
         let other = headers.get(&SERVER_ID).is_some_and(|id| id.as_bytes() != self.ident.as_bytes());
         Some(if self.taken.key.is_some() && !other {
@@ -616,7 +621,7 @@
             (numbers.next(), numbers.next(), numbers.next())
         {
             let now = self.edge.now();
-            if let Some(host) = self.edge.book.borrow_mut().host_mut(self.ident) {
+            if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(self.ident) {
                 host.load.told(running, waiting, slots, now);
             }
         }
@@ -625,11 +630,11 @@
     fn note_time(&self) {
         let took = self.edge.now().saturating_sub(self.sent_at);
         let mut book = self.edge.book.borrow_mut();
-        let usual = book.part(self.taken.service).map_or(0.0, |part| part.usual);
-        let Some(host) = book.host_mut(self.ident) else { return };
+        let usual = book.service(self.taken.service).map_or(0.0, |part| part.usual);
+        let Some(host) = book.endpoint_mut(self.ident) else { return };
         host.load.took(took, self.busy, usual);
         let mean = host.load.mean();
-        if let Some(part) = book.part_mut(self.taken.service) {
+        if let Some(part) = book.service_mut(self.taken.service) {
             part.note(mean);
         }
     }
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -56,10 +56,10 @@
     pub fn steer(&self, edge: &Edge, taken: &Taken<'_>, picked: Rc<str>, tried: &[Rc<str>]) -> Rc<str> {
         let book = edge.book.borrow();
         let usable = |ident: &str| {
-            let serves = |host: &coppersail_load_balancing::book::Host| {
+            let serves = |host: &coppersail_load_balancing::registry::Endpoint| {
                 &*host.service == taken.service && host.usable(edge.now())
             };
-            !tried.iter().any(|one| &**one == ident) && book.host(ident).is_some_and(serves)
+            !tried.iter().any(|one| &**one == ident) && book.endpoint(ident).is_some_and(serves)
         };
         // Who holds a key is not for a session to say.
         let had = self.had.as_ref().filter(|_| taken.key.is_none());
@@ -599,7 +599,7 @@
             Said::Unknown => outcome(502, "unknown"),
             Said::Other => outcome(422, "another request went under this key"),
             Said::NotNow => {
-                let wait = coppersail_load_balancing::pause::back(
+                let wait = coppersail_load_balancing::backoff::back(
                     ms(self.file.wait),
                     true,
                     edge.chance.borrow_mut().f64(),
@@ -627,7 +627,7 @@
 fn ended(Passed { answer, closing }: &Passed) -> Outcome {
     match closing {
         Some(FinalOutcome::Unavailable) => return Outcome::NotRun,
-        Some(FinalOutcome::OutcomeUnknown | FinalOutcome::Late) => return Outcome::Unknown,
+        Some(FinalOutcome::OutcomeUnknown | FinalOutcome::DeadlineExceeded) => return Outcome::Unknown,
         None => {}
     }
     let Kind::Whole(body) = &answer.body().kind else { return Outcome::RanLong };
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -156,7 +156,7 @@
 
     /// A request goes to a host. True if its time will tell nothing of the version.
     pub fn steered(&self, way: &Way, ident: &str, now: Ms) -> bool {
-        let host = self.book.borrow().host(ident).map(|h| (h.capacity, now < h.cold_until));
+        let host = self.book.borrow().endpoint(ident).map(|h| (h.capacity, now < h.slow_start_until));
         let (slots, cold) = host.unwrap_or((1, false));
         way.counted && (self.steer.ledger.borrow_mut().sent(now, ident, f64::from(slots)) || cold)
     }
--- a/crates/data-plane/load-balancing/src/budget.rs
+++ b/crates/data-plane/load-balancing/src/budget.rs
@@ -11,7 +11,7 @@
 const SPANS: u64 = 20;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Terms {
+pub struct BudgetSettings {
     pub ratio: f64,
     pub window: Ms,
     pub extra: u32,
@@ -33,14 +33,14 @@
 /// assert!(budget.spend(&terms, 8, 1) && !budget.spend(&terms, 8, 2));
 /// ```
 #[derive(Debug, Clone, Default)]
-pub struct Budget {
+pub struct RetryBudget {
     spans: VecDeque<Span>,
     tokens: f64,
     filled: Option<Ms>,
 }
 
-impl Budget {
-    fn span(&mut self, terms: &Terms, now: Ms) -> &mut Span {
+impl RetryBudget {
+    fn span(&mut self, terms: &BudgetSettings, now: Ms) -> &mut Span {
         let at = now / (terms.window / SPANS).max(1);
         // The span that is only partly inside stays: tries in it still count.
         while self.spans.front().is_some_and(|span| span.at + SPANS < at) {
@@ -52,12 +52,12 @@
         self.spans.back_mut().expect("just pushed")
     }
 
-    pub fn request(&mut self, terms: &Terms, now: Ms) {
+    pub fn request(&mut self, terms: &BudgetSettings, now: Ms) {
         self.span(terms, now).requests += 1;
     }
 
     /// Takes one further try, if there is one. `edges` is the most that were ever seen; 0 is unknown.
-    pub fn spend(&mut self, terms: &Terms, edges: u32, now: Ms) -> bool {
+    pub fn spend(&mut self, terms: &BudgetSettings, edges: u32, now: Ms) -> bool {
         let at = self.span(terms, now).at;
         let requests: u32 =
             self.spans.iter().filter(|span| span.at + SPANS > at).map(|span| span.requests).sum();
--- a/crates/data-plane/load-balancing/src/budget/tests.rs
+++ b/crates/data-plane/load-balancing/src/budget/tests.rs
@@ -4,10 +4,10 @@
 /// Against a plain count of every try and request, in every window that ends with a try.
 #[test]
 fn no_window_holds_more_than_its_part() {
-    let terms = Terms { ratio: 0.2, window: 10_000, extra: 56 };
+    let terms = BudgetSettings { ratio: 0.2, window: 10_000, extra: 56 };
     for seed in 0..40 {
         let mut chance = fastrand::Rng::with_seed(seed);
-        let (mut budget, mut now) = (Budget::default(), 0);
+        let (mut budget, mut now) = (RetryBudget::default(), 0);
         let (mut requests, mut tries): (Vec<Ms>, Vec<Ms>) = (vec![], vec![]);
         for step in 0..4_000 {
             let crowd = if step / 500 % 2 == 0 { 2 } else { 300 };
@@ -30,9 +30,9 @@
 
 #[test]
 fn a_new_edge_has_nothing_extra_and_unknown_edges_none() {
-    let terms = Terms { ratio: 0.0, window: 10_000, extra: 56 };
-    let mut budget = Budget::default();
+    let terms = BudgetSettings { ratio: 0.0, window: 10_000, extra: 56 };
+    let mut budget = RetryBudget::default();
     assert!(!budget.spend(&terms, 8, 0));
     assert!(budget.spend(&terms, 8, 3_000));
-    assert!(!Budget::default().spend(&terms, 0, 0));
+    assert!(!RetryBudget::default().spend(&terms, 0, 0));
 }
--- a/crates/data-plane/load-balancing/src/health.rs
+++ b/crates/data-plane/load-balancing/src/health.rs
@@ -8,7 +8,7 @@
 
 /// What speaks against a host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sign {
+pub enum FailureSign {
     /// No connection came up: nobody lives there, or it is cut off.
     Unreachable,
     /// A reset, a cut answer, wrong bytes. Full hosts reset, too: one sign is none.
@@ -27,10 +27,10 @@
 }
 
 impl Health {
-    pub fn bad(&mut self, sign: Sign, now: Ms) {
+    pub fn record_failure(&mut self, sign: FailureSign, now: Ms) {
         self.failures = self.failures.saturating_add(1);
         self.trial = false;
-        self.unreachable = sign == Sign::Unreachable;
+        self.unreachable = sign == FailureSign::Unreachable;
         // Two in a row for signs that a sound but full host gives as well.
         let counted = if self.unreachable { self.failures } else { self.failures - 1 };
         if counted > 0 {
@@ -40,7 +40,7 @@
     }
 
     /// Any answer that belongs to its request.
-    pub fn good(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Health::default();
     }
 
@@ -53,12 +53,12 @@
         self.trial = self.failures > 0 && self.aside_until > 0;
     }
 
-    pub fn until(&self) -> Ms {
+    pub fn ejected_until(&self) -> Ms {
         self.aside_until
     }
 
     /// After its pause, a host comes back by one repeatable request at a time.
-    pub fn aside(&self, repeatable: bool, now: Ms) -> bool {
+    pub fn is_ejected(&self, repeatable: bool, now: Ms) -> bool {
         now < self.aside_until || (self.aside_until > 0 && (self.trial || !repeatable))
     }
 }
--- a/crates/data-plane/load-balancing/src/lib.rs
+++ b/crates/data-plane/load-balancing/src/lib.rs
@@ -1,16 +1,16 @@
 //! Which way a request goes: picks, health of hosts, budget of further tries; pure.
 //!
 //! Time is milliseconds of a clock that the caller keeps, and chance is the caller's.
-pub mod book;
+pub mod backoff;
 pub mod budget;
 pub mod health;
 pub mod load;
-pub mod pause;
-pub mod pick;
+pub mod registry;
+pub mod selection;
 
-pub use book::{Book, Host};
-pub use budget::Budget;
-pub use pick::{Ask, Choice};
+pub use budget::RetryBudget;
+pub use registry::{Endpoint, EndpointRegistry};
+pub use selection::{Selection, SelectionRequest};
 
 /// Milliseconds since the process started.
 pub type Ms = u64;
--- a/crates/data-plane/load-balancing/src/book.rs
+++ b/crates/data-plane/load-balancing/src/registry.rs
@@ -17,21 +17,21 @@
 const MOST_ENDED: usize = 16_384;
 
 #[derive(Debug)]
-pub struct Host {
-    pub ident: Rc<str>,
+pub struct Endpoint {
+    pub id: Rc<str>,
     pub service: Rc<str>,
     /// Of its software.
-    pub revision: Rc<str>,
+    pub version: Rc<str>,
     pub address: SocketAddr,
     /// In this edge's zone.
-    pub near: bool,
+    pub same_zone: bool,
     pub capacity: u32,
-    pub stage: EndpointState,
+    pub state: EndpointState,
     /// When this edge heard that it leaves: not later than that was acknowledged to it.
     left_at: Ms,
-    pub silent: bool,
-    pub cold_until: Ms,
-    calls: u64,
+    pub suspect: bool,
+    pub slow_start_until: Ms,
+    heartbeat_sequence: u64,
     /// Until when the host is used although the centre now followed does not name it.
     unnamed_until: Option<Ms>,
     spurned_until: Ms,
@@ -39,48 +39,48 @@
     pub health: Health,
 }
 
-impl Host {
+impl Endpoint {
     /// Whether requests may be sent to it at all.
     pub fn usable(&self, now: Ms) -> bool {
-        self.stage == EndpointState::Ready && now >= self.spurned_until
+        self.state == EndpointState::Ready && now >= self.spurned_until
     }
 
     /// Whether a request may be sent to it that was meant for it a moment ago.
     pub fn serves(&self, now: Ms, key: Option<u16>, stays: Ms) -> bool {
-        self.stage == EndpointState::Ready || (key.is_some() && self.holds(now, stays))
+        self.state == EndpointState::Ready || (key.is_some() && self.holds(now, stays))
     }
 
     /// Whether requests for keys that it holds may be sent to it: nobody else may run them, so also, for `stays`,
     /// after it has said that it leaves.
     pub fn holds(&self, now: Ms, stays: Ms) -> bool {
         self.usable(now)
-            || (self.stage == EndpointState::Draining
+            || (self.state == EndpointState::Draining
                 && now >= self.spurned_until
                 && now < self.left_at + stays)
     }
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Row {
+pub struct SliceOwner {
     pub holder: Option<Rc<str>>,
     pub fence: u64,
     doubted_until: Ms,
 }
 
 #[derive(Debug, Default)]
-pub struct Slices {
-    pub rows: Vec<Row>,
+pub struct SliceTable {
+    pub rows: Vec<SliceOwner>,
 }
 
 #[derive(Debug, Default)]
-pub struct Part {
+pub struct ServiceEndpoints {
     pub hosts: Vec<Rc<str>>,
-    pub slices: Option<Slices>,
+    pub slices: Option<SliceTable>,
     /// Answer time of the whole service, for hosts not yet measured.
     pub usual: f32,
 }
 
-impl Part {
+impl ServiceEndpoints {
     /// Takes a host's measured answer time into the service's.
     pub fn note(&mut self, mean: f32) {
         /// Every host counts, so that one of them weighs little.
@@ -91,7 +91,7 @@
 
 /// What a merge changed, for those who hold connections or wait.
 #[derive(Debug, Default, PartialEq)]
-pub struct Changed {
+pub struct RegistryChanges {
     /// Hosts that get no more requests.
     pub left: Vec<Rc<str>>,
     pub rows: bool,
@@ -108,33 +108,33 @@
 /// assert_eq!(book.host("i-1").unwrap().stage, Stage::Emptying);
 /// ```
 #[derive(Debug, Default)]
-pub struct Book {
+pub struct EndpointRegistry {
     area: String,
-    hosts: FxHashMap<Rc<str>, Host>,
-    parts: FxHashMap<Rc<str>, Part>,
+    hosts: FxHashMap<Rc<str>, Endpoint>,
+    parts: FxHashMap<Rc<str>, ServiceEndpoints>,
     ended: FxHashSet<Rc<str>>,
     /// The most edges that any centre has told.
     pub edges: u32,
 }
 
-impl Book {
-    pub fn new(area: &str) -> Book {
-        Book { area: area.into(), ..Book::default() }
+impl EndpointRegistry {
+    pub fn new(area: &str) -> EndpointRegistry {
+        EndpointRegistry { area: area.into(), ..EndpointRegistry::default() }
     }
 
-    pub fn host(&self, ident: &str) -> Option<&Host> {
+    pub fn endpoint(&self, ident: &str) -> Option<&Endpoint> {
         self.hosts.get(ident)
     }
 
-    pub fn host_mut(&mut self, ident: &str) -> Option<&mut Host> {
+    pub fn endpoint_mut(&mut self, ident: &str) -> Option<&mut Endpoint> {
         self.hosts.get_mut(ident)
     }
 
-    pub fn part(&self, service: &str) -> Option<&Part> {
+    pub fn service(&self, service: &str) -> Option<&ServiceEndpoints> {
         self.parts.get(service)
     }
 
-    pub fn part_mut(&mut self, service: &str) -> Option<&mut Part> {
+    pub fn service_mut(&mut self, service: &str) -> Option<&mut ServiceEndpoints> {
         self.parts.get_mut(service)
     }
 
@@ -159,13 +159,13 @@
         })
     }
 
-    pub fn merge(&mut self, news: &Update, now: Ms) -> Changed {
-        let mut changed = Changed::default();
+    pub fn merge(&mut self, news: &Update, now: Ms) -> RegistryChanges {
+        let mut changed = RegistryChanges::default();
         // One that has heard of no host at all is not trusted about those that it misses.
         if news.is_snapshot && !news.endpoints.is_empty() {
             let until = now + YOUNG.saturating_sub(news.uptime_ms);
             let named: FxHashSet<&str> = news.endpoints.iter().map(|host| host.id.as_str()).collect();
-            for host in self.hosts.values_mut().filter(|host| !named.contains(&*host.ident)) {
+            for host in self.hosts.values_mut().filter(|host| !named.contains(&*host.id)) {
                 host.unnamed_until.get_or_insert(until);
             }
         }
@@ -176,11 +176,11 @@
             changed.rows |= self.take_slices(slices);
         }
         self.edges = self.edges.max(news.edge_count);
-        self.sweep(now, &mut changed);
+        self.remove_expired(now, &mut changed);
         changed
     }
 
-    fn take_host(&mut self, news: &EndpointUpdate, now: Ms, changed: &mut Changed) {
+    fn take_host(&mut self, news: &EndpointUpdate, now: Ms, changed: &mut RegistryChanges) {
         let Ok(address) = news.address.parse::<SocketAddr>() else { return };
         if self.ended.contains(news.id.as_str()) {
             return;
@@ -191,19 +191,19 @@
         }
         if let Some(host) = self.hosts.get_mut(news.id.as_str()) {
             host.unnamed_until = None;
-            let newer = news.heartbeat_sequence > host.calls;
-            if host.stage < news.state {
-                (host.stage, host.left_at) = (news.state, now);
-                changed.left.push(host.ident.clone());
+            let newer = news.heartbeat_sequence > host.heartbeat_sequence;
+            if host.state < news.state {
+                (host.state, host.left_at) = (news.state, now);
+                changed.left.push(host.id.clone());
             }
             if newer {
                 // Its own beat speaks for the address.
                 (host.spurned_until, host.address) = (0, address);
-                host.calls = news.heartbeat_sequence;
-                host.cold_until = now + news.slow_start_ms;
+                host.heartbeat_sequence = news.heartbeat_sequence;
+                host.slow_start_until = now + news.slow_start_ms;
             }
-            if news.heartbeat_sequence >= host.calls {
-                host.silent = news.suspect;
+            if news.heartbeat_sequence >= host.heartbeat_sequence {
+                host.suspect = news.suspect;
                 if host.capacity != news.capacity {
                     host.capacity = news.capacity;
                     host.load.capacity(news.capacity);
@@ -214,27 +214,27 @@
         // Whoever had the address before has ended without a word. Which of two that seem well came later cannot be
         // told (news come in no order): that is left to the host that answers there.
         if news.state == EndpointState::Ready && !news.suspect {
-            for host in self.hosts.values_mut().filter(|host| host.address == address && host.silent) {
+            for host in self.hosts.values_mut().filter(|host| host.address == address && host.suspect) {
                 host.spurned_until = Ms::MAX;
-                changed.left.push(host.ident.clone());
+                changed.left.push(host.id.clone());
             }
         }
         let (ident, service): (Rc<str>, Rc<str>) = (news.id.as_str().into(), news.service.as_str().into());
         let part = self.parts.entry(service.clone()).or_default();
         part.hosts.push(ident.clone());
-        let host = Host {
-            ident: ident.clone(),
+        let host = Endpoint {
+            id: ident.clone(),
             service,
-            revision: news.version.as_str().into(),
+            version: news.version.as_str().into(),
             address,
-            near: news.zone == self.area,
+            same_zone: news.zone == self.area,
             capacity: news.capacity,
-            stage: news.state,
+            state: news.state,
             // Since when is not known: it may be about to end.
             left_at: 0,
-            silent: news.suspect,
-            cold_until: now + news.slow_start_ms,
-            calls: news.heartbeat_sequence,
+            suspect: news.suspect,
+            slow_start_until: now + news.slow_start_ms,
+            heartbeat_sequence: news.heartbeat_sequence,
             unnamed_until: None,
             spurned_until: 0,
             load: Load::new(news.capacity),
@@ -243,7 +243,7 @@
         self.hosts.insert(ident, host);
     }
 
-    fn end(&mut self, ident: &str, changed: &mut Changed) {
+    fn end(&mut self, ident: &str, changed: &mut RegistryChanges) {
         if self.ended.len() >= MOST_ENDED {
             self.ended.clear();
         }
@@ -261,16 +261,16 @@
     }
 
     /// Hosts that no centre names any more are dropped once their grace is over.
-    pub fn sweep(&mut self, now: Ms, changed: &mut Changed) {
-        let over = |host: &&Host| host.unnamed_until.is_some_and(|until| until <= now);
-        let gone: Vec<Rc<str>> = self.hosts.values().filter(over).map(|host| host.ident.clone()).collect();
-        for ident in gone {
+    pub fn remove_expired(&mut self, now: Ms, changed: &mut RegistryChanges) {
+        let over = |host: &&Endpoint| host.unnamed_until.is_some_and(|until| until <= now);
+        let gone: Vec<Rc<str>> = self.hosts.values().filter(over).map(|host| host.id.clone()).collect();
+        for id in gone {
             // One that was leaving must not come back as ready.
-            if self.hosts[&ident].stage > EndpointState::Ready {
-                self.end(&ident, changed);
+            if self.hosts[&id].state > EndpointState::Ready {
+                self.end(&id, changed);
             } else {
-                self.drop_host(&ident);
-                changed.left.push(ident);
+                self.drop_host(&id);
+                changed.left.push(id);
             }
         }
     }
@@ -280,14 +280,14 @@
             return false;
         }
         let part = self.parts.entry(news.service.as_str().into()).or_default();
-        let slices = part.slices.get_or_insert_with(Slices::default);
+        let slices = part.slices.get_or_insert_with(SliceTable::default);
         if slices.rows.len() != news.slice_count as usize {
             // Late news of how it was divided before takes no row back.
             let held = slices.rows.iter().map(|row| row.fence).max();
             if held >= news.rows.iter().map(|(.., fence)| *fence).max() && held.is_some() {
                 return false;
             }
-            slices.rows = vec![Row::default(); news.slice_count as usize];
+            slices.rows = vec![SliceOwner::default(); news.slice_count as usize];
         }
         let mut any = false;
         for (first, last, ident, fence) in &news.rows {
@@ -295,7 +295,7 @@
             let holder = (!ident.is_empty()).then(|| known.unwrap_or_else(|| ident.as_str().into()));
             let all = slices.rows.iter_mut().take(*last as usize + 1).skip(*first as usize);
             for row in all.filter(|row| *fence > row.fence) {
-                *row = Row { holder: holder.clone(), fence: *fence, doubted_until: 0 };
+                *row = SliceOwner { holder: holder.clone(), fence: *fence, doubted_until: 0 };
                 any = true;
             }
         }
@@ -308,21 +308,21 @@
     }
 
     /// The holder of a key, if it is known and not in doubt.
-    pub fn holder(&self, service: &str, key: u16, now: Ms) -> Option<&Rc<str>> {
+    pub fn owner(&self, service: &str, key: u16, now: Ms) -> Option<&Rc<str>> {
         let slice = self.slice(service, key)?;
         let row = self.parts.get(service)?.slices.as_ref()?.rows.get(slice as usize)?;
         row.holder.as_ref().filter(|_| now >= row.doubted_until)
     }
 
     /// The host says that the address is not (or no more) that of `ident`.
-    pub fn spurn(&mut self, ident: &str, now: Ms) {
+    pub fn mark_stale_address(&mut self, ident: &str, now: Ms) {
         if let Some(host) = self.hosts.get_mut(ident) {
             host.spurned_until = host.spurned_until.max(now + SPURNED);
         }
     }
 
     /// The host says that it does not hold the key.
-    pub fn doubt(&mut self, service: &str, key: u16, ident: &str, now: Ms) {
+    pub fn suspect_owner(&mut self, service: &str, key: u16, ident: &str, now: Ms) {
         let Some(slice) = self.slice(service, key) else { return };
         let slices = self.parts.get_mut(service).and_then(|part| part.slices.as_mut());
         if let Some(row) = slices.and_then(|slices| slices.rows.get_mut(slice as usize)) {
@@ -334,5 +334,5 @@
 }
 
 #[cfg(test)]
-#[path = "book_tests.rs"]
+#[path = "registry_tests.rs"]
 mod tests;
--- a/crates/data-plane/load-balancing/src/pick.rs
+++ b/crates/data-plane/load-balancing/src/selection.rs
@@ -1,7 +1,7 @@
 //! The host that a request goes to.
-use crate::book::{Book, Host};
 use crate::load::UNMEASURED;
-use crate::{pause, Ms};
+use crate::registry::{Endpoint, EndpointRegistry};
+use crate::{backoff, Ms};
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 use std::rc::Rc;
@@ -20,7 +20,7 @@
 const PATIENCE: f32 = 1.3;
 const PATIENCE_PER_RANK: f32 = 0.15;
 
-pub struct Ask<'a> {
+pub struct SelectionRequest<'a> {
     pub service: &'a str,
     /// The key, where the service is divided and the request carries one.
     pub key: Option<u16>,
@@ -36,51 +36,56 @@
 }
 
 #[derive(Debug, Clone, PartialEq)]
-pub enum Choice {
-    Host(Rc<str>),
+pub enum Selection {
+    Endpoint(Rc<str>),
     /// Nobody is known to hold the key; a newer row may come.
-    Unheld,
+    NoLeaseHolder,
     /// No host is left to go to.
-    Nobody,
+    NoEndpoint,
     /// Every host would answer too late.
-    Overrun,
+    Overloaded,
 }
 
 /// ```
-/// use coppersail_load_balancing::{pick, Ask, Book, Choice};
+/// use coppersail_load_balancing::{selection, Ask, Book, Choice};
 /// let ask = Ask { service: "b", key: None, repeatable: true, rank: 0, left: 900, stays: 0, revision: None, tried: &[] };
-/// assert_eq!(pick::pick(&Book::new("north"), &ask, 0, &mut fastrand::Rng::with_seed(1)), Choice::Nobody);
+/// assert_eq!(selection::pick(&Book::new("north"), &ask, 0, &mut fastrand::Rng::with_seed(1)), Choice::Nobody);
 /// ```
-pub fn pick(book: &Book, ask: &Ask, now: Ms, chance: &mut fastrand::Rng) -> Choice {
-    let Some(part) = book.part(ask.service) else { return Choice::Nobody };
+pub fn select_endpoint(
+    book: &EndpointRegistry,
+    ask: &SelectionRequest,
+    now: Ms,
+    chance: &mut fastrand::Rng,
+) -> Selection {
+    let Some(part) = book.service(ask.service) else { return Selection::NoEndpoint };
     let usual = if part.usual > 0.0 { part.usual } else { UNMEASURED };
     if let Some(key) = ask.key {
-        let Some(ident) = book.holder(ask.service, key, now) else { return Choice::Unheld };
-        let unable = |host: &Host| host.health.unreachable && host.health.aside(ask.repeatable, now);
-        return match book.host(ident) {
-            Some(host) if !host.holds(now, ask.stays) || unable(host) => Choice::Unheld,
-            Some(host) if overrun(host.load.expected(now, usual), ask, part.usual) => Choice::Overrun,
-            Some(_) => Choice::Host(ident.clone()),
-            None => Choice::Unheld,
+        let Some(ident) = book.owner(ask.service, key, now) else { return Selection::NoLeaseHolder };
+        let unable = |host: &Endpoint| host.health.unreachable && host.health.is_ejected(ask.repeatable, now);
+        return match book.endpoint(ident) {
+            Some(host) if !host.holds(now, ask.stays) || unable(host) => Selection::NoLeaseHolder,
+            Some(host) if overrun(host.load.expected(now, usual), ask, part.usual) => Selection::Overloaded,
+            Some(_) => Selection::Endpoint(ident.clone()),
+            None => Selection::NoLeaseHolder,
         };
     }
-    let fits = |host: &Host| ask.revision.is_none_or(|(name, is)| (*host.revision == *name) == is);
-    let usable: Vec<&Host> = part
+    let fits = |host: &Endpoint| ask.revision.is_none_or(|(name, is)| (*host.version == *name) == is);
+    let usable: Vec<&Endpoint> = part
         .hosts
         .iter()
-        .filter_map(|ident| book.host(ident))
+        .filter_map(|ident| book.endpoint(ident))
         .filter(|host| host.usable(now) && fits(host))
         .collect();
     // Judgement may be wrong about many hosts at once, such as when the trouble is this edge's own.
-    let mut aside: Vec<&Host> =
-        usable.iter().copied().filter(|host| host.health.aside(ask.repeatable, now)).collect();
-    aside.sort_by_key(|host| (host.health.until(), host.ident.clone()));
+    let mut aside: Vec<&Endpoint> =
+        usable.iter().copied().filter(|host| host.health.is_ejected(ask.repeatable, now)).collect();
+    aside.sort_by_key(|host| (host.health.ejected_until(), host.id.clone()));
     let kept_out = aside.len().min(usable.len() / 2);
     let out = &aside[aside.len() - kept_out..];
-    let fresh = |host: &&&Host| !ask.tried.contains(&host.ident);
-    let mut best: Option<(f32, &Host)> = None;
+    let fresh = |host: &&&Endpoint| !ask.tried.contains(&host.id);
+    let mut best: Option<(f32, &Endpoint)> = None;
     for host in usable.iter().filter(fresh) {
-        if out.iter().any(|other| other.ident == host.ident) {
+        if out.iter().any(|other| other.id == host.id) {
             continue;
         }
         let score = expected(host, now, usual) * (1.0 + ALIKE * chance.f32());
@@ -89,22 +94,22 @@
         }
     }
     match best {
-        None => Choice::Nobody,
-        Some((_, host)) if overrun(host.load.expected(now, usual), ask, part.usual) => Choice::Overrun,
-        Some((_, host)) => Choice::Host(host.ident.clone()),
+        None => Selection::NoEndpoint,
+        Some((_, host)) if overrun(host.load.expected(now, usual), ask, part.usual) => Selection::Overloaded,
+        Some((_, host)) => Selection::Endpoint(host.id.clone()),
     }
 }
 
-fn expected(host: &Host, now: Ms, usual: f32) -> f32 {
-    let far = if host.near { 1.0 } else { FAR };
-    let cold = if now < host.cold_until { COLD } else { 1.0 };
-    let silent = if host.silent { SILENT } else { 1.0 };
+fn expected(host: &Endpoint, now: Ms, usual: f32) -> f32 {
+    let far = if host.same_zone { 1.0 } else { FAR };
+    let cold = if now < host.slow_start_until { COLD } else { 1.0 };
+    let silent = if host.suspect { SILENT } else { 1.0 };
     host.load.expected(now, usual) * far * cold * silent
 }
 
 /// Only what was measured speaks for a refusal, and only a queue: were an idle host too slow for a request, refusing
 /// all of them would end the measuring as well.
-fn overrun(expected: f32, ask: &Ask, measured: f32) -> bool {
+fn overrun(expected: f32, ask: &SelectionRequest, measured: f32) -> bool {
     let patience = PATIENCE / (1.0 + PATIENCE_PER_RANK * ask.rank as f32);
     measured > 0.0 && expected > ask.left as f32 * patience && expected > measured * 2.0
 }
@@ -133,7 +138,7 @@
     match (told, most) {
         (Some(told), Some(most)) => told.min(most),
         (Some(one), None) | (None, Some(one)) => one,
-        (None, None) => pause::UNTOLD.as_millis() as Ms,
+        (None, None) => backoff::UNTOLD.as_millis() as Ms,
     }
 }
 
--- a/crates/data-plane/load-balancing/src/pick/tests.rs
+++ b/crates/data-plane/load-balancing/src/selection/tests.rs
@@ -1,9 +1,9 @@
 //! Tests of the module `pick`.
 use super::*;
-use crate::health::Sign;
+use crate::health::FailureSign;
 use coppersail_peer_protocol::{AssignmentUpdate, EndpointState, EndpointUpdate, Update};
 
-fn book(hosts: u32) -> Book {
+fn book(hosts: u32) -> EndpointRegistry {
     let host = |n: u32| EndpointUpdate {
         id: format!("i-{n}"),
         service: "b".into(),
@@ -13,23 +13,32 @@
         heartbeat_sequence: 1,
         ..EndpointUpdate::default()
     };
-    let mut book = Book::new("north");
+    let mut book = EndpointRegistry::new("north");
     book.merge(&Update { endpoints: (0..hosts).map(host).collect(), ..Update::default() }, 0);
     book
 }
 
-fn ask(repeatable: bool) -> Ask<'static> {
-    Ask { service: "b", key: None, repeatable, rank: 0, left: 1_000, stays: 0, revision: None, tried: &[] }
+fn ask(repeatable: bool) -> SelectionRequest<'static> {
+    SelectionRequest {
+        service: "b",
+        key: None,
+        repeatable,
+        rank: 0,
+        left: 1_000,
+        stays: 0,
+        revision: None,
+        tried: &[],
+    }
 }
 
 #[test]
 fn the_least_busy_is_picked_and_the_leaving_never() {
     let (mut book, mut chance) = (book(4), fastrand::Rng::with_seed(7));
     for n in 0..3 {
-        book.host_mut(&format!("i-{n}")).unwrap().load.own = 2;
+        book.endpoint_mut(&format!("i-{n}")).unwrap().load.own = 2;
     }
-    let picked = |book: &Book, chance: &mut _| pick(book, &ask(true), 0, chance);
-    assert_eq!(picked(&book, &mut chance), Choice::Host("i-3".into()));
+    let picked = |book: &EndpointRegistry, chance: &mut _| select_endpoint(book, &ask(true), 0, chance);
+    assert_eq!(picked(&book, &mut chance), Selection::Endpoint("i-3".into()));
     let news = EndpointUpdate {
         id: "i-3".into(),
         address: "10.0.0.3:80".into(),
@@ -37,42 +46,48 @@
         ..EndpointUpdate::default()
     };
     book.merge(&Update { endpoints: vec![news], ..Update::default() }, 0);
-    assert!((0..50).all(|_| picked(&book, &mut chance) != Choice::Host("i-3".into())));
+    assert!((0..50).all(|_| picked(&book, &mut chance) != Selection::Endpoint("i-3".into())));
 }
 
 #[test]
 fn half_of_the_hosts_stay_in_whatever_is_thought_of_them() {
     let (mut book, mut chance) = (book(4), fastrand::Rng::with_seed(7));
     for n in 0..4 {
-        book.host_mut(&format!("i-{n}")).unwrap().health.bad(Sign::Unreachable, n);
+        book.endpoint_mut(&format!("i-{n}")).unwrap().health.record_failure(FailureSign::Unreachable, n);
     }
     for _ in 0..50 {
-        let choice = pick(&book, &ask(false), 10, &mut chance);
-        assert!(choice == Choice::Host("i-0".into()) || choice == Choice::Host("i-1".into()), "{choice:?}");
+        let choice = select_endpoint(&book, &ask(false), 10, &mut chance);
+        assert!(
+            choice == Selection::Endpoint("i-0".into()) || choice == Selection::Endpoint("i-1".into()),
+            "{choice:?}"
+        );
     }
 }
 
 #[test]
 fn a_key_goes_to_its_holder_alone() {
     let (mut book, mut chance) = (book(4), fastrand::Rng::with_seed(7));
-    let ask = Ask { key: Some(40_000), ..ask(true) };
+    let ask = SelectionRequest { key: Some(40_000), ..ask(true) };
     let slices =
         vec![AssignmentUpdate { service: "b".into(), slice_count: 2, rows: vec![(1, 1, "i-2".into(), 1)] }];
     book.merge(&Update { assignments: slices, ..Update::default() }, 0);
-    assert_eq!(pick(&book, &ask, 0, &mut chance), Choice::Host("i-2".into()));
-    book.spurn("i-2", 0);
-    assert_eq!(pick(&book, &ask, 0, &mut chance), Choice::Unheld);
+    assert_eq!(select_endpoint(&book, &ask, 0, &mut chance), Selection::Endpoint("i-2".into()));
+    book.mark_stale_address("i-2", 0);
+    assert_eq!(select_endpoint(&book, &ask, 0, &mut chance), Selection::NoLeaseHolder);
 }
 
 #[test]
 fn a_lower_rank_stands_aside_first() {
     let (mut book, mut chance) = (book(1), fastrand::Rng::with_seed(7));
-    book.part_mut("b").unwrap().usual = 400.0;
-    let load = &mut book.host_mut("i-0").unwrap().load;
+    book.service_mut("b").unwrap().usual = 400.0;
+    let load = &mut book.endpoint_mut("i-0").unwrap().load;
     load.took(400, 1.0, 400.0);
     load.own = 4;
-    assert_eq!(pick(&book, &ask(true), 0, &mut chance), Choice::Host("i-0".into()));
-    assert_eq!(pick(&book, &Ask { rank: 3, ..ask(true) }, 0, &mut chance), Choice::Overrun);
+    assert_eq!(select_endpoint(&book, &ask(true), 0, &mut chance), Selection::Endpoint("i-0".into()));
+    assert_eq!(
+        select_endpoint(&book, &SelectionRequest { rank: 3, ..ask(true) }, 0, &mut chance),
+        Selection::Overloaded
+    );
 }
 
 #[test]
--- a/crates/data-plane/retry/src/lib.rs
+++ b/crates/data-plane/retry/src/lib.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
     /// 503, 429 and the like.
-    Full,
+    Overloaded,
     /// 421 of another host, which has the address now.
     StaleAddress,
     /// 421 of the host that was meant: it does not hold the key.
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum IndeterminateCause {
     /// The connection ended without an answer.
-    Reset,
+    ConnectionReset,
     /// What came is no answer, or that to another request.
     ForeignResponse,
     /// The answer ended early, or nothing shows that it is whole.
@@ -93,7 +93,7 @@
     /// 502: it may have run.
     OutcomeUnknown,
     /// 504: it was at work when the time was up.
-    Late,
+    DeadlineExceeded,
 }
 
 impl FinalOutcome {
@@ -101,7 +101,7 @@
         match self {
             FinalOutcome::Unavailable => 503,
             FinalOutcome::OutcomeUnknown => 502,
-            FinalOutcome::Late => 504,
+            FinalOutcome::DeadlineExceeded => 504,
         }
     }
 }
@@ -140,7 +140,7 @@
     pub fn final_outcome(&self) -> FinalOutcome {
         match (self.ran, self.silent) {
             (false, _) => FinalOutcome::Unavailable,
-            (true, true) => FinalOutcome::Late,
+            (true, true) => FinalOutcome::DeadlineExceeded,
             (true, false) => FinalOutcome::OutcomeUnknown,
         }
     }
--- a/crates/data-plane/retry/tests/table.rs
+++ b/crates/data-plane/retry/tests/table.rs
@@ -8,10 +8,10 @@
     use SendFailure::*;
     let unsent = [Unreachable, ConnectionLimit, ConnectionClosed, DeadlineExceeded, EndpointDraining]
         .map(AttemptOutcome::NotSent);
-    let turned = [RejectReason::Full, RejectReason::StaleAddress, RejectReason::NotOwner]
+    let turned = [RejectReason::Overloaded, RejectReason::StaleAddress, RejectReason::NotOwner]
         .map(AttemptOutcome::Rejected);
     let broke = [
-        IndeterminateCause::Reset,
+        IndeterminateCause::ConnectionReset,
         IndeterminateCause::ForeignResponse,
         IndeterminateCause::Truncated,
         IndeterminateCause::Unsealed,
@@ -32,15 +32,17 @@
             | SendFailure::EndpointDraining,
         ) => (true, true, FinalOutcome::Unavailable),
         AttemptOutcome::Rejected(
-            RejectReason::Full | RejectReason::StaleAddress | RejectReason::NotOwner,
+            RejectReason::Overloaded | RejectReason::StaleAddress | RejectReason::NotOwner,
         ) => (true, true, FinalOutcome::Unavailable),
         AttemptOutcome::Indeterminate(
-            IndeterminateCause::Reset
+            IndeterminateCause::ConnectionReset
             | IndeterminateCause::ForeignResponse
             | IndeterminateCause::Truncated
             | IndeterminateCause::Unsealed,
         ) => (false, true, FinalOutcome::OutcomeUnknown),
-        AttemptOutcome::Indeterminate(IndeterminateCause::Timeout) => (false, false, FinalOutcome::Late),
+        AttemptOutcome::Indeterminate(IndeterminateCause::Timeout) => {
+            (false, false, FinalOutcome::DeadlineExceeded)
+        }
         AttemptOutcome::Failed(()) => (false, true, FinalOutcome::OutcomeUnknown),
         AttemptOutcome::Completed(()) => (false, false, FinalOutcome::OutcomeUnknown),
     }
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -4,7 +4,7 @@
 use crate::world::{Ask, End, Ev, Origin, Say};
 use crate::{Us, World, APPLY, EMPTY};
 use coppersail_control_plane::node::{Peer, PeerSay};
-use coppersail_load_balancing::Book;
+use coppersail_load_balancing::EndpointRegistry;
 use coppersail_peer_protocol::{EndpointState, RequestCounts, Update, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -68,7 +68,7 @@
     round: Round,
     revision: u64,
     order: Option<usize>,
-    book: Book,
+    book: EndpointRegistry,
     /// Hosts that it has known to leave.
     left: BTreeSet<String>,
     rows: BTreeMap<String, Vec<(u64, String)>>,
@@ -102,7 +102,7 @@
         news.assignments.clear();
         self.book.merge(news, now / 1000);
         for host in &news.endpoints {
-            let stage = self.book.host(&host.id).map(|h| h.stage);
+            let stage = self.book.endpoint(&host.id).map(|h| h.state);
             match stage {
                 Some(EndpointState::Ready) if self.left.contains(&host.id) => {
                     return Err((rule::EDGE, format!("{} has left, and is ready again", host.id)));
@@ -152,7 +152,7 @@
         (edge.follow.feed_id, edge.follow.sequence, edge.follow.request_counts) = (0, 0, Vec::new());
         (edge.revision, edge.order, edge.waits) = (0, None, false);
         edge.touched = edge.touched.max(self.now);
-        edge.book = Book::new("");
+        edge.book = EndpointRegistry::new("");
         edge.left.clear();
         edge.rows.clear();
         self.edge_wake(n, 200_000);
@@ -235,12 +235,12 @@
         let acked = self.ledger.acked_by(now.saturating_sub(APPLY * 1000));
         let mut held = Ok(());
         for edge in &mut self.edges {
-            edge.book.sweep(now / 1000, &mut Default::default());
+            edge.book.remove_expired(now / 1000, &mut Default::default());
         }
         for edge in self.edges.iter().filter(|e| now >= e.touched + contact) {
             let ready = |(ident, at): &&(String, Us)| {
                 now > at + EMPTY * 1000
-                    && edge.book.host(ident).is_some_and(|h| h.stage == EndpointState::Ready)
+                    && edge.book.endpoint(ident).is_some_and(|h| h.state == EndpointState::Ready)
             };
             if let Some((ident, at)) = self.emptied.iter().find(ready) {
                 let what = format!("{} has {ident} as ready, acknowledged at {} ms", edge.ip, at / 1000);
