--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -1,6 +1,6 @@
 //! What the disk of a centre costs after many changes: `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`.
 //! Each change writes one configuration anew; every tenth also the centre's own floor.
-use coppersail_control_plane::store::{Batch, Scribe};
+use coppersail_control_plane::store::{DiskWriter, WriteBatch};
 use std::path::Path;
 use std::sync::mpsc::channel;
 use std::time::Instant;
@@ -44,7 +44,7 @@
     let (changes, routes, tenants, rows) = (number(1), number(2), number(3), number(4));
     std::fs::create_dir_all(folder).expect("a folder");
     let opened = Instant::now();
-    let (scribe, found) = Scribe::start(folder, |text| println!("{text}")).expect("a disk");
+    let (scribe, found) = DiskWriter::start(folder, |text| println!("{text}")).expect("a disk");
     println!(
         "open and read: {:?}, {} entries, {} bytes on disk, peak {}",
         opened.elapsed(),
@@ -57,7 +57,7 @@
         let (tell, told) = channel();
         let done = Box::new(move |ok| tell.send(ok).unwrap_or(()));
         let begun = Instant::now();
-        scribe.write(Batch { state, whole: false, own }, done);
+        scribe.write(WriteBatch { state, whole: false, own }, done);
         assert!(told.recv().expect("an answer"), "the write failed");
         begun.elapsed()
     };
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -1,7 +1,7 @@
 //! What hosts and operators call, and what becomes of it. No I/O.
-use crate::node::{Admin, Effect};
+use crate::node::{AdminRequest, Effect};
 use crate::orders::{digest, Judged};
-use crate::state::{Beat, Kind, Parked, Say, State};
+use crate::state::{HeartbeatRecord, Kind, PendingReply, Say, State};
 use coppersail_consensus::{Ms, RequestId};
 use coppersail_peer_protocol::{ConfigDocument, EndpointState, EndpointUpdate};
 use serde::Deserialize;
@@ -48,16 +48,18 @@
         &mut self,
         now: Ms,
         caller: RequestId,
-        call: Admin,
+        call: AdminRequest,
         say: &mut Vec<Say>,
         out: &mut Vec<Effect>,
     ) {
         match call {
-            Admin::Pulse { ident, body } => self.pulse(now, caller, &ident, &body, say),
-            Admin::SignOff { ident } => self.sign_off(now, caller, &ident, say),
-            Admin::Replace { body } => self.replace(now, caller, body, say, out),
-            Admin::Read => self.read(now, caller, say),
-            Admin::Plans { post, rest, body } => self.plans(now, caller, (post, &rest, &body), say, out),
+            AdminRequest::Heartbeat { ident, body } => self.pulse(now, caller, &ident, &body, say),
+            AdminRequest::SignOff { ident } => self.sign_off(now, caller, &ident, say),
+            AdminRequest::ReplaceConfig { body } => self.replace(now, caller, body, say, out),
+            AdminRequest::ReadConfig => self.read(now, caller, say),
+            AdminRequest::Rollouts { post, rest, body } => {
+                self.plans(now, caller, (post, &rest, &body), say, out)
+            }
         }
     }
 
@@ -70,7 +72,11 @@
             return say.push(Say::Text(caller, 503, one_line("out of touch with most witnesses")));
         }
         let listed = self.beats.len() as u64;
-        let beat = self.beats.entry(ident.into()).or_insert(Beat { listed, born: now, ..Beat::default() });
+        let beat = self.beats.entry(ident.into()).or_insert(HeartbeatRecord {
+            listed,
+            born: now,
+            ..HeartbeatRecord::default()
+        });
         // An earlier call that comes late: what it says was said better since.
         if pulse.calls < beat.calls {
             return say.push(Say::Text(caller, 200, "{}".into()));
@@ -119,7 +125,7 @@
         }
         let until = now + self.spans.receipt;
         let kind = Kind::Beat { ident: ident.into(), service };
-        self.parked.push(Parked { caller, until, ticket, heard, kind });
+        self.parked.push(PendingReply { caller, until, ticket, heard, kind });
         self.settle(now, say);
     }
 
@@ -139,7 +145,7 @@
         }
         let (until, heard) = (now + self.spans.receipt, self.feed.seq);
         let kind = Kind::Beat { ident: ident.into(), service: None };
-        self.parked.push(Parked { caller, until, ticket: 0, heard, kind });
+        self.parked.push(PendingReply { caller, until, ticket: 0, heard, kind });
         self.settle(now, say);
     }
 
@@ -155,7 +161,7 @@
         let config = match coppersail_config::config::parse(body.as_bytes()) {
             Ok(config) => config,
             Err(fault) => {
-                out.push(Effect::Note(format!("A configuration is refused: {fault}.")));
+                out.push(Effect::Log(format!("A configuration is refused: {fault}.")));
                 return say.push(Say::Text(caller, 400, one_line(fault)));
             }
         };
@@ -168,7 +174,7 @@
         let (ticket, kind) = match self.orders.judge(revision, &digest, held) {
             Judged::Again => return say.push(Say::Text(caller, 200, "{}".into())),
             Judged::Taken => {
-                out.push(Effect::Note(format!(
+                out.push(Effect::Log(format!(
                     "A configuration is refused: r{revision} has another content."
                 )));
                 return say.push(Say::Text(caller, 409, rival()));
@@ -189,7 +195,7 @@
             }
         };
         let until = now + 4 * self.spans.core.rpc_timeout;
-        self.parked.push(Parked { caller, until, ticket, heard: 0, kind });
+        self.parked.push(PendingReply { caller, until, ticket, heard: 0, kind });
     }
 
     fn read(&mut self, now: Ms, caller: RequestId, say: &mut Vec<Say>) {
@@ -244,11 +250,11 @@
                 // An order that changes nothing waits for what made it so.
                 let ticket = if puts.is_empty() { self.last_ticket() } else { self.queue(puts) };
                 let until = now + 4 * self.spans.core.rpc_timeout;
-                self.parked.push(Parked { caller, until, ticket, heard: 0, kind: Kind::Order });
+                self.parked.push(PendingReply { caller, until, ticket, heard: 0, kind: Kind::Order });
             }
             Err((status, text)) => {
                 if status == 400 || status == 409 {
-                    out.push(Effect::Note(format!("Plans: {rest} is refused: {text}.")));
+                    out.push(Effect::Log(format!("Plans: {rest} is refused: {text}.")));
                 }
                 say.push(Say::Text(caller, status, text));
             }
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -6,7 +6,7 @@
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
-pub struct Feed {
+pub struct ChangeFeed {
     /// Which life of this centre speaks.
     pub id: u64,
     pub seq: u64,
@@ -16,9 +16,9 @@
     plans: BTreeMap<String, (Stand, u64)>,
 }
 
-impl Feed {
-    pub fn new(id: u64) -> Feed {
-        Feed { id, ..Feed::default() }
+impl ChangeFeed {
+    pub fn new(id: u64) -> ChangeFeed {
+        ChangeFeed { id, ..ChangeFeed::default() }
     }
 
     pub fn settings(&self) -> Option<&ConfigDocument> {
--- a/crates/control-plane/server/src/feed/tests.rs
+++ b/crates/control-plane/server/src/feed/tests.rs
@@ -13,7 +13,7 @@
 
 #[test]
 fn what_a_follower_has_is_not_told_again_and_a_gap_is_filled_whole() {
-    let mut feed = Feed::new(7);
+    let mut feed = ChangeFeed::new(7);
     feed.put_host(&host("i", 1, EndpointState::Ready));
     feed.put_settings(&ConfigDocument { revision: 9, body: "x".into() });
     let news = feed.since(0, 0);
@@ -25,7 +25,7 @@
 
 #[test]
 fn versions_in_any_order_leave_the_newest() {
-    let mut feed = Feed::new(7);
+    let mut feed = ChangeFeed::new(7);
     assert!(feed.put_settings(&ConfigDocument { revision: 9, body: "nine".into() }));
     assert!(!feed.put_settings(&ConfigDocument { revision: 8, body: "eight".into() }));
     assert!(feed.put_row("s", 4, 1, "i", 12) && !feed.put_row("s", 4, 1, "j", 11));
@@ -33,7 +33,7 @@
 
 #[test]
 fn a_host_that_empties_is_never_ready_again_and_late_beats_change_nothing() {
-    let mut feed = Feed::new(7);
+    let mut feed = ChangeFeed::new(7);
     feed.put_host(&host("i", 5, EndpointState::Draining));
     assert!(!feed.put_host(&host("i", 4, EndpointState::Ready)));
     feed.put_host(&host("i", 6, EndpointState::Ready));
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -1,4 +1,4 @@
-use crate::feed::Feed;
+use crate::feed::ChangeFeed;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate};
 
 fn host(ident: &str, calls: u64, stage: EndpointState) -> EndpointUpdate {
@@ -18,7 +18,7 @@
             reported_by: via.into(),
             ..host("i", calls, EndpointState::Ready)
         };
-        let (mut here, mut there) = (Feed::new(7), Feed::new(8));
+        let (mut here, mut there) = (ChangeFeed::new(7), ChangeFeed::new(8));
         here.put_host(&heard(first, 1));
         there.put_host(&heard(other, 1));
         // Each tells the other before its own is told: the news have crossed.
@@ -35,7 +35,7 @@
 
 #[test]
 fn a_call_that_was_sent_on_does_not_end_a_silence() {
-    let mut feed = Feed::new(7);
+    let mut feed = ChangeFeed::new(7);
     feed.put_host(&EndpointUpdate { suspect: true, ..host("i", 4, EndpointState::Ready) });
     assert!(!feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 4, EndpointState::Ready) }));
     assert!(feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 5, EndpointState::Ready) }));
--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -1,6 +1,6 @@
 //! `council --inspect FOLDER`: what the disk of a stopped centre holds. Opening writes, so it is done on a copy in the
 //! temporary folder.
-use coppersail_control_plane::store::{self, Fault, Found, Kept};
+use coppersail_control_plane::store::{self, Fault, FolderCondition, RecoveredState};
 use std::path::Path;
 
 /// Prints one line a fact; the exit status.
@@ -15,7 +15,7 @@
     match store::read(folder) {
         Ok(found) => {
             lines(&found).iter().for_each(|line| println!("{line}"));
-            (found.kept != Kept::Whole) as i32
+            (found.kept != FolderCondition::Whole) as i32
         }
         Err(Fault::Torn(why)) => {
             println!("kept: torn, {why}");
@@ -28,11 +28,11 @@
     }
 }
 
-fn lines(found: &Found) -> Vec<String> {
+fn lines(found: &RecoveredState) -> Vec<String> {
     let kept = match found.kept {
-        Kept::Fresh => "fresh, nothing was ever written",
-        Kept::Whole => "whole",
-        Kept::Lost => "lost, nothing of its batches is left",
+        FolderCondition::Fresh => "fresh, nothing was ever written",
+        FolderCondition::Whole => "whole",
+        FolderCondition::Lost => "lost, nothing of its batches is left",
     };
     let bytes: usize = found.state.iter().map(|(name, value)| name.len() + value.len()).sum();
     let config = found.state.get("config").and_then(|text| serde_json::from_str(text).ok());
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -4,37 +4,37 @@
 pub mod feed;
 #[cfg(test)]
 mod feed_tests;
-pub mod lanes;
-pub mod links;
-pub mod muster;
-#[cfg(test)]
-mod muster_tests;
 pub mod node;
 pub mod orders;
+pub mod peer_links;
+pub mod peer_rpc;
+pub mod placement_gate;
+#[cfg(test)]
+mod placement_gate_tests;
 pub mod resources;
+pub mod response_writer;
 pub mod rollouts;
 pub mod state;
 pub mod store;
-pub mod voice;
 
 use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Ms, RequestId};
 use eyre::{eyre, Result};
-use lanes::Lanes;
-use node::{Begin, Effect, Event, Node, PeerSay};
-use resources::{Resource, Taken};
+use node::{Effect, Event, Node, PeerResponse, Startup};
+use peer_rpc::PeerRpcWorkers;
+use resources::{ParsedRequest, Resource};
 use slab::Slab;
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::time::{Duration, Instant};
-use store::Scribe;
+use store::DiskWriter;
 use tiny_http::Request;
 
-pub struct Centre {
+pub struct Server {
     node: Mutex<Node>,
     /// Who waits for an answer.
     waiting: Mutex<Slab<Request>>,
-    scribe: Scribe,
-    lanes: Lanes,
+    scribe: DiskWriter,
+    lanes: PeerRpcWorkers,
     start: Instant,
     log: slog::Logger,
     left: (Mutex<bool>, Condvar),
@@ -45,20 +45,22 @@
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-impl Centre {
-    pub fn start(boot: &ProcessSettings, log: slog::Logger) -> Result<Arc<Centre>> {
+impl Server {
+    pub fn start(boot: &ProcessSettings, log: slog::Logger) -> Result<Arc<Server>> {
         let folder =
             boot.data_folder.clone().ok_or_else(|| eyre!("self.dataFolder: null, expected a folder"))?;
         let admin =
             boot.admin.clone().ok_or_else(|| eyre!("network.binds.admin: missing, expected an address"))?;
         let say = |text: &str| slog::warn!(log, "{text}");
-        let (scribe, found) = Scribe::start(std::path::Path::new(&folder), say)?;
+        let (scribe, found) = DiskWriter::start(std::path::Path::new(&folder), say)?;
         let (port, start) = (boot.spare_ports.0, Instant::now());
         // Numbers up to 2^53 are safe in every JSON reader.
         let life = fastrand::u64(1..1 << 53);
-        let (node, effects) = Node::start(1, Begin { boot: boot.clone(), found, life });
+        let (node, effects) =
+            Node::start(1, Startup { settings: boot.clone(), recovered: found, new_incarnation: life });
         let (node, waiting, left) = (Mutex::new(node), Mutex::default(), Default::default());
-        let centre = Arc::new(Centre { node, waiting, scribe, lanes: Lanes::new(port), start, log, left });
+        let centre =
+            Arc::new(Server { node, waiting, scribe, lanes: PeerRpcWorkers::new(port), start, log, left });
         centre.carry(lock(&centre.node), effects);
         let c = centre.clone();
         let tick = move || loop {
@@ -98,9 +100,9 @@
         let mut rest = Vec::new();
         for effect in effects {
             match effect {
-                Effect::Write { token, write } => {
+                Effect::Persist { token, write } => {
                     let centre = self.clone();
-                    let done = move |ok| centre.event(Event::Disk { token, ok });
+                    let done = move |ok| centre.event(Event::WriteFinished { token, ok });
                     self.scribe.write(write, Box::new(done));
                 }
                 other => rest.push(other),
@@ -108,24 +110,28 @@
         }
         drop(node);
         let centre = self.clone();
-        let told: lanes::Told = Arc::new(move |token, say| centre.event(Event::Told { token, say }));
+        let told: peer_rpc::Told = Arc::new(move |token, say| {
+            centre.event(Event::PeerResponded { operation_id: token, response: say })
+        });
         for effect in rest {
             match effect {
-                Effect::Answer { caller, status, body } => self.respond(caller, status, body),
-                Effect::Reply { caller, say } => {
+                Effect::RespondToAdmin { caller, status, body } => self.respond(caller, status, body),
+                Effect::RespondToPeer { caller, response: say } => {
                     let body = match say {
-                        PeerSay::News(news) => serde_json::to_string(&news),
-                        PeerSay::Core(say) => serde_json::to_string(&say),
+                        PeerResponse::Update(news) => serde_json::to_string(&news),
+                        PeerResponse::Consensus(say) => serde_json::to_string(&say),
                     };
                     self.respond(caller, 200, body.unwrap_or_default());
                 }
-                Effect::Call { token, to, call, wait } => self.lanes.send(token, to, call, wait, &told),
-                Effect::Note(line) => slog::info!(self.log, "{line}"),
-                Effect::Leave => {
+                Effect::SendToPeer { token, peer: to, call, timeout: wait } => {
+                    self.lanes.send(token, to, call, wait, &told)
+                }
+                Effect::Log(line) => slog::info!(self.log, "{line}"),
+                Effect::Exit => {
                     *lock(&self.left.0) = true;
                     self.left.1.notify_all();
                 }
-                Effect::Write { .. } => {}
+                Effect::Persist { .. } => {}
             }
         }
     }
@@ -133,26 +139,26 @@
     fn respond(&self, caller: RequestId, status: u16, body: String) {
         let request = lock(&self.waiting).try_remove(caller as usize);
         if let Some(request) = request {
-            voice::respond(request, status, body);
+            response_writer::respond(request, status, body);
         }
     }
 
-    fn take(self: &Arc<Self>, request: Request, taken: Taken) {
+    fn take(self: &Arc<Self>, request: Request, taken: ParsedRequest) {
         let caller = lock(&self.waiting).insert(request) as RequestId;
         self.event(match taken {
-            Taken::Admin(call) => Event::Admin { caller, call },
-            Taken::Peer(call) => Event::Peer { caller, call },
+            ParsedRequest::Admin(call) => Event::Admin { request_id: caller, request: call },
+            ParsedRequest::Peer(call) => Event::Peer { caller, call },
         });
     }
 
     /// The settings were read again.
     pub fn reread(self: &Arc<Self>, boot: ProcessSettings) {
-        self.event(Event::Reread(Box::new(boot)));
+        self.event(Event::SettingsChanged(Box::new(boot)));
     }
 
     /// It was told to end.
     pub fn term(self: &Arc<Self>) {
-        self.event(Event::Term);
+        self.event(Event::Shutdown);
     }
 
     /// Until nothing rests on this centre any more.
@@ -162,7 +168,7 @@
     }
 }
 
-fn serve(centre: &Arc<Centre>, address: &str, all: Vec<Box<dyn Resource>>) -> Result<()> {
+fn serve(centre: &Arc<Server>, address: &str, all: Vec<Box<dyn Resource>>) -> Result<()> {
     let server = tiny_http::Server::http(address).map_err(|e| eyre!("{address}: {e}"))?;
     let (centre, all) = (centre.clone(), Arc::new(all));
     let run = move || loop {
@@ -184,7 +190,7 @@
     Ok(())
 }
 
-fn dispatch(centre: &Arc<Centre>, all: &[Box<dyn Resource>], request: Request, body: Option<String>) {
+fn dispatch(centre: &Arc<Server>, all: &[Box<dyn Resource>], request: Request, body: Option<String>) {
     let url = request.url().to_string();
     let path = url.split('?').next().unwrap_or("");
     let method = request.method().clone();
@@ -192,9 +198,11 @@
     match (found, body) {
         (Some((resource, part)), Some(body)) => match resource.read(&method, part, body) {
             Ok(taken) => centre.take(request, taken),
-            Err(line) => voice::respond(request, 400, line),
+            Err(line) => response_writer::respond(request, 400, line),
         },
-        (Some(_), None) => voice::respond(request, 400, "{\"why\":\"the body was cut short\"}".into()),
-        (None, _) => voice::respond(request, 404, "{\"why\":\"nothing here\"}".into()),
+        (Some(_), None) => {
+            response_writer::respond(request, 400, "{\"why\":\"the body was cut short\"}".into())
+        }
+        (None, _) => response_writer::respond(request, 404, "{\"why\":\"nothing here\"}".into()),
     }
 }
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -80,7 +80,7 @@
         exit(101)
     }));
     let log = slog::Logger::root(Lines.fuse(), slog::o!());
-    let centre = coppersail_control_plane::Centre::start(&boot, log).unwrap_or_else(|e| {
+    let centre = coppersail_control_plane::Server::start(&boot, log).unwrap_or_else(|e| {
         eprintln!("control-plane! {e:#}");
         exit(1)
     });
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -1,89 +1,89 @@
 //! A centre as one pure machine: what comes goes in, what follows comes out. Threads, sockets and the disk are adapters
-//! (`lib.rs`, `lanes.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
-use crate::links::Links;
-use crate::state::{Say, Spans, State};
-use crate::store::{Batch, Found, Kept};
+//! (`lib.rs`, `peer_rpc.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
+use crate::peer_links::PeerLinks;
+use crate::state::{Say, State, Timeouts};
+use crate::store::{FolderCondition, RecoveredState, WriteBatch};
 use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Core, Id, InitialState, KeyValue, Ms, OperationId, Output, RequestId, Role};
 use coppersail_peer_protocol::{Update, WatchRequest};
 use std::collections::VecDeque;
 
 /// What a centre begins with.
-pub struct Begin {
-    pub boot: ProcessSettings,
-    pub found: Found,
+pub struct Startup {
+    pub settings: ProcessSettings,
+    pub recovered: RecoveredState,
     /// Drawn by lot, from 1 to below 2^53.
-    pub life: u64,
+    pub new_incarnation: u64,
 }
 
 pub enum Event {
     /// About twenty times a second.
     Tick,
     /// A host or an operator calls.
-    Admin { caller: RequestId, call: Admin },
+    Admin { request_id: RequestId, request: AdminRequest },
     /// A director calls.
-    Peer { caller: RequestId, call: Peer },
+    Peer { caller: RequestId, call: PeerRequest },
     /// What came of [`Effect::Call`]; none: refused, cut off, reset or silent.
-    Told { token: OperationId, say: Option<PeerSay> },
+    PeerResponded { operation_id: OperationId, response: Option<PeerResponse> },
     /// What came of [`Effect::Write`], in the order of the writes.
-    Disk { token: OperationId, ok: bool },
+    WriteFinished { token: OperationId, ok: bool },
     /// SIGTERM.
-    Term,
+    Shutdown,
     /// The settings file was read again, and is sound.
-    Reread(Box<ProcessSettings>),
+    SettingsChanged(Box<ProcessSettings>),
 }
 
 /// Calls of hosts and operators. Bodies are JSON.
-pub enum Admin {
-    Pulse { ident: String, body: String },
+pub enum AdminRequest {
+    Heartbeat { ident: String, body: String },
     SignOff { ident: String },
-    Replace { body: String },
-    Read,
-    Plans { post: bool, rest: String, body: String },
+    ReplaceConfig { body: String },
+    ReadConfig,
+    Rollouts { post: bool, rest: String, body: String },
 }
 
 /// Calls of directors.
-pub enum Peer {
-    Follow(Box<WatchRequest>),
-    Core(coppersail_consensus::Request),
+pub enum PeerRequest {
+    Watch(Box<WatchRequest>),
+    Consensus(coppersail_consensus::Request),
 }
 
-pub enum PeerSay {
-    News(Box<Update>),
-    Core(coppersail_consensus::Response),
+pub enum PeerResponse {
+    Update(Box<Update>),
+    Consensus(coppersail_consensus::Response),
 }
 
 pub enum Effect {
     /// With 307 the body is where to.
-    Answer {
+    RespondToAdmin {
         caller: RequestId,
         status: u16,
         body: String,
     },
-    Reply {
+    RespondToPeer {
         caller: RequestId,
-        say: PeerSay,
+        response: PeerResponse,
     },
     /// `to`: where the member serves hosts and operators, "ip:port".
-    Call {
+    SendToPeer {
         token: OperationId,
-        to: Id,
-        call: Peer,
-        wait: Ms,
+        peer: Id,
+        call: PeerRequest,
+        timeout: Ms,
     },
     /// Synced, whole or not at all, one after the other.
-    Write {
+    Persist {
         token: OperationId,
-        write: Batch,
+        write: WriteBatch,
     },
-    Note(String),
+    Log(String),
     /// The process may end.
-    Leave,
+    Exit,
 }
 
 pub struct Node {
     pub state: State,
-    links: Links,
+    links: PeerLinks,
     boot: ProcessSettings,
     round: u64,
     left: bool,
@@ -91,28 +91,29 @@
 }
 
 impl Node {
-    pub fn start(now: Ms, begin: Begin) -> (Node, Vec<Effect>) {
-        let Begin { boot, found, life } = begin;
-        let spans = Spans::new(&boot);
+    pub fn start(now: Ms, begin: Startup) -> (Node, Vec<Effect>) {
+        let Startup { settings: boot, recovered: found, new_incarnation: life } = begin;
+        let spans = Timeouts::new(&boot);
         let mut outs = Vec::new();
         let start = InitialState {
             me: boot.admin.clone().unwrap_or_default(),
             area: boot.area.clone(),
             timeouts: spans.core,
             peers: boot.known_peers.clone(),
-            bootstrap: boot.initial_boot && found.kept == Kept::Fresh,
+            bootstrap: boot.initial_boot && found.kept == FolderCondition::Fresh,
             state: found.state,
             own: found.own,
             new_incarnation: life,
         };
         let core = Core::start(now, start, &mut outs);
         let state = State::new(&boot, spans, core, life);
-        let mut node = Node { state, links: Links::default(), boot, round: 0, left: false, in_touch: false };
+        let mut node =
+            Node { state, links: PeerLinks::default(), boot, round: 0, left: false, in_touch: false };
         let mut out = Vec::new();
         if node.boot.survive > 1 {
             let n = 2 * node.boot.survive + 1;
             let line = format!("terms.survive.boxes is {}: that wants {n} witnesses.", node.boot.survive);
-            out.push(Effect::Note(line));
+            out.push(Effect::Log(line));
         }
         node.carry(now, outs, &mut out);
         (node, out)
@@ -122,21 +123,23 @@
         let (mut outs, mut say) = (Vec::new(), Vec::new());
         match event {
             Event::Tick => self.tick(now, &mut outs, &mut say, out),
-            Event::Admin { caller, call } => self.state.admin(now, caller, call, &mut say, out),
-            Event::Peer { caller, call: Peer::Follow(follow) } => {
+            Event::Admin { request_id: caller, request: call } => {
+                self.state.admin(now, caller, call, &mut say, out)
+            }
+            Event::Peer { caller, call: PeerRequest::Watch(follow) } => {
                 self.state.follow(now, &follow, caller, &mut say, &mut outs);
                 // A receipt may be what an acknowledgement waits for.
                 if self.state.parked.iter().any(|p| p.heard > 0) {
                     self.state.settle(now, &mut say);
                 }
             }
-            Event::Peer { caller, call: Peer::Core(call) } => {
+            Event::Peer { caller, call: PeerRequest::Consensus(call) } => {
                 self.state.core.handle_request(now, caller, call, &mut outs);
             }
-            Event::Told { token, say: told } => match self.links.ended(token) {
+            Event::PeerResponded { operation_id: token, response: told } => match self.links.ended(token) {
                 Some(peer) => {
                     let news = match told {
-                        Some(PeerSay::News(news)) => Some(news),
+                        Some(PeerResponse::Update(news)) => Some(news),
                         _ => None,
                     };
                     self.links.heard(now, &mut self.state, &peer, news, &mut say, &mut outs);
@@ -144,22 +147,24 @@
                 }
                 None => {
                     let told = match told {
-                        Some(PeerSay::Core(say)) => Some(say),
+                        Some(PeerResponse::Consensus(say)) => Some(say),
                         _ => None,
                     };
                     self.state.core.handle_response(now, token, told, &mut outs);
                 }
             },
-            Event::Disk { token, ok } => self.state.core.handle_write_result(now, token, ok, &mut outs),
-            Event::Term => {
+            Event::WriteFinished { token, ok } => {
+                self.state.core.handle_write_result(now, token, ok, &mut outs)
+            }
+            Event::Shutdown => {
                 if !self.state.core.is_shutting_down() {
-                    out.push(Effect::Note("Leaving: hands over what it holds.".into()));
+                    out.push(Effect::Log("Leaving: hands over what it holds.".into()));
                     self.state.core.begin_shutdown(now);
                     // Everybody is told at once.
                     self.state.flush_all(now, &mut say);
                 }
             }
-            Event::Reread(boot) => self.reread(now, *boot, &mut outs, out),
+            Event::SettingsChanged(boot) => self.reread(now, *boot, &mut outs, out),
         }
         self.carry(now, outs, out);
         self.speak(say, out);
@@ -172,7 +177,7 @@
         if self.round.is_multiple_of(4) {
             self.state.listen(now);
             self.state.place(now);
-            out.extend(self.state.steer(now).into_iter().map(Effect::Note));
+            out.extend(self.state.steer(now).into_iter().map(Effect::Log));
         }
         if self.round.is_multiple_of(100) {
             self.state.keys.decay_counts();
@@ -190,8 +195,8 @@
         self.links.start(now, &mut self.state, None, out);
         if !self.left && self.state.core.may_exit(now) {
             self.left = true;
-            out.push(Effect::Note("Left.".into()));
-            out.push(Effect::Leave);
+            out.push(Effect::Log("Left.".into()));
+            out.push(Effect::Exit);
         }
     }
 
@@ -207,15 +212,20 @@
             let Some(one) = todo.pop_front() else { break };
             match one {
                 Output::Send { operation_id: token, to, call, timeout: wait } => {
-                    out.push(Effect::Call { token, to, call: Peer::Core(call), wait });
+                    out.push(Effect::SendToPeer {
+                        token,
+                        peer: to,
+                        call: PeerRequest::Consensus(call),
+                        timeout: wait,
+                    });
                 }
                 Output::Respond { request_id: caller, response: say } => {
-                    out.push(Effect::Reply { caller, say: PeerSay::Core(say) })
+                    out.push(Effect::RespondToPeer { caller, response: PeerResponse::Consensus(say) })
                 }
                 Output::Persist { token, state, replace: whole, metadata: own } => {
-                    out.push(Effect::Write { token, write: Batch { state, whole, own } });
+                    out.push(Effect::Persist { token, write: WriteBatch { state, whole, own } });
                 }
-                Output::Log(line) => out.push(Effect::Note(line)),
+                Output::Log(line) => out.push(Effect::Log(line)),
                 Output::BecameLeader { newly_elected: fresh } => self.state.acts(now, fresh),
                 Output::SteppedDown => self.state.stops(),
                 Output::Committed(changes) => self.state.wrote(now, &changes),
@@ -231,8 +241,10 @@
     fn speak(&mut self, say: Vec<Say>, out: &mut Vec<Effect>) {
         for say in say {
             out.push(match say {
-                Say::News(caller, news) => Effect::Reply { caller, say: PeerSay::News(news) },
-                Say::Text(caller, status, body) => Effect::Answer { caller, status, body },
+                Say::News(caller, news) => {
+                    Effect::RespondToPeer { caller, response: PeerResponse::Update(news) }
+                }
+                Say::Text(caller, status, body) => Effect::RespondToAdmin { caller, status, body },
             });
         }
     }
@@ -240,10 +252,10 @@
     /// Takes over what can be while it runs; one line for each field, one for what needs a restart.
     fn reread(&mut self, now: Ms, boot: ProcessSettings, outs: &mut Vec<Output>, out: &mut Vec<Effect>) {
         let reread = coppersail_config::reload(&self.boot, boot);
-        let line = |line: &String| Effect::Note(format!("Settings: {line}."));
+        let line = |line: &String| Effect::Log(format!("Settings: {line}."));
         out.extend(reread.applied.iter().chain(&reread.restart).map(line));
         self.boot = reread.boot;
-        self.state.respan(Spans::new(&self.boot));
+        self.state.respan(Timeouts::new(&self.boot));
         self.state.core.add_members(now, self.boot.known_peers.iter(), outs);
     }
 
--- a/crates/control-plane/server/src/links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -1,5 +1,5 @@
 //! Whom this centre follows, and the polls that are its heartbeats. No I/O.
-use crate::node::{Effect, Peer};
+use crate::node::{Effect, PeerRequest};
 use crate::state::{Say, State};
 use coppersail_consensus::{Id, Ms, OperationId, Output};
 use coppersail_peer_protocol::{RequestCounts, Update, WatchRequest};
@@ -14,25 +14,25 @@
 struct Link {
     feed: u64,
     seq: u64,
-    under_way: Option<Poll>,
+    under_way: Option<LongPoll>,
     next_at: Ms,
 }
 
-struct Poll {
+struct LongPoll {
     token: OperationId,
     asked_at: Ms,
     evidence: Vec<coppersail_rollout::Report>,
 }
 
 #[derive(Default)]
-pub struct Links {
+pub struct PeerLinks {
     wanted: BTreeSet<Id>,
     links: BTreeMap<Id, Link>,
     tokens: OperationId,
     turn: usize,
 }
 
-impl Links {
+impl PeerLinks {
     pub fn choose(&mut self, now: Ms, state: &State) {
         self.turn += 1;
         self.wanted = state.core.heartbeat_targets(now, self.turn, FEW);
@@ -68,9 +68,9 @@
             };
             self.tokens += 1;
             let token = POLLS + self.tokens;
-            link.under_way = Some(Poll { token, asked_at: now, evidence });
-            let (call, wait) = (Peer::Follow(Box::new(follow)), state.spans.core.rpc_timeout);
-            out.push(Effect::Call { token, to: peer.clone(), call, wait });
+            link.under_way = Some(LongPoll { token, asked_at: now, evidence });
+            let (call, wait) = (PeerRequest::Watch(Box::new(follow)), state.spans.core.rpc_timeout);
+            out.push(Effect::SendToPeer { token, peer: peer.clone(), call, timeout: wait });
         }
     }
 
--- a/crates/control-plane/server/src/lanes.rs
+++ b/crates/control-plane/server/src/peer_rpc.rs
@@ -1,6 +1,6 @@
 //! Carries out calls to other centres: a thread with one kept connection for each peer and kind of call, so that a held
 //! poll or a long snapshot holds up nothing else.
-use crate::node::{Peer, PeerSay};
+use crate::node::{PeerRequest, PeerResponse};
 use crate::state::peer_address;
 use coppersail_consensus::{Id, Ms, OperationId, Request};
 use coppersail_peer_client::PeerClient;
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 /// Takes what came of a call.
-pub type Told = Arc<dyn Fn(OperationId, Option<PeerSay>) + Send + Sync>;
+pub type Told = Arc<dyn Fn(OperationId, Option<PeerResponse>) + Send + Sync>;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Kind {
@@ -21,26 +21,26 @@
 
 struct Job {
     token: OperationId,
-    call: Peer,
+    call: PeerRequest,
     wait: Ms,
     since: Instant,
 }
 
-pub struct Lanes {
+pub struct PeerRpcWorkers {
     port: u16,
     lanes: Mutex<BTreeMap<(Id, Kind), Sender<Job>>>,
 }
 
-impl Lanes {
-    pub fn new(port: u16) -> Lanes {
-        Lanes { port, lanes: Mutex::default() }
+impl PeerRpcWorkers {
+    pub fn new(port: u16) -> PeerRpcWorkers {
+        PeerRpcWorkers { port, lanes: Mutex::default() }
     }
 
-    pub fn send(&self, token: OperationId, to: Id, call: Peer, wait: Ms, told: &Told) {
+    pub fn send(&self, token: OperationId, to: Id, call: PeerRequest, wait: Ms, told: &Told) {
         let kind = match &call {
-            Peer::Follow(_) => Kind::Polls,
-            Peer::Core(Request::Voter(_)) => Kind::Witnesses,
-            Peer::Core(Request::ReplicaWrite(_)) => Kind::Copies,
+            PeerRequest::Watch(_) => Kind::Polls,
+            PeerRequest::Consensus(Request::Voter(_)) => Kind::Witnesses,
+            PeerRequest::Consensus(Request::ReplicaWrite(_)) => Kind::Copies,
         };
         let job = Job { token, call, wait, since: Instant::now() };
         let mut lanes = self.lanes.lock().unwrap_or_else(|e| e.into_inner());
@@ -74,8 +74,10 @@
         }
         let Some((_, to)) = &caller else { continue };
         let say = match &job.call {
-            Peer::Follow(follow) => to.post(address, "/follow", follow).map(|n| PeerSay::News(Box::new(n))),
-            Peer::Core(call) => to.post(address, "/core", call).map(PeerSay::Core),
+            PeerRequest::Watch(follow) => {
+                to.post(address, "/follow", follow).map(|n| PeerResponse::Update(Box::new(n)))
+            }
+            PeerRequest::Consensus(call) => to.post(address, "/core", call).map(PeerResponse::Consensus),
         };
         told(job.token, say.ok());
     }
--- a/crates/control-plane/server/src/muster.rs
+++ b/crates/control-plane/server/src/placement_gate.rs
@@ -4,18 +4,18 @@
 
 /// The hosts of one service until it is laid out.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Muster {
+pub struct PlacementGate {
     hosts: usize,
     since: Ms,
     grown: Ms,
 }
 
-impl Muster {
+impl PlacementGate {
     /// Whether all that are there are known: none more for one and a half heartbeats, within which every host beats.
     /// Where they never stop coming it ends after `most`, as nothing is served before.
     pub fn complete(&mut self, now: Ms, hosts: usize, beat: Ms, most: Ms) -> bool {
         if hosts == 0 || self.hosts == 0 {
-            *self = Muster { hosts, since: now, grown: now };
+            *self = PlacementGate { hosts, since: now, grown: now };
         } else if hosts > self.hosts {
             (self.hosts, self.grown) = (hosts, now);
         }
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,21 +1,21 @@
 //! One handler for each resource: what hosts and operators call on `admin`, and what directors call among themselves.
 use crate::admin::one_line;
-use crate::node::{Admin, Peer};
+use crate::node::{AdminRequest, PeerRequest};
 use coppersail_peer_protocol::WatchRequest;
 use std::io::Read;
 use tiny_http::{Method, Request};
 
 /// A call, as the centre takes it.
-pub enum Taken {
-    Admin(Admin),
-    Peer(Peer),
+pub enum ParsedRequest {
+    Admin(AdminRequest),
+    Peer(PeerRequest),
 }
 
 pub trait Resource: Send + Sync {
     /// The part of the path that it is about, if the call is for it.
     fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str>;
     /// What can't be read is refused with a line.
-    fn read(&self, method: &Method, part: &str, body: String) -> Result<Taken, String>;
+    fn read(&self, method: &Method, part: &str, body: String) -> Result<ParsedRequest, String>;
 }
 
 /// Reads the body, as much as it says, and no more than a configuration may have.
@@ -39,8 +39,8 @@
         host(method, path, "/pulse")
     }
 
-    fn read(&self, _method: &Method, ident: &str, body: String) -> Result<Taken, String> {
-        Ok(Taken::Admin(Admin::Pulse { ident: ident.into(), body }))
+    fn read(&self, _method: &Method, ident: &str, body: String) -> Result<ParsedRequest, String> {
+        Ok(ParsedRequest::Admin(AdminRequest::Heartbeat { ident: ident.into(), body }))
     }
 }
 
@@ -52,8 +52,8 @@
         host(method, path, "/sign-off")
     }
 
-    fn read(&self, _method: &Method, ident: &str, _body: String) -> Result<Taken, String> {
-        Ok(Taken::Admin(Admin::SignOff { ident: ident.into() }))
+    fn read(&self, _method: &Method, ident: &str, _body: String) -> Result<ParsedRequest, String> {
+        Ok(ParsedRequest::Admin(AdminRequest::SignOff { ident: ident.into() }))
     }
 }
 
@@ -68,9 +68,13 @@
         }
     }
 
-    fn read(&self, method: &Method, _path: &str, body: String) -> Result<Taken, String> {
+    fn read(&self, method: &Method, _path: &str, body: String) -> Result<ParsedRequest, String> {
         let replace = *method == Method::Post;
-        Ok(Taken::Admin(if replace { Admin::Replace { body } } else { Admin::Read }))
+        Ok(ParsedRequest::Admin(if replace {
+            AdminRequest::ReplaceConfig { body }
+        } else {
+            AdminRequest::ReadConfig
+        }))
     }
 }
 
@@ -84,9 +88,9 @@
         (whole && matches!(method, Method::Get | Method::Post)).then_some(rest)
     }
 
-    fn read(&self, method: &Method, rest: &str, body: String) -> Result<Taken, String> {
+    fn read(&self, method: &Method, rest: &str, body: String) -> Result<ParsedRequest, String> {
         let post = *method == Method::Post;
-        Ok(Taken::Admin(Admin::Plans { post, rest: rest.into(), body }))
+        Ok(ParsedRequest::Admin(AdminRequest::Rollouts { post, rest: rest.into(), body }))
     }
 }
 
@@ -98,9 +102,9 @@
         (*method == Method::Post && path == "/follow").then_some(path)
     }
 
-    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<Taken, String> {
+    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<ParsedRequest, String> {
         let follow = serde_json::from_str::<WatchRequest>(&body).map_err(|_| one_line("not a poll"))?;
-        Ok(Taken::Peer(Peer::Follow(Box::new(follow))))
+        Ok(ParsedRequest::Peer(PeerRequest::Watch(Box::new(follow))))
     }
 }
 
@@ -112,7 +116,9 @@
         (*method == Method::Post && path == "/core").then_some(path)
     }
 
-    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<Taken, String> {
-        serde_json::from_str(&body).map(|call| Taken::Peer(Peer::Core(call))).map_err(one_line)
+    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<ParsedRequest, String> {
+        serde_json::from_str(&body)
+            .map(|call| ParsedRequest::Peer(PeerRequest::Consensus(call)))
+            .map_err(one_line)
     }
 }
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -1,10 +1,10 @@
 //! All that a centre knows, and what it makes of it. No I/O: answers that are due are handed back, changes go to the
 //! core.
-use crate::feed::Feed;
-use crate::muster::Muster;
+use crate::feed::ChangeFeed;
 use crate::orders::Orders;
+use crate::placement_gate::PlacementGate;
 use crate::rollouts::{self, Hosts, Rollouts};
-use crate::store::Put;
+use crate::store::Write;
 use coppersail_config::{Config, ProcessSettings};
 use coppersail_consensus::{Change, Core, Id, Ms, Output, PeerStatus, RequestId};
 use coppersail_peer_protocol::{
@@ -16,7 +16,7 @@
 
 /// Time spans that follow from the settings.
 #[derive(Debug, Clone, Copy)]
-pub struct Spans {
+pub struct Timeouts {
     pub core: coppersail_consensus::Timeouts,
     /// For how long a host holds its keys. Half of what is allowed: a restart of the whole core is shorter, and a host
     /// that is lost takes its keys along for no longer.
@@ -26,8 +26,8 @@
     pub receipt: Ms,
 }
 
-impl Spans {
-    pub fn new(boot: &ProcessSettings) -> Spans {
+impl Timeouts {
+    pub fn new(boot: &ProcessSettings) -> Timeouts {
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         // A takeover, with the beats after it, is to be over within the time after which machines count as in touch.
         let lease = (ms(boot.limits.in_contact) * 2 / 5).clamp(300, 3000);
@@ -40,12 +40,12 @@
             shutdown_grace: ms(boot.limits.leeway) / 2,
             max_failures: boot.survive as usize,
         };
-        Spans { core, keep: ms(boot.limits.keep_max) / 2, beat: ms(boot.heartbeat), receipt: 600 }
+        Timeouts { core, keep: ms(boot.limits.keep_max) / 2, beat: ms(boot.heartbeat), receipt: 600 }
     }
 }
 
 /// A caller of `admin` whose answer is not due yet.
-pub struct Parked {
+pub struct PendingReply {
     pub caller: RequestId,
     pub until: Ms,
     /// Waits for this to be written; 0 for nothing.
@@ -83,7 +83,7 @@
 }
 
 #[derive(Debug, Clone, Default)]
-pub struct Beat {
+pub struct HeartbeatRecord {
     pub at: Ms,
     pub calls: u64,
     pub listed: u64,
@@ -104,17 +104,17 @@
     /// Where directors listen for each other.
     pub port: u16,
     pub area: String,
-    pub spans: Spans,
+    pub spans: Timeouts,
     /// What other centres last said of themselves, with what seldom changes.
     standings: BTreeMap<Id, MemberStatus>,
-    pub feed: Feed,
+    pub feed: ChangeFeed,
     /// Centres that were there, each since which number of the feed followers are told of it.
     centres: BTreeMap<Id, u64>,
     pub config: Option<Config>,
     pub orders: Orders,
     pub followers: BTreeMap<String, Follower>,
     pub polls: Vec<Poll>,
-    pub parked: Vec<Parked>,
+    pub parked: Vec<PendingReply>,
     /// Changes that the core has not got yet.
     pub todo: Vec<Change>,
     tickets: u64,
@@ -125,7 +125,7 @@
     queued: Option<u64>,
     /// Something was written, or will not be.
     stirred: bool,
-    pub beats: BTreeMap<String, Beat>,
+    pub beats: BTreeMap<String, HeartbeatRecord>,
     pub keys: LeaseTable,
     /// Before this a primary may not know all hosts that are there.
     pub settled_at: Ms,
@@ -134,7 +134,7 @@
     /// Counts what was told to edges about keys in this epoch.
     pub shown: u64,
     /// Services that wait for their first layout.
-    pub laid: BTreeMap<String, Muster>,
+    pub laid: BTreeMap<String, PlacementGate>,
     pub asked: BTreeMap<String, BTreeMap<u32, u32>>,
     pub edges: BTreeMap<String, Ms>,
     pub rollouts: Rollouts,
@@ -148,14 +148,14 @@
 
 impl State {
     /// `life`: of the feed.
-    pub fn new(boot: &ProcessSettings, spans: Spans, core: Core, life: u64) -> State {
+    pub fn new(boot: &ProcessSettings, spans: Timeouts, core: Core, life: u64) -> State {
         State {
             core,
             port: boot.spare_ports.0,
             area: boot.area.clone(),
             spans,
             standings: BTreeMap::new(),
-            feed: Feed::new(life),
+            feed: ChangeFeed::new(life),
             centres: BTreeMap::new(),
             config: None,
             orders: Orders::default(),
@@ -181,7 +181,7 @@
     }
 
     /// Leases that run were granted by the spans of the start, and so were keys: those stay for this life.
-    pub fn respan(&mut self, spans: Spans) {
+    pub fn respan(&mut self, spans: Timeouts) {
         let old = self.spans;
         let core = coppersail_consensus::Timeouts {
             lease: old.core.lease,
@@ -189,7 +189,7 @@
             rpc_timeout: old.core.rpc_timeout,
             ..spans.core
         };
-        self.spans = Spans { core, keep: old.keep, ..spans };
+        self.spans = Timeouts { core, keep: old.keep, ..spans };
         self.core.spans = core;
     }
 
@@ -420,7 +420,7 @@
     }
 
     /// A change of the control state, to be written. Its ticket tells when.
-    pub fn queue(&mut self, puts: Vec<Put>) -> u64 {
+    pub fn queue(&mut self, puts: Vec<Write>) -> u64 {
         self.tickets += 1;
         self.todo.push(Change { ticket: self.tickets, writes: puts });
         self.tickets
@@ -446,7 +446,7 @@
 
     /// Whose beat is waiting here, or due in a moment.
     fn back(&self, now: Ms) -> Vec<String> {
-        let beat = |p: &Parked| match &p.kind {
+        let beat = |p: &PendingReply| match &p.kind {
             Kind::Beat { ident, service: Some(_) } => Some(ident.clone()),
             _ => None,
         };
@@ -473,7 +473,7 @@
             let deaf = parked.heard > 0 && !self.all_heard(now, parked.heard) && now < parked.until;
             let awaited = match &parked.kind {
                 Kind::Beat { ident, service: Some(s) } if now < parked.until => {
-                    let due = |b: &Beat| b.at + self.spans.beat <= parked.until;
+                    let due = |b: &HeartbeatRecord| b.at + self.spans.beat <= parked.until;
                     self.keys.has_pending_transfer(s, ident, |holder| self.beats.get(holder).is_some_and(due))
                 }
                 _ => false,
@@ -633,7 +633,7 @@
             }
         };
         let changes = self.rollouts.tick(now, self.config.as_ref(), &Hosts { all: &all, dead: &dead });
-        let (puts, lines): (Vec<Put>, Vec<String>) = changes.into_iter().unzip();
+        let (puts, lines): (Vec<Write>, Vec<String>) = changes.into_iter().unzip();
         if !puts.is_empty() {
             self.queue(puts);
         }
@@ -734,11 +734,15 @@
             if let Some(host) = self.feed.host(&id) {
                 let (capacity, service) = (host.capacity as f64, host.service.clone());
                 let listed = self.beats.len() as u64;
-                let beat = self.beats.entry(id).or_insert(Beat { listed, born: at, ..Beat::default() });
+                let beat = self.beats.entry(id).or_insert(HeartbeatRecord {
+                    listed,
+                    born: at,
+                    ..HeartbeatRecord::default()
+                });
                 (beat.at, beat.capacity, beat.service) = (at, capacity, service);
             }
         }
-        let old = |b: &Beat| now > b.at + 60_000;
+        let old = |b: &HeartbeatRecord| now > b.at + 60_000;
         for ident in self.beats.iter().filter(|(_, b)| old(b)).map(|(i, _)| i.clone()).collect::<Vec<_>>() {
             self.beats.remove(&ident);
             self.feed.forget(&ident);
--- a/crates/control-plane/server/src/store.rs
+++ b/crates/control-plane/server/src/store.rs
@@ -20,21 +20,21 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime};
 
-pub type Put = (String, String);
+pub type Write = (String, String);
 pub type Done = Box<dyn FnOnce(bool) + Send>;
 
 /// What is written together, whole or not at all: changes of the state (all of it anew if `whole`) and what the
 /// centre keeps about itself.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Batch {
-    pub state: Vec<Put>,
+pub struct WriteBatch {
+    pub state: Vec<Write>,
     pub whole: bool,
-    pub own: Vec<Put>,
+    pub own: Vec<Write>,
 }
 
 /// How the folder was found.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Kept {
+pub enum FolderCondition {
     /// Nothing was ever written here.
     #[default]
     Fresh,
@@ -46,10 +46,10 @@
 
 /// What was found on the disk.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Found {
+pub struct RecoveredState {
     pub state: BTreeMap<String, String>,
     pub own: BTreeMap<String, String>,
-    pub kept: Kept,
+    pub kept: FolderCondition,
     /// The number of the last batch.
     pub number: u64,
 }
@@ -99,10 +99,10 @@
 
 /// An open disk.
 pub trait Disk: Send {
-    fn kept(&self) -> Kept;
-    fn read(&mut self) -> Result<Found, Fault>;
+    fn kept(&self) -> FolderCondition;
+    fn read(&mut self) -> Result<RecoveredState, Fault>;
     /// All of it is on the disk when this returns, or there was an error and the disk is not used again.
-    fn put(&mut self, batch: &Batch) -> Result<(), Fault>;
+    fn put(&mut self, batch: &WriteBatch) -> Result<(), Fault>;
 }
 
 /// Where a disk is opened.
@@ -118,8 +118,8 @@
 /// One line for so many tries: ten seconds at least.
 const TRIES_A_LINE: u64 = 50;
 
-pub struct Scribe {
-    jobs: Option<Sender<(Batch, Done)>>,
+pub struct DiskWriter {
+    jobs: Option<Sender<(WriteBatch, Done)>>,
     thread: Option<JoinHandle<()>>,
     /// When the write under way began, in ms; 0 for none.
     began: Arc<AtomicU64>,
@@ -127,13 +127,13 @@
     start: Instant,
 }
 
-impl Scribe {
+impl DiskWriter {
     /// Opens the folder, however long that takes: a disk that is full or hangs ends no process.
-    pub fn start(folder: &Path, say: impl Fn(&str)) -> Result<(Scribe, Found)> {
-        Scribe::with(Files { folder: folder.to_path_buf() }, say)
+    pub fn start(folder: &Path, say: impl Fn(&str)) -> Result<(DiskWriter, RecoveredState)> {
+        DiskWriter::with(Files { folder: folder.to_path_buf() }, say)
     }
 
-    pub fn with(mut folder: impl Folder, say: impl Fn(&str)) -> Result<(Scribe, Found)> {
+    pub fn with(mut folder: impl Folder, say: impl Fn(&str)) -> Result<(DiskWriter, RecoveredState)> {
         let (mut tries, mut torn, mut emptied) = (0, None, false);
         let (disk, found) = loop {
             let fault = if let Some(why) = &torn {
@@ -165,20 +165,20 @@
             tries += 1;
             folder.pause();
         };
-        if found.kept == Kept::Lost && !emptied {
+        if found.kept == FolderCondition::Lost && !emptied {
             say("The folder had been written, and nothing of that is left.");
         }
         let (jobs, todo) = channel();
         let (began, ok) = (Arc::new(AtomicU64::new(0)), Arc::new(AtomicBool::new(true)));
         let start = Instant::now();
         let (b, o) = (began.clone(), ok.clone());
-        let whole = found.kept == Kept::Whole;
+        let whole = found.kept == FolderCondition::Whole;
         let run = move || run(folder, (disk, whole), todo, start, b, o);
         let thread = std::thread::Builder::new().name("scribe".into()).spawn(run)?;
-        Ok((Scribe { jobs: Some(jobs), thread: Some(thread), began, ok, start }, found))
+        Ok((DiskWriter { jobs: Some(jobs), thread: Some(thread), began, ok, start }, found))
     }
 
-    pub fn write(&self, batch: Batch, done: Done) {
+    pub fn write(&self, batch: WriteBatch, done: Done) {
         if let Some(jobs) = &self.jobs {
             let _ = jobs.send((batch, done));
         }
@@ -198,7 +198,7 @@
     }
 }
 
-impl Drop for Scribe {
+impl Drop for DiskWriter {
     /// What was asked for is written, and the folder is free.
     fn drop(&mut self) {
         self.jobs = None;
@@ -211,7 +211,7 @@
 fn run(
     mut folder: impl Folder,
     (disk, mut whole): (Box<dyn Disk>, bool),
-    todo: Receiver<(Batch, Done)>,
+    todo: Receiver<(WriteBatch, Done)>,
     start: Instant,
     began: Arc<AtomicU64>,
     ok: Arc<AtomicBool>,
@@ -222,7 +222,7 @@
         // After an error fjall refuses all further writes of this life: it is opened anew. What is torn or lost then
         // is emptied by the next life only, as this one still holds what was there.
         if disk.is_none() {
-            disk = folder.open().ok().filter(|d| !whole || d.kept() == Kept::Whole);
+            disk = folder.open().ok().filter(|d| !whole || d.kept() == FolderCondition::Whole);
         }
         let written = disk.as_mut().is_some_and(|d| d.put(&batch).is_ok());
         if !written {
@@ -267,7 +267,7 @@
     mark: Mark,
     said: u64,
     number: u64,
-    kept: Kept,
+    kept: FolderCondition,
     /// fjall makes no folder after it is open.
     folders: Vec<Names>,
 }
@@ -292,7 +292,7 @@
 }
 
 /// Opens a copy, as opening writes.
-pub fn read(folder: &Path) -> Result<Found, Fault> {
+pub fn read(folder: &Path) -> Result<RecoveredState, Fault> {
     static COPIES: AtomicU64 = AtomicU64::new(0);
     let copy = COPIES.fetch_add(1, Ordering::Relaxed);
     let copy = std::env::temp_dir().join(format!("council-read-{}-{copy}", std::process::id()));
@@ -361,9 +361,9 @@
         let said = if let Said::Number(n) = said { n } else { 0 };
         let mark = Mark::open(folder)?;
         let kept = match (number, said) {
-            (0, 0) if !adopt => Kept::Fresh,
-            (0, _) if !adopt => Kept::Lost,
-            _ => Kept::Whole,
+            (0, 0) if !adopt => FolderCondition::Fresh,
+            (0, _) if !adopt => FolderCondition::Lost,
+            _ => FolderCondition::Whole,
         };
         let number = number.max(said);
         let mut all = Vec::new();
@@ -412,18 +412,18 @@
 
 impl Disk for Open {
     /// As it was opened.
-    fn kept(&self) -> Kept {
+    fn kept(&self) -> FolderCondition {
         self.kept
     }
 
-    fn read(&mut self) -> Result<Found, Fault> {
+    fn read(&mut self) -> Result<RecoveredState, Fault> {
         let (mut state, mut own) = (all(&self.state)?, all(&self.own)?);
         state.remove(NUMBER);
         own.remove(NUMBER);
-        Ok(Found { state, own, kept: self.kept, number: self.number })
+        Ok(RecoveredState { state, own, kept: self.kept, number: self.number })
     }
 
-    fn put(&mut self, batch: &Batch) -> Result<(), Fault> {
+    fn put(&mut self, batch: &WriteBatch) -> Result<(), Fault> {
         let number = self.number + 1;
         let mut changes = self.db.batch().durability(Some(PersistMode::SyncData));
         if batch.whole {
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -1,5 +1,5 @@
 //! The pure machine of a centre, without threads, sockets or a disk.
-use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
+use coppersail_control_plane::node::{Effect, Event, Node, PeerRequest, PeerResponse, Startup};
 use coppersail_peer_protocol::{EndpointUpdate, MemberDetail, MemberStatus, Update, WatchRequest};
 use serde_json::json;
 
@@ -24,7 +24,8 @@
             "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
         });
         let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
-        let (node, effects) = Node::start(1, Begin { boot, found: Default::default(), life: 7 });
+        let (node, effects) =
+            Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
         let mut one = One { node, now: 1, due: Vec::new(), hosts: Some(hosts), news: Vec::new() };
         one.carry(effects);
         one
@@ -33,19 +34,19 @@
     fn carry(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Write { token, .. } => self.due.push(Event::Disk { token, ok: true }),
-                Effect::Call { token, to, call, .. } => {
+                Effect::Persist { token, .. } => self.due.push(Event::WriteFinished { token, ok: true }),
+                Effect::SendToPeer { token, peer: to, call, .. } => {
                     let say = self.answer(&to, &call);
-                    self.due.push(Event::Told { token, say });
+                    self.due.push(Event::PeerResponded { operation_id: token, response: say });
                 }
-                Effect::Reply { say: PeerSay::News(news), .. } => self.news.push(*news),
+                Effect::RespondToPeer { response: PeerResponse::Update(news), .. } => self.news.push(*news),
                 _ => {}
             }
         }
     }
 
-    fn answer(&self, to: &str, call: &Peer) -> Option<PeerSay> {
-        let Peer::Follow(_) = call else { return None };
+    fn answer(&self, to: &str, call: &PeerRequest) -> Option<PeerResponse> {
+        let PeerRequest::Watch(_) = call else { return None };
         let hosts = self.hosts.clone().filter(|_| to == PEERS[1])?;
         let detail = Some(MemberDetail::default());
         let standing = Some(MemberStatus {
@@ -55,7 +56,7 @@
             detail,
             ..MemberStatus::default()
         });
-        Some(PeerSay::News(Box::new(Update {
+        Some(PeerResponse::Update(Box::new(Update {
             feed_id: 3,
             sequence: 1,
             endpoints: hosts,
@@ -88,7 +89,7 @@
             from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
         let follow =
             WatchRequest { edge: "e".into(), wait_ms: 1, status: standing, ..WatchRequest::default() };
-        self.step(Event::Peer { caller: 1, call: Peer::Follow(Box::new(follow)) });
+        self.step(Event::Peer { caller: 1, call: PeerRequest::Watch(Box::new(follow)) });
         self.news.pop().expect("who has nothing is answered at once")
     }
 }
@@ -129,7 +130,7 @@
     };
     let before = one.ask(None);
     assert_eq!(before.endpoints.len(), 1);
-    one.step(Event::Peer { caller: 2, call: Peer::Follow(Box::new(follow(&before))) });
+    one.step(Event::Peer { caller: 2, call: PeerRequest::Watch(Box::new(follow(&before))) });
     one.run(1_000);
     assert!(one.news.is_empty(), "nothing is new");
     one.hosts = None;
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -1,6 +1,8 @@
 //! The disk of a centre: real folders, cut, put back and taken apart; and stand-ins that are full, hang or fail.
 use assert_matches::assert_matches;
-use coppersail_control_plane::store::{mark, Batch, Disk, Fault, Folder, Found, Kept, Put, Scribe};
+use coppersail_control_plane::store::{
+    mark, Disk, DiskWriter, Fault, Folder, FolderCondition, RecoveredState, Write, WriteBatch,
+};
 use std::cell::RefCell;
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -62,37 +64,38 @@
     found
 }
 
-fn open(folder: &Path) -> (Scribe, Found, Vec<String>) {
+fn open(folder: &Path) -> (DiskWriter, RecoveredState, Vec<String>) {
     let lines = RefCell::new(Vec::new());
-    let (scribe, found) = Scribe::start(folder, |line| lines.borrow_mut().push(line.to_string())).unwrap();
+    let (scribe, found) =
+        DiskWriter::start(folder, |line| lines.borrow_mut().push(line.to_string())).unwrap();
     (scribe, found, lines.into_inner())
 }
 
-fn kept(folder: &Path) -> (Kept, usize) {
+fn kept(folder: &Path) -> (FolderCondition, usize) {
     let (_, found, lines) = open(folder);
     (found.kept, lines.len())
 }
 
-fn put(name: &str, value: impl ToString) -> Put {
+fn put(name: &str, value: impl ToString) -> Write {
     (name.to_string(), value.to_string())
 }
 
-fn state(puts: Vec<Put>) -> Batch {
-    Batch { state: puts, ..Batch::default() }
+fn state(puts: Vec<Write>) -> WriteBatch {
+    WriteBatch { state: puts, ..WriteBatch::default() }
 }
 
-fn own(name: &str, value: impl ToString) -> Batch {
-    Batch { own: vec![put(name, value)], ..Batch::default() }
+fn own(name: &str, value: impl ToString) -> WriteBatch {
+    WriteBatch { own: vec![put(name, value)], ..WriteBatch::default() }
 }
 
-fn write(scribe: &Scribe, batch: Batch) -> bool {
+fn write(scribe: &DiskWriter, batch: WriteBatch) -> bool {
     let (tell, told) = channel();
     scribe.write(batch, Box::new(move |ok| tell.send(ok).unwrap()));
     told.recv().unwrap()
 }
 
 /// Writes `changes` of about 100 KB: 45 fill a table of fjall's, 660 a journal.
-fn fill(scribe: &Scribe, changes: std::ops::Range<u32>) {
+fn fill(scribe: &DiskWriter, changes: std::ops::Range<u32>) {
     for n in changes {
         let puts = vec![put("config", format!("{n:05}").repeat(20_000)), put(&format!("row/{n}"), n)];
         assert!(write(scribe, state(puts)));
@@ -100,17 +103,17 @@
 }
 
 /// A folder with a journal and tables, and what it says.
-fn real(name: &str, changes: u32) -> (Place, Found) {
+fn real(name: &str, changes: u32) -> (Place, RecoveredState) {
     let place = Place::new(name);
     let (scribe, found, lines) = open(&place.0);
-    assert_eq!((found.kept, lines.len()), (Kept::Fresh, 0));
+    assert_eq!((found.kept, lines.len()), (FolderCondition::Fresh, 0));
     assert!(write(&scribe, own("seat", "a")));
     fill(&scribe, 0..changes);
     assert!(write(&scribe, own("floor", 7)));
     assert!(write(&scribe, state(vec![put("last", "one")])));
     drop(scribe);
     let (_, found, lines) = open(&place.0);
-    assert_eq!((found.kept, found.number, lines.len()), (Kept::Whole, changes as u64 + 3, 0));
+    assert_eq!((found.kept, found.number, lines.len()), (FolderCondition::Whole, changes as u64 + 3, 0));
     assert_eq!((found.state.len(), found.own.len()), (changes as usize + 2, 2));
     (place, found)
 }
@@ -146,11 +149,13 @@
         }
         let (_, found, lines) = open(&copy.0);
         match found.kept {
-            Kept::Whole => assert_eq!(found, whole, "{name:?} {cut:?}"),
-            Kept::Lost => assert!(found.state.is_empty() && found.own.is_empty() && lines.len() == 1),
-            Kept::Fresh => panic!("{name:?} {cut:?} was taken for a first start"),
+            FolderCondition::Whole => assert_eq!(found, whole, "{name:?} {cut:?}"),
+            FolderCondition::Lost => {
+                assert!(found.state.is_empty() && found.own.is_empty() && lines.len() == 1)
+            }
+            FolderCondition::Fresh => panic!("{name:?} {cut:?} was taken for a first start"),
         }
-        lost.fetch_add((found.kept == Kept::Lost) as usize, Ordering::Relaxed);
+        lost.fetch_add((found.kept == FolderCondition::Lost) as usize, Ordering::Relaxed);
     };
     // Most of the time is spent waiting for syncs.
     std::thread::scope(|scope| {
@@ -176,14 +181,14 @@
     drop(scribe);
     fs::copy(place.0.join(mark::NAME), older.0.join(mark::NAME)).unwrap();
     let (scribe, found, lines) = open(&older.0);
-    assert_eq!((found.kept, found.state.len(), found.own.len()), (Kept::Lost, 0, 0));
+    assert_eq!((found.kept, found.state.len(), found.own.len()), (FolderCondition::Lost, 0, 0));
     assert!(lines.len() == 1 && lines[0].contains("emptied"), "{lines:?}");
     drop(scribe);
-    assert_eq!(kept(&older.0), (Kept::Lost, 1), "not fresh after it was emptied");
+    assert_eq!(kept(&older.0), (FolderCondition::Lost, 1), "not fresh after it was emptied");
     let (scribe, ..) = open(&older.0);
     assert!(write(&scribe, own("seat", "a")));
     drop(scribe);
-    assert_eq!(kept(&older.0), (Kept::Whole, 0));
+    assert_eq!(kept(&older.0), (FolderCondition::Whole, 0));
 }
 
 #[test]
@@ -213,7 +218,7 @@
     let torn: Vec<u8> = text.iter().map(|b| b ^ 1).collect();
     fs::write(place.0.join(mark::NAME), torn).unwrap();
     assert_eq!(mark::read(&place.0).unwrap(), mark::Said::Torn);
-    assert_eq!(kept(&place.0), (Kept::Lost, 1));
+    assert_eq!(kept(&place.0), (FolderCondition::Lost, 1));
 }
 
 #[test]
@@ -235,7 +240,7 @@
     assert!(write(&scribe, own("floor", 7)));
     drop(scribe);
     let whole = open(&place.0).1;
-    assert_eq!((whole.kept, whole.state.len()), (Kept::Whole, 801));
+    assert_eq!((whole.kept, whole.state.len()), (FolderCondition::Whole, 801));
     let now = all(&place.0).len();
     for path in all(&older.0).into_iter().filter(|p| !p.is_dir()) {
         let to = place.0.join(path.strip_prefix(&older.0).unwrap());
@@ -253,8 +258,8 @@
     let from = bytes(&place.0.join("0.jnl")).1;
     let mark_before = fs::read(place.0.join(mark::NAME)).unwrap();
     let (scribe, ..) = open(&place.0);
-    let puts: Vec<Put> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
-    assert!(write(&scribe, Batch { state: puts, whole: true, own: vec![put("floor", 8)] }));
+    let puts: Vec<Write> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
+    assert!(write(&scribe, WriteBatch { state: puts, whole: true, own: vec![put("floor", 8)] }));
     drop(scribe);
     let (_, after, _) = open(&place.0);
     assert_eq!((after.state.len(), after.own["floor"].as_str(), &after.own["seat"][..]), (500, "8", "a"));
@@ -286,16 +291,16 @@
 #[test]
 fn before_the_first_write_a_folder_is_fresh_also_if_its_making_was_cut_short() {
     let place = Place::new("fresh");
-    assert_eq!(kept(&place.0), (Kept::Fresh, 0));
-    assert_eq!(kept(&place.0), (Kept::Fresh, 0));
+    assert_eq!(kept(&place.0), (FolderCondition::Fresh, 0));
+    assert_eq!(kept(&place.0), (FolderCondition::Fresh, 0));
     fs::remove_file(place.0.join("version")).unwrap();
-    assert_eq!(kept(&place.0).0, Kept::Fresh);
+    assert_eq!(kept(&place.0).0, FolderCondition::Fresh);
     let only_mark = Place::new("fresh-mark");
     fs::create_dir_all(&only_mark.0).unwrap();
     fs::write(only_mark.0.join(mark::NAME), [0; 100]).unwrap();
-    assert_eq!(kept(&only_mark.0), (Kept::Fresh, 0));
+    assert_eq!(kept(&only_mark.0), (FolderCondition::Fresh, 0));
     fs::remove_file(place.0.join(mark::NAME)).unwrap();
-    assert_eq!(kept(&place.0).0, Kept::Lost, "a mark can't be gone");
+    assert_eq!(kept(&place.0).0, FolderCondition::Lost, "a mark can't be gone");
 }
 
 #[test]
@@ -311,7 +316,7 @@
         let (_, found, lines) = open(&place.0);
         assert_eq!(
             (found.kept, &found.state["config"][..], &found.own["seat"][..]),
-            (Kept::Whole, "old", "a")
+            (FolderCondition::Whole, "old", "a")
         );
         assert!(lines.is_empty());
     }
@@ -357,7 +362,7 @@
     empties: Vec<Result<(), Fault>>,
     puts: Vec<Result<(), Fault>>,
     seen: Vec<String>,
-    kept: Vec<Kept>,
+    kept: Vec<FolderCondition>,
     hang: Option<(Sender<()>, Receiver<()>)>,
 }
 
@@ -394,15 +399,15 @@
 }
 
 impl Disk for Stands {
-    fn kept(&self) -> Kept {
-        self.0.lock().unwrap().kept.pop().unwrap_or(Kept::Whole)
+    fn kept(&self) -> FolderCondition {
+        self.0.lock().unwrap().kept.pop().unwrap_or(FolderCondition::Whole)
     }
 
-    fn read(&mut self) -> Result<Found, Fault> {
-        Ok(Found { number: 9, ..Found::default() })
+    fn read(&mut self) -> Result<RecoveredState, Fault> {
+        Ok(RecoveredState { number: 9, ..RecoveredState::default() })
     }
 
-    fn put(&mut self, batch: &Batch) -> Result<(), Fault> {
+    fn put(&mut self, batch: &WriteBatch) -> Result<(), Fault> {
         let hang = self.0.lock().unwrap().hang.take();
         if let Some((began, released)) = hang {
             began.send(()).unwrap();
@@ -420,10 +425,10 @@
     Err(Fault::Torn("a sum".into()))
 }
 
-fn start(stand: &Stands) -> (Scribe, Found, Vec<String>) {
+fn start(stand: &Stands) -> (DiskWriter, RecoveredState, Vec<String>) {
     let lines = RefCell::new(Vec::new());
     let (scribe, found) =
-        Scribe::with(stand.clone(), |line| lines.borrow_mut().push(line.to_string())).unwrap();
+        DiskWriter::with(stand.clone(), |line| lines.borrow_mut().push(line.to_string())).unwrap();
     (scribe, found, lines.into_inner())
 }
 
@@ -476,7 +481,7 @@
     assert_eq!(said, [false, false, false, true]);
     assert_eq!(stand.seen(), ["e", "open", "open", "open", "h"], "what this life holds is not thrown away");
     stand.0.lock().unwrap().puts = vec![full()];
-    stand.0.lock().unwrap().kept = vec![Kept::Lost];
+    stand.0.lock().unwrap().kept = vec![FolderCondition::Lost];
     let said = ["i", "j", "k"].map(|n| write(&scribe, state(vec![put(n, 1)])));
     assert_eq!(said, [false, false, true]);
     assert_eq!(stand.seen(), ["i", "open", "open", "k"], "nor written on where the rest of it is gone");
--- a/crates/tools/simulator/src/callers.rs
+++ b/crates/tools/simulator/src/callers.rs
@@ -1,7 +1,7 @@
 //! What callers of `admin` have in common: whom they ask, and what they do when it fails.
 use crate::machine::Body;
 use crate::{Us, World};
-use coppersail_control_plane::node::Admin;
+use coppersail_control_plane::node::AdminRequest;
 
 /// What is sent; it goes out again on 307.
 #[derive(Debug, Clone)]
@@ -13,12 +13,14 @@
 }
 
 impl Act {
-    pub fn call(&self) -> Admin {
+    pub fn call(&self) -> AdminRequest {
         match self {
-            Act::Pulse { ident, body } => Admin::Pulse { ident: ident.to_string(), body: body.to_string() },
-            Act::SignOff { ident } => Admin::SignOff { ident: ident.to_string() },
-            Act::Replace(body) => Admin::Replace { body: body.to_string() },
-            Act::Read => Admin::Read,
+            Act::Pulse { ident, body } => {
+                AdminRequest::Heartbeat { ident: ident.to_string(), body: body.to_string() }
+            }
+            Act::SignOff { ident } => AdminRequest::SignOff { ident: ident.to_string() },
+            Act::Replace(body) => AdminRequest::ReplaceConfig { body: body.to_string() },
+            Act::Read => AdminRequest::ReadConfig,
         }
     }
 }
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -3,7 +3,7 @@
 use crate::host::SPLIT;
 use crate::world::{Ask, End, Ev, Origin, Say};
 use crate::{Us, World, APPLY, EMPTY};
-use coppersail_control_plane::node::{Peer, PeerSay};
+use coppersail_control_plane::node::{PeerRequest, PeerResponse};
 use coppersail_load_balancing::EndpointRegistry;
 use coppersail_peer_protocol::{EndpointState, RequestCounts, Update, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
@@ -181,7 +181,7 @@
         let Some(m) = self.machine_at(&centre).filter(|m| self.reaches(end, *m)) else {
             return self.after(CONNECT, Ev::EdgeLimit { n, call });
         };
-        self.post(m, Origin { end, life: 0, call }, Ask::Peer(Peer::Follow(Box::new(follow))));
+        self.post(m, Origin { end, life: 0, call }, Ask::Peer(PeerRequest::Watch(Box::new(follow))));
         self.after(WHOLE, Ev::EdgeLimit { n, call });
     }
 
@@ -192,7 +192,7 @@
             return;
         }
         edge.waits = false;
-        let Some(Say::Peer(PeerSay::News(mut news))) = say else {
+        let Some(Say::Peer(PeerResponse::Update(mut news))) = say else {
             let pause = edge.round.bad();
             return self.edge_wake(n, pause);
         };
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -4,7 +4,7 @@
 use crate::{Ms, Us};
 use coppersail_consensus::{OperationId, RequestId};
 use coppersail_control_plane::node::{Effect, Node};
-use coppersail_control_plane::store::{Batch, Found, Kept};
+use coppersail_control_plane::store::{FolderCondition, RecoveredState, WriteBatch};
 use fastrand::Rng;
 use serde_json::json;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -15,9 +15,9 @@
 pub struct Disk {
     pub state: BTreeMap<String, String>,
     pub own: BTreeMap<String, String>,
-    pub kept: Kept,
+    pub kept: FolderCondition,
     /// Writes under way, in order, with the time at which each is done.
-    pub under_way: VecDeque<(OperationId, Batch, bool)>,
+    pub under_way: VecDeque<(OperationId, WriteBatch, bool)>,
     pub busy: Us,
     pub slow_until: Us,
     pub hangs_until: Us,
@@ -33,11 +33,11 @@
         (self.busy, now >= self.full_until)
     }
 
-    pub fn put(&mut self, batch: Batch) {
+    pub fn put(&mut self, batch: WriteBatch) {
         if batch.whole {
             self.state.clear();
         }
-        self.kept = Kept::Whole;
+        self.kept = FolderCondition::Whole;
         self.state.extend(batch.state);
         self.own.extend(batch.own);
     }
@@ -54,8 +54,8 @@
         self.busy = 0;
     }
 
-    pub fn found(&self) -> Found {
-        Found { state: self.state.clone(), own: self.own.clone(), kept: self.kept, number: 0 }
+    pub fn found(&self) -> RecoveredState {
+        RecoveredState { state: self.state.clone(), own: self.own.clone(), kept: self.kept, number: 0 }
     }
 
     pub fn troubled(&self, now: Us) -> bool {
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -11,8 +11,8 @@
 use crate::script::{Day, Moment, Seeds, Way, What, Who};
 use crate::{Ms, Tally, Us, CONFIRM, LEEWAY, LISTED, SETTLE, SYNC};
 use coppersail_consensus::OperationId;
-use coppersail_control_plane::node::{Begin, Effect, Event, Node, Peer, PeerSay};
-use coppersail_control_plane::store::Kept;
+use coppersail_control_plane::node::{Effect, Event, Node, PeerRequest, PeerResponse, Startup};
+use coppersail_control_plane::store::FolderCondition;
 use fastrand::Rng;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -54,13 +54,13 @@
 }
 
 pub enum Ask {
-    Peer(Peer),
+    Peer(PeerRequest),
     Admin(Act),
 }
 
 pub enum Say {
     Text(u16, String),
-    Peer(PeerSay),
+    Peer(PeerResponse),
     /// The connection was refused or reset.
     Reset,
 }
@@ -496,8 +496,8 @@
     fn twice(&mut self, m: usize, origin: Origin, ask: &Ask, late: Us) {
         let ask = match ask {
             Ask::Admin(act) => Ask::Admin(act.clone()),
-            Ask::Peer(Peer::Follow(f)) => Ask::Peer(Peer::Follow(f.clone())),
-            Ask::Peer(Peer::Core(c)) => Ask::Peer(Peer::Core(c.clone())),
+            Ask::Peer(PeerRequest::Watch(f)) => Ask::Peer(PeerRequest::Watch(f.clone())),
+            Ask::Peer(PeerRequest::Consensus(c)) => Ask::Peer(PeerRequest::Consensus(c.clone())),
         };
         let late = self.net.u64(0..late);
         self.after(late, Ev::Arrive { m, origin, ask });
@@ -533,7 +533,7 @@
                 if p.frozen {
                     p.inbox.push(Ev::Limit { origin });
                 } else if p.calls.remove(&origin.call) {
-                    self.step(m, Event::Told { token: origin.call, say: None });
+                    self.step(m, Event::PeerResponded { operation_id: origin.call, response: None });
                 }
             }
             Ev::Disk { m, ends, token } => {
@@ -553,7 +553,7 @@
                 if p.frozen {
                     p.inbox.push(Ev::Told { m, life, token, ok });
                 } else if p.writes.remove(&token) {
-                    self.step(m, Event::Disk { token, ok });
+                    self.step(m, Event::WriteFinished { token, ok });
                 }
             }
             Ev::Start { m, ends } => self.start(m, ends),
@@ -563,7 +563,7 @@
                 if p.frozen {
                     p.inbox.push(Ev::Term { m, life });
                 } else {
-                    self.step(m, Event::Term);
+                    self.step(m, Event::Shutdown);
                 }
             }
             Ev::Hup { m, life } => {
@@ -573,7 +573,7 @@
                 if p.frozen {
                     p.inbox.push(Ev::Hup { m, life });
                 } else {
-                    self.step(m, Event::Reread(Box::new(boot)));
+                    self.step(m, Event::SettingsChanged(Box::new(boot)));
                 }
             }
             Ev::KillNow { m, life } => {
@@ -652,7 +652,7 @@
             m,
             match ask {
                 Ask::Peer(call) => Event::Peer { caller, call },
-                Ask::Admin(act) => Event::Admin { caller, call: act.call() },
+                Ask::Admin(act) => Event::Admin { request_id: caller, request: act.call() },
             },
         );
     }
@@ -669,7 +669,7 @@
                         Say::Peer(say) => Some(say),
                         _ => None,
                     };
-                    self.step(m, Event::Told { token: origin.call, say });
+                    self.step(m, Event::PeerResponded { operation_id: origin.call, response: say });
                 }
             }
             End::Host(n) => self.host_hears(n, origin.call, Some(say)),
@@ -695,7 +695,7 @@
         let Some(p) = &mut self.machines[m].process else { return };
         let mut held = Ok(());
         for effect in &out {
-            let Effect::Answer { caller, status: 200..=299, body } = effect else { continue };
+            let Effect::RespondToAdmin { caller, status: 200..=299, body } = effect else { continue };
             let Some(origin) = p.callers.get(caller).copied() else { continue };
             if cut_off {
                 let to = origin.end;
@@ -723,10 +723,10 @@
         let springs = p.trap.as_ref().is_some_and(|(when, ..)| {
             let (mut answer, mut call, mut reply, mut write) = (false, false, false, false);
             for effect in &out {
-                answer |= matches!(effect, Effect::Answer { status: 200, .. });
-                call |= matches!(effect, Effect::Call { call: Peer::Core(_), .. });
-                reply |= matches!(effect, Effect::Reply { say: PeerSay::Core(_), .. });
-                write |= matches!(effect, Effect::Write { .. });
+                answer |= matches!(effect, Effect::RespondToAdmin { status: 200, .. });
+                call |= matches!(effect, Effect::SendToPeer { call: PeerRequest::Consensus(_), .. });
+                reply |= matches!(effect, Effect::RespondToPeer { response: PeerResponse::Consensus(_), .. });
+                write |= matches!(effect, Effect::Persist { .. });
             }
             match when {
                 Moment::Now => false,
@@ -759,15 +759,15 @@
             let Some(p) = &mut self.machines[m].process else { return };
             let life = p.life;
             match effect {
-                Effect::Answer { caller, status, body } => match p.callers.remove(&caller) {
+                Effect::RespondToAdmin { caller, status, body } => match p.callers.remove(&caller) {
                     Some(Origin { end: End::Probe(_), call, .. }) => self.probed(m, call, status, &body),
                     Some(origin) => self.answer(m, origin, Say::Text(status, body)),
                     None => self.twice_answered(m, caller),
                 },
-                Effect::Reply { caller, say } => match p.callers.remove(&caller) {
+                Effect::RespondToPeer { caller, response: say } => match p.callers.remove(&caller) {
                     Some(origin) => {
                         if let (
-                            PeerSay::Core(coppersail_consensus::Response::ReplicaWrite(say)),
+                            PeerResponse::Consensus(coppersail_consensus::Response::ReplicaWrite(say)),
                             End::Machine(from),
                         ) = (&say, origin.end)
                         {
@@ -779,7 +779,7 @@
                     }
                     None => self.twice_answered(m, caller),
                 },
-                Effect::Call { token, to, call, wait } => {
+                Effect::SendToPeer { token, peer: to, call, timeout: wait } => {
                     if !p.calls.insert(token) {
                         let held: Held = Err((rule::NODE, format!("token {token} is used twice")));
                         self.check(held);
@@ -792,7 +792,7 @@
                         self.post(other, origin, Ask::Peer(call));
                     }
                 }
-                Effect::Write { token, write } => {
+                Effect::Persist { token, write } => {
                     if !p.writes.insert(token) {
                         let held: Held = Err((rule::NODE, format!("token {token} is used twice")));
                         self.check(held);
@@ -804,13 +804,13 @@
                     let ends = machine.ends;
                     self.at(done, Ev::Disk { m, ends, token });
                 }
-                Effect::Note(text) => {
+                Effect::Log(text) => {
                     if self.story.is_some() {
                         let ip = self.machines[m].ip.clone();
                         self.say(&ip, || format!("notes: {text}"));
                     }
                 }
-                Effect::Leave => {
+                Effect::Exit => {
                     if p.leaving {
                         let ip = self.machines[m].ip.clone();
                         self.say(&ip, || "ends by itself".into());
@@ -870,7 +870,11 @@
         let boot = machine.boot(contact, survive);
         machine.first &= self.day.seed.is_multiple_of(4);
         let life = machine.lives;
-        let begin = Begin { boot, found: machine.disk.found(), life: self.luck.u64(1..1 << 53) };
+        let begin = Startup {
+            settings: boot,
+            recovered: machine.disk.found(),
+            new_incarnation: self.luck.u64(1..1 << 53),
+        };
         let pace = 0.98 + 0.02 * self.luck.f64();
         let (node, out) = Node::start(1, begin);
         self.machines[m].process = Some(Process {
--- a/crates/tools/simulator/src/world/faults.rs
+++ b/crates/tools/simulator/src/world/faults.rs
@@ -136,7 +136,7 @@
         let machine = &mut self.machines[m];
         machine.first = false;
         machine.disk = Default::default();
-        machine.disk.kept = if lot & 1 << 50 == 0 { Kept::Fresh } else { Kept::Lost };
+        machine.disk.kept = if lot & 1 << 50 == 0 { FolderCondition::Fresh } else { FolderCondition::Lost };
     }
 
     pub(super) fn power_off(&mut self, m: usize, down: Us) {
