--- /dev/null
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -0,0 +1,169 @@
+//! These bytes are read by builds of other versions: edges post messages to each other on `/sojourn`, clients carry
+//! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
+use coppersail_session_affinity::token::{print, Keys, Token};
+use coppersail_session_affinity::{Answer, Counts, Entry, Fence, Id, Msg, Record, Shown, Step};
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+
+/// The value is written as exactly this text, and the text is read as an equal value.
+fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
+    assert_eq!(serde_json::to_string(&value).unwrap(), text);
+    assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
+}
+
+const ID: Id = Id([1, 0xabc]);
+const FENCE: Fence = Fence { n: 70_000, by: 2, start: 9 };
+const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
+const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
+
+fn answer() -> Answer {
+    let headers = vec![("content-type".into(), "text/plain".into())];
+    Answer { status: 201, headers, body: b"taken?".to_vec() }
+}
+
+fn entry(step: Step) -> Entry {
+    Entry { key: "k".into(), print: 5, attempt: (FENCE, 3), step, at: 71_000 }
+}
+
+fn entry_text(step: &str) -> String {
+    format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{step},"at":71000}}"#)
+}
+
+fn record() -> Record {
+    let hosts = vec![("ledger".into(), "10.0.0.1:80".into())];
+    Record { hosts, stamp: (FENCE, 4), entries: vec![entry(Step::Past)] }
+}
+
+fn record_text() -> String {
+    let entry = entry_text(r#""Past""#);
+    format!(r#"{{"hosts":[["ledger","10.0.0.1:80"]],"stamp":[{FENCE_TEXT},4],"entries":[{entry}]}}"#)
+}
+
+#[test]
+fn ids_and_fences_keep_their_bytes() {
+    assert_text(ID, "[1,2748]");
+    assert_eq!(ID.to_string(), "00000000000000010000000000000abc");
+    assert_eq!("00000000000000010000000000000abc".parse(), Ok(ID));
+    assert_text(FENCE, FENCE_TEXT);
+}
+
+#[test]
+fn an_entry_keeps_its_bytes_in_each_step() {
+    let ran = format!(r#"{{"Ran":{ANSWER_TEXT}}}"#);
+    let table = [
+        (Step::Open { until: 80_000 }, r#"{"Open":{"until":80000}}"#),
+        (Step::Unknown, r#""Unknown""#),
+        (Step::NotRun, r#""NotRun""#),
+        (Step::Past, r#""Past""#),
+        (Step::Ran(answer()), &ran),
+    ];
+    for (step, text) in table {
+        assert_text(step.clone(), text);
+        assert_text(entry(step), &entry_text(text));
+    }
+}
+
+#[test]
+fn a_record_keeps_its_bytes() {
+    assert_text(record(), &record_text());
+    let empty = r#"{"hosts":[],"stamp":[{"n":0,"by":0,"start":0},0],"entries":[]}"#;
+    assert_text(Record::default(), empty);
+}
+
+#[test]
+fn each_message_between_edges_keeps_its_bytes() {
+    let (id, fence, attempt) = (ID, FENCE, (FENCE, 3));
+    let table = [
+        (
+            Msg::Claim { id, born: 60_000, fence, round: 6 },
+            r#"{"Claim":{"id":[1,2748],"born":60000,"fence":FENCE,"round":6}}"#,
+        ),
+        (
+            Msg::Promised { id, fence, round: 6, life: 8, former: Some(3), record: record() },
+            r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":3,"record":RECORD}}"#,
+        ),
+        (
+            Msg::Promised { id, fence, round: 6, life: 8, former: None, record: record() },
+            r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":null,"record":RECORD}}"#,
+        ),
+        (Msg::Blank { id, fence, life: 8 }, r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#),
+        (
+            Msg::Outranked { id, fence, promised: Fence { n: 1, by: 2, start: 3 } },
+            r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
+        ),
+        (Msg::Full { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
+        (
+            Msg::Install { id, born: 60_000, fence, life: 8, record: record() },
+            r#"{"Install":{"id":[1,2748],"born":60000,"fence":FENCE,"life":8,"record":RECORD}}"#,
+        ),
+        (
+            Msg::Write { id, fence, life: 8, record: record() },
+            r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
+        ),
+        (Msg::Kept { id, fence, attempt }, r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#),
+        (Msg::Told { id, entry: entry(Step::NotRun) }, r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#),
+        (Msg::Noted { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
+        (Msg::News { id, entry: entry(Step::NotRun) }, r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#),
+        (Msg::LetGo { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
+    ];
+    for (message, text) in table {
+        let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
+        assert_text(message, &text.replace("FENCE", FENCE_TEXT));
+    }
+}
+
+#[test]
+fn what_operators_are_shown_keeps_its_bytes() {
+    let counts = Counts {
+        claims: 1,
+        crossings: 2,
+        let_go: 3,
+        waits: 4,
+        sent: 5,
+        repeats_answered: 6,
+        under_way: 7,
+        other_body: 8,
+        unknown: 9,
+        refused: 10,
+        forgotten: 11,
+        healed: 12,
+        dropped: 13,
+    };
+    let text = concat!(
+        r#"{"claims":1,"crossings":2,"let_go":3,"waits":4,"sent":5,"repeats_answered":6,"under_way":7,"#,
+        r#""other_body":8,"unknown":9,"refused":10,"forgotten":11,"healed":12,"dropped":13}"#,
+    );
+    assert_text(counts, text);
+    let shown = Shown {
+        id: "ab".into(),
+        owner: true,
+        fence: FENCE,
+        hosts: vec![("ledger".into(), "h".into())],
+        confirmations: vec![("c".into(), "under way".into(), 9)],
+    };
+    let text = concat!(
+        r#"{"id":"ab","owner":true,"fence":FENCE,"hosts":[["ledger","h"]],"#,
+        r#""confirmations":[["c","under way",9]]}"#,
+    );
+    assert_text(shown, &text.replace("FENCE", FENCE_TEXT));
+}
+
+#[test]
+fn a_token_keeps_its_signed_text() {
+    let keys = Keys::new(vec![b"a literal key of 32 bytes, no less".to_vec()]).unwrap();
+    let token = Token { id: ID, roster: 4, born: 60_000, signed: 65_000 };
+    let text = "AAAAAAAAAAEAAAAAAAAKvAAEAAAAAAAA6mAAAAAAAAD96BG7ySSVCBN75Wjx1BmaOmzow9I8Qem6asMQc633eSj_";
+    assert_eq!(keys.sign(&token), text);
+    assert_eq!(keys.read(text, 66_000, 60_000, 100), Ok((token, true)));
+}
+
+#[test]
+fn the_print_of_a_request_keeps_its_number() {
+    assert_eq!(print(&[b"POST", b"/book", b"body"]), 13912192665841633907);
+}
+
+#[test]
+fn counts_of_an_older_version_without_some_fields_still_parse() {
+    let counts: Counts = serde_json::from_str(r#"{"claims":3}"#).unwrap();
+    assert_eq!(counts, Counts { claims: 3, ..Counts::default() });
+}
