--- /dev/null
+++ b/crates/director/append-log/tests/wire_format.rs
@@ -0,0 +1,18 @@
+//! These bytes are read by builds of other versions: each line of a log stays on the disk for as long as its records
+//! are needed. A change here breaks rolling upgrades or stored data.
+use coppersail_append_log::{line, read, Whole};
+use serde::{de::DeserializeOwned, Serialize};
+use std::fmt::Debug;
+
+/// The record is written as exactly this line, and the line is read as an equal record.
+fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
+    assert_eq!(String::from_utf8(line(&value).unwrap()).unwrap(), text);
+    assert_eq!(read(text.as_bytes()), Ok(Whole { records: vec![value], bytes: text.len(), torn: 0 }));
+}
+
+#[test]
+fn a_line_of_the_log_keeps_its_bytes_and_its_checksum() {
+    assert_text("one".to_string(), "91c55400 \"one\"\n");
+    assert_text(0, "f4dbdf21 0\n");
+    assert_text(("å\n".to_string(), Some(1.5), [true, false]), "61c2c320 [\"å\\n\",1.5,[true,false]]\n");
+}
