--- /dev/null
+++ b/crates/director/admin-socket/tests/wire_format.rs
@@ -0,0 +1,122 @@
+//! These bytes are read by builds of other versions: operators' commands and a director say them to each other over a
+//! Unix socket. A change here breaks rolling upgrades or stored data.
+use coppersail_admin_socket::{answer, line, request, Answer, Differs, Request, Status, Trial};
+use coppersail_changes::{Change, Stage, Submission, Version};
+use coppersail_operator_config::{Edits, Field, Value};
+use serde::Serialize;
+use std::fmt::Debug;
+
+/// The message is written as exactly this line, and the line is read as an equal message.
+fn assert_text<T: Serialize + PartialEq + Debug>(read: fn(&[u8]) -> Result<T, String>, value: T, text: &str) {
+    assert_eq!(String::from_utf8(line(&value)).unwrap(), format!("{text}\n"));
+    assert_eq!(read(text.as_bytes()), Ok(value));
+}
+
+const SUBMISSION: &str = concat!(
+    r#"{"base":3,"who":"ann","why":"w","edits":{"changes.judge":false,"guard.mode":null},"trial":null,"#,
+    r#""expected_loss":0.0,"token":"","draft":false,"file":null}"#,
+);
+
+fn edits() -> Edits {
+    [(Field::Judge, Some(Value::Flag(false))), (Field::Guard, None)].into()
+}
+
+fn submission() -> Submission {
+    let (base, edits) = (Version(3), edits());
+    Submission { base, who: "ann".into(), why: "w".into(), edits, ..Submission::default() }
+}
+
+#[test]
+fn each_request_on_the_socket_keeps_its_line() {
+    let (number, who, why) = (Version(4), || "ann".to_string(), || "w".to_string());
+    let table = [
+        (Request::Status, r#"{"do":"status"}"#),
+        (Request::Submit { submission: submission() }, r#"{"do":"submit","submission":SUBMISSION}"#),
+        (
+            Request::Diff { edits: edits() },
+            r#"{"do":"diff","edits":{"changes.judge":false,"guard.mode":null}}"#,
+        ),
+        (Request::List { before: None }, r#"{"do":"list","before":null}"#),
+        (Request::List { before: Some(number) }, r#"{"do":"list","before":4}"#),
+        (Request::Show { number }, r#"{"do":"show","number":4}"#),
+        (Request::Stage { number }, r#"{"do":"stage","number":4}"#),
+        (Request::Confirm { number, who: who() }, r#"{"do":"confirm","number":4,"who":"ann"}"#),
+        (
+            Request::Extend { number, by: 30.0, who: who() },
+            r#"{"do":"extend","number":4,"by":30.0,"who":"ann"}"#,
+        ),
+        (
+            Request::Undo { number, who: who(), why: why() },
+            r#"{"do":"undo","number":4,"who":"ann","why":"w"}"#,
+        ),
+        (Request::Freeze { who: who(), why: why() }, r#"{"do":"freeze","who":"ann","why":"w"}"#),
+        (Request::Thaw { who: who() }, r#"{"do":"thaw","who":"ann"}"#),
+    ];
+    for (message, text) in table {
+        assert_text(request, message, &text.replace("SUBMISSION", SUBMISSION));
+    }
+}
+
+#[test]
+fn each_answer_on_the_socket_keeps_its_line() {
+    let (number, why) = (Version(4), || "w".to_string());
+    let status = |frozen| Status {
+        name: "d".into(),
+        version: number,
+        durable: true,
+        frozen,
+        baseline: false,
+        trials: vec![Trial { number, left: 1.5, heard: 2, believed: true }],
+        in_force: vec![(Field::Trial, Value::Number(60.0))],
+        hosts: 5,
+        slices: 6,
+        proxies: 7,
+    };
+    let status_text = concat!(
+        r#"{"is":"status","name":"d","version":4,"durable":true,"frozen":FROZEN,"baseline":false,"#,
+        r#""trials":[{"number":4,"left":1.5,"heard":2,"believed":true}],"#,
+        r#""in_force":[["changes.trial",60.0]],"hosts":5,"slices":6,"proxies":7}"#,
+    );
+    let change = || Change {
+        number,
+        wall: 1.5,
+        submission: submission(),
+        stage: Stage::Staged,
+        undoes: None,
+        before: Edits::new(),
+    };
+    let change_text =
+        r#""number":4,"wall":1.5,"submission":SUBMISSION,"stage":"staged","undoes":null,"before":{}"#;
+    let differs = vec![Differs { field: Field::Judge, is: None, becomes: Some(Value::Flag(true)) }];
+    let table = [
+        (Answer::Status(Box::new(status(None))), status_text.replace("FROZEN", "null")),
+        (
+            Answer::Status(Box::new(status(Some(("ann".into(), why()))))),
+            status_text.replace("FROZEN", r#"["ann","w"]"#),
+        ),
+        (Answer::Accepted { number, durable: true }, r#"{"is":"accepted","number":4,"durable":true}"#.into()),
+        (Answer::Done, r#"{"is":"done"}"#.into()),
+        (
+            Answer::Diff { differs },
+            r#"{"is":"diff","differs":[{"field":"changes.judge","is":null,"becomes":true}]}"#.into(),
+        ),
+        (
+            Answer::Changes { changes: vec![change()], more: true },
+            format!(r#"{{"is":"changes","changes":[{{{change_text}}}],"more":true}}"#),
+        ),
+        (Answer::Change(Box::new(change())), format!(r#"{{"is":"change",{change_text}}}"#)),
+        (Answer::Refused { why: why() }, r#"{"is":"refused","why":"w"}"#.into()),
+        (Answer::Unreadable { why: why() }, r#"{"is":"unreadable","why":"w"}"#.into()),
+    ];
+    for (message, text) in table {
+        assert_text(answer, message, &text.replace("SUBMISSION", SUBMISSION));
+    }
+}
+
+#[test]
+fn requests_of_an_older_version_without_optional_fields_still_parse() {
+    assert_eq!(request(br#"{"do":"list"}"#), Ok(Request::List { before: None }));
+    let older = br#"{"do":"submit","submission":{"base":3,"who":"ann","why":"w","edits":{}}}"#;
+    let submission = Submission { edits: Edits::new(), ..submission() };
+    assert_eq!(request(older), Ok(Request::Submit { submission }));
+}
