--- /dev/null
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -0,0 +1,74 @@
+//! These bytes are read by builds of other versions: edges post messages to each other, and operators' commands read
+//! the list of sessions. A change here breaks rolling upgrades or stored data.
+use coppersail_config::Sessions as File;
+use coppersail_edge_proxy::sessions::{Listed, Sessions};
+use coppersail_session_affinity::Counts;
+use serde::{de::DeserializeOwned, Serialize};
+use slog::{o, Discard, Logger};
+use std::fmt::Debug;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::{TcpListener, TcpStream};
+
+const NO_COUNTS: &str = concat!(
+    r#"{"claims":0,"crossings":0,"let_go":0,"waits":0,"sent":0,"repeats_answered":0,"under_way":0,"#,
+    r#""other_body":0,"unknown":0,"refused":0,"forgotten":0,"healed":0,"dropped":0}"#,
+);
+
+/// The value is written as exactly this text, and the text is read as an equal value.
+fn assert_text<T: Serialize + DeserializeOwned + Debug>(value: T, text: &str) {
+    assert_eq!(serde_json::to_string(&value).unwrap(), text);
+    assert_eq!(format!("{:?}", serde_json::from_str::<T>(text).unwrap()), format!("{value:?}"));
+}
+
+#[test]
+fn the_list_of_sessions_keeps_its_bytes() {
+    let (sessions, counts) = (vec!["ab".into()], Counts::default());
+    let listed = Listed { site: 2, sessions, counts, unfit: 3, messages: 4, bytes: 5 };
+    let text = r#"{"site":2,"sessions":["ab"],"counts":COUNTS,"unfit":3,"messages":4,"bytes":5}"#;
+    assert_text(listed, &text.replace("COUNTS", NO_COUNTS));
+}
+
+#[test]
+fn a_list_of_an_older_version_without_some_fields_still_parses() {
+    let listed: Listed = serde_json::from_str(r#"{"site":2}"#).unwrap();
+    assert_eq!(format!("{listed:?}"), format!("{:?}", Listed { site: 2, ..Listed::default() }));
+}
+
+#[tokio::test(flavor = "local")]
+async fn a_post_of_another_edge_to_sojourn_keeps_its_bytes_and_those_of_its_answer() {
+    let key = std::env::temp_dir().join(format!("wire-format-{}.key", std::process::id()));
+    std::fs::write(&key, [7; 32]).unwrap();
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap().to_string();
+    let file = format!(
+        r#"{{"header":"Session","keys":["{}"],"services":["plain"],
+            "sites":{{"1":{{"1":"{address}","2":"127.0.0.1:1"}}}},
+            "routes":[{{"domain":"a.example","pathStart":"/once/","confirms":true}}]}}"#,
+        key.display(),
+    );
+    let file = File::from_json(&file).unwrap();
+    let sessions = Sessions::new(file, &address, true, Logger::root(Discard, o!())).unwrap();
+    std::fs::remove_file(&key).unwrap();
+    sessions.start(listener);
+    let claim = r#"{"Claim":{"id":[1,2],"born":5,"fence":{"n":70,"by":2,"start":9},"round":6}}"#;
+    let below = claim.replace("70", "60");
+    let body = format!(r#"{{"from":2,"msgs":[{claim},{below}]}}"#);
+    let mut stream = TcpStream::connect(&address).await.unwrap();
+    let head = "POST /sojourn HTTP/1.1\r\nHost: a\r\nConnection: close\r\nContent-Length";
+    stream.write_all(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes()).await.unwrap();
+    let mut answer = String::new();
+    stream.read_to_string(&mut answer).await.unwrap();
+    let (head, told) = answer.split_once("\r\n\r\n").unwrap();
+    assert!(head.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
+    // The life is the time of the start.
+    let (before, rest) = told.split_once(r#""life":"#).unwrap();
+    let after = rest.trim_start_matches(|sign: char| sign.is_ascii_digit());
+    assert_eq!(
+        format!("{before}\"life\":LIFE{after}"),
+        concat!(
+            r#"[{"Promised":{"id":[1,2],"fence":{"n":70,"by":2,"start":9},"round":6,"life":LIFE,"former":null,"#,
+            r#""record":{"hosts":[],"stamp":[{"n":0,"by":0,"start":0},0],"entries":[]}}},"#,
+            r#"{"Outranked":{"id":[1,2],"fence":{"n":60,"by":2,"start":9},"promised":{"n":70,"by":2,"start":9}}}]"#,
+        )
+    );
+}
