--- /dev/null
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -0,0 +1,358 @@
+//! The bytes of the control state on disk, of the `mark` beside it, and of answers to hosts and operators. These bytes
+//! are read by builds of other versions; a change here breaks rolling upgrades or stored data.
+use coppersail_control_plane::node::{Admin, Begin, Effect, Event, Node, Peer, PeerSay};
+use coppersail_control_plane::orders::{digest, Judged, Orders};
+use coppersail_control_plane::rollouts;
+use coppersail_control_plane::store::{Batch, Kept, Put, Scribe};
+use coppersail_rollout::pace::{Phase, Stand};
+use coppersail_shard_leases::Keys;
+use serde::{de::DeserializeOwned, Serialize};
+use std::collections::{BTreeMap, VecDeque};
+use std::path::Path;
+
+const MEMBERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
+
+fn put(name: &str, value: &str) -> Put {
+    (name.into(), value.into())
+}
+
+/// Three members in memory; what one calls, the others answer with the next step of time. Disks take all.
+struct Three {
+    nodes: Vec<Node>,
+    now: u64,
+    due: VecDeque<(usize, Event)>,
+    /// Who waits for which call of a member: (member, token).
+    calls: Vec<(usize, u64)>,
+    /// What the first member was asked to write of the state.
+    writes: Vec<Batch>,
+    answers: Vec<(u16, String)>,
+    /// Nobody hears anybody.
+    parted: bool,
+}
+
+/// Answers to hosts and operators have this number, apart from those of calls between members.
+const OUTSIDE: u64 = u64::MAX;
+
+impl Three {
+    fn start() -> Three {
+        let (nodes, calls, writes, answers) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
+        let mut three = Three { nodes, now: 1, due: VecDeque::new(), calls, writes, answers, parted: false };
+        let mut effects = Vec::new();
+        for me in MEMBERS {
+            let ip = me.split(':').next().unwrap();
+            let boot = serde_json::json!({
+                "self": {"ipAddress": ip, "area": "a", "initialBoot": true, "dataFolder": "unused"},
+                "network": {"binds": {"admin": me}, "sparePorts": [7540, 7555], "knownPeers": MEMBERS},
+                "provider": {"heartbeat": "1s"},
+                "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
+            });
+            let boot = coppersail_config::Boot::from_json(&boot.to_string()).unwrap();
+            let (node, first) = Node::start(1, Begin { boot, found: Default::default(), life: 7 });
+            three.nodes.push(node);
+            effects.push(first);
+        }
+        effects.into_iter().enumerate().for_each(|(at, first)| three.carry(at, first));
+        three.run(5_000);
+        assert!(three.nodes[0].acts());
+        three.writes.clear();
+        three
+    }
+
+    fn carry(&mut self, at: usize, effects: Vec<Effect>) {
+        for effect in effects {
+            match effect {
+                Effect::Write { token, write } => {
+                    if at == 0 && !write.state.is_empty() {
+                        self.writes.push(write);
+                    }
+                    self.due.push_back((at, Event::Disk { token, ok: true }));
+                }
+                Effect::Call { token, to, .. } if self.parted => {
+                    assert!(MEMBERS.contains(&to.as_str()));
+                    self.due.push_back((at, Event::Told { token, say: None }));
+                }
+                Effect::Call { token, to, call, .. } => {
+                    let other = MEMBERS.iter().position(|member| *member == to).unwrap();
+                    self.calls.push((at, token));
+                    let caller = self.calls.len() as u64;
+                    self.due.push_back((other, Event::Peer { caller, call: over_the_wire(call) }));
+                }
+                Effect::Reply { caller, say } => {
+                    let (asker, token) = self.calls[caller as usize - 1];
+                    let say = Some(answer_over_the_wire(say)).filter(|_| !self.parted);
+                    self.due.push_back((asker, Event::Told { token, say }));
+                }
+                Effect::Answer { caller, status, body } => {
+                    assert_eq!(caller, OUTSIDE);
+                    self.answers.push((status, body));
+                }
+                Effect::Note(_) | Effect::Leave => {}
+            }
+        }
+    }
+
+    fn step(&mut self, at: usize, event: Event) {
+        let mut out = Vec::new();
+        self.nodes[at].step(self.now, event, &mut out);
+        self.carry(at, out);
+    }
+
+    fn run(&mut self, ms: u64) {
+        let end = self.now + ms;
+        while self.now < end {
+            self.now += 50;
+            for (at, event) in std::mem::take(&mut self.due) {
+                self.step(at, event);
+            }
+            (0..3).for_each(|at| self.step(at, Event::Tick));
+        }
+    }
+
+    /// Until there is an answer.
+    fn ask(&mut self, at: usize, call: Admin) -> (u16, String) {
+        self.step(at, Event::Admin { caller: OUTSIDE, call });
+        for _ in 0..100 {
+            if let Some(answer) = self.answers.pop() {
+                return answer;
+            }
+            self.run(50);
+        }
+        panic!("no answer");
+    }
+
+    #[track_caller]
+    fn assert_answer(&mut self, at: usize, call: Admin, status: u16, body: &str) {
+        assert_eq!(self.ask(at, call), (status, body.to_string()));
+    }
+
+    /// What the first member wrote since, each time with the number of the change beside it.
+    #[track_caller]
+    fn assert_writes(&mut self, expected: &[(&str, &[Put])]) {
+        let batch = |(seq, state): &(&str, &[Put])| Batch {
+            state: state.to_vec(),
+            whole: false,
+            own: vec![put("seq", seq)],
+        };
+        assert_eq!(std::mem::take(&mut self.writes), expected.iter().map(batch).collect::<Vec<_>>());
+    }
+}
+
+/// Calls and answers go as text, as they do between processes.
+fn through_text<T: Serialize + DeserializeOwned>(value: &T) -> T {
+    serde_json::from_str(&serde_json::to_string(value).unwrap()).unwrap()
+}
+
+fn over_the_wire(call: Peer) -> Peer {
+    match call {
+        Peer::Follow(follow) => Peer::Follow(through_text(&follow)),
+        Peer::Core(call) => Peer::Core(through_text(&call)),
+    }
+}
+
+fn answer_over_the_wire(say: PeerSay) -> PeerSay {
+    match say {
+        PeerSay::News(news) => PeerSay::News(through_text(&news)),
+        PeerSay::Core(say) => PeerSay::Core(through_text(&say)),
+    }
+}
+
+/// Of an operator: `@` is the number, `#` whether the service is divided.
+const CONFIGURATION: &str = r#"{"revision":"r@","routes":{"columns":["name","domain","pathStart","sort","giveUp","target_time","backend"],"rows":[["r","d.example","/","repeatable","1000ms","400ms","s"]]},"backends":{"columns":["name","checkPath","maxConnections","splitUp"],"rows":[["s","/w",10,#]]},"caps":{"headSizeBytes":16384,"bodySizeBytes":1000,"headWait":"3000ms","quiet":"15000ms"}}"#;
+
+fn configuration(number: u64, divided: &str) -> String {
+    CONFIGURATION.replace('@', &number.to_string()).replace('#', divided)
+}
+
+fn replace(number: u64, divided: &str) -> Admin {
+    Admin::Replace { body: configuration(number, divided) }
+}
+
+fn pulse(body: &str) -> Admin {
+    Admin::Pulse { ident: "i-1".into(), body: body.into() }
+}
+
+fn plan(rest: &str, body: &str) -> Admin {
+    Admin::Plans { post: true, rest: rest.into(), body: body.into() }
+}
+
+/// Hosts that know nothing of later fields.
+const SHORT_PULSE: &str = r#"{"backend":"s","address":"10.9.0.1:80"}"#;
+
+#[test]
+fn a_configuration_order_keeps_its_keys_values_and_answers() {
+    let mut three = Three::start();
+    let read = || Admin::Read;
+    three.assert_answer(0, read(), 404, r#"{"why":"no configuration yet"}"#);
+    three.assert_answer(0, replace(5, "null"), 200, "{}");
+    let escaped = configuration(5, "null").replace('"', "\\\"");
+    let settings = format!(r#"{{"revision":5,"body":"{escaped}"}}"#);
+    three.assert_writes(&[(
+        "1",
+        &[put("order/00000000000000000005", "9abdb47792cf710a67981acfe875bded"), put("config", &settings)],
+    )]);
+    three.assert_answer(0, read(), 200, &configuration(5, "null"));
+    three.assert_answer(0, replace(5, "null"), 200, "{}");
+    let rival = r#"{"why":"revision: its number has another content already, expected a higher one"}"#;
+    three.assert_answer(0, replace(5, "true"), 409, rival);
+    three.assert_writes(&[]);
+    three.assert_answer(0, replace(4, "null"), 200, "{}");
+    three.assert_writes(&[("2", &[put("order/00000000000000000004", "7cd2994012b0076934c1b3cc5cf95ce4")])]);
+}
+
+const PLAN: &str =
+    r#"{"service":"s","from":{"revision":"v1"},"to":{"revision":"v2"},"steps":[{"share":0.5}]}"#;
+
+#[test]
+fn plan_orders_keep_their_keys_values_and_answers() {
+    let mut three = Three::start();
+    three.assert_answer(0, replace(5, "null"), 200, "{}");
+    three.writes.clear();
+    three.assert_answer(0, plan("/p", PLAN), 200, "{}");
+    let stand = |head: &str, why: &str| {
+        let body = PLAN.replace('"', "\\\"");
+        put("plan/p", &format!(r#"{{"name":"p",{head},"why":"{why}","body":"{body}"}}"#))
+    };
+    let first = stand(r#""number":1,"phase":"running","step":0,"run":1,"ran":0"#, "submitted");
+    three.assert_writes(&[("2", &[first])]);
+    three.run(1000);
+    three.assert_answer(0, plan("/p/undo", ""), 200, "{}");
+    let second =
+        stand(r#""number":2,"phase":"withdrawn","step":0,"run":1,"ran":1150"#, "an operator's order");
+    three.assert_writes(&[("3", &[second])]);
+    let table = [
+        ("/p/undo", "", 200, "{}"),
+        ("/p", "{}", 400, r#"{"why":"service is left out, expected it to be given"}"#),
+        ("/p/later", "", 404, r#"{"why":"no order later"}"#),
+        ("/q/undo", "", 404, r#"{"why":"no plan q"}"#),
+        ("/q", PLAN, 409, r#"{"why":"plan p moves the same service; end it first"}"#),
+        ("/p/pass", "", 409, r#"{"why":"the plan is paused; resume it first"}"#),
+        ("", "", 404, r#"{"why":"nothing here"}"#),
+    ];
+    for (rest, body, status, text) in table {
+        three.assert_answer(0, plan(rest, body), status, text);
+    }
+    let show = Admin::Plans { post: false, rest: String::new(), body: String::new() };
+    let shown = r#"{"rollouts":[{"answers":0,"late_rows":0,"name":"p","new":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"next_in_ms":null,"number":2,"old":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"phase":"withdrawn","plan":{"from":{"revision":"v1"},"service":"s","steps":[{"share":0.5}],"to":{"revision":"v2"}},"rows":0,"share":0.0,"step":1,"steps":1,"verdict":"waits: 0 of 200 answers","why":"an operator's order"}]}"#;
+    three.assert_answer(0, show, 200, shown);
+}
+
+#[test]
+fn answers_to_pulses_keep_their_bytes() {
+    let mut three = Three::start();
+    three.assert_answer(0, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
+    three.assert_answer(1, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
+    three.assert_answer(0, Admin::SignOff { ident: "i-1".into() }, 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
+    let missing = r#"{"why":"beat: missing field `backend` at line 1 column 2"}"#;
+    three.assert_answer(0, pulse("{}"), 400, missing);
+    three.parted = true;
+    three.run(5_000);
+    three.assert_answer(0, pulse(SHORT_PULSE), 503, r#"{"why":"out of touch with most witnesses"}"#);
+    let nobody = r#"{"why":"no primary is known"}"#;
+    three.assert_answer(0, replace(5, "null"), 503, nobody);
+    three.assert_answer(0, Admin::Read, 503, nobody);
+}
+
+#[test]
+fn an_order_that_is_not_written_in_time_keeps_its_answer() {
+    let mut three = Three::start();
+    three.parted = true;
+    three.assert_answer(0, replace(5, "null"), 503, r#"{"why":"not on two disks"}"#);
+}
+
+#[test]
+fn rows_of_a_divided_service_and_what_a_host_is_told_of_them_keep_their_bytes() {
+    let mut three = Three::start();
+    three.assert_answer(0, replace(5, "true"), 200, "{}");
+    three.writes.clear();
+    let full = r#"{"backend":"s","address":"10.9.0.1:80","area":"a","revision":"v1","capacity":10.0,"stage":"ready","warmLeft":"10ms","callCount":@,"released":[]}"#;
+    let mut calls = 0;
+    let beat = |three: &mut Three, calls: &mut u64| {
+        *calls += 1;
+        let answer = three.ask(0, pulse(&full.replace('@', &calls.to_string())));
+        three.run(900);
+        answer
+    };
+    let nothing = (200, r#"{"held":[],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#.to_string());
+    assert_eq!(beat(&mut three, &mut calls), nothing);
+    let last = (0..5).map(|_| beat(&mut three, &mut calls)).last().unwrap();
+    let held = r#"{"held":[[0,65535,1,""]],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#;
+    assert_eq!(last, (200, held.to_string()));
+    let rows: Vec<Put> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
+    assert_eq!(rows[511].0, "row/s/00511");
+    three.assert_writes(&[("2", &rows)]);
+    three.assert_answer(1, pulse(SHORT_PULSE), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
+    three.assert_answer(1, replace(6, "true"), 307, "http://10.1.0.1:8544/settings/replace");
+    three.assert_answer(1, plan("/p", PLAN), 307, "http://10.1.0.1:8544/rollouts/p");
+}
+
+#[test]
+fn a_state_of_another_version_is_read() {
+    // From before numbers were remembered: the newest configuration alone.
+    let body = configuration(5, "null");
+    let settings = format!(r#"{{"body":"{}","later":1,"revision":5}}"#, body.replace('"', "\\\""));
+    let state = [("config", settings.as_str()), ("order/00000000000000000003", "d3"), ("order/2", "")];
+    let orders = Orders::recover(state.into_iter());
+    assert_eq!(orders.judge(5, "9abdb47792cf710a67981acfe875bded", Some(5)), Judged::Again);
+    assert_eq!(orders.judge(3, "d3", Some(5)), Judged::Again);
+    assert_eq!(orders.judge(2, "d2", Some(5)), Judged::Below);
+    assert_eq!(digest(r#"{"b": 1, "a": 2}"#), "d3626ac30a87e6f7a6428233b3c68299");
+    assert_eq!(digest("no json"), "5ad3040044b6d872316bf4312926c3b9");
+    let rows = [("row/s/t/00001", "7 i-1 h 1"), ("row/s/t/00000", "6 i-2")];
+    let mut keys = Keys::recover(1000, 0, rows.into_iter());
+    assert_eq!((keys.slices("s/t"), keys.all_shown()[0].2.as_str()), (2, "i-2"));
+    let grant = &keys.grant(0, "s/t", "i-1", &[], 0)[0];
+    assert_eq!((grant.from, grant.to, grant.fence, grant.handover.as_str()), (32768, 65535, 7, "h 1"));
+    let text =
+        r#"{"name":"p","number":4,"phase":"done","step":1,"run":2,"ran":5,"why":"w","body":"b","later":1}"#;
+    let (name, why, body) = ("p".into(), "w".into(), "b".into());
+    let stand = Stand { name, number: 4, phase: Phase::Done, step: 1, run: 2, ran: 5, why, body };
+    assert_eq!(rollouts::read(&put("plan/p", text)), Some(stand));
+}
+
+fn open(folder: &Path) -> (Scribe, coppersail_control_plane::store::Found) {
+    Scribe::start(folder, |line| panic!("{line}")).unwrap()
+}
+
+#[test]
+fn the_mark_keeps_its_bytes_and_a_folder_opens_again_with_all_that_was_put() {
+    let folder = std::env::temp_dir().join(format!("stored-format-{}", std::process::id()));
+    let _ = std::fs::remove_dir_all(&folder);
+    let mark = || {
+        let file = std::fs::read(folder.join("mark")).unwrap();
+        let slots = [0, 4096, 8192, 12288].map(|at| file[at..at + 12].to_vec());
+        let rest = file.iter().enumerate().filter(|(at, byte)| at % 4096 >= 12 && **byte != 0).count();
+        assert_eq!((file.len(), rest), (16384, 0));
+        slots.map(|slot| slot.iter().map(|byte| format!("{byte:02x}")).collect::<String>())
+    };
+    // A number of eight bytes, the lowest first, and its CRC-32 likewise.
+    let (none, zero) = ("000000000000000000000000", "000000000000000069df2265");
+    let (one, two, three) =
+        ("0100000000000000f7df88a9", "020000000000000014d80727", "03000000000000008ad8adeb");
+    let (scribe, found) = open(&folder);
+    assert_eq!((found.kept, found.number), (Kept::Fresh, 0));
+    assert_eq!(mark(), [zero, none, none, none]);
+    let batches = [
+        Batch { state: vec![], whole: false, own: vec![put("floor", "f"), put("seq", "0")] },
+        Batch {
+            state: vec![put("config", "c"), put("order/1", "")],
+            whole: false,
+            own: vec![put("seq", "1")],
+        },
+        Batch { state: vec![put("plan/p", "p")], whole: true, own: vec![put("floor", "g"), put("seq", "2")] },
+    ];
+    // The first and what is a promise are written to the first two by turns, a change of the state to the others.
+    let marks = [[zero, one, none, none], [zero, one, two, none], [three, one, two, none]];
+    for (batch, expected) in batches.into_iter().zip(marks) {
+        let (tell, told) = std::sync::mpsc::channel();
+        scribe.write(batch, Box::new(move |ok| tell.send(ok).unwrap()));
+        assert!(told.recv().unwrap());
+        assert_eq!(mark(), expected);
+    }
+    drop(scribe);
+    let (scribe, found) = open(&folder);
+    assert_eq!((found.kept, found.number), (Kept::Whole, 3));
+    assert_eq!(found.state, BTreeMap::from([put("plan/p", "p")]));
+    assert_eq!(found.own, BTreeMap::from([put("floor", "g"), put("seq", "2")]));
+    drop(scribe);
+    std::fs::remove_dir_all(&folder).unwrap();
+}
