--- a/crates/control-plane/consensus/tests/wire_format.rs
+++ b/crates/control-plane/consensus/tests/wire_format.rs
@@ -1,8 +1,9 @@
 //! The bytes of messages between members, and of what a member keeps on its own disk. These bytes are read by builds of
 //! other versions; a change here breaks rolling upgrades or stored data.
 use coppersail_consensus::{
-    Ballot, Call, Change, Copy, CopyKind, CopySay, Core, Held, No, Out, Put, Record, Role, Say, Spans, Start,
-    Told, Witness, WitnessCall, WitnessSay,
+    Change, Core, InitialState, KeyValue, LeadershipRecord, Output, PeerStatus, Rejection, ReplicaWrite,
+    ReplicaWriteKind, ReplicaWriteResponse, Request, Response, Role, Term, Timeouts, Voter, VoterRequest,
+    VoterResponse, VoterState,
 };
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -25,13 +26,13 @@
     (name.into(), value.into())
 }
 
-fn record() -> Record {
-    Record {
-        epoch: Ballot::new(7, "a:1"),
-        primary: "a:1".into(),
+fn record() -> LeadershipRecord {
+    LeadershipRecord {
+        term: Term::new(7, "a:1"),
+        leader: "a:1".into(),
         backups: vec!["b:1".into()],
-        witnesses: vec![Witness::new("a:1", 0), Witness::new("b:1", 9007199254740991)],
-        before: vec![],
+        voters: vec![Voter::new("a:1", 0), Voter::new("b:1", 9007199254740991)],
+        outgoing_voters: vec![],
     }
 }
 
@@ -45,17 +46,23 @@
 
 #[test]
 fn a_ballot_a_witness_and_a_record_keep_their_bytes() {
-    assert_text(Ballot::new(7, "a:1"), r#"{"n":7,"by":"a:1"}"#);
-    assert_text(Ballot::default(), r#"{"n":0,"by":""}"#);
-    assert_text(Witness::new("a:1", 3), r#"{"id":"a:1","life":3}"#);
+    assert_text(Term::new(7, "a:1"), r#"{"n":7,"by":"a:1"}"#);
+    assert_text(Term::default(), r#"{"n":0,"by":""}"#);
+    assert_text(Voter::new("a:1", 3), r#"{"id":"a:1","life":3}"#);
     assert_text(record(), RECORD);
-    assert_text(Record::default(), r#"{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]}"#);
+    assert_text(
+        LeadershipRecord::default(),
+        r#"{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]}"#,
+    );
 }
 
 #[test]
 fn a_record_of_a_group_that_changes_keeps_its_bytes() {
-    let changes =
-        Record { witnesses: vec![Witness::new("c:1", 5)], before: vec![Witness::new("a:1", 0)], ..record() };
+    let changes = LeadershipRecord {
+        voters: vec![Voter::new("c:1", 5)],
+        outgoing_voters: vec![Voter::new("a:1", 0)],
+        ..record()
+    };
     assert_text(
         changes,
         r#"{"epoch":{"n":7,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"c:1","life":5}],"before":[{"id":"a:1","life":0}]}"#,
@@ -64,58 +71,74 @@
 
 #[test]
 fn calls_of_a_witness_keep_their_bytes() {
-    let ballot = || Ballot::new(8, "b:1");
+    let ballot = || Term::new(8, "b:1");
     let table = [
-        (WitnessCall::Prepare(ballot()), r#"{"Witness":{"Prepare":{"n":8,"by":"b:1"}}}"#),
-        (WitnessCall::Accept(record(), 1200), r#"{"Witness":{"Accept":[@,1200]}}"#),
-        (WitnessCall::Renew(record(), 1200), r#"{"Witness":{"Renew":[@,1200]}}"#),
-        (WitnessCall::Release(ballot()), r#"{"Witness":{"Release":{"n":8,"by":"b:1"}}}"#),
+        (VoterRequest::Prepare(ballot()), r#"{"Witness":{"Prepare":{"n":8,"by":"b:1"}}}"#),
+        (VoterRequest::Accept(record(), 1200), r#"{"Witness":{"Accept":[@,1200]}}"#),
+        (VoterRequest::Renew(record(), 1200), r#"{"Witness":{"Renew":[@,1200]}}"#),
+        (VoterRequest::Release(ballot()), r#"{"Witness":{"Release":{"n":8,"by":"b:1"}}}"#),
     ];
     for (call, text) in table {
-        assert_text(Call::Witness(call), &with_record(text));
+        assert_text(Request::Voter(call), &with_record(text));
     }
 }
 
 #[test]
 fn a_replica_write_keeps_its_bytes() {
-    let copy = |kind, puts| Call::Copy(Copy { version: 1, epoch: Ballot::new(7, "a:1"), seq: 4, kind, puts });
+    let copy = |kind, puts| {
+        Request::ReplicaWrite(ReplicaWrite {
+            version: 1,
+            term: Term::new(7, "a:1"),
+            sequence: 4,
+            kind,
+            writes: puts,
+        })
+    };
     let puts = || vec![put("config", r#"{"revision":3}"#), put("order/1", "")];
     assert_text(
-        copy(CopyKind::Snapshot { sum: 4503599627370495 }, puts()),
+        copy(ReplicaWriteKind::Snapshot { sum: 4503599627370495 }, puts()),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Snapshot":{"sum":4503599627370495}},"puts":[["config","{\"revision\":3}"],["order/1",""]]}}"#,
     );
     assert_text(
-        copy(CopyKind::Join { epoch: Ballot::new(6, "b:1"), seq: 3 }, vec![]),
+        copy(ReplicaWriteKind::Probe { epoch: Term::new(6, "b:1"), seq: 3 }, vec![]),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Join":{"epoch":{"n":6,"by":"b:1"},"seq":3}},"puts":[]}}"#,
     );
     assert_text(
-        copy(CopyKind::Change, puts()),
+        copy(ReplicaWriteKind::Append, puts()),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":"Change","puts":[["config","{\"revision\":3}"],["order/1",""]]}}"#,
     );
 }
 
 #[test]
 fn answers_keep_their_bytes() {
-    let no = No { why: "promised more".into(), promised: Ballot::new(9, "c:1") };
+    let no = Rejection { reason: "promised more".into(), promised: Term::new(9, "c:1") };
     let table = [
         (
-            Say::Witness(WitnessSay { life: 5, record: None, no: None }),
+            Response::Voter(VoterResponse { incarnation: 5, record: None, rejection: None }),
             r#"{"Witness":{"life":5,"record":null,"no":null}}"#,
         ),
         (
-            Say::Witness(WitnessSay { life: 5, record: Some(record()), no: None }),
+            Response::Voter(VoterResponse { incarnation: 5, record: Some(record()), rejection: None }),
             r#"{"Witness":{"life":5,"record":@,"no":null}}"#,
         ),
         (
-            Say::Witness(WitnessSay { life: 5, record: None, no: Some(no) }),
+            Response::Voter(VoterResponse { incarnation: 5, record: None, rejection: Some(no) }),
             r#"{"Witness":{"life":5,"record":null,"no":{"why":"promised more","promised":{"n":9,"by":"c:1"}}}}"#,
         ),
         (
-            Say::Copy(CopySay { ok: true, why: String::new(), life: 5 }),
+            Response::ReplicaWrite(ReplicaWriteResponse {
+                accepted: true,
+                reason: String::new(),
+                incarnation: 5,
+            }),
             r#"{"Copy":{"ok":true,"why":"","life":5}}"#,
         ),
         (
-            Say::Copy(CopySay { ok: false, why: "join".into(), life: 0 }),
+            Response::ReplicaWrite(ReplicaWriteResponse {
+                accepted: false,
+                reason: "join".into(),
+                incarnation: 0,
+            }),
             r#"{"Copy":{"ok":false,"why":"join","life":0}}"#,
         ),
     ];
@@ -126,14 +149,14 @@
 
 #[test]
 fn a_heartbeat_keeps_its_bytes() {
-    let told = Told {
+    let told = PeerStatus {
         id: "a:1".into(),
-        acting: true,
-        fit: true,
-        leaving: true,
-        life: 5,
-        floor: Ballot::new(7, "a:1"),
-        area: "east".into(),
+        holds_lease: true,
+        disk_healthy: true,
+        draining: true,
+        incarnation: 5,
+        last_durable_term: Term::new(7, "a:1"),
+        zone: "east".into(),
         record: record(),
         members: vec!["a:1".into(), "b:1".into()],
     };
@@ -144,39 +167,62 @@
         ),
     );
     assert_text(
-        Told::default(),
+        PeerStatus::default(),
         r#"{"id":"","acting":false,"fit":false,"leaving":false,"life":0,"floor":{"n":0,"by":""},"area":"","record":{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]},"members":[]}"#,
     );
 }
 
 #[test]
 fn what_a_witness_keeps_on_its_disk_keeps_its_bytes() {
-    let held = Held { life: 5, promised: Ballot::new(8, "b:1"), record: record(), span: 1200 };
+    let held =
+        VoterState { incarnation: 5, promised: Term::new(8, "b:1"), record: record(), longest_lease: 1200 };
     assert_text(held, &with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@,"span":1200}"#));
 }
 
 #[test]
 fn texts_of_other_versions_are_read_without_optional_fields_and_with_unknown_ones() {
-    let held = Held { life: 5, promised: Ballot::new(8, "b:1"), record: record(), span: 0 };
+    let held =
+        VoterState { incarnation: 5, promised: Term::new(8, "b:1"), record: record(), longest_lease: 0 };
     assert_read(&with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@}"#), held);
     assert_read(&RECORD.replacen('{', r#"{"later":1,"#, 1), record());
-    assert_read("{}", Told::default());
-    assert_read(r#"{"Copy":{}}"#, Call::Copy(Copy::default()));
-    assert_read(r#"{"Copy":{"ok":true}}"#, Say::Copy(CopySay { ok: true, ..CopySay::default() }));
-    assert_read(r#"{"Witness":{"life":5}}"#, Say::Witness(WitnessSay { life: 5, ..WitnessSay::default() }));
+    assert_read("{}", PeerStatus::default());
+    assert_read(r#"{"Copy":{}}"#, Request::ReplicaWrite(ReplicaWrite::default()));
+    assert_read(
+        r#"{"Copy":{"ok":true}}"#,
+        Response::ReplicaWrite(ReplicaWriteResponse { accepted: true, ..ReplicaWriteResponse::default() }),
+    );
+    assert_read(
+        r#"{"Witness":{"life":5}}"#,
+        Response::Voter(VoterResponse { incarnation: 5, ..VoterResponse::default() }),
+    );
 }
 
-const SPANS: Spans = Spans { lease: 1200, round: 400, call: 600, patience: 2000, leave: 3000, survive: 1 };
+const SPANS: Timeouts = Timeouts {
+    lease: 1200,
+    heartbeat_interval: 400,
+    rpc_timeout: 600,
+    replace_after: 2000,
+    shutdown_grace: 3000,
+    max_failures: 1,
+};
 
-fn member(me: &str, own: &[(&str, &str)], first: bool, out: &mut Vec<Out>) -> Core {
+fn member(me: &str, own: &[(&str, &str)], first: bool, out: &mut Vec<Output>) -> Core {
     let own: BTreeMap<String, String> = own.iter().map(|(name, value)| put(name, value)).collect();
     let peers = ["a:1", "b:1", "c:1"].map(String::from).into();
-    let start = Start { me: me.into(), spans: SPANS, peers, first, own, life: 77, ..Start::default() };
+    let start = InitialState {
+        me: me.into(),
+        timeouts: SPANS,
+        peers,
+        bootstrap: first,
+        own,
+        new_incarnation: 77,
+        ..InitialState::default()
+    };
     Core::start(1, start, out)
 }
 
 /// A line for each name and value that is written.
-fn puts(lines: &mut Vec<String>, who: &str, (state, whole, own): (Vec<Put>, bool, Vec<Put>)) {
+fn puts(lines: &mut Vec<String>, who: &str, (state, whole, own): (Vec<KeyValue>, bool, Vec<KeyValue>)) {
     let part = if whole { "all of the state" } else { "state" };
     lines.extend(state.iter().map(|(name, value)| format!("{who} {part} {name} {value}")));
     lines.extend(own.iter().map(|(name, value)| format!("{who} own {name} {value}")));
@@ -201,23 +247,23 @@
     }
 
     /// Carries out what a member says; its answers to another are handed back.
-    fn carry(&mut self, at: usize, out: Vec<Out>) -> Option<Say> {
+    fn carry(&mut self, at: usize, out: Vec<Output>) -> Option<Response> {
         let (mut todo, mut reply) = (VecDeque::from(out), None);
         while let Some(one) = todo.pop_front() {
             let mut next = Vec::new();
             match one {
-                Out::Write { token, state, whole, own } => {
+                Output::Persist { token, state, replace: whole, metadata: own } => {
                     puts(&mut self.lines, NAMES[at], (state, whole, own));
-                    self.cores[at].disk(self.now, token, true, &mut next);
+                    self.cores[at].handle_write_result(self.now, token, true, &mut next);
                 }
-                Out::Call { token, to, call, .. } => {
-                    let other = self.cores.iter().position(|core| core.me == to).unwrap();
+                Output::Send { operation_id: token, to, call, .. } => {
+                    let other = self.cores.iter().position(|core| core.id == to).unwrap();
                     let text = serde_json::to_string(&call).unwrap();
                     self.lines.push(format!("{} to {} {text}", NAMES[at], NAMES[other]));
                     let say = self.call(other, call);
-                    self.cores[at].said(self.now, token, say, &mut next);
+                    self.cores[at].handle_response(self.now, token, say, &mut next);
                 }
-                Out::Reply { say, .. } => reply = Some(say),
+                Output::Respond { response: say, .. } => reply = Some(say),
                 _ => {}
             }
             todo.extend(next);
@@ -225,9 +271,9 @@
         reply
     }
 
-    fn call(&mut self, at: usize, call: Call) -> Option<Say> {
+    fn call(&mut self, at: usize, call: Request) -> Option<Response> {
         let mut out = Vec::new();
-        self.cores[at].called(self.now, 1, call, &mut out);
+        self.cores[at].handle_request(self.now, 1, call, &mut out);
         let say = self.carry(at, out);
         self.lines.push(format!("{} says {}", NAMES[at], serde_json::to_string(&say).unwrap()));
         say
@@ -240,7 +286,7 @@
             let mut out = Vec::new();
             for other in (0..3).filter(|other| *other != n) {
                 let told = self.cores[other].told(self.now);
-                self.cores[n].hear(self.now, &told, Some(self.now), &mut out);
+                self.cores[n].handle_peer_status(self.now, &told, Some(self.now), &mut out);
             }
             self.carry(n, out);
         }
@@ -282,7 +328,7 @@
     ]);
     let acts = (0..100).any(|_| {
         three.tick();
-        matches!(three.cores[0].role, Role::Acting(_))
+        matches!(three.cores[0].role, Role::Leader(_))
     });
     assert!(acts);
     three.assert_lines(&[
@@ -311,7 +357,7 @@
         r#"c says {"Witness":{"life":0,"record":null,"no":null}}"#,
     ]);
     let mut out = Vec::new();
-    three.cores[0].submit(three.now, Change { ticket: 1, puts: vec![put("config", "x")] }, &mut out);
+    three.cores[0].propose(three.now, Change { ticket: 1, writes: vec![put("config", "x")] }, &mut out);
     three.carry(0, out);
     three.assert_lines(&[
         "a state config x",
@@ -340,9 +386,9 @@
     ]);
 }
 
-fn first_write(out: &[Out]) -> (u64, Vec<Put>) {
+fn first_write(out: &[Output]) -> (u64, Vec<KeyValue>) {
     let writes = out.iter().find_map(|one| match one {
-        Out::Write { token, own, .. } => Some((*token, own.clone())),
+        Output::Persist { token, metadata: own, .. } => Some((*token, own.clone())),
         _ => None,
     });
     writes.expect("something is written")
@@ -358,12 +404,12 @@
     let held = r#"{"life":77,"promised":{"n":0,"by":""},"record":@,"span":0}"#.replace('@', nobody);
     let floor = put("floor", r#"{"n":0,"by":""}"#);
     assert_eq!(own, [floor, put("seq", "0"), put("record", nobody), put("witness", &held)]);
-    core.disk(1, token, true, &mut out);
+    core.handle_write_result(1, token, true, &mut out);
     out.clear();
-    core.join(2, ["d:1".to_string()].iter(), &mut out);
+    core.add_members(2, ["d:1".to_string()].iter(), &mut out);
     let (token, own) = first_write(&out);
     assert_eq!(own, [put("members", r#"["a:1","b:1","c:1","d:1"]"#)]);
-    core.disk(3, token, false, &mut out);
+    core.handle_write_result(3, token, false, &mut out);
     out.clear();
     core.tick(1000, &mut out);
     assert_eq!(first_write(&out).1, [put("probe", "1000")]);
@@ -383,20 +429,21 @@
     let mut core = member("b:1", &own, false, &mut out);
     assert_eq!(out, [], "nothing is written anew");
     let members = ["a:1", "b:1", "c:1", "z:1"].map(String::from).into();
-    let told = Told {
+    let told = PeerStatus {
         id: "b:1".into(),
-        fit: true,
-        life: 5,
-        floor: Ballot::new(7, "a:1"),
+        disk_healthy: true,
+        incarnation: 5,
+        last_durable_term: Term::new(7, "a:1"),
         members,
-        ..Told::default()
+        ..PeerStatus::default()
     };
-    assert_eq!(core.told(1), Told { record: record(), ..told });
+    assert_eq!(core.told(1), PeerStatus { record: record(), ..told });
     // The number of its last change, too: only the next one, or the same again, is taken.
     for (seq, writes) in [(6, false), (5, true)] {
-        let copy = Copy { version: 1, epoch: Ballot::new(7, "a:1"), seq, ..Copy::default() };
+        let copy =
+            ReplicaWrite { version: 1, term: Term::new(7, "a:1"), sequence: seq, ..ReplicaWrite::default() };
         out.clear();
-        core.called(2, 1, Call::Copy(copy), &mut out);
-        assert_eq!(out.iter().any(|one| matches!(one, Out::Write { .. })), writes, "{seq}");
+        core.handle_request(2, 1, Request::ReplicaWrite(copy), &mut out);
+        assert_eq!(out.iter().any(|one| matches!(one, Output::Persist { .. })), writes, "{seq}");
     }
 }
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -1,8 +1,9 @@
 //! The bytes of polls and answers between members, and to edges. These bytes are read by builds of other versions; a
 //! change here breaks rolling upgrades or stored data.
-use coppersail_consensus::{Ballot, Record, Witness};
+use coppersail_consensus::{LeadershipRecord, Term, Voter};
 use coppersail_peer_protocol::{
-    Asked, Detail, Follow, HostNews, News, Seen, Settings, SliceNews, Stage, Standing,
+    AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus,
+    RequestCounts, RolloutsAsOf, Update, WatchRequest,
 };
 use coppersail_rollout::ledger::{Counts, Row};
 use coppersail_rollout::pace::{Phase, Stand};
@@ -36,29 +37,37 @@
     parts.iter().fold(text.to_string(), |text, (name, part)| text.replace(name, part))
 }
 
-fn detail() -> Detail {
-    let record = Record {
-        epoch: Ballot::new(7, "a:1"),
-        primary: "a:1".into(),
+fn detail() -> MemberDetail {
+    let record = LeadershipRecord {
+        term: Term::new(7, "a:1"),
+        leader: "a:1".into(),
         backups: vec!["b:1".into()],
-        witnesses: vec![Witness::new("a:1", 0), Witness::new("b:1", 3)],
-        before: vec![],
+        voters: vec![Voter::new("a:1", 0), Voter::new("b:1", 3)],
+        outgoing_voters: vec![],
     };
-    Detail {
-        life: 5,
-        floor: Ballot::new(7, "a:1"),
+    MemberDetail {
+        incarnation: 5,
+        last_durable_term: Term::new(7, "a:1"),
         record,
         members: vec!["a:1".into(), "b:1".into()],
         edges: vec!["10.1.0.34".into()],
-        area: "east".into(),
+        zone: "east".into(),
     }
 }
 
 const DETAIL: &str = r#"{"life":5,"floor":{"n":7,"by":"a:1"},"record":{"epoch":{"n":7,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"a:1","life":0},{"id":"b:1","life":3}]},"members":["a:1","b:1"],"edges":["10.1.0.34"],"area":"east"}"#;
 
-fn standing() -> Standing {
+fn standing() -> MemberStatus {
     let detail = Some(detail());
-    Standing { id: "a:1".into(), acting: true, fit: true, leaving: true, sum: 9, seen: 8, detail }
+    MemberStatus {
+        id: "a:1".into(),
+        holds_lease: true,
+        disk_healthy: true,
+        draining: true,
+        detail_sum: 9,
+        acknowledged_sum: 8,
+        detail,
+    }
 }
 
 const STANDING: &str =
@@ -101,42 +110,42 @@
 const STAND: &str =
     r#"{"name":"p","number":4,"phase":"frozen","step":1,"run":2,"ran":5000,"why":"late","body":"{}"}"#;
 
-fn host() -> HostNews {
-    HostNews {
-        ident: "i-1".into(),
-        backend: "s".into(),
+fn host() -> EndpointUpdate {
+    EndpointUpdate {
+        id: "i-1".into(),
+        service: "s".into(),
         address: "10.9.0.1:80".into(),
-        area: "east".into(),
+        zone: "east".into(),
         capacity: 10,
-        revision: "v2".into(),
-        stage: Stage::Ready,
-        silent: true,
-        cold_ms: 1500,
-        calls: 4,
-        via: "a:1".into(),
+        version: "v2".into(),
+        state: EndpointState::Ready,
+        suspect: true,
+        slow_start_ms: 1500,
+        heartbeat_sequence: 4,
+        reported_by: "a:1".into(),
     }
 }
 
 const HOST: &str = r#"{"ident":"i-1","backend":"s","address":"10.9.0.1:80","area":"east","capacity":10,"revision":"v2","stage":"ready","silent":true,"cold_ms":1500,"calls":4,"via":"a:1"}"#;
 
-fn slices() -> SliceNews {
+fn slices() -> AssignmentUpdate {
     let rows = vec![(0, 2, "i-1".into(), 4294967297), (3, 3, String::new(), 4294967298)];
-    SliceNews { backend: "s".into(), slices: 4, rows }
+    AssignmentUpdate { service: "s".into(), slice_count: 4, rows }
 }
 
 const SLICES: &str = r#"{"backend":"s","slices":4,"rows":[[0,2,"i-1",4294967297],[3,3,"",4294967298]]}"#;
 
 #[test]
 fn a_poll_keeps_its_bytes() {
-    let follow = Follow {
+    let follow = WatchRequest {
         edge: "10.1.0.34".into(),
-        area: "east".into(),
-        feed: 3,
-        seq: 7,
+        zone: "east".into(),
+        feed_id: 3,
+        sequence: 7,
         wait_ms: 500,
-        asked: vec![Asked { backend: "s".into(), counts: vec![(0, 12), (4095, 1)] }],
-        evidence: vec![report()],
-        standing: Some(standing()),
+        request_counts: vec![RequestCounts { service: "s".into(), counts: vec![(0, 12), (4095, 1)] }],
+        rollout_reports: vec![report()],
+        status: Some(standing()),
     };
     assert_text(
         follow,
@@ -144,17 +153,17 @@
             r#"{"edge":"10.1.0.34","area":"east","feed":3,"seq":7,"wait_ms":500,"asked":[{"backend":"s","counts":[[0,12],[4095,1]]}],"evidence":[REPORT],"standing":STANDING}"#,
         ),
     );
-    assert_text(Follow::default(), r#"{"edge":"","feed":0,"seq":0,"wait_ms":0}"#);
-    assert_text(Asked::default(), r#"{"backend":"","counts":[]}"#);
+    assert_text(WatchRequest::default(), r#"{"edge":"","feed":0,"seq":0,"wait_ms":0}"#);
+    assert_text(RequestCounts::default(), r#"{"backend":"","counts":[]}"#);
 }
 
 #[test]
 fn a_standing_and_its_detail_keep_their_bytes() {
     assert_text(detail(), DETAIL);
     assert_text(standing(), &with_parts("STANDING"));
-    assert_text(Standing::default(), r#"{"id":"","acting":false,"fit":false,"sum":0,"seen":0}"#);
+    assert_text(MemberStatus::default(), r#"{"id":"","acting":false,"fit":false,"sum":0,"seen":0}"#);
     assert_text(
-        Detail::default(),
+        MemberDetail::default(),
         r#"{"life":0,"floor":{"n":0,"by":""},"record":{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]},"members":[],"edges":[],"area":""}"#,
     );
 }
@@ -167,21 +176,21 @@
 
 #[test]
 fn an_answer_keeps_its_bytes() {
-    let news = News {
-        feed: 3,
-        seq: 7,
-        whole: true,
-        alone: true,
-        up_ms: 60_000,
-        centres: vec!["10.1.0.1:7540".into()],
-        edges: 2,
-        standing: Some(standing()),
-        settings: Some(Settings { revision: 5, body: "{}".into() }),
-        hosts: vec![host()],
-        slices: vec![slices()],
-        plans: vec![stand()],
-        plans_seen: Some(Seen { epoch: 7, age_ms: 40 }),
-        asked_at: None,
+    let news = Update {
+        feed_id: 3,
+        sequence: 7,
+        is_snapshot: true,
+        isolated: true,
+        uptime_ms: 60_000,
+        control_plane_addresses: vec!["10.1.0.1:7540".into()],
+        edge_count: 2,
+        status: Some(standing()),
+        config: Some(ConfigDocument { revision: 5, body: "{}".into() }),
+        endpoints: vec![host()],
+        assignments: vec![slices()],
+        rollouts: vec![stand()],
+        rollouts_as_of: Some(RolloutsAsOf { term: 7, age_ms: 40 }),
+        requested_at: None,
     };
     assert_text(
         news,
@@ -189,26 +198,30 @@
             r#"{"feed":3,"seq":7,"whole":true,"alone":true,"up_ms":60000,"centres":["10.1.0.1:7540"],"edges":2,"standing":STANDING,"settings":{"revision":5,"body":"{}"},"hosts":[HOST],"slices":[SLICES],"plans":[STAND],"plans_seen":{"epoch":7,"age_ms":40}}"#,
         ),
     );
-    assert_text(News::default(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
-    let asked = News { asked_at: Some(std::time::Instant::now()), ..News::default() };
+    assert_text(Update::default(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
+    let asked = Update { requested_at: Some(std::time::Instant::now()), ..Update::default() };
     assert_eq!(serde_json::to_string(&asked).unwrap(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
 }
 
 #[test]
 fn what_is_told_of_settings_hosts_and_slices_keeps_its_bytes() {
     assert_text(
-        Settings { revision: 5, body: r#"{"revision":"r5"}"#.into() },
+        ConfigDocument { revision: 5, body: r#"{"revision":"r5"}"#.into() },
         r#"{"revision":5,"body":"{\"revision\":\"r5\"}"}"#,
     );
-    assert_text(Seen { epoch: 7, age_ms: 40 }, r#"{"epoch":7,"age_ms":40}"#);
+    assert_text(RolloutsAsOf { term: 7, age_ms: 40 }, r#"{"epoch":7,"age_ms":40}"#);
     assert_text(slices(), SLICES);
-    assert_text(SliceNews::default(), r#"{"backend":"","slices":0,"rows":[]}"#);
-    let stages = [(Stage::Ready, "ready"), (Stage::Emptying, "emptying"), (Stage::Gone, "gone")];
+    assert_text(AssignmentUpdate::default(), r#"{"backend":"","slices":0,"rows":[]}"#);
+    let stages = [
+        (EndpointState::Ready, "ready"),
+        (EndpointState::Draining, "emptying"),
+        (EndpointState::Removed, "gone"),
+    ];
     for (stage, name) in stages {
-        assert_text(HostNews { stage, ..host() }, &HOST.replace("ready", name));
+        assert_text(EndpointUpdate { state: stage, ..host() }, &HOST.replace("ready", name));
     }
     assert_text(
-        HostNews::default(),
+        EndpointUpdate::default(),
         r#"{"ident":"","backend":"","address":"","area":"","capacity":0,"revision":"","stage":"ready","silent":false,"cold_ms":0,"calls":0,"via":""}"#,
     );
 }
@@ -231,24 +244,28 @@
 
 #[test]
 fn texts_of_other_versions_are_read_without_optional_fields_and_with_unknown_ones() {
-    assert_read("{}", Follow::default());
-    assert_read("{}", News::default());
-    assert_read("{}", Standing::default());
-    assert_read("{}", Detail::default());
-    assert_read("{}", HostNews::default());
-    assert_read("{}", SliceNews::default());
-    assert_read("{}", Asked::default());
+    assert_read("{}", WatchRequest::default());
+    assert_read("{}", Update::default());
+    assert_read("{}", MemberStatus::default());
+    assert_read("{}", MemberDetail::default());
+    assert_read("{}", EndpointUpdate::default());
+    assert_read("{}", AssignmentUpdate::default());
+    assert_read("{}", RequestCounts::default());
     assert_read(
         r#"{"edge":"e","feed":3,"seq":7,"wait_ms":500,"later":[1]}"#,
-        Follow { edge: "e".into(), feed: 3, seq: 7, wait_ms: 500, ..Follow::default() },
+        WatchRequest { edge: "e".into(), feed_id: 3, sequence: 7, wait_ms: 500, ..WatchRequest::default() },
     );
     assert_read(
         r#"{"feed":3,"seq":7,"hosts":[{"ident":"i-1","stage":"gone","later":{}}]}"#,
-        News {
-            feed: 3,
-            seq: 7,
-            hosts: vec![HostNews { ident: "i-1".into(), stage: Stage::Gone, ..HostNews::default() }],
-            ..News::default()
+        Update {
+            feed_id: 3,
+            sequence: 7,
+            endpoints: vec![EndpointUpdate {
+                id: "i-1".into(),
+                state: EndpointState::Removed,
+                ..EndpointUpdate::default()
+            }],
+            ..Update::default()
         },
     );
     assert_read(r#"{"n":[0,0,0,0,0,0,0,0]}"#, Counts::default());
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -1,6 +1,6 @@
 //! One number, one content: which content of an operator's order has which number. Pure. What is remembered is part of
 //! the control state, written in one batch with the configuration, so it outlives takeovers and restarts.
-use crate::store::Write;
+use crate::store::KeyValue;
 use coppersail_peer_protocol::ConfigDocument;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
@@ -108,7 +108,7 @@
 
     /// What is to be written with the orders up to this ticket, in one batch with the configuration. A number whose
     /// value is empty is not remembered any more.
-    pub fn puts(&self, ticket: u64) -> Vec<Write> {
+    pub fn puts(&self, ticket: u64) -> Vec<KeyValue> {
         let batch = || self.begun.iter().filter(|b| b.ticket <= ticket);
         if batch().next().is_none() {
             return Vec::new();
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,6 +1,6 @@
 //! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
 //! of plans is. No I/O; decisions are those of `coppersail-rollout`.
-use crate::store::Write;
+use crate::store::KeyValue;
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
@@ -32,7 +32,7 @@
         entry
     }
 
-    fn next(&mut self, now: Ms, next: Stand) -> Write {
+    fn next(&mut self, now: Ms, next: Stand) -> KeyValue {
         if next.run != self.stand.run {
             *self = Entry::new(now, next);
         } else {
@@ -47,12 +47,12 @@
     }
 }
 
-fn put(stand: &Stand) -> Write {
+fn put(stand: &Stand) -> KeyValue {
     (format!("plan/{}", stand.name), serde_json::to_string(stand).unwrap_or_default())
 }
 
 /// A plan as it is on the disk.
-pub fn read(put: &Write) -> Option<Stand> {
+pub fn read(put: &KeyValue) -> Option<Stand> {
     put.0.starts_with("plan/").then(|| serde_json::from_str(&put.1).ok()).flatten()
 }
 
@@ -131,7 +131,7 @@
         name: &str,
         body: &str,
         config: Option<&Config>,
-    ) -> Result<Vec<Write>, (u16, String)> {
+    ) -> Result<Vec<KeyValue>, (u16, String)> {
         let sound = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name.is_empty() || name.len() > 64 || !name.chars().all(sound) {
             return Err((400, format!("name is \"{name}\", expected letters, digits and -_. of up to 64")));
@@ -163,7 +163,7 @@
         Ok(vec![put])
     }
 
-    pub fn order(&mut self, now: Ms, name: &str, order: Order) -> Result<Vec<Write>, (u16, String)> {
+    pub fn order(&mut self, now: Ms, name: &str, order: Order) -> Result<Vec<KeyValue>, (u16, String)> {
         let entry = self.plans.get_mut(name).ok_or((404, format!("no plan {name}")))?;
         let ran = now.saturating_sub(entry.since.0);
         let next =
@@ -172,7 +172,7 @@
     }
 
     /// What time, evidence and the configuration make of plans: changes to be written, and a line about each.
-    pub fn tick(&mut self, now: Ms, config: Option<&Config>, hosts: &Hosts) -> Vec<(Write, String)> {
+    pub fn tick(&mut self, now: Ms, config: Option<&Config>, hosts: &Hosts) -> Vec<(KeyValue, String)> {
         let mut all = Vec::new();
         for (name, entry) in self.plans.iter_mut().filter(|(_, e)| e.live()) {
             let ran = now.saturating_sub(entry.since.0);
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -14,7 +14,7 @@
     coppersail_config::config::parse(text.as_bytes()).unwrap()
 }
 
-fn tick(rollouts: &mut Rollouts, now: Ms, service: &str) -> Vec<(Write, String)> {
+fn tick(rollouts: &mut Rollouts, now: Ms, service: &str) -> Vec<(KeyValue, String)> {
     let hosts = Hosts { all: &Vec::new, dead: &|_, _| None };
     rollouts.tick(now, Some(&config(service)), &hosts)
 }
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -4,7 +4,7 @@
 use crate::orders::Orders;
 use crate::placement_gate::PlacementGate;
 use crate::rollouts::{self, Hosts, Rollouts};
-use crate::store::Write;
+use crate::store::KeyValue;
 use coppersail_config::{Config, ProcessSettings};
 use coppersail_consensus::{Change, Core, Id, Ms, Output, PeerStatus, RequestId};
 use coppersail_peer_protocol::{
@@ -420,7 +420,7 @@
     }
 
     /// A change of the control state, to be written. Its ticket tells when.
-    pub fn queue(&mut self, puts: Vec<Write>) -> u64 {
+    pub fn queue(&mut self, puts: Vec<KeyValue>) -> u64 {
         self.tickets += 1;
         self.todo.push(Change { ticket: self.tickets, writes: puts });
         self.tickets
@@ -633,7 +633,7 @@
             }
         };
         let changes = self.rollouts.tick(now, self.config.as_ref(), &Hosts { all: &all, dead: &dead });
-        let (puts, lines): (Vec<Write>, Vec<String>) = changes.into_iter().unzip();
+        let (puts, lines): (Vec<KeyValue>, Vec<String>) = changes.into_iter().unzip();
         if !puts.is_empty() {
             self.queue(puts);
         }
--- a/crates/control-plane/server/src/store.rs
+++ b/crates/control-plane/server/src/store.rs
@@ -20,16 +20,16 @@
 use std::thread::JoinHandle;
 use std::time::{Duration, Instant, SystemTime};
 
-pub type Write = (String, String);
+pub type KeyValue = (String, String);
 pub type Done = Box<dyn FnOnce(bool) + Send>;
 
 /// What is written together, whole or not at all: changes of the state (all of it anew if `whole`) and what the
 /// centre keeps about itself.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct WriteBatch {
-    pub state: Vec<Write>,
+    pub state: Vec<KeyValue>,
     pub whole: bool,
-    pub own: Vec<Write>,
+    pub own: Vec<KeyValue>,
 }
 
 /// How the folder was found.
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -1,7 +1,7 @@
 //! The disk of a centre: real folders, cut, put back and taken apart; and stand-ins that are full, hang or fail.
 use assert_matches::assert_matches;
 use coppersail_control_plane::store::{
-    mark, Disk, DiskWriter, Fault, Folder, FolderCondition, RecoveredState, Write, WriteBatch,
+    mark, Disk, DiskWriter, Fault, Folder, FolderCondition, KeyValue, RecoveredState, WriteBatch,
 };
 use std::cell::RefCell;
 use std::fs;
@@ -76,11 +76,11 @@
     (found.kept, lines.len())
 }
 
-fn put(name: &str, value: impl ToString) -> Write {
+fn put(name: &str, value: impl ToString) -> KeyValue {
     (name.to_string(), value.to_string())
 }
 
-fn state(puts: Vec<Write>) -> WriteBatch {
+fn state(puts: Vec<KeyValue>) -> WriteBatch {
     WriteBatch { state: puts, ..WriteBatch::default() }
 }
 
@@ -258,7 +258,7 @@
     let from = bytes(&place.0.join("0.jnl")).1;
     let mark_before = fs::read(place.0.join(mark::NAME)).unwrap();
     let (scribe, ..) = open(&place.0);
-    let puts: Vec<Write> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
+    let puts: Vec<KeyValue> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
     assert!(write(&scribe, WriteBatch { state: puts, whole: true, own: vec![put("floor", 8)] }));
     drop(scribe);
     let (_, after, _) = open(&place.0);
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -1,18 +1,18 @@
 //! The bytes of the control state on disk, of the `mark` beside it, and of answers to hosts and operators. These bytes
 //! are read by builds of other versions; a change here breaks rolling upgrades or stored data.
-use coppersail_control_plane::node::{Admin, Begin, Effect, Event, Node, Peer, PeerSay};
+use coppersail_control_plane::node::{AdminRequest, Effect, Event, Node, PeerRequest, PeerResponse, Startup};
 use coppersail_control_plane::orders::{digest, Judged, Orders};
 use coppersail_control_plane::rollouts;
-use coppersail_control_plane::store::{Batch, Kept, Put, Scribe};
+use coppersail_control_plane::store::{DiskWriter, FolderCondition, KeyValue, WriteBatch};
 use coppersail_rollout::pace::{Phase, Stand};
-use coppersail_shard_leases::Keys;
+use coppersail_shard_leases::LeaseTable;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 use std::path::Path;
 
 const MEMBERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
 
-fn put(name: &str, value: &str) -> Put {
+fn put(name: &str, value: &str) -> KeyValue {
     (name.into(), value.into())
 }
 
@@ -24,7 +24,7 @@
     /// Who waits for which call of a member: (member, token).
     calls: Vec<(usize, u64)>,
     /// What the first member was asked to write of the state.
-    writes: Vec<Batch>,
+    writes: Vec<WriteBatch>,
     answers: Vec<(u16, String)>,
     /// Nobody hears anybody.
     parted: bool,
@@ -46,8 +46,9 @@
                 "provider": {"heartbeat": "1s"},
                 "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
             });
-            let boot = coppersail_config::Boot::from_json(&boot.to_string()).unwrap();
-            let (node, first) = Node::start(1, Begin { boot, found: Default::default(), life: 7 });
+            let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
+            let (node, first) =
+                Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
             three.nodes.push(node);
             effects.push(first);
         }
@@ -61,32 +62,32 @@
     fn carry(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Write { token, write } => {
+                Effect::Persist { token, write } => {
                     if at == 0 && !write.state.is_empty() {
                         self.writes.push(write);
                     }
-                    self.due.push_back((at, Event::Disk { token, ok: true }));
+                    self.due.push_back((at, Event::WriteFinished { token, ok: true }));
                 }
-                Effect::Call { token, to, .. } if self.parted => {
+                Effect::SendToPeer { token, peer: to, .. } if self.parted => {
                     assert!(MEMBERS.contains(&to.as_str()));
-                    self.due.push_back((at, Event::Told { token, say: None }));
+                    self.due.push_back((at, Event::PeerResponded { operation_id: token, response: None }));
                 }
-                Effect::Call { token, to, call, .. } => {
+                Effect::SendToPeer { token, peer: to, call, .. } => {
                     let other = MEMBERS.iter().position(|member| *member == to).unwrap();
                     self.calls.push((at, token));
                     let caller = self.calls.len() as u64;
                     self.due.push_back((other, Event::Peer { caller, call: over_the_wire(call) }));
                 }
-                Effect::Reply { caller, say } => {
+                Effect::RespondToPeer { caller, response: say } => {
                     let (asker, token) = self.calls[caller as usize - 1];
                     let say = Some(answer_over_the_wire(say)).filter(|_| !self.parted);
-                    self.due.push_back((asker, Event::Told { token, say }));
+                    self.due.push_back((asker, Event::PeerResponded { operation_id: token, response: say }));
                 }
-                Effect::Answer { caller, status, body } => {
+                Effect::RespondToAdmin { caller, status, body } => {
                     assert_eq!(caller, OUTSIDE);
                     self.answers.push((status, body));
                 }
-                Effect::Note(_) | Effect::Leave => {}
+                Effect::Log(_) | Effect::Exit => {}
             }
         }
     }
@@ -109,8 +110,8 @@
     }
 
     /// Until there is an answer.
-    fn ask(&mut self, at: usize, call: Admin) -> (u16, String) {
-        self.step(at, Event::Admin { caller: OUTSIDE, call });
+    fn ask(&mut self, at: usize, call: AdminRequest) -> (u16, String) {
+        self.step(at, Event::Admin { request_id: OUTSIDE, request: call });
         for _ in 0..100 {
             if let Some(answer) = self.answers.pop() {
                 return answer;
@@ -121,14 +122,14 @@
     }
 
     #[track_caller]
-    fn assert_answer(&mut self, at: usize, call: Admin, status: u16, body: &str) {
+    fn assert_answer(&mut self, at: usize, call: AdminRequest, status: u16, body: &str) {
         assert_eq!(self.ask(at, call), (status, body.to_string()));
     }
 
     /// What the first member wrote since, each time with the number of the change beside it.
     #[track_caller]
-    fn assert_writes(&mut self, expected: &[(&str, &[Put])]) {
-        let batch = |(seq, state): &(&str, &[Put])| Batch {
+    fn assert_writes(&mut self, expected: &[(&str, &[KeyValue])]) {
+        let batch = |(seq, state): &(&str, &[KeyValue])| WriteBatch {
             state: state.to_vec(),
             whole: false,
             own: vec![put("seq", seq)],
@@ -142,17 +143,17 @@
     serde_json::from_str(&serde_json::to_string(value).unwrap()).unwrap()
 }
 
-fn over_the_wire(call: Peer) -> Peer {
+fn over_the_wire(call: PeerRequest) -> PeerRequest {
     match call {
-        Peer::Follow(follow) => Peer::Follow(through_text(&follow)),
-        Peer::Core(call) => Peer::Core(through_text(&call)),
+        PeerRequest::Watch(follow) => PeerRequest::Watch(through_text(&follow)),
+        PeerRequest::Consensus(call) => PeerRequest::Consensus(through_text(&call)),
     }
 }
 
-fn answer_over_the_wire(say: PeerSay) -> PeerSay {
+fn answer_over_the_wire(say: PeerResponse) -> PeerResponse {
     match say {
-        PeerSay::News(news) => PeerSay::News(through_text(&news)),
-        PeerSay::Core(say) => PeerSay::Core(through_text(&say)),
+        PeerResponse::Update(news) => PeerResponse::Update(through_text(&news)),
+        PeerResponse::Consensus(say) => PeerResponse::Consensus(through_text(&say)),
     }
 }
 
@@ -163,16 +164,16 @@
     CONFIGURATION.replace('@', &number.to_string()).replace('#', divided)
 }
 
-fn replace(number: u64, divided: &str) -> Admin {
-    Admin::Replace { body: configuration(number, divided) }
+fn replace(number: u64, divided: &str) -> AdminRequest {
+    AdminRequest::ReplaceConfig { body: configuration(number, divided) }
 }
 
-fn pulse(body: &str) -> Admin {
-    Admin::Pulse { ident: "i-1".into(), body: body.into() }
+fn pulse(body: &str) -> AdminRequest {
+    AdminRequest::Heartbeat { ident: "i-1".into(), body: body.into() }
 }
 
-fn plan(rest: &str, body: &str) -> Admin {
-    Admin::Plans { post: true, rest: rest.into(), body: body.into() }
+fn plan(rest: &str, body: &str) -> AdminRequest {
+    AdminRequest::Rollouts { post: true, rest: rest.into(), body: body.into() }
 }
 
 /// Hosts that know nothing of later fields.
@@ -181,7 +182,7 @@
 #[test]
 fn a_configuration_order_keeps_its_keys_values_and_answers() {
     let mut three = Three::start();
-    let read = || Admin::Read;
+    let read = || AdminRequest::ReadConfig;
     three.assert_answer(0, read(), 404, r#"{"why":"no configuration yet"}"#);
     three.assert_answer(0, replace(5, "null"), 200, "{}");
     let escaped = configuration(5, "null").replace('"', "\\\"");
@@ -231,7 +232,7 @@
     for (rest, body, status, text) in table {
         three.assert_answer(0, plan(rest, body), status, text);
     }
-    let show = Admin::Plans { post: false, rest: String::new(), body: String::new() };
+    let show = AdminRequest::Rollouts { post: false, rest: String::new(), body: String::new() };
     let shown = r#"{"rollouts":[{"answers":0,"late_rows":0,"name":"p","new":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"next_in_ms":null,"number":2,"old":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"phase":"withdrawn","plan":{"from":{"revision":"v1"},"service":"s","steps":[{"share":0.5}],"to":{"revision":"v2"}},"rows":0,"share":0.0,"step":1,"steps":1,"verdict":"waits: 0 of 200 answers","why":"an operator's order"}]}"#;
     three.assert_answer(0, show, 200, shown);
 }
@@ -241,7 +242,12 @@
     let mut three = Three::start();
     three.assert_answer(0, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
     three.assert_answer(1, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
-    three.assert_answer(0, Admin::SignOff { ident: "i-1".into() }, 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
+    three.assert_answer(
+        0,
+        AdminRequest::SignOff { ident: "i-1".into() },
+        200,
+        r#"{"reportTo":"10.1.0.1:8544"}"#,
+    );
     let missing = r#"{"why":"beat: missing field `backend` at line 1 column 2"}"#;
     three.assert_answer(0, pulse("{}"), 400, missing);
     three.parted = true;
@@ -249,7 +255,7 @@
     three.assert_answer(0, pulse(SHORT_PULSE), 503, r#"{"why":"out of touch with most witnesses"}"#);
     let nobody = r#"{"why":"no primary is known"}"#;
     three.assert_answer(0, replace(5, "null"), 503, nobody);
-    three.assert_answer(0, Admin::Read, 503, nobody);
+    three.assert_answer(0, AdminRequest::ReadConfig, 503, nobody);
 }
 
 #[test]
@@ -277,7 +283,7 @@
     let last = (0..5).map(|_| beat(&mut three, &mut calls)).last().unwrap();
     let held = r#"{"held":[[0,65535,1,""]],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#;
     assert_eq!(last, (200, held.to_string()));
-    let rows: Vec<Put> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
+    let rows: Vec<KeyValue> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
     assert_eq!(rows[511].0, "row/s/00511");
     three.assert_writes(&[("2", &rows)]);
     three.assert_answer(1, pulse(SHORT_PULSE), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
@@ -298,10 +304,13 @@
     assert_eq!(digest(r#"{"b": 1, "a": 2}"#), "d3626ac30a87e6f7a6428233b3c68299");
     assert_eq!(digest("no json"), "5ad3040044b6d872316bf4312926c3b9");
     let rows = [("row/s/t/00001", "7 i-1 h 1"), ("row/s/t/00000", "6 i-2")];
-    let mut keys = Keys::recover(1000, 0, rows.into_iter());
-    assert_eq!((keys.slices("s/t"), keys.all_shown()[0].2.as_str()), (2, "i-2"));
-    let grant = &keys.grant(0, "s/t", "i-1", &[], 0)[0];
-    assert_eq!((grant.from, grant.to, grant.fence, grant.handover.as_str()), (32768, 65535, 7, "h 1"));
+    let mut keys = LeaseTable::recover(1000, 0, rows.into_iter());
+    assert_eq!((keys.slices("s/t"), keys.all_owners()[0].2.as_str()), (2, "i-2"));
+    let grant = &keys.renew(0, "s/t", "i-1", &[], 0)[0];
+    assert_eq!(
+        (grant.from, grant.to, grant.fencing_token, grant.handover.as_str()),
+        (32768, 65535, 7, "h 1")
+    );
     let text =
         r#"{"name":"p","number":4,"phase":"done","step":1,"run":2,"ran":5,"why":"w","body":"b","later":1}"#;
     let (name, why, body) = ("p".into(), "w".into(), "b".into());
@@ -309,8 +318,8 @@
     assert_eq!(rollouts::read(&put("plan/p", text)), Some(stand));
 }
 
-fn open(folder: &Path) -> (Scribe, coppersail_control_plane::store::Found) {
-    Scribe::start(folder, |line| panic!("{line}")).unwrap()
+fn open(folder: &Path) -> (DiskWriter, coppersail_control_plane::store::RecoveredState) {
+    DiskWriter::start(folder, |line| panic!("{line}")).unwrap()
 }
 
 #[test]
@@ -329,16 +338,20 @@
     let (one, two, three) =
         ("0100000000000000f7df88a9", "020000000000000014d80727", "03000000000000008ad8adeb");
     let (scribe, found) = open(&folder);
-    assert_eq!((found.kept, found.number), (Kept::Fresh, 0));
+    assert_eq!((found.kept, found.number), (FolderCondition::Fresh, 0));
     assert_eq!(mark(), [zero, none, none, none]);
     let batches = [
-        Batch { state: vec![], whole: false, own: vec![put("floor", "f"), put("seq", "0")] },
-        Batch {
+        WriteBatch { state: vec![], whole: false, own: vec![put("floor", "f"), put("seq", "0")] },
+        WriteBatch {
             state: vec![put("config", "c"), put("order/1", "")],
             whole: false,
             own: vec![put("seq", "1")],
         },
-        Batch { state: vec![put("plan/p", "p")], whole: true, own: vec![put("floor", "g"), put("seq", "2")] },
+        WriteBatch {
+            state: vec![put("plan/p", "p")],
+            whole: true,
+            own: vec![put("floor", "g"), put("seq", "2")],
+        },
     ];
     // The first and what is a promise are written to the first two by turns, a change of the state to the others.
     let marks = [[zero, one, none, none], [zero, one, two, none], [three, one, two, none]];
@@ -350,7 +363,7 @@
     }
     drop(scribe);
     let (scribe, found) = open(&folder);
-    assert_eq!((found.kept, found.number), (Kept::Whole, 3));
+    assert_eq!((found.kept, found.number), (FolderCondition::Whole, 3));
     assert_eq!(found.state, BTreeMap::from([put("plan/p", "p")]));
     assert_eq!(found.own, BTreeMap::from([put("floor", "g"), put("seq", "2")]));
     drop(scribe);
--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -1,6 +1,6 @@
 //! These bytes are read by builds of other versions: edges post messages to each other, and operators' commands read
 //! the list of sessions. A change here breaks rolling upgrades or stored data.
-use coppersail_config::Sessions as File;
+use coppersail_config::SessionSettings as File;
 use coppersail_edge_proxy::sessions::{Listed, Sessions};
 use coppersail_session_affinity::Counts;
 use serde::{de::DeserializeOwned, Serialize};
