--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -33,7 +33,7 @@
     /// What was counted of versions since, where a plan steers; centres that are not primary pass it on.
     #[serde(skip_serializing_if = "nothing")]
     #[serde(rename = "evidence")]
-    pub rollout_reports: Vec<coppersail_rollout::Report>,
+    pub rollout_reports: Vec<coppersail_rollout::EvidenceReport>,
     /// Where a centre follows another: who it is, and how it stands.
     #[serde(skip_serializing_if = "nothing")]
     #[serde(rename = "standing")]
@@ -150,7 +150,7 @@
     /// Plans; the higher number counts.
     #[serde(skip_serializing_if = "nothing")]
     #[serde(rename = "plans")]
-    pub rollouts: Vec<coppersail_rollout::Stand>,
+    pub rollouts: Vec<coppersail_rollout::RolloutState>,
     /// How new all plans are that this centre has told, where there are any.
     #[serde(skip_serializing_if = "Option::is_none")]
     #[serde(rename = "plans_seen")]
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -5,9 +5,9 @@
     AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus,
     RequestCounts, RolloutsAsOf, Update, WatchRequest,
 };
-use coppersail_rollout::ledger::{Counts, Row};
-use coppersail_rollout::pace::{Phase, Stand};
-use coppersail_rollout::Report;
+use coppersail_rollout::ledger::{Counts, EvidenceRow};
+use coppersail_rollout::pace::{Phase, RolloutState};
+use coppersail_rollout::EvidenceReport;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -73,14 +73,14 @@
 const STANDING: &str =
     r#"{"id":"a:1","acting":true,"fit":true,"leaving":true,"sum":9,"seen":8,"detail":DETAIL}"#;
 
-fn report() -> Report {
+fn report() -> EvidenceReport {
     let new = Counts {
         all: [1, 2, 3, 4, 5, 6, 7, 8],
         lost_at: vec![("i-1".into(), 1)],
         slow_at: vec![("i-2".into(), 2)],
         times: vec![(10, 3)],
     };
-    let row = Row {
+    let row = EvidenceRow {
         plan: "p".into(),
         number: 2,
         span: 3,
@@ -89,13 +89,13 @@
         new,
         old: Counts::default(),
     };
-    Report { edge: "10.1.0.34".into(), life: 6, area: "east".into(), rows: vec![row] }
+    EvidenceReport { edge: "10.1.0.34".into(), life: 6, area: "east".into(), rows: vec![row] }
 }
 
 const REPORT: &str = r#"{"edge":"10.1.0.34","life":6,"area":"east","rows":[{"p":"p","v":2,"b":3,"r":"r","c":4,"new":{"n":[1,2,3,4,5,6,7,8],"l":[["i-1",1]],"s":[["i-2",2]],"t":[[10,3]]},"old":{"n":[0,0,0,0,0,0,0,0]}}]}"#;
 
-fn stand() -> Stand {
-    Stand {
+fn stand() -> RolloutState {
+    RolloutState {
         name: "p".into(),
         number: 4,
         phase: Phase::Frozen,
@@ -229,7 +229,7 @@
 #[test]
 fn evidence_and_plans_keep_their_bytes() {
     assert_text(report(), REPORT);
-    assert_text(Report::default(), r#"{"edge":"","life":0,"area":"","rows":[]}"#);
+    assert_text(EvidenceReport::default(), r#"{"edge":"","life":0,"area":"","rows":[]}"#);
     let phases = [
         (Phase::Running, "running"),
         (Phase::Frozen, "frozen"),
@@ -238,7 +238,7 @@
         (Phase::Ended, "ended"),
     ];
     for (phase, name) in phases {
-        assert_text(Stand { phase, ..stand() }, &STAND.replace("frozen", name));
+        assert_text(RolloutState { phase, ..stand() }, &STAND.replace("frozen", name));
     }
 }
 
--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -236,7 +236,7 @@
                 let puts = self.rollouts.submit(now, name, body, config.as_ref());
                 puts.map_err(|(status, why)| (status, one_line(why)))
             }
-            (true, [name, order]) => match coppersail_rollout::Order::named(order) {
+            (true, [name, order]) => match coppersail_rollout::RolloutCommand::named(order) {
                 Some(order) => {
                     let puts = self.rollouts.order(now, name, order);
                     puts.map_err(|(status, why)| (status, one_line(why)))
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -2,7 +2,7 @@
 //! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
 //! that edges follow it, and tells on what was new to it.
 use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
-use coppersail_rollout::{Phase, Stand};
+use coppersail_rollout::{Phase, RolloutState};
 use std::collections::BTreeMap;
 
 #[derive(Debug, Default)]
@@ -13,7 +13,7 @@
     settings: Option<(ConfigDocument, u64)>,
     hosts: BTreeMap<String, (EndpointUpdate, u64)>,
     slices: BTreeMap<String, Vec<(String, u64, u64)>>,
-    plans: BTreeMap<String, (Stand, u64)>,
+    plans: BTreeMap<String, (RolloutState, u64)>,
 }
 
 impl ChangeFeed {
@@ -96,7 +96,7 @@
     }
 
     /// A plan's state, written on both disks.
-    pub fn put_plan(&mut self, new: &Stand) -> bool {
+    pub fn put_plan(&mut self, new: &RolloutState) -> bool {
         if self.plans.get(&new.name).is_some_and(|(old, _)| old.number >= new.number) {
             return false;
         }
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -21,7 +21,7 @@
 struct LongPoll {
     token: OperationId,
     asked_at: Ms,
-    evidence: Vec<coppersail_rollout::Report>,
+    evidence: Vec<coppersail_rollout::EvidenceReport>,
 }
 
 #[derive(Default)]
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -4,10 +4,10 @@
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
-use coppersail_rollout::judge::Fleet;
-use coppersail_rollout::ledger::Kind;
-use coppersail_rollout::pace::{Order, Phase, Since, Stand};
-use coppersail_rollout::{Judge, Report, RolloutPlan, Verdict, Version};
+use coppersail_rollout::judge::FleetCapacity;
+use coppersail_rollout::ledger::OutcomeKind;
+use coppersail_rollout::pace::{Phase, RolloutCommand, RolloutState, Since};
+use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
 /// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
@@ -15,24 +15,24 @@
 
 struct Entry {
     /// As last queued: it is in force once it is on both disks.
-    stand: Stand,
+    stand: RolloutState,
     plan: RolloutPlan,
     since: Since,
-    judge: Judge,
+    judge: RolloutAnalysis,
     verdict: Verdict,
 }
 
 impl Entry {
-    fn new(now: Ms, stand: Stand) -> Entry {
+    fn new(now: Ms, stand: RolloutState) -> Entry {
         let plan = stand.plan();
-        let judge = Judge::new(&plan, stand.run);
+        let judge = RolloutAnalysis::new(&plan, stand.run);
         let mut entry =
             Entry { stand, plan, since: Since(now), judge, verdict: Verdict::Wait("nothing yet".into()) };
         entry.judge.step(entry.stand.step);
         entry
     }
 
-    fn next(&mut self, now: Ms, next: Stand) -> KeyValue {
+    fn next(&mut self, now: Ms, next: RolloutState) -> KeyValue {
         if next.run != self.stand.run {
             *self = Entry::new(now, next);
         } else {
@@ -47,12 +47,12 @@
     }
 }
 
-fn put(stand: &Stand) -> KeyValue {
+fn put(stand: &RolloutState) -> KeyValue {
     (format!("plan/{}", stand.name), serde_json::to_string(stand).unwrap_or_default())
 }
 
 /// A plan as it is on the disk.
-pub fn read(put: &KeyValue) -> Option<Stand> {
+pub fn read(put: &KeyValue) -> Option<RolloutState> {
     put.0.starts_with("plan/").then(|| serde_json::from_str(&put.1).ok()).flatten()
 }
 
@@ -66,7 +66,7 @@
 #[derive(Default)]
 pub struct Rollouts {
     plans: BTreeMap<String, Entry>,
-    relay: Vec<Report>,
+    relay: Vec<EvidenceReport>,
     /// Until when the plans here are known to be a primary's, and its epoch.
     heard: Option<(u64, Ms)>,
 }
@@ -76,9 +76,9 @@
         &mut self,
         now: Ms,
         held: impl Iterator<Item = (&'a String, &'a String)>,
-    ) -> Vec<Stand> {
+    ) -> Vec<RolloutState> {
         let found = held.filter_map(|(name, value)| read(&(name.clone(), value.clone())));
-        let found: Vec<Stand> = found.collect();
+        let found: Vec<RolloutState> = found.collect();
         self.plans = found.iter().map(|s| (s.name.clone(), Entry::new(now, s.clone()))).collect();
         found
     }
@@ -104,7 +104,7 @@
     }
 
     /// Takes reports; where this centre does not act, they are kept to be passed on.
-    pub fn take(&mut self, now: Ms, acts: bool, reports: &[Report]) {
+    pub fn take(&mut self, now: Ms, acts: bool, reports: &[EvidenceReport]) {
         if !acts {
             let room = MOST_REPORTS.saturating_sub(self.relay.len());
             self.relay.extend(reports.iter().take(room).cloned());
@@ -117,11 +117,11 @@
         }
     }
 
-    pub fn relay(&mut self) -> Vec<Report> {
+    pub fn relay(&mut self) -> Vec<EvidenceReport> {
         std::mem::take(&mut self.relay)
     }
 
-    pub fn put_back(&mut self, reports: Vec<Report>) {
+    pub fn put_back(&mut self, reports: Vec<EvidenceReport>) {
         self.take(0, false, &reports);
     }
 
@@ -154,7 +154,7 @@
             return Err((409, format!("plan {other} moves the same service; end it first")));
         }
         let before = self.plans.get(name).map(|e| &e.stand);
-        let stand = Stand::submit(name, body, before).map_err(|why| (409, why))?;
+        let stand = RolloutState::submit(name, body, before).map_err(|why| (409, why))?;
         if before.is_some_and(|old| *old == stand) {
             return Ok(Vec::new());
         }
@@ -163,7 +163,12 @@
         Ok(vec![put])
     }
 
-    pub fn order(&mut self, now: Ms, name: &str, order: Order) -> Result<Vec<KeyValue>, (u16, String)> {
+    pub fn order(
+        &mut self,
+        now: Ms,
+        name: &str,
+        order: RolloutCommand,
+    ) -> Result<Vec<KeyValue>, (u16, String)> {
         let entry = self.plans.get_mut(name).ok_or((404, format!("no plan {name}")))?;
         let ran = now.saturating_sub(entry.since.0);
         let next =
@@ -179,7 +184,7 @@
             let unfit = config.and_then(|c| entry.plan.fits(c).err().map(|fault| (c, fault)));
             let next = if let Some((config, fault)) = unfit {
                 let gone = config.service(&entry.plan.service).is_none();
-                let order = if gone { Order::End } else { Order::Pause };
+                let order = if gone { RolloutCommand::End } else { RolloutCommand::Pause };
                 entry.stand.order(ran, order, &fault.to_string()).ok().flatten()
             } else {
                 let fleet = fleet(&entry.plan, &(hosts.all)());
@@ -210,9 +215,9 @@
                 })
             };
             serde_json::json!({
-                "offered": of(Kind::Offered), "good": of(Kind::Good), "late": of(Kind::Late),
-                "failed": of(Kind::Failed), "lost": of(Kind::Lost), "doubled": of(Kind::Doubled),
-                "wrong": of(Kind::Foreign), "aside": of(Kind::Aside),
+                "offered": of(OutcomeKind::Offered), "good": of(OutcomeKind::Good), "late": of(OutcomeKind::Late),
+                "failed": of(OutcomeKind::Failed), "lost": of(OutcomeKind::Lost), "doubled": of(OutcomeKind::Doubled),
+                "wrong": of(OutcomeKind::Foreign), "aside": of(OutcomeKind::Aside),
                 "median_ms": at(0.5).map(|t| t.0), "p99_ms": at(0.99).map(|t| t.0),
             })
         };
@@ -237,8 +242,8 @@
     }
 }
 
-fn fleet(plan: &RolloutPlan, hosts: &[EndpointUpdate]) -> Fleet {
-    let mut fleet = Fleet::default();
+fn fleet(plan: &RolloutPlan, hosts: &[EndpointUpdate]) -> FleetCapacity {
+    let mut fleet = FleetCapacity::default();
     for host in hosts.iter().filter(|h| h.state == EndpointState::Ready && !h.suspect) {
         let of = |version: &Version| match version {
             Version::Backend(name) => host.service == *name,
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module `rollouts`.
 use super::*;
 use assert_matches::assert_matches;
-use coppersail_rollout::ledger::Row;
+use coppersail_rollout::ledger::EvidenceRow;
 
 const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"},
         "steps": [{"share": 0.1, "least": "5s", "evidence": 0}, {"share": 1}]}"#;
@@ -19,10 +19,10 @@
     rollouts.tick(now, Some(&config(service)), &hosts)
 }
 
-fn doubled(number: u64) -> Report {
-    let mut row = Row { plan: "p".into(), number, count: 1, ..Row::default() };
-    row.new.all[Kind::Doubled as usize] = 1;
-    Report { edge: "e".into(), rows: vec![row], ..Report::default() }
+fn doubled(number: u64) -> EvidenceReport {
+    let mut row = EvidenceRow { plan: "p".into(), number, count: 1, ..EvidenceRow::default() };
+    row.new.all[OutcomeKind::Doubled as usize] = 1;
+    EvidenceReport { edge: "e".into(), rows: vec![row], ..EvidenceReport::default() }
 }
 
 #[test]
@@ -33,7 +33,7 @@
     assert_eq!(rollouts.submit(0, "p", BODY, Some(&config("a"))).unwrap().len(), 1);
     assert_matches!(rollouts.submit(1, "q", BODY, None), Err((409, why)) if why.contains("plan p"));
     assert_eq!(rollouts.submit(2, "p", BODY, None).unwrap().len(), 0, "sent again");
-    rollouts.order(3, "p", Order::End).unwrap();
+    rollouts.order(3, "p", RolloutCommand::End).unwrap();
     assert_eq!(rollouts.submit(4, "q", BODY, None).unwrap().len(), 1);
 }
 
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -118,10 +118,15 @@
         serde_json::from_str(&text).unwrap()
     };
     assert_eq!((read()["phase"].as_str(), read()["number"].as_u64()), (Some("running"), Some(1)));
-    let mut row =
-        coppersail_rollout::ledger::Row { plan: "friday".into(), number: 1, count: 1, ..Default::default() };
-    row.new.all[coppersail_rollout::Kind::Doubled as usize] = 1;
-    let report = coppersail_rollout::Report { edge: "e".into(), rows: vec![row], ..Default::default() };
+    let mut row = coppersail_rollout::ledger::EvidenceRow {
+        plan: "friday".into(),
+        number: 1,
+        count: 1,
+        ..Default::default()
+    };
+    row.new.all[coppersail_rollout::OutcomeKind::Doubled as usize] = 1;
+    let report =
+        coppersail_rollout::EvidenceReport { edge: "e".into(), rows: vec![row], ..Default::default() };
     // To both that are left: one of them is not primary and passes it on; taken twice, it counts once.
     for ip in &core.ips[1..] {
         let follow = WatchRequest {
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -4,7 +4,7 @@
 use coppersail_control_plane::orders::{digest, Judged, Orders};
 use coppersail_control_plane::rollouts;
 use coppersail_control_plane::store::{DiskWriter, FolderCondition, KeyValue, WriteBatch};
-use coppersail_rollout::pace::{Phase, Stand};
+use coppersail_rollout::pace::{Phase, RolloutState};
 use coppersail_shard_leases::LeaseTable;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, VecDeque};
@@ -314,7 +314,7 @@
     let text =
         r#"{"name":"p","number":4,"phase":"done","step":1,"run":2,"ran":5,"why":"w","body":"b","later":1}"#;
     let (name, why, body) = ("p".into(), "w".into(), "b".into());
-    let stand = Stand { name, number: 4, phase: Phase::Done, step: 1, run: 2, ran: 5, why, body };
+    let stand = RolloutState { name, number: 4, phase: Phase::Done, step: 1, run: 2, ran: 5, why, body };
     assert_eq!(rollouts::read(&put("plan/p", text)), Some(stand));
 }
 
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -5,9 +5,10 @@
 use bytes::Bytes;
 use coppersail_config::{ProcessSettings, Route};
 use coppersail_retry::FinalOutcome;
-use coppersail_session_affinity::token::{print, Keys, Token};
+use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
 use coppersail_session_affinity::{
-    Answer, Ask, Counts, Id, Ms, Msg, Out, Outcome, Place, Reply as Said, Rosters, Site, Terms,
+    AffinityNode, AffinitySettings, Counters, Decision as Said, IdempotentRequest, Message, Ms, NodeId,
+    Outcome, Output, PeerSets, RecordedResponse, SessionId,
 };
 use eyre::{eyre, WrapErr};
 use http_body_util::{BodyExt, Full, Limited};
@@ -64,7 +65,9 @@
         // Who holds a key is not for a session to say.
         let had = self.had.as_ref().filter(|_| taken.key.is_none());
         let stays = had
-            .filter(|had| coppersail_session_affinity::prefer(Some(had), &picked, usable) == &***had)
+            .filter(|had| {
+                coppersail_session_affinity::preferred_endpoint(Some(had), &picked, usable) == &***had
+            })
             .cloned();
         let ident = stays.unwrap_or(picked);
         *self.chosen.borrow_mut() = Some(ident.clone());
@@ -74,7 +77,7 @@
 
 #[derive(Serialize, Deserialize)]
 struct Post<M> {
-    from: Place,
+    from: NodeId,
     msgs: Vec<M>,
 }
 
@@ -82,9 +85,9 @@
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Listed {
-    pub site: Place,
+    pub site: NodeId,
     pub sessions: Vec<String>,
-    pub counts: Counts,
+    pub counts: Counters,
     /// Tokens that were not taken.
     pub unfit: u64,
     /// Messages to other sites, and their bytes.
@@ -108,13 +111,13 @@
 pub struct Sessions {
     log: Logger,
     file: coppersail_config::SessionSettings,
-    keys: Keys,
-    rosters: Rosters,
-    me: Place,
-    site: RefCell<Site>,
+    keys: SigningKeys,
+    rosters: PeerSets,
+    me: NodeId,
+    site: RefCell<AffinityNode>,
     turns: RefCell<FxHashMap<u64, UnboundedSender<Turn>>>,
     tickets: Cell<u64>,
-    peers: RefCell<FxHashMap<Place, Peer>>,
+    peers: RefCell<FxHashMap<NodeId, Peer>>,
     chance: RandomState,
     unfit: Cell<u64>,
     sent: Cell<(u64, u64)>,
@@ -145,15 +148,15 @@
     ) -> eyre::Result<Rc<Sessions>> {
         let read = |path: &String| std::fs::read(path).wrap_err_with(|| format!("key file {path}"));
         let keys = file.keys.iter().map(read).collect::<eyre::Result<Vec<_>>>()?;
-        let keys = Keys::new(keys).map_err(|expected| eyre!("sessions: expected {expected}"))?;
+        let keys = SigningKeys::new(keys).map_err(|expected| eyre!("sessions: expected {expected}"))?;
         let sites = |sites: &std::collections::BTreeMap<u16, String>| {
             sites.iter().map(|(place, address)| (*place, address.clone())).collect()
         };
-        let rosters = Rosters(file.rosters.iter().map(|(number, list)| (*number, sites(list))).collect());
+        let rosters = PeerSets(file.rosters.iter().map(|(number, list)| (*number, sites(list))).collect());
         let newest = &file.rosters[&rosters.newest()];
         let me = newest.iter().find(|(_, site)| *site == address).map(|(place, _)| *place);
         let me = me.ok_or_else(|| eyre!("sessions: {address} is not in the newest list of sites"))?;
-        let terms = Terms {
+        let terms = AffinitySettings {
             sessions: file.held,
             keys: file.each,
             keep: ms(file.keep),
@@ -165,7 +168,7 @@
         };
         let floor = if fresh { 0 } else { terms.floor(now()) };
         let start = SystemTime::now().duration_since(UNIX_EPOCH).map_or(0, |time| time.as_nanos() as u64);
-        let site = RefCell::new(Site::new(me, &terms, start, floor));
+        let site = RefCell::new(AffinityNode::new(me, &terms, start, floor));
         info!(log, "session: site {me} of {} in list {}", newest.len(), rosters.newest());
         Ok(Rc::new(Sessions {
             log,
@@ -205,7 +208,7 @@
         spawn_local(async move {
             let mut ticks = tokio::time::interval(every.max(Duration::from_millis(1)));
             ticks.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-            let (mut told, mut told_at) = (Counts::default(), now());
+            let (mut told, mut told_at) = (Counters::default(), now());
             loop {
                 ticks.tick().await;
                 sessions.with(|site, now| site.tick(now));
@@ -221,8 +224,8 @@
         spawn_local(self.clone().listen(listener));
     }
 
-    fn tell(&self, counts: &Counts) {
-        let Counts { claims, crossings, let_go, waits, repeats_answered, refused, unknown, .. } = counts;
+    fn tell(&self, counts: &Counters) {
+        let Counters { claims, crossings, let_go, waits, repeats_answered, refused, unknown, .. } = counts;
         info!(
             self.log,
             "session: {claims} claims, {crossings} taken over, {let_go} let go, {waits} waited, \
@@ -236,7 +239,7 @@
         let (messages, bytes) = self.sent.get();
         Listed {
             site: self.me,
-            sessions: site.list().iter().map(Id::to_string).collect(),
+            sessions: site.list().iter().map(SessionId::to_string).collect(),
             counts: site.counts(),
             unfit: self.unfit.get(),
             messages,
@@ -244,25 +247,25 @@
         }
     }
 
-    fn with(self: &Rc<Self>, act: impl FnOnce(&mut Site, Ms) -> Vec<Out>) {
+    fn with(self: &Rc<Self>, act: impl FnOnce(&mut AffinityNode, Ms) -> Vec<Output>) {
         let outs = act(&mut self.site.borrow_mut(), now());
         self.post(outs);
     }
 
-    fn post(self: &Rc<Self>, outs: Vec<Out>) {
-        let mut mail: Vec<(Place, Vec<Msg>)> = vec![];
+    fn post(self: &Rc<Self>, outs: Vec<Output>) {
+        let mut mail: Vec<(NodeId, Vec<Message>)> = vec![];
         for out in outs {
             let (ticket, turn) = match out {
-                Out::Send { to, msg } => {
+                Output::Send { to, msg } => {
                     match mail.iter_mut().find(|(place, _)| *place == to) {
                         Some((_, msgs)) => msgs.push(msg),
                         None => mail.push((to, vec![msg])),
                     }
                     continue;
                 }
-                Out::Run { ticket } => (ticket, Turn::Run),
-                Out::Done { ticket } => (ticket, Turn::Done),
-                Out::Answer { ticket, reply } => (ticket, Turn::Answer(reply)),
+                Output::Run { ticket } => (ticket, Turn::Run),
+                Output::Done { ticket } => (ticket, Turn::Done),
+                Output::Answer { ticket, reply } => (ticket, Turn::Answer(reply)),
             };
             if let Some(to) = self.turns.borrow().get(&ticket) {
                 let _ = to.send(turn);
@@ -273,7 +276,7 @@
         }
     }
 
-    fn mail(self: &Rc<Self>, to: Place, msgs: &[Msg]) {
+    fn mail(self: &Rc<Self>, to: NodeId, msgs: &[Message]) {
         let mut peers = self.peers.borrow_mut();
         let peer = peers.entry(to).or_default();
         // Beyond a message for each session that may be held, the other edge is no longer there: they are lost,
@@ -287,7 +290,7 @@
     }
 
     /// Sends what waits for another edge, until nothing does.
-    async fn call(self: Rc<Self>, to: Place) {
+    async fn call(self: Rc<Self>, to: NodeId) {
         loop {
             let msgs: Vec<Box<RawValue>> = {
                 let mut peers = self.peers.borrow_mut();
@@ -312,7 +315,7 @@
         }
     }
 
-    async fn exchange(&self, to: Place, address: &str, body: Bytes) -> Option<Vec<Msg>> {
+    async fn exchange(&self, to: NodeId, address: &str, body: Bytes) -> Option<Vec<Message>> {
         let request = || {
             let mut request = Request::new(Full::new(body.clone()));
             *request.method_mut() = Method::POST;
@@ -338,7 +341,7 @@
             match sender.send_request(request()?).await {
                 Ok(answer) => {
                     let body = Limited::new(answer.into_body(), self.most()).collect().await.ok()?.to_bytes();
-                    let msgs: Vec<Msg> = serde_json::from_slice(&body).ok()?;
+                    let msgs: Vec<Message> = serde_json::from_slice(&body).ok()?;
                     self.peers.borrow_mut().entry(to).or_default().idle.push(sender);
                     return Some(msgs);
                 }
@@ -387,7 +390,7 @@
             (&Method::POST, "/sojourn") => {
                 let body = Limited::new(request.into_body(), self.most()).collect().await;
                 let post =
-                    body.ok().and_then(|body| serde_json::from_slice::<Post<Msg>>(&body.to_bytes()).ok());
+                    body.ok().and_then(|body| serde_json::from_slice::<Post<Message>>(&body.to_bytes()).ok());
                 let Some(Post { from, msgs }) = post else { return (StatusCode::BAD_REQUEST, vec![]) };
                 if self.rosters.address(from).is_none() {
                     return (StatusCode::BAD_REQUEST, vec![]);
@@ -398,7 +401,7 @@
                     let mut others = vec![];
                     for out in outs {
                         match out {
-                            Out::Send { to, msg } if to == from => back.push(msg),
+                            Output::Send { to, msg } if to == from => back.push(msg),
                             other => others.push(other),
                         }
                     }
@@ -408,7 +411,7 @@
             }
             (&Method::GET, "/sessions") => json(serde_json::to_vec(&self.listed())),
             (&Method::GET, path) => {
-                let id = path.strip_prefix("/sessions/").and_then(|id| id.parse::<Id>().ok());
+                let id = path.strip_prefix("/sessions/").and_then(|id| id.parse::<SessionId>().ok());
                 match id.and_then(|id| self.site.borrow().show(now(), id)) {
                     Some(shown) => json(serde_json::to_vec(&shown)),
                     None => (StatusCode::NOT_FOUND, vec![]),
@@ -436,7 +439,7 @@
         all.find(|(one, _)| *one == name).map(|(_, token)| token)
     }
 
-    fn hand_out(&self, answer: &mut Response<Reply>, token: &Token) {
+    fn hand_out(&self, answer: &mut Response<Reply>, token: &SessionToken) {
         let text = self.keys.sign(token);
         let (name, text) = match (&self.file.header, &self.file.cookie) {
             (Some(name), _) => (HeaderName::from_bytes(name.as_bytes()).ok(), text),
@@ -450,10 +453,15 @@
         }
     }
 
-    fn newborn(&self) -> Token {
+    fn newborn(&self) -> SessionToken {
         let (now, number) = (now(), self.ticket());
         let half = |which: u8| self.chance.hash_one((which, now, number));
-        Token { id: Id([half(0), half(1)]), roster: self.rosters.newest(), born: now, signed: now }
+        SessionToken {
+            id: SessionId([half(0), half(1)]),
+            roster: self.rosters.newest(),
+            born: now,
+            signed: now,
+        }
     }
 
     fn ticket(&self) -> u64 {
@@ -514,7 +522,7 @@
         if answer.headers().get(OUTCOME).is_some_and(|word| word == FORGOTTEN || word == SPENT) {
             self.hand_out(&mut answer, &self.newborn());
         } else if !first || now >= token.signed + life / 2 {
-            self.hand_out(&mut answer, &Token { signed: now, ..token });
+            self.hand_out(&mut answer, &SessionToken { signed: now, ..token });
         }
         answer
     }
@@ -525,8 +533,8 @@
         told: &Told,
         taken: Taken<'_>,
         body: Incoming,
-        token: &Token,
-        seats: Vec<Place>,
+        token: &SessionToken,
+        seats: Vec<NodeId>,
     ) -> Response<Reply> {
         let key = taken.headers.get(IDEMPOTENCY_KEY).and_then(|key| key.to_str().ok());
         let Some(key) = key.filter(|key| (1..=LONGEST_KEY).contains(&key.len())).map(str::to_owned) else {
@@ -539,11 +547,11 @@
             Err(answer) => return answer,
         };
         let path = taken.uri.path_and_query().map_or("", |path| path.as_str());
-        let print = print(&[taken.method.as_str().as_bytes(), path.as_bytes(), &bytes]);
+        let print = fingerprint(&[taken.method.as_str().as_bytes(), path.as_bytes(), &bytes]);
         let (ticket, left) = (self.ticket(), taken.until.saturating_sub(edge.now()));
         // After its time it is told for a wait longer how it ended.
         let until = now() + left + ms(self.file.wait);
-        let ask = Ask { ticket, id: token.id, born: token.born, seats, key, print, until };
+        let ask = IdempotentRequest { ticket, id: token.id, born: token.born, seats, key, print, until };
         // A route of the configuration may allow repeats; a confirmation never does.
         let route = Route { repeatable: false, ..taken.route.clone() };
         let service = taken.service.to_owned();
@@ -563,7 +571,7 @@
         edge: &Rc<Edge>,
         taken: Taken<'_>,
         body: Bytes,
-        ask: Ask,
+        ask: IdempotentRequest,
     ) -> Response<Reply> {
         let (ticket, id) = (ask.ticket, taken.id.clone());
         let (send, mut turns) = unbounded_channel();
@@ -635,14 +643,14 @@
         let value = value.to_str().ok()?.to_owned();
         (*name != TRY_ID && *name != CONTENT_LENGTH).then(|| (name.as_str().to_owned(), value))
     };
-    Outcome::Ran(Answer {
+    Outcome::Ran(RecordedResponse {
         status: answer.status().as_u16(),
         headers: answer.headers().iter().filter_map(text).collect(),
         body: body.as_ref().map(|body| body.to_vec()).unwrap_or_default(),
     })
 }
 
-fn replayed(kept: Answer) -> Response<Reply> {
+fn replayed(kept: RecordedResponse) -> Response<Reply> {
     let length = kept.body.len();
     let mut answer = Response::new(Reply::whole(kept.body.into()));
     *answer.status_mut() = StatusCode::from_u16(kept.status).unwrap_or(StatusCode::BAD_GATEWAY);
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -4,8 +4,8 @@
 use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::Update;
 use coppersail_retry::{AttemptOutcome, IndeterminateCause};
-use coppersail_rollout::ledger::Kind;
-use coppersail_rollout::{Ledger, Report, Side, Sides, Version};
+use coppersail_rollout::ledger::OutcomeKind;
+use coppersail_rollout::{EvidenceRecorder, EvidenceReport, Variant, VariantSelector, Version};
 use hyper::header::HeaderValue;
 use slog::{info, warn};
 use std::cell::{Cell, RefCell};
@@ -22,16 +22,16 @@
 /// What the follower's thread takes along.
 #[derive(Default)]
 pub struct Outbox {
-    reports: Mutex<Vec<Report>>,
+    reports: Mutex<Vec<EvidenceReport>>,
     pub on: AtomicBool,
 }
 
 impl Outbox {
-    pub fn take(&self) -> Vec<Report> {
+    pub fn take(&self) -> Vec<EvidenceReport> {
         std::mem::take(&mut *self.reports.lock().expect("outbox"))
     }
 
-    pub fn put_back(&self, reports: Vec<Report>) {
+    pub fn put_back(&self, reports: Vec<EvidenceReport>) {
         self.reports.lock().expect("outbox").splice(0..0, reports);
     }
 }
@@ -39,8 +39,8 @@
 pub struct Steer {
     /// Whether any plan is in force.
     on: Cell<bool>,
-    sides: RefCell<Sides>,
-    ledger: RefCell<Ledger>,
+    sides: RefCell<VariantSelector>,
+    ledger: RefCell<EvidenceRecorder>,
     epoch: Cell<u64>,
     pub outbox: Arc<Outbox>,
 }
@@ -50,7 +50,7 @@
 pub struct Way {
     pub plan: Rc<str>,
     pub number: u64,
-    pub side: Side,
+    pub side: Variant,
     pub version: Version,
     /// The new version's revision, where hosts are told apart by it.
     revision: Option<Rc<str>>,
@@ -68,18 +68,18 @@
 
     /// The sound version instead.
     pub fn old(self) -> Way {
-        Way { side: Side::Old, ..self }
+        Way { side: Variant::Old, ..self }
     }
 
     /// The revision that its hosts have, or don't.
     pub fn hosts(&self) -> Option<(&str, bool)> {
-        self.revision.as_deref().map(|revision| (revision, self.side == Side::New))
+        self.revision.as_deref().map(|revision| (revision, self.side == Variant::New))
     }
 }
 
 impl Steer {
     pub fn new(edge: &str, area: &str) -> Steer {
-        let ledger = Ledger::new(edge, fastrand::u64(1..1 << 53), area);
+        let ledger = EvidenceRecorder::new(edge, fastrand::u64(1..1 << 53), area);
         Steer {
             on: Cell::new(false),
             sides: RefCell::default(),
@@ -104,7 +104,7 @@
         let sides = self.sides.borrow();
         let choice = sides.choose(now, service, route, member)?;
         let live = sides.get(choice.plan);
-        let version = if choice.side == Side::New { &live.plan.to } else { &live.plan.from };
+        let version = if choice.side == Variant::New { &live.plan.to } else { &live.plan.from };
         let revision = match &live.plan.to {
             Version::Revision(name) => Some(name.as_str().into()),
             Version::Backend(_) => None,
@@ -179,21 +179,21 @@
         }
         let kind = match verdict {
             AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => None,
-            AttemptOutcome::Completed(_) if aside => Some(Kind::Aside),
-            AttemptOutcome::Failed(_) if aside => Some(Kind::Aside),
-            AttemptOutcome::Failed(_) => Some(Kind::Failed),
-            AttemptOutcome::Completed(_) if failed => Some(Kind::Failed),
-            AttemptOutcome::Completed(_) if took > aim => Some(Kind::Late),
-            AttemptOutcome::Completed(_) => Some(Kind::Good),
+            AttemptOutcome::Completed(_) if aside => Some(OutcomeKind::Aside),
+            AttemptOutcome::Failed(_) if aside => Some(OutcomeKind::Aside),
+            AttemptOutcome::Failed(_) => Some(OutcomeKind::Failed),
+            AttemptOutcome::Completed(_) if failed => Some(OutcomeKind::Failed),
+            AttemptOutcome::Completed(_) if took > aim => Some(OutcomeKind::Late),
+            AttemptOutcome::Completed(_) => Some(OutcomeKind::Good),
             AttemptOutcome::Indeterminate(
                 IndeterminateCause::ForeignResponse | IndeterminateCause::Unsealed,
-            ) => Some(Kind::Foreign),
-            AttemptOutcome::Indeterminate(_) => Some(Kind::Lost),
+            ) => Some(OutcomeKind::Foreign),
+            AttemptOutcome::Indeterminate(_) => Some(OutcomeKind::Lost),
         };
         let answered =
             matches!(verdict, AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_)).then_some(took);
         let (now, mut ledger) = (self.now(), self.steer.ledger.borrow_mut());
-        ledger.note(now, &way.plan, way.number, route, way.side, Kind::Offered, None, None);
+        ledger.note(now, &way.plan, way.number, route, way.side, OutcomeKind::Offered, None, None);
         if let Some(kind) = kind {
             ledger.note(now, &way.plan, way.number, route, way.side, kind, answered, Some(ident));
         }
@@ -205,7 +205,7 @@
             return;
         }
         warn!(self.log, "edge: a try was answered twice by the {:?} version of plan {}", way.side, way.plan);
-        if way.side == Side::New {
+        if way.side == Variant::New {
             self.steer.sides.borrow_mut().stop(&way.plan, way.number);
         }
         let (now, plan, route) = (self.now(), &*way.plan, &*watched.route);
@@ -215,7 +215,7 @@
             way.number,
             route,
             way.side,
-            Kind::Doubled,
+            OutcomeKind::Doubled,
             None,
             None,
         );
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -1,15 +1,15 @@
 //! A plan at an edge, among hosts of two revisions.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf, Update};
-use coppersail_rollout::ledger::Kind;
-use coppersail_rollout::pace::{Order, Stand};
+use coppersail_rollout::ledger::OutcomeKind;
+use coppersail_rollout::pace::{RolloutCommand, RolloutState};
 use std::time::Instant;
 
 const BODY: &str = r#"{"service": "plain", "from": {"revision": "v1"}, "to": {"revision": "v2"}, "member": "Session",
     "steps": [{"share": 0.5}, {"share": 1}]}"#;
 
-fn stand() -> Stand {
-    Stand::submit("friday", BODY, None).unwrap()
+fn stand() -> RolloutState {
+    RolloutState::submit("friday", BODY, None).unwrap()
 }
 
 fn of(host: &Host, revision: &str) -> EndpointUpdate {
@@ -17,7 +17,7 @@
 }
 
 /// What a primary says now.
-fn told(plans: Vec<Stand>, epoch: u64) -> Update {
+fn told(plans: Vec<RolloutState>, epoch: u64) -> Update {
     let plans_seen = Some(RolloutsAsOf { term: epoch, age_ms: 0 });
     Update {
         rollouts: plans,
@@ -55,7 +55,7 @@
         for n in 0..40 {
             assert_eq!(ask(&rig, "/again/", n).await.ends_with("new"), first[n as usize], "session {n}");
         }
-        let paused = stand().order(0, Order::Pause, "").unwrap().unwrap();
+        let paused = stand().order(0, RolloutCommand::Pause, "").unwrap().unwrap();
         rig.edge.take(told(vec![paused.clone()], 1));
         rig.edge.take(told(vec![stand()], 1));
         let before = new.count();
@@ -64,7 +64,7 @@
         }
         assert_eq!(new.count(), before);
         // With the plan gone, both are hosts like any other.
-        rig.edge.take(told(vec![paused.order(0, Order::End, "").unwrap().unwrap()], 1));
+        rig.edge.take(told(vec![paused.order(0, RolloutCommand::End, "").unwrap().unwrap()], 1));
         assert!(!rig.edge.steer.on());
     });
 }
@@ -87,7 +87,7 @@
         assert_eq!(new.count(), 1);
         rig.edge.report();
         let rows: Vec<_> = rig.edge.steer.outbox.take().into_iter().flat_map(|r| r.rows).collect();
-        assert_eq!(rows.iter().map(|r| r.new.of(Kind::Doubled)).max(), Some(1));
+        assert_eq!(rows.iter().map(|r| r.new.of(OutcomeKind::Doubled)).max(), Some(1));
         assert_eq!(rows[0].route, "once");
     });
 }
@@ -102,7 +102,7 @@
         })
         .await;
         let rig = two(&old, &new).await;
-        let whole = Stand { body: BODY.replace("0.5", "0.9"), ..stand() };
+        let whole = RolloutState { body: BODY.replace("0.5", "0.9"), ..stand() };
         rig.edge.take(told(vec![whole], 1));
         let (mut unknown, mut turned) = (0, 0);
         for n in 0..20 {
--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -2,7 +2,7 @@
 //! the list of sessions. A change here breaks rolling upgrades or stored data.
 use coppersail_config::SessionSettings as File;
 use coppersail_edge_proxy::sessions::{Listed, Sessions};
-use coppersail_session_affinity::Counts;
+use coppersail_session_affinity::Counters;
 use serde::{de::DeserializeOwned, Serialize};
 use slog::{o, Discard, Logger};
 use std::fmt::Debug;
@@ -22,7 +22,7 @@
 
 #[test]
 fn the_list_of_sessions_keeps_its_bytes() {
-    let (sessions, counts) = (vec!["ab".into()], Counts::default());
+    let (sessions, counts) = (vec!["ab".into()], Counters::default());
     let listed = Listed { site: 2, sessions, counts, unfit: 3, messages: 4, bytes: 5 };
     let text = r#"{"site":2,"sessions":["ab"],"counts":COUNTS,"unfit":3,"messages":4,"bytes":5}"#;
     assert_text(listed, &text.replace("COUNTS", NO_COUNTS));
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -1,9 +1,9 @@
 //! Hosts, clients, edges and a centre of one busy evening, in simulated time. What decides are the modules of
 //! `coppersail-rollout`; only hosts, clients and the ways between are played here.
-use coppersail_rollout::judge::{Fleet, Judge};
-use coppersail_rollout::ledger::{Kind, Ledger, Report};
-use coppersail_rollout::pace::{Phase, Since, Stand};
-use coppersail_rollout::side::{Side, Sides};
+use coppersail_rollout::judge::{FleetCapacity, RolloutAnalysis};
+use coppersail_rollout::ledger::{EvidenceRecorder, EvidenceReport, OutcomeKind};
+use coppersail_rollout::pace::{Phase, RolloutState, Since};
+use coppersail_rollout::side::{Variant, VariantSelector};
 use coppersail_rollout::{Ms, Verdict};
 use fastrand::Rng;
 use std::collections::BTreeMap;
@@ -137,9 +137,9 @@
 struct Edge {
     zone: usize,
     weight: f64,
-    sides: Sides,
-    ledger: Ledger,
-    judge: Option<Judge>,
+    sides: VariantSelector,
+    ledger: EvidenceRecorder,
+    judge: Option<RolloutAnalysis>,
     poll_at: Ms,
     every: Ms,
     /// One way to where its centre knows as much as the primary.
@@ -149,8 +149,8 @@
 }
 
 enum Due {
-    Ended { edge: usize, number: u64, route: usize, side: Side, kind: Kind, took: Ms, host: usize },
-    Told { report: Report, at: Ms },
+    Ended { edge: usize, number: u64, route: usize, side: Variant, kind: OutcomeKind, took: Ms, host: usize },
+    Told { report: EvidenceReport, at: Ms },
     News { edge: usize, stand: usize, polled: Ms },
 }
 
@@ -165,9 +165,9 @@
     /// What is due, by tick.
     wheel: Vec<Vec<Due>>,
     names: Vec<String>,
-    stands: Vec<Stand>,
+    stands: Vec<RolloutState>,
     since: Since,
-    judge: Judge,
+    judge: RolloutAnalysis,
     no_primary_until: Ms,
     lost_primary: bool,
     died: BTreeMap<String, Ms>,
@@ -176,7 +176,7 @@
 }
 
 const ROUTES: [&str; 2] = ["book", "look"];
-const SIDES: [Side; 2] = [Side::New, Side::Old];
+const SIDES: [Variant; 2] = [Variant::New, Variant::Old];
 
 fn normal(rng: &mut Rng) -> f64 {
     (-2.0 * rng.f64().max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
@@ -185,14 +185,14 @@
 impl Evening {
     pub fn new(case: Case, mode: Mode, size: Size, seed: u64) -> Evening {
         let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ case as u64);
-        let stand = Stand::submit("friday", PLAN, None).expect("the plan is sound");
+        let stand = RolloutState::submit("friday", PLAN, None).expect("the plan is sound");
         let plan = stand.plan();
         let edge = |n: usize, rng: &mut Rng| Edge {
             zone: n % size.zones,
             weight: 0.5 + rng.f64(),
-            sides: Sides::default(),
-            ledger: Ledger::new(&format!("e{n}"), 1, &format!("z{}", n % size.zones)),
-            judge: (mode == Mode::Alone).then(|| Judge::new(&plan, 1)),
+            sides: VariantSelector::default(),
+            ledger: EvidenceRecorder::new(&format!("e{n}"), 1, &format!("z{}", n % size.zones)),
+            judge: (mode == Mode::Alone).then(|| RolloutAnalysis::new(&plan, 1)),
             poll_at: rng.u64(0..500),
             every: 500,
             // Most follow a centre that is not the primary.
@@ -224,7 +224,7 @@
             hosts,
             wheel: (0..EVENING / TICK + 800).map(|_| Vec::new()).collect(),
             names: (0..5000).map(|n| format!("c{n}")).collect(),
-            judge: Judge::new(&plan, 1),
+            judge: RolloutAnalysis::new(&plan, 1),
             stands: vec![stand],
             since: Since(0),
             no_primary_until: 0,
@@ -333,7 +333,7 @@
         for due in self.wheel.iter_mut().flatten() {
             if let Due::Ended { side, host, kind, .. } = due {
                 if *side == far && *host == at {
-                    *kind = Kind::Lost;
+                    *kind = OutcomeKind::Lost;
                 }
             }
         }
@@ -354,7 +354,7 @@
         let route = usize::from(self.rng.u8(0..3) > 0);
         let e = &self.edges[edge];
         let choice = e.sides.choose(now, "ledger", ROUTES[route], client.as_bytes());
-        let (side, number) = choice.as_ref().map_or((Side::Old, 0), |c| (c.side, c.number));
+        let (side, number) = choice.as_ref().map_or((Variant::Old, 0), |c| (c.side, c.number));
         let counted = choice.is_some_and(|c| e.sides.counts(c.plan));
         let zone = e.zone;
         // Edges know about how long a host's queue is: the better of two.
@@ -372,8 +372,8 @@
         let aside = counted
             && self.mode != Mode::Fixed
             && self.edges[edge].ledger.sent(now, &self.hosts[side as usize][at].name, 2.0);
-        self.count(now, edge, number, route, side, Kind::Offered, None, None);
-        let new = side == Side::New;
+        self.count(now, edge, number, route, side, OutcomeKind::Offered, None, None);
+        let new = side == Variant::New;
         let (kind, took) = self.run(now, side, at, route, zone);
         let Some(kind) = kind else { return };
         let cold = now < self.hosts[side as usize][at].cold_until;
@@ -381,14 +381,21 @@
             self.out.met += 1;
             self.out.last_sent = now;
         }
-        let spoken = [Kind::Good, Kind::Late, Kind::Failed].contains(&kind);
-        let kind = if (cold || aside) && spoken { Kind::Aside } else { kind };
+        let spoken = [OutcomeKind::Good, OutcomeKind::Late, OutcomeKind::Failed].contains(&kind);
+        let kind = if (cold || aside) && spoken { OutcomeKind::Aside } else { kind };
         let due = Due::Ended { edge, number, route, side, kind, took, host: at };
         self.later(now + took, due);
     }
 
     /// Runs a request on a host: what becomes of it, and after how long. None: turned away.
-    fn run(&mut self, now: Ms, side: Side, at: usize, route: usize, zone: usize) -> (Option<Kind>, Ms) {
+    fn run(
+        &mut self,
+        now: Ms,
+        side: Variant,
+        at: usize,
+        route: usize,
+        zone: usize,
+    ) -> (Option<OutcomeKind>, Ms) {
         let (case, evening) = (self.case, self.rate(now) > 0.85 * self.size.peak);
         let rng = &mut self.rng;
         let host = &mut self.hosts[side as usize][at];
@@ -400,7 +407,7 @@
         let mut work = 120.0 * (0.35 * normal(rng)).exp();
         work *= if now < host.cold_until { 3.0 } else { 1.0 };
         work *= if case == SlowWaves && now % 100_000 < 20_000 { 2.5 } else { 1.0 };
-        let new = side == Side::New;
+        let new = side == Variant::New;
         let ill = new
             && match case {
                 Late | LatePrimaryLost | LateThirdCut | LateReportsLate => true,
@@ -418,25 +425,25 @@
         let _ = zone;
         let took = ((wait + work + stall) as Ms + 4).min(DEADLINE);
         let book = route == 0;
-        let mut kind = if took > AIM { Kind::Late } else { Kind::Good };
+        let mut kind = if took > AIM { OutcomeKind::Late } else { OutcomeKind::Good };
         let blame = match case {
-            Loses if new && rng.f64() < 0.02 => Some(Kind::Lost),
-            WrongSeal if new && rng.f64() < 1.0 / 30.0 => Some(Kind::Foreign),
-            Fails if new && rng.f64() < 0.1 => Some(Kind::Failed),
-            Doubles if new && book && rng.f64() < 0.002 => Some(Kind::Doubled),
+            Loses if new && rng.f64() < 0.02 => Some(OutcomeKind::Lost),
+            WrongSeal if new && rng.f64() < 1.0 / 30.0 => Some(OutcomeKind::Foreign),
+            Fails if new && rng.f64() < 0.1 => Some(OutcomeKind::Failed),
+            Doubles if new && book && rng.f64() < 0.002 => Some(OutcomeKind::Doubled),
             _ => None,
         };
         if now < host.loses_until && rng.f64() < 0.1 {
-            kind = Kind::Lost;
+            kind = OutcomeKind::Lost;
         }
         if now < host.garbles_until && rng.f64() < 0.3 {
-            kind = Kind::Foreign;
+            kind = OutcomeKind::Foreign;
         }
         let kind = blame.unwrap_or(kind);
         if blame.is_some() || (new && stalled && case.bad()) {
             self.out.harmed += 1;
             self.out.first_bad.get_or_insert(now + took);
-            self.out.doubled += u64::from(kind == Kind::Doubled);
+            self.out.doubled += u64::from(kind == OutcomeKind::Doubled);
         }
         (Some(kind), took)
     }
@@ -448,8 +455,8 @@
         edge: usize,
         number: u64,
         route: usize,
-        side: Side,
-        kind: Kind,
+        side: Variant,
+        kind: OutcomeKind,
         took: Option<Ms>,
         host: Option<usize>,
     ) {
@@ -466,14 +473,14 @@
     fn due(&mut self, now: Ms, due: Due) {
         match due {
             Due::Ended { edge, number, route, side, kind, took, host } => {
-                let answered = !matches!(kind, Kind::Lost | Kind::Foreign);
-                if kind == Kind::Doubled {
-                    self.count(now, edge, number, route, side, Kind::Good, Some(took), None);
-                    if side == Side::New && self.mode != Mode::Fixed {
+                let answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::Foreign);
+                if kind == OutcomeKind::Doubled {
+                    self.count(now, edge, number, route, side, OutcomeKind::Good, Some(took), None);
+                    if side == Variant::New && self.mode != Mode::Fixed {
                         self.edges[edge].sides.stop("friday", number);
                     }
                 }
-                let took = (answered && kind != Kind::Doubled).then_some(took);
+                let took = (answered && kind != OutcomeKind::Doubled).then_some(took);
                 self.count(now, edge, number, route, side, kind, took, Some(host));
             }
             Due::Told { report, at } => {
@@ -533,9 +540,9 @@
         self.later(now + 2 * way, news);
     }
 
-    fn fleet(&self) -> Fleet {
+    fn fleet(&self) -> FleetCapacity {
         let slots = self.size.hosts as f64 * 2.0;
-        Fleet { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
+        FleetCapacity { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
     }
 
     fn centre(&mut self, now: Ms, plan: &coppersail_rollout::RolloutPlan) {
@@ -545,7 +552,8 @@
         if self.lost_primary && self.no_primary_until > 0 {
             // A new one: it knows what is on the disk, asks for all that is kept, and begins the step's time anew.
             let stand = self.stands.last().expect("one");
-            (self.judge, self.since, self.no_primary_until) = (Judge::new(plan, stand.run), Since(now), 0);
+            (self.judge, self.since, self.no_primary_until) =
+                (RolloutAnalysis::new(plan, stand.run), Since(now), 0);
             self.edges.iter_mut().for_each(|e| e.ledger.again());
         }
         let stand = self.stands.last().expect("one").clone();
--- a/crates/data-plane/rollout/src/judge.rs
+++ b/crates/data-plane/rollout/src/judge.rs
@@ -8,7 +8,7 @@
 //! good for long and then bad), so the sum pays `1/error` with a probability of `error` at most over the whole plan:
 //! `docs/rollout.md` has the proof. Bad answers that come in crowds are divided by how crowded they come with the
 //! sound version.
-use crate::ledger::{Counts, Kind, Report, Row};
+use crate::ledger::{Counts, EvidenceReport, EvidenceRow, OutcomeKind};
 use crate::Ms;
 use coppersail_config::rollout::RolloutPlan;
 use std::collections::hash_map::DefaultHasher;
@@ -74,7 +74,7 @@
 /// Of the edge, its life, the span, the plan's number and the route.
 type Key = u64;
 
-fn key(report: &Report, row: &Row) -> Key {
+fn key(report: &EvidenceReport, row: &EvidenceRow) -> Key {
     let mut hash = DefaultHasher::new();
     (&report.edge, report.life, row.span, row.number, &row.route).hash(&mut hash);
     hash.finish()
@@ -83,7 +83,7 @@
 struct Stratum {
     edge: String,
     area: String,
-    row: Row,
+    row: EvidenceRow,
     seen: Ms,
     /// It came so late that the others of its seconds have been settled.
     late: bool,
@@ -91,7 +91,7 @@
 
 /// The hosts that serve the versions now.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Fleet {
+pub struct FleetCapacity {
     pub new_slots: f64,
     pub old_slots: f64,
     pub new_hosts: usize,
@@ -99,7 +99,7 @@
 
 /// What both versions did.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Sums {
+pub struct VariantSums {
     pub new: Counts,
     pub old: Counts,
 }
@@ -110,12 +110,12 @@
 /// A row that is settled in this round.
 struct Settled {
     place: Place,
-    row: Row,
+    row: EvidenceRow,
     lost: [f64; 2],
     slow: f64,
 }
 
-pub struct Judge {
+pub struct RolloutAnalysis {
     plan: RolloutPlan,
     run: u64,
     rounds: f64,
@@ -142,7 +142,7 @@
     counted: BTreeMap<u64, u64>,
     /// Of the last rounds: (slow, timed) of the sound version.
     sound: (f64, f64),
-    pub sums: Sums,
+    pub sums: VariantSums,
     /// Rows that came late.
     pub late: u64,
     pub rows_taken: u64,
@@ -172,11 +172,11 @@
     high + (low - high).exp().ln_1p()
 }
 
-impl Judge {
+impl RolloutAnalysis {
     /// Of what was counted from number `run` on.
-    pub fn new(plan: &RolloutPlan, run: u64) -> Judge {
+    pub fn new(plan: &RolloutPlan, run: u64) -> RolloutAnalysis {
         let rounds = (plan.ends.as_millis() as f64 / ROUND as f64).max(1.0);
-        Judge {
+        RolloutAnalysis {
             plan: plan.clone(),
             run,
             rounds,
@@ -198,14 +198,14 @@
             pressed_since: None,
             counted: BTreeMap::new(),
             sound: (0.0, 0.0),
-            sums: Sums::default(),
+            sums: VariantSums::default(),
             late: 0,
             rows_taken: 0,
         }
     }
 
     /// Takes what an edge tells about this plan. True if it has to be looked at now.
-    pub fn take(&mut self, now: Ms, name: &str, report: &Report) -> bool {
+    pub fn take(&mut self, now: Ms, name: &str, report: &EvidenceReport) -> bool {
         let mut hard = false;
         for row in report.rows.iter().filter(|r| r.plan == name && r.number >= self.run) {
             let key = key(report, row);
@@ -219,7 +219,7 @@
             self.late += u64::from(late && !known);
             edge.1 = edge.1.max(row.span);
             self.rows_taken += 1;
-            let told = [row.new.of(Kind::Doubled), row.old.of(Kind::Doubled)];
+            let told = [row.new.of(OutcomeKind::Doubled), row.old.of(OutcomeKind::Doubled)];
             let before = if let Some((_, count, doubled)) = self.done.get_mut(&key) {
                 // The bets on it are settled; what it has more says little, but for what ran twice.
                 if row.count <= *count {
@@ -231,7 +231,7 @@
                 let fresh = || Stratum {
                     edge: report.edge.clone(),
                     area: report.area.clone(),
-                    row: Row::default(),
+                    row: EvidenceRow::default(),
                     seen: now,
                     late,
                 };
@@ -240,12 +240,12 @@
                     continue;
                 }
                 let old = std::mem::replace(&mut stratum.row, row.clone());
-                [old.new.of(Kind::Doubled), old.old.of(Kind::Doubled)]
+                [old.new.of(OutcomeKind::Doubled), old.old.of(OutcomeKind::Doubled)]
             };
             // What runs twice is never undone: it counts whenever it comes.
             hard |= told[0] > before[0];
-            self.sums.new.all[Kind::Doubled as usize] += told[0].saturating_sub(before[0]) as u32;
-            self.sums.old.all[Kind::Doubled as usize] += told[1].saturating_sub(before[1]) as u32;
+            self.sums.new.all[OutcomeKind::Doubled as usize] += told[0].saturating_sub(before[0]) as u32;
+            self.sums.old.all[OutcomeKind::Doubled as usize] += told[1].saturating_sub(before[1]) as u32;
         }
         hard
     }
@@ -280,7 +280,7 @@
         &mut self,
         now: Ms,
         number: u64,
-        fleet: Fleet,
+        fleet: FleetCapacity,
         dead: impl Fn(&str, Ms) -> Option<bool>,
     ) -> Verdict {
         if now >= self.settled_at + ROUND {
@@ -314,7 +314,7 @@
 
     fn hard(&self) -> Option<String> {
         let (new, old) = (&self.sums.new, &self.sums.old);
-        let doubled = (new.of(Kind::Doubled), old.of(Kind::Doubled));
+        let doubled = (new.of(OutcomeKind::Doubled), old.of(OutcomeKind::Doubled));
         if doubled.0 <= self.plan.bounds.doubled {
             return None;
         }
@@ -336,7 +336,9 @@
         };
         let part = |c: &Counts| match fault {
             Fault::Late => c.slow() as f64 / c.timed().max(1) as f64,
-            Fault::Lost => (c.of(Kind::Lost) + c.of(Kind::Foreign)) as f64 / c.ended().max(1) as f64,
+            Fault::Lost => {
+                (c.of(OutcomeKind::Lost) + c.of(OutcomeKind::Foreign)) as f64 / c.ended().max(1) as f64
+            }
         };
         let (new, old) = (100.0 * part(&self.sums.new), 100.0 * part(&self.sums.old));
         format!("more {what}{at}; of all so far {new:.1}% against {old:.1}%, odds e^{log:.1}")
@@ -361,7 +363,7 @@
         Verdict::Sound
     }
 
-    fn settle(&mut self, now: Ms, fleet: Fleet, dead: &impl Fn(&str, Ms) -> Option<bool>) {
+    fn settle(&mut self, now: Ms, fleet: FleetCapacity, dead: &impl Fn(&str, Ms) -> Option<bool>) {
         if now >= self.swept_at + REMEMBERED / 4 {
             self.swept_at = now;
             self.done.retain(|_, (seen, _, _)| now < *seen + REMEMBERED);
@@ -377,18 +379,21 @@
         let mut round: Vec<Settled> = Vec::new();
         for key in due {
             let Some(Stratum { edge, area, row, seen, late }) = self.rows.remove(&key) else { continue };
-            let doubled = [row.new.of(Kind::Doubled), row.old.of(Kind::Doubled)];
+            let doubled = [row.new.of(OutcomeKind::Doubled), row.old.of(OutcomeKind::Doubled)];
             self.done.insert(key, (seen, row.count, doubled));
             let dead = |host: &str| dead(host, seen);
             let lost = [self.losses(true, &row.new, &dead), self.losses(false, &row.old, &dead)];
             let slow = self.spread(Fault::Late, &row.new.slow_at);
             *self.counted.entry(row.number).or_default() += row.new.ended();
-            let twice = (self.sums.new.of(Kind::Doubled) as u32, self.sums.old.of(Kind::Doubled) as u32);
+            let twice = (
+                self.sums.new.of(OutcomeKind::Doubled) as u32,
+                self.sums.old.of(OutcomeKind::Doubled) as u32,
+            );
             add(&mut self.sums.new, &row.new);
             add(&mut self.sums.old, &row.old);
             // Those were counted when they came.
-            self.sums.new.all[Kind::Doubled as usize] = twice.0;
-            self.sums.old.all[Kind::Doubled as usize] = twice.1;
+            self.sums.new.all[OutcomeKind::Doubled as usize] = twice.0;
+            self.sums.old.all[OutcomeKind::Doubled as usize] = twice.1;
             round.push(Settled {
                 place: (area, row.route.clone(), if late { edge } else { String::new() }),
                 row,
@@ -401,8 +406,10 @@
         self.look(&round);
     }
 
-    fn press(&mut self, now: Ms, fleet: Fleet, round: &[Settled]) {
-        let offered = |f: fn(&Row) -> &Counts| round.iter().map(|s| f(&s.row).of(Kind::Offered)).sum::<u64>();
+    fn press(&mut self, now: Ms, fleet: FleetCapacity, round: &[Settled]) {
+        let offered = |f: fn(&EvidenceRow) -> &Counts| {
+            round.iter().map(|s| f(&s.row).of(OutcomeKind::Offered)).sum::<u64>()
+        };
         let (new, old) = (offered(|r| &r.new) as f64, offered(|r| &r.old) as f64);
         let part = if fleet.old_slots > 0.0 { old / fleet.old_slots * fleet.new_slots } else { new };
         let over = fleet.new_slots > 0.0 && new > PRESSED * part + 3.0 * part.max(1.0).sqrt();
--- a/crates/data-plane/rollout/src/ledger.rs
+++ b/crates/data-plane/rollout/src/ledger.rs
@@ -1,13 +1,13 @@
 //! What an edge counts of both versions while a plan steers, in short spans of time, and tells the centre: each row
 //! whole and as often as it changes, so that a report may be lost, late or taken twice. Its size is bounded.
-use crate::side::Side;
+use crate::side::Variant;
 use crate::Ms;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
 /// Long enough that a few requests a second make a row worth its bytes, short enough to stop within seconds.
-pub const SPAN: Ms = 2000;
+pub const REPORT_SPAN: Ms = 2000;
 /// Rows are told again to a new primary for as long; older ones weigh little in what it decides.
 const KEPT: Ms = 60_000;
 /// Routes that are told apart; what is beyond them is one more.
@@ -16,7 +16,7 @@
 
 /// What became of a try.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
+pub enum OutcomeKind {
     Offered,
     /// Answered in the aim.
     Good,
@@ -33,12 +33,12 @@
     Aside,
 }
 
-pub const KINDS: usize = 8;
+pub const OUTCOME_KINDS: usize = 8;
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
     #[serde(rename = "n")]
-    pub all: [u32; KINDS],
+    pub all: [u32; OUTCOME_KINDS],
     /// (host, tries lost there).
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub lost_at: Vec<(String, u32)>,
@@ -51,26 +51,29 @@
 }
 
 impl Counts {
-    pub fn of(&self, kind: Kind) -> u64 {
+    pub fn of(&self, kind: OutcomeKind) -> u64 {
         u64::from(self.all[kind as usize])
     }
 
     /// Tries that speak about lateness.
     pub fn timed(&self) -> u64 {
-        self.of(Kind::Good) + self.of(Kind::Late) + self.of(Kind::Failed)
+        self.of(OutcomeKind::Good) + self.of(OutcomeKind::Late) + self.of(OutcomeKind::Failed)
     }
 
     pub fn slow(&self) -> u64 {
-        self.of(Kind::Late) + self.of(Kind::Failed)
+        self.of(OutcomeKind::Late) + self.of(OutcomeKind::Failed)
     }
 
     pub fn ended(&self) -> u64 {
-        self.timed() + self.of(Kind::Aside) + self.of(Kind::Lost) + self.of(Kind::Foreign)
+        self.timed()
+            + self.of(OutcomeKind::Aside)
+            + self.of(OutcomeKind::Lost)
+            + self.of(OutcomeKind::Foreign)
     }
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Row {
+pub struct EvidenceRow {
     #[serde(rename = "p")]
     pub plan: String,
     /// The plan's number while it was counted.
@@ -89,16 +92,16 @@
 
 /// What one edge tells. Centres that are not primary pass it on as it is.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Report {
+pub struct EvidenceReport {
     pub edge: String,
     /// Which life of the edge counts.
     pub life: u64,
     pub area: String,
-    pub rows: Vec<Row>,
+    pub rows: Vec<EvidenceRow>,
 }
 
 struct Page {
-    row: Row,
+    row: EvidenceRow,
     /// Of the new and of the old version, as they came.
     times: [Vec<u32>; 2],
     dirty: bool,
@@ -108,7 +111,7 @@
 const TIMES: usize = 4096;
 
 impl Page {
-    fn told(&mut self, scratch: &mut Histogram<u32>) -> Row {
+    fn told(&mut self, scratch: &mut Histogram<u32>) -> EvidenceRow {
         self.dirty = false;
         let mut row = self.row.clone();
         for (counts, times) in [&mut row.new, &mut row.old].into_iter().zip(&self.times) {
@@ -130,7 +133,7 @@
 }
 
 #[derive(Default)]
-pub struct Ledger {
+pub struct EvidenceRecorder {
     edge: String,
     life: u64,
     area: String,
@@ -148,19 +151,19 @@
     sends_all: (f64, f64),
 }
 
-impl Ledger {
-    pub fn new(edge: &str, life: u64, area: &str) -> Ledger {
-        Ledger { edge: edge.into(), life, area: area.into(), ..Ledger::default() }
+impl EvidenceRecorder {
+    pub fn new(edge: &str, life: u64, area: &str) -> EvidenceRecorder {
+        EvidenceRecorder { edge: edge.into(), life, area: area.into(), ..EvidenceRecorder::default() }
     }
 
     /// Spans that are over change no more.
     fn close(&mut self, now: Ms) {
-        let span = now / SPAN;
+        let span = now / REPORT_SPAN;
         if self.open.first().is_some_and(|p| p.row.span != span) {
             self.kept.extend(self.open.drain(..));
             self.hard = false;
         }
-        while self.kept.front().is_some_and(|p| p.row.span + KEPT / SPAN < span) {
+        while self.kept.front().is_some_and(|p| p.row.span + KEPT / REPORT_SPAN < span) {
             self.kept.pop_front();
         }
     }
@@ -173,8 +176,8 @@
         let route = if full { OTHERS } else { route };
         let at = at.or_else(|| self.open.iter().position(|p| of(p) && p.row.route == route));
         let at = at.unwrap_or_else(|| {
-            let (plan, route, span) = (plan.into(), route.into(), now / SPAN);
-            let row = Row { plan, number, span, route, ..Row::default() };
+            let (plan, route, span) = (plan.into(), route.into(), now / REPORT_SPAN);
+            let row = EvidenceRow { plan, number, span, route, ..EvidenceRow::default() };
             self.open.push(Page { row, times: [Vec::new(), Vec::new()], dirty: true });
             self.open.len() - 1
         });
@@ -184,8 +187,8 @@
     /// A request goes to a host. True if the host gets so much more than its part of what this edge sends that its
     /// answers tell more about the load than about the version: more than twice its part, beyond chance.
     pub fn sent(&mut self, now: Ms, host: &str, slots: f64) -> bool {
-        if now / SPAN != self.sends_span {
-            (self.sends_span, self.sends_all) = (now / SPAN, (0.0, 0.0));
+        if now / REPORT_SPAN != self.sends_span {
+            (self.sends_span, self.sends_all) = (now / REPORT_SPAN, (0.0, 0.0));
             self.sends.clear();
         }
         let (own, own_slots) = match self.sends.get_mut(host) {
@@ -215,21 +218,21 @@
         plan: &str,
         number: u64,
         route: &str,
-        side: Side,
-        kind: Kind,
+        side: Variant,
+        kind: OutcomeKind,
         took: Option<Ms>,
         host: Option<&str>,
     ) {
-        self.hard |= kind == Kind::Doubled;
+        self.hard |= kind == OutcomeKind::Doubled;
         let page = self.page(now, plan, number, route);
         page.dirty = true;
         page.row.count += 1;
         let which = side as usize;
-        let counts = if side == Side::New { &mut page.row.new } else { &mut page.row.old };
+        let counts = if side == Variant::New { &mut page.row.new } else { &mut page.row.old };
         counts.all[kind as usize] += 1;
         let list = match kind {
-            Kind::Lost | Kind::Foreign => Some(&mut counts.lost_at),
-            Kind::Late | Kind::Failed if side == Side::New => Some(&mut counts.slow_at),
+            OutcomeKind::Lost | OutcomeKind::Foreign => Some(&mut counts.lost_at),
+            OutcomeKind::Late | OutcomeKind::Failed if side == Variant::New => Some(&mut counts.slow_at),
             _ => None,
         };
         if let (Some(list), Some(host)) = (list, host) {
@@ -248,9 +251,9 @@
 
     /// Rows of spans that are over, and what ran twice at once; as much as fits into `most` bytes, of the newest time
     /// first. What does not fit comes with the next one.
-    pub fn report(&mut self, now: Ms, most: usize) -> Option<Report> {
+    pub fn report(&mut self, now: Ms, most: usize) -> Option<EvidenceReport> {
         self.close(now);
-        let mut rows: Vec<Row> = Vec::new();
+        let mut rows: Vec<EvidenceRow> = Vec::new();
         let mut bytes = 64;
         let hard = std::mem::take(&mut self.hard);
         let scratch = self.scratch.get_or_insert_with(histogram);
@@ -265,7 +268,7 @@
             rows.push(row);
         }
         let (edge, life, area) = (self.edge.clone(), self.life, self.area.clone());
-        (!rows.is_empty()).then_some(Report { edge, life, area, rows })
+        (!rows.is_empty()).then_some(EvidenceReport { edge, life, area, rows })
     }
 
     /// A new primary has heard nothing yet, or a report was lost: all that is kept is told again.
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -26,9 +26,9 @@
 mod tests;
 
 pub use coppersail_config::rollout::{RolloutPlan, Version};
-pub use judge::{Judge, Verdict};
-pub use ledger::{Kind, Ledger, Report};
-pub use pace::{Order, Phase, Stand};
-pub use side::{Side, Sides};
+pub use judge::{RolloutAnalysis, Verdict};
+pub use ledger::{EvidenceRecorder, EvidenceReport, OutcomeKind};
+pub use pace::{Phase, RolloutCommand, RolloutState};
+pub use side::{Variant, VariantSelector};
 
 pub type Ms = u64;
--- a/crates/data-plane/rollout/src/pace.rs
+++ b/crates/data-plane/rollout/src/pace.rs
@@ -20,7 +20,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum RolloutCommand {
     Pause,
     Resume,
     Pass,
@@ -28,18 +28,18 @@
     End,
 }
 
-impl Order {
+impl RolloutCommand {
     /// ```
     /// use coppersail_rollout::pace::Order;
     /// assert_eq!(Order::named("undo"), Some(Order::Undo));
     /// ```
-    pub fn named(name: &str) -> Option<Order> {
+    pub fn named(name: &str) -> Option<RolloutCommand> {
         let all = [
-            ("pause", Order::Pause),
-            ("resume", Order::Resume),
-            ("pass", Order::Pass),
-            ("undo", Order::Undo),
-            ("end", Order::End),
+            ("pause", RolloutCommand::Pause),
+            ("resume", RolloutCommand::Resume),
+            ("pass", RolloutCommand::Pass),
+            ("undo", RolloutCommand::Undo),
+            ("end", RolloutCommand::End),
         ];
         all.iter().find(|(n, _)| *n == name).map(|(_, o)| *o)
     }
@@ -47,7 +47,7 @@
 
 /// A plan and how far it is.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Stand {
+pub struct RolloutState {
     pub name: String,
     pub number: u64,
     pub phase: Phase,
@@ -66,9 +66,9 @@
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Since(pub Ms);
 
-impl Stand {
+impl RolloutState {
     /// A new plan, or the next under the name of one that has ended.
-    pub fn submit(name: &str, body: &str, before: Option<&Stand>) -> Result<Stand, String> {
+    pub fn submit(name: &str, body: &str, before: Option<&RolloutState>) -> Result<RolloutState, String> {
         coppersail_config::rollout::parse(body).map_err(|fault| fault.to_string())?;
         match before {
             Some(old) if old.phase != Phase::Ended && old.body == body => Ok(old.clone()),
@@ -76,13 +76,13 @@
             _ => {
                 let number = before.map_or(0, |old| old.number) + 1;
                 let why = "submitted".into();
-                Ok(Stand {
+                Ok(RolloutState {
                     name: name.into(),
                     number,
                     run: number,
                     why,
                     body: body.into(),
-                    ..Stand::default()
+                    ..RolloutState::default()
                 })
             }
         }
@@ -102,40 +102,45 @@
         }
     }
 
-    fn next(&self, ran: Ms, phase: Phase, step: usize, why: &str) -> Stand {
+    fn next(&self, ran: Ms, phase: Phase, step: usize, why: &str) -> RolloutState {
         let number = self.number + 1;
-        Stand { number, phase, step, ran: self.ran + ran, why: why.into(), ..self.clone() }
+        RolloutState { number, phase, step, ran: self.ran + ran, why: why.into(), ..self.clone() }
     }
 
     /// An operator's order, `ran` after the last change. None: it stands like that already, as after an order that
     /// was sent twice.
-    pub fn order(&self, ran: Ms, order: Order, why: &str) -> Result<Option<Stand>, &'static str> {
+    pub fn order(
+        &self,
+        ran: Ms,
+        order: RolloutCommand,
+        why: &str,
+    ) -> Result<Option<RolloutState>, &'static str> {
         let stopped = match self.plan().pause {
             Pause::Freeze => Phase::Frozen,
             Pause::Withdraw => Phase::Withdrawn,
         };
         Ok(match (order, self.phase) {
-            (Order::End, Phase::Ended) => None,
+            (RolloutCommand::End, Phase::Ended) => None,
             (_, Phase::Ended) => return Err("the plan has ended"),
-            (Order::End, _) => Some(self.next(ran, Phase::Ended, self.step, why)),
-            (Order::Undo, Phase::Withdrawn) => None,
-            (Order::Undo, _) => Some(self.next(ran, Phase::Withdrawn, self.step, why)),
-            (Order::Pause, Phase::Frozen | Phase::Withdrawn) => None,
-            (Order::Pause, _) => Some(self.next(ran, stopped, self.step, why)),
-            (Order::Resume, Phase::Running | Phase::Done) => None,
+            (RolloutCommand::End, _) => Some(self.next(ran, Phase::Ended, self.step, why)),
+            (RolloutCommand::Undo, Phase::Withdrawn) => None,
+            (RolloutCommand::Undo, _) => Some(self.next(ran, Phase::Withdrawn, self.step, why)),
+            (RolloutCommand::Pause, Phase::Frozen | Phase::Withdrawn) => None,
+            (RolloutCommand::Pause, _) => Some(self.next(ran, stopped, self.step, why)),
+            (RolloutCommand::Resume, Phase::Running | Phase::Done) => None,
             // Whoever was withdrawn begins small again.
-            (Order::Resume, phase) => {
+            (RolloutCommand::Resume, phase) => {
                 let step = if phase == Phase::Withdrawn { 0 } else { self.step };
                 let next = self.next(ran, Phase::Running, step, why);
-                Some(Stand { run: next.number, ran: 0, ..next })
+                Some(RolloutState { run: next.number, ran: 0, ..next })
             }
-            (Order::Pass, Phase::Running) => Some(self.passed(ran, why)),
-            (Order::Pass, Phase::Done) => None,
-            (Order::Pass, _) => return Err("the plan is paused; resume it first"),
+            (RolloutCommand::Pass, Phase::Running) => Some(self.passed(ran, why)),
+            (RolloutCommand::Pass, Phase::Done) => None,
+            (RolloutCommand::Pass, _) => return Err("the plan is paused; resume it first"),
         })
     }
 
-    fn passed(&self, ran: Ms, why: &str) -> Stand {
+    fn passed(&self, ran: Ms, why: &str) -> RolloutState {
         match self.step + 1 < self.plan().steps.len() {
             true => self.next(ran, Phase::Running, self.step + 1, why),
             false => self.next(ran, Phase::Done, self.step, why),
@@ -143,9 +148,9 @@
     }
 
     /// What time and the verdict make of it.
-    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<Stand> {
+    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<RolloutState> {
         let ran = now.saturating_sub(since.0);
-        let stop = |why: &str| self.order(ran, Order::Pause, why).ok().flatten();
+        let stop = |why: &str| self.order(ran, RolloutCommand::Pause, why).ok().flatten();
         match self.phase {
             Phase::Running | Phase::Frozen => {}
             // What comes out only after the last step still counts.
--- a/crates/data-plane/rollout/src/side.rs
+++ b/crates/data-plane/rollout/src/side.rs
@@ -1,17 +1,17 @@
 //! What an edge makes of plans.
-use crate::pace::{Phase, Stand};
+use crate::pace::{Phase, RolloutState};
 use crate::{share, Ms};
 use coppersail_config::rollout::{RolloutPlan, Version};
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Side {
+pub enum Variant {
     New,
     Old,
 }
 
 /// One plan in force.
 #[derive(Debug, Clone)]
-pub struct Live {
+pub struct ActiveRollout {
     pub name: String,
     pub number: u64,
     pub run: u64,
@@ -24,11 +24,11 @@
 
 /// The version of a request, as one plan has it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Choice {
+pub struct VariantChoice {
     /// Which of the plans, by `Sides::get`.
     pub plan: usize,
     pub number: u64,
-    pub side: Side,
+    pub side: Variant,
 }
 
 /// ```
@@ -44,29 +44,29 @@
 /// assert!(sides.choose(0, "b", "r", b"who").is_none());
 /// ```
 #[derive(Debug, Default)]
-pub struct Sides {
-    all: Vec<Live>,
+pub struct VariantSelector {
+    all: Vec<ActiveRollout>,
     /// The latest time of which it is known that all plans here were the newest.
     fresh_at: Option<Ms>,
     /// Numbers of plans that have ended: late news must not bring them back.
     ended: Vec<(String, u64)>,
 }
 
-impl Sides {
+impl VariantSelector {
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    pub fn get(&self, at: usize) -> &Live {
+    pub fn get(&self, at: usize) -> &ActiveRollout {
         &self.all[at]
     }
 
-    pub fn all(&self) -> impl Iterator<Item = &Live> {
+    pub fn all(&self) -> impl Iterator<Item = &ActiveRollout> {
         self.all.iter()
     }
 
     /// Takes a plan's state; an older one changes nothing.
-    pub fn take(&mut self, stand: &Stand) -> bool {
+    pub fn take(&mut self, stand: &RolloutState) -> bool {
         let known = self.all.iter().find(|l| l.name == stand.name).map(|l| l.number);
         let ended = self.ended.iter().find(|(name, _)| *name == stand.name).map(|(_, n)| *n);
         if known.max(ended).is_some_and(|n| n >= stand.number) {
@@ -77,7 +77,7 @@
         self.all.retain(|l| l.name != stand.name);
         self.ended.retain(|(name, _)| *name != stand.name);
         match stand.share() {
-            Some(share) => self.all.push(Live {
+            Some(share) => self.all.push(ActiveRollout {
                 name: stand.name.clone(),
                 number: stand.number,
                 run: stand.run,
@@ -102,8 +102,8 @@
     }
 
     /// The version of a request; none where no plan speaks about it.
-    pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<Choice> {
-        let about = |l: &Live| {
+    pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<VariantChoice> {
+        let about = |l: &ActiveRollout| {
             let to = matches!(&l.plan.to, Version::Backend(name) if name == service);
             (l.plan.service == service || to) && l.plan.covers(route)
         };
@@ -114,7 +114,7 @@
         let held = done || self.fresh_at.is_some_and(|at| now < at + live.plan.lease.as_millis() as Ms);
         let place = || share::place(&live.plan.service, &live.name, member);
         let new = held && !live.stopped && live.share > 0.0 && place() < live.share;
-        Some(Choice { plan, number: live.number, side: if new { Side::New } else { Side::Old } })
+        Some(VariantChoice { plan, number: live.number, side: if new { Variant::New } else { Variant::Old } })
     }
 
     /// Whether the plan's versions are to be counted.
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -1,8 +1,8 @@
 //! These bytes are read by builds of other versions: edges tell reports to the centres, and centres store plans and
 //! hand them out. A change here breaks rolling upgrades or stored data.
-use coppersail_rollout::ledger::{Counts, Row};
-use coppersail_rollout::pace::Order;
-use coppersail_rollout::{Kind, Ledger, Phase, Report, Side, Stand};
+use coppersail_rollout::ledger::{Counts, EvidenceRow};
+use coppersail_rollout::pace::RolloutCommand;
+use coppersail_rollout::{EvidenceRecorder, EvidenceReport, OutcomeKind, Phase, RolloutState, Variant};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -12,7 +12,7 @@
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-fn report() -> Report {
+fn report() -> EvidenceReport {
     let new = Counts {
         all: [9, 1, 2, 3, 4, 5, 6, 7],
         lost_at: vec![("10.0.0.1:80".into(), 4)],
@@ -20,8 +20,16 @@
         times: vec![(12, 3), (40, 1)],
     };
     let old = Counts { all: [1, 1, 0, 0, 0, 0, 0, 0], ..Counts::default() };
-    let row = Row { plan: "friday".into(), number: 7, span: 30, route: "search".into(), count: 11, new, old };
-    Report { edge: "10.0.9.9".into(), life: 5, area: "north".into(), rows: vec![row] }
+    let row = EvidenceRow {
+        plan: "friday".into(),
+        number: 7,
+        span: 30,
+        route: "search".into(),
+        count: 11,
+        new,
+        old,
+    };
+    EvidenceReport { edge: "10.0.9.9".into(), life: 5, area: "north".into(), rows: vec![row] }
 }
 
 #[test]
@@ -32,31 +40,31 @@
         r#""old":{"n":[1,1,0,0,0,0,0,0]}}]}"#,
     );
     assert_text(report(), text);
-    assert_text(Report::default(), r#"{"edge":"","life":0,"area":"","rows":[]}"#);
+    assert_text(EvidenceReport::default(), r#"{"edge":"","life":0,"area":"","rows":[]}"#);
 }
 
 #[test]
 fn each_kind_of_outcome_keeps_its_place_and_each_version_its_name_in_a_row() {
     let table = [
-        (Kind::Offered, "[1,0,0,0,0,0,0,0]", ""),
-        (Kind::Good, "[0,1,0,0,0,0,0,0]", ""),
-        (Kind::Late, "[0,0,1,0,0,0,0,0]", r#","s":[["h",1]]"#),
-        (Kind::Failed, "[0,0,0,1,0,0,0,0]", r#","s":[["h",1]]"#),
-        (Kind::Lost, "[0,0,0,0,1,0,0,0]", r#","l":[["h",1]]"#),
-        (Kind::Doubled, "[0,0,0,0,0,1,0,0]", ""),
-        (Kind::Foreign, "[0,0,0,0,0,0,1,0]", r#","l":[["h",1]]"#),
-        (Kind::Aside, "[0,0,0,0,0,0,0,1]", ""),
+        (OutcomeKind::Offered, "[1,0,0,0,0,0,0,0]", ""),
+        (OutcomeKind::Good, "[0,1,0,0,0,0,0,0]", ""),
+        (OutcomeKind::Late, "[0,0,1,0,0,0,0,0]", r#","s":[["h",1]]"#),
+        (OutcomeKind::Failed, "[0,0,0,1,0,0,0,0]", r#","s":[["h",1]]"#),
+        (OutcomeKind::Lost, "[0,0,0,0,1,0,0,0]", r#","l":[["h",1]]"#),
+        (OutcomeKind::Doubled, "[0,0,0,0,0,1,0,0]", ""),
+        (OutcomeKind::Foreign, "[0,0,0,0,0,0,1,0]", r#","l":[["h",1]]"#),
+        (OutcomeKind::Aside, "[0,0,0,0,0,0,0,1]", ""),
     ];
     let zero = r#"{"n":[0,0,0,0,0,0,0,0]}"#;
     for (kind, counts, lists) in table {
-        for side in [Side::New, Side::Old] {
-            let mut ledger = Ledger::new("e", 1, "a");
+        for side in [Variant::New, Variant::Old] {
+            let mut ledger = EvidenceRecorder::new("e", 1, "a");
             ledger.note(2000, "p", 3, "r", side, kind, Some(8), Some("h"));
             // Slow hosts are told of the new version only.
-            let lists = if side == Side::Old && lists.contains("\"s\"") { "" } else { lists };
+            let lists = if side == Variant::Old && lists.contains("\"s\"") { "" } else { lists };
             let counted = format!(r#"{{"n":{counts}{lists},"t":[[8,1]]}}"#);
             let (new, old) =
-                if side == Side::New { (counted.as_str(), zero) } else { (zero, counted.as_str()) };
+                if side == Variant::New { (counted.as_str(), zero) } else { (zero, counted.as_str()) };
             let row = format!(r#"{{"p":"p","v":3,"b":1,"r":"r","c":1,"new":{new},"old":{old}}}"#);
             let report = ledger.report(4000, 10_000).unwrap();
             assert_text(report, &format!(r#"{{"edge":"e","life":1,"area":"a","rows":[{row}]}}"#));
@@ -76,7 +84,7 @@
     for (phase, word) in table {
         assert_text(phase, word);
         let (name, why, body) = ("friday".into(), "by hand".into(), "{\"service\": 1}".into());
-        let stand = Stand { name, number: 4, phase, step: 2, run: 3, ran: 9000, why, body };
+        let stand = RolloutState { name, number: 4, phase, step: 2, run: 3, ran: 9000, why, body };
         let text = concat!(
             r#"{"name":"friday","number":4,"phase":PHASE,"step":2,"run":3,"ran":9000,"why":"by hand","#,
             r#""body":"{\"service\": 1}"}"#,
@@ -93,7 +101,7 @@
         r#" "bounds": {"late": 0.03, "lost": 0.002, "doubled": 1}, "error": 0.02, "pause": "freeze","#,
         r#" "lease": "3s", "ends": "60s"}"#,
     );
-    let stand = Stand::submit("friday", body, None).unwrap();
+    let stand = RolloutState::submit("friday", body, None).unwrap();
     let text = concat!(
         r#"{"name":"friday","number":1,"phase":"running","step":0,"run":1,"ran":0,"why":"submitted","#,
         r#""body":BODY}"#,
@@ -109,13 +117,13 @@
 #[test]
 fn each_order_keeps_its_word() {
     let table = [
-        ("pause", Order::Pause),
-        ("resume", Order::Resume),
-        ("pass", Order::Pass),
-        ("undo", Order::Undo),
-        ("end", Order::End),
+        ("pause", RolloutCommand::Pause),
+        ("resume", RolloutCommand::Resume),
+        ("pass", RolloutCommand::Pass),
+        ("undo", RolloutCommand::Undo),
+        ("end", RolloutCommand::End),
     ];
-    table.iter().for_each(|(word, order)| assert_eq!(Order::named(word), Some(*order)));
+    table.iter().for_each(|(word, order)| assert_eq!(RolloutCommand::named(word), Some(*order)));
 }
 
 #[test]
--- a/crates/data-plane/session-affinity/examples/night.rs
+++ b/crates/data-plane/session-affinity/examples/night.rs
@@ -2,7 +2,10 @@
 //! and connections reset. The ledger of the stand-in host is the judge.
 //!
 //! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` plays them all and writes its tables there.
-use coppersail_session_affinity::{Answer, Ask, Id, Msg, Out, Outcome, Place, Reply, Rosters, Site, Terms};
+use coppersail_session_affinity::{
+    AffinityNode, AffinitySettings, Decision, IdempotentRequest, Message, NodeId, Outcome, Output, PeerSets,
+    RecordedResponse, SessionId,
+};
 use plotters::prelude::*;
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
@@ -42,25 +45,25 @@
 enum Event {
     Begin(usize),
     /// A request arrives at a site.
-    Arrive(usize, u64, Place),
-    Mail(Place, Place, Wire),
-    HostEnds(Place, u32, u64, Outcome, bool),
+    Arrive(usize, u64, NodeId),
+    Mail(NodeId, NodeId, Wire),
+    HostEnds(NodeId, u32, u64, Outcome, bool),
     Answered(usize, u64, Got),
     Patience(usize, u64),
-    Tick(Place),
-    Kill(Place),
-    Start(Place),
+    Tick(NodeId),
+    Kill(NodeId),
+    Start(NodeId),
     Cut(u16),
     Join,
 }
 
 #[derive(Debug, Clone)]
 enum Wire {
-    Ours(Msg),
+    Ours(Message),
     /// Of the ways that ours is compared with: a request passed on, its answer, a copy and its receipt.
     PassOn(u64),
     Back(u64, Got),
-    Copy(u64, Id, String, Option<bool>),
+    Copy(u64, SessionId, String, Option<bool>),
     Copied(u64),
 }
 
@@ -78,25 +81,25 @@
 struct Request {
     client: usize,
     kind: Kind,
-    id: Id,
+    id: SessionId,
     born: u64,
     key: String,
     crossing: bool,
     arrived: Us,
     host_took: Us,
     /// Who passed it on, if the site did not get it from the client.
-    via: Option<Place>,
+    via: Option<NodeId>,
     copies: u32,
     sent: bool,
     ended: Option<Got>,
 }
 
 struct Client {
-    id: Id,
+    id: SessionId,
     born: u64,
-    home: Place,
-    at: Place,
-    last: Option<Place>,
+    home: NodeId,
+    at: NodeId,
+    last: Option<NodeId>,
     steps: u32,
     tries: u32,
     doubt: bool,
@@ -126,16 +129,16 @@
     count: u64,
     queue: BinaryHeap<Reverse<(Us, u64)>>,
     events: FxHashMap<u64, Event>,
-    terms: Terms,
-    rosters: Rosters,
-    sites: Vec<Option<Site>>,
+    terms: AffinitySettings,
+    rosters: PeerSets,
+    sites: Vec<Option<AffinityNode>>,
     starts: Vec<u32>,
     offset: Vec<u64>,
     cut: Option<u16>,
     clients: Vec<Client>,
     requests: FxHashMap<u64, Request>,
     /// What the compared ways keep at a site: none while it is under way, then whether it is known to have run.
-    table: Vec<FxHashMap<(Id, String), Option<bool>>>,
+    table: Vec<FxHashMap<(SessionId, String), Option<bool>>>,
     ledger: FxHashMap<(usize, String), u32>,
     told: FxHashMap<(usize, String), &'static str>,
     tally: Tally,
@@ -144,9 +147,10 @@
 impl Night {
     fn new(way: Way, seed: u64, trouble: bool) -> Night {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let terms = Terms { sessions: 2_000, ..Terms::default() };
-        let rosters = Rosters([(1, (0..SITES).map(|n| (n, format!("10.0.0.{n}:7001"))).collect())].into());
-        let sites = (0..SITES).map(|place| Some(Site::new(place, &terms, u64::from(place) + 1, 0))).collect();
+        let terms = AffinitySettings { sessions: 2_000, ..AffinitySettings::default() };
+        let rosters = PeerSets([(1, (0..SITES).map(|n| (n, format!("10.0.0.{n}:7001"))).collect())].into());
+        let sites =
+            (0..SITES).map(|place| Some(AffinityNode::new(place, &terms, u64::from(place) + 1, 0))).collect();
         let mut night = Night {
             way,
             trouble,
@@ -170,7 +174,7 @@
         };
         for client in 0..CLIENTS {
             let at = night.rng.u16(0..SITES);
-            let id = Id([seed, client as u64]);
+            let id = SessionId([seed, client as u64]);
             let begin = night.rng.u64(0..NIGHT / 2);
             let born = EVENING + begin / MS;
             night.clients.push(Client {
@@ -222,7 +226,7 @@
         self.at(self.now + time, event);
     }
 
-    fn clock(&self, place: Place) -> u64 {
+    fn clock(&self, place: NodeId) -> u64 {
         EVENING + self.now / MS + self.offset[place as usize]
     }
 
@@ -268,19 +272,20 @@
         }
     }
 
-    fn zone(place: Place) -> u16 {
+    fn zone(place: NodeId) -> u16 {
         place % ZONES
     }
 
-    fn reach(&self, a: Place, b: Place) -> bool {
+    fn reach(&self, a: NodeId, b: NodeId) -> bool {
         self.cut.is_none_or(|zone| (Self::zone(a) == zone) == (Self::zone(b) == zone))
     }
 
-    fn mail(&mut self, from: Place, to: Place, wire: Wire) {
+    fn mail(&mut self, from: NodeId, to: NodeId, wire: Wire) {
         let crossing = match &wire {
-            Wire::Ours(msg) => {
-                !matches!(msg, Msg::Write { .. } | Msg::Kept { .. } | Msg::Told { .. } | Msg::Noted { .. })
-            }
+            Wire::Ours(msg) => !matches!(
+                msg,
+                Message::Write { .. } | Message::Kept { .. } | Message::Told { .. } | Message::Noted { .. }
+            ),
             Wire::PassOn(_) | Wire::Back(..) => true,
             Wire::Copy(..) | Wire::Copied(_) => false,
         };
@@ -300,22 +305,22 @@
         self.after(way + spread, Event::Mail(from, to, wire));
     }
 
-    fn post(&mut self, place: Place, outs: Vec<Out>) {
+    fn post(&mut self, place: NodeId, outs: Vec<Output>) {
         for out in outs {
             match out {
-                Out::Send { to, msg } => self.mail(place, to, Wire::Ours(msg)),
-                Out::Run { ticket } => self.send(place, ticket),
-                Out::Done { ticket } => {
+                Output::Send { to, msg } => self.mail(place, to, Wire::Ours(msg)),
+                Output::Run { ticket } => self.send(place, ticket),
+                Output::Done { ticket } => {
                     let ended = self.requests.get(&ticket).and_then(|request| request.ended.clone());
                     self.answer(place, ticket, ended.unwrap_or(Got::Unknown));
                 }
-                Out::Answer { ticket, reply } => {
+                Output::Answer { ticket, reply } => {
                     let got = match reply {
-                        Reply::Kept(_) | Reply::Past => Got::Repeat,
-                        Reply::UnderWay => Got::UnderWay,
-                        Reply::Unknown => Got::Unknown,
-                        Reply::Forgotten => Got::Forgotten,
-                        Reply::NotNow | Reply::Spent | Reply::Other => Got::NotNow,
+                        Decision::Kept(_) | Decision::Past => Got::Repeat,
+                        Decision::UnderWay => Got::UnderWay,
+                        Decision::Unknown => Got::Unknown,
+                        Decision::Forgotten => Got::Forgotten,
+                        Decision::NotNow | Decision::Spent | Decision::Other => Got::NotNow,
                     };
                     self.answer(place, ticket, got);
                 }
@@ -323,7 +328,7 @@
         }
     }
 
-    fn with(&mut self, place: Place, act: impl FnOnce(&mut Site, u64) -> Vec<Out>) {
+    fn with(&mut self, place: NodeId, act: impl FnOnce(&mut AffinityNode, u64) -> Vec<Output>) {
         let clock = self.clock(place);
         if let Some(site) = &mut self.sites[place as usize] {
             let outs = act(site, clock);
@@ -332,14 +337,14 @@
     }
 
     /// To the stand-in host, with whatever befalls it there.
-    fn send(&mut self, place: Place, ticket: u64) {
+    fn send(&mut self, place: NodeId, ticket: u64) {
         let Some(request) = self.requests.get_mut(&ticket) else { return };
         let took = match request.kind {
             Kind::Lookup => self.rng.u64(5 * MS..40 * MS),
             Kind::Confirm => self.rng.u64(10 * MS..120 * MS),
         };
         request.host_took = took;
-        let answer = Answer { status: 201, headers: vec![], body: vec![b'x'; 200] };
+        let answer = RecordedResponse { status: 201, headers: vec![], body: vec![b'x'; 200] };
         let dice = if self.trouble { self.rng.u32(0..100) } else { 99 };
         let (took, outcome, runs) = match dice {
             0 | 1 => (MS, Outcome::NotRun, false),
@@ -355,7 +360,7 @@
         self.after(took, Event::HostEnds(place, start, ticket, outcome, runs));
     }
 
-    fn host_ends(&mut self, place: Place, start: u32, ticket: u64, outcome: Outcome, mut runs: bool) {
+    fn host_ends(&mut self, place: NodeId, start: u32, ticket: u64, outcome: Outcome, mut runs: bool) {
         let alive = self.sites[place as usize].is_some() && self.starts[place as usize] == start;
         if !alive {
             // Its connection broke off: some hosts drop such a request, some don't.
@@ -406,7 +411,7 @@
         }
     }
 
-    fn answer(&mut self, place: Place, ticket: u64, got: Got) {
+    fn answer(&mut self, place: NodeId, ticket: u64, got: Got) {
         let Some(request) = self.requests.get(&ticket) else { return };
         if let Some(via) = request.via.filter(|via| *via != place) {
             return self.mail(place, via, Wire::Back(ticket, got));
@@ -460,7 +465,7 @@
                 if self.sites[place as usize].is_none() {
                     let floor = self.terms.floor(self.clock(place));
                     let start = self.now + u64::from(SITES);
-                    self.sites[place as usize] = Some(Site::new(place, &self.terms, start, floor));
+                    self.sites[place as usize] = Some(AffinityNode::new(place, &self.terms, start, floor));
                 }
             }
             Event::Cut(zone) => self.cut = Some(zone),
@@ -524,7 +529,7 @@
             Got::Forgotten => {
                 let now = EVENING + self.now / MS;
                 let one = &mut self.clients[client];
-                (one.id, one.born) = (Id([one.id.0[0], one.id.0[1] + CLIENTS as u64]), now);
+                (one.id, one.born) = (SessionId([one.id.0[0], one.id.0[1] + CLIENTS as u64]), now);
                 let told = if one.doubt { "unknown" } else { "not run" };
                 *self.tally.outcomes.entry("session lost").or_default() += 1;
                 self.end(client, told);
@@ -532,7 +537,7 @@
         }
     }
 
-    fn arrive(&mut self, client: usize, ticket: u64, place: Place) {
+    fn arrive(&mut self, client: usize, ticket: u64, place: NodeId) {
         if self.sites[place as usize].is_none() {
             // Refused at once: another site is tried.
             if self.clients[client].current == ticket {
@@ -572,7 +577,7 @@
         }
     }
 
-    fn ours(&mut self, ticket: u64, place: Place) {
+    fn ours(&mut self, ticket: u64, place: NodeId) {
         let request = &self.requests[&ticket];
         let (id, born, kind) = (request.id, request.born, request.kind);
         let (key, print) = (request.key.clone(), 1);
@@ -582,11 +587,13 @@
             return self.send(place, ticket);
         }
         let until = self.clock(place) + 3_000;
-        self.with(place, |site, now| site.ask(now, Ask { ticket, id, born, seats, key, print, until }));
+        self.with(place, |site, now| {
+            site.ask(now, IdempotentRequest { ticket, id, born, seats, key, print, until })
+        });
     }
 
     /// The ways that ours is compared with, as plainly as they can be.
-    fn theirs(&mut self, ticket: u64, place: Place) {
+    fn theirs(&mut self, ticket: u64, place: NodeId) {
         let request = &self.requests[&ticket];
         let (id, key, kind) = (request.id, request.key.clone(), request.kind);
         if kind == Kind::Lookup {
@@ -608,7 +615,7 @@
     }
 
     /// What has waited for others for too long goes ahead without them.
-    fn overdue(&mut self, place: Place) {
+    fn overdue(&mut self, place: NodeId) {
         let wait = self.terms.wait * MS;
         let late = |request: &Request| !request.sent && self.now > request.arrived + wait;
         let mut late: Vec<u64> = self.requests.iter().filter(|(_, r)| late(r)).map(|(t, _)| *t).collect();
@@ -636,7 +643,7 @@
         }
     }
 
-    fn wire(&mut self, from: Place, to: Place, wire: Wire) {
+    fn wire(&mut self, from: NodeId, to: NodeId, wire: Wire) {
         match wire {
             Wire::Ours(msg) => self.with(to, |site, now| site.hear(now, from, msg)),
             Wire::PassOn(ticket) => {
--- a/crates/data-plane/session-affinity/src/desk.rs
+++ b/crates/data-plane/session-affinity/src/desk.rs
@@ -1,16 +1,19 @@
 //! A site as the owner of sessions: claims, sendings, answers.
-use crate::site::{Out, Terms};
-use crate::{Answer, Attempt, Entry, Fault, Fence, Id, Ms, Msg, Outcome, Place, Record, Step, Ticket};
+use crate::site::{AffinitySettings, Output};
+use crate::{
+    AttemptId, EntryState, Fault, FencingToken, IdempotencyEntry, Message, Ms, NodeId, Outcome,
+    RecordedResponse, RequestId, SessionId, SessionRecord,
+};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A confirmation or deposit.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Ask {
-    pub ticket: Ticket,
-    pub id: Id,
+pub struct IdempotentRequest {
+    pub ticket: RequestId,
+    pub id: SessionId,
     pub born: Ms,
-    pub seats: Vec<Place>,
+    pub seats: Vec<NodeId>,
     pub key: String,
     pub print: u64,
     /// When its time is up, and with it the time to tell how it ended.
@@ -19,9 +22,9 @@
 
 /// What a confirmation gets that is not sent to a host now.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Reply {
+pub enum Decision {
     /// The answer of the first.
-    Kept(Answer),
+    Kept(RecordedResponse),
     /// It ran; its answer is no longer kept.
     Past,
     /// It is under way, here or at the site before.
@@ -40,7 +43,7 @@
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Counts {
+pub struct Counters {
     pub claims: u64,
     /// Claims that took a session over from another site.
     pub crossings: u64,
@@ -64,47 +67,53 @@
 
 /// A session as people see it: no token, no key, no body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct SessionView {
     pub id: String,
     pub owner: bool,
-    pub fence: Fence,
+    pub fence: FencingToken,
     pub hosts: Vec<(String, String)>,
     /// A print of each key, how it stands, and for how long.
     pub confirmations: Vec<(String, String, Ms)>,
 }
 
-impl Shown {
-    pub(crate) fn of(id: Id, owner: bool, fence: Fence, record: &Record, now: Ms) -> Shown {
-        let one = |entry: &Entry| {
-            let stands = match &entry.step {
-                Step::Open { until } if now < *until => "under way".into(),
-                Step::Open { .. } | Step::Unknown => "unknown".into(),
-                Step::NotRun => "not run".into(),
-                Step::Past => "ran, answer dropped".into(),
-                Step::Ran(answer) => format!("ran, {}", answer.status),
+impl SessionView {
+    pub(crate) fn of(
+        id: SessionId,
+        owner: bool,
+        fence: FencingToken,
+        record: &SessionRecord,
+        now: Ms,
+    ) -> SessionView {
+        let one = |entry: &IdempotencyEntry| {
+            let stands = match &entry.state {
+                EntryState::Open { until } if now < *until => "under way".into(),
+                EntryState::Open { .. } | EntryState::Unknown => "unknown".into(),
+                EntryState::NotRun => "not run".into(),
+                EntryState::Past => "ran, answer dropped".into(),
+                EntryState::Ran(answer) => format!("ran, {}", answer.status),
             };
             (
-                format!("{:016x}", crate::token::print(&[entry.key.as_bytes()])),
+                format!("{:016x}", crate::token::fingerprint(&[entry.key.as_bytes()])),
                 stands,
                 now.saturating_sub(entry.at),
             )
         };
         let confirmations = record.entries.iter().map(one).collect();
-        Shown { id: id.to_string(), owner, fence, hosts: record.hosts.clone(), confirmations }
+        SessionView { id: id.to_string(), owner, fence, hosts: record.hosts.clone(), confirmations }
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Sending {
-    ticket: Ticket,
+    ticket: RequestId,
     key: String,
     print: u64,
-    attempt: Attempt,
+    attempt: AttemptId,
     /// When the wait ends that is under way.
     wait: Ms,
     until: Ms,
     /// Seats that have the last word on it.
-    at: Vec<Place>,
+    at: Vec<NodeId>,
     phase: Phase,
 }
 
@@ -120,23 +129,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Mine {
     born: Ms,
-    seats: Vec<Place>,
-    fence: Fence,
+    seats: Vec<NodeId>,
+    fence: FencingToken,
     /// Seats that promised this fence, and in which life.
-    promised: Vec<(Place, u64)>,
+    promised: Vec<(NodeId, u64)>,
     /// Seats that told that they are blank, when (in rounds), and in which life.
-    blank: Vec<(Place, u64)>,
+    blank: Vec<(NodeId, u64)>,
     round: u32,
     /// Seats that promised in this round.
-    fresh: Vec<Place>,
-    refused: Vec<Place>,
+    fresh: Vec<NodeId>,
+    refused: Vec<NodeId>,
     owned: bool,
     /// Claimed by another since: only what is under way keeps it here.
     gone: bool,
     seq: u32,
     tries: u32,
-    record: Record,
-    waiting: Vec<(Ask, Ms)>,
+    record: SessionRecord,
+    waiting: Vec<(IdempotentRequest, Ms)>,
     sendings: Vec<Sending>,
     used: u64,
 }
@@ -152,26 +161,26 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Desk {
-    pub me: Place,
-    mine: BTreeMap<Id, Mine>,
-    tickets: BTreeMap<Ticket, Id>,
+pub(crate) struct SessionOwner {
+    pub me: NodeId,
+    mine: BTreeMap<SessionId, Mine>,
+    tickets: BTreeMap<RequestId, SessionId>,
     /// By last use.
-    order: BTreeSet<(u64, Id)>,
+    order: BTreeSet<(u64, SessionId)>,
     uses: u64,
     /// Those for which something is waited for.
-    busy: BTreeSet<Id>,
+    busy: BTreeSet<SessionId>,
     /// Sessions that were let go, and when.
-    left: BTreeMap<Id, Ms>,
+    left: BTreeMap<SessionId, Ms>,
     start: u64,
     /// The highest number that this start has claimed under: no fence is used twice.
     last: u64,
-    pub counts: Counts,
+    pub counts: Counters,
 }
 
-impl Desk {
-    pub fn new(me: Place, start: u64) -> Desk {
-        Desk {
+impl SessionOwner {
+    pub fn new(me: NodeId, start: u64) -> SessionOwner {
+        SessionOwner {
             me,
             mine: BTreeMap::new(),
             tickets: BTreeMap::new(),
@@ -181,50 +190,52 @@
             left: BTreeMap::new(),
             start,
             last: 0,
-            counts: Counts::default(),
+            counts: Counters::default(),
         }
     }
 
-    pub fn ids(&self) -> impl Iterator<Item = Id> + '_ {
+    pub fn ids(&self) -> impl Iterator<Item = SessionId> + '_ {
         self.mine.keys().copied()
     }
 
-    pub fn owns(&self, id: Id) -> bool {
+    pub fn owns(&self, id: SessionId) -> bool {
         self.mine.get(&id).is_some_and(|mine| mine.owned && !mine.gone)
     }
 
-    pub fn host(&self, id: Id, service: &str) -> Option<&str> {
+    pub fn host(&self, id: SessionId, service: &str) -> Option<&str> {
         let record = &self.mine.get(&id)?.record;
         record.hosts.iter().find(|(name, _)| name == service).map(|(_, host)| host.as_str())
     }
 
-    pub fn show(&self, now: Ms, id: Id) -> Option<Shown> {
+    pub fn show(&self, now: Ms, id: SessionId) -> Option<SessionView> {
         let mine = self.mine.get(&id).filter(|mine| mine.owned)?;
-        Some(Shown::of(id, !mine.gone, mine.fence, &mine.record, now))
+        Some(SessionView::of(id, !mine.gone, mine.fence, &mine.record, now))
     }
 
     /// Whether this can never change anything any more.
     #[cfg(test)]
-    pub fn dead(&self, msg: &Msg) -> bool {
-        let at = |id: &Id, fence: &Fence| self.mine.get(id).is_some_and(|m| m.fence == *fence && !m.gone);
+    pub fn dead(&self, msg: &Message) -> bool {
+        let at = |id: &SessionId, fence: &FencingToken| {
+            self.mine.get(id).is_some_and(|m| m.fence == *fence && !m.gone)
+        };
         match msg {
-            Msg::Promised { id, fence, .. }
-            | Msg::Blank { id, fence, .. }
-            | Msg::Outranked { id, fence, .. }
-            | Msg::Full { id, fence } => !at(id, fence),
-            Msg::Kept { id, fence, attempt } => {
+            Message::Promised { id, fence, .. }
+            | Message::Blank { id, fence, .. }
+            | Message::Outranked { id, fence, .. }
+            | Message::Full { id, fence } => !at(id, fence),
+            Message::Kept { id, fence, attempt } => {
                 let waits = |s: &Sending| s.attempt == *attempt && s.phase == Phase::Entering;
                 !at(id, fence) || !self.mine[id].sendings.iter().any(waits)
             }
-            Msg::LetGo { id, fence } => self.mine.get(id).is_none_or(|mine| mine.fence >= *fence),
-            Msg::News { id, entry } => self.mine.get(id).is_none_or(|mine| mine.record.knows(entry)),
+            Message::LetGo { id, fence } => self.mine.get(id).is_none_or(|mine| mine.fence >= *fence),
+            Message::News { id, entry } => self.mine.get(id).is_none_or(|mine| mine.record.knows(entry)),
             _ => false,
         }
     }
 
     /// Whether what a seat would say to this no longer matters here.
     #[cfg(test)]
-    pub fn past(&self, id: &Id, fence: &Fence) -> bool {
+    pub fn past(&self, id: &SessionId, fence: &FencingToken) -> bool {
         self.mine.get(id).is_none_or(|mine| mine.fence != *fence || mine.gone)
     }
 
@@ -235,10 +246,10 @@
             self.order.insert((rank as u64, id));
             self.mine.get_mut(&id).expect("ordered").used = rank as u64;
         }
-        (self.uses, self.counts) = (self.order.len() as u64, Counts::default());
+        (self.uses, self.counts) = (self.order.len() as u64, Counters::default());
     }
 
-    fn remove(&mut self, id: Id) {
+    fn remove(&mut self, id: SessionId) {
         if let Some(mine) = self.mine.remove(&id) {
             self.order.remove(&(mine.used, id));
         }
@@ -246,7 +257,14 @@
     }
 
     /// Begins a claim where none is under way and the session is not owned.
-    fn begin(&mut self, terms: &Terms, now: Ms, id: Id, born: Ms, seats: &[Place]) -> Vec<Out> {
+    fn begin(
+        &mut self,
+        terms: &AffinitySettings,
+        now: Ms,
+        id: SessionId,
+        born: Ms,
+        seats: &[NodeId],
+    ) -> Vec<Output> {
         self.uses += 1;
         if let Some(mine) = self.mine.get_mut(&id) {
             self.order.remove(&(mine.used, id));
@@ -260,7 +278,7 @@
         }
         if self.mine.len() >= terms.sessions {
             // What an owner has of an idle session, the seats have too.
-            let idle = |(_, id): &&(u64, Id)| !self.busy.contains(id);
+            let idle = |(_, id): &&(u64, SessionId)| !self.busy.contains(id);
             if let Some(&(_, id)) = self.order.iter().find(idle) {
                 self.remove(id);
             }
@@ -268,7 +286,7 @@
         let mine = Mine {
             born,
             seats: seats.to_vec(),
-            fence: Fence::default(),
+            fence: FencingToken::default(),
             promised: vec![],
             blank: vec![],
             round: 0,
@@ -278,7 +296,7 @@
             gone: false,
             seq: 0,
             tries: 0,
-            record: Record::default(),
+            record: SessionRecord::default(),
             waiting: vec![],
             sendings: vec![],
             used: self.uses,
@@ -289,11 +307,11 @@
     }
 
     /// Under a fence with that number or a higher one.
-    fn claim(&mut self, id: Id, n: u64) -> Vec<Out> {
+    fn claim(&mut self, id: SessionId, n: u64) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         self.counts.claims += 1;
         self.last = n.max(self.last + 1);
-        let fence = Fence { n: self.last, by: self.me, start: self.start };
+        let fence = FencingToken { number: self.last, node: self.me, start: self.start };
         (mine.fence, mine.owned, mine.gone) = (fence, false, false);
         mine.seq = 0;
         mine.promised.clear();
@@ -303,15 +321,22 @@
     }
 
     /// Asks all seats (again): what they promise from here on, they have promised after all that was heard.
-    fn call(&mut self, id: Id) -> Vec<Out> {
+    fn call(&mut self, id: SessionId) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         mine.round += 1;
         mine.fresh.clear();
-        let msg = Msg::Claim { id, born: mine.born, fence: mine.fence, round: mine.round };
-        mine.seats.iter().map(|&to| Out::Send { to, msg: msg.clone() }).collect()
+        let msg = Message::Claim { id, born: mine.born, fence: mine.fence, round: mine.round };
+        mine.seats.iter().map(|&to| Output::Send { to, msg: msg.clone() }).collect()
     }
 
-    pub fn visit(&mut self, terms: &Terms, now: Ms, id: Id, born: Ms, seats: &[Place]) -> Vec<Out> {
+    pub fn visit(
+        &mut self,
+        terms: &AffinitySettings,
+        now: Ms,
+        id: SessionId,
+        born: Ms,
+        seats: &[NodeId],
+    ) -> Vec<Output> {
         let back = self.left.get(&id).is_some_and(|at| now < at + terms.rest);
         if back && !self.mine.contains_key(&id) {
             return vec![];
@@ -319,7 +344,7 @@
         self.begin(terms, now, id, born, seats)
     }
 
-    pub fn ask(&mut self, terms: &Terms, now: Ms, ask: Ask) -> Vec<Out> {
+    pub fn ask(&mut self, terms: &AffinitySettings, now: Ms, ask: IdempotentRequest) -> Vec<Output> {
         let (id, wait) = (ask.id, (now + terms.wait).min(ask.until));
         let mut out = self.begin(terms, now, id, ask.born, &ask.seats);
         self.busy.insert(id);
@@ -335,52 +360,52 @@
         out
     }
 
-    fn answer(&mut self, ticket: Ticket, reply: Reply) -> Out {
+    fn answer(&mut self, ticket: RequestId, reply: Decision) -> Output {
         let count = match reply {
-            Reply::Kept(_) | Reply::Past => &mut self.counts.repeats_answered,
-            Reply::UnderWay => &mut self.counts.under_way,
-            Reply::Unknown => &mut self.counts.unknown,
-            Reply::Other => &mut self.counts.other_body,
-            Reply::NotNow | Reply::Spent => &mut self.counts.refused,
-            Reply::Forgotten => &mut self.counts.forgotten,
+            Decision::Kept(_) | Decision::Past => &mut self.counts.repeats_answered,
+            Decision::UnderWay => &mut self.counts.under_way,
+            Decision::Unknown => &mut self.counts.unknown,
+            Decision::Other => &mut self.counts.other_body,
+            Decision::NotNow | Decision::Spent => &mut self.counts.refused,
+            Decision::Forgotten => &mut self.counts.forgotten,
         };
         *count += 1;
-        Out::Answer { ticket, reply }
+        Output::Answer { ticket, reply }
     }
 
     /// A confirmation of a session that is owned.
-    fn decide(&mut self, terms: &Terms, now: Ms, ask: Ask) -> Vec<Out> {
+    fn decide(&mut self, terms: &AffinitySettings, now: Ms, ask: IdempotentRequest) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&ask.id) else { return vec![] };
         mine.record.age(now, terms.keep);
         let held = mine.record.entry(&ask.key);
         let running = mine.sendings.iter().any(|sending| sending.key == ask.key);
-        let reply = match held.map(|entry| (entry, &entry.step)) {
-            Some((entry, _)) if entry.print != ask.print => Some(Reply::Other),
-            Some((_, Step::Ran(answer))) => Some(Reply::Kept(answer.clone())),
-            Some((_, Step::Past)) => Some(Reply::Past),
-            _ if running => Some(Reply::UnderWay),
-            Some((_, Step::Unknown | Step::Open { .. })) if terms.fault(Fault::SentAgain) => None,
-            Some((_, Step::Unknown)) => Some(Reply::Unknown),
-            Some((_, Step::Open { until })) if now >= *until => Some(Reply::Unknown),
-            Some((_, Step::Open { .. })) => {
+        let reply = match held.map(|entry| (entry, &entry.state)) {
+            Some((entry, _)) if entry.fingerprint != ask.print => Some(Decision::Other),
+            Some((_, EntryState::Ran(answer))) => Some(Decision::Kept(answer.clone())),
+            Some((_, EntryState::Past)) => Some(Decision::Past),
+            _ if running => Some(Decision::UnderWay),
+            Some((_, EntryState::Unknown | EntryState::Open { .. })) if terms.fault(Fault::SentAgain) => None,
+            Some((_, EntryState::Unknown)) => Some(Decision::Unknown),
+            Some((_, EntryState::Open { until })) if now >= *until => Some(Decision::Unknown),
+            Some((_, EntryState::Open { .. })) => {
                 // The site before has it under way; what the seats have heard since helps the next repeat.
                 let mut out = self.call(ask.id);
-                out.push(self.answer(ask.ticket, Reply::UnderWay));
+                out.push(self.answer(ask.ticket, Decision::UnderWay));
                 return out;
             }
-            None if mine.record.entries.len() >= terms.keys => Some(Reply::Spent),
-            Some((_, Step::NotRun)) | None => None,
+            None if mine.record.entries.len() >= terms.keys => Some(Decision::Spent),
+            Some((_, EntryState::NotRun)) | None => None,
         };
         if let Some(reply) = reply {
             return vec![self.answer(ask.ticket, reply)];
         }
         mine.seq += 1;
         let attempt = (mine.fence, mine.seq);
-        let entry = Entry {
+        let entry = IdempotencyEntry {
             key: ask.key.clone(),
-            print: ask.print,
+            fingerprint: ask.print,
             attempt,
-            step: Step::Open { until: ask.until },
+            state: EntryState::Open { until: ask.until },
             at: now,
         };
         mine.record.put(&entry);
@@ -399,17 +424,17 @@
     }
 
     /// To the seats that promised: others may have promised another since.
-    fn write(&self, id: Id, entries: Vec<Entry>) -> Vec<Out> {
+    fn write(&self, id: SessionId, entries: Vec<IdempotencyEntry>) -> Vec<Output> {
         let Some(mine) = self.mine.get(&id) else { return vec![] };
-        let record = Record { hosts: mine.record.hosts.clone(), stamp: mine.record.stamp, entries };
-        let one = |&(to, life): &(Place, u64)| Out::Send {
+        let record = SessionRecord { hosts: mine.record.hosts.clone(), stamp: mine.record.stamp, entries };
+        let one = |&(to, life): &(NodeId, u64)| Output::Send {
             to,
-            msg: Msg::Write { id, fence: mine.fence, life, record: record.clone() },
+            msg: Message::Write { id, fence: mine.fence, life, record: record.clone() },
         };
         mine.promised.iter().map(one).collect()
     }
 
-    pub fn served(&mut self, id: Id, service: &str, host: &str) -> Vec<Out> {
+    pub fn served(&mut self, id: SessionId, service: &str, host: &str) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| !mine.gone) else { return vec![] };
         match mine.record.hosts.iter_mut().find(|(name, _)| name == service) {
             Some((_, had)) if had == host => return vec![],
@@ -421,58 +446,66 @@
 
     /// Tells the seats of the session's hosts. What is learnt during a claim waits for its end, and yields to what
     /// the seats know.
-    fn stamp(&mut self, id: Id) -> Vec<Out> {
+    fn stamp(&mut self, id: SessionId) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| mine.owned) else { return vec![] };
         mine.seq += 1;
         mine.record.stamp = (mine.fence, mine.seq);
         self.write(id, vec![])
     }
 
-    pub fn ran(&mut self, terms: &Terms, now: Ms, ticket: Ticket, outcome: Outcome) -> Vec<Out> {
+    pub fn ran(
+        &mut self,
+        terms: &AffinitySettings,
+        now: Ms,
+        ticket: RequestId,
+        outcome: Outcome,
+    ) -> Vec<Output> {
         let Some(id) = self.tickets.get(&ticket).copied() else { return vec![] };
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         let Some(sending) = mine.sendings.iter_mut().find(|sending| sending.ticket == ticket) else {
             return vec![];
         };
         let step = match outcome {
-            Outcome::Ran(answer) if answer.body.len() > terms.answer => Step::Past,
-            Outcome::Ran(answer) => Step::Ran(answer),
-            Outcome::RanLong => Step::Past,
-            Outcome::NotRun => Step::NotRun,
-            Outcome::Unknown => Step::Unknown,
+            Outcome::Ran(answer) if answer.body.len() > terms.answer => EntryState::Past,
+            Outcome::Ran(answer) => EntryState::Ran(answer),
+            Outcome::RanLong => EntryState::Past,
+            Outcome::NotRun => EntryState::NotRun,
+            Outcome::Unknown => EntryState::Unknown,
         };
         (sending.phase, sending.wait) = (Phase::Telling, now + terms.wait);
         sending.at.clear();
         let (key, print, attempt) = (sending.key.clone(), sending.print, sending.attempt);
-        let entry = Entry { key, print, attempt, step, at: now };
+        let entry = IdempotencyEntry { key, fingerprint: print, attempt, state: step, at: now };
         self.tell(id, entry)
     }
 
     /// A fact, for all seats and whatever they have promised.
-    fn tell(&mut self, id: Id, entry: Entry) -> Vec<Out> {
+    fn tell(&mut self, id: SessionId, entry: IdempotencyEntry) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         mine.record.put(&entry);
-        let msg = Msg::Told { id, entry };
-        mine.seats.iter().map(|&to| Out::Send { to, msg: msg.clone() }).collect()
+        let msg = Message::Told { id, entry };
+        mine.seats.iter().map(|&to| Output::Send { to, msg: msg.clone() }).collect()
     }
 
-    pub fn hear(&mut self, terms: &Terms, now: Ms, from: Place, msg: Msg) -> Vec<Out> {
+    pub fn hear(&mut self, terms: &AffinitySettings, now: Ms, from: NodeId, msg: Message) -> Vec<Output> {
         match msg {
-            Msg::Promised { id, fence, round, life, former, record } => {
+            Message::Promised { id, fence, round, life, former, record } => {
                 self.promised(terms, now, from, (id, fence), (round, life), former, &record)
             }
-            Msg::Blank { id, fence, life } => self.blank(now, from, id, fence, life),
-            Msg::Outranked { id, fence, promised } => self.outranked(terms, now, from, id, fence, promised),
-            Msg::Full { id, fence } => self.outranked(terms, now, from, id, fence, fence),
-            Msg::Kept { id, fence, attempt } => self.kept(terms, now, from, id, fence, attempt),
-            Msg::Noted { id, attempt } => self.noted(from, id, attempt),
-            Msg::News { id, entry } => {
+            Message::Blank { id, fence, life } => self.blank(now, from, id, fence, life),
+            Message::Outranked { id, fence, promised } => {
+                self.outranked(terms, now, from, id, fence, promised)
+            }
+            Message::Full { id, fence } => self.outranked(terms, now, from, id, fence, fence),
+            Message::Kept { id, fence, attempt } => self.kept(terms, now, from, id, fence, attempt),
+            Message::Noted { id, attempt } => self.noted(from, id, attempt),
+            Message::News { id, entry } => {
                 if let Some(mine) = self.mine.get_mut(&id) {
                     mine.record.put(&entry);
                 }
                 vec![]
             }
-            Msg::LetGo { id, fence } => {
+            Message::LetGo { id, fence } => {
                 let after = self.mine.get(&id).is_some_and(|mine| fence > mine.fence);
                 if !after {
                     return vec![];
@@ -486,14 +519,14 @@
     #[allow(clippy::too_many_arguments)]
     fn promised(
         &mut self,
-        terms: &Terms,
+        terms: &AffinitySettings,
         now: Ms,
-        from: Place,
-        (id, fence): (Id, Fence),
+        from: NodeId,
+        (id, fence): (SessionId, FencingToken),
         (round, life): (u32, u64),
-        former: Option<Place>,
-        record: &Record,
-    ) -> Vec<Out> {
+        former: Option<NodeId>,
+        record: &SessionRecord,
+    ) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| mine.fence == fence && !mine.gone) else {
             return vec![];
         };
@@ -512,7 +545,7 @@
         }
         let mut out = vec![];
         if let Some(former) = former {
-            out.push(Out::Send { to: former, msg: Msg::LetGo { id, fence } });
+            out.push(Output::Send { to: former, msg: Message::LetGo { id, fence } });
         }
         if healed {
             self.counts.healed += 1;
@@ -523,7 +556,7 @@
                 self.counts.crossings += 1;
             }
             let waiting = std::mem::take(&mut mine.waiting);
-            if !mine.record.hosts.is_empty() && mine.record.stamp == Attempt::default() {
+            if !mine.record.hosts.is_empty() && mine.record.stamp == AttemptId::default() {
                 out.extend(self.stamp(id));
             }
             for (ask, _) in waiting {
@@ -535,18 +568,18 @@
     }
 
     /// Fills a blank seat once all others have promised this fence after it told that it is blank.
-    fn heal(&mut self, id: Id) -> Vec<Out> {
+    fn heal(&mut self, id: SessionId) -> Vec<Output> {
         let Some(mine) = self.mine.get(&id).filter(|mine| mine.owned && !mine.gone) else { return vec![] };
         let [(blank, life)] = mine.blank[..] else { return vec![] };
         if !mine.seats.iter().filter(|seat| **seat != blank).all(|seat| mine.fresh.contains(seat)) {
             return vec![];
         }
         let record = mine.record.clone();
-        let msg = Msg::Install { id, born: mine.born, fence: mine.fence, life, record };
-        vec![Out::Send { to: blank, msg }]
+        let msg = Message::Install { id, born: mine.born, fence: mine.fence, life, record };
+        vec![Output::Send { to: blank, msg }]
     }
 
-    fn blank(&mut self, now: Ms, from: Place, id: Id, fence: Fence, life: u64) -> Vec<Out> {
+    fn blank(&mut self, now: Ms, from: NodeId, id: SessionId, fence: FencingToken, life: u64) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| mine.fence == fence && !mine.gone) else {
             return vec![];
         };
@@ -555,7 +588,7 @@
         mine.blank.retain(|(place, _)| *place != from);
         mine.blank.push((from, life));
         if mine.seats.len() - mine.blank.len() < mine.majority() {
-            return self.give_up(now, id, Reply::Forgotten);
+            return self.give_up(now, id, Decision::Forgotten);
         }
         if mine.owned && mine.promised.len() < mine.majority() {
             return self.lose(now, id);
@@ -569,13 +602,13 @@
 
     fn outranked(
         &mut self,
-        terms: &Terms,
+        terms: &AffinitySettings,
         now: Ms,
-        from: Place,
-        id: Id,
-        fence: Fence,
-        promised: Fence,
-    ) -> Vec<Out> {
+        from: NodeId,
+        id: SessionId,
+        fence: FencingToken,
+        promised: FencingToken,
+    ) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| mine.fence == fence && !mine.gone) else {
             return vec![];
         };
@@ -591,23 +624,23 @@
         }
         if promised > fence && mine.tries < terms.tries {
             mine.tries += 1;
-            return self.claim(id, now.max(promised.n + 1));
+            return self.claim(id, now.max(promised.number + 1));
         }
         if mine.seats.len() - mine.refused.len() < mine.majority() {
-            return self.give_up(now, id, Reply::NotNow);
+            return self.give_up(now, id, Decision::NotNow);
         }
         vec![]
     }
 
     fn kept(
         &mut self,
-        terms: &Terms,
+        terms: &AffinitySettings,
         now: Ms,
-        from: Place,
-        id: Id,
-        fence: Fence,
-        attempt: Attempt,
-    ) -> Vec<Out> {
+        from: NodeId,
+        id: SessionId,
+        fence: FencingToken,
+        attempt: AttemptId,
+    ) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id).filter(|mine| mine.fence == fence) else { return vec![] };
         let need = if terms.fault(Fault::OneCopy) { 1 } else { mine.majority() };
         let Some(sending) = mine.sendings.iter_mut().find(|sending| sending.attempt == attempt) else {
@@ -624,10 +657,10 @@
         sending.phase = Phase::Running;
         let ticket = sending.ticket;
         self.counts.sent += 1;
-        vec![Out::Run { ticket }]
+        vec![Output::Run { ticket }]
     }
 
-    fn noted(&mut self, from: Place, id: Id, attempt: Attempt) -> Vec<Out> {
+    fn noted(&mut self, from: NodeId, id: SessionId, attempt: AttemptId) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         let need = mine.majority();
         let Some(at) = mine.sendings.iter().position(|sending| sending.attempt == attempt) else {
@@ -644,32 +677,32 @@
         }
     }
 
-    fn done(&mut self, id: Id, at: usize) -> Vec<Out> {
+    fn done(&mut self, id: SessionId, at: usize) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         let ticket = mine.sendings.remove(at).ticket;
         self.tickets.remove(&ticket);
         if mine.gone && mine.idle() {
             self.remove(id);
         }
-        vec![Out::Done { ticket }]
+        vec![Output::Done { ticket }]
     }
 
     /// Another site has it: what waits is refused, what is under way ends here and is told.
-    fn lose(&mut self, now: Ms, id: Id) -> Vec<Out> {
+    fn lose(&mut self, now: Ms, id: SessionId) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         if !std::mem::replace(&mut mine.gone, true) && mine.owned {
             self.counts.let_go += 1;
             self.left.insert(id, now);
         }
-        self.give_up(now, id, Reply::NotNow)
+        self.give_up(now, id, Decision::NotNow)
     }
 
     /// Ends what was not sent.
-    fn give_up(&mut self, now: Ms, id: Id, reply: Reply) -> Vec<Out> {
+    fn give_up(&mut self, now: Ms, id: SessionId, reply: Decision) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         mine.gone = true;
         let waiting = std::mem::take(&mut mine.waiting);
-        let mut out: Vec<Out> =
+        let mut out: Vec<Output> =
             waiting.iter().map(|(ask, _)| self.answer(ask.ticket, reply.clone())).collect();
         out.extend(self.unsent(now, id, Ms::MAX));
         if self.mine.get(&id).is_some_and(Mine::idle) {
@@ -679,35 +712,38 @@
     }
 
     /// Ends sendings that waited for the seats until `now`: never sent, and never to be.
-    fn unsent(&mut self, now: Ms, id: Id, over: Ms) -> Vec<Out> {
+    fn unsent(&mut self, now: Ms, id: SessionId, over: Ms) -> Vec<Output> {
         let Some(mine) = self.mine.get_mut(&id) else { return vec![] };
         let ended = |sending: &Sending| sending.phase == Phase::Entering && sending.wait <= over;
         let (ended, left) = std::mem::take(&mut mine.sendings).into_iter().partition::<Vec<_>, _>(ended);
         mine.sendings = left;
         let mut out = vec![];
         for Sending { ticket, key, print, attempt, .. } in ended {
-            out.extend(self.tell(id, Entry { key, print, attempt, step: Step::NotRun, at: now }));
+            out.extend(self.tell(
+                id,
+                IdempotencyEntry { key, fingerprint: print, attempt, state: EntryState::NotRun, at: now },
+            ));
             self.tickets.remove(&ticket);
-            out.push(self.answer(ticket, Reply::NotNow));
+            out.push(self.answer(ticket, Decision::NotNow));
         }
         out
     }
 
-    pub fn tick(&mut self, terms: &Terms, now: Ms) -> Vec<Out> {
+    pub fn tick(&mut self, terms: &AffinitySettings, now: Ms) -> Vec<Output> {
         let mut out = vec![];
         self.left.retain(|_, at| now < *at + terms.rest);
-        for id in self.busy.iter().copied().collect::<Vec<Id>>() {
+        for id in self.busy.iter().copied().collect::<Vec<SessionId>>() {
             out.extend(self.unsent(now, id, now));
             let Some(mine) = self.mine.get_mut(&id) else { continue };
             let over = |sending: &Sending| sending.phase == Phase::Telling && sending.wait <= now;
-            let told: Vec<Attempt> = mine.sendings.iter().filter(|s| over(s)).map(|s| s.attempt).collect();
+            let told: Vec<AttemptId> = mine.sendings.iter().filter(|s| over(s)).map(|s| s.attempt).collect();
             let (ended, left) = std::mem::take(&mut mine.waiting)
                 .into_iter()
                 .partition::<Vec<_>, _>(|(_, wait)| *wait <= now);
             mine.waiting = left;
             let unowned = !mine.owned && mine.waiting.is_empty() && !ended.is_empty();
             for (ask, _) in ended {
-                out.push(self.answer(ask.ticket, Reply::NotNow));
+                out.push(self.answer(ask.ticket, Decision::NotNow));
             }
             for attempt in told {
                 let at =
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -32,17 +32,20 @@
 mod tests;
 pub mod token;
 
-pub use desk::{Ask, Counts, Reply, Shown};
-pub use record::{Answer, Attempt, Entry, Fence, Id, Msg, Outcome, Record, Step};
-pub use roster::{prefer, Rosters};
-pub use site::{Out, Site, Terms};
+pub use desk::{Counters, Decision, IdempotentRequest, SessionView};
+pub use record::{
+    AttemptId, EntryState, FencingToken, IdempotencyEntry, Message, Outcome, RecordedResponse, SessionId,
+    SessionRecord,
+};
+pub use roster::{preferred_endpoint, PeerSets};
+pub use site::{AffinityNode, AffinitySettings, Output};
 
 /// Milliseconds of the time of day.
 pub type Ms = u64;
 /// A site's number in the operators' file; it is never given to another one.
-pub type Place = u16;
+pub type NodeId = u16;
 /// A request that waits for a decision.
-pub type Ticket = u64;
+pub type RequestId = u64;
 
 /// Faults that the model has to find; outside of its test none is ever in force.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
--- a/crates/data-plane/session-affinity/src/model.rs
+++ b/crates/data-plane/session-affinity/src/model.rs
@@ -1,18 +1,21 @@
 //! Every order of events of a small world: three sites, two sessions, one loss. What sites tell each other arrives in
 //! any order, twice or never.
-use crate::{Answer, Ask, Fault, Id, Msg, Out, Outcome, Place, Reply, Site, Terms, Ticket};
+use crate::{
+    AffinityNode, AffinitySettings, Decision, Fault, IdempotentRequest, Message, NodeId, Outcome, Output,
+    RecordedResponse, RequestId, SessionId,
+};
 use std::collections::{BTreeMap, BTreeSet, HashSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
 
-const SITES: [Place; 3] = [0, 1, 2];
+const SITES: [NodeId; 3] = [0, 1, 2];
 const NOW: u64 = 100;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
 struct Plan {
     /// The site and the session of each confirmation; all of a session go under one key.
-    asks: &'static [(Place, u64)],
+    asks: &'static [(NodeId, u64)],
     /// How many sessions a site holds.
     room: usize,
     losses: u8,
@@ -46,15 +49,15 @@
     }
 }
 
-type Mail = (Place, Place, Msg);
+type Mail = (NodeId, NodeId, Message);
 
 #[derive(Clone, Hash)]
 struct World {
-    sites: [Known<Site>; 3],
+    sites: [Known<AffinityNode>; 3],
     wire: BTreeMap<u64, Known<Mail>>,
     asked: u8,
     /// Sendings at a host: site, ticket.
-    runs: BTreeSet<(Place, Ticket)>,
+    runs: BTreeSet<(NodeId, RequestId)>,
     /// Times that each session's confirmation ran.
     ledger: [u8; 2],
     losses: u8,
@@ -62,8 +65,8 @@
 }
 
 impl World {
-    fn change(&mut self, place: Place, step: impl FnOnce(&mut Site) -> Vec<Out>) -> Vec<Out> {
-        let mut site = Site::clone(&self.sites[place as usize].1);
+    fn change(&mut self, place: NodeId, step: impl FnOnce(&mut AffinityNode) -> Vec<Output>) -> Vec<Output> {
+        let mut site = AffinityNode::clone(&self.sites[place as usize].1);
         let outs = step(&mut site);
         site.plain();
         self.sites[place as usize] = Known::new(site);
@@ -74,19 +77,19 @@
     fn act(
         &mut self,
         plan: &Plan,
-        place: Place,
-        step: impl FnOnce(&mut Site) -> Vec<Out>,
+        place: NodeId,
+        step: impl FnOnce(&mut AffinityNode) -> Vec<Output>,
     ) -> Result<(), String> {
         for out in self.change(place, step) {
             match out {
                 // It only ends a wait of the client's.
-                Out::Send { msg: Msg::Noted { .. }, .. } => {}
-                Out::Send { msg: Msg::LetGo { .. }, .. } if plan.quiet => {}
-                Out::Send { to, msg } => {
+                Output::Send { msg: Message::Noted { .. }, .. } => {}
+                Output::Send { msg: Message::LetGo { .. }, .. } if plan.quiet => {}
+                Output::Send { to, msg } => {
                     let mail = Known::new((place, to, msg));
                     self.wire.insert(mail.0, mail);
                 }
-                Out::Run { ticket } => {
+                Output::Run { ticket } => {
                     let session = plan.asks[ticket as usize].1 as usize;
                     self.runs.insert((place, ticket));
                     self.ledger[session] += 1;
@@ -94,10 +97,10 @@
                         return Err(format!("session {session} ran twice"));
                     }
                 }
-                Out::Done { .. } => {}
-                Out::Answer { ticket, reply } => {
+                Output::Done { .. } => {}
+                Output::Answer { ticket, reply } => {
                     let ran = self.ledger[plan.asks[ticket as usize].1 as usize] == 1;
-                    if matches!(reply, Reply::Kept(_) | Reply::Past) && !ran {
+                    if matches!(reply, Decision::Kept(_) | Decision::Past) && !ran {
                         return Err("an answer was told of what did not run".into());
                     }
                 }
@@ -112,7 +115,7 @@
     }
 
     /// All that may happen next.
-    fn next(&self, plan: &Plan, terms: &Terms) -> Vec<Result<World, String>> {
+    fn next(&self, plan: &Plan, terms: &AffinitySettings) -> Vec<Result<World, String>> {
         let mut next = vec![];
         let mut step = |change: &dyn Fn(&mut World) -> Result<(), String>| {
             let mut world = self.clone();
@@ -124,9 +127,9 @@
             }
             step(&|w| {
                 w.asked |= 1 << ticket;
-                let ask = Ask {
-                    ticket: ticket as Ticket,
-                    id: Id([session, 0]),
+                let ask = IdempotentRequest {
+                    ticket: ticket as RequestId,
+                    id: SessionId([session, 0]),
                     born: session + 1,
                     seats: SITES.to_vec(),
                     key: "k".into(),
@@ -154,7 +157,7 @@
             let outcomes = [
                 Outcome::NotRun,
                 Outcome::Unknown,
-                Outcome::Ran(Answer { status: 200, headers: vec![], body: vec![] }),
+                Outcome::Ran(RecordedResponse { status: 200, headers: vec![], body: vec![] }),
             ];
             for outcome in outcomes.into_iter().take(plan.outcomes.into()) {
                 step(&|w| {
@@ -174,7 +177,7 @@
                     w.runs.retain(|(at, _)| *at != place);
                     let start = u64::from(place) * 1000 + 500;
                     w.act(plan, place, |site| {
-                        *site = Site::new(place, terms, start, terms.floor(NOW));
+                        *site = AffinityNode::new(place, terms, start, terms.floor(NOW));
                         vec![]
                     })
                 });
@@ -186,15 +189,15 @@
 
 /// The number of states, or the first fault and how many were seen until then.
 fn search(plan: Plan) -> Result<usize, (String, usize)> {
-    let terms = Terms {
+    let terms = AffinitySettings {
         sessions: plan.room,
         skew: 0,
         wait: 1_000,
         tries: plan.tries,
         fault: plan.fault,
-        ..Terms::default()
+        ..AffinitySettings::default()
     };
-    let site = |place| Known::new(Site::new(place, &terms, u64::from(place) * 1000, 0));
+    let site = |place| Known::new(AffinityNode::new(place, &terms, u64::from(place) * 1000, 0));
     let first = World {
         sites: SITES.map(site),
         wire: BTreeMap::new(),
@@ -232,7 +235,7 @@
 }
 
 impl Found {
-    fn walk(&self, plan: &Plan, terms: &Terms) {
+    fn walk(&self, plan: &Plan, terms: &AffinitySettings) {
         loop {
             let mut stack = {
                 let (open, working) = &mut *self.open.lock().unwrap();
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -1,44 +1,46 @@
 //! What is kept of a session, and what sites tell each other about it.
-use crate::{Ms, Place};
+use crate::{Ms, NodeId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id(pub [u64; 2]);
+pub struct SessionId(pub [u64; 2]);
 
-impl fmt::Display for Id {
+impl fmt::Display for SessionId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}{:016x}", self.0[0], self.0[1])
     }
 }
 
-impl std::str::FromStr for Id {
+impl std::str::FromStr for SessionId {
     type Err = ();
 
-    fn from_str(text: &str) -> Result<Id, ()> {
+    fn from_str(text: &str) -> Result<SessionId, ()> {
         if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
             return Err(());
         }
         let half = |part: &str| u64::from_str_radix(part, 16).map_err(drop);
-        Ok(Id([half(&text[..16])?, half(&text[16..])?]))
+        Ok(SessionId([half(&text[..16])?, half(&text[16..])?]))
     }
 }
 
 /// No two sites ever claim under the same one, nor two starts of one site.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Fence {
+pub struct FencingToken {
     /// The time of the claim, so that the later one is above the earlier in one round trip; safety needs only that
     /// the highest wins.
-    pub n: u64,
-    pub by: Place,
+    #[serde(rename = "n")]
+    pub number: u64,
+    #[serde(rename = "by")]
+    pub node: NodeId,
     pub start: u64,
 }
 
 /// The fence that a sending was opened under, and its number under that fence: no two sendings are the same.
-pub type Attempt = (Fence, u32);
+pub type AttemptId = (FencingToken, u32);
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Answer {
+pub struct RecordedResponse {
     pub status: u16,
     pub headers: Vec<(String, String)>,
     #[serde(with = "body")]
@@ -63,7 +65,7 @@
 /// How a sending ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
-    Ran(Answer),
+    Ran(RecordedResponse),
     /// It ran, with an answer that is too long to be kept.
     RanLong,
     /// Proven: no host has read it, or each that did has said that it never will run it.
@@ -73,7 +75,7 @@
 
 /// Later ones are known better than earlier ones.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Step {
+pub enum EntryState {
     /// It may be at a host. Whoever opened it tells the outcome before `until`; after that it is unknown.
     Open {
         until: Ms,
@@ -82,48 +84,50 @@
     NotRun,
     /// It ran, and its answer is no longer kept.
     Past,
-    Ran(Answer),
+    Ran(RecordedResponse),
 }
 
 /// A confirmation or deposit.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Entry {
+pub struct IdempotencyEntry {
     pub key: String,
     /// Of the request: another one under the same key is refused.
-    pub print: u64,
-    pub attempt: Attempt,
-    pub step: Step,
+    #[serde(rename = "print")]
+    pub fingerprint: u64,
+    pub attempt: AttemptId,
+    #[serde(rename = "step")]
+    pub state: EntryState,
     /// Since when it stands so, for how long an answer is kept.
     pub at: Ms,
 }
 
-impl Entry {
+impl IdempotencyEntry {
     pub fn open(&self, now: Ms) -> bool {
-        matches!(self.step, Step::Open { until } if now < until)
+        matches!(self.state, EntryState::Open { until } if now < until)
     }
 
     /// What is known better replaces what is known. A later attempt stands above all of an earlier one: it was only
     /// opened because the earlier one was proven not to have run, or never stood at enough seats to be sent.
-    fn better(&self, than: &Entry) -> bool {
-        (self.attempt, &self.step) > (than.attempt, &than.step)
+    fn better(&self, than: &IdempotencyEntry) -> bool {
+        (self.attempt, &self.state) > (than.attempt, &than.state)
     }
 }
 
 /// What is kept of a session. Merging is in any order and any number of times.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Record {
+pub struct SessionRecord {
     /// The host of each service that serves it, as of `stamp`.
     pub hosts: Vec<(String, String)>,
-    pub stamp: Attempt,
-    pub entries: Vec<Entry>,
+    pub stamp: AttemptId,
+    pub entries: Vec<IdempotencyEntry>,
 }
 
-impl Record {
-    pub fn entry(&self, key: &str) -> Option<&Entry> {
+impl SessionRecord {
+    pub fn entry(&self, key: &str) -> Option<&IdempotencyEntry> {
         self.entries.iter().find(|entry| entry.key == key)
     }
 
-    pub fn put(&mut self, entry: &Entry) {
+    pub fn put(&mut self, entry: &IdempotencyEntry) {
         match self.entries.iter_mut().find(|held| held.key == entry.key) {
             Some(held) if entry.better(held) => *held = entry.clone(),
             Some(_) => {}
@@ -132,11 +136,11 @@
     }
 
     #[cfg(test)]
-    pub(crate) fn knows(&self, entry: &Entry) -> bool {
+    pub(crate) fn knows(&self, entry: &IdempotencyEntry) -> bool {
         self.entry(&entry.key).is_some_and(|held| !entry.better(held))
     }
 
-    pub fn merge(&mut self, other: &Record) {
+    pub fn merge(&mut self, other: &SessionRecord) {
         if other.stamp > self.stamp {
             (self.hosts, self.stamp) = (other.hosts.clone(), other.stamp);
         }
@@ -146,8 +150,8 @@
     /// Drops answers whose time is over; that they ran is kept.
     pub fn age(&mut self, now: Ms, keep: Ms) {
         for entry in &mut self.entries {
-            if matches!(entry.step, Step::Ran(_)) && entry.at + keep <= now {
-                entry.step = Step::Past;
+            if matches!(entry.state, EntryState::Ran(_)) && entry.at + keep <= now {
+                entry.state = EntryState::Past;
             }
         }
     }
@@ -159,74 +163,74 @@
 
 /// What sites tell each other. All but `News` and `LetGo` go between a session's claimant and one of its seats.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Msg {
+pub enum Message {
     /// Promise me the session under this fence, and tell me what you have.
     Claim {
-        id: Id,
+        id: SessionId,
         born: Ms,
-        fence: Fence,
+        fence: FencingToken,
         round: u32,
     },
     Promised {
-        id: Id,
-        fence: Fence,
+        id: SessionId,
+        fence: FencingToken,
         round: u32,
         life: u64,
-        former: Option<Place>,
-        record: Record,
+        former: Option<NodeId>,
+        record: SessionRecord,
     },
     /// I may have known it, and don't any more.
     Blank {
-        id: Id,
-        fence: Fence,
+        id: SessionId,
+        fence: FencingToken,
         life: u64,
     },
     Outranked {
-        id: Id,
-        fence: Fence,
-        promised: Fence,
+        id: SessionId,
+        fence: FencingToken,
+        promised: FencingToken,
     },
     /// Every place is taken by open confirmations.
     Full {
-        id: Id,
-        fence: Fence,
+        id: SessionId,
+        fence: FencingToken,
     },
     /// Since you told that you are blank, all other seats have promised me: take what they know.
     Install {
-        id: Id,
+        id: SessionId,
         born: Ms,
-        fence: Fence,
+        fence: FencingToken,
         life: u64,
-        record: Record,
+        record: SessionRecord,
     },
     Write {
-        id: Id,
-        fence: Fence,
+        id: SessionId,
+        fence: FencingToken,
         life: u64,
-        record: Record,
+        record: SessionRecord,
     },
     Kept {
-        id: Id,
-        fence: Fence,
-        attempt: Attempt,
+        id: SessionId,
+        fence: FencingToken,
+        attempt: AttemptId,
     },
     /// How a sending ended: a fact, whoever owns the session by now.
     Told {
-        id: Id,
-        entry: Entry,
+        id: SessionId,
+        entry: IdempotencyEntry,
     },
     Noted {
-        id: Id,
-        attempt: Attempt,
+        id: SessionId,
+        attempt: AttemptId,
     },
     /// The same, from a seat to the owner of the day.
     News {
-        id: Id,
-        entry: Entry,
+        id: SessionId,
+        entry: IdempotencyEntry,
     },
     /// To the owner before: it is mine now.
     LetGo {
-        id: Id,
-        fence: Fence,
+        id: SessionId,
+        fence: FencingToken,
     },
 }
--- a/crates/data-plane/session-affinity/src/roster.rs
+++ b/crates/data-plane/session-affinity/src/roster.rs
@@ -1,15 +1,15 @@
 //! Which sites keep a session.
-use crate::{Id, Place};
+use crate::{NodeId, SessionId};
 use std::collections::BTreeMap;
 
 /// Lists of sites by number. A session stays with the list that it was born under: its seats never move.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Rosters(pub BTreeMap<u16, Vec<(Place, String)>>);
+pub struct PeerSets(pub BTreeMap<u16, Vec<(NodeId, String)>>);
 
 /// Two may be asked while one is lost.
 const SEATS: usize = 3;
 
-impl Rosters {
+impl PeerSets {
     /// The list for new sessions.
     pub fn newest(&self) -> u16 {
         self.0.keys().next_back().copied().unwrap_or_default()
@@ -25,7 +25,7 @@
     /// assert_eq!(seats.len(), 3);
     /// assert_eq!(rosters.seats(5, Id([3, 9])), None);
     /// ```
-    pub fn seats(&self, roster: u16, id: Id) -> Option<Vec<Place>> {
+    pub fn seats(&self, roster: u16, id: SessionId) -> Option<Vec<NodeId>> {
         let sites = self.0.get(&roster)?;
         let names: Vec<String> = sites.iter().map(|(_, name)| name.clone()).collect();
         let few = coppersail_consensus::ring_successors(&id.to_string(), &names, SEATS);
@@ -33,7 +33,7 @@
         Some(few.iter().filter_map(place).collect())
     }
 
-    pub fn address(&self, place: Place) -> Option<&str> {
+    pub fn address(&self, place: NodeId) -> Option<&str> {
         let mut all = self.0.values().rev().flatten();
         all.find(|(other, _)| *other == place).map(|(_, name)| name.as_str())
     }
@@ -41,6 +41,10 @@
 
 /// The host for a request of a session: the one that it had, as long as that one takes requests and has not been
 /// tried; otherwise the one that was picked.
-pub fn prefer<'a>(had: Option<&'a str>, picked: &'a str, usable: impl Fn(&str) -> bool) -> &'a str {
+pub fn preferred_endpoint<'a>(
+    had: Option<&'a str>,
+    picked: &'a str,
+    usable: impl Fn(&str) -> bool,
+) -> &'a str {
     had.filter(|host| usable(host)).unwrap_or(picked)
 }
--- a/crates/data-plane/session-affinity/src/site.rs
+++ b/crates/data-plane/session-affinity/src/site.rs
@@ -1,12 +1,12 @@
 //! A site: a seat of some sessions, the owner of others.
-use crate::desk::{Ask, Counts, Desk, Reply, Shown};
-use crate::seat::Seat;
-use crate::{Fault, Id, Ms, Msg, Outcome, Place, Ticket};
+use crate::desk::{Counters, Decision, IdempotentRequest, SessionOwner, SessionView};
+use crate::seat::SessionReplica;
+use crate::{Fault, Message, Ms, NodeId, Outcome, RequestId, SessionId};
 use std::collections::VecDeque;
 
 /// Times and sizes, from the operators' file.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct AffinitySettings {
     /// Sessions held as a seat, and as many as an owner.
     pub sessions: usize,
     /// Confirmations of one session.
@@ -27,9 +27,9 @@
     pub(crate) fault: Option<Fault>,
 }
 
-impl Default for Terms {
-    fn default() -> Terms {
-        Terms {
+impl Default for AffinitySettings {
+    fn default() -> AffinitySettings {
+        AffinitySettings {
             sessions: 20_000,
             keys: 64,
             keep: 600_000,
@@ -44,7 +44,7 @@
     }
 }
 
-impl Terms {
+impl AffinitySettings {
     /// What a site that starts at `now` can't be sure never to have held: sessions born before. Such a one may carry
     /// a later time, as the clock of its birthplace may be ahead and this one behind.
     pub fn floor(&self, now: Ms) -> Ms {
@@ -63,114 +63,118 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Out {
+pub enum Output {
     Send {
-        to: Place,
-        msg: Msg,
+        to: NodeId,
+        msg: Message,
     },
     /// Send it to a host now, once, and tell how that ended.
     Run {
-        ticket: Ticket,
+        ticket: RequestId,
     },
     /// The outcome is kept, or has been waited for long enough: pass it on.
     Done {
-        ticket: Ticket,
+        ticket: RequestId,
     },
     Answer {
-        ticket: Ticket,
-        reply: Reply,
+        ticket: RequestId,
+        reply: Decision,
     },
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Site {
-    terms: Terms,
-    seat: Seat,
-    desk: Desk,
+pub struct AffinityNode {
+    terms: AffinitySettings,
+    seat: SessionReplica,
+    desk: SessionOwner,
 }
 
-impl Site {
+impl AffinityNode {
     /// `life` is a number that no earlier start of this site had; sessions born until `floor` may have been held
     /// by an earlier start.
-    pub fn new(me: Place, terms: &Terms, life: u64, floor: Ms) -> Site {
-        Site { terms: terms.clone(), seat: Seat::new(life, floor), desk: Desk::new(me, life) }
+    pub fn new(me: NodeId, terms: &AffinitySettings, life: u64, floor: Ms) -> AffinityNode {
+        AffinityNode {
+            terms: terms.clone(),
+            seat: SessionReplica::new(life, floor),
+            desk: SessionOwner::new(me, life),
+        }
     }
 
     /// A confirmation or deposit has arrived.
-    pub fn ask(&mut self, now: Ms, ask: Ask) -> Vec<Out> {
+    pub fn ask(&mut self, now: Ms, ask: IdempotentRequest) -> Vec<Output> {
         let out = self.desk.ask(&self.terms, now, ask);
         self.deliver(now, out)
     }
 
     /// Any other request of the session has arrived: it waits for nothing, and the session is claimed meanwhile.
-    pub fn visit(&mut self, now: Ms, id: Id, born: Ms, seats: &[Place]) -> Vec<Out> {
+    pub fn visit(&mut self, now: Ms, id: SessionId, born: Ms, seats: &[NodeId]) -> Vec<Output> {
         let out = self.desk.visit(&self.terms, now, id, born, seats);
         self.deliver(now, out)
     }
 
     /// How the sending ended that `Out::Run` allowed.
-    pub fn ran(&mut self, now: Ms, ticket: Ticket, outcome: Outcome) -> Vec<Out> {
+    pub fn ran(&mut self, now: Ms, ticket: RequestId, outcome: Outcome) -> Vec<Output> {
         let out = self.desk.ran(&self.terms, now, ticket, outcome);
         self.deliver(now, out)
     }
 
     /// The host that serves the session from now on.
-    pub fn served(&mut self, now: Ms, id: Id, service: &str, host: &str) -> Vec<Out> {
+    pub fn served(&mut self, now: Ms, id: SessionId, service: &str, host: &str) -> Vec<Output> {
         let out = self.desk.served(id, service, host);
         self.deliver(now, out)
     }
 
-    pub fn hear(&mut self, now: Ms, from: Place, msg: Msg) -> Vec<Out> {
+    pub fn hear(&mut self, now: Ms, from: NodeId, msg: Message) -> Vec<Output> {
         let out = self.take(now, from, msg);
         self.deliver(now, out)
     }
 
     /// Now and then, and often enough for waits to end in time.
-    pub fn tick(&mut self, now: Ms) -> Vec<Out> {
+    pub fn tick(&mut self, now: Ms) -> Vec<Output> {
         let out = self.desk.tick(&self.terms, now);
         self.deliver(now, out)
     }
 
-    pub fn host(&self, id: Id, service: &str) -> Option<&str> {
+    pub fn host(&self, id: SessionId, service: &str) -> Option<&str> {
         self.desk.host(id, service)
     }
 
-    pub fn owns(&self, id: Id) -> bool {
+    pub fn owns(&self, id: SessionId) -> bool {
         self.desk.owns(id)
     }
 
-    pub fn counts(&self) -> Counts {
-        Counts { dropped: self.seat.dropped, ..self.desk.counts.clone() }
+    pub fn counts(&self) -> Counters {
+        Counters { dropped: self.seat.dropped, ..self.desk.counts.clone() }
     }
 
     /// Sessions held here as owner or seat.
-    pub fn list(&self) -> Vec<Id> {
-        let mut all: Vec<Id> = self.desk.ids().chain(self.seat.held.keys().copied()).collect();
+    pub fn list(&self) -> Vec<SessionId> {
+        let mut all: Vec<SessionId> = self.desk.ids().chain(self.seat.held.keys().copied()).collect();
         all.sort_unstable();
         all.dedup();
         all
     }
 
-    pub fn show(&self, now: Ms, id: Id) -> Option<Shown> {
+    pub fn show(&self, now: Ms, id: SessionId) -> Option<SessionView> {
         self.desk.show(now, id).or_else(|| {
             let held = self.seat.held.get(&id)?;
-            Some(Shown::of(id, false, held.promised, &held.record, now))
+            Some(SessionView::of(id, false, held.promised, &held.record, now))
         })
     }
 
     /// Whether a message on its way here from `from` can never change anything that matters any more.
     #[cfg(test)]
-    pub(crate) fn dead(&self, from: &Site, msg: &Msg) -> bool {
-        let held = |id: &Id| self.seat.held.get(id);
+    pub(crate) fn dead(&self, from: &AffinityNode, msg: &Message) -> bool {
+        let held = |id: &SessionId| self.seat.held.get(id);
         match msg {
-            Msg::Claim { id, fence, .. } => {
+            Message::Claim { id, fence, .. } => {
                 from.desk.past(id, fence) && held(id).is_some_and(|held| held.promised >= *fence)
             }
-            Msg::Write { id, fence, record, .. } => {
+            Message::Write { id, fence, record, .. } => {
                 let known = |held: &crate::seat::Held| record.entries.iter().all(|e| held.record.knows(e));
                 from.desk.past(id, fence) && held(id).is_some_and(|h| h.promised > *fence || known(h))
             }
-            Msg::Told { id, entry } => held(id).is_some_and(|held| held.record.knows(entry)),
+            Message::Told { id, entry } => held(id).is_some_and(|held| held.record.knows(entry)),
             _ => self.desk.dead(msg),
         }
     }
@@ -181,23 +185,23 @@
         self.desk.plain();
     }
 
-    fn take(&mut self, now: Ms, from: Place, msg: Msg) -> Vec<Out> {
-        use Msg::*;
+    fn take(&mut self, now: Ms, from: NodeId, msg: Message) -> Vec<Output> {
+        use Message::*;
         match msg {
             Claim { .. } | Install { .. } | Write { .. } | Told { .. } => {
                 let said = self.seat.hear(&self.terms, now, from, msg);
-                said.into_iter().map(|(to, msg)| Out::Send { to, msg }).collect()
+                said.into_iter().map(|(to, msg)| Output::Send { to, msg }).collect()
             }
             _ => self.desk.hear(&self.terms, now, from, msg),
         }
     }
 
     /// What goes to this site itself is taken at once.
-    fn deliver(&mut self, now: Ms, first: Vec<Out>) -> Vec<Out> {
-        let (mut queue, mut out): (VecDeque<Out>, _) = (first.into(), vec![]);
+    fn deliver(&mut self, now: Ms, first: Vec<Output>) -> Vec<Output> {
+        let (mut queue, mut out): (VecDeque<Output>, _) = (first.into(), vec![]);
         while let Some(next) = queue.pop_front() {
             match next {
-                Out::Send { to, msg } if to == self.desk.me => queue.extend(self.take(now, to, msg)),
+                Output::Send { to, msg } if to == self.desk.me => queue.extend(self.take(now, to, msg)),
                 other => out.push(other),
             }
         }
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -1,7 +1,10 @@
 //! These bytes are read by builds of other versions: edges post messages to each other on `/sojourn`, clients carry
 //! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
-use coppersail_session_affinity::token::{print, Keys, Token};
-use coppersail_session_affinity::{Answer, Counts, Entry, Fence, Id, Msg, Record, Shown, Step};
+use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
+use coppersail_session_affinity::{
+    Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, SessionId,
+    SessionRecord, SessionView,
+};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -11,27 +14,27 @@
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-const ID: Id = Id([1, 0xabc]);
-const FENCE: Fence = Fence { n: 70_000, by: 2, start: 9 };
+const ID: SessionId = SessionId([1, 0xabc]);
+const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, start: 9 };
 const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
 const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
 
-fn answer() -> Answer {
+fn answer() -> RecordedResponse {
     let headers = vec![("content-type".into(), "text/plain".into())];
-    Answer { status: 201, headers, body: b"taken?".to_vec() }
+    RecordedResponse { status: 201, headers, body: b"taken?".to_vec() }
 }
 
-fn entry(step: Step) -> Entry {
-    Entry { key: "k".into(), print: 5, attempt: (FENCE, 3), step, at: 71_000 }
+fn entry(step: EntryState) -> IdempotencyEntry {
+    IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: (FENCE, 3), state: step, at: 71_000 }
 }
 
 fn entry_text(step: &str) -> String {
     format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{step},"at":71000}}"#)
 }
 
-fn record() -> Record {
+fn record() -> SessionRecord {
     let hosts = vec![("ledger".into(), "10.0.0.1:80".into())];
-    Record { hosts, stamp: (FENCE, 4), entries: vec![entry(Step::Past)] }
+    SessionRecord { hosts, stamp: (FENCE, 4), entries: vec![entry(EntryState::Past)] }
 }
 
 fn record_text() -> String {
@@ -51,11 +54,11 @@
 fn an_entry_keeps_its_bytes_in_each_step() {
     let ran = format!(r#"{{"Ran":{ANSWER_TEXT}}}"#);
     let table = [
-        (Step::Open { until: 80_000 }, r#"{"Open":{"until":80000}}"#),
-        (Step::Unknown, r#""Unknown""#),
-        (Step::NotRun, r#""NotRun""#),
-        (Step::Past, r#""Past""#),
-        (Step::Ran(answer()), &ran),
+        (EntryState::Open { until: 80_000 }, r#"{"Open":{"until":80000}}"#),
+        (EntryState::Unknown, r#""Unknown""#),
+        (EntryState::NotRun, r#""NotRun""#),
+        (EntryState::Past, r#""Past""#),
+        (EntryState::Ran(answer()), &ran),
     ];
     for (step, text) in table {
         assert_text(step.clone(), text);
@@ -67,7 +70,7 @@
 fn a_record_keeps_its_bytes() {
     assert_text(record(), &record_text());
     let empty = r#"{"hosts":[],"stamp":[{"n":0,"by":0,"start":0},0],"entries":[]}"#;
-    assert_text(Record::default(), empty);
+    assert_text(SessionRecord::default(), empty);
 }
 
 #[test]
@@ -75,36 +78,39 @@
     let (id, fence, attempt) = (ID, FENCE, (FENCE, 3));
     let table = [
         (
-            Msg::Claim { id, born: 60_000, fence, round: 6 },
+            Message::Claim { id, born: 60_000, fence, round: 6 },
             r#"{"Claim":{"id":[1,2748],"born":60000,"fence":FENCE,"round":6}}"#,
         ),
         (
-            Msg::Promised { id, fence, round: 6, life: 8, former: Some(3), record: record() },
+            Message::Promised { id, fence, round: 6, life: 8, former: Some(3), record: record() },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":3,"record":RECORD}}"#,
         ),
         (
-            Msg::Promised { id, fence, round: 6, life: 8, former: None, record: record() },
+            Message::Promised { id, fence, round: 6, life: 8, former: None, record: record() },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":null,"record":RECORD}}"#,
         ),
-        (Msg::Blank { id, fence, life: 8 }, r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#),
+        (Message::Blank { id, fence, life: 8 }, r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#),
         (
-            Msg::Outranked { id, fence, promised: Fence { n: 1, by: 2, start: 3 } },
+            Message::Outranked { id, fence, promised: FencingToken { number: 1, node: 2, start: 3 } },
             r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
         ),
-        (Msg::Full { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
+        (Message::Full { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
         (
-            Msg::Install { id, born: 60_000, fence, life: 8, record: record() },
+            Message::Install { id, born: 60_000, fence, life: 8, record: record() },
             r#"{"Install":{"id":[1,2748],"born":60000,"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
         (
-            Msg::Write { id, fence, life: 8, record: record() },
+            Message::Write { id, fence, life: 8, record: record() },
             r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
-        (Msg::Kept { id, fence, attempt }, r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#),
-        (Msg::Told { id, entry: entry(Step::NotRun) }, r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Msg::Noted { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
-        (Msg::News { id, entry: entry(Step::NotRun) }, r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Msg::LetGo { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
+        (
+            Message::Kept { id, fence, attempt },
+            r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#,
+        ),
+        (Message::Told { id, entry: entry(EntryState::NotRun) }, r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#),
+        (Message::Noted { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
+        (Message::News { id, entry: entry(EntryState::NotRun) }, r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#),
+        (Message::LetGo { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
     ];
     for (message, text) in table {
         let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
@@ -114,7 +120,7 @@
 
 #[test]
 fn what_operators_are_shown_keeps_its_bytes() {
-    let counts = Counts {
+    let counts = Counters {
         claims: 1,
         crossings: 2,
         let_go: 3,
@@ -134,7 +140,7 @@
         r#""other_body":8,"unknown":9,"refused":10,"forgotten":11,"healed":12,"dropped":13}"#,
     );
     assert_text(counts, text);
-    let shown = Shown {
+    let shown = SessionView {
         id: "ab".into(),
         owner: true,
         fence: FENCE,
@@ -150,8 +156,8 @@
 
 #[test]
 fn a_token_keeps_its_signed_text() {
-    let keys = Keys::new(vec![b"a literal key of 32 bytes, no less".to_vec()]).unwrap();
-    let token = Token { id: ID, roster: 4, born: 60_000, signed: 65_000 };
+    let keys = SigningKeys::new(vec![b"a literal key of 32 bytes, no less".to_vec()]).unwrap();
+    let token = SessionToken { id: ID, roster: 4, born: 60_000, signed: 65_000 };
     let text = "AAAAAAAAAAEAAAAAAAAKvAAEAAAAAAAA6mAAAAAAAAD96BG7ySSVCBN75Wjx1BmaOmzow9I8Qem6asMQc633eSj_";
     assert_eq!(keys.sign(&token), text);
     assert_eq!(keys.read(text, 66_000, 60_000, 100), Ok((token, true)));
@@ -159,11 +165,11 @@
 
 #[test]
 fn the_print_of_a_request_keeps_its_number() {
-    assert_eq!(print(&[b"POST", b"/book", b"body"]), 13912192665841633907);
+    assert_eq!(fingerprint(&[b"POST", b"/book", b"body"]), 13912192665841633907);
 }
 
 #[test]
 fn counts_of_an_older_version_without_some_fields_still_parse() {
-    let counts: Counts = serde_json::from_str(r#"{"claims":3}"#).unwrap();
-    assert_eq!(counts, Counts { claims: 3, ..Counts::default() });
+    let counts: Counters = serde_json::from_str(r#"{"claims":3}"#).unwrap();
+    assert_eq!(counts, Counters { claims: 3, ..Counters::default() });
 }
