--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -5,8 +5,8 @@
     AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus,
     RequestCounts, RolloutsAsOf, Update, WatchRequest,
 };
-use coppersail_rollout::ledger::{Counts, EvidenceRow};
-use coppersail_rollout::pace::{Phase, RolloutState};
+use coppersail_rollout::evidence::{Counts, EvidenceRow};
+use coppersail_rollout::lifecycle::{Phase, RolloutState};
 use coppersail_rollout::EvidenceReport;
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -4,9 +4,9 @@
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
-use coppersail_rollout::judge::FleetCapacity;
-use coppersail_rollout::ledger::OutcomeKind;
-use coppersail_rollout::pace::{Phase, RolloutCommand, RolloutState, Since};
+use coppersail_rollout::analysis::FleetCapacity;
+use coppersail_rollout::evidence::OutcomeKind;
+use coppersail_rollout::lifecycle::{Phase, RolloutCommand, RolloutState, Since};
 use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
@@ -204,7 +204,7 @@
     pub fn show(&self, now: Ms, name: &str) -> Option<serde_json::Value> {
         let entry = self.plans.get(name)?;
         let stand = &entry.stand;
-        let side = |c: &coppersail_rollout::ledger::Counts| {
+        let side = |c: &coppersail_rollout::evidence::Counts| {
             let of = |k| c.of(k);
             let all: u64 = c.times.iter().map(|t| u64::from(t.1)).sum();
             let at = |part: f64| {
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module `rollouts`.
 use super::*;
 use assert_matches::assert_matches;
-use coppersail_rollout::ledger::EvidenceRow;
+use coppersail_rollout::evidence::EvidenceRow;
 
 const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"},
         "steps": [{"share": 0.1, "least": "5s", "evidence": 0}, {"share": 1}]}"#;
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -118,7 +118,7 @@
         serde_json::from_str(&text).unwrap()
     };
     assert_eq!((read()["phase"].as_str(), read()["number"].as_u64()), (Some("running"), Some(1)));
-    let mut row = coppersail_rollout::ledger::EvidenceRow {
+    let mut row = coppersail_rollout::evidence::EvidenceRow {
         plan: "friday".into(),
         number: 1,
         count: 1,
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -4,7 +4,7 @@
 use coppersail_control_plane::orders::{digest, Judged, Orders};
 use coppersail_control_plane::rollouts;
 use coppersail_control_plane::store::{DiskWriter, FolderCondition, KeyValue, WriteBatch};
-use coppersail_rollout::pace::{Phase, RolloutState};
+use coppersail_rollout::lifecycle::{Phase, RolloutState};
 use coppersail_shard_leases::LeaseTable;
 use serde::{de::DeserializeOwned, Serialize};
 use std::collections::{BTreeMap, VecDeque};
--- a/crates/data-plane/edge-proxy/src/steer.rs
+++ b/crates/data-plane/edge-proxy/src/steer.rs
@@ -4,7 +4,7 @@
 use coppersail_load_balancing::Ms;
 use coppersail_peer_protocol::Update;
 use coppersail_retry::{AttemptOutcome, IndeterminateCause};
-use coppersail_rollout::ledger::OutcomeKind;
+use coppersail_rollout::evidence::OutcomeKind;
 use coppersail_rollout::{EvidenceRecorder, EvidenceReport, Variant, VariantSelector, Version};
 use hyper::header::HeaderValue;
 use slog::{info, warn};
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -1,8 +1,8 @@
 //! A plan at an edge, among hosts of two revisions.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf, Update};
-use coppersail_rollout::ledger::OutcomeKind;
-use coppersail_rollout::pace::{RolloutCommand, RolloutState};
+use coppersail_rollout::evidence::OutcomeKind;
+use coppersail_rollout::lifecycle::{RolloutCommand, RolloutState};
 use std::time::Instant;
 
 const BODY: &str = r#"{"service": "plain", "from": {"revision": "v1"}, "to": {"revision": "v2"}, "member": "Session",
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -1,9 +1,9 @@
 //! Hosts, clients, edges and a centre of one busy evening, in simulated time. What decides are the modules of
 //! `coppersail-rollout`; only hosts, clients and the ways between are played here.
-use coppersail_rollout::judge::{FleetCapacity, RolloutAnalysis};
-use coppersail_rollout::ledger::{EvidenceRecorder, EvidenceReport, OutcomeKind};
-use coppersail_rollout::pace::{Phase, RolloutState, Since};
-use coppersail_rollout::side::{Variant, VariantSelector};
+use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
+use coppersail_rollout::evidence::{EvidenceRecorder, EvidenceReport, OutcomeKind};
+use coppersail_rollout::lifecycle::{Phase, RolloutState, Since};
+use coppersail_rollout::variant::{Variant, VariantSelector};
 use coppersail_rollout::{Ms, Verdict};
 use fastrand::Rng;
 use std::collections::BTreeMap;
--- a/crates/data-plane/rollout/src/judge.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -8,7 +8,7 @@
 //! good for long and then bad), so the sum pays `1/error` with a probability of `error` at most over the whole plan:
 //! `docs/rollout.md` has the proof. Bad answers that come in crowds are divided by how crowded they come with the
 //! sound version.
-use crate::ledger::{Counts, EvidenceReport, EvidenceRow, OutcomeKind};
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind};
 use crate::Ms;
 use coppersail_config::rollout::RolloutPlan;
 use std::collections::hash_map::DefaultHasher;
--- a/crates/data-plane/rollout/src/ledger.rs
+++ b/crates/data-plane/rollout/src/evidence.rs
@@ -1,6 +1,6 @@
 //! What an edge counts of both versions while a plan steers, in short spans of time, and tells the centre: each row
 //! whole and as often as it changes, so that a report may be lost, late or taken twice. Its size is bounded.
-use crate::side::Variant;
+use crate::variant::Variant;
 use crate::Ms;
 use hdrhistogram::Histogram;
 use serde::{Deserialize, Serialize};
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`judge`]: what the centre makes of it.
 //!
 //! ```
-//! use coppersail_rollout::pace::{Order, Phase, Stand};
+//! use coppersail_rollout::lifecycle::{Order, Phase, Stand};
 //! let body = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"},
 //!     "steps": [{"share": 0.05}, {"share": 0.5}]}"#;
 //! let stand = Stand::submit("friday", body, None).unwrap();
@@ -17,18 +17,18 @@
 //! let paused = stand.order(0, Order::Pause, "by hand").unwrap().unwrap();
 //! assert_eq!((paused.phase, paused.share()), (Phase::Withdrawn, Some(0.0)));
 //! ```
-pub mod judge;
-pub mod ledger;
-pub mod pace;
+pub mod analysis;
+pub mod evidence;
+pub mod lifecycle;
 pub mod share;
-pub mod side;
 #[cfg(test)]
 mod tests;
+pub mod variant;
 
+pub use analysis::{RolloutAnalysis, Verdict};
 pub use coppersail_config::rollout::{RolloutPlan, Version};
-pub use judge::{RolloutAnalysis, Verdict};
-pub use ledger::{EvidenceRecorder, EvidenceReport, OutcomeKind};
-pub use pace::{Phase, RolloutCommand, RolloutState};
-pub use side::{Variant, VariantSelector};
+pub use evidence::{EvidenceRecorder, EvidenceReport, OutcomeKind};
+pub use lifecycle::{Phase, RolloutCommand, RolloutState};
+pub use variant::{Variant, VariantSelector};
 
 pub type Ms = u64;
--- a/crates/data-plane/rollout/src/pace.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -1,5 +1,5 @@
 //! A plan's state, as the centre keeps it on two disks. Every change has the next number; edges take the highest.
-use crate::judge::Verdict;
+use crate::analysis::Verdict;
 use crate::Ms;
 use coppersail_config::rollout::{Pass, Pause, RolloutPlan};
 use serde::{Deserialize, Serialize};
@@ -30,7 +30,7 @@
 
 impl RolloutCommand {
     /// ```
-    /// use coppersail_rollout::pace::Order;
+    /// use coppersail_rollout::lifecycle::Order;
     /// assert_eq!(Order::named("undo"), Some(Order::Undo));
     /// ```
     pub fn named(name: &str) -> Option<RolloutCommand> {
--- a/crates/data-plane/rollout/src/tests.rs
+++ b/crates/data-plane/rollout/src/tests.rs
@@ -1,8 +1,8 @@
 //! The hard cases that need no fleet: what is bad is found, and what is sound is left alone.
-use crate::judge::{FleetCapacity, RolloutAnalysis, Verdict};
-use crate::ledger::{Counts, EvidenceRecorder, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_SPAN};
-use crate::pace::{Phase, RolloutCommand, RolloutState, Since};
-use crate::side::{Variant, VariantSelector};
+use crate::analysis::{FleetCapacity, RolloutAnalysis, Verdict};
+use crate::evidence::{Counts, EvidenceRecorder, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_SPAN};
+use crate::lifecycle::{Phase, RolloutCommand, RolloutState, Since};
+use crate::variant::{Variant, VariantSelector};
 use crate::Ms;
 use assert_matches::assert_matches;
 use coppersail_config::rollout::RolloutPlan;
--- a/crates/data-plane/rollout/src/side.rs
+++ b/crates/data-plane/rollout/src/variant.rs
@@ -1,5 +1,5 @@
 //! What an edge makes of plans.
-use crate::pace::{Phase, RolloutState};
+use crate::lifecycle::{Phase, RolloutState};
 use crate::{share, Ms};
 use coppersail_config::rollout::{RolloutPlan, Version};
 
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! These bytes are read by builds of other versions: edges tell reports to the centres, and centres store plans and
 //! hand them out. A change here breaks rolling upgrades or stored data.
-use coppersail_rollout::ledger::{Counts, EvidenceRow};
-use coppersail_rollout::pace::RolloutCommand;
+use coppersail_rollout::evidence::{Counts, EvidenceRow};
+use coppersail_rollout::lifecycle::RolloutCommand;
 use coppersail_rollout::{EvidenceRecorder, EvidenceReport, OutcomeKind, Phase, RolloutState, Variant};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -21,24 +21,24 @@
 //! let again = site.ask(60_020, ask(2));
 //! assert!(matches!(&again[..], [Out::Answer { ticket: 2, reply: Reply::Kept(kept) }] if kept.body == b"taken"));
 //! ```
-mod desk;
 #[cfg(test)]
 mod model;
+mod node;
+mod owner;
+mod peer_sets;
 mod record;
-mod roster;
-mod seat;
-mod site;
+mod replica;
 #[cfg(test)]
 mod tests;
 pub mod token;
 
-pub use desk::{Counters, Decision, IdempotentRequest, SessionView};
+pub use node::{AffinityNode, AffinitySettings, Output};
+pub use owner::{Counters, Decision, IdempotentRequest, SessionView};
+pub use peer_sets::{preferred_endpoint, PeerSets};
 pub use record::{
     AttemptId, EntryState, FencingToken, IdempotencyEntry, Message, Outcome, RecordedResponse, SessionId,
     SessionRecord,
 };
-pub use roster::{preferred_endpoint, PeerSets};
-pub use site::{AffinityNode, AffinitySettings, Output};
 
 /// Milliseconds of the time of day.
 pub type Ms = u64;
--- a/crates/data-plane/session-affinity/src/site.rs
+++ b/crates/data-plane/session-affinity/src/node.rs
@@ -1,6 +1,6 @@
 //! A site: a seat of some sessions, the owner of others.
-use crate::desk::{Counters, Decision, IdempotentRequest, SessionOwner, SessionView};
-use crate::seat::SessionReplica;
+use crate::owner::{Counters, Decision, IdempotentRequest, SessionOwner, SessionView};
+use crate::replica::SessionReplica;
 use crate::{Fault, Message, Ms, NodeId, Outcome, RequestId, SessionId};
 use std::collections::VecDeque;
 
@@ -171,7 +171,7 @@
                 from.desk.past(id, fence) && held(id).is_some_and(|held| held.promised >= *fence)
             }
             Message::Write { id, fence, record, .. } => {
-                let known = |held: &crate::seat::Held| record.entries.iter().all(|e| held.record.knows(e));
+                let known = |held: &crate::replica::Held| record.entries.iter().all(|e| held.record.knows(e));
                 from.desk.past(id, fence) && held(id).is_some_and(|h| h.promised > *fence || known(h))
             }
             Message::Told { id, entry } => held(id).is_some_and(|held| held.record.knows(entry)),
--- a/crates/data-plane/session-affinity/src/desk.rs
+++ b/crates/data-plane/session-affinity/src/owner.rs
@@ -1,5 +1,5 @@
 //! A site as the owner of sessions: claims, sendings, answers.
-use crate::site::{AffinitySettings, Output};
+use crate::node::{AffinitySettings, Output};
 use crate::{
     AttemptId, EntryState, Fault, FencingToken, IdempotencyEntry, Message, Ms, NodeId, Outcome,
     RecordedResponse, RequestId, SessionId, SessionRecord,
--- a/crates/data-plane/session-affinity/src/seat.rs
+++ b/crates/data-plane/session-affinity/src/replica.rs
@@ -1,5 +1,5 @@
 //! A site as one of the seats that keep sessions.
-use crate::site::AffinitySettings;
+use crate::node::AffinitySettings;
 use crate::{Fault, FencingToken, IdempotencyEntry, Message, Ms, NodeId, SessionId, SessionRecord};
 use std::collections::{BTreeMap, BTreeSet};
 
