--- a/crates/director/append-log/src/tests.rs
+++ b/crates/director/append-log/src/log/tests.rs
@@ -1,13 +1,15 @@
-//! Tests of the module `append-log`.
+//! What a crash, a flipped bit, a second process and a full disk do to a log.
 use super::*;
+use crate::encode;
+use crate::Corruption;
 use proptest::prelude::*;
 use test_case::test_case;
 
 fn bytes(records: &[String]) -> Vec<u8> {
-    records.iter().flat_map(|record| line(record).unwrap()).collect()
+    records.iter().flat_map(|record| encode(record).unwrap()).collect()
 }
 
-fn scratch(name: &str) -> PathBuf {
+fn scratch(name: &str) -> std::path::PathBuf {
     std::env::temp_dir().join(format!("coppersail-history-{}-{name}", std::process::id()))
 }
 
@@ -19,12 +21,12 @@
     ) {
         let all = bytes(&records);
         let cut = (all.len() as f64 * share) as usize;
-        let whole = read::<String>(&all[..cut]).unwrap();
-        prop_assert!(whole.bytes <= cut && whole.bytes + whole.torn == cut);
-        prop_assert_eq!(&bytes(&whole.records), &all[..whole.bytes].to_vec());
+        let prefix = read::<String>(&all[..cut]).unwrap();
+        prop_assert!(prefix.bytes <= cut && prefix.bytes + prefix.torn == cut);
+        prop_assert_eq!(&bytes(&prefix.records), &all[..prefix.bytes].to_vec());
         // Less than one line is ever lost.
-        let next = whole.records.len();
-        prop_assert!(next == records.len() || whole.torn < line(&records[next]).unwrap().len());
+        let next = prefix.records.len();
+        prop_assert!(next == records.len() || prefix.torn < encode(&records[next]).unwrap().len());
     }
 
     #[test]
@@ -35,8 +37,8 @@
         all[at] ^= 1 << bit;
         // At the end it looks like a torn write: it costs the last line, or two where it was their end of line.
         match read::<String>(&all) {
-            Ok(whole) => prop_assert!(whole.records.len() >= 8 && whole.records[..] == records[..whole.records.len()]),
-            Err((line, _)) => prop_assert!((1..=10).contains(&line)),
+            Ok(prefix) => prop_assert!(prefix.records.len() >= 8 && prefix.records[..] == records[..prefix.records.len()]),
+            Err(Corruption { line, .. }) => prop_assert!((1..=10).contains(&line)),
         }
     }
 }
@@ -48,7 +50,7 @@
     opened.log.append(&["one".to_string(), "two".to_string()]).unwrap();
     drop(opened);
     let mut all = std::fs::read(&path).unwrap();
-    all.extend(&line(&"three".to_string()).unwrap()[..9]);
+    all.extend(&encode(&"three".to_string()).unwrap()[..9]);
     std::fs::write(&path, &all).unwrap();
     let mut opened = Log::<String>::open(&path).unwrap();
     assert_eq!((opened.records.len(), opened.torn), (2, 9));
@@ -62,15 +64,15 @@
 fn two_processes_cannot_write_one_log() {
     let path = scratch("twice");
     let opened = Log::<String>::open(&path).unwrap();
-    assert!(Log::<String>::open(&path).err().unwrap().what.contains("another process"));
+    assert!(Log::<String>::open(&path).err().unwrap().to_string().ends_with(": another process has it open"));
     drop(opened);
     std::fs::remove_file(&path).unwrap();
 }
 
 #[test]
-fn a_disk_that_is_full_is_told_and_nothing_more_is_taken_for_written() {
+fn a_full_disk_is_reported_and_later_appends_are_refused() {
     let Ok(file) = OpenOptions::new().write(true).open("/dev/full") else { return };
-    let mut log = Log::<String> { file, bytes: 0, failed: false, kind: PhantomData };
+    let mut log = Log::<String> { file, bytes: 0, failed: false, record: PhantomData };
     assert!(log.append(&["one".to_string()]).is_err());
     assert!(log.append(&["two".to_string()]).is_err());
 }
@@ -78,5 +80,5 @@
 #[test_case("deadbeef {}\n00000000 {}\n", 1 ; "a checksum that does not fit, with more behind it")]
 #[test_case("x\ny\n", 1 ; "no checksum")]
 fn damage_names_its_line(text: &str, line: usize) {
-    assert_eq!(read::<String>(text.as_bytes()).unwrap_err().0, line);
+    assert_eq!(read::<String>(text.as_bytes()).unwrap_err().line, line);
 }
--- a/crates/director/append-log/tests/wire_format.rs
+++ b/crates/director/append-log/tests/wire_format.rs
@@ -1,13 +1,13 @@
 //! These bytes are read by builds of other versions: each line of a log stays on the disk for as long as its records
 //! are needed. A change here breaks rolling upgrades or stored data.
-use coppersail_append_log::{line, read, Whole};
+use coppersail_append_log::{encode, read, Prefix};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
 /// The record is written as exactly this line, and the line is read as an equal record.
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
-    assert_eq!(String::from_utf8(line(&value).unwrap()).unwrap(), text);
-    assert_eq!(read(text.as_bytes()), Ok(Whole { records: vec![value], bytes: text.len(), torn: 0 }));
+    assert_eq!(String::from_utf8(encode(&value).unwrap()).unwrap(), text);
+    assert_eq!(read(text.as_bytes()), Ok(Prefix { records: vec![value], bytes: text.len(), torn: 0 }));
 }
 
 #[test]
