--- a/crates/director/admin-socket/src/tests.rs
+++ b/crates/director/admin-socket/src/tests.rs
@@ -1,15 +1,13 @@
-//! Tests of the module `admin-socket`.
+//! Requests that are cut or unknown.
 use super::*;
 
 #[test]
-fn what_is_said_is_understood() {
+fn a_request_is_one_line_and_unknown_ones_are_rejected() {
     let edits = [("hosts.h-1.weight".parse().unwrap(), Some(Value::Number(0.5)))].into();
     let submission = Submission { base: Version(3), who: "a".into(), edits, ..Submission::default() };
-    let said = Request::Submit { submission };
-    let bytes = line(&said);
-    assert_eq!(
-        (request(&bytes[..bytes.len() - 1]), bytes.iter().filter(|b| **b == b'\n').count()),
-        (Ok(said), 1)
-    );
-    assert!(request(b"{\"do\":\"all\"}").is_err() && request(b"{").is_err());
+    let request = Request::Submit { submission };
+    let bytes = encode(&request);
+    assert_eq!(parse_request(&bytes[..bytes.len() - 1]).unwrap(), request);
+    assert_eq!(bytes.iter().filter(|byte| **byte == b'\n').count(), 1);
+    assert!(parse_request(b"{\"do\":\"all\"}").is_err() && parse_request(b"{").is_err());
 }
--- a/crates/director/admin-socket/tests/wire_format.rs
+++ b/crates/director/admin-socket/tests/wire_format.rs
@@ -1,15 +1,21 @@
 //! These bytes are read by builds of other versions: operators' commands and a director say them to each other over a
 //! Unix socket. A change here breaks rolling upgrades or stored data.
-use coppersail_admin_socket::{answer, line, request, Answer, Differs, Request, Status, Trial};
+use coppersail_admin_socket::{
+    encode, parse_answer, parse_request, Answer, Difference, ParseError, Request, Status, Trial,
+};
 use coppersail_changes::{Change, Stage, Submission, Version};
 use coppersail_operator_config::{Edits, Field, Value};
 use serde::Serialize;
 use std::fmt::Debug;
 
 /// The message is written as exactly this line, and the line is read as an equal message.
-fn assert_text<T: Serialize + PartialEq + Debug>(read: fn(&[u8]) -> Result<T, String>, value: T, text: &str) {
-    assert_eq!(String::from_utf8(line(&value)).unwrap(), format!("{text}\n"));
-    assert_eq!(read(text.as_bytes()), Ok(value));
+fn assert_text<T: Serialize + PartialEq + Debug>(
+    read: fn(&[u8]) -> Result<T, ParseError>,
+    value: T,
+    text: &str,
+) {
+    assert_eq!(String::from_utf8(encode(&value)).unwrap(), format!("{text}\n"));
+    assert_eq!(read(text.as_bytes()).unwrap(), value);
 }
 
 const SUBMISSION: &str = concat!(
@@ -53,7 +59,7 @@
         (Request::Thaw { who: who() }, r#"{"do":"thaw","who":"ann"}"#),
     ];
     for (message, text) in table {
-        assert_text(request, message, &text.replace("SUBMISSION", SUBMISSION));
+        assert_text(parse_request, message, &text.replace("SUBMISSION", SUBMISSION));
     }
 }
 
@@ -66,7 +72,7 @@
         durable: true,
         frozen,
         baseline: false,
-        trials: vec![Trial { number, left: 1.5, heard: 2, believed: true }],
+        trials: vec![Trial { number, remaining_seconds: 1.5, reports: 2, sufficient: true }],
         in_force: vec![(Field::Trial, Value::Number(60.0))],
         hosts: 5,
         slices: 6,
@@ -87,7 +93,7 @@
     };
     let change_text =
         r#""number":4,"wall":1.5,"submission":SUBMISSION,"stage":"staged","undoes":null,"before":{}"#;
-    let differs = vec![Differs { field: Field::Judge, is: None, becomes: Some(Value::Flag(true)) }];
+    let differs = vec![Difference { field: Field::Judge, current: None, proposed: Some(Value::Flag(true)) }];
     let table = [
         (Answer::Status(Box::new(status(None))), status_text.replace("FROZEN", "null")),
         (
@@ -105,18 +111,18 @@
             format!(r#"{{"is":"changes","changes":[{{{change_text}}}],"more":true}}"#),
         ),
         (Answer::Change(Box::new(change())), format!(r#"{{"is":"change",{change_text}}}"#)),
-        (Answer::Refused { why: why() }, r#"{"is":"refused","why":"w"}"#.into()),
-        (Answer::Unreadable { why: why() }, r#"{"is":"unreadable","why":"w"}"#.into()),
+        (Answer::Rejected { reason: why() }, r#"{"is":"refused","why":"w"}"#.into()),
+        (Answer::Unreadable { reason: why() }, r#"{"is":"unreadable","why":"w"}"#.into()),
     ];
     for (message, text) in table {
-        assert_text(answer, message, &text.replace("SUBMISSION", SUBMISSION));
+        assert_text(parse_answer, message, &text.replace("SUBMISSION", SUBMISSION));
     }
 }
 
 #[test]
 fn requests_of_an_older_version_without_optional_fields_still_parse() {
-    assert_eq!(request(br#"{"do":"list"}"#), Ok(Request::List { before: None }));
+    assert_eq!(parse_request(br#"{"do":"list"}"#).unwrap(), Request::List { before: None });
     let older = br#"{"do":"submit","submission":{"base":3,"who":"ann","why":"w","edits":{}}}"#;
     let submission = Submission { edits: Edits::new(), ..submission() };
-    assert_eq!(request(older), Ok(Request::Submit { submission }));
+    assert_eq!(parse_request(older).unwrap(), Request::Submit { submission });
 }
--- a/crates/director/jsonnet/src/lib.rs
+++ b/crates/director/jsonnet/src/lib.rs
@@ -1,5 +1,5 @@
-//! Templates: a Jsonnet file becomes JSON, with a bound on depth and no file from outside its folder. Bounds of time
-//! and memory are set by who starts this process.
+//! Evaluates Jsonnet files to JSON, with a bound on the depth of calls and imports from the file's own folder alone.
+//! Bounds of time and memory are set by whoever starts the process that evaluates.
 
 use jrsonnet_evaluator::manifest::JsonFormat;
 use jrsonnet_evaluator::stack::set_stack_depth_limit;
@@ -8,27 +8,27 @@
 use jrsonnet_gcmodule::Acyclic;
 use std::path::{Path, PathBuf};
 
-/// Deeper than any honest template calls itself.
-const DEPTH_MOST: usize = 200;
+/// Calls in calls; deeper is a runaway recursion.
+const MAX_DEPTH: usize = 200;
 
-/// Finds files beside the first one and below it alone, wherever links lead.
+/// Resolves imports within one folder: a path is judged after links are followed, so none leads out.
 #[derive(Acyclic)]
-struct Folder {
+struct FolderImports {
     root: PathBuf,
     files: FileImportResolver,
 }
 
-impl Folder {
+impl FolderImports {
     fn within(&self, found: SourcePath) -> Result<SourcePath> {
-        let real = found.path().and_then(|path| path.canonicalize().ok());
-        match real {
-            Some(real) if real.starts_with(&self.root) => Ok(found),
+        let canonical = found.path().and_then(|path| path.canonicalize().ok());
+        match canonical {
+            Some(canonical) if canonical.starts_with(&self.root) => Ok(found),
             _ => bail!("expected imports from the file's own folder, {found} is elsewhere"),
         }
     }
 }
 
-impl ImportResolver for Folder {
+impl ImportResolver for FolderImports {
     fn resolve_from(&self, from: &SourcePath, path: &dyn AsPathLike) -> Result<SourcePath> {
         self.within(self.files.resolve_from(from, path)?)
     }
@@ -40,34 +40,63 @@
     }
 }
 
-/// One line: file, line, what is wrong.
-fn said(path: &Path, wrong: &Error) -> String {
-    let place = wrong.trace().0.iter().find_map(|element| element.location.as_ref());
-    let (file, line) = match place {
+/// Why a file could not be evaluated, as one line: file, line where it is known, cause.
+#[derive(Debug, thiserror::Error)]
+pub enum EvaluateError {
+    /// There is no such file, or it cannot be read.
+    #[error("{}: the file: expected a file ({source})", path.display())]
+    Unreadable {
+        /// As it was given.
+        path: PathBuf,
+        /// What the operating system answered.
+        source: std::io::Error,
+    },
+    /// The evaluator found a mistake.
+    #[error(
+        "{}{}: the file: expected a template that can be evaluated: {message}",
+        path.display(),
+        line.map(|line| format!(":{line}")).unwrap_or_default()
+    )]
+    Invalid {
+        /// The file with the mistake: the one given, or one that it imports.
+        path: PathBuf,
+        /// Counted from 1; none where the evaluator names no place.
+        line: Option<usize>,
+        /// The evaluator's words, on one line.
+        message: String,
+    },
+}
+
+fn invalid(path: &Path, error: &Error) -> EvaluateError {
+    let message = error.error().to_string().replace('\n', " ");
+    let location = error.trace().0.iter().find_map(|element| element.location.as_ref());
+    match location {
         Some(span) => {
             let file = span.0.source_path().path().map_or(path.to_path_buf(), Path::to_path_buf);
-            (file, format!(":{}", span.0.map_source_locations(&[span.1])[0].line))
+            let line = span.0.map_source_locations(&[span.1])[0].line;
+            EvaluateError::Invalid { path: file, line: Some(line), message }
         }
-        None => (path.to_path_buf(), String::new()),
-    };
-    let what = wrong.error().to_string().replace('\n', " ");
-    format!("{}{line}: the file: expected a template that can be evaluated: {what}", file.display())
+        None => EvaluateError::Invalid { path: path.to_path_buf(), line: None, message },
+    }
 }
 
-/// What the file evaluates to.
-pub fn evaluate(path: &Path) -> std::result::Result<String, String> {
-    let fault = |wrong: std::io::Error| format!("{}: the file: expected a file ({wrong})", path.display());
-    let real = path.canonicalize().map_err(fault)?;
-    let root = real.parent().unwrap_or(Path::new("/")).to_path_buf();
-    set_stack_depth_limit(DEPTH_MOST);
+/// The JSON to which the file evaluates, on one line.
+///
+/// # Errors
+/// [`EvaluateError`]: the file cannot be read, or is no sound template.
+pub fn evaluate(path: &Path) -> std::result::Result<String, EvaluateError> {
+    let unreadable = |source| EvaluateError::Unreadable { path: path.to_path_buf(), source };
+    let canonical = path.canonicalize().map_err(unreadable)?;
+    let root = canonical.parent().unwrap_or(Path::new("/")).to_path_buf();
+    set_stack_depth_limit(MAX_DEPTH);
     let library = jrsonnet_stdlib::ContextInitializer::new(PathResolver::new_cwd_fallback());
     let mut builder = State::builder();
     builder
-        .import_resolver(Folder { root, files: FileImportResolver::new(vec![]) })
+        .import_resolver(FolderImports { root, files: FileImportResolver::new(vec![]) })
         .context_initializer(library);
     let state = builder.build();
     let _entered = state.enter();
-    let value = state.import(&*std::borrow::Cow::Borrowed(real.as_path()));
+    let value = state.import(&*std::borrow::Cow::Borrowed(canonical.as_path()));
     let json = value.and_then(|value| value.manifest(JsonFormat::minify()));
-    json.map_err(|wrong| said(path, &wrong))
+    json.map_err(|error| invalid(path, &error))
 }
--- a/crates/director/service/src/control.rs
+++ b/crates/director/service/src/control.rs
@@ -4,7 +4,7 @@
 use crate::framing::{Framed, Framer};
 use crate::net::Task;
 use crate::reducer::{ControlId, Event};
-use coppersail_admin_socket::{line, request, Answer, LINE_MOST};
+use coppersail_admin_socket::{encode, parse_request, Answer, MAX_LINE_BYTES};
 use std::collections::BTreeMap;
 use std::io;
 use std::os::unix::fs::{FileTypeExt, MetadataExt, PermissionsExt};
@@ -102,9 +102,9 @@
 }
 
 async fn asked(bytes: &[u8], events: &Sender<Event>, all: &Mutex<Owed>) -> Answer {
-    let request = match request(bytes) {
+    let request = match parse_request(bytes) {
         Ok(request) => request,
-        Err(why) => return Answer::Unreadable { why },
+        Err(why) => return Answer::Unreadable { reason: reason: why },
     };
     let (sender, answer) = oneshot::channel();
     let who = {
@@ -119,12 +119,12 @@
     owed(all).answers.remove(&who);
     match answer {
         Ok(Ok(answer)) if sent => answer,
-        _ => Answer::Refused { why: "no answer in time; ask whether it was done".to_string() },
+        _ => Answer::Rejected { reason: "no answer in time; ask whether it was done".to_string() },
     }
 }
 
 async fn talk(mut stream: UnixStream, events: Sender<Event>, owed: Arc<Mutex<Owed>>) -> io::Result<()> {
-    let (mut framer, mut piece) = (Framer::new(LINE_MOST), vec![0; 1 << 13]);
+    let (mut framer, mut piece) = (Framer::new(MAX_LINE_BYTES), vec![0; 1 << 13]);
     loop {
         let read = tokio::time::timeout(SILENT_MOST, stream.read(&mut piece)).await;
         let many = read.map_err(|_| crate::net::late())??;
@@ -135,11 +135,11 @@
             let (answer, last) = match framed {
                 Framed::Line(bytes) => (asked(&bytes, &events, &owed).await, false),
                 Framed::TooLong => (
-                    Answer::Unreadable { why: format!("a request: expected at most {LINE_MOST} bytes") },
+                    Answer::Unreadable { reason: format!("a request: expected at most {MAX_LINE_BYTES} bytes") },
                     true,
                 ),
             };
-            stream.write_all(&line(&answer)).await?;
+            stream.write_all(&encode(&answer)).await?;
             if last {
                 return Ok(());
             }
--- a/crates/director/service/src/reducer/operators.rs
+++ b/crates/director/service/src/reducer/operators.rs
@@ -5,7 +5,7 @@
 use super::news::Standing;
 use super::{ControlId, Effect, Out};
 use coppersail::interface as api;
-use coppersail_admin_socket::{Answer, Differs, Request, Status, Trial, PAGE};
+use coppersail_admin_socket::{Answer, Difference, Request, Status, Trial, PAGE};
 use coppersail_capacity_guard::{Change, Guarded, Mode, Pending};
 use coppersail_change_analysis::{Judge, Touch, TrialId};
 use coppersail_changes::{
@@ -440,7 +440,7 @@
         self.carry_out(now, acts, around, out);
         if let Some(who) = number.and_then(|number| self.owed.remove(&number)) {
             let why = Refusal::History(why.to_string()).to_string();
-            out.effects.push(Effect::Answer(who, Answer::Refused { why }));
+            out.effects.push(Effect::Answer(who, Answer::Rejected { reason: why }));
         }
     }
 
@@ -508,7 +508,9 @@
             }
             Request::Diff { edits } => {
                 let differs = self.book.preview(&edits).into_iter();
-                let differs = differs.map(|(field, is, becomes)| Differs { field, is, becomes }).collect();
+                let differs = differs
+                    .map(|(field, is, becomes)| Difference { field, current: is, proposed: becomes })
+                    .collect();
                 Ok((Answer::Diff { differs }, vec![]))
             }
             Request::List { before } => {
@@ -533,7 +535,7 @@
         };
         let (answer, acts) = answered.unwrap_or_else(|refusal| {
             out.counters.commands_refused += 1;
-            (Answer::Refused { why: refusal.to_string() }, vec![])
+            (Answer::Rejected { reason: refusal.to_string() }, vec![])
         });
         self.carry_out(now, acts, around, out);
         out.effects.push(Effect::Answer(who, answer));
@@ -542,9 +544,9 @@
     fn status(&self, now: f64, around: &Around) -> Status {
         let trial = |(number, trial): (Version, f64)| Trial {
             number,
-            left: self.book.trial_left(now, number).unwrap_or(0.0),
-            heard: self.judge.heard(TrialId(number.0)),
-            believed: self.judge.believed(TrialId(number.0), trial),
+            remaining_seconds: self.book.trial_left(now, number).unwrap_or(0.0),
+            reports: self.judge.heard(TrialId(number.0)),
+            sufficient: self.judge.believed(TrialId(number.0), trial),
         };
         Status {
             name: self.name.clone(),
--- a/crates/tools/cli/src/main.rs
+++ b/crates/tools/cli/src/main.rs
@@ -229,8 +229,8 @@
 
 type Done = Result<(), End>;
 
-fn unreadable<T>(found: Result<T, String>) -> Result<T, End> {
-    found.map_err(End::Unreadable)
+fn unreadable<T, E: std::fmt::Display>(found: Result<T, E>) -> Result<T, End> {
+    found.map_err(|error| End::Unreadable(error.to_string()))
 }
 
 fn edits(wanted: &Wanted) -> Result<Edits, End> {
@@ -300,8 +300,8 @@
 impl Asking {
     fn ask(&self, request: &Request) -> Result<Answer, End> {
         match unreadable(talk::ask(&self.socket, request))? {
-            Answer::Refused { why } => Err(End::Refused(why)),
-            Answer::Unreadable { why } => Err(End::Unreadable(why)),
+            Answer::Rejected { reason: why } => Err(End::Refused(why)),
+            Answer::Unreadable { reason: why } => Err(End::Unreadable(why)),
             answer => Ok(answer),
         }
     }
@@ -332,7 +332,7 @@
                 say(&(rows + &more.unwrap_or_default()));
             }
             Answer::Change(change) => say(&show::change(change)),
-            Answer::Refused { .. } | Answer::Unreadable { .. } => {}
+            Answer::Rejected { .. } | Answer::Unreadable { .. } => {}
         }
     }
 
--- a/crates/tools/cli/src/show.rs
+++ b/crates/tools/cli/src/show.rs
@@ -1,6 +1,6 @@
 //! How answers are shown to a person.
 
-use coppersail_admin_socket::{Differs, Status};
+use coppersail_admin_socket::{Difference, Status};
 use coppersail_changes::{Change, Stage};
 use coppersail_operator_config::{Field, Value};
 
@@ -22,9 +22,10 @@
     format!("{year:04}-{month:02}-{day:02} {:02}:{:02}:{:02}Z", rest / 3600, rest / 60 % 60, rest % 60)
 }
 
-pub fn differs(found: &[Differs]) -> String {
-    let line =
-        |d: &Differs| format!("{}: {} -> {}\n", d.field, value(d.is.as_ref()), value(d.becomes.as_ref()));
+pub fn differs(found: &[Difference]) -> String {
+    let line = |d: &Difference| {
+        format!("{}: {} -> {}\n", d.field, value(d.current.as_ref()), value(d.proposed.as_ref()))
+    };
     found.iter().map(line).collect()
 }
 
@@ -87,10 +88,10 @@
         text += &format!("frozen by {who}: {why}\n");
     }
     for trial in &status.trials {
-        let heard = if trial.believed { "enough heard" } else { "not enough heard yet" };
+        let heard = if trial.sufficient { "enough heard" } else { "not enough heard yet" };
         text += &format!(
             "on trial: change {}, {:.0} s left, {} reports, {heard}\n",
-            trial.number, trial.left, trial.heard
+            trial.number, trial.remaining_seconds, trial.reports
         );
     }
     if status.in_force.is_empty() {
--- a/crates/tools/cli/src/talk.rs
+++ b/crates/tools/cli/src/talk.rs
@@ -1,6 +1,6 @@
 //! One director over its Unix socket.
 
-use coppersail_admin_socket::{answer, line, Answer, Request, LINE_MOST};
+use coppersail_admin_socket::{encode, parse_answer, Answer, Request, MAX_LINE_BYTES};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::os::unix::net::UnixStream;
 use std::path::Path;
@@ -9,7 +9,7 @@
 /// Longer than a director takes to answer anything.
 const ANSWER_MOST: Duration = Duration::from_secs(15);
 /// An answer holds a page of changes, each as long as a submission may be at the very most.
-const ANSWER_LINE_MOST: u64 = 64 * LINE_MOST as u64;
+const ANSWER_LINE_MOST: u64 = 64 * MAX_LINE_BYTES as u64;
 
 /// What the director says; an error where it cannot be asked.
 pub fn ask(socket: &Path, request: &Request) -> Result<Answer, String> {
@@ -17,9 +17,9 @@
     let mut stream =
         UnixStream::connect(socket).map_err(|wrong| failed("no director answers there", wrong))?;
     stream.set_read_timeout(Some(ANSWER_MOST)).map_err(|wrong| failed("socket", wrong))?;
-    let bytes = line(request);
-    if bytes.len() > LINE_MOST {
-        return Err(format!("the request: expected at most {LINE_MOST} bytes"));
+    let bytes = encode(request);
+    if bytes.len() > MAX_LINE_BYTES {
+        return Err(format!("the request: expected at most {MAX_LINE_BYTES} bytes"));
     }
     stream.write_all(&bytes).map_err(|wrong| failed("cannot be written to", wrong))?;
     let mut said = Vec::new();
@@ -28,5 +28,5 @@
     if said.is_empty() {
         return Err(format!("{}: the director closed the connection without an answer", socket.display()));
     }
-    answer(&said)
+    parse_answer(&said).map_err(|error| error.to_string())
 }
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -153,7 +153,7 @@
             for effect in run.reducer.reduce(now, event) {
                 match &effect {
                     Effect::Log(_, Some(number), text) => self.heard_of(now, number.0, text),
-                    Effect::Answer(_, Answer::Refused { why }) => {
+                    Effect::Answer(_, Answer::Rejected { reason: why }) => {
                         self.heard_of(now, 0, &format!("refused: {why}"))
                     }
                     _ => {}
--- a/crates/tools/lab/src/scenario.rs
+++ b/crates/tools/lab/src/scenario.rs
@@ -306,7 +306,7 @@
     pub fn read(path: &std::path::Path) -> Result<Scenario, String> {
         let json = match path.extension().is_some_and(|ending| ending == "json") {
             true => std::fs::read_to_string(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?,
-            false => coppersail_jsonnet::evaluate(path)?,
+            false => coppersail_jsonnet::evaluate(path).map_err(|error| error.to_string())?,
         };
         let mut scenario: Scenario =
             serde_json::from_str(&json).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
