--- a/crates/director/service/src/control.rs
+++ b/crates/director/service/src/control.rs
@@ -104,7 +104,7 @@
 async fn asked(bytes: &[u8], events: &Sender<Event>, all: &Mutex<Owed>) -> Answer {
     let request = match parse_request(bytes) {
         Ok(request) => request,
-        Err(why) => return Answer::Unreadable { reason: reason: why },
+        Err(error) => return Answer::Unreadable { reason: error.to_string() },
     };
     let (sender, answer) = oneshot::channel();
     let who = {
@@ -135,7 +135,9 @@
             let (answer, last) = match framed {
                 Framed::Line(bytes) => (asked(&bytes, &events, &owed).await, false),
                 Framed::TooLong => (
-                    Answer::Unreadable { reason: format!("a request: expected at most {MAX_LINE_BYTES} bytes") },
+                    Answer::Unreadable {
+                        reason: format!("a request: expected at most {MAX_LINE_BYTES} bytes"),
+                    },
                     true,
                 ),
             };
