--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -9,8 +9,10 @@
 pub mod pass;
 pub mod ready;
 pub mod reply;
+pub mod rollout;
 pub mod sessions;
 pub mod steer;
+pub mod watch;
 
 use coppersail_config::ProcessSettings;
 use coppersail_load_balancing::backoff;
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -0,0 +1,153 @@
+//! What an edge does with its rollouts: applies updates, records the outcomes of attempts, queues evidence.
+use super::duplicates::DuplicateObserver;
+use super::variants::AssignedVariant;
+use crate::edge::Edge;
+use coppersail_load_balancing::Ms;
+use coppersail_peer_protocol::Update;
+use coppersail_retry::{AttemptOutcome, IndeterminateCause};
+use coppersail_rollout::evidence::OutcomeKind;
+use coppersail_rollout::Variant;
+use slog::{info, warn};
+
+/// Limit of the evidence in one poll, in bytes: with a rollout there are three polls a second, and a row or two in
+/// two seconds.
+const MAX_REPORT_BYTES: usize = 600;
+
+/// An attempt whose outcome is evidence.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptRecord<'a> {
+    /// The variant that the endpoint served.
+    pub variant: &'a AssignedVariant,
+    /// Name of the route.
+    pub route: &'a str,
+    /// Id of the endpoint.
+    pub endpoint: &'a str,
+    /// Whether the endpoint answered with a status of the 500s.
+    pub server_error: bool,
+    /// From sending the request to its outcome, in milliseconds.
+    pub latency: Ms,
+    /// The route's latency target, in milliseconds.
+    pub target_time: Ms,
+    /// Whether the endpoint was warming up or overloaded: its latency says nothing about the version.
+    pub excluded: bool,
+}
+
+impl AttemptRecord<'_> {
+    /// None for what the endpoint has not run, which is no evidence about its version.
+    fn classify<A>(&self, outcome: &AttemptOutcome<A>) -> Option<OutcomeKind> {
+        match outcome {
+            AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => None,
+            AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_) if self.excluded => {
+                Some(OutcomeKind::Aside)
+            }
+            AttemptOutcome::Failed(_) => Some(OutcomeKind::Failed),
+            AttemptOutcome::Completed(_) if self.server_error => Some(OutcomeKind::Failed),
+            AttemptOutcome::Completed(_) if self.latency > self.target_time => Some(OutcomeKind::Late),
+            AttemptOutcome::Completed(_) => Some(OutcomeKind::Good),
+            AttemptOutcome::Indeterminate(
+                IndeterminateCause::ForeignResponse | IndeterminateCause::Unsealed,
+            ) => Some(OutcomeKind::Foreign),
+            AttemptOutcome::Indeterminate(_) => Some(OutcomeKind::Lost),
+        }
+    }
+}
+
+impl Edge {
+    /// Applies the rollouts of an update and extends the lease under which new versions get requests.
+    pub fn take_plans(&self, update: &Update) {
+        let rollouts = &self.steer;
+        let mut selector = rollouts.selector.borrow_mut();
+        for state in &update.rollouts {
+            if selector.take(state) {
+                let percent = state.share().map_or(0.0, |share| share * 100.0);
+                info!(
+                    self.log,
+                    "edge: plan {} is {:?} at {percent}%: {}", state.name, state.phase, state.why
+                );
+            }
+        }
+        let active = !selector.is_empty();
+        if active != rollouts.active.get() {
+            rollouts.active.set(active);
+            rollouts.outbox.set_active(active);
+            rollouts.evidence.borrow_mut().clear();
+        }
+        // A leader of an earlier term than the last one known cannot say what is in force now.
+        let as_of = update.rollouts_as_of.filter(|as_of| as_of.term >= rollouts.term.get());
+        if let (Some(as_of), Some(requested_at)) = (as_of, update.requested_at) {
+            // Counted from the request: the answer may have been on its way for any part of the time since.
+            let age = requested_at.elapsed().as_millis() as Ms + as_of.age_ms;
+            if let Some(known_at) = self.now().checked_sub(age) {
+                selector.fresh(known_at);
+            }
+            if as_of.term > rollouts.term.replace(as_of.term) {
+                rollouts.evidence.borrow_mut().again();
+            }
+        }
+        drop(selector);
+        self.report();
+    }
+
+    /// Queues the evidence of spans that are over, for the next poll.
+    pub fn report(&self) {
+        if self.steer.on() {
+            let report = self.steer.evidence.borrow_mut().report(self.now(), MAX_REPORT_BYTES);
+            self.steer.outbox.put_back(report.into_iter().collect());
+        }
+    }
+
+    /// A request is sent to an endpoint. True if its latency will say nothing about the version, as the endpoint is
+    /// warming up or has more than its part of the requests.
+    pub fn steered(&self, variant: &AssignedVariant, endpoint: &str, now: Ms) -> bool {
+        let registry = self.book.borrow();
+        let known = registry.endpoint(endpoint).map(|known| (known.capacity, now < known.slow_start_until));
+        let (capacity, warming_up) = known.unwrap_or((1, false));
+        let mut evidence = self.steer.evidence.borrow_mut();
+        variant.counted && (evidence.sent(now, endpoint, f64::from(capacity)) || warming_up)
+    }
+
+    /// Records what became of an attempt, as evidence about its variant.
+    pub fn record_outcome<A>(&self, attempt: &AttemptRecord<'_>, outcome: &AttemptOutcome<A>) {
+        let AttemptRecord { variant, route, endpoint, latency, .. } = *attempt;
+        if !variant.counted || !outcome.arrived() {
+            return;
+        }
+        let now = self.now();
+        self.note(now, variant, route, OutcomeKind::Offered, None, None);
+        if let Some(kind) = attempt.classify(outcome) {
+            let answered = matches!(outcome, AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_));
+            self.note(now, variant, route, kind, answered.then_some(latency), Some(endpoint));
+        }
+    }
+
+    fn note(
+        &self,
+        now: Ms,
+        variant: &AssignedVariant,
+        route: &str,
+        kind: OutcomeKind,
+        latency: Option<Ms>,
+        endpoint: Option<&str>,
+    ) {
+        let AssignedVariant { plan, number, side, .. } = variant;
+        let mut evidence = self.steer.evidence.borrow_mut();
+        evidence.note(now, plan, *number, route, *side, kind, latency, endpoint);
+    }
+}
+
+impl DuplicateObserver for Edge {
+    /// Stops the new version at this edge at once if it is the one that answered twice; the control plane is told
+    /// with the next poll.
+    fn record_duplicate(&self, variant: &AssignedVariant, route: &str) {
+        if !variant.counted {
+            return;
+        }
+        let AssignedVariant { plan, number, side, .. } = variant;
+        warn!(self.log, "edge: a try was answered twice by the {side:?} version of plan {plan}");
+        if *side == Variant::New {
+            self.steer.selector.borrow_mut().stop(plan, *number);
+        }
+        self.note(self.now(), variant, route, OutcomeKind::Doubled, None, None);
+        self.report();
+    }
+}
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
@@ -1,4 +1,4 @@
-//! The follower among centres that fail, and when an edge calls itself ready.
+//! The watch of the control plane while its nodes fail, and when an edge becomes ready.
 use crate::stand_ins::*;
 use coppersail_config::ProcessSettings;
 use coppersail_peer_protocol::{ConfigDocument, EndpointState, Update, WatchRequest};
@@ -6,24 +6,35 @@
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
 use std::sync::mpsc::{channel, Receiver};
+use tokio::sync::mpsc::UnboundedReceiver;
 
-/// A centre that answers polls one after the other as told, and hands out what it was asked.
-fn centre(listener: TcpListener, answers: Vec<(u16, Update)>) -> Receiver<WatchRequest> {
-    let (told, asked) = channel();
+/// Starts a watch; one request has been counted that its polls report. Returns the updates that it applies.
+fn watch_with_one_counted_request(settings: &ProcessSettings) -> UnboundedReceiver<Update> {
+    let request_counts = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
+    request_counts.count("parted", 4);
+    let (sender, updates) = tokio::sync::mpsc::unbounded_channel();
+    let log = Logger::root(Discard, o!());
+    coppersail_edge_proxy::watch::start(settings, log, request_counts, Default::default(), sender).unwrap();
+    updates
+}
+
+/// A control-plane node that answers polls with these in turn. Returns the polls.
+fn control_plane_node(listener: TcpListener, answers: Vec<(u16, Update)>) -> Receiver<WatchRequest> {
+    let (sender, polls) = channel();
     std::thread::spawn(move || {
         let mut answers = answers.into_iter();
         for stream in listener.incoming() {
             let mut stream = stream.unwrap();
             while let Some(poll) = read_poll(&mut stream) {
-                let Some((status, news)) = answers.next() else { return };
-                told.send(poll).unwrap();
-                let body = serde_json::to_string(&news).unwrap();
+                let Some((status, update)) = answers.next() else { return };
+                sender.send(poll).unwrap();
+                let body = serde_json::to_string(&update).unwrap();
                 write!(stream, "HTTP/1.1 {status} x\r\nContent-Length: {}\r\n\r\n{body}", body.len())
                     .unwrap();
             }
         }
     });
-    asked
+    polls
 }
 
 fn read_poll(stream: &mut TcpStream) -> Option<WatchRequest> {
@@ -43,121 +54,111 @@
 }
 
 #[test]
-fn a_failing_centre_is_left_and_nothing_counted_is_lost() {
-    // Both listen at the same port of different addresses, as centres do.
+fn a_failing_node_is_left_and_no_request_count_is_lost() {
+    // Both listen at the same port of different addresses, as control-plane nodes do.
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = first.local_addr().unwrap().port();
     let second = TcpListener::bind(("127.0.0.2", port)).unwrap();
-    let news = |seq, alone| Update {
-        feed_id: 9,
-        sequence: seq,
-        isolated: alone,
-        edge_count: 3,
-        ..Update::default()
-    };
-    let failing = centre(first, vec![(500, Update::default()); 3]);
-    let sound = centre(second, vec![(200, news(5, false)), (200, news(6, false)), (200, news(7, true))]);
-    let boot = ProcessSettings {
+    let update =
+        |sequence, isolated| Update { feed_id: 9, sequence, isolated, edge_count: 3, ..Update::default() };
+    let failing = control_plane_node(first, vec![(500, Update::default()); 3]);
+    let usable = control_plane_node(
+        second,
+        vec![(200, update(5, false)), (200, update(6, false)), (200, update(7, true))],
+    );
+    let settings = ProcessSettings {
         ip: "127.0.0.9".into(),
         area: "north".into(),
         spare_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..ProcessSettings::default()
     };
-    let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
-    tallies.count("parted", 4);
-    let (send, mut taken) = tokio::sync::mpsc::unbounded_channel();
-    coppersail_edge_proxy::follow::start(
-        &boot,
-        Logger::root(Discard, o!()),
-        tallies,
-        Default::default(),
-        send,
-    )
-    .unwrap();
-    for seq in 5..7 {
-        assert_eq!(taken.blocking_recv().map(|news| (news.feed_id, news.sequence)), Some((9, seq)));
+    let mut updates = watch_with_one_counted_request(&settings);
+    for sequence in 5..7 {
+        assert_eq!(
+            updates.blocking_recv().map(|update| (update.feed_id, update.sequence)),
+            Some((9, sequence))
+        );
     }
-    let polls: Vec<WatchRequest> = sound.iter().take(3).collect();
+    let polls: Vec<WatchRequest> = usable.iter().take(3).collect();
     assert_eq!(polls.iter().map(|poll| poll.sequence).collect::<Vec<_>>(), [0, 5, 6]);
     assert_eq!((polls[0].edge.as_str(), polls[0].request_counts[0].counts[0]), ("127.0.0.9", (4, 1)));
     assert!(polls[1].request_counts.is_empty());
-    // The last one said that it is alone: the other has its turn again, and goes on from what was taken.
+    // The last answer was isolated: the other node is polled again, from the last update that was applied.
     assert!(failing.iter().any(|poll| (poll.feed_id, poll.sequence) == (9, 6)));
-    assert!(taken.try_recv().is_err(), "nothing is taken of a centre without a majority");
+    assert!(updates.try_recv().is_err(), "an isolated answer is not applied");
 }
 
-/// A centre that is cut off speaks of what others have left behind: at first, between two sound answers, and in another life.
+/// An isolated node describes a state that the others have replaced: at first, between two usable answers, and under
+/// another feed id.
 #[test]
-fn a_cut_off_centre_hands_out_nothing() {
-    let cut_off = TcpListener::bind("127.0.0.1:0").unwrap();
-    let port = cut_off.local_addr().unwrap().port();
+fn no_answer_of_an_isolated_node_is_applied() {
+    let isolated_node = TcpListener::bind("127.0.0.1:0").unwrap();
+    let port = isolated_node.local_addr().unwrap().port();
     let bind = |ip: &str| TcpListener::bind((ip, port)).unwrap();
-    let (named, hinted) = (bind("127.0.0.2"), bind("127.0.0.3"));
-    let settings = Some(ConfigDocument { revision: 3, body: "old".into() });
-    let old = Update {
+    let (configured, hinted) = (bind("127.0.0.2"), bind("127.0.0.3"));
+    let config = Some(ConfigDocument { revision: 3, body: "old".into() });
+    let outdated = Update {
         feed_id: 7,
         sequence: 70,
         isolated: true,
         is_snapshot: true,
         edge_count: 99,
-        config: settings.clone(),
+        config: config.clone(),
         control_plane_addresses: vec![format!("127.0.0.3:{port}")],
         ..Update::default()
     };
-    let sound = |feed, seq| Update { feed_id: feed, sequence: seq, edge_count: 3, ..Update::default() };
-    let alone = Update { feed_id: 9, sequence: 6, isolated: true, config: settings, ..Update::default() };
-    let cut_off = centre(cut_off, vec![(200, old); 40]);
-    let no = (500, Update::default());
-    let named = centre(named, vec![no.clone(), no.clone(), (200, sound(9, 5)), (200, alone)]);
-    let hinted = centre(hinted, vec![no.clone(), no.clone(), no.clone(), no, (200, sound(11, 1))]);
-    let boot = ProcessSettings {
+    let usable = |feed_id, sequence| Update { feed_id, sequence, edge_count: 3, ..Update::default() };
+    let isolated = Update { feed_id: 9, sequence: 6, isolated: true, config, ..Update::default() };
+    let isolated_node = control_plane_node(isolated_node, vec![(200, outdated); 40]);
+    let failure = (500, Update::default());
+    let configured = control_plane_node(
+        configured,
+        vec![failure.clone(), failure.clone(), (200, usable(9, 5)), (200, isolated)],
+    );
+    let hinted = control_plane_node(
+        hinted,
+        vec![failure.clone(), failure.clone(), failure.clone(), failure, (200, usable(11, 1))],
+    );
+    let settings = ProcessSettings {
         ip: "127.0.0.9".into(),
         spare_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..ProcessSettings::default()
     };
-    let tallies = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
-    tallies.count("parted", 4);
-    let (send, mut taken) = tokio::sync::mpsc::unbounded_channel();
-    coppersail_edge_proxy::follow::start(
-        &boot,
-        Logger::root(Discard, o!()),
-        tallies,
-        Default::default(),
-        send,
-    )
-    .unwrap();
-    let mut heard = || Update { requested_at: None, ..taken.blocking_recv().unwrap() };
+    let mut updates = watch_with_one_counted_request(&settings);
+    let mut applied = || Update { requested_at: None, ..updates.blocking_recv().unwrap() };
     assert_eq!(
-        [heard(), heard()],
-        [sound(9, 5), sound(11, 1)],
-        "only what has a majority behind it is taken"
+        [applied(), applied()],
+        [usable(9, 5), usable(11, 1)],
+        "only answers with a quorum behind them are applied"
     );
-    let at = |polls: &Receiver<WatchRequest>| {
-        polls.try_iter().map(|p| (p.feed_id, p.sequence)).collect::<Vec<_>>()
+    let positions = |polls: &Receiver<WatchRequest>| {
+        polls.try_iter().map(|poll| (poll.feed_id, poll.sequence)).collect::<Vec<_>>()
     };
-    let (cut_off, named, hinted) = (cut_off.try_iter().collect::<Vec<_>>(), at(&named), at(&hinted));
-    assert!(cut_off.len() >= 2, "it has had its turns");
+    let (isolated_node, configured, hinted) =
+        (isolated_node.try_iter().collect::<Vec<_>>(), positions(&configured), positions(&hinted));
+    assert!(isolated_node.len() >= 2, "it has been polled");
     assert!(
-        cut_off.iter().all(|poll| (poll.feed_id, poll.sequence) != (7, 70)),
-        "nor is its place in the feed"
+        isolated_node.iter().all(|poll| (poll.feed_id, poll.sequence) != (7, 70)),
+        "nor is its feed position used"
     );
-    assert!(named.contains(&(0, 0)) && hinted.contains(&(0, 0)), "{named:?} {hinted:?}");
-    // What was counted waits for one that has a majority.
-    assert!(cut_off.iter().take(2).all(|poll| poll.request_counts.len() == 1));
+    assert!(configured.contains(&(0, 0)) && hinted.contains(&(0, 0)), "{configured:?} {hinted:?}");
+    // Request counts are kept for a node that has a quorum.
+    assert!(isolated_node.iter().take(2).all(|poll| poll.request_counts.len() == 1));
 }
 
 #[test]
-fn an_edge_is_ready_once_it_would_do_right_and_stays_so() {
+fn an_edge_becomes_ready_with_an_owner_for_each_service_and_stays_ready() {
     play(|| async {
         let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
         let rig = rig(&[&host]).await;
-        assert!(!rig.edge.ready(), "the divided service has no host yet");
-        let mut parted = host.news(EndpointState::Ready, 1);
-        (parted.id, parted.service, parted.address) = ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
-        rig.edge.take(Update { endpoints: vec![parted], ..Update::default() });
-        assert!(!rig.edge.ready(), "and nobody holds its keys");
+        assert!(!rig.edge.ready(), "the sharded service has no endpoint yet");
+        let mut sharded = host.news(EndpointState::Ready, 1);
+        (sharded.id, sharded.service, sharded.address) =
+            ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
+        rig.edge.take(Update { endpoints: vec![sharded], ..Update::default() });
+        assert!(!rig.edge.ready(), "and none owns its slices");
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
