--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -0,0 +1,261 @@
+//! Admission of a request while sessions are on: finds its session, and lets a request that must run once through
+//! only when the affinity node says so.
+use super::clock::{millis, unix_millis};
+use super::endpoint_affinity::{AttemptTarget, EndpointAffinity, SentTo};
+use super::replay::{self, refusal};
+use super::service::{Progress, Sessions};
+use super::tokens::ValidToken;
+use crate::edge::{Edge, Told};
+use crate::pass::{self, Held, Taken};
+use crate::reply::{self, Reply};
+use bytes::Bytes;
+use coppersail_config::sessions::PeerSite;
+use coppersail_config::Route;
+use coppersail_load_balancing::backoff;
+use coppersail_session_affinity::token::{fingerprint, SessionToken, TokenError};
+use coppersail_session_affinity::{IdempotentRequest, NodeId};
+use hyper::body::Incoming;
+use hyper::header::{HeaderMap, HeaderName};
+use hyper::Response;
+use std::rc::Rc;
+use tokio::task::spawn_local;
+
+/// The client's key of a request that must run once, after the IETF's draft of that name.
+const IDEMPOTENCY_KEY: HeaderName = HeaderName::from_static("idempotency-key");
+/// Limit of such a key in bytes. Keys are ids, as a rule of 36 characters; longer ones would fill the records.
+const MAX_KEY_LENGTH: usize = 255;
+
+/// What a route requires of its sessions.
+#[derive(Debug, Clone, Copy, PartialEq)]
+enum RouteKind {
+    /// The request may run at any time (`confirms` is off).
+    Lookup,
+    /// The request must run at most once (`confirms` is on).
+    Confirmation,
+}
+
+/// The session of a request.
+struct RequestSession {
+    valid: ValidToken,
+    /// The peers that keep its replicas.
+    replicas: Vec<NodeId>,
+}
+
+/// Why a request has no session.
+#[derive(Debug, Clone, Copy)]
+enum NoSession {
+    NoToken,
+    UnknownPeerSet,
+    InvalidToken(TokenError),
+}
+
+impl NoSession {
+    /// For the client, in the header `session-outcome`.
+    fn reason(self) -> &'static str {
+        match self {
+            NoSession::NoToken => "no session",
+            NoSession::UnknownPeerSet => "the session's list of sites is gone",
+            NoSession::InvalidToken(error) => error.why(),
+        }
+    }
+}
+
+impl EndpointAffinity {
+    /// [`EndpointAffinity::choose_endpoint`] with what the request path has at hand.
+    pub(crate) fn steer(
+        &self,
+        edge: &Edge,
+        taken: &Taken<'_>,
+        selected: Rc<str>,
+        tried: &[Rc<str>],
+    ) -> Rc<str> {
+        let target = AttemptTarget { service: taken.service, sharded: taken.key.is_some(), tried };
+        self.choose_endpoint(&edge.book.borrow(), edge.now(), selected, &target)
+    }
+}
+
+impl Sessions {
+    /// Proxies any request, once sessions are on.
+    pub(crate) async fn guide(
+        self: &Rc<Self>,
+        edge: &Rc<Edge>,
+        config: &Told,
+        mut request: Taken<'_>,
+        body: Incoming,
+    ) -> Response<Reply> {
+        let Some(kind) = self.route_kind(request.route) else {
+            return pass::pass(edge, config, request, body).await;
+        };
+        let now = unix_millis();
+        let session = match self.session_of(&request.headers, now) {
+            Ok(session) => session,
+            Err(error) => {
+                let mut response = match kind {
+                    // Without a session a repeat could not be told from the first request.
+                    RouteKind::Confirmation => refusal(428, error.reason()),
+                    RouteKind::Lookup => pass::pass(edge, config, request, body).await,
+                };
+                self.attach_new_token(&mut response);
+                return response;
+            }
+        };
+        let RequestSession { valid, replicas } = session;
+        let token = &valid.token;
+        let sent_to = self.prefer_endpoint(&mut request, token);
+        let service = request.service.to_owned();
+        let mut response = match kind {
+            RouteKind::Lookup => {
+                // Nothing is waited for: the session is claimed while the request is at its endpoint.
+                self.drive(|node, now| node.visit(now, token.id, token.born, &replicas));
+                pass::pass(edge, config, request, body).await
+            }
+            RouteKind::Confirmation => self.confirm(edge, config, request, body, token, replicas).await,
+        };
+        let endpoint = sent_to.borrow_mut().take();
+        if let (Some(endpoint), true) = (endpoint, response.status().is_success()) {
+            self.drive(|node, now| node.served(now, token.id, &service, &endpoint));
+        }
+        if replay::ends_session(&response) {
+            self.attach_new_token(&mut response);
+        } else if self.tokens.needs_renewal(&valid, now) {
+            self.tokens.attach(&mut response, &SessionToken { signed: now, ..valid.token });
+        }
+        response
+    }
+
+    /// None: sessions do not cover the route.
+    fn route_kind(&self, route: &Route) -> Option<RouteKind> {
+        let is_same = |site: &&PeerSite| {
+            site.domain.eq_ignore_ascii_case(&route.domain) && site.path_start == route.path_start
+        };
+        let site = self.settings.routes.iter().find(is_same)?;
+        Some(if site.confirms { RouteKind::Confirmation } else { RouteKind::Lookup })
+    }
+
+    fn session_of(&self, headers: &HeaderMap, now: u64) -> Result<RequestSession, NoSession> {
+        let text = self.tokens.find(headers).ok_or(NoSession::NoToken)?;
+        let valid = self.tokens.verify(text, now).map_err(NoSession::InvalidToken);
+        let session = valid.and_then(|valid| {
+            let replicas = self.peer_sets.seats(valid.token.roster, valid.token.id);
+            replicas.map(|replicas| RequestSession { valid, replicas }).ok_or(NoSession::UnknownPeerSet)
+        });
+        if session.is_err() {
+            self.rejected_tokens.set(self.rejected_tokens.get() + 1);
+        }
+        session
+    }
+
+    fn attach_new_token(&self, response: &mut Response<Reply>) {
+        let token = self.tokens.issue(unix_millis(), self.new_request_id(), self.peer_sets.newest());
+        self.tokens.attach(response, &token);
+    }
+
+    /// For services with the setting `stay`, the request prefers the session's endpoint. The endpoint that it is sent
+    /// to is found in what is returned.
+    fn prefer_endpoint(&self, request: &mut Taken<'_>, token: &SessionToken) -> SentTo {
+        let sent_to = SentTo::default();
+        if self.settings.stay.iter().any(|service| service == request.service) {
+            let previous = self.node.borrow().host(token.id, request.service).map(Rc::from);
+            request.stay = Some(EndpointAffinity::new(previous, sent_to.clone()));
+        }
+        sent_to
+    }
+
+    /// A request that must run at most once: read whole, admitted by the affinity node, sent.
+    async fn confirm(
+        self: &Rc<Self>,
+        edge: &Rc<Edge>,
+        config: &Told,
+        request: Taken<'_>,
+        body: Incoming,
+        token: &SessionToken,
+        replicas: Vec<NodeId>,
+    ) -> Response<Reply> {
+        let Some(key) = idempotency_key(&request.headers) else {
+            return reply::closing(refusal(400, "no key"));
+        };
+        let bytes = match pass::take_body(edge, config, request.until, body).await {
+            Ok(Held::Whole(bytes)) => bytes,
+            // A body that is not buffered cannot be compared with that of a repeat.
+            Ok(Held::Long(_)) => return reply::closing(reply::own(413)),
+            Err(response) => return response,
+        };
+        let time_left = request.until.saturating_sub(edge.now());
+        let idempotent_request = IdempotentRequest {
+            ticket: self.new_request_id(),
+            id: token.id,
+            born: token.born,
+            seats: replicas,
+            key,
+            print: request_fingerprint(&request, &bytes),
+            // For a further wait after its deadline, a repeat is told how the request ended.
+            until: unix_millis() + time_left + millis(self.settings.wait),
+        };
+        self.send_detached(edge, request, bytes, idempotent_request).await
+    }
+
+    /// Sends in a task of its own: a client that disconnects ends its wait, not the sending, and its repeat is told
+    /// how that ended.
+    async fn send_detached(
+        self: &Rc<Self>,
+        edge: &Rc<Edge>,
+        request: Taken<'_>,
+        body: Bytes,
+        idempotent_request: IdempotentRequest,
+    ) -> Response<Reply> {
+        // The configuration may allow retries on the route; a request that must run once is never retried.
+        let route = Route { repeatable: false, ..request.route.clone() };
+        let service = request.service.to_owned();
+        let Taken { part, key, method, uri, headers, id, until, stay, way, .. } = request;
+        let (sessions, edge) = (self.clone(), edge.clone());
+        let task = spawn_local(async move {
+            let (route, service) = (&route, service.as_str());
+            let request = Taken { route, service, part, key, method, uri, headers, id, until, stay, way };
+            sessions.send_once(&edge, request, body, idempotent_request).await
+        });
+        task.await.unwrap_or_else(|_| replay::outcome_unknown())
+    }
+
+    /// Asks the affinity node, and sends the request or answers as the node decides.
+    async fn send_once(
+        self: &Rc<Self>,
+        edge: &Rc<Edge>,
+        request: Taken<'_>,
+        body: Bytes,
+        idempotent_request: IdempotentRequest,
+    ) -> Response<Reply> {
+        let (request_id, attempt_id) = (idempotent_request.ticket, request.id.clone());
+        let mut progress = self.progress_of(request_id);
+        self.drive(|node, now| node.ask(now, idempotent_request));
+        let mut response = match progress.recv().await {
+            Some(Progress::Send) => {
+                let sent = pass::forward(edge, request, Held::Whole(body)).await;
+                self.drive(|node, now| node.ran(now, request_id, replay::recorded_outcome(&sent)));
+                // The client gets the response once a majority has recorded it, or the wait for that is over.
+                let _ = progress.recv().await;
+                sent.answer
+            }
+            Some(Progress::Answer(decision)) => replay::decision_response(decision, || {
+                let wait = millis(self.settings.wait);
+                backoff::back(wait, true, edge.chance.borrow_mut().f64())
+            }),
+            Some(Progress::Recorded) | None => replay::outcome_unknown(),
+        };
+        self.forget_request(request_id);
+        if replay::is_replay(&response) {
+            response.headers_mut().insert(replay::ATTEMPT_ID, attempt_id);
+        }
+        response
+    }
+}
+
+fn idempotency_key(headers: &HeaderMap) -> Option<String> {
+    let key = headers.get(IDEMPOTENCY_KEY)?.to_str().ok()?;
+    (1..=MAX_KEY_LENGTH).contains(&key.len()).then(|| key.to_owned())
+}
+
+/// Tells a repeat from another request under the same key.
+fn request_fingerprint(request: &Taken<'_>, body: &Bytes) -> u64 {
+    let path = request.uri.path_and_query().map_or("", |path| path.as_str());
+    fingerprint(&[request.method.as_str().as_bytes(), path.as_bytes(), body])
+}
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -0,0 +1,153 @@
+//! Drives the pure `AffinityNode`: the one place where calls go into it, and where its outputs are carried out.
+use super::clock::{unix_millis, unix_nanos};
+use super::peer_links::{max_body_bytes, PeerLinks};
+use super::settings::{self, SessionsError};
+use super::tokens::SessionTokens;
+use coppersail_config::{ProcessSettings, SessionSettings};
+use coppersail_session_affinity::{AffinityNode, Decision, Message, Ms, NodeId, Output, PeerSets, RequestId};
+use rustc_hash::FxHashMap;
+use slog::{info, Logger};
+use std::cell::{Cell, RefCell};
+use std::rc::Rc;
+use tokio::sync::mpsc::{unbounded_channel, UnboundedReceiver, UnboundedSender};
+use tokio::task::spawn_local;
+
+/// What the node decides about a request that waits for it.
+pub(super) enum Progress {
+    /// Send it to an endpoint, and report the outcome.
+    Send,
+    /// Its outcome is recorded by a majority of the replicas, or the wait for that is over.
+    Recorded,
+    /// Do not send it; this is the answer.
+    Answer(Decision),
+}
+
+/// The sessions of one edge.
+pub struct Sessions {
+    pub(super) log: Logger,
+    pub(super) settings: SessionSettings,
+    pub(super) tokens: SessionTokens,
+    pub(super) peer_sets: PeerSets,
+    pub(super) node_id: NodeId,
+    pub(super) node: RefCell<AffinityNode>,
+    pub(super) links: PeerLinks,
+    /// Tokens that were not accepted.
+    pub(super) rejected_tokens: Cell<u64>,
+    waiting: RefCell<FxHashMap<RequestId, UnboundedSender<Progress>>>,
+    next_request_id: Cell<RequestId>,
+}
+
+impl Sessions {
+    /// Sessions of the edge that peers reach at `address` (`ip:port`). `initial_boot`: the whole system starts for the
+    /// first time, so that this node cannot have forgotten sessions that others still have.
+    ///
+    /// # Errors
+    /// When a key file cannot be read, keys are too short, or the newest peer set lacks the address.
+    pub fn new(
+        settings: SessionSettings,
+        address: &str,
+        initial_boot: bool,
+        log: Logger,
+    ) -> Result<Rc<Sessions>, SessionsError> {
+        let keys = settings::signing_keys(&settings)?;
+        let peer_sets = settings::peer_sets(&settings);
+        let newest = &settings.rosters[&peer_sets.newest()];
+        let node_id = settings::node_id(newest, address)?;
+        let affinity = settings::affinity_settings(&settings);
+        let forgotten_before = if initial_boot { 0 } else { affinity.floor(unix_millis()) };
+        let node = AffinityNode::new(node_id, &affinity, unix_nanos(), forgotten_before);
+        info!(log, "session: site {node_id} of {} in list {}", newest.len(), peer_sets.newest());
+        Ok(Rc::new(Sessions {
+            log,
+            tokens: SessionTokens::new(&settings, keys),
+            links: PeerLinks::new(node_id, settings.wait, settings.held, max_body_bytes(&settings)),
+            settings,
+            peer_sets,
+            node_id,
+            node: RefCell::new(node),
+            rejected_tokens: Cell::new(0),
+            waiting: RefCell::default(),
+            next_request_id: Cell::new(1),
+        }))
+    }
+
+    /// Sessions with the settings in the file at `path`, and the address at which peers reach this edge: the second of
+    /// the spare ports.
+    ///
+    /// # Errors
+    /// When there is no such port, the file is wrong, or [`Sessions::new`] fails.
+    pub fn from_boot(
+        path: &str,
+        boot: &ProcessSettings,
+        log: Logger,
+    ) -> Result<(Rc<Sessions>, String), SessionsError> {
+        let port = boot.spare_ports.0 + 1;
+        if port > boot.spare_ports.1 {
+            return Err(SessionsError::NoPort);
+        }
+        let address = format!("{}:{port}", boot.ip);
+        let settings = SessionSettings::read(path)?;
+        Ok((Sessions::new(settings, &address, boot.initial_boot, log)?, address))
+    }
+
+    /// An id that no other request of this process has.
+    pub(super) fn new_request_id(&self) -> RequestId {
+        self.next_request_id.replace(self.next_request_id.get() + 1)
+    }
+
+    /// What becomes of a request, until [`Sessions::forget_request`].
+    pub(super) fn progress_of(&self, request: RequestId) -> UnboundedReceiver<Progress> {
+        let (sender, progress) = unbounded_channel();
+        self.waiting.borrow_mut().insert(request, sender);
+        progress
+    }
+
+    pub(super) fn forget_request(&self, request: RequestId) {
+        self.waiting.borrow_mut().remove(&request);
+    }
+
+    /// Gives something to the node and carries out what it puts out.
+    pub(super) fn drive(self: &Rc<Self>, call: impl FnOnce(&mut AffinityNode, Ms) -> Vec<Output>) {
+        let outputs = call(&mut self.node.borrow_mut(), unix_millis());
+        self.carry_out(outputs);
+    }
+
+    /// Messages to one peer go together, in the order in which the node put them out.
+    pub(super) fn carry_out(self: &Rc<Self>, outputs: Vec<Output>) {
+        let mut messages: Vec<(NodeId, Vec<Message>)> = vec![];
+        for output in outputs {
+            match output {
+                Output::Send { to, msg } => match messages.iter_mut().find(|(peer, _)| *peer == to) {
+                    Some((_, queued)) => queued.push(msg),
+                    None => messages.push((to, vec![msg])),
+                },
+                Output::Run { ticket } => self.notify(ticket, Progress::Send),
+                Output::Done { ticket } => self.notify(ticket, Progress::Recorded),
+                Output::Answer { ticket, reply } => self.notify(ticket, Progress::Answer(reply)),
+            }
+        }
+        for (to, messages) in messages {
+            if self.links.enqueue(to, &messages) {
+                spawn_local(self.clone().send_queued(to));
+            }
+        }
+    }
+
+    fn notify(&self, request: RequestId, progress: Progress) {
+        if let Some(sender) = self.waiting.borrow().get(&request) {
+            // A request whose task has ended needs no progress.
+            let _ = sender.send(progress);
+        }
+    }
+
+    /// Sends what is queued for a peer until nothing is; the peer's answers go into the node.
+    async fn send_queued(self: Rc<Self>, to: NodeId) {
+        while let Some(batch) = self.links.next_batch(to) {
+            let address = self.peer_sets.address(to).unwrap_or_default();
+            // No answer is as good as a lost one: waits end by the clock.
+            for message in self.links.send(to, address, batch).await.unwrap_or_default() {
+                self.drive(|node, now| node.hear(now, to, message));
+            }
+        }
+    }
+}
