--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -1,6 +1,6 @@
-//! These bytes are read by builds of other versions: edges post messages to each other, and operators' commands read
-//! the list of sessions. A change here breaks rolling upgrades or stored data.
-use coppersail_config::SessionSettings as File;
+//! These bytes are read by builds of other versions: edges post messages to each other (the path `/sojourn` is a wire
+//! name), and `gatewayctl session` reads the list of sessions. A change here breaks rolling upgrades or stored data.
+use coppersail_config::SessionSettings;
 use coppersail_edge_proxy::sessions::{Listed, Sessions};
 use coppersail_session_affinity::Counters;
 use serde::{de::DeserializeOwned, Serialize};
@@ -35,19 +35,19 @@
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_post_of_another_edge_to_sojourn_keeps_its_bytes_and_those_of_its_answer() {
+async fn a_post_of_a_peer_edge_and_its_answer_keep_their_bytes() {
     let key = std::env::temp_dir().join(format!("wire-format-{}.key", std::process::id()));
     std::fs::write(&key, [7; 32]).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap().to_string();
-    let file = format!(
+    let settings = format!(
         r#"{{"header":"Session","keys":["{}"],"services":["plain"],
             "sites":{{"1":{{"1":"{address}","2":"127.0.0.1:1"}}}},
             "routes":[{{"domain":"a.example","pathStart":"/once/","confirms":true}}]}}"#,
         key.display(),
     );
-    let file = File::from_json(&file).unwrap();
-    let sessions = Sessions::new(file, &address, true, Logger::root(Discard, o!())).unwrap();
+    let settings = SessionSettings::from_json(&settings).unwrap();
+    let sessions = Sessions::new(settings, &address, true, Logger::root(Discard, o!())).unwrap();
     std::fs::remove_file(&key).unwrap();
     sessions.start(listener);
     let claim = r#"{"Claim":{"id":[1,2],"born":5,"fence":{"n":70,"by":2,"start":9},"round":6}}"#;
@@ -58,11 +58,11 @@
     stream.write_all(format!("{head}: {}\r\n\r\n{body}", body.len()).as_bytes()).await.unwrap();
     let mut answer = String::new();
     stream.read_to_string(&mut answer).await.unwrap();
-    let (head, told) = answer.split_once("\r\n\r\n").unwrap();
+    let (head, replies) = answer.split_once("\r\n\r\n").unwrap();
     assert!(head.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-    // The life is the time of the start.
-    let (before, rest) = told.split_once(r#""life":"#).unwrap();
-    let after = rest.trim_start_matches(|sign: char| sign.is_ascii_digit());
+    // The life is the time at which the node started.
+    let (before, rest) = replies.split_once(r#""life":"#).unwrap();
+    let after = rest.trim_start_matches(|character: char| character.is_ascii_digit());
     assert_eq!(
         format!("{before}\"life\":LIFE{after}"),
         concat!(
