--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -113,14 +113,32 @@
             return;
         }
         let now = self.now();
-        self.note(now, variant, route, OutcomeKind::Offered, None, None);
+        self.record_evidence(now, variant, route, OutcomeKind::Offered, None, None);
         if let Some(kind) = attempt.classify(outcome) {
             let answered = matches!(outcome, AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_));
-            self.note(now, variant, route, kind, answered.then_some(latency), Some(endpoint));
+            self.record_evidence(now, variant, route, kind, answered.then_some(latency), Some(endpoint));
         }
     }
 
-    fn note(
+    /// [`Edge::record_outcome`] with the fields of [`AttemptRecord`] one by one.
+    #[expect(clippy::too_many_arguments, reason = "goes once the request path calls record_outcome")]
+    pub fn weigh<A>(
+        &self,
+        variant: &AssignedVariant,
+        route: &str,
+        endpoint: &str,
+        outcome: &AttemptOutcome<A>,
+        server_error: bool,
+        latency: Ms,
+        target_time: Ms,
+        excluded: bool,
+    ) {
+        let attempt =
+            AttemptRecord { variant, route, endpoint, server_error, latency, target_time, excluded };
+        self.record_outcome(&attempt, outcome);
+    }
+
+    fn record_evidence(
         &self,
         now: Ms,
         variant: &AssignedVariant,
@@ -147,7 +165,7 @@
         if *side == Variant::New {
             self.steer.selector.borrow_mut().stop(plan, *number);
         }
-        self.note(self.now(), variant, route, OutcomeKind::Doubled, None, None);
+        self.record_evidence(self.now(), variant, route, OutcomeKind::Doubled, None, None);
         self.report();
     }
 }
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -67,9 +67,9 @@
         edge: &Edge,
         taken: &Taken<'_>,
         selected: Rc<str>,
-        tried: &[Rc<str>],
+        attempted: &[Rc<str>],
     ) -> Rc<str> {
-        let target = AttemptTarget { service: taken.service, sharded: taken.key.is_some(), tried };
+        let target = AttemptTarget { service: taken.service, sharded: taken.key.is_some(), attempted };
         self.choose_endpoint(&edge.book.borrow(), edge.now(), selected, &target)
     }
 }
--- a/crates/data-plane/edge-proxy/src/sessions/endpoint_affinity.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/endpoint_affinity.rs
@@ -19,7 +19,7 @@
     /// Whether the request has a shard key: the key's owner takes precedence over a session's endpoint.
     pub(crate) sharded: bool,
     /// Endpoints that earlier attempts of the request have used.
-    pub(crate) tried: &'a [Rc<str>],
+    pub(crate) attempted: &'a [Rc<str>],
 }
 
 impl EndpointAffinity {
@@ -28,7 +28,7 @@
         EndpointAffinity { previous, sent_to }
     }
 
-    /// The endpoint for an attempt: the session's one if it is usable and not tried yet, else the selected one.
+    /// The endpoint for an attempt: the session's one if it is usable and not attempted yet, else the selected one.
     pub(crate) fn choose_endpoint(
         &self,
         registry: &EndpointRegistry,
@@ -37,7 +37,7 @@
         target: &AttemptTarget<'_>,
     ) -> Rc<str> {
         let is_usable = |id: &str| {
-            !target.tried.iter().any(|tried| &**tried == id)
+            !target.attempted.iter().any(|attempted| &**attempted == id)
                 && registry
                     .endpoint(id)
                     .is_some_and(|endpoint| &*endpoint.service == target.service && endpoint.usable(now))
--- a/crates/data-plane/edge-proxy/src/sessions/peer_links.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/peer_links.rs
@@ -94,8 +94,9 @@
         let link = links.entry(to).or_default();
         // Beyond a message for each session that may be kept, the peer is gone: the rest are lost, which session
         // affinity tolerates.
-        let room = self.max_queued.saturating_sub(link.queue.len());
-        link.queue.extend(messages.iter().filter_map(|message| to_raw_value(message).ok()).take(room));
+        let free_capacity = self.max_queued.saturating_sub(link.queue.len());
+        link.queue
+            .extend(messages.iter().filter_map(|message| to_raw_value(message).ok()).take(free_capacity));
         let start_sender = link.senders < MAX_CONCURRENT_POSTS;
         link.senders += usize::from(start_sender);
         start_sender
--- a/crates/data-plane/edge-proxy/src/sessions/replay.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/replay.rs
@@ -17,7 +17,7 @@
 const FORGOTTEN: &str = "forgotten";
 const SPENT: &str = "spent";
 /// Seconds after which a client repeats a request that is still at an endpoint.
-const UNDER_WAY_RETRY_AFTER: &str = "1";
+const IN_PROGRESS_RETRY_AFTER: &str = "1";
 
 /// A response without a body that says why the request was not sent.
 pub(super) fn refusal(status: u16, reason: &'static str) -> Response<Reply> {
@@ -39,7 +39,7 @@
         Decision::Past => refusal(410, "ran, the answer is no longer kept"),
         Decision::UnderWay => {
             let mut response = refusal(409, "under way");
-            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(UNDER_WAY_RETRY_AFTER));
+            response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(IN_PROGRESS_RETRY_AFTER));
             response
         }
         Decision::Unknown => outcome_unknown(),
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -33,7 +33,7 @@
     pub(super) links: PeerLinks,
     /// Tokens that were not accepted.
     pub(super) rejected_tokens: Cell<u64>,
-    waiting: RefCell<FxHashMap<RequestId, UnboundedSender<Progress>>>,
+    pending_requests: RefCell<FxHashMap<RequestId, UnboundedSender<Progress>>>,
     next_request_id: Cell<RequestId>,
 }
 
@@ -66,7 +66,7 @@
             node_id,
             node: RefCell::new(node),
             rejected_tokens: Cell::new(0),
-            waiting: RefCell::default(),
+            pending_requests: RefCell::default(),
             next_request_id: Cell::new(1),
         }))
     }
@@ -98,12 +98,12 @@
     /// What becomes of a request, until [`Sessions::forget_request`].
     pub(super) fn progress_of(&self, request: RequestId) -> UnboundedReceiver<Progress> {
         let (sender, progress) = unbounded_channel();
-        self.waiting.borrow_mut().insert(request, sender);
+        self.pending_requests.borrow_mut().insert(request, sender);
         progress
     }
 
     pub(super) fn forget_request(&self, request: RequestId) {
-        self.waiting.borrow_mut().remove(&request);
+        self.pending_requests.borrow_mut().remove(&request);
     }
 
     /// Gives something to the node and carries out what it puts out.
@@ -134,7 +134,7 @@
     }
 
     fn notify(&self, request: RequestId, progress: Progress) {
-        if let Some(sender) = self.waiting.borrow().get(&request) {
+        if let Some(sender) = self.pending_requests.borrow().get(&request) {
             // A request whose task has ended needs no progress.
             let _ = sender.send(progress);
         }
--- a/crates/data-plane/edge-proxy/src/sessions/settings.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/settings.rs
@@ -69,3 +69,7 @@
         answer: settings.answer,
     }
 }
+
+#[cfg(test)]
+#[path = "settings_tests.rs"]
+mod tests;
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/sessions/settings_tests.rs
@@ -0,0 +1,46 @@
+//! Texts of the errors that operators see at the start; each is one line with its sources.
+use super::super::Sessions;
+use super::*;
+use slog::{o, Discard, Logger};
+
+const SETTINGS: &str = r#"{"header":"Session","keys":["KEY"],"services":["plain"],
+    "sites":{"1":{"1":"10.0.0.1:70","3":"10.0.0.3:70"},"2":{"1":"10.0.0.1:70","2":"10.0.0.2:70"}},
+    "routes":[{"domain":"a.example","pathStart":"/once/","confirms":true}]}"#;
+
+/// As the program prints it. `key`: content of the key file, if there is one.
+fn start_error(test: &str, key: Option<&[u8]>, address: &str) -> String {
+    let path = std::env::temp_dir().join(format!("sessions-{test}-{}.key", std::process::id()));
+    if let Some(key) = key {
+        std::fs::write(&path, key).unwrap();
+    }
+    let settings = SETTINGS.replace("KEY", path.to_str().unwrap());
+    let settings = SessionSettings::from_json(&settings).unwrap();
+    let error = Sessions::new(settings, address, true, Logger::root(Discard, o!())).err().unwrap();
+    let _ = std::fs::remove_file(&path);
+    format!("{:#}", eyre::Report::new(error)).replace(path.to_str().unwrap(), "PATH")
+}
+
+#[test]
+fn a_missing_key_file_is_named_with_the_system_error() {
+    let expected = "key file PATH: No such file or directory (os error 2)";
+    assert_eq!(start_error("missing", None, "10.0.0.2:70"), expected);
+}
+
+#[test]
+fn a_key_that_is_too_short_is_refused_with_what_was_expected() {
+    let expected = "sessions: expected keys of 32 bytes or more";
+    assert_eq!(start_error("short", Some(&[7; 3]), "10.0.0.2:70"), expected);
+}
+
+#[test]
+fn an_edge_that_the_newest_peer_set_lacks_is_refused_with_its_address() {
+    let expected = "sessions: 10.0.0.3:70 is not in the newest list of sites";
+    assert_eq!(start_error("peer", Some(&[7; 32]), "10.0.0.3:70"), expected);
+}
+
+#[test]
+fn process_settings_without_a_second_spare_port_are_refused() {
+    let boot = coppersail_config::ProcessSettings { spare_ports: (75, 75), ..Default::default() };
+    let error = Sessions::from_boot("missing.json", &boot, Logger::root(Discard, o!())).err().unwrap();
+    assert_eq!(format!("{:#}", eyre::Report::new(error)), "sessions: there is no second spare port");
+}
--- a/crates/data-plane/edge-proxy/src/sessions/tokens.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/tokens.rs
@@ -84,3 +84,7 @@
         SessionToken { id: SessionId([half(0), half(1)]), roster: peer_set, born: now, signed: now }
     }
 }
+
+#[cfg(test)]
+#[path = "tokens_tests.rs"]
+mod tests;
--- a/crates/data-plane/edge-proxy/src/watch/candidates.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates.rs
@@ -92,8 +92,8 @@
 
     /// Response timeout of the first poll of a node. It grows with each round in which all nodes were too slow.
     pub(crate) fn response_timeout(&self) -> Duration {
-        let rounds = self.failures / self.count().max(1);
-        (FIRST_RESPONSE_TIMEOUT * (1 + rounds as u32)).min(POLL_TIMEOUT)
+        let failed_rounds = self.failures / self.count().max(1);
+        (FIRST_RESPONSE_TIMEOUT * (1 + failed_rounds as u32)).min(POLL_TIMEOUT)
     }
 
     fn poll_succeeded(&mut self) {
--- a/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_silent_node_is_left_early_and_the_timeout_grows_when_all_are_slow() {
+fn an_unresponsive_node_is_left_early_and_the_timeout_grows_when_all_are_slow() {
     let mut candidates = two_configured();
     let mut timeouts = Vec::new();
     for _ in 0..40 {
--- a/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
+++ b/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
@@ -74,15 +74,15 @@
             };
             self.fill_request();
             let requested_at = Instant::now();
-            let pause = match self.poll(&address) {
+            let delay = match self.poll(&address) {
                 Ok(update) => self.apply(&address, Update { requested_at: Some(requested_at), ..update }),
                 Err(error) => {
                     self.disconnect(|log| info!(log, "follow: lost {address}: {error}"));
                     Ok(self.candidates.poll_failed())
                 }
             };
-            match pause {
-                Ok(pause) if !pause.is_zero() => std::thread::sleep(pause),
+            match delay {
+                Ok(delay) if !delay.is_zero() => std::thread::sleep(delay),
                 Ok(_) => {}
                 Err(Stopped) => return,
             }
@@ -111,7 +111,7 @@
         }
     }
 
-    /// Hands an answer to the edge if it may be used. Returns the pause before the next poll.
+    /// Hands an answer to the edge if it may be used. Returns the delay before the next poll.
     fn apply(&mut self, address: &str, update: Update) -> Result<Duration, Stopped> {
         match self.candidates.accept(&mut self.request, update) {
             Ok(update) => {
@@ -122,9 +122,9 @@
                 self.updates.send(update).map_err(|_| Stopped)?;
                 Ok(Duration::ZERO)
             }
-            Err(pause) => {
+            Err(delay) => {
                 self.disconnect(|log| info!(log, "follow: left {address}: it has no majority"));
-                Ok(pause)
+                Ok(delay)
             }
         }
     }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
@@ -7,15 +7,15 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-pub struct SessionEdge {
-    pub rig: Rig,
-    pub sessions: Rc<Sessions>,
+pub(crate) struct SessionEdge {
+    pub(crate) rig: Rig,
+    pub(crate) sessions: Rc<Sessions>,
     /// Where peers and operators reach it.
-    pub address: String,
+    pub(crate) address: String,
 }
 
-pub struct SessionEdges {
-    pub edges: Vec<SessionEdge>,
+pub(crate) struct SessionEdges {
+    pub(crate) edges: Vec<SessionEdge>,
     /// Keys are in files, as for operators.
     _keys: TemporaryFolder,
 }
@@ -28,7 +28,7 @@
     }
 }
 
-pub async fn three_edges(name: &str, hosts: &[&Host]) -> SessionEdges {
+pub(crate) async fn three_edges(name: &str, hosts: &[&Host]) -> SessionEdges {
     let folder = std::env::temp_dir().join(format!("sojourn-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let key = folder.join("one.key");
@@ -59,7 +59,7 @@
 }
 
 /// A request that must run at most once.
-pub fn confirmation(token: &str, key: &str, id: &str, body: &str) -> String {
+pub(crate) fn confirmation(token: &str, key: &str, id: &str, body: &str) -> String {
     let session = if token.is_empty() { String::new() } else { format!("Session: {token}\r\n") };
     format!(
         "POST /once/table HTTP/1.1\r\nHost: a.example\r\nTry-Id: {id}\r\nTime-Left-Ms: 5000\r\nConnection: close\r\n\
@@ -70,19 +70,19 @@
 
 impl SessionEdges {
     /// Sends a request on a connection of its own to the edge at this index.
-    pub async fn send(&self, edge: usize, text: &str) -> String {
+    pub(crate) async fn send(&self, edge: usize, text: &str) -> String {
         self.edges[edge].rig.raw(text.as_bytes()).await
     }
 
     /// A token of a new session.
-    pub async fn token(&self) -> String {
+    pub(crate) async fn token(&self) -> String {
         let response = self.send(0, &confirmation("", "k", "1", "x")).await;
         assert_eq!(status(&response), 428, "{response}");
         header(&response, "session").unwrap()
     }
 
     /// What an operator's query gets.
-    pub async fn query(&self, edge: usize, path: &str) -> String {
+    pub(crate) async fn query(&self, edge: usize, path: &str) -> String {
         let mut stream = TcpStream::connect(&self.edges[edge].address).await.unwrap();
         let head = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
         stream.write_all(head.as_bytes()).await.unwrap();
@@ -93,14 +93,14 @@
 }
 
 /// Latencies of one kind of request, in the order of the requests.
-pub struct LatencySeries {
-    pub name: &'static str,
-    pub latencies: Vec<Duration>,
+pub(crate) struct LatencySeries {
+    pub(crate) name: &'static str,
+    pub(crate) latencies: Vec<Duration>,
 }
 
 /// Latencies of all kinds of requests, in the order in which the kinds came first.
 #[derive(Default)]
-pub struct SessionLatencies(pub Vec<LatencySeries>);
+pub(crate) struct SessionLatencies(pub(crate) Vec<LatencySeries>);
 
 impl SessionLatencies {
     fn record(&mut self, name: &'static str, sent_at: Instant) {
@@ -118,7 +118,10 @@
 /// The client of the measurement: `session_count` sessions one after the other, each with two steps at one edge, then
 /// two at the next one, and so on. A step is a lookup without the session, one with it, a confirmation and its
 /// repeat. A further confirmation is the first request after a change of the edge. Every answer is checked.
-pub async fn measure_session_latencies(edges: &SessionEdges, session_count: usize) -> SessionLatencies {
+pub(crate) async fn measure_session_latencies(
+    edges: &SessionEdges,
+    session_count: usize,
+) -> SessionLatencies {
     let mut latencies = SessionLatencies::default();
     let mut connections = vec![];
     for edge in 0..2 {
