--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -41,6 +41,14 @@
     replicas: Vec<NodeId>,
 }
 
+/// A request that must run at most once, read whole.
+struct BufferedRequest<'a> {
+    request: Taken<'a>,
+    body: Bytes,
+    /// The same request as the affinity node knows it.
+    idempotent: IdempotentRequest,
+}
+
 /// Why a request has no session.
 #[derive(Debug, Clone, Copy)]
 enum NoSession {
@@ -174,24 +182,24 @@
         let Some(key) = idempotency_key(&request.headers) else {
             return reply::closing(refusal(400, "no key"));
         };
-        let bytes = match pass::take_body(edge, config, request.until, body).await {
-            Ok(Held::Whole(bytes)) => bytes,
+        let body = match pass::take_body(edge, config, request.until, body).await {
+            Ok(Held::Whole(body)) => body,
             // A body that is not buffered cannot be compared with that of a repeat.
             Ok(Held::Long(_)) => return reply::closing(reply::own(413)),
             Err(response) => return response,
         };
         let time_left = request.until.saturating_sub(edge.now());
-        let idempotent_request = IdempotentRequest {
+        let idempotent = IdempotentRequest {
             ticket: self.new_request_id(),
             id: token.id,
             born: token.born,
             seats: replicas,
             key,
-            print: request_fingerprint(&request, &bytes),
+            print: request_fingerprint(&request, &body),
             // For a further wait after its deadline, a repeat is told how the request ended.
             until: unix_millis() + time_left + millis(self.settings.wait),
         };
-        self.send_detached(edge, request, bytes, idempotent_request).await
+        self.send_detached(edge, BufferedRequest { request, body, idempotent }).await
     }
 
     /// Sends in a task of its own: a client that disconnects ends its wait, not the sending, and its repeat is told
@@ -199,10 +207,9 @@
     async fn send_detached(
         self: &Rc<Self>,
         edge: &Rc<Edge>,
-        request: Taken<'_>,
-        body: Bytes,
-        idempotent_request: IdempotentRequest,
+        buffered: BufferedRequest<'_>,
     ) -> Response<Reply> {
+        let BufferedRequest { request, body, idempotent } = buffered;
         // The configuration may allow retries on the route; a request that must run once is never retried.
         let route = Route { repeatable: false, ..request.route.clone() };
         let service = request.service.to_owned();
@@ -211,7 +218,7 @@
         let task = spawn_local(async move {
             let (route, service) = (&route, service.as_str());
             let request = Taken { route, service, part, key, method, uri, headers, id, until, stay, way };
-            sessions.send_once(&edge, request, body, idempotent_request).await
+            sessions.send_once(&edge, BufferedRequest { request, body, idempotent }).await
         });
         task.await.unwrap_or_else(|_| replay::outcome_unknown())
     }
@@ -220,13 +227,11 @@
     async fn send_once(
         self: &Rc<Self>,
         edge: &Rc<Edge>,
-        request: Taken<'_>,
-        body: Bytes,
-        idempotent_request: IdempotentRequest,
+        BufferedRequest { request, body, idempotent }: BufferedRequest<'_>,
     ) -> Response<Reply> {
-        let (request_id, attempt_id) = (idempotent_request.ticket, request.id.clone());
+        let (request_id, attempt_id) = (idempotent.ticket, request.id.clone());
         let mut progress = self.progress_of(request_id);
-        self.drive(|node, now| node.ask(now, idempotent_request));
+        self.drive(|node, now| node.ask(now, idempotent));
         let mut response = match progress.recv().await {
             Some(Progress::Send) => {
                 let sent = pass::forward(edge, request, Held::Whole(body)).await;
--- a/crates/data-plane/edge-proxy/src/watch.rs
+++ b/crates/data-plane/edge-proxy/src/watch.rs
@@ -1,6 +1,6 @@
 //! The edge's watch of the control plane: a long poll to one control-plane node at a time, in a thread of its own.
 //!
-//! [`candidates`] is pure: which node is polled next and whether its answer may be used. [`watch_loop`] is the thread
+//! `candidates` is pure: which node is polled next and whether its answer may be used. `watch_loop` is the thread
 //! that polls and hands updates to the edge.
 pub(crate) mod candidates;
 mod watch_loop;
