--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -147,9 +147,9 @@
         latency: Option<Ms>,
         endpoint: Option<&str>,
     ) {
-        let AssignedVariant { plan, number, side, .. } = variant;
+        let AssignedVariant { rollout, change_number, variant, .. } = variant;
         let mut evidence = self.steer.evidence.borrow_mut();
-        evidence.note(now, plan, *number, route, *side, kind, latency, endpoint);
+        evidence.note(now, rollout, *change_number, route, *variant, kind, latency, endpoint);
     }
 }
 
@@ -160,10 +160,10 @@
         if !variant.counted {
             return;
         }
-        let AssignedVariant { plan, number, side, .. } = variant;
-        warn!(self.log, "edge: a try was answered twice by the {side:?} version of plan {plan}");
-        if *side == Variant::New {
-            self.steer.selector.borrow_mut().stop(plan, *number);
+        let AssignedVariant { rollout, change_number, variant: kind, .. } = variant;
+        warn!(self.log, "edge: a try was answered twice by the {kind:?} version of plan {rollout}");
+        if *kind == Variant::New {
+            self.steer.selector.borrow_mut().stop(rollout, *change_number);
         }
         self.record_evidence(self.now(), variant, route, OutcomeKind::Doubled, None, None);
         self.report();
--- a/crates/data-plane/edge-proxy/src/rollout/variants.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/variants.rs
@@ -25,13 +25,13 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct AssignedVariant {
     /// Name of the rollout.
-    pub plan: Rc<str>,
+    pub(super) rollout: Rc<str>,
     /// Number of the rollout's last change; evidence of other states of it is not mixed with this one's.
-    pub number: u64,
+    pub(super) change_number: u64,
     /// New version or control group.
-    pub side: Variant,
-    /// The version of `side`.
-    pub version: Version,
+    pub(super) variant: Variant,
+    /// The version that serves `variant`.
+    pub(super) version: Version,
     /// The new version's revision, where endpoints are told apart by it.
     revision: Option<Rc<str>>,
     /// Whether outcomes are evidence: not once the rollout is finished.
@@ -49,12 +49,12 @@
 
     /// The same request in the control group instead.
     pub fn old(self) -> AssignedVariant {
-        AssignedVariant { side: Variant::Old, ..self }
+        AssignedVariant { variant: Variant::Old, ..self }
     }
 
     /// Where versions are revisions: the new revision, and whether endpoints must have it (true) or must not.
     pub fn hosts(&self) -> Option<(&str, bool)> {
-        self.revision.as_deref().map(|revision| (revision, self.side == Variant::New))
+        self.revision.as_deref().map(|revision| (revision, self.variant == Variant::New))
     }
 }
 
@@ -96,9 +96,9 @@
             Version::Backend(_) => None,
         };
         Some(AssignedVariant {
-            plan: live.name.as_str().into(),
-            number: choice.number,
-            side: choice.side,
+            rollout: live.name.as_str().into(),
+            change_number: choice.number,
+            variant: choice.side,
             version: version.clone(),
             revision,
             counted: selector.counts(choice.plan),
