--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -154,7 +154,7 @@
             return Err((409, format!("plan {other} moves the same service; end it first")));
         }
         let before = self.plans.get(name).map(|e| &e.stand);
-        let stand = RolloutState::submit(name, body, before).map_err(|why| (409, why))?;
+        let stand = RolloutState::submit(name, body, before).map_err(|why| (409, why.to_string()))?;
         if before.is_some_and(|old| *old == stand) {
             return Ok(Vec::new());
         }
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -1,10 +1,9 @@
 //! Hosts, clients, edges and a centre of one busy evening, in simulated time. What decides are the modules of
 //! `coppersail-rollout`; only hosts, clients and the ways between are played here.
 use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
-use coppersail_rollout::evidence::{EvidenceRecorder, EvidenceReport, OutcomeKind};
+use coppersail_rollout::evidence::{EvidenceReport, OutcomeKind};
 use coppersail_rollout::lifecycle::{Phase, RolloutState, Since};
-use coppersail_rollout::variant::{Variant, VariantSelector};
-use coppersail_rollout::{Ms, Verdict};
+use coppersail_rollout::{EvidenceRecorder, Ms, Variant, VariantSelector, Verdict};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
@@ -464,7 +463,7 @@
             return;
         }
         let e = &mut self.edges[edge];
-        if number > 0 && e.sides.all().any(|l| l.number >= number) {
+        if number > 0 && e.sides.active().any(|l| l.number >= number) {
             let name = host.map(|at| self.hosts[side as usize][at].name.as_str());
             e.ledger.note(now, "friday", number, ROUTES[route], side, kind, took, name);
         }
--- /dev/null
+++ b/crates/data-plane/rollout/src/analysis/dispersion.rs
@@ -0,0 +1,92 @@
+//! How crowded late answers come: the overdispersion of the control group's late answers between rows of a stratum,
+//! estimated by Pearson's chi-squared statistic per degree of freedom, as in quasi-binomial models (Wedderburn 1974).
+use super::stratum::{SettledRow, StratumKey};
+use std::collections::BTreeMap;
+
+/// The factor until some evidence is there: late answers come in pairs.
+const INITIAL_FACTOR: f64 = 2.0;
+/// A larger factor is no accident of counting.
+const MAX_FACTOR: f64 = 20.0;
+/// The weight of a new round in the moving averages.
+const NEW_ROUND_WEIGHT: f64 = 0.1;
+/// Fewer degrees of freedom in a round don't change the estimate.
+const MIN_DEGREES_OF_FREEDOM: f64 = 3.0;
+/// Where the control group has so much of its answers late, the fleet has another trouble.
+const CONTROL_TROUBLE: f64 = 0.2;
+
+/// Answers of the control group in one row or several.
+#[derive(Clone, Copy, Default)]
+struct ControlAnswers {
+    slow: f64,
+    timed: f64,
+}
+
+impl ControlAnswers {
+    fn plus(self, more: ControlAnswers) -> ControlAnswers {
+        ControlAnswers { slow: self.slow + more.slow, timed: self.timed + more.timed }
+    }
+
+    fn scaled(self, factor: f64) -> ControlAnswers {
+        ControlAnswers { slow: self.slow * factor, timed: self.timed * factor }
+    }
+}
+
+pub(crate) struct Dispersion {
+    factor: f64,
+    /// Moving sums over the last rounds.
+    recent: ControlAnswers,
+}
+
+impl Default for Dispersion {
+    fn default() -> Dispersion {
+        Dispersion { factor: INITIAL_FACTOR, recent: ControlAnswers::default() }
+    }
+}
+
+fn rows_by_stratum(round: &[SettledRow]) -> BTreeMap<&StratumKey, Vec<ControlAnswers>> {
+    let mut strata: BTreeMap<&StratumKey, Vec<ControlAnswers>> = BTreeMap::new();
+    for settled in round.iter().filter(|settled| settled.row.old.timed() > 0) {
+        let control = &settled.row.old;
+        let answers = ControlAnswers { slow: control.slow() as f64, timed: control.timed() as f64 };
+        strata.entry(&settled.stratum).or_default().push(answers);
+    }
+    strata
+}
+
+/// Pearson's statistic of rows against the stratum's rate of late answers.
+fn chi_squared(rows: &[ControlAnswers], rate: f64) -> f64 {
+    let term =
+        |row: &ControlAnswers| (row.slow - row.timed * rate).powi(2) / (row.timed * rate * (1.0 - rate));
+    rows.iter().map(term).sum::<f64>()
+}
+
+impl Dispersion {
+    /// By how much more the number of late answers varies than that of single accidents would; 1 at least.
+    pub(crate) fn factor(&self) -> f64 {
+        self.factor
+    }
+
+    /// Whether the control group is late itself.
+    pub(crate) fn control_is_late(&self) -> bool {
+        self.recent.slow > CONTROL_TROUBLE * self.recent.timed.max(1.0)
+    }
+
+    pub(crate) fn observe(&mut self, round: &[SettledRow]) {
+        let keep = 1.0 - NEW_ROUND_WEIGHT;
+        self.recent = self.recent.scaled(keep);
+        let (mut statistic, mut degrees_of_freedom) = (0.0, 0.0);
+        for rows in rows_by_stratum(round).values() {
+            let sum = rows.iter().copied().fold(ControlAnswers::default(), ControlAnswers::plus);
+            self.recent = self.recent.plus(sum);
+            let rate = sum.slow / sum.timed;
+            if rows.len() > 1 && sum.slow > 0.0 && rate < 1.0 {
+                statistic += chi_squared(rows, rate);
+                degrees_of_freedom += (rows.len() - 1) as f64;
+            }
+        }
+        if degrees_of_freedom >= MIN_DEGREES_OF_FREEDOM {
+            let new = keep * self.factor + NEW_ROUND_WEIGHT * statistic / degrees_of_freedom;
+            self.factor = new.clamp(1.0, MAX_FACTOR);
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/rollout/src/analysis/row_store.rs
@@ -0,0 +1,192 @@
+//! Evidence rows from their arrival until they are settled, and the guard against stale ones: a row may arrive several
+//! times, late, or after a newer version of itself.
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind};
+use crate::Ms;
+use std::collections::hash_map::DefaultHasher;
+use std::collections::{BTreeMap, HashMap};
+use std::hash::{Hash, Hasher};
+
+/// A row whose edge has reported no later span is settled so long after its arrival (ms).
+const SETTLE_AFTER: Ms = 4000;
+/// An edge that had reported something and reports nothing for so long (ms) is silent: that is not health.
+const SILENT_AFTER: Ms = 10_000;
+/// A row so many spans older than the newest of its edge is late.
+const LATE_SPANS: u64 = 5;
+/// For how long after its arrival (ms) a settled row is remembered, so that it isn't counted again.
+const SETTLED_RETENTION: Ms = 120_000;
+/// Settled rows are swept so many times in their retention.
+const SWEEPS_PER_RETENTION: Ms = 4;
+
+/// A hash of the edge, its incarnation, the span, the plan's number and the route. Rows are settled in its order, so
+/// that sums of floating-point numbers come out the same in every run.
+type RowKey = u64;
+
+fn row_key(report: &EvidenceReport, row: &EvidenceRow) -> RowKey {
+    let mut hash = DefaultHasher::new();
+    (&report.edge, report.life, row.span, row.number, &row.route).hash(&mut hash);
+    hash.finish()
+}
+
+/// Attempts that were answered twice, by variant.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub(crate) struct DoubledCounts {
+    pub(crate) new: u64,
+    pub(crate) old: u64,
+}
+
+impl DoubledCounts {
+    fn of(row: &EvidenceRow) -> DoubledCounts {
+        DoubledCounts { new: row.new.of(OutcomeKind::Doubled), old: row.old.of(OutcomeKind::Doubled) }
+    }
+
+    fn since(self, before: DoubledCounts) -> DoubledCounts {
+        DoubledCounts { new: self.new.saturating_sub(before.new), old: self.old.saturating_sub(before.old) }
+    }
+}
+
+/// A row that waits to be settled.
+pub(crate) struct PendingRow {
+    pub(crate) edge: String,
+    pub(crate) zone: String,
+    pub(crate) row: EvidenceRow,
+    pub(crate) first_seen: Ms,
+    /// It came so late that the others of its span have been settled.
+    pub(crate) late: bool,
+}
+
+/// What is remembered of a row that was settled.
+struct SettledMark {
+    first_seen: Ms,
+    change_count: u32,
+    doubled: DoubledCounts,
+}
+
+struct EdgeProgress {
+    last_report: Ms,
+    newest_span: u64,
+}
+
+/// What a row brought.
+pub(crate) struct Acceptance {
+    /// It wasn't known before, and came late.
+    pub(crate) arrived_late: bool,
+    /// Second answers that weren't known before. What ran twice can't be undone: it counts whenever it comes.
+    pub(crate) newly_doubled: DoubledCounts,
+}
+
+#[derive(Default)]
+pub(crate) struct RowStore {
+    pending: HashMap<RowKey, PendingRow>,
+    settled: HashMap<RowKey, SettledMark>,
+    edges: BTreeMap<String, EdgeProgress>,
+    swept_at: Ms,
+}
+
+impl RowStore {
+    /// Takes a row in, unless the same or a newer version of it is known.
+    pub(crate) fn accept(&mut self, now: Ms, report: &EvidenceReport, row: &EvidenceRow) -> Acceptance {
+        let key = row_key(report, row);
+        let is_known = self.pending.contains_key(&key) || self.settled.contains_key(&key);
+        let late = self.observe_edge(now, &report.edge, row.span);
+        let before = match self.settled.contains_key(&key) {
+            true => self.supersede_settled(key, row),
+            false => self.supersede_pending(now, key, report, row, late),
+        };
+        let newly_doubled = before.map(|before| DoubledCounts::of(row).since(before));
+        Acceptance { arrived_late: late && !is_known, newly_doubled: newly_doubled.unwrap_or_default() }
+    }
+
+    /// Notes that an edge has reported. True if the row is late.
+    fn observe_edge(&mut self, now: Ms, edge: &str, span: u64) -> bool {
+        if !self.edges.contains_key(edge) {
+            self.edges.insert(edge.into(), EdgeProgress { last_report: now, newest_span: span });
+        }
+        let Some(progress) = self.edges.get_mut(edge) else { return false };
+        progress.last_report = now;
+        let late = span + LATE_SPANS < progress.newest_span;
+        progress.newest_span = progress.newest_span.max(span);
+        late
+    }
+
+    /// A newer version of a settled row: the bets on it are settled, and only what ran twice still counts. Returns what
+    /// was known of that before; none if the version isn't newer.
+    fn supersede_settled(&mut self, key: RowKey, row: &EvidenceRow) -> Option<DoubledCounts> {
+        let settled = self.settled.get_mut(&key).filter(|settled| row.count > settled.change_count)?;
+        settled.change_count = row.count;
+        Some(std::mem::replace(&mut settled.doubled, DoubledCounts::of(row)))
+    }
+
+    fn supersede_pending(
+        &mut self,
+        now: Ms,
+        key: RowKey,
+        report: &EvidenceReport,
+        row: &EvidenceRow,
+        late: bool,
+    ) -> Option<DoubledCounts> {
+        let pending = self.pending.entry(key).or_insert_with(|| PendingRow {
+            edge: report.edge.clone(),
+            zone: report.area.clone(),
+            row: EvidenceRow::default(),
+            first_seen: now,
+            late,
+        });
+        if row.count <= pending.row.count {
+            return None;
+        }
+        let before = std::mem::replace(&mut pending.row, row.clone());
+        Some(DoubledCounts::of(&before))
+    }
+
+    /// Takes out the rows that can be settled: their edge is past their span or has had its time, and of each host that
+    /// lost an answer it is known whether it died. `host_died` is asked with the host and the row's arrival.
+    pub(crate) fn take_due(
+        &mut self,
+        now: Ms,
+        host_died: &impl Fn(&str, Ms) -> Option<bool>,
+    ) -> Vec<PendingRow> {
+        self.sweep(now);
+        let is_due = |pending: &PendingRow| {
+            let edge = self.edges.get(&pending.edge);
+            let is_closed = edge.is_some_and(|edge| edge.newest_span > pending.row.span);
+            let fates_known = |counts: &Counts| {
+                counts.lost_at.iter().all(|(host, _)| host_died(host, pending.first_seen).is_some())
+            };
+            (is_closed || now >= pending.first_seen + SETTLE_AFTER)
+                && fates_known(&pending.row.new)
+                && fates_known(&pending.row.old)
+        };
+        let due = self.pending.iter().filter(|(_, pending)| is_due(pending));
+        let mut keys: Vec<RowKey> = due.map(|(key, _)| *key).collect();
+        keys.sort_unstable();
+        keys.into_iter().filter_map(|key| self.take_out(key)).collect()
+    }
+
+    fn take_out(&mut self, key: RowKey) -> Option<PendingRow> {
+        let pending = self.pending.remove(&key)?;
+        let mark = SettledMark {
+            first_seen: pending.first_seen,
+            change_count: pending.row.count,
+            doubled: DoubledCounts::of(&pending.row),
+        };
+        self.settled.insert(key, mark);
+        Some(pending)
+    }
+
+    fn sweep(&mut self, now: Ms) {
+        if now >= self.swept_at + SETTLED_RETENTION / SWEEPS_PER_RETENTION {
+            self.swept_at = now;
+            self.settled.retain(|_, mark| now < mark.first_seen + SETTLED_RETENTION);
+        }
+    }
+
+    /// Edges that have reported anything.
+    pub(crate) fn edges(&self) -> usize {
+        self.edges.len()
+    }
+
+    /// Edges that had reported something and don't any more.
+    pub(crate) fn silent_edges(&self, now: Ms) -> usize {
+        self.edges.values().filter(|edge| now > edge.last_report + SILENT_AFTER).count()
+    }
+}
--- /dev/null
+++ b/crates/data-plane/rollout/src/analysis/sums.rs
@@ -0,0 +1,60 @@
+//! All that both variants did in a run, as operators are shown it.
+use super::row_store::DoubledCounts;
+use super::stratum::Fault;
+use crate::evidence::{Counts, EvidenceRow, OutcomeKind};
+
+/// Sums of the counts of both variants over a run.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct VariantSums {
+    /// Of the new version.
+    pub new: Counts,
+    /// Of the control group.
+    pub old: Counts,
+}
+
+impl VariantSums {
+    /// Adds second answers as they become known.
+    pub(crate) fn add_doubled(&mut self, more: DoubledCounts) {
+        self.new.all[OutcomeKind::Doubled as usize] += more.new as u32;
+        self.old.all[OutcomeKind::Doubled as usize] += more.old as u32;
+    }
+
+    /// Adds a settled row, but for its second answers: those were added when they became known.
+    pub(crate) fn add_settled(&mut self, row: &EvidenceRow) {
+        add_without_doubled(&mut self.new, &row.new);
+        add_without_doubled(&mut self.old, &row.old);
+    }
+
+    /// The share of a variant's answers that have a fault, in percent: (new version, control group).
+    pub(crate) fn fault_percentages(&self, fault: Fault) -> (f64, f64) {
+        let share = |counts: &Counts| match fault {
+            Fault::Late => counts.slow() as f64 / counts.timed().max(1) as f64,
+            Fault::Lost => counts.unanswered() as f64 / counts.ended().max(1) as f64,
+        };
+        (100.0 * share(&self.new), 100.0 * share(&self.old))
+    }
+
+    /// The reason to pause if more attempts of the new version ran twice than `allowed`, unless the control group's do
+    /// as often: then it isn't the release.
+    pub(crate) fn doubled_reason(&self, allowed: u64) -> Option<String> {
+        let new = self.new.of(OutcomeKind::Doubled);
+        let old = self.old.of(OutcomeKind::Doubled);
+        if new <= allowed {
+            return None;
+        }
+        let is_alike = old > 0 && 2 * old * self.new.ended().max(1) >= new * self.old.ended();
+        (!is_alike).then(|| format!("{new} answered twice by the new version, {old} by the other"))
+    }
+}
+
+fn add_without_doubled(sum: &mut Counts, more: &Counts) {
+    let doubled = sum.all[OutcomeKind::Doubled as usize];
+    sum.all.iter_mut().zip(more.all).for_each(|(sum, more)| *sum = sum.saturating_add(more));
+    sum.all[OutcomeKind::Doubled as usize] = doubled;
+    for (time, count) in &more.times {
+        match sum.times.binary_search_by_key(time, |bucket| bucket.0) {
+            Ok(at) => sum.times[at].1 += count,
+            Err(at) => sum.times.insert(at, (*time, *count)),
+        }
+    }
+}
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -1,182 +1,264 @@
-//! A plan's state, as the centre keeps it on two disks. Every change has the next number; edges take the highest.
-use crate::analysis::Verdict;
+//! A rollout's state at the control plane, which keeps it on two disks: its phase, its step, and the commands that
+//! change them. Each change has the next number; whoever knows several keeps the highest.
+use crate::verdict::Verdict;
 use crate::Ms;
-use coppersail_config::rollout::{Pass, Pause, RolloutPlan};
+use coppersail_config::rollout::{Pass, Pause, RolloutPlan, Step};
+use coppersail_config::FieldError;
 use serde::{Deserialize, Serialize};
 
+const REASON_SUBMITTED: &str = "submitted";
+const REASON_SOUND: &str = "sound";
+const REASON_EXPIRED: &str = "its time is over";
+
+/// How a rollout stands. The `Debug` names stand in log lines, the lower-case ones in stored data and on the wire.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
+    /// It advances by its steps.
     #[default]
     Running,
-    /// The share stays as it is.
+    /// Paused; the share stays as it is.
     Frozen,
-    /// Nothing goes to the new version.
+    /// Rolled back; nothing goes to the new version.
     Withdrawn,
-    /// The last step has held.
+    /// The last step has passed: the new version is promoted.
     Done,
-    /// The plan steers nothing any more.
+    /// The plan is out of force; requests go by the configuration.
     Ended,
 }
 
+/// A command of an operator. [`RolloutCommand::named`] has the words on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCommand {
+    /// Pauses as the plan says: freezes the share, or rolls back.
     Pause,
+    /// Continues a paused rollout and counts evidence anew.
     Resume,
+    /// Promotes to the next step.
     Pass,
+    /// Rolls back, whatever the plan says of pauses.
     Undo,
+    /// Takes the plan out of force.
     End,
 }
 
+const COMMAND_WORDS: [(&str, RolloutCommand); 5] = [
+    ("pause", RolloutCommand::Pause),
+    ("resume", RolloutCommand::Resume),
+    ("pass", RolloutCommand::Pass),
+    ("undo", RolloutCommand::Undo),
+    ("end", RolloutCommand::End),
+];
+
 impl RolloutCommand {
+    /// The command of a word on the wire.
+    ///
     /// ```
-    /// use coppersail_rollout::lifecycle::Order;
-    /// assert_eq!(Order::named("undo"), Some(Order::Undo));
+    /// use coppersail_rollout::RolloutCommand;
+    /// assert_eq!(RolloutCommand::named("undo"), Some(RolloutCommand::Undo));
     /// ```
     pub fn named(name: &str) -> Option<RolloutCommand> {
-        let all = [
-            ("pause", RolloutCommand::Pause),
-            ("resume", RolloutCommand::Resume),
-            ("pass", RolloutCommand::Pass),
-            ("undo", RolloutCommand::Undo),
-            ("end", RolloutCommand::End),
-        ];
-        all.iter().find(|(n, _)| *n == name).map(|(_, o)| *o)
+        COMMAND_WORDS.iter().find(|(word, _)| *word == name).map(|(_, command)| *command)
     }
 }
 
-/// A plan and how far it is.
+/// Why a submitted plan is refused.
+#[derive(Debug, Clone, PartialEq, thiserror::Error)]
+pub enum SubmitError {
+    /// A field of the plan has a value that can't be used.
+    #[error(transparent)]
+    InvalidPlan(#[from] FieldError),
+    /// Another plan has this name and hasn't ended.
+    #[error("a plan of that name is in force")]
+    NameInForce {
+        /// The phase of the plan in force; `Ended` was expected.
+        found: Phase,
+    },
+}
+
+/// Why a command is refused.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
+pub enum CommandError {
+    /// Nothing brings an ended plan back but a new submission.
+    #[error("the plan has ended")]
+    Ended,
+    /// A step can be passed only while the rollout runs.
+    #[error("the plan is paused; resume it first")]
+    Paused {
+        /// The phase of the plan; `Running` or `Done` was expected.
+        found: Phase,
+    },
+}
+
+/// A plan and how far its rollout is. Stored as `plan/NAME` and sent to edges.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
+    /// The plan's name.
     pub name: String,
+    /// Rises by one with each change.
     pub number: u64,
+    /// How it stands.
     pub phase: Phase,
+    /// Index of the step in force.
     pub step: usize,
-    /// The number with which counting began anew: evidence of before says nothing.
+    /// The number with which evidence began to count anew; evidence of lower numbers is ignored.
     pub run: u64,
-    /// For how long it has been in force, up to this change.
+    /// For how long this run had been in force up to this change, in milliseconds.
     pub ran: Ms,
+    /// Why it is in this phase, for operators.
     pub why: String,
-    /// As the operator sent it.
+    /// The plan as the operator sent it.
     pub body: String,
 }
 
-/// When the present primary took the present state up. A new primary begins a step's least time anew: it can't know
-/// how much of it has passed.
+/// When the present leader took the present state up, in its own time. A new leader begins a step's least time anew: it
+/// can't know how much of it has passed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Since(pub Ms);
 
+impl Since {
+    fn elapsed(self, now: Ms) -> Ms {
+        now.saturating_sub(self.0)
+    }
+}
+
 impl RolloutState {
-    /// A new plan, or the next under the name of one that has ended.
-    pub fn submit(name: &str, body: &str, before: Option<&RolloutState>) -> Result<RolloutState, String> {
-        coppersail_config::rollout::parse(body).map_err(|fault| fault.to_string())?;
-        match before {
-            Some(old) if old.phase != Phase::Ended && old.body == body => Ok(old.clone()),
-            Some(old) if old.phase != Phase::Ended => Err("a plan of that name is in force".into()),
-            _ => {
-                let number = before.map_or(0, |old| old.number) + 1;
-                let why = "submitted".into();
-                Ok(RolloutState {
-                    name: name.into(),
-                    number,
-                    run: number,
-                    why,
-                    body: body.into(),
-                    ..RolloutState::default()
-                })
+    /// The state of a new plan, or of the next one under the name of a plan that has ended. The plan in force, sent
+    /// again, is returned as it stands.
+    pub fn submit(
+        name: &str,
+        body: &str,
+        before: Option<&RolloutState>,
+    ) -> Result<RolloutState, SubmitError> {
+        coppersail_config::rollout::parse(body)?;
+        if let Some(in_force) = before.filter(|known| known.phase != Phase::Ended) {
+            if in_force.body == body {
+                return Ok(in_force.clone());
             }
+            return Err(SubmitError::NameInForce { found: in_force.phase });
         }
+        let number = before.map_or(0, |ended| ended.number) + 1;
+        Ok(RolloutState {
+            name: name.into(),
+            number,
+            run: number,
+            why: REASON_SUBMITTED.into(),
+            body: body.into(),
+            ..RolloutState::default()
+        })
     }
 
+    /// The parsed plan; the default one if a stored body can't be parsed by this build.
     pub fn plan(&self) -> RolloutPlan {
         coppersail_config::rollout::parse(&self.body).unwrap_or_default()
     }
 
-    /// The share of the new version; nothing where the plan does not steer.
+    /// The new version's share of requests, from 0 to 1; none once the plan is out of force.
     pub fn share(&self) -> Option<f64> {
-        let at = |plan: RolloutPlan| plan.steps.get(self.step).map_or(0.0, |s| s.share);
         match self.phase {
-            Phase::Running | Phase::Frozen | Phase::Done => Some(at(self.plan())),
+            Phase::Running | Phase::Frozen | Phase::Done => {
+                Some(self.plan().steps.get(self.step).map_or(0.0, |step| step.share))
+            }
             Phase::Withdrawn => Some(0.0),
             Phase::Ended => None,
         }
     }
 
-    fn next(&self, ran: Ms, phase: Phase, step: usize, why: &str) -> RolloutState {
-        let number = self.number + 1;
-        RolloutState { number, phase, step, ran: self.ran + ran, why: why.into(), ..self.clone() }
+    fn next(&self, elapsed: Ms, phase: Phase, step: usize, reason: &str) -> RolloutState {
+        RolloutState {
+            number: self.number + 1,
+            phase,
+            step,
+            ran: self.ran + elapsed,
+            why: reason.into(),
+            ..self.clone()
+        }
     }
 
-    /// An operator's order, `ran` after the last change. None: it stands like that already, as after an order that
-    /// was sent twice.
+    /// Applies a command `ran` milliseconds after the last change. None: the rollout is in the commanded state already,
+    /// as after a command that was sent twice.
     pub fn order(
         &self,
         ran: Ms,
         order: RolloutCommand,
         why: &str,
-    ) -> Result<Option<RolloutState>, &'static str> {
-        let stopped = match self.plan().pause {
+    ) -> Result<Option<RolloutState>, CommandError> {
+        if self.phase == Phase::Ended {
+            return if order == RolloutCommand::End { Ok(None) } else { Err(CommandError::Ended) };
+        }
+        match order {
+            RolloutCommand::End => Ok(Some(self.next(ran, Phase::Ended, self.step, why))),
+            RolloutCommand::Undo => Ok(self.rolled_back(ran, why)),
+            RolloutCommand::Pause => Ok(self.paused(ran, why)),
+            RolloutCommand::Resume => Ok(self.resumed(ran, why)),
+            RolloutCommand::Pass => match self.phase {
+                Phase::Running => Ok(Some(self.passed(ran, why))),
+                Phase::Done => Ok(None),
+                found => Err(CommandError::Paused { found }),
+            },
+        }
+    }
+
+    fn rolled_back(&self, elapsed: Ms, reason: &str) -> Option<RolloutState> {
+        let is_in_force = self.phase != Phase::Withdrawn;
+        is_in_force.then(|| self.next(elapsed, Phase::Withdrawn, self.step, reason))
+    }
+
+    fn paused(&self, elapsed: Ms, reason: &str) -> Option<RolloutState> {
+        if matches!(self.phase, Phase::Frozen | Phase::Withdrawn) {
+            return None;
+        }
+        let phase = match self.plan().pause {
             Pause::Freeze => Phase::Frozen,
             Pause::Withdraw => Phase::Withdrawn,
         };
-        Ok(match (order, self.phase) {
-            (RolloutCommand::End, Phase::Ended) => None,
-            (_, Phase::Ended) => return Err("the plan has ended"),
-            (RolloutCommand::End, _) => Some(self.next(ran, Phase::Ended, self.step, why)),
-            (RolloutCommand::Undo, Phase::Withdrawn) => None,
-            (RolloutCommand::Undo, _) => Some(self.next(ran, Phase::Withdrawn, self.step, why)),
-            (RolloutCommand::Pause, Phase::Frozen | Phase::Withdrawn) => None,
-            (RolloutCommand::Pause, _) => Some(self.next(ran, stopped, self.step, why)),
-            (RolloutCommand::Resume, Phase::Running | Phase::Done) => None,
-            // Whoever was withdrawn begins small again.
-            (RolloutCommand::Resume, phase) => {
-                let step = if phase == Phase::Withdrawn { 0 } else { self.step };
-                let next = self.next(ran, Phase::Running, step, why);
-                Some(RolloutState { run: next.number, ran: 0, ..next })
-            }
-            (RolloutCommand::Pass, Phase::Running) => Some(self.passed(ran, why)),
-            (RolloutCommand::Pass, Phase::Done) => None,
-            (RolloutCommand::Pass, _) => return Err("the plan is paused; resume it first"),
-        })
+        Some(self.next(elapsed, phase, self.step, reason))
     }
 
-    fn passed(&self, ran: Ms, why: &str) -> RolloutState {
-        match self.step + 1 < self.plan().steps.len() {
-            true => self.next(ran, Phase::Running, self.step + 1, why),
-            false => self.next(ran, Phase::Done, self.step, why),
+    /// Begins another run. A rollout that was rolled back begins with the smallest share again.
+    fn resumed(&self, elapsed: Ms, reason: &str) -> Option<RolloutState> {
+        if matches!(self.phase, Phase::Running | Phase::Done) {
+            return None;
         }
+        let step = if self.phase == Phase::Withdrawn { 0 } else { self.step };
+        let next = self.next(elapsed, Phase::Running, step, reason);
+        Some(RolloutState { run: next.number, ran: 0, ..next })
     }
 
-    /// What time and the verdict make of it.
-    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<RolloutState> {
-        let ran = now.saturating_sub(since.0);
-        let stop = |why: &str| self.order(ran, RolloutCommand::Pause, why).ok().flatten();
-        match self.phase {
-            Phase::Running | Phase::Frozen => {}
-            // What comes out only after the last step still counts.
-            Phase::Done => return if let Verdict::Pause(why) = verdict { stop(why) } else { None },
-            _ => return None,
-        }
-        if let Verdict::Pause(why) = verdict {
-            return stop(why);
-        }
-        if self.phase == Phase::Frozen {
-            return None;
-        }
-        if (self.ran + ran) as u128 >= plan.ends.as_millis() {
-            return stop("its time is over");
+    fn passed(&self, elapsed: Ms, reason: &str) -> RolloutState {
+        if self.step + 1 < self.plan().steps.len() {
+            self.next(elapsed, Phase::Running, self.step + 1, reason)
+        } else {
+            self.next(elapsed, Phase::Done, self.step, reason)
         }
-        let step = plan.steps.get(self.step)?;
-        let long = ran as u128 >= step.least.as_millis();
-        match verdict {
-            Verdict::Sound if long && step.pass == Pass::Itself => Some(self.passed(ran, "sound")),
-            _ => None,
+    }
+
+    /// The change that time and the analysis' verdict bring about, if any.
+    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<RolloutState> {
+        let elapsed = since.elapsed(now);
+        match (self.phase, verdict) {
+            (Phase::Frozen | Phase::Withdrawn | Phase::Ended, _) => None,
+            // A fault that shows only after the last step still pauses.
+            (Phase::Running | Phase::Done, Verdict::Pause(reason)) => self.paused(elapsed, reason),
+            (Phase::Done, _) => None,
+            (Phase::Running, _) if self.is_expired(plan, elapsed) => self.paused(elapsed, REASON_EXPIRED),
+            (Phase::Running, Verdict::Sound) => self.advanced(plan, elapsed),
+            (Phase::Running, Verdict::Wait(_)) => None,
         }
     }
 
-    /// Until the next step may be taken, as far as time decides.
+    fn is_expired(&self, plan: &RolloutPlan, elapsed: Ms) -> bool {
+        (self.ran + elapsed) as u128 >= plan.ends.as_millis()
+    }
+
+    fn advanced(&self, plan: &RolloutPlan, elapsed: Ms) -> Option<RolloutState> {
+        let may_pass = |step: &&Step| elapsed as u128 >= step.least.as_millis() && step.pass == Pass::Itself;
+        plan.steps.get(self.step).filter(may_pass).map(|_| self.passed(elapsed, REASON_SOUND))
+    }
+
+    /// Milliseconds until the step's least time is over; none unless the rollout runs.
     pub fn left(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
-        Some((step.least.as_millis() as Ms).saturating_sub(now.saturating_sub(since.0)))
+        Some((step.least.as_millis() as Ms).saturating_sub(since.elapsed(now)))
     }
 }
--- /dev/null
+++ b/crates/data-plane/rollout/src/selector.rs
@@ -0,0 +1,153 @@
+//! Which variant of a rollout an edge selects for a request. The new version's share is held under a lease: an edge
+//! that hears nothing from the control plane falls back to the control group by itself (Gray and Cheriton, leases).
+use crate::lifecycle::{Phase, RolloutState};
+use crate::variant::Variant;
+use crate::{share, Ms};
+use coppersail_config::rollout::{RolloutPlan, Version};
+
+/// One plan that is in force at this edge.
+#[derive(Debug, Clone)]
+pub struct ActiveRollout {
+    /// The plan's name.
+    pub name: String,
+    /// The number of its newest known change.
+    pub number: u64,
+    /// The number with which its evidence began to count anew.
+    pub run: u64,
+    /// The plan as the operator submitted it.
+    pub plan: RolloutPlan,
+    share: f64,
+    phase: Phase,
+    /// This edge has seen conclusive evidence before the control plane has.
+    stopped: bool,
+}
+
+impl ActiveRollout {
+    fn concerns(&self, service: &str, route: &str) -> bool {
+        let is_target = matches!(&self.plan.to, Version::Backend(name) if name == service);
+        (self.plan.service == service || is_target) && self.plan.covers(route)
+    }
+
+    /// A finished plan needs no lease: there may be no control group left to fall back to.
+    fn lease_is_valid(&self, now: Ms, confirmed_at: Option<Ms>) -> bool {
+        let lease = self.plan.lease.as_millis() as Ms;
+        self.phase == Phase::Done || confirmed_at.is_some_and(|at| now < at + lease)
+    }
+
+    fn includes(&self, member: &[u8]) -> bool {
+        self.share > 0.0 && share::place(&self.plan.service, &self.name, member) < self.share
+    }
+}
+
+/// The variant that a plan gives a request.
+#[derive(Debug, Clone, PartialEq)]
+pub struct VariantChoice {
+    /// Index of the plan, for [`VariantSelector::get`].
+    pub plan: usize,
+    /// The plan's number when the variant was chosen.
+    pub number: u64,
+    /// The variant.
+    pub side: Variant,
+}
+
+/// The plan of a name has ended with this number: older states of it must not bring it back.
+#[derive(Debug)]
+struct EndedRollout {
+    name: String,
+    number: u64,
+}
+
+/// The plans in force at an edge, and the lease on their new versions.
+///
+/// ```
+/// use coppersail_rollout::{RolloutState, Variant, VariantSelector};
+/// let body = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"}, "steps": [{"share": 1}]}"#;
+/// let mut selector = VariantSelector::default();
+/// selector.take(&RolloutState::submit("p", body, None).unwrap());
+/// let variant = |selector: &VariantSelector, now| selector.choose(now, "a", "r", b"who").unwrap().side;
+/// assert_eq!(variant(&selector, 1000), Variant::Old, "nothing shows yet that the plan is the newest");
+/// selector.fresh(1000);
+/// assert_eq!(variant(&selector, 3400), Variant::New);
+/// assert_eq!(variant(&selector, 3600), Variant::Old, "the lease is over");
+/// assert!(selector.choose(0, "b", "r", b"who").is_none());
+/// ```
+#[derive(Debug, Default)]
+pub struct VariantSelector {
+    active: Vec<ActiveRollout>,
+    /// The latest time at which all plans here were known to be the newest.
+    confirmed_at: Option<Ms>,
+    ended: Vec<EndedRollout>,
+}
+
+impl VariantSelector {
+    /// Whether no plan is in force.
+    pub fn is_empty(&self) -> bool {
+        self.active.is_empty()
+    }
+
+    /// The plan at an index that [`VariantSelector::choose`] returned. Panics on any other.
+    pub fn get(&self, at: usize) -> &ActiveRollout {
+        &self.active[at]
+    }
+
+    /// All plans in force.
+    pub fn active(&self) -> impl Iterator<Item = &ActiveRollout> {
+        self.active.iter()
+    }
+
+    fn known_number(&self, name: &str) -> Option<u64> {
+        let active = self.active.iter().find(|rollout| rollout.name == name).map(|rollout| rollout.number);
+        let ended = self.ended.iter().find(|ended| ended.name == name).map(|ended| ended.number);
+        active.max(ended)
+    }
+
+    /// Applies a plan's state. False if it isn't newer than the one known, and changes nothing.
+    pub fn take(&mut self, state: &RolloutState) -> bool {
+        if self.known_number(&state.name).is_some_and(|known| known >= state.number) {
+            return false;
+        }
+        let same_run = self.active.iter().find(|known| known.name == state.name && known.run == state.run);
+        let stopped = same_run.is_some_and(|known| known.stopped);
+        self.active.retain(|known| known.name != state.name);
+        self.ended.retain(|ended| ended.name != state.name);
+        match state.share() {
+            Some(share) => self.active.push(ActiveRollout {
+                name: state.name.clone(),
+                number: state.number,
+                run: state.run,
+                plan: state.plan(),
+                share,
+                phase: state.phase,
+                stopped,
+            }),
+            None => self.ended.push(EndedRollout { name: state.name.clone(), number: state.number }),
+        }
+        true
+    }
+
+    /// Renews the lease: the plans here are those that a leader had at time `at`.
+    pub fn fresh(&mut self, at: Ms) {
+        self.confirmed_at = self.confirmed_at.max(Some(at));
+    }
+
+    /// Conclusive evidence was seen at this edge while the plan had `number`: no further request goes from here to the
+    /// new version, whatever the control plane decides, until the plan is resumed as another run.
+    pub fn stop(&mut self, plan: &str, number: u64) {
+        let concerned = self.active.iter_mut().filter(|known| known.name == plan && known.run <= number);
+        concerned.for_each(|known| known.stopped = true);
+    }
+
+    /// The variant of a request; none where no plan concerns its service and route.
+    pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<VariantChoice> {
+        let plan = self.active.iter().position(|rollout| rollout.concerns(service, route))?;
+        let rollout = &self.active[plan];
+        let may_use_new = rollout.lease_is_valid(now, self.confirmed_at) && !rollout.stopped;
+        let side = if may_use_new && rollout.includes(member) { Variant::New } else { Variant::Old };
+        Some(VariantChoice { plan, number: rollout.number, side })
+    }
+
+    /// Whether evidence of the plan's variants is to be counted.
+    pub fn counts(&self, at: usize) -> bool {
+        self.active[at].share > 0.0 && self.active[at].phase != Phase::Withdrawn
+    }
+}
--- a/crates/data-plane/rollout/src/tests.rs
+++ b/crates/data-plane/rollout/src/tests.rs
@@ -1,8 +1,11 @@
 //! The hard cases that need no fleet: what is bad is found, and what is sound is left alone.
-use crate::analysis::{FleetCapacity, RolloutAnalysis, Verdict};
-use crate::evidence::{Counts, EvidenceRecorder, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_SPAN};
+use crate::analysis::{FleetCapacity, RolloutAnalysis};
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_SPAN};
 use crate::lifecycle::{Phase, RolloutCommand, RolloutState, Since};
-use crate::variant::{Variant, VariantSelector};
+use crate::recorder::EvidenceRecorder;
+use crate::selector::VariantSelector;
+use crate::variant::Variant;
+use crate::verdict::Verdict;
 use crate::Ms;
 use assert_matches::assert_matches;
 use coppersail_config::rollout::RolloutPlan;
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -131,3 +131,12 @@
     let counts: Counts = serde_json::from_str(r#"{"n":[1,2,3,4,5,6,7,8]}"#).unwrap();
     assert_eq!(counts, Counts { all: [1, 2, 3, 4, 5, 6, 7, 8], ..Counts::default() });
 }
+
+/// A member keeps its variant when edges of different builds serve it: the positions are part of the protocol.
+#[test]
+fn positions_in_a_share_agree_across_builds() {
+    let place = coppersail_rollout::share::place;
+    assert_eq!(place("ledger", "friday", b"10.1.2.3"), 0.9498801664497901);
+    assert_eq!(place("a", "p", b""), 0.33419988055692385);
+    assert_eq!(place("ledger", "friday", b"\xff\x00session"), 0.08864703815636643);
+}
