--- /dev/null
+++ b/crates/data-plane/rollout/examples/evening/control_plane.rs
@@ -0,0 +1,146 @@
+//! Edges and the control plane: polls, reports of evidence, states of the rollout, and the loss of a leader.
+use crate::scenario::{Mode, Scenario};
+use crate::world::{Attempt, Evening, Event, PLAN_NAME};
+use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
+use coppersail_rollout::lifecycle::Since;
+use coppersail_rollout::{Ms, OutcomeKind, Phase, RolloutPlan, Variant, Verdict};
+use std::collections::BTreeMap;
+
+/// Bytes of evidence in one report.
+const REPORT_BYTES: usize = 1400;
+const REPORT_DELAY: Ms = 60_000;
+/// When edges are cut off.
+const CUT_OFF: std::ops::Range<Ms> = 120_000..300_000;
+const LEADER_LOST_FOR: Ms = 2500;
+/// Heartbeats of hosts come every 1.3 s; two and a half without one mean that the host is gone.
+const HEARTBEAT: Ms = 1300;
+const GONE_AFTER: Ms = 3250;
+
+impl Evening {
+    pub(crate) fn handle(&mut self, now: Ms, event: Event) {
+        match event {
+            Event::Ended { attempt, kind, took } => self.end_attempt(now, &attempt, kind, took),
+            Event::ReportArrives { report, at } => {
+                let has_leader = now >= self.no_leader_until && at >= self.no_leader_until;
+                if self.mode == Mode::Fleet && has_leader && self.analysis.take(now, PLAN_NAME, &report) {
+                    let plan = self.states[0].plan();
+                    self.control_plane_tick(now, &plan);
+                }
+            }
+            Event::StateArrives { edge, state, as_of } => {
+                let selector = &mut self.edges[edge].selector;
+                selector.take(&self.states[state]);
+                selector.fresh(as_of);
+            }
+        }
+    }
+
+    fn end_attempt(&mut self, now: Ms, attempt: &Attempt, kind: OutcomeKind, took: Ms) {
+        let is_doubled = kind == OutcomeKind::Doubled;
+        let is_answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::Foreign);
+        if is_doubled {
+            self.record(now, attempt, OutcomeKind::Good, Some(took), None);
+            if attempt.side == Variant::New && self.mode != Mode::Fixed {
+                self.edges[attempt.edge].selector.stop(PLAN_NAME, attempt.number);
+            }
+        }
+        let took = (is_answered && !is_doubled).then_some(took);
+        self.record(now, attempt, kind, took, Some(attempt.host));
+    }
+
+    pub(crate) fn poll(&mut self, now: Ms, edge: usize) {
+        let at = &mut self.edges[edge];
+        at.poll_at = now + at.poll_period;
+        self.judge_alone(now, edge);
+        let at = &self.edges[edge];
+        if at.is_cut_off && CUT_OFF.contains(&now) {
+            return;
+        }
+        let delay = at.delay;
+        if self.mode == Mode::Fleet {
+            self.send_report(now, edge);
+        }
+        if now >= self.no_leader_until {
+            let (state, as_of) = (self.states.len() - 1, now.saturating_sub(delay));
+            self.schedule(now + 2 * delay, Event::StateArrives { edge, state, as_of });
+        }
+    }
+
+    /// Where each edge decides alone.
+    fn judge_alone(&mut self, now: Ms, edge: usize) {
+        let fleet = self.fleet();
+        let died = &self.died;
+        let edge = &mut self.edges[edge];
+        let Some(analysis) = &mut edge.analysis else { return };
+        if let Some(report) = edge.recorder.report(now, usize::MAX) {
+            analysis.take(now, PLAN_NAME, &report);
+        }
+        let dead = |host: &str, seen: Ms| has_died(died, host, seen, now);
+        if let Verdict::Pause(reason) = analysis.judge(now, 1, fleet, dead) {
+            edge.selector.stop(PLAN_NAME, u64::MAX);
+            self.outcome.paused_at.get_or_insert(now);
+            self.outcome.pause_reason = reason;
+        }
+    }
+
+    fn send_report(&mut self, now: Ms, edge: usize) {
+        let edge = &mut self.edges[edge];
+        let Some(report) = edge.recorder.report(now, REPORT_BYTES) else { return };
+        self.outcome.evidence_bytes += serde_json::to_string(&report).map_or(0, |text| text.len() as u64);
+        let at = now + edge.delay + if edge.delays_reports { REPORT_DELAY } else { 0 };
+        self.schedule(at, Event::ReportArrives { report, at });
+    }
+
+    fn fleet(&self) -> FleetCapacity {
+        let slots = self.size.hosts as f64 * 2.0;
+        FleetCapacity { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
+    }
+
+    pub(crate) fn control_plane_tick(&mut self, now: Ms, plan: &RolloutPlan) {
+        if now < self.no_leader_until {
+            return;
+        }
+        if self.lost_leader && self.no_leader_until > 0 {
+            self.begin_new_leader(now, plan);
+        }
+        let state = self.states.last().expect("one").clone();
+        self.analysis.step(state.step);
+        let verdict = self.verdict(now, state.number);
+        let Some(next) = state.tick(plan, now, self.since, &verdict) else { return };
+        let is_pause = matches!(next.phase, Phase::Withdrawn | Phase::Frozen);
+        if is_pause && self.scenario == Scenario::LateAndLeaderLost && !self.lost_leader {
+            (self.lost_leader, self.no_leader_until) = (true, now + LEADER_LOST_FOR);
+            return;
+        }
+        if is_pause {
+            self.outcome.paused_at.get_or_insert(now);
+            self.outcome.pause_reason = next.why.clone();
+        }
+        self.since = Since(now);
+        self.states.push(next);
+    }
+
+    /// A new leader knows what is on the disk, asks for all retained evidence, and begins the step's time anew.
+    fn begin_new_leader(&mut self, now: Ms, plan: &RolloutPlan) {
+        let run = self.states.last().expect("one").run;
+        self.analysis = RolloutAnalysis::new(plan, run);
+        self.since = Since(now);
+        self.no_leader_until = 0;
+        self.edges.iter_mut().for_each(|edge| edge.recorder.again());
+    }
+
+    fn verdict(&mut self, now: Ms, number: u64) -> Verdict {
+        if self.mode != Mode::Fleet {
+            return Verdict::Sound;
+        }
+        let fleet = self.fleet();
+        let died = &self.died;
+        self.analysis.judge(now, number, fleet, |host, seen| has_died(died, host, seen, now))
+    }
+}
+
+/// Whether a host has died around a time, if that is known by now.
+fn has_died(died: &BTreeMap<String, Ms>, host: &str, seen: Ms, now: Ms) -> Option<bool> {
+    let is_dead = died.get(host).is_some_and(|at| *at + 10_000 > seen && *at <= seen + 1000);
+    (now >= seen + GONE_AFTER || (!is_dead && now >= seen + HEARTBEAT)).then_some(is_dead)
+}
--- a/crates/data-plane/rollout/examples/evening/page.rs
+++ b/crates/data-plane/rollout/examples/evening/page.rs
@@ -1,106 +1,147 @@
 //! Tables and charts of what was played, put between two marks of the page.
-use crate::world::{Mode, Outcome};
-use crate::Played;
+use crate::scenario::{Mode, Outcome, Scenario, EVENING, LARGE, SMALL};
+use crate::Series;
+use coppersail_rollout::Ms;
 use plotters::prelude::*;
 use std::fmt::Write;
 
 const BEGIN: &str = "<!-- tables: written by `evening` -->";
 const END: &str = "<!-- end of tables -->";
+/// A version that still got requests so shortly (ms) before the end was missed.
+const IN_FORCE_AT_END: Ms = 10_000;
+/// A share that a rollout reaches only at half of all requests.
+const HALF_REACHED: f64 = 0.4;
 
-fn middle(mut all: Vec<f64>) -> (f64, f64) {
-    all.sort_by(f64::total_cmp);
-    match all.len() {
-        0 => (f64::NAN, f64::NAN),
-        n => (all[n / 2], all[n - 1]),
+const BAD_HEADER: &str =
+    "Bad releases; median / worst. *Met*: of all requests of the evening, those that the new version ran, in %. \
+    *Harmed*: those it answered badly, in %. *Stop*: seconds from its first bad answer to the last request sent to it \
+    anywhere. *Missed*: evenings that ended with it in force.\n\n\
+    | release | met | harmed | stop s | missed | met, each edge alone | stop s | missed | met, fixed steps |\n\
+    |---|---|---|---|---|---|---|---|---|\n";
+const SOUND_HEADER: &str =
+    "\nSound releases with other troubles. *Paused*: in error. *Steps*: evenings that came to half of all requests or more.\n\n\
+    | release | paused | steps | paused by some edge, each alone |\n|---|---|---|---|\n";
+
+fn met_percentage(outcome: &Outcome) -> Option<f64> {
+    Some(100.0 * outcome.met_new as f64 / outcome.requests.max(1) as f64)
+}
+
+fn harmed_percentage(outcome: &Outcome) -> Option<f64> {
+    Some(100.0 * outcome.harmed as f64 / outcome.requests.max(1) as f64)
+}
+
+fn stop_seconds(outcome: &Outcome) -> Option<f64> {
+    outcome.first_bad.map(|bad| outcome.last_sent.saturating_sub(bad) as f64 / 1000.0)
+}
+
+/// "median / worst", or "-" of nothing.
+fn median_and_worst(outcomes: &[Outcome], value: fn(&Outcome) -> Option<f64>, digits: usize) -> String {
+    let mut values: Vec<f64> = outcomes.iter().filter_map(value).collect();
+    values.sort_by(f64::total_cmp);
+    match values.last() {
+        None => "-".into(),
+        Some(worst) => format!("{:.digits$} / {worst:.digits$}", values[values.len() / 2]),
     }
 }
 
-fn share(o: &Outcome) -> f64 {
-    100.0 * o.met as f64 / o.all.max(1) as f64
+fn missed(outcomes: &[Outcome]) -> usize {
+    let in_force =
+        |outcome: &&Outcome| outcome.last_sent + IN_FORCE_AT_END > EVENING && outcome.first_bad.is_some();
+    outcomes.iter().filter(in_force).count()
 }
 
-fn harmed(o: &Outcome) -> f64 {
-    100.0 * o.harmed as f64 / o.all.max(1) as f64
+fn paused(outcomes: &[Outcome]) -> usize {
+    outcomes.iter().filter(|outcome| outcome.paused_at.is_some()).count()
 }
 
-fn stop(o: &Outcome) -> Option<f64> {
-    o.first_bad.map(|bad| o.last_sent.saturating_sub(bad) as f64 / 1000.0)
+/// All series of one size.
+struct Tables<'a> {
+    series: Vec<&'a Series>,
+    edges: usize,
 }
 
-fn tables(played: &[Played], large: bool) -> String {
-    let of = |p: &&Played| p.large == large;
-    let seeds = played.iter().find(of).map_or(0, |p| p.all.len());
-    let edges = if large { crate::LARGE.edges } else { crate::SMALL.edges };
-    let mut text = format!("### {edges} edges, {seeds} seeds of each\n\n");
-    if seeds > 0 {
-        text += "Each edge alone and fixed steps: a quarter of the seeds.\n\n";
+impl Tables<'_> {
+    fn outcomes(&self, scenario: Scenario, mode: Mode) -> &[Outcome] {
+        let found = self.series.iter().find(|series| series.scenario == scenario && series.mode == mode);
+        found.map_or(&[], |series| &series.outcomes)
+    }
+
+    /// Those that the fleet decided, of bad releases or of sound ones.
+    fn decided(&self, is_bad: bool) -> impl Iterator<Item = &&Series> {
+        let fleet = self.series.iter().filter(|series| series.mode == Mode::Fleet);
+        fleet.filter(move |series| series.scenario.is_bad() == is_bad)
     }
-    text += "Bad releases; median / worst. *Met*: of all requests of the evening, those that the new version ran, in %. \
-        *Harmed*: those it answered badly, in %. *Stop*: seconds from its first bad answer to the last request sent to it \
-        anywhere. *Missed*: evenings that ended with it in force.\n\n";
-    text += "| release | met | harmed | stop s | missed | met, each edge alone | stop s | missed | met, fixed steps |\n\
-        |---|---|---|---|---|---|---|---|---|\n";
-    let pair = |all: &[Outcome], f: &dyn Fn(&Outcome) -> Option<f64>, digits: usize| {
-        let (mid, worst) = middle(all.iter().filter_map(f).collect());
-        match mid.is_nan() {
-            true => "-".into(),
-            false => format!("{mid:.digits$} / {worst:.digits$}"),
+
+    fn write(&self) -> String {
+        let seeds = self.series.first().map_or(0, |series| series.outcomes.len());
+        let mut text = format!("### {} edges, {seeds} seeds of each\n\n", self.edges);
+        if seeds > 0 {
+            text += "Each edge alone and fixed steps: a quarter of the seeds.\n\n";
+        }
+        self.write_bad(&mut text);
+        self.write_sound(&mut text);
+        self.write_evidence(&mut text);
+        self.write_errors(&mut text);
+        text.push('\n');
+        text
+    }
+
+    fn write_bad(&self, text: &mut String) {
+        *text += BAD_HEADER;
+        for series in self.decided(true) {
+            let fleet = &series.outcomes;
+            let alone = self.outcomes(series.scenario, Mode::Alone);
+            let fixed = self.outcomes(series.scenario, Mode::Fixed);
+            let _ = writeln!(
+                text,
+                "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
+                series.name,
+                median_and_worst(fleet, met_percentage, 2),
+                median_and_worst(fleet, harmed_percentage, 3),
+                median_and_worst(fleet, stop_seconds, 0),
+                missed(fleet),
+                median_and_worst(alone, met_percentage, 1),
+                median_and_worst(alone, stop_seconds, 0),
+                missed(alone),
+                median_and_worst(fixed, met_percentage, 1),
+            );
         }
-    };
-    let missed = |all: &[Outcome]| {
-        let live = |o: &&Outcome| o.last_sent + 10_000 > crate::world::EVENING && o.first_bad.is_some();
-        all.iter().filter(live).count()
-    };
-    let find = |case, mode| played.iter().filter(of).find(|p| p.case == case && p.mode == mode);
-    for p in played.iter().filter(of).filter(|p| p.case.bad() && p.mode == Mode::Fleet) {
-        let (met, bad) = (|o: &Outcome| Some(share(o)), |o: &Outcome| Some(harmed(o)));
-        let none = Vec::new();
-        let alone = find(p.case, Mode::Alone).map_or(&none, |p| &p.all);
-        let fixed = find(p.case, Mode::Fixed).map_or(&none, |p| &p.all);
-        let _ = writeln!(
-            text,
-            "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
-            p.name,
-            pair(&p.all, &met, 2),
-            pair(&p.all, &bad, 3),
-            pair(&p.all, &stop, 0),
-            missed(&p.all),
-            pair(alone, &met, 1),
-            pair(alone, &stop, 0),
-            missed(alone),
-            pair(fixed, &met, 1),
-        );
     }
-    text += "\nSound releases with other troubles. *Paused*: in error. *Steps*: evenings that came to half of all requests or more.\n\n";
-    text += "| release | paused | steps | paused by some edge, each alone |\n|---|---|---|---|\n";
-    for p in played.iter().filter(of).filter(|p| !p.case.bad() && p.mode == Mode::Fleet) {
-        let paused = p.all.iter().filter(|o| o.paused_at.is_some()).count();
-        let half = |o: &&Outcome| o.line.iter().any(|(_, share)| *share > 0.4);
-        let steps = p.all.iter().filter(half).count();
-        let alone =
-            find(p.case, Mode::Alone).map_or(0, |p| p.all.iter().filter(|o| o.paused_at.is_some()).count());
-        let _ = writeln!(text, "| {} | {paused} of {} | {steps} | {alone} |", p.name, p.all.len());
+
+    fn write_sound(&self, text: &mut String) {
+        *text += SOUND_HEADER;
+        for series in self.decided(false) {
+            let outcomes = &series.outcomes;
+            let reached_half =
+                |outcome: &&Outcome| outcome.new_share.iter().any(|point| point.share > HALF_REACHED);
+            let half = outcomes.iter().filter(reached_half).count();
+            let alone = paused(self.outcomes(series.scenario, Mode::Alone));
+            let (name, paused, all) = (series.name, paused(outcomes), outcomes.len());
+            let _ = writeln!(text, "| {name} | {paused} of {all} | {half} | {alone} |");
+        }
+    }
+
+    fn write_evidence(&self, text: &mut String) {
+        let bytes: f64 = self
+            .decided(false)
+            .flat_map(|series| &series.outcomes)
+            .map(|o| o.evidence_bytes as f64 / o.seconds as f64 / self.edges as f64)
+            .fold(0.0, f64::max);
+        let _ = writeln!(text, "\nEvidence: at most {bytes:.0} bytes a second and edge, over an evening.\n");
     }
-    let bytes: f64 = played
-        .iter()
-        .filter(of)
-        .filter(|p| p.mode == Mode::Fleet && !p.case.bad())
-        .flat_map(|p| &p.all)
-        .map(|o| o.bytes as f64 / o.seconds as f64 / edges as f64)
-        .fold(0.0, f64::max);
-    let _ = writeln!(text, "\nEvidence: at most {bytes:.0} bytes a second and edge, over an evening.\n");
-    for p in played.iter().filter(of).filter(|p| p.mode == Mode::Fleet && !p.case.bad()) {
-        if let Some(o) = p.all.iter().find(|o| o.paused_at.is_some()) {
-            let at = o.paused_at.unwrap_or(0) / 1000;
-            let _ = writeln!(text, "- paused in error, {}: at {at} s, {}", p.name, o.why);
+
+    fn write_errors(&self, text: &mut String) {
+        for series in self.decided(false) {
+            if let Some(outcome) = series.outcomes.iter().find(|outcome| outcome.paused_at.is_some()) {
+                let (at, reason) = (outcome.paused_at.unwrap_or(0) / 1000, &outcome.pause_reason);
+                let _ = writeln!(text, "- paused in error, {}: at {at} s, {reason}", series.name);
+            }
         }
     }
-    text.push('\n');
-    text
 }
 
 /// The share of requests that met a bad version, over one evening, in the three ways.
-fn chart(file: &str, played: &[Played], case: &str) -> Result<(), Box<dyn std::error::Error>> {
+fn chart(file: &str, all: &[Series], name: &str) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(file, (720, 320)).into_drawing_area();
     root.fill(&WHITE)?;
     let mut chart = ChartBuilder::on(&root)
@@ -110,29 +151,34 @@
         .build_cartesian_2d(0f64..900f64, 0f64..100f64)?;
     chart.configure_mesh().x_desc("seconds").y_desc("% of requests at the new version").draw()?;
     for (mode, colour) in [(Mode::Fixed, RED), (Mode::Alone, BLUE), (Mode::Fleet, BLACK)] {
-        let one = played.iter().find(|p| !p.large && p.name == case && p.mode == mode);
-        if let Some(o) = one.and_then(|p| p.all.first()) {
-            let line = o.line.iter().map(|(at, share)| (*at as f64 / 1000.0, share * 100.0));
-            chart.draw_series(LineSeries::new(line, colour.stroke_width(2)))?;
+        let found = all.iter().find(|series| !series.is_large && series.name == name && series.mode == mode);
+        if let Some(outcome) = found.and_then(|series| series.outcomes.first()) {
+            let points = outcome.new_share.iter();
+            let points = points.map(|point| (point.at as f64 / 1000.0, point.share * 100.0));
+            chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
         }
     }
     root.present()?;
     Ok(())
 }
 
-pub fn write(docs: &str, played: &[Played]) -> Result<(), Box<dyn std::error::Error>> {
+/// Writes the tables into `rollout.md` in this folder, and the charts beside it.
+pub(crate) fn write(docs: &str, all: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
     let file = format!("{docs}/rollout.md");
     let page = std::fs::read_to_string(&file).unwrap_or_else(|_| format!("{BEGIN}\n{END}\n"));
     let (Some(begin), Some(end)) = (page.find(BEGIN), page.find(END)) else {
         return Err("the page lacks its marks".into());
     };
-    let mut text = tables(played, false);
-    text += &tables(played, true);
-    for (case, name) in [("late, three answers in ten", "late"), ("late at evening load only", "evening")] {
-        chart(&format!("{docs}/rollout-{name}.svg"), played, case)?;
+    let mut text = String::new();
+    for (is_large, size) in [(false, SMALL), (true, LARGE)] {
+        let series = all.iter().filter(|series| series.is_large == is_large).collect();
+        text += &Tables { series, edges: size.edges }.write();
+    }
+    for (name, suffix) in [("late, three answers in ten", "late"), ("late at evening load only", "evening")] {
+        chart(&format!("{docs}/rollout-{suffix}.svg"), all, name)?;
         let _ = writeln!(
             text,
-            "![{case}: fixed steps (red), each edge alone (blue), as built (black)](rollout-{name}.svg)\n"
+            "![{name}: fixed steps (red), each edge alone (blue), as built (black)](rollout-{suffix}.svg)\n"
         );
     }
     std::fs::write(file, format!("{}{BEGIN}\n\n{text}{}", &page[..begin], &page[end..]))?;
--- /dev/null
+++ b/crates/data-plane/rollout/examples/evening/traffic.rs
@@ -0,0 +1,193 @@
+//! Requests: which edge, variant and host they get, how long they run, and what is counted of them.
+use crate::scenario::{Mode, Scenario};
+use crate::world::{normal, Attempt, Evening, Event, PLAN_NAME, SERVICE};
+use coppersail_rollout::{Ms, OutcomeKind, Variant};
+use fastrand::Rng;
+
+const ROUTES: [&str; 2] = ["book", "look"];
+const BOOK: usize = 0;
+/// Weights of edges are at most this.
+const MAX_EDGE_WEIGHT: f64 = 1.5;
+const SLOTS: f64 = 2.0;
+/// The latency target, and after how long an edge gives up (ms).
+const LATENCY_TARGET: Ms = 500;
+const DEADLINE: Ms = 1200;
+/// A host rejects what would wait for longer (ms).
+const MAX_WAIT: f64 = 600.0;
+/// Median and spread of the log-normal service time (ms).
+const MEDIAN_WORK: f64 = 120.0;
+const WORK_SIGMA: f64 = 0.35;
+const NETWORK: Ms = 4;
+/// The host that a hot client's key is on.
+const HOT_HOST: usize = 3;
+/// Of the bad version's answers so many stall, for so long (ms).
+const STALL_SHARE: f64 = 0.3;
+const STALL_LEAST: f64 = 450.0;
+const STALL_SPREAD: f64 = 300.0;
+
+/// What a host made of a request.
+struct Response {
+    kind: OutcomeKind,
+    took: Ms,
+}
+
+impl Evening {
+    pub(crate) fn request(&mut self, now: Ms, is_hot: bool) {
+        self.outcome.requests += 1;
+        let edge = self.draw_edge();
+        let client = self.rng.usize(0..self.clients.len());
+        let route = usize::from(self.rng.u8(0..3) > 0);
+        let client = if is_hot { &self.hot_client } else { &self.clients[client] };
+        let selector = &self.edges[edge].selector;
+        let choice = selector.choose(now, SERVICE, ROUTES[route], client.as_bytes());
+        let (side, number) = choice.as_ref().map_or((Variant::Old, 0), |c| (c.side, c.number));
+        let is_counted = choice.is_some_and(|choice| selector.counts(choice.plan));
+        let Some(host) = self.draw_host(now, side, is_hot) else { return };
+        let is_overloaded = is_counted && self.mode != Mode::Fixed && self.count_sent(now, edge, side, host);
+        let attempt = Attempt { edge, number, route, side, host };
+        self.record(now, &attempt, OutcomeKind::Offered, None, None);
+        let Some(Response { kind, took }) = self.run(now, &attempt) else { return };
+        if side == Variant::New {
+            self.outcome.met_new += 1;
+            self.outcome.last_sent = now;
+        }
+        let is_cold = now < self.hosts[side as usize][host].cold_until;
+        let is_timed = [OutcomeKind::Good, OutcomeKind::Late, OutcomeKind::Failed].contains(&kind);
+        let kind = if (is_cold || is_overloaded) && is_timed { OutcomeKind::Aside } else { kind };
+        self.schedule(now + took, Event::Ended { attempt, kind, took });
+    }
+
+    /// Uneven shares, by rejection.
+    fn draw_edge(&mut self) -> usize {
+        loop {
+            let at = self.rng.usize(0..self.edges.len());
+            if self.rng.f64() * MAX_EDGE_WEIGHT < self.edges[at].weight {
+                return at;
+            }
+        }
+    }
+
+    /// The better of two random hosts: edges know about how long a host's queue is. A hot key has one host.
+    fn draw_host(&mut self, now: Ms, side: Variant, is_hot: bool) -> Option<usize> {
+        let hosts = &self.hosts[side as usize];
+        let is_up = |at: &usize| now >= hosts[*at].down_until;
+        let draw = |rng: &mut Rng| (0..20).map(|_| rng.usize(0..hosts.len())).find(is_up);
+        let (first, second) = (draw(&mut self.rng), draw(&mut self.rng));
+        let (first, second) = (first?, second?);
+        let queue = |at: usize| hosts[at].free_at[0].min(hosts[at].free_at[1]);
+        Some(match is_hot {
+            true => HOT_HOST % hosts.len(),
+            false if queue(first) <= queue(second) => first,
+            false => second,
+        })
+    }
+
+    fn count_sent(&mut self, now: Ms, edge: usize, side: Variant, host: usize) -> bool {
+        self.edges[edge].recorder.sent(now, &self.hosts[side as usize][host].name, SLOTS)
+    }
+
+    /// Runs a request on a host; none if it is rejected.
+    fn run(&mut self, now: Ms, attempt: &Attempt) -> Option<Response> {
+        let (side, at) = (attempt.side as usize, attempt.host);
+        let slot = usize::from(self.hosts[side][at].free_at[1] < self.hosts[side][at].free_at[0]);
+        let wait = (self.hosts[side][at].free_at[slot] - now as f64).max(0.0);
+        if wait > MAX_WAIT {
+            return None;
+        }
+        let work = self.draw_work(now, attempt);
+        let stall = self.draw_stall(now, attempt);
+        // A stalled request waits for something and does not work the while: the slot isn't held.
+        self.hosts[side][at].free_at[slot] = now as f64 + wait + work;
+        let took = ((wait + work + stall.unwrap_or(0.0)) as Ms + NETWORK).min(DEADLINE);
+        let version_fault = self.draw_version_fault(attempt);
+        let host_fault = self.draw_host_fault(now, attempt);
+        let timely = if took > LATENCY_TARGET { OutcomeKind::Late } else { OutcomeKind::Good };
+        let kind = version_fault.or(host_fault).unwrap_or(timely);
+        let is_new = attempt.side == Variant::New;
+        if version_fault.is_some() || (is_new && stall.is_some() && self.scenario.is_bad()) {
+            self.outcome.harmed += 1;
+            self.outcome.first_bad.get_or_insert(now + took);
+        }
+        Some(Response { kind, took })
+    }
+
+    /// The service time (ms).
+    fn draw_work(&mut self, now: Ms, attempt: &Attempt) -> f64 {
+        let is_cold = now < self.hosts[attempt.side as usize][attempt.host].cold_until;
+        let is_slow_wave = self.scenario == Scenario::SlowWaves && now % 100_000 < 20_000;
+        let is_better = attempt.side == Variant::New && self.scenario == Scenario::Better;
+        let mut work = MEDIAN_WORK * (WORK_SIGMA * normal(&mut self.rng)).exp();
+        work *= if is_cold { 3.0 } else { 1.0 };
+        work *= if is_slow_wave { 2.5 } else { 1.0 };
+        work *= if is_better { 0.7 } else { 1.0 };
+        work
+    }
+
+    /// For how long a request of a version that is late stalls (ms); none for most.
+    fn draw_stall(&mut self, now: Ms, attempt: &Attempt) -> Option<f64> {
+        let may_stall = self.is_late(now, attempt) || self.scenario == Scenario::BothBad;
+        let stalls = may_stall && self.rng.f64() < STALL_SHARE;
+        stalls.then(|| STALL_LEAST + STALL_SPREAD * self.rng.f64())
+    }
+
+    /// Whether the new version is late for this request.
+    fn is_late(&self, now: Ms, attempt: &Attempt) -> bool {
+        let is_late = match self.scenario {
+            Scenario::Late
+            | Scenario::LateAndLeaderLost
+            | Scenario::LateAndEdgesCutOff
+            | Scenario::LateAndReportsDelayed => true,
+            Scenario::LateAtEveningLoad => self.rate(now) > 0.85 * self.size.peak,
+            Scenario::LateInOneZone => self.hosts[attempt.side as usize][attempt.host].zone == 1,
+            Scenario::LateOnOneRoute => attempt.route == BOOK,
+            Scenario::LateAfterTenMinutes => now > 600_000,
+            _ => false,
+        };
+        attempt.side == Variant::New && is_late
+    }
+
+    fn draw_version_fault(&mut self, attempt: &Attempt) -> Option<OutcomeKind> {
+        if attempt.side != Variant::New {
+            return None;
+        }
+        let (kind, chance) = match self.scenario {
+            Scenario::LosesAnswers => (OutcomeKind::Lost, 0.02),
+            Scenario::WrongSeals => (OutcomeKind::Foreign, 1.0 / 30.0),
+            Scenario::FailsAnswers => (OutcomeKind::Failed, 0.1),
+            Scenario::DoublesBookings if attempt.route == BOOK => (OutcomeKind::Doubled, 0.002),
+            _ => return None,
+        };
+        (self.rng.f64() < chance).then_some(kind)
+    }
+
+    fn draw_host_fault(&mut self, now: Ms, attempt: &Attempt) -> Option<OutcomeKind> {
+        let host = &self.hosts[attempt.side as usize][attempt.host];
+        let loses = now < host.loses_until && self.rng.f64() < 0.1;
+        let garbles = now < host.garbles_until && self.rng.f64() < 0.3;
+        match (loses, garbles) {
+            (_, true) => Some(OutcomeKind::Foreign),
+            (true, false) => Some(OutcomeKind::Lost),
+            (false, false) => None,
+        }
+    }
+
+    /// Counts an outcome at the attempt's edge.
+    pub(crate) fn record(
+        &mut self,
+        now: Ms,
+        attempt: &Attempt,
+        kind: OutcomeKind,
+        took: Option<Ms>,
+        host: Option<usize>,
+    ) {
+        if self.mode == Mode::Fixed {
+            return;
+        }
+        let Attempt { number, route, side, .. } = *attempt;
+        let edge = &mut self.edges[attempt.edge];
+        if number > 0 && edge.selector.active().any(|rollout| rollout.number >= number) {
+            let host = host.map(|at| self.hosts[side as usize][at].name.as_str());
+            edge.recorder.note(now, PLAN_NAME, number, ROUTES[route], side, kind, took, host);
+        }
+    }
+}
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -1,587 +1,255 @@
-//! Hosts, clients, edges and a centre of one busy evening, in simulated time. What decides are the modules of
-//! `coppersail-rollout`; only hosts, clients and the ways between are played here.
-use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
-use coppersail_rollout::evidence::{EvidenceReport, OutcomeKind};
-use coppersail_rollout::lifecycle::{Phase, RolloutState, Since};
-use coppersail_rollout::{EvidenceRecorder, Ms, Variant, VariantSelector, Verdict};
+//! Hosts, clients, edges and a control plane of one busy evening, in simulated time. What decides are the modules of
+//! `coppersail-rollout`; only hosts, clients and the network between are played here.
+use crate::scenario::{Mode, Outcome, Scenario, SharePoint, Size, EVENING};
+use coppersail_rollout::analysis::RolloutAnalysis;
+use coppersail_rollout::lifecycle::Since;
+use coppersail_rollout::{
+    share, EvidenceRecorder, EvidenceReport, Ms, OutcomeKind, RolloutState, Variant, VariantSelector,
+};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
-/// What is wrong with the new version, or else goes on.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Case {
-    Late,
-    EveningLoad,
-    OneZone,
-    OneRoute,
-    Doubles,
-    Loses,
-    WrongSeal,
-    Fails,
-    TenMinutes,
-    LatePrimaryLost,
-    LateThirdCut,
-    LateReportsLate,
-    Sound,
-    Cold,
-    Better,
-    BothBad,
-    SlowWaves,
-    HotKey,
-    ZoneLost,
-    HostsCrash,
-    AnswersLost,
-    Garble,
-    ThirdCut,
-    ReportsLate,
-}
-
-use Case::*;
+pub(crate) const SERVICE: &str = "ledger";
+pub(crate) const PLAN_NAME: &str = "friday";
+const PLAN: &str = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"}, "ends": "1800s",
+    "member": "session", "steps": [
+    {"share": 0.02, "least": "60s", "evidence": 50}, {"share": 0.05, "least": "60s", "evidence": 100},
+    {"share": 0.1, "least": "90s", "evidence": 200}, {"share": 0.25, "least": "120s", "evidence": 200},
+    {"share": 0.5, "least": "360s", "evidence": 200}, {"share": 1.0, "least": "60s", "evidence": 200}]}"#;
 
-pub const CASES: [(Case, &str); 24] = [
-    (Late, "late, three answers in ten"),
-    (EveningLoad, "late at evening load only"),
-    (OneZone, "late in one zone only"),
-    (OneRoute, "late on one route only"),
-    (Doubles, "doubles one booking in 500"),
-    (Loses, "loses one answer in 50, but runs"),
-    (WrongSeal, "wrong seal on one answer in 30"),
-    (Fails, "fails one in ten"),
-    (TenMinutes, "good for ten minutes, then late"),
-    (LatePrimaryLost, "late; the primary lost as it decides"),
-    (LateThirdCut, "late; a third of the edges cut off"),
-    (LateReportsLate, "late; a third of reports a minute late"),
-    (Sound, "sound"),
-    (Cold, "sound but cold hosts, again and again"),
-    (Better, "better than the old one"),
-    (BothBad, "both bad at once"),
-    (SlowWaves, "sound; waves of slowness everywhere"),
-    (HotKey, "sound; a hot client in the new share"),
-    (ZoneLost, "sound; a zone lost"),
-    (HostsCrash, "sound; hosts crash"),
-    (AnswersLost, "sound; single hosts lose answers"),
-    (Garble, "sound; single hosts send wrong bytes"),
-    (ThirdCut, "sound; a third of the edges cut off"),
-    (ReportsLate, "sound; a third of reports a minute late"),
-];
+/// Resolution of simulated time (ms).
+const TICK: Ms = 100;
+/// Ticks beyond the evening for which events may be scheduled.
+const EXTRA_TICKS: Ms = 800;
+const CONTROL_PLANE_PERIOD: Ms = 200;
+const POLL_PERIOD: Ms = 500;
+/// The window of one point of the chart.
+const CHART_WINDOW: Ms = 5000;
+/// A paused bad release is played on for so long.
+const AFTER_PAUSE: Ms = 30_000;
+const CLIENTS: u32 = 5000;
+/// The load rises to the peak until then.
+const PEAK_AT: f64 = 480_000.0;
+/// From then on there is a hot client, who adds so much to all requests.
+const HOT_FROM: Ms = 100_000;
+const HOT_LOAD_FACTOR: f64 = 1.2;
+const HOT_SHARE: f64 = 0.16;
+
+pub(crate) struct Host {
+    pub(crate) name: String,
+    pub(crate) zone: usize,
+    /// When each slot is free, in ms.
+    pub(crate) free_at: [f64; 2],
+    pub(crate) cold_until: Ms,
+    pub(crate) down_until: Ms,
+    pub(crate) garbles_until: Ms,
+    pub(crate) loses_until: Ms,
+}
 
-impl Case {
-    pub fn bad(self) -> bool {
-        (self as usize) < Sound as usize
+impl Host {
+    fn new(version: &str, number: usize, zones: usize) -> Host {
+        Host {
+            name: format!("{version}-{number}"),
+            zone: number % zones,
+            free_at: [0.0; 2],
+            cold_until: 0,
+            down_until: 0,
+            garbles_until: 0,
+            loses_until: 0,
+        }
     }
 }
 
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
-    /// As built.
-    Fleet,
-    /// Each edge judges what it sees itself.
-    Alone,
-    /// Steps by time, no verdict.
-    Fixed,
+pub(crate) struct Edge {
+    pub(crate) zone: usize,
+    /// Of the requests, relative to other edges; 1.5 at most.
+    pub(crate) weight: f64,
+    pub(crate) selector: VariantSelector,
+    pub(crate) recorder: EvidenceRecorder,
+    /// Where each edge decides alone.
+    pub(crate) analysis: Option<RolloutAnalysis>,
+    pub(crate) poll_at: Ms,
+    pub(crate) poll_period: Ms,
+    /// One way to where its control-plane node knows as much as the leader (ms).
+    pub(crate) delay: Ms,
+    pub(crate) is_cut_off: bool,
+    pub(crate) delays_reports: bool,
 }
 
-#[derive(Debug, Clone, Copy)]
-pub struct Size {
-    pub edges: usize,
-    pub zones: usize,
-    /// Requests a second at the peak, of one service.
-    pub peak: f64,
-    /// Hosts of each version, of two slots.
-    pub hosts: usize,
+impl Edge {
+    fn new(number: usize, scenario: Scenario, mode: Mode, size: Size, rng: &mut Rng) -> Edge {
+        let zone = number % size.zones;
+        let plan = initial_state().plan();
+        Edge {
+            zone,
+            weight: 0.5 + rng.f64(),
+            selector: VariantSelector::default(),
+            recorder: EvidenceRecorder::new(&format!("e{number}"), 1, &format!("z{zone}")),
+            analysis: (mode == Mode::Alone).then(|| RolloutAnalysis::new(&plan, 1)),
+            poll_at: rng.u64(0..POLL_PERIOD),
+            poll_period: POLL_PERIOD,
+            // Most follow a node that is not the leader.
+            delay: if rng.u8(0..3) == 0 { rng.u64(5..20) } else { rng.u64(20..350) },
+            is_cut_off: scenario.cuts_edges_off() && number.is_multiple_of(3),
+            delays_reports: scenario.delays_reports() && number.is_multiple_of(3),
+        }
+    }
 }
 
-pub const EVENING: Ms = 900_000;
-const TICK: Ms = 100;
-const AIM: Ms = 500;
-const DEADLINE: Ms = 1200;
-const PLAN: &str = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"}, "ends": "1800s",
-    "member": "session", "steps": [
-    {"share": 0.02, "least": "60s", "evidence": 50}, {"share": 0.05, "least": "60s", "evidence": 100},
-    {"share": 0.1, "least": "90s", "evidence": 200}, {"share": 0.25, "least": "120s", "evidence": 200},
-    {"share": 0.5, "least": "360s", "evidence": 200}, {"share": 1.0, "least": "60s", "evidence": 200}]}"#;
-
-/// What one evening came to.
-#[derive(Debug, Clone, Default)]
-pub struct Outcome {
-    pub all: u64,
-    /// Requests that the new version ran.
-    pub met: u64,
-    /// Bad answers of it that the release is to blame for.
-    pub harmed: u64,
-    pub first_bad: Option<Ms>,
-    pub last_sent: Ms,
-    pub paused_at: Option<Ms>,
-    pub why: String,
-    pub doubled: u64,
-    pub done: bool,
-    /// Bytes of evidence, by all edges together, and seconds with a plan.
-    pub bytes: u64,
-    pub seconds: u64,
-    /// (time, share of all requests in the second that met the new version).
-    pub line: Vec<(Ms, f64)>,
+/// A request at an edge, and where it went.
+#[derive(Clone, Copy)]
+pub(crate) struct Attempt {
+    pub(crate) edge: usize,
+    /// The plan's number when its variant was chosen; 0 without a plan.
+    pub(crate) number: u64,
+    pub(crate) route: usize,
+    pub(crate) side: Variant,
+    pub(crate) host: usize,
 }
 
-struct Host {
-    name: String,
-    zone: usize,
-    /// When each slot is free, in ms.
-    free: [f64; 2],
-    cold_until: Ms,
-    down_until: Ms,
-    garbles_until: Ms,
-    loses_until: Ms,
+/// What is due at a time.
+pub(crate) enum Event {
+    Ended { attempt: Attempt, kind: OutcomeKind, took: Ms },
+    ReportArrives { report: EvidenceReport, at: Ms },
+    StateArrives { edge: usize, state: usize, as_of: Ms },
 }
 
-struct Edge {
-    zone: usize,
-    weight: f64,
-    sides: VariantSelector,
-    ledger: EvidenceRecorder,
-    judge: Option<RolloutAnalysis>,
-    poll_at: Ms,
-    every: Ms,
-    /// One way to where its centre knows as much as the primary.
-    way: Ms,
-    cut: bool,
-    slow_reports: bool,
+pub(crate) struct Evening {
+    pub(crate) scenario: Scenario,
+    pub(crate) mode: Mode,
+    pub(crate) size: Size,
+    pub(crate) rng: Rng,
+    pub(crate) edges: Vec<Edge>,
+    /// Of the new and of the old version.
+    pub(crate) hosts: [Vec<Host>; 2],
+    /// What is due, by tick.
+    pub(crate) events: Vec<Vec<Event>>,
+    pub(crate) clients: Vec<String>,
+    /// All states of the rollout so far, the present one last.
+    pub(crate) states: Vec<RolloutState>,
+    pub(crate) since: Since,
+    pub(crate) analysis: RolloutAnalysis,
+    pub(crate) no_leader_until: Ms,
+    pub(crate) lost_leader: bool,
+    /// When hosts died, by name.
+    pub(crate) died: BTreeMap<String, Ms>,
+    pub(crate) hot_client: String,
+    pub(crate) outcome: Outcome,
 }
 
-enum Due {
-    Ended { edge: usize, number: u64, route: usize, side: Variant, kind: OutcomeKind, took: Ms, host: usize },
-    Told { report: EvidenceReport, at: Ms },
-    News { edge: usize, stand: usize, polled: Ms },
+/// A draw from the standard normal distribution (Box and Muller).
+pub(crate) fn normal(rng: &mut Rng) -> f64 {
+    (-2.0 * rng.f64().max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
 }
 
-pub struct Evening {
-    case: Case,
-    mode: Mode,
-    size: Size,
-    rng: Rng,
-    edges: Vec<Edge>,
-    /// Of the new and of the old version.
-    hosts: [Vec<Host>; 2],
-    /// What is due, by tick.
-    wheel: Vec<Vec<Due>>,
-    names: Vec<String>,
-    stands: Vec<RolloutState>,
-    since: Since,
-    judge: RolloutAnalysis,
-    no_primary_until: Ms,
-    lost_primary: bool,
-    died: BTreeMap<String, Ms>,
-    hot: String,
-    out: Outcome,
+fn initial_state() -> RolloutState {
+    RolloutState::submit(PLAN_NAME, PLAN, None).expect("the plan is sound")
 }
 
-const ROUTES: [&str; 2] = ["book", "look"];
-const SIDES: [Variant; 2] = [Variant::New, Variant::Old];
+/// The worst client to be hot: one of the first that the new version gets.
+fn hot_client() -> String {
+    let is_first = |n: &u32| share::place(SERVICE, PLAN_NAME, format!("c{n}").as_bytes()) < 0.02;
+    format!("c{}", (0..CLIENTS).find(is_first).unwrap_or(0))
+}
 
-fn normal(rng: &mut Rng) -> f64 {
-    (-2.0 * rng.f64().max(1e-12).ln()).sqrt() * (std::f64::consts::TAU * rng.f64()).cos()
+/// Requests in one window of the chart.
+#[derive(Default)]
+struct Window {
+    requests: u64,
+    met_new: u64,
 }
 
 impl Evening {
-    pub fn new(case: Case, mode: Mode, size: Size, seed: u64) -> Evening {
-        let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ case as u64);
-        let stand = RolloutState::submit("friday", PLAN, None).expect("the plan is sound");
-        let plan = stand.plan();
-        let edge = |n: usize, rng: &mut Rng| Edge {
-            zone: n % size.zones,
-            weight: 0.5 + rng.f64(),
-            sides: VariantSelector::default(),
-            ledger: EvidenceRecorder::new(&format!("e{n}"), 1, &format!("z{}", n % size.zones)),
-            judge: (mode == Mode::Alone).then(|| RolloutAnalysis::new(&plan, 1)),
-            poll_at: rng.u64(0..500),
-            every: 500,
-            // Most follow a centre that is not the primary.
-            way: if rng.u8(0..3) == 0 { rng.u64(5..20) } else { rng.u64(20..350) },
-            cut: matches!(case, LateThirdCut | ThirdCut) && n.is_multiple_of(3),
-            slow_reports: matches!(case, LateReportsLate | ReportsLate) && n.is_multiple_of(3),
-        };
-        let edges = (0..size.edges).map(|n| edge(n, &mut rng)).collect();
-        let host = |version: &str, n: usize| Host {
-            name: format!("{version}-{n}"),
-            zone: n % size.zones,
-            free: [0.0; 2],
-            cold_until: 0,
-            down_until: 0,
-            garbles_until: 0,
-            loses_until: 0,
-        };
-        let hosts = ["n", "o"].map(|v| (0..size.hosts).map(|n| host(v, n)).collect());
-        // The worst client to be hot: one of the first that the new version gets.
-        let first =
-            |n: &u32| coppersail_rollout::share::place("ledger", "friday", format!("c{n}").as_bytes()) < 0.02;
-        let hot = format!("c{}", (0..5000).find(first).unwrap_or(0));
+    pub(crate) fn new(scenario: Scenario, mode: Mode, size: Size, seed: u64) -> Evening {
+        let mut rng = Rng::with_seed(seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) ^ scenario as u64);
+        let state = initial_state();
+        let edges = (0..size.edges).map(|n| Edge::new(n, scenario, mode, size, &mut rng)).collect();
+        let hosts = |version: &str| (0..size.hosts).map(|n| Host::new(version, n, size.zones)).collect();
         Evening {
-            case,
+            scenario,
             mode,
             size,
             rng,
             edges,
-            hosts,
-            wheel: (0..EVENING / TICK + 800).map(|_| Vec::new()).collect(),
-            names: (0..5000).map(|n| format!("c{n}")).collect(),
-            judge: RolloutAnalysis::new(&plan, 1),
-            stands: vec![stand],
+            hosts: ["n", "o"].map(hosts),
+            events: (0..EVENING / TICK + EXTRA_TICKS).map(|_| Vec::new()).collect(),
+            clients: (0..CLIENTS).map(|n| format!("c{n}")).collect(),
+            analysis: RolloutAnalysis::new(&state.plan(), 1),
+            states: vec![state],
             since: Since(0),
-            no_primary_until: 0,
-            lost_primary: false,
+            no_leader_until: 0,
+            lost_leader: false,
             died: BTreeMap::new(),
-            hot,
-            out: Outcome::default(),
+            hot_client: hot_client(),
+            outcome: Outcome::default(),
         }
     }
 
-    /// Rises to the peak by eight minutes and stays.
-    fn rate(&self, now: Ms) -> f64 {
-        self.size.peak * (0.5 + 0.5 * (now as f64 / 480_000.0).min(1.0))
+    /// Requests a second. Rises to the peak by eight minutes and stays.
+    pub(crate) fn rate(&self, now: Ms) -> f64 {
+        self.size.peak * (0.5 + 0.5 * (now as f64 / PEAK_AT).min(1.0))
+    }
+
+    pub(crate) fn schedule(&mut self, at: Ms, event: Event) {
+        self.events[(at / TICK) as usize + 1].push(event);
     }
 
-    pub fn play(mut self) -> Outcome {
-        let plan = self.stands[0].plan();
-        let mut second = (0u64, 0u64);
+    pub(crate) fn play(mut self) -> Outcome {
+        let plan = self.states[0].plan();
+        let mut window = Window::default();
         for now in (0..EVENING).step_by(TICK as usize) {
-            self.troubles(now);
-            for due in std::mem::take(&mut self.wheel[(now / TICK) as usize]) {
-                self.due(now, due);
+            self.inject_faults(now);
+            for event in std::mem::take(&mut self.events[(now / TICK) as usize]) {
+                self.handle(now, event);
             }
-            let over = self.out.paused_at.is_some_and(|at| now > at + 30_000);
-            if over && self.case.bad() && self.mode == Mode::Fleet && now % 5000 == 0 {
-                // Nothing is sent there any more; the rest of the evening's requests are only counted.
-                let rest = (now..EVENING).step_by(TICK as usize).map(|t| self.rate(t)).sum::<f64>();
-                self.out.all += (rest * TICK as f64 / 1000.0) as u64;
-                self.out.seconds = now / 1000;
-                return self.out;
+            if self.is_decided(now) {
+                return self.stop_early(now);
             }
-            if now % 200 == 0 {
-                self.centre(now, &plan);
+            if now.is_multiple_of(CONTROL_PLANE_PERIOD) {
+                self.control_plane_tick(now, &plan);
             }
             for edge in 0..self.edges.len() {
                 if now >= self.edges[edge].poll_at {
                     self.poll(now, edge);
                 }
             }
-            let met = self.out.met;
-            let mut expected = self.rate(now) * TICK as f64 / 1000.0;
-            let extra = self.case == HotKey && now > 100_000;
-            expected *= if extra { 1.2 } else { 1.0 };
-            let many = (expected + normal(&mut self.rng) * expected.sqrt()).round().max(0.0) as u64;
-            for _ in 0..many {
-                let hot = extra && self.rng.f64() < 0.16;
-                self.request(now, hot);
-            }
-            second = (second.0 + many, second.1 + self.out.met - met);
-            if now % 5000 == 5000 - TICK {
-                self.out.line.push((now, second.1 as f64 / second.0.max(1) as f64));
-                second = (0, 0);
-            }
-        }
-        self.out.seconds = EVENING / 1000;
-        self.out.done = self.stands.last().is_some_and(|s| s.phase == Phase::Done);
-        self.out
-    }
-
-    fn troubles(&mut self, now: Ms) {
-        if now % 100_000 != 30_000 || now == 0 {
-            return;
-        }
-        let n = self.size.hosts;
-        match self.case {
-            Cold => self.hosts[0].iter_mut().step_by(2).for_each(|h| h.cold_until = now + 20_000),
-            HostsCrash => {
-                for side in 0..2 {
-                    let at = self.rng.usize(0..n);
-                    self.crash(now, side, at, 10_000);
-                }
-            }
-            ZoneLost if now == 230_000 => {
-                for side in 0..2 {
-                    let zones = self.size.zones;
-                    for at in (0..n).filter(|at| at % zones == 1) {
-                        self.crash(now, side, at, EVENING);
-                    }
-                }
-                let gone = self.edges.iter_mut().filter(|e| e.zone == 1);
-                gone.for_each(|e| (e.weight, e.poll_at) = (0.0, EVENING));
-            }
-            AnswersLost | Garble => {
-                let side = self.rng.usize(0..2);
-                let at = self.rng.usize(0..n);
-                let host = &mut self.hosts[side][at];
-                let until = if self.case == Garble { &mut host.garbles_until } else { &mut host.loses_until };
-                *until = now + 15_000;
-            }
-            _ => {}
-        }
-    }
-
-    fn later(&mut self, at: Ms, due: Due) {
-        self.wheel[(at / TICK) as usize + 1].push(due);
-    }
-
-    fn crash(&mut self, now: Ms, side: usize, at: usize, for_long: Ms) {
-        let host = &mut self.hosts[side][at];
-        host.down_until = now + for_long;
-        host.cold_until = now + for_long + 10_000;
-        host.free = [0.0; 2];
-        self.died.insert(host.name.clone(), now);
-        // What was at work there is lost.
-        let far = SIDES[side];
-        for due in self.wheel.iter_mut().flatten() {
-            if let Due::Ended { side, host, kind, .. } = due {
-                if *side == far && *host == at {
-                    *kind = OutcomeKind::Lost;
-                }
+            self.send_requests(now, &mut window);
+            if now % CHART_WINDOW == CHART_WINDOW - TICK {
+                let share = window.met_new as f64 / window.requests.max(1) as f64;
+                self.outcome.new_share.push(SharePoint { at: now, share });
+                window = Window::default();
             }
         }
+        self.outcome.seconds = EVENING / 1000;
+        self.outcome
     }
 
-    fn request(&mut self, now: Ms, hot: bool) {
-        self.out.all += 1;
-        let all = self.edges.len();
-        // Uneven shares: by rejection, as weights are at most 1.5.
-        let edge = loop {
-            let at = self.rng.usize(0..all);
-            if self.rng.f64() * 1.5 < self.edges[at].weight {
-                break at;
-            }
-        };
-        let any = self.rng.usize(0..self.names.len());
-        let client = if hot { &self.hot } else { &self.names[any] };
-        let route = usize::from(self.rng.u8(0..3) > 0);
-        let e = &self.edges[edge];
-        let choice = e.sides.choose(now, "ledger", ROUTES[route], client.as_bytes());
-        let (side, number) = choice.as_ref().map_or((Variant::Old, 0), |c| (c.side, c.number));
-        let counted = choice.is_some_and(|c| e.sides.counts(c.plan));
-        let zone = e.zone;
-        // Edges know about how long a host's queue is: the better of two.
-        let version = &self.hosts[side as usize];
-        let up = |at: usize| now >= version[at].down_until;
-        let any = |rng: &mut Rng| (0..20).map(|_| rng.usize(0..version.len())).find(|at| up(*at));
-        let (Some(one), Some(other)) = (any(&mut self.rng), any(&mut self.rng)) else { return };
-        let queue = |at: usize| version[at].free[0].min(version[at].free[1]);
-        let at = match hot {
-            // A hot key has one host.
-            true => 3 % version.len(),
-            false if queue(one) <= queue(other) => one,
-            false => other,
-        };
-        let aside = counted
-            && self.mode != Mode::Fixed
-            && self.edges[edge].ledger.sent(now, &self.hosts[side as usize][at].name, 2.0);
-        self.count(now, edge, number, route, side, OutcomeKind::Offered, None, None);
-        let new = side == Variant::New;
-        let (kind, took) = self.run(now, side, at, route, zone);
-        let Some(kind) = kind else { return };
-        let cold = now < self.hosts[side as usize][at].cold_until;
-        if new {
-            self.out.met += 1;
-            self.out.last_sent = now;
-        }
-        let spoken = [OutcomeKind::Good, OutcomeKind::Late, OutcomeKind::Failed].contains(&kind);
-        let kind = if (cold || aside) && spoken { OutcomeKind::Aside } else { kind };
-        let due = Due::Ended { edge, number, route, side, kind, took, host: at };
-        self.later(now + took, due);
+    /// Nothing is sent to the new version any more, so that the rest needn't be played.
+    fn is_decided(&self, now: Ms) -> bool {
+        let is_over = self.outcome.paused_at.is_some_and(|at| now > at + AFTER_PAUSE);
+        is_over && self.scenario.is_bad() && self.mode == Mode::Fleet && now.is_multiple_of(CHART_WINDOW)
     }
 
-    /// Runs a request on a host: what becomes of it, and after how long. None: turned away.
-    fn run(
-        &mut self,
-        now: Ms,
-        side: Variant,
-        at: usize,
-        route: usize,
-        zone: usize,
-    ) -> (Option<OutcomeKind>, Ms) {
-        let (case, evening) = (self.case, self.rate(now) > 0.85 * self.size.peak);
-        let rng = &mut self.rng;
-        let host = &mut self.hosts[side as usize][at];
-        let slot = usize::from(host.free[1] < host.free[0]);
-        let wait = (host.free[slot] - now as f64).max(0.0);
-        if wait > 600.0 {
-            return (None, 0);
-        }
-        let mut work = 120.0 * (0.35 * normal(rng)).exp();
-        work *= if now < host.cold_until { 3.0 } else { 1.0 };
-        work *= if case == SlowWaves && now % 100_000 < 20_000 { 2.5 } else { 1.0 };
-        let new = side == Variant::New;
-        let ill = new
-            && match case {
-                Late | LatePrimaryLost | LateThirdCut | LateReportsLate => true,
-                EveningLoad => evening,
-                OneZone => host.zone == 1,
-                OneRoute => route == 0,
-                TenMinutes => now > 600_000,
-                _ => false,
-            };
-        let stalled = (ill || case == BothBad) && rng.f64() < 0.3;
-        // It waits for something, and does not work the while: the slot is not held.
-        let stall = if stalled { 450.0 + 300.0 * rng.f64() } else { 0.0 };
-        work *= if new && case == Better { 0.7 } else { 1.0 };
-        host.free[slot] = now as f64 + wait + work;
-        let _ = zone;
-        let took = ((wait + work + stall) as Ms + 4).min(DEADLINE);
-        let book = route == 0;
-        let mut kind = if took > AIM { OutcomeKind::Late } else { OutcomeKind::Good };
-        let blame = match case {
-            Loses if new && rng.f64() < 0.02 => Some(OutcomeKind::Lost),
-            WrongSeal if new && rng.f64() < 1.0 / 30.0 => Some(OutcomeKind::Foreign),
-            Fails if new && rng.f64() < 0.1 => Some(OutcomeKind::Failed),
-            Doubles if new && book && rng.f64() < 0.002 => Some(OutcomeKind::Doubled),
-            _ => None,
-        };
-        if now < host.loses_until && rng.f64() < 0.1 {
-            kind = OutcomeKind::Lost;
-        }
-        if now < host.garbles_until && rng.f64() < 0.3 {
-            kind = OutcomeKind::Foreign;
-        }
-        let kind = blame.unwrap_or(kind);
-        if blame.is_some() || (new && stalled && case.bad()) {
-            self.out.harmed += 1;
-            self.out.first_bad.get_or_insert(now + took);
-            self.out.doubled += u64::from(kind == OutcomeKind::Doubled);
-        }
-        (Some(kind), took)
+    /// The rest of the evening's requests are only counted.
+    fn stop_early(mut self, now: Ms) -> Outcome {
+        let rest = (now..EVENING).step_by(TICK as usize).map(|at| self.rate(at)).sum::<f64>();
+        self.outcome.requests += (rest * TICK as f64 / 1000.0) as u64;
+        self.outcome.seconds = now / 1000;
+        self.outcome
     }
 
-    #[allow(clippy::too_many_arguments)]
-    fn count(
-        &mut self,
-        now: Ms,
-        edge: usize,
-        number: u64,
-        route: usize,
-        side: Variant,
-        kind: OutcomeKind,
-        took: Option<Ms>,
-        host: Option<usize>,
-    ) {
-        if self.mode == Mode::Fixed {
-            return;
-        }
-        let e = &mut self.edges[edge];
-        if number > 0 && e.sides.active().any(|l| l.number >= number) {
-            let name = host.map(|at| self.hosts[side as usize][at].name.as_str());
-            e.ledger.note(now, "friday", number, ROUTES[route], side, kind, took, name);
-        }
+    fn send_requests(&mut self, now: Ms, window: &mut Window) {
+        let met_before = self.outcome.met_new;
+        let has_hot_client = self.scenario == Scenario::HotKey && now > HOT_FROM;
+        let mut expected = self.rate(now) * TICK as f64 / 1000.0;
+        expected *= if has_hot_client { HOT_LOAD_FACTOR } else { 1.0 };
+        let noise = normal(&mut self.rng) * expected.sqrt();
+        let requests = (expected + noise).round().max(0.0) as u64;
+        for _ in 0..requests {
+            let is_hot = has_hot_client && self.rng.f64() < HOT_SHARE;
+            self.request(now, is_hot);
+        }
+        window.requests += requests;
+        window.met_new += self.outcome.met_new - met_before;
     }
-
-    fn due(&mut self, now: Ms, due: Due) {
-        match due {
-            Due::Ended { edge, number, route, side, kind, took, host } => {
-                let answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::Foreign);
-                if kind == OutcomeKind::Doubled {
-                    self.count(now, edge, number, route, side, OutcomeKind::Good, Some(took), None);
-                    if side == Variant::New && self.mode != Mode::Fixed {
-                        self.edges[edge].sides.stop("friday", number);
-                    }
-                }
-                let took = (answered && kind != OutcomeKind::Doubled).then_some(took);
-                self.count(now, edge, number, route, side, kind, took, Some(host));
-            }
-            Due::Told { report, at } => {
-                if self.mode == Mode::Fleet && now >= self.no_primary_until && at >= self.no_primary_until {
-                    let hard = self.judge.take(now, "friday", &report);
-                    if hard {
-                        let plan = self.stands[0].plan();
-                        self.centre(now, &plan);
-                    }
-                }
-            }
-            Due::News { edge, stand, polled } => {
-                let e = &mut self.edges[edge];
-                e.sides.take(&self.stands[stand]);
-                e.sides.fresh(polled);
-            }
-        }
-    }
-
-    fn poll(&mut self, now: Ms, edge: usize) {
-        let no_primary = now < self.no_primary_until;
-        let fleet = self.fleet();
-        let e = &mut self.edges[edge];
-        e.poll_at = now + e.every;
-        if let Some(judge) = &mut e.judge {
-            {
-                if let Some(report) = e.ledger.report(now, usize::MAX) {
-                    judge.take(now, "friday", &report);
-                }
-                let died = &self.died;
-                let dead = |host: &str, seen: Ms| fate(died, host, seen, now);
-                if let Verdict::Pause(why) = judge.judge(now, 1, fleet, dead) {
-                    e.sides.stop("friday", u64::MAX);
-                    self.out.paused_at.get_or_insert(now);
-                    self.out.why = why;
-                }
-            }
-        }
-        // Cut off from two to five minutes into it.
-        if e.cut && (120_000..300_000).contains(&now) {
-            return;
-        }
-        let (way, slow) = (e.way, e.slow_reports);
-        if self.mode == Mode::Fleet {
-            if let Some(report) = e.ledger.report(now, 1400) {
-                self.out.bytes += serde_json::to_string(&report).map_or(0, |t| t.len() as u64);
-                let late = if slow { 60_000 } else { 0 };
-                let at = now + way + late;
-                self.later(at, Due::Told { report, at });
-            }
-        }
-        if no_primary {
-            return;
-        }
-        let (stand, polled) = (self.stands.len() - 1, now.saturating_sub(way));
-        let news = Due::News { edge, stand, polled };
-        self.later(now + 2 * way, news);
-    }
-
-    fn fleet(&self) -> FleetCapacity {
-        let slots = self.size.hosts as f64 * 2.0;
-        FleetCapacity { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
-    }
-
-    fn centre(&mut self, now: Ms, plan: &coppersail_rollout::RolloutPlan) {
-        if now < self.no_primary_until {
-            return;
-        }
-        if self.lost_primary && self.no_primary_until > 0 {
-            // A new one: it knows what is on the disk, asks for all that is kept, and begins the step's time anew.
-            let stand = self.stands.last().expect("one");
-            (self.judge, self.since, self.no_primary_until) =
-                (RolloutAnalysis::new(plan, stand.run), Since(now), 0);
-            self.edges.iter_mut().for_each(|e| e.ledger.again());
-        }
-        let stand = self.stands.last().expect("one").clone();
-        self.judge.step(stand.step);
-        let fleet = self.fleet();
-        let died = &self.died;
-        let verdict = match self.mode {
-            Mode::Fleet => {
-                self.judge.judge(now, stand.number, fleet, |host, seen| fate(died, host, seen, now))
-            }
-            _ => Verdict::Sound,
-        };
-        let Some(next) = stand.tick(plan, now, self.since, &verdict) else { return };
-        let pause = matches!(next.phase, Phase::Withdrawn | Phase::Frozen);
-        if pause && self.case == LatePrimaryLost && !self.lost_primary {
-            (self.lost_primary, self.no_primary_until) = (true, now + 2500);
-            return;
-        }
-        if pause {
-            self.out.paused_at.get_or_insert(now);
-            self.out.why = next.why.clone();
-        }
-        self.since = Since(now);
-        self.stands.push(next);
-    }
-}
-
-/// Beats come every 1.3 s; two and a half without one mean that it is gone.
-fn fate(died: &BTreeMap<String, Ms>, host: &str, seen: Ms, now: Ms) -> Option<bool> {
-    let dead = died.get(host).is_some_and(|at| *at + 10_000 > seen && *at <= seen + 1000);
-    (now >= seen + 3250 || (!dead && now >= seen + 1300)).then_some(dead)
 }
