--- a/crates/tools/gatewayctl/src/session.rs
+++ b/crates/tools/gatewayctl/src/session.rs
@@ -1,90 +1,112 @@
-//! Sessions that travel between edges, as an edge tells of them.
+//! Commands about sessions that travel between edges, as one edge knows them.
+#[cfg(test)]
+mod tests;
+
+use crate::arguments::Arguments;
+use crate::error::CommandError;
+use crate::http;
 use coppersail_edge_proxy::sessions::Listed;
-use eyre::{bail, eyre, WrapErr};
 use serde_json::Value;
 use std::fmt::Write as _;
-use std::time::Duration;
+use ureq::Agent;
 
-pub const HELP: &str = concat!(
+/// Lines of the usage.
+pub(crate) const HELP: &str = concat!(
     "  gatewayctl session list --edge ADDR      sessions at an edge, and its counters; ADDR is its second spare port\n",
     "  gatewayctl session show ID --edge ADDR   one session, as that edge knows it\n",
 );
 
-/// A person waits for it.
-const PATIENCE: Duration = Duration::from_secs(5);
+const ADDRESS_OPTION: &str = "edge";
+const ADDRESS_OPTION_WITH_DASHES: &str = "--edge";
+const EXPECTED: &str = "`list` or `show ID`";
+/// Hexadecimal digits of a session's id.
+const ID_DIGITS: usize = 32;
+const OK: u16 = 200;
+const NOT_FOUND: u16 = 404;
 
-pub fn run(words: &[String]) -> eyre::Result<String> {
-    let (path, edge) = asked(words)?;
-    let config = ureq::Agent::config_builder().timeout_global(Some(PATIENCE)).http_status_as_error(false);
-    let agent: ureq::Agent = config.proxy(None).build().into();
-    let mut answer = agent
-        .get(format!("http://{edge}{path}"))
-        .call()
-        .wrap_err_with(|| format!("{edge} cannot be asked"))?;
-    match answer.status().as_u16() {
-        200 => told(&path, &answer.body_mut().read_to_string()?),
-        404 => bail!("{edge} holds no such session"),
-        other => bail!("{edge} answers {other}"),
-    }
+#[derive(Debug, PartialEq)]
+enum SessionCommand {
+    List,
+    Show { id: String },
 }
 
-/// The path to ask for, and the edge.
-fn asked(words: &[String]) -> eyre::Result<(String, String)> {
-    let (mut plain, mut edge) = (vec![], None);
-    let mut args = lexopt::Parser::from_args(words);
-    while let Some(arg) = args.next()? {
-        match arg {
-            lexopt::Arg::Long("edge") => edge = Some(args.value()?.to_string_lossy().into_owned()),
-            lexopt::Arg::Value(word) => plain.push(word.to_string_lossy().into_owned()),
-            other => return Err(other.unexpected().into()),
+impl SessionCommand {
+    fn parse(words: &[&str]) -> Result<SessionCommand, CommandError> {
+        match *words {
+            ["list"] => Ok(SessionCommand::List),
+            ["show", id] if is_session_id(id) => Ok(SessionCommand::Show { id: id.into() }),
+            ["show", id] => Err(CommandError::InvalidSessionId { found: id.into() }),
+            _ => Err(CommandError::UnknownCommand { expected: EXPECTED }),
+        }
+    }
+
+    fn path(&self) -> String {
+        match self {
+            SessionCommand::List => "/sessions".into(),
+            SessionCommand::Show { id } => format!("/sessions/{id}"),
         }
     }
-    let edge = edge.ok_or_else(|| eyre!("--edge is missing"))?;
-    match plain.iter().map(String::as_str).collect::<Vec<_>>()[..] {
-        ["list"] => Ok(("/sessions".into(), edge)),
-        ["show", id] if id.len() == 32 && id.bytes().all(|byte| byte.is_ascii_hexdigit()) => {
-            Ok((format!("/sessions/{id}"), edge))
+
+    /// The text for an edge's answer.
+    fn render(&self, answer: &str) -> eyre::Result<String> {
+        match self {
+            SessionCommand::List => render_list(answer),
+            SessionCommand::Show { .. } => render_session(answer),
         }
-        ["show", _] => bail!("an id has 32 hexadecimal digits"),
-        _ => bail!("expected `list` or `show ID`"),
     }
 }
 
-fn told(path: &str, body: &str) -> eyre::Result<String> {
+fn is_session_id(id: &str) -> bool {
+    id.len() == ID_DIGITS && id.bytes().all(|byte| byte.is_ascii_hexdigit())
+}
+
+/// Runs a command, and returns what is to be printed.
+pub(crate) fn run(words: &[String]) -> eyre::Result<String> {
+    let (command, edge) = parse(words)?;
+    let agent: Agent = http::config().build().into();
+    let response = agent.get(format!("http://{edge}{}", command.path())).call();
+    let mut response = response.map_err(|source| CommandError::unreachable(&edge, source))?;
+    match response.status().as_u16() {
+        OK => command.render(&response.body_mut().read_to_string()?),
+        NOT_FOUND => Err(CommandError::NoSuchSession { edge }.into()),
+        status => Err(CommandError::UnexpectedStatus { edge, status }.into()),
+    }
+}
+
+/// The command, and the edge's address.
+fn parse(words: &[String]) -> eyre::Result<(SessionCommand, String)> {
+    let arguments = Arguments::parse(words, ADDRESS_OPTION)?;
+    let missing = CommandError::MissingOption { option: ADDRESS_OPTION_WITH_DASHES };
+    let edge = arguments.address.clone().ok_or(missing)?;
+    Ok((SessionCommand::parse(&arguments.words())?, edge))
+}
+
+fn render_list(answer: &str) -> eyre::Result<String> {
+    let Listed { site, sessions, counts, unfit, messages, bytes } = serde_json::from_str(answer)?;
     let mut text = String::new();
-    if path == "/sessions" {
-        let listed: Listed = serde_json::from_str(body)?;
-        writeln!(
-            text,
-            "site {}, {} sessions, {} tokens not taken",
-            listed.site,
-            listed.sessions.len(),
-            listed.unfit
-        )?;
-        writeln!(text, "{} messages to other sites, {} bytes", listed.messages, listed.bytes)?;
-        if let Value::Object(counts) = serde_json::to_value(&listed.counts)? {
-            counts.iter().try_for_each(|(name, count)| writeln!(text, "{name:>18} {count}"))?;
-        }
-        listed.sessions.iter().try_for_each(|id| writeln!(text, "{id}"))?;
-        return Ok(text);
+    writeln!(text, "site {site}, {} sessions, {unfit} tokens not taken", sessions.len())?;
+    writeln!(text, "{messages} messages to other sites, {bytes} bytes")?;
+    if let Value::Object(counts) = serde_json::to_value(&counts)? {
+        counts.iter().try_for_each(|(name, count)| writeln!(text, "{name:>18} {count}"))?;
     }
-    let shown: Value = serde_json::from_str(body)?;
-    let part = |name: &str| shown[name].as_array().cloned().unwrap_or_default();
-    let word = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
-    let owner = if shown["owner"] == true { "owned here" } else { "kept here" };
-    writeln!(
-        text,
-        "{}, {owner}, fence {} of site {}",
-        word(&shown["id"]),
-        shown["fence"]["n"],
-        shown["fence"]["by"]
-    )?;
-    part("hosts").iter().try_for_each(|host| writeln!(text, "  {} at {}", word(&host[0]), word(&host[1])))?;
-    part("confirmations").iter().try_for_each(|one| {
-        writeln!(text, "  confirmation {}: {}, for {} ms", word(&one[0]), word(&one[1]), one[2])
-    })?;
+    sessions.iter().try_for_each(|id| writeln!(text, "{id}"))?;
     Ok(text)
 }
 
-#[cfg(test)]
-mod tests;
+fn render_session(answer: &str) -> eyre::Result<String> {
+    let session: Value = serde_json::from_str(answer)?;
+    let list = |field: &str| session[field].as_array().cloned().unwrap_or_default();
+    let plain = |value: &Value| value.as_str().map_or_else(|| value.to_string(), str::to_owned);
+    let owner = if session["owner"] == true { "owned here" } else { "kept here" };
+    let (id, fence) = (plain(&session["id"]), &session["fence"]);
+    let mut text = String::new();
+    writeln!(text, "{id}, {owner}, fence {} of site {}", fence["n"], fence["by"])?;
+    for host in list("hosts") {
+        writeln!(text, "  {} at {}", plain(&host[0]), plain(&host[1]))?;
+    }
+    for confirmation in list("confirmations") {
+        let (key, answer, age) = (plain(&confirmation[0]), plain(&confirmation[1]), &confirmation[2]);
+        writeln!(text, "  confirmation {key}: {answer}, for {age} ms")?;
+    }
+    Ok(text)
+}
