--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -23,7 +23,7 @@
     #[serde(default, rename = "callCount")]
     calls: u64,
     #[serde(default)]
-    released: Option<Vec<(u32, u32, String)>>,
+    released: Option<Vec<coppersail_shard_leases::ReleasedRange>>,
 }
 
 pub fn one_line(why: impl std::fmt::Display) -> String {
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -11,7 +11,7 @@
     ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus, RequestCounts, Update,
     WatchRequest,
 };
-use coppersail_shard_leases::{Candidate, LeaseTable};
+use coppersail_shard_leases::{Candidate, LeaseTable, OwnerChange};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Time spans that follow from the settings.
@@ -538,7 +538,7 @@
         let Some(epoch) = self.acts_by() else { return };
         let base = epoch << 32;
         let mut seen = std::collections::BTreeSet::new();
-        for (service, slice, id) in self.keys.take_owner_changes() {
+        for OwnerChange { service, slice, owner: id } in self.keys.take_owner_changes() {
             // Neighbours with one number are told as one; a row that changes twice needs two.
             if seen.is_empty() || !seen.insert((service.clone(), slice)) {
                 seen = std::collections::BTreeSet::from([(service.clone(), slice)]);
@@ -561,7 +561,7 @@
         self.queued = None;
         self.shown = 1;
         let base = self.acts_by().unwrap_or(0) << 32;
-        for (service, slice, id) in self.keys.all_owners() {
+        for OwnerChange { service, slice, owner: id } in self.keys.all_owners() {
             let slices = self.keys.slices(&service);
             self.feed.put_row(&service, slices, slice, &id, base + self.shown);
         }
--- /dev/null
+++ b/crates/control-plane/shard-leases/src/sizing.rs
@@ -0,0 +1,32 @@
+//! How finely the key space of a service is cut.
+
+/// The number of keys: a service's keys are 0 to 65535.
+pub const KEY_SPACE: u32 = 65536;
+
+/// Ranges that each endpoint owns at first: enough that the gap of 8 at which the rebalancer starts is a fraction of them,
+/// and few enough that one endpoint can be granted three times as many in one answer.
+const RANGES_PER_ENDPOINT: u32 = 32;
+const MIN_RANGES: u32 = 64;
+const MAX_RANGES: u32 = 4096;
+/// Slices in a range. With eight, busy keys that are close together can be separated; more would cost every follower.
+const SLICES_PER_RANGE: u32 = 8;
+
+/// How many ranges of slices a service with this many endpoints begins with; a power of two.
+pub fn pieces_for(hosts: usize) -> u32 {
+    (hosts as u32 * RANGES_PER_ENDPOINT).next_power_of_two().clamp(MIN_RANGES, MAX_RANGES)
+}
+
+/// How many slices a service with this many endpoints has: the finest division that its ranges can be split into.
+pub fn slices_for(hosts: usize) -> u32 {
+    (pieces_for(hosts) * SLICES_PER_RANGE).min(MAX_RANGES)
+}
+
+/// How many keys a slice has.
+pub(crate) fn slice_width(slice_count: usize) -> u32 {
+    KEY_SPACE / slice_count.max(1) as u32
+}
+
+/// The first and the last key of a slice.
+pub(crate) fn slice_keys(slice: usize, width: u32) -> (u32, u32) {
+    (slice as u32 * width, (slice as u32 + 1) * width - 1)
+}
--- a/crates/control-plane/shard-leases/src/tests.rs
+++ b/crates/control-plane/shard-leases/src/tests.rs
@@ -1,203 +1,214 @@
-//! Rows that pass on: by release, by time, over takeovers; and by lot, against what hosts could hold.
+//! Transfers by release, by expiry and over changes of the leader; at random, against what endpoints may believe to own.
 use super::*;
+use std::collections::BTreeMap;
 
-fn hosts(n: u64) -> Vec<Candidate> {
+fn endpoints(n: u64) -> Vec<Candidate> {
     (0..n).map(|i| Candidate::new(&format!("i-{i}"), i)).collect()
 }
 
-fn laid(n: u64, slices: u32) -> (LeaseTable, Vec<Candidate>) {
-    let (mut keys, hosts) = (LeaseTable::new(1000), hosts(n));
-    let puts = keys.assign_initially(0, "s", slices, slices, &hosts);
-    keys.apply(0, &puts);
-    (keys, hosts)
+fn assigned(n: u64, slices: u32) -> (LeaseTable, Vec<Candidate>) {
+    let (mut leases, endpoints) = (LeaseTable::new(1000), endpoints(n));
+    let writes = leases.assign_initially(0, "s", slices, slices, &endpoints);
+    leases.apply(0, &writes);
+    (leases, endpoints)
 }
 
-fn state(keys: &LeaseTable) -> Vec<Write> {
-    let rows = keys.tables["s"].rows.iter().enumerate();
-    rows.map(|(n, r)| (row_name("s", n), format!("{} {} {}", r.fence, r.holder, r.handover))).collect()
+fn released(from: u32, to: u32, handover: &str) -> ReleasedRange {
+    ReleasedRange { from, to, handover: handover.into() }
+}
+
+fn state(leases: &LeaseTable) -> Vec<Write> {
+    let rows = leases.services["s"].leases.iter().enumerate();
+    rows.map(|(n, r)| (stored::key("s", n), stored::value(r.fencing_token, &r.owner, &r.handover))).collect()
 }
 
 #[test]
-fn a_row_passes_on_by_release_with_its_handover_and_a_higher_fence() {
-    let (mut keys, mut hosts) = laid(2, 64);
-    let before = keys.renew(0, "s", "i-0", &[], 5000);
-    hosts[0].draining = true;
-    keys.plan(5, "s", &hosts, 4, true);
-    let left = keys.renew(10, "s", "i-0", &["i-1".into()], 5000);
-    assert!(left.is_empty(), "all that is to go is left out once its new holder can be told");
-    assert!(keys.release("s", "i-1", &[(0, 65535, "x".into())]).is_empty(), "only its holder may release");
-    let puts = keys.release("s", "i-0", &[(before[0].from, before[0].to, "token".into())]);
-    assert_eq!(puts.len(), 1);
-    keys.apply(20, &puts);
-    let got = keys.renew(20, "s", "i-1", &[], 5000);
+fn a_released_slice_is_transferred_with_its_handover_and_a_higher_fencing_token() {
+    let (mut leases, mut endpoints) = assigned(2, 64);
+    let before = leases.renew(0, "s", "i-0", &[], 5000);
+    endpoints[0].draining = true;
+    leases.plan(5, "s", &endpoints, 4, true);
+    let left = leases.renew(10, "s", "i-0", &["i-1".into()], 5000);
+    assert!(left.is_empty(), "what is to be transferred is left out once its target can be granted it");
+    assert!(leases.release("s", "i-1", &[released(0, 65535, "x")]).is_empty(), "only the owner may release");
+    let writes = leases.release("s", "i-0", &[released(before[0].from, before[0].to, "token")]);
+    assert_eq!(writes.len(), 1);
+    leases.apply(20, &writes);
+    let got = leases.renew(20, "s", "i-1", &[], 5000);
     let row = got.iter().find(|g| g.from == before[0].from).unwrap();
     assert_eq!((row.handover.as_str(), row.fencing_token > before[0].fencing_token), ("token", true));
 }
 
 #[test]
-fn a_silent_holder_keeps_its_rows_until_its_slow_clock_has_run_out() {
-    let (mut keys, mut hosts) = laid(2, 64);
-    keys.renew(100, "s", "i-0", &[], 5000);
-    hosts[0].suspect = true;
-    keys.plan(500, "s", &hosts, 4, true);
-    assert!(keys.expire(100 + 1020, "s").is_empty(), "its clock may be 2% slow");
-    let puts = keys.expire(100 + 1030, "s");
-    assert_eq!(puts.len(), 32);
-    keys.apply(1130, &puts);
-    assert_eq!(keys.renew(1130, "s", "i-1", &[], 5000).len(), 64);
+fn a_suspect_owner_keeps_its_leases_until_they_expire_by_its_slow_clock() {
+    let (mut leases, mut endpoints) = assigned(2, 64);
+    leases.renew(100, "s", "i-0", &[], 5000);
+    endpoints[0].suspect = true;
+    leases.plan(500, "s", &endpoints, 4, true);
+    assert!(leases.expire(100 + 1020, "s").is_empty(), "its clock may be 2% slow");
+    let writes = leases.expire(100 + 1030, "s");
+    assert_eq!(writes.len(), 32);
+    leases.apply(1130, &writes);
+    assert_eq!(leases.renew(1130, "s", "i-1", &[], 5000).len(), 64);
 }
 
 #[test]
-fn a_takeover_waits_out_what_an_earlier_primary_may_have_renewed() {
-    let (mut keys, mut hosts) = laid(2, 64);
-    keys.renew(990, "s", "i-0", &[], 5000);
-    let all = state(&keys);
+fn a_new_leader_waits_for_what_an_earlier_leader_may_have_renewed() {
+    let (mut leases, mut endpoints) = assigned(2, 64);
+    leases.renew(990, "s", "i-0", &[], 5000);
+    let all = state(&leases);
     let mut next = LeaseTable::recover(1000, 1000, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
-    hosts[0].suspect = true;
-    next.plan(1000, "s", &hosts, 4, true);
+    endpoints[0].suspect = true;
+    next.plan(1000, "s", &endpoints, 4, true);
     assert!(next.expire(2020, "s").is_empty());
-    let puts = next.expire(2030, "s");
-    let fence = |v: &str| v.split(' ').next().unwrap().parse::<u64>().unwrap();
-    let top = all.iter().map(|(_, v)| fence(v)).max().unwrap();
-    assert!(puts.len() == 32 && puts.iter().all(|(_, v)| fence(v) > top), "fences rise over takeovers");
+    let writes = next.expire(2030, "s");
+    let token = |v: &str| v.split(' ').next().unwrap().parse::<u64>().unwrap();
+    let top = all.iter().map(|(_, v)| token(v)).max().unwrap();
+    assert!(
+        writes.len() == 32 && writes.iter().all(|(_, v)| token(v) > top),
+        "fencing tokens rise over changes of the leader"
+    );
 }
 
 #[test]
-fn a_handover_whose_old_host_dies_waits_and_whose_new_host_dies_goes_elsewhere() {
-    let (mut keys, mut hosts) = laid(3, 96);
-    let held = keys.renew(0, "s", "i-0", &[], 5000);
-    hosts[0].draining = true;
-    keys.plan(0, "s", &hosts, 96, true);
-    keys.renew(10, "s", "i-0", &["i-1".into(), "i-2".into()], 5000);
-    hosts[1].suspect = true;
-    keys.plan(20, "s", &hosts, 96, true);
-    let released: Vec<_> = held.iter().map(|g| (g.from, g.to, "t".to_string())).collect();
-    let puts = keys.release("s", "i-0", &released);
-    keys.apply(30, &puts);
-    assert!(keys.tables["s"].rows.iter().all(|r| r.holder != "i-0"));
-    keys.plan(40, "s", &hosts, 96, true);
-    let puts = keys.expire(40, "s");
-    keys.apply(40, &puts);
-    assert!(keys.renew(50, "s", "i-2", &[], 5000).iter().filter(|g| g.handover == "t").count() == held.len());
+fn a_handover_survives_the_loss_of_its_target_and_goes_to_another_endpoint() {
+    let (mut leases, mut endpoints) = assigned(3, 96);
+    let owned = leases.renew(0, "s", "i-0", &[], 5000);
+    endpoints[0].draining = true;
+    leases.plan(0, "s", &endpoints, 96, true);
+    leases.renew(10, "s", "i-0", &["i-1".into(), "i-2".into()], 5000);
+    endpoints[1].suspect = true;
+    leases.plan(20, "s", &endpoints, 96, true);
+    let ranges: Vec<_> = owned.iter().map(|g| released(g.from, g.to, "t")).collect();
+    let writes = leases.release("s", "i-0", &ranges);
+    leases.apply(30, &writes);
+    assert!(leases.services["s"].leases.iter().all(|r| r.owner != "i-0"));
+    leases.plan(40, "s", &endpoints, 96, true);
+    let writes = leases.expire(40, "s");
+    leases.apply(40, &writes);
+    assert!(
+        leases.renew(50, "s", "i-2", &[], 5000).iter().filter(|g| g.handover == "t").count() == owned.len()
+    );
 }
 
-/// Hosts with slow clocks, lost answers, moves and takeovers by lot: no key is ever held by two.
+/// Endpoints with slow clocks, lost answers, transfers and new leaders at random: no key ever has two owners.
 #[test]
-fn no_key_has_two_holders() {
+fn no_key_has_two_owners() {
     for seed in 0..150 {
-        let mut luck = fastrand::Rng::with_seed(seed);
-        let (mut keys, mut hosts) = laid(4, 64);
-        // What each host holds: slice -> until, by the true clock.
-        let mut held: Vec<BTreeMap<u32, u64>> = vec![BTreeMap::new(); 4];
-        let mut told: Vec<Vec<(u32, u32, String)>> = vec![Vec::new(); 4];
+        let mut random = fastrand::Rng::with_seed(seed);
+        let (mut leases, mut endpoints) = assigned(4, 64);
+        // What each endpoint believes to own: first key -> until, by the true clock.
+        let mut owned: Vec<BTreeMap<u32, u64>> = vec![BTreeMap::new(); 4];
+        let mut to_release: Vec<Vec<ReleasedRange>> = vec![Vec::new(); 4];
         let mut now = 0;
         for _ in 0..400 {
-            now += luck.u64(1..120);
-            held.iter_mut().for_each(|h| h.retain(|_, until| *until > now));
-            let h = luck.usize(0..4);
-            let ident = format!("i-{h}");
-            match luck.u8(0..10) {
-                0 => hosts[h].draining = !hosts[h].draining,
-                1 => hosts[h].suspect = !hosts[h].suspect,
+            now += random.u64(1..120);
+            owned.iter_mut().for_each(|h| h.retain(|_, until| *until > now));
+            let h = random.usize(0..4);
+            let id = format!("i-{h}");
+            match random.u8(0..10) {
+                0 => endpoints[h].draining = !endpoints[h].draining,
+                1 => endpoints[h].suspect = !endpoints[h].suspect,
                 2 => {
-                    let all = state(&keys);
-                    keys = LeaseTable::recover(1000, now, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
+                    let all = state(&leases);
+                    leases =
+                        LeaseTable::recover(1000, now, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
                 }
                 3 => {
-                    keys.plan(now, "s", &hosts, 8, luck.bool());
-                    let puts = keys.expire(now, "s");
-                    keys.apply(now, &puts);
+                    leases.plan(now, "s", &endpoints, 8, random.bool());
+                    let writes = leases.expire(now, "s");
+                    leases.apply(now, &writes);
                 }
                 _ => {
-                    let puts = keys.release("s", &ident, &told[h]);
-                    keys.apply(now, &puts);
+                    let writes = leases.release("s", &id, &to_release[h]);
+                    leases.apply(now, &writes);
                     let back: Vec<String> =
-                        (0..4).filter(|_| luck.bool()).map(|n| format!("i-{n}")).collect();
-                    let rows = keys.renew(now, "s", &ident, &back, 300);
-                    if luck.u8(0..4) == 0 {
+                        (0..4).filter(|_| random.bool()).map(|n| format!("i-{n}")).collect();
+                    let rows = leases.renew(now, "s", &id, &back, 300);
+                    if random.u8(0..4) == 0 {
                         continue;
                     }
-                    // The beat was sent up to now; the host's second lasts up to 1.02 of ours.
+                    // The heartbeat was sent up to now; the endpoint's second lasts up to 1.02 of ours.
                     let until = now + 1000 * 102 / 100;
-                    let old = std::mem::take(&mut held[h]);
-                    held[h] = rows.iter().map(|g| (g.from, until)).collect();
-                    told[h] = old
+                    let old = std::mem::take(&mut owned[h]);
+                    owned[h] = rows.iter().map(|g| (g.from, until)).collect();
+                    to_release[h] = old
                         .into_keys()
-                        .filter(|f| !held[h].contains_key(f))
-                        .map(|f| (f, f + 1023, "t".into()))
+                        .filter(|f| !owned[h].contains_key(f))
+                        .map(|f| released(f, f + 1023, "t"))
                         .collect();
                 }
             }
             for slice in (0..64).map(|n| n * 1024) {
-                let holders = held.iter().filter(|h| h.get(&slice).is_some_and(|until| *until > now)).count();
-                assert!(holders <= 1, "seed {seed}: slice {slice} has {holders} holders at {now}");
+                let owners = owned.iter().filter(|h| h.get(&slice).is_some_and(|until| *until > now)).count();
+                assert!(owners <= 1, "seed {seed}: slice {slice} has {owners} owners at {now}");
             }
         }
     }
 }
 
 #[test]
-fn rows_of_a_host_that_goes_while_they_wait_to_be_asked_for_pass_on_by_time() {
-    let (mut keys, mut hosts) = laid(3, 96);
-    keys.renew(0, "s", "i-0", &[], 5000);
-    hosts[0].draining = true;
-    keys.plan(0, "s", &hosts, 96, true);
-    // Its new holder's beat is not due, so it is not asked yet; then it signs off.
-    assert_eq!(keys.renew(10, "s", "i-0", &[], 5000).len(), 32);
-    let left = &hosts[1..];
-    keys.plan(20, "s", left, 96, true);
-    let puts = keys.expire(2000, "s");
-    assert_eq!(puts.len(), 32);
+fn leases_of_an_endpoint_that_is_removed_before_it_was_asked_to_release_expire() {
+    let (mut leases, mut endpoints) = assigned(3, 96);
+    leases.renew(0, "s", "i-0", &[], 5000);
+    endpoints[0].draining = true;
+    leases.plan(0, "s", &endpoints, 96, true);
+    // Its target's heartbeat is not due, so it is not asked yet; then it is removed.
+    assert_eq!(leases.renew(10, "s", "i-0", &[], 5000).len(), 32);
+    let left = &endpoints[1..];
+    leases.plan(20, "s", left, 96, true);
+    let writes = leases.expire(2000, "s");
+    assert_eq!(writes.len(), 32);
 }
 
 #[test]
-fn a_new_primary_gives_hosts_the_time_to_beat() {
-    let (mut keys, hosts) = laid(3, 96);
-    keys.plan(0, "s", &hosts[..1], 96, false);
-    assert!(keys.expire(5000, "s").is_empty(), "not heard yet is not gone");
-    keys.plan(0, "s", &hosts[..1], 96, true);
-    assert_eq!(keys.expire(5000, "s").len(), 64);
+fn a_new_leader_waits_for_the_first_heartbeat_of_an_owner() {
+    let (mut leases, endpoints) = assigned(3, 96);
+    leases.plan(0, "s", &endpoints[..1], 96, false);
+    assert!(leases.expire(5000, "s").is_empty(), "an owner that has not reported yet is not gone");
+    leases.plan(0, "s", &endpoints[..1], 96, true);
+    assert_eq!(leases.expire(5000, "s").len(), 64);
 }
 
 #[test]
-fn an_answer_never_grows_past_what_a_host_takes() {
-    let (mut keys, mut hosts) = laid(2, 512);
-    hosts[0].suspect = true;
-    keys.plan(0, "s", &hosts, 512, true);
-    let puts = keys.expire(5000, "s");
-    keys.apply(5000, &puts);
+fn the_grants_of_an_answer_stay_within_the_size_that_an_endpoint_reads() {
+    let (mut leases, mut endpoints) = assigned(2, 512);
+    endpoints[0].suspect = true;
+    leases.plan(0, "s", &endpoints, 512, true);
+    let writes = leases.expire(5000, "s");
+    leases.apply(5000, &writes);
     let text =
         |g: &LeaseGrant| format!("[{},{},{},\"{}\"],", g.from, g.to, g.fencing_token, g.handover).len();
-    let bytes: usize = keys.renew(5000, "s", "i-1", &[], 5000).iter().map(text).sum();
+    let bytes: usize = leases.renew(5000, "s", "i-1", &[], 5000).iter().map(text).sum();
     assert!((3000..3900).contains(&bytes), "{bytes}");
 }
 
 #[test]
-fn a_busy_stretch_of_keys_is_cut_and_spread_though_counts_are_even() {
-    let (mut keys, hosts) = (LeaseTable::new(1000), hosts(4));
-    let puts = keys.assign_initially(0, "s", 1024, 128, &hosts);
-    keys.apply(0, &puts);
-    hosts.iter().for_each(|h| drop(keys.renew(0, "s", &h.id, &[], 0)));
-    // Half of all requests go to the eight rows of one piece, the rest everywhere.
+fn a_busy_range_is_split_and_spread_though_the_counts_of_slices_are_even() {
+    let (mut leases, endpoints) = (LeaseTable::new(1000), endpoints(4));
+    let writes = leases.assign_initially(0, "s", 1024, 128, &endpoints);
+    leases.apply(0, &writes);
+    endpoints.iter().for_each(|h| drop(leases.renew(0, "s", &h.id, &[], 0)));
+    // Half of all requests go to the eight slices of one range, the rest everywhere.
     let counts: Vec<(u32, u32)> = (0..1024).map(|n| (n, if n < 8 { 128 } else { 1 })).collect();
-    keys.record_requests("s", &counts);
+    leases.record_requests("s", &counts);
     for round in 0..60 {
         let now = round * 10;
-        keys.plan(now, "s", &hosts, 16, true);
-        for host in &hosts {
-            let held = keys.tables["s"].rows.iter().enumerate();
-            let gone: Vec<_> = held.filter(|(_, r)| r.holder == host.id && r.wanted.is_some()).collect();
-            let gone: Vec<_> =
-                gone.iter().map(|(n, _)| (*n as u32 * 64, *n as u32 * 64 + 63, "t".into())).collect();
-            keys.renew(now, "s", &host.id, &[], 0);
-            let puts = keys.release("s", &host.id, &gone);
-            keys.apply(now, &puts);
+        leases.plan(now, "s", &endpoints, 16, true);
+        for host in &endpoints {
+            let owned = leases.services["s"].leases.iter().enumerate();
+            let moving: Vec<_> = owned.filter(|(_, r)| r.owner == host.id && r.target.is_some()).collect();
+            let moving: Vec<_> =
+                moving.iter().map(|(n, _)| released(*n as u32 * 64, *n as u32 * 64 + 63, "t")).collect();
+            leases.renew(now, "s", &host.id, &[], 0);
+            let writes = leases.release("s", &host.id, &moving);
+            leases.apply(now, &writes);
         }
     }
-    let load = |ident: &str| {
-        let rows = keys.tables["s"].rows.iter().enumerate().filter(|(_, r)| r.holder == ident);
+    let load = |id: &str| {
+        let rows = leases.services["s"].leases.iter().enumerate().filter(|(_, r)| r.owner == id);
         rows.map(|(n, _)| counts[n].1).sum::<u32>()
     };
-    let loads: Vec<u32> = hosts.iter().map(|h| load(&h.id)).collect();
+    let loads: Vec<u32> = endpoints.iter().map(|h| load(&h.id)).collect();
     assert!(loads.iter().all(|l| (350..=700).contains(l)), "{loads:?}");
 }
--- /dev/null
+++ b/crates/control-plane/shard-leases/src/transfer.rs
@@ -0,0 +1,67 @@
+//! Transfer of slices to their targets: after a release with its handover, or after expiry without one.
+use crate::lease::{Ms, ReleasedRange, SliceLease};
+use crate::sizing::slice_keys;
+use crate::stored::Write;
+use crate::table::{LeaseChange, LeaseTable, ServiceLeases};
+
+impl LeaseTable {
+    /// Transfers what an endpoint says that it has released, with the handover, and returns the writes to replicate. A
+    /// slice whose target has gone meanwhile is owned by nobody then, until [`LeaseTable::expire`].
+    ///
+    /// Only slices that the endpoint owns and was asked to release count: it may have got back any other since.
+    pub fn release(&mut self, service: &str, ident: &str, released: &[ReleasedRange]) -> Vec<Write> {
+        let Some(table) = self.services.get(service) else { return Vec::new() };
+        let changes = released.iter().flat_map(|range| table.changes_by_release(ident, range)).collect();
+        self.propose(service, changes)
+    }
+
+    /// Transfers slices with a target that nobody owns, or whose owner's lease has expired after it was asked to release
+    /// them. Returns the writes to replicate.
+    pub fn expire(&mut self, now: Ms, service: &str) -> Vec<Write> {
+        let Some(table) = self.services.get(service) else { return Vec::new() };
+        let change = |(slice, lease): (usize, &SliceLease)| {
+            let target = lease.target.as_ref().filter(|_| lease.is_free(now))?;
+            // A handover is that of the last release; an owner whose lease expired has given none.
+            let handover = if lease.owner.is_empty() { lease.handover.clone() } else { String::new() };
+            Some(LeaseChange { slice, owner: target.clone(), handover })
+        };
+        let changes = table.leases.iter().enumerate().filter_map(change).collect();
+        self.propose(service, changes)
+    }
+
+    /// Whether a slice is being transferred to this endpoint, or about to be, so that it is worth to delay the answer to its
+    /// heartbeat. `soon` says of the current owner whether its own heartbeat is due before that answer has to be sent.
+    pub fn has_pending_transfer(&self, service: &str, ident: &str, soon: impl Fn(&str) -> bool) -> bool {
+        let is_pending = |lease: &SliceLease| {
+            lease.target.as_deref() == Some(ident) && (lease.release_requested || soon(&lease.owner))
+        };
+        self.services.get(service).is_some_and(|table| table.leases.iter().any(is_pending))
+    }
+}
+
+impl ServiceLeases {
+    fn changes_by_release(&self, owner: &str, range: &ReleasedRange) -> Vec<LeaseChange> {
+        let width = self.slice_width();
+        let mut changes = Vec::new();
+        for (slice, lease) in self.leases.iter().enumerate().skip((range.from / width) as usize) {
+            let (first_key, last_key) = slice_keys(slice, width);
+            if last_key > range.to {
+                break;
+            }
+            let releasable = lease.owner == owner && lease.release_requested && !lease.write_pending;
+            if first_key >= range.from && releasable {
+                let target = lease.target.clone().unwrap_or_default();
+                changes.push(LeaseChange { slice, owner: target, handover: range.handover.clone() });
+            }
+        }
+        changes
+    }
+}
+
+impl SliceLease {
+    /// Whether no endpoint may believe any more that it owns the slice.
+    fn is_free(&self, now: Ms) -> bool {
+        let given_up = self.owner.is_empty() || self.release_requested;
+        !self.write_pending && self.expires_at <= now && given_up
+    }
+}
