--- /dev/null
+++ b/crates/control-plane/peer-protocol/src/status.rs
@@ -0,0 +1,71 @@
+//! The status of a control-plane node: its heartbeat to the other nodes.
+use crate::optional::is_default;
+use coppersail_consensus::{Id, LeadershipRecord, Term};
+use serde::{Deserialize, Serialize};
+
+/// What a control-plane node says of itself in every poll of another node and in every answer to one.
+///
+/// What seldom changes is in [`MemberDetail`], which is sent only until the receiver acknowledges its checksum.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct MemberStatus {
+    /// The sender.
+    pub id: Id,
+    /// It is the leader and holds the leader lease.
+    #[serde(rename = "acting")]
+    pub holds_lease: bool,
+    /// Its disk takes writes.
+    #[serde(rename = "fit")]
+    pub disk_healthy: bool,
+    /// It is shutting down.
+    #[serde(skip_serializing_if = "is_default")]
+    #[serde(rename = "leaving")]
+    pub draining: bool,
+    /// [`MemberDetail::sum`] of the sender.
+    #[serde(rename = "sum")]
+    pub detail_sum: u64,
+    /// The sum of the receiver's detail that the sender has; 0 for none.
+    #[serde(rename = "seen")]
+    pub acknowledged_sum: u64,
+    /// The sender's detail, unless the receiver has it already.
+    #[serde(skip_serializing_if = "Option::is_none")]
+    pub detail: Option<MemberDetail>,
+}
+
+/// The part of a node's status that seldom changes.
+#[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
+#[serde(default)]
+pub struct MemberDetail {
+    /// Identifies the node's disk: a lost disk comes back with another number.
+    #[serde(rename = "life")]
+    pub incarnation: u64,
+    /// The newest term in which its disk took part.
+    #[serde(rename = "floor")]
+    pub last_durable_term: Term,
+    /// The newest leadership record that it knows.
+    pub record: LeadershipRecord,
+    /// The control-plane nodes that it knows.
+    pub members: Vec<Id>,
+    /// The addresses of the edges that watch it.
+    pub edges: Vec<String>,
+    /// Its zone: the leader and its backup are chosen in different ones where possible.
+    #[serde(rename = "area")]
+    pub zone: String,
+}
+
+/// Parameters of the 64-bit FNV-1a hash.
+const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+const FNV_PRIME: u64 = 0x100_0000_01b3;
+/// What is shifted out, so that a sum is below 2^53 - 1 and every JSON reader has it exactly.
+const UNUSED_BITS: u32 = 12;
+
+impl MemberDetail {
+    /// A checksum of the JSON form: FNV-1a, below 2^53 and never 0. Nodes of all versions have to come to the same number.
+    pub fn sum(&self) -> u64 {
+        let text = serde_json::to_vec(self).unwrap_or_default();
+        let add = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
+        let hash = text.iter().fold(FNV_OFFSET_BASIS, add);
+        // 0 says that no detail is known.
+        (hash >> UNUSED_BITS) | 1
+    }
+}
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -2,8 +2,8 @@
 //! change here breaks rolling upgrades or stored data.
 use coppersail_consensus::{LeadershipRecord, Term, Voter};
 use coppersail_peer_protocol::{
-    AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail, MemberStatus,
-    RequestCounts, RolloutsAsOf, Update, WatchRequest,
+    AssignmentRow, AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail,
+    MemberStatus, RequestCounts, RolloutsAsOf, Update, WatchRequest,
 };
 use coppersail_rollout::evidence::{Counts, EvidenceRow};
 use coppersail_rollout::lifecycle::{Phase, RolloutState};
@@ -57,7 +57,7 @@
 
 const DETAIL: &str = r#"{"life":5,"floor":{"n":7,"by":"a:1"},"record":{"epoch":{"n":7,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"a:1","life":0},{"id":"b:1","life":3}]},"members":["a:1","b:1"],"edges":["10.1.0.34"],"area":"east"}"#;
 
-fn standing() -> MemberStatus {
+fn status() -> MemberStatus {
     let detail = Some(detail());
     MemberStatus {
         id: "a:1".into(),
@@ -94,7 +94,7 @@
 
 const REPORT: &str = r#"{"edge":"10.1.0.34","life":6,"area":"east","rows":[{"p":"p","v":2,"b":3,"r":"r","c":4,"new":{"n":[1,2,3,4,5,6,7,8],"l":[["i-1",1]],"s":[["i-2",2]],"t":[[10,3]]},"old":{"n":[0,0,0,0,0,0,0,0]}}]}"#;
 
-fn stand() -> RolloutState {
+fn rollout() -> RolloutState {
     RolloutState {
         name: "p".into(),
         number: 4,
@@ -110,7 +110,7 @@
 const STAND: &str =
     r#"{"name":"p","number":4,"phase":"frozen","step":1,"run":2,"ran":5000,"why":"late","body":"{}"}"#;
 
-fn host() -> EndpointUpdate {
+fn endpoint() -> EndpointUpdate {
     EndpointUpdate {
         id: "i-1".into(),
         service: "s".into(),
@@ -128,16 +128,19 @@
 
 const HOST: &str = r#"{"ident":"i-1","backend":"s","address":"10.9.0.1:80","area":"east","capacity":10,"revision":"v2","stage":"ready","silent":true,"cold_ms":1500,"calls":4,"via":"a:1"}"#;
 
-fn slices() -> AssignmentUpdate {
-    let rows = vec![(0, 2, "i-1".into(), 4294967297), (3, 3, String::new(), 4294967298)];
+fn assignment() -> AssignmentUpdate {
+    let rows = vec![
+        AssignmentRow { first: 0, last: 2, owner: "i-1".into(), version: 4294967297 },
+        AssignmentRow { first: 3, last: 3, owner: String::new(), version: 4294967298 },
+    ];
     AssignmentUpdate { service: "s".into(), slice_count: 4, rows }
 }
 
 const SLICES: &str = r#"{"backend":"s","slices":4,"rows":[[0,2,"i-1",4294967297],[3,3,"",4294967298]]}"#;
 
 #[test]
-fn a_poll_keeps_its_bytes() {
-    let follow = WatchRequest {
+fn a_watch_request_keeps_its_bytes() {
+    let request = WatchRequest {
         edge: "10.1.0.34".into(),
         zone: "east".into(),
         feed_id: 3,
@@ -145,10 +148,10 @@
         wait_ms: 500,
         request_counts: vec![RequestCounts { service: "s".into(), counts: vec![(0, 12), (4095, 1)] }],
         rollout_reports: vec![report()],
-        status: Some(standing()),
+        status: Some(status()),
     };
     assert_text(
-        follow,
+        request,
         &with_parts(
             r#"{"edge":"10.1.0.34","area":"east","feed":3,"seq":7,"wait_ms":500,"asked":[{"backend":"s","counts":[[0,12],[4095,1]]}],"evidence":[REPORT],"standing":STANDING}"#,
         ),
@@ -158,9 +161,9 @@
 }
 
 #[test]
-fn a_standing_and_its_detail_keep_their_bytes() {
+fn a_status_and_its_detail_keep_their_bytes() {
     assert_text(detail(), DETAIL);
-    assert_text(standing(), &with_parts("STANDING"));
+    assert_text(status(), &with_parts("STANDING"));
     assert_text(MemberStatus::default(), r#"{"id":"","acting":false,"fit":false,"sum":0,"seen":0}"#);
     assert_text(
         MemberDetail::default(),
@@ -175,8 +178,8 @@
 }
 
 #[test]
-fn an_answer_keeps_its_bytes() {
-    let news = Update {
+fn an_update_keeps_its_bytes() {
+    let update = Update {
         feed_id: 3,
         sequence: 7,
         is_snapshot: true,
@@ -184,16 +187,16 @@
         uptime_ms: 60_000,
         control_plane_addresses: vec!["10.1.0.1:7540".into()],
         edge_count: 2,
-        status: Some(standing()),
+        status: Some(status()),
         config: Some(ConfigDocument { revision: 5, body: "{}".into() }),
-        endpoints: vec![host()],
-        assignments: vec![slices()],
-        rollouts: vec![stand()],
+        endpoints: vec![endpoint()],
+        assignments: vec![assignment()],
+        rollouts: vec![rollout()],
         rollouts_as_of: Some(RolloutsAsOf { term: 7, age_ms: 40 }),
         requested_at: None,
     };
     assert_text(
-        news,
+        update,
         &with_parts(
             r#"{"feed":3,"seq":7,"whole":true,"alone":true,"up_ms":60000,"centres":["10.1.0.1:7540"],"edges":2,"standing":STANDING,"settings":{"revision":5,"body":"{}"},"hosts":[HOST],"slices":[SLICES],"plans":[STAND],"plans_seen":{"epoch":7,"age_ms":40}}"#,
         ),
@@ -204,21 +207,21 @@
 }
 
 #[test]
-fn what_is_told_of_settings_hosts_and_slices_keeps_its_bytes() {
+fn configurations_endpoints_and_assignments_keep_their_bytes() {
     assert_text(
         ConfigDocument { revision: 5, body: r#"{"revision":"r5"}"#.into() },
         r#"{"revision":5,"body":"{\"revision\":\"r5\"}"}"#,
     );
     assert_text(RolloutsAsOf { term: 7, age_ms: 40 }, r#"{"epoch":7,"age_ms":40}"#);
-    assert_text(slices(), SLICES);
+    assert_text(assignment(), SLICES);
     assert_text(AssignmentUpdate::default(), r#"{"backend":"","slices":0,"rows":[]}"#);
-    let stages = [
+    let states = [
         (EndpointState::Ready, "ready"),
         (EndpointState::Draining, "emptying"),
         (EndpointState::Removed, "gone"),
     ];
-    for (stage, name) in stages {
-        assert_text(EndpointUpdate { state: stage, ..host() }, &HOST.replace("ready", name));
+    for (state, name) in states {
+        assert_text(EndpointUpdate { state, ..endpoint() }, &HOST.replace("ready", name));
     }
     assert_text(
         EndpointUpdate::default(),
@@ -227,7 +230,7 @@
 }
 
 #[test]
-fn evidence_and_plans_keep_their_bytes() {
+fn evidence_and_rollouts_keep_their_bytes() {
     assert_text(report(), REPORT);
     assert_text(EvidenceReport::default(), r#"{"edge":"","life":0,"area":"","rows":[]}"#);
     let phases = [
@@ -238,7 +241,7 @@
         (Phase::Ended, "ended"),
     ];
     for (phase, name) in phases {
-        assert_text(RolloutState { phase, ..stand() }, &STAND.replace("frozen", name));
+        assert_text(RolloutState { phase, ..rollout() }, &STAND.replace("frozen", name));
     }
 }
 
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -1,7 +1,9 @@
 //! What followers are told: hosts, rows, the configuration. Pure. Everything in it only goes forward (revision, number,
 //! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
 //! that edges follow it, and tells on what was new to it.
-use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
+use coppersail_peer_protocol::{
+    AssignmentRow, AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update,
+};
 use coppersail_rollout::{Phase, RolloutState};
 use std::collections::BTreeMap;
 
@@ -123,7 +125,7 @@
             self.put_plan(p);
         });
         for table in &news.assignments {
-            for (first, last, ident, number) in &table.rows {
+            for AssignmentRow { first, last, owner: ident, version: number } in &table.rows {
                 for slice in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
                     self.put_row(&table.service, table.slice_count, slice, ident, *number);
                 }
@@ -141,12 +143,12 @@
         let hosts =
             self.hosts.values().filter(|(h, at)| *at > seq && !gone(h)).map(|(h, _)| h.clone()).collect();
         let slices = self.slices.iter().filter_map(|(backend, all)| {
-            let mut rows: Vec<(u32, u32, String, u64)> = Vec::new();
+            let mut rows: Vec<AssignmentRow> = Vec::new();
             for (n, row) in all.iter().enumerate().filter(|(_, r)| r.2 > seq) {
                 let n = n as u32;
-                match rows.last_mut().filter(|r| r.1 + 1 == n && r.2 == row.0 && r.3 == row.1) {
-                    Some(run) => run.1 = n,
-                    None => rows.push((n, n, row.0.clone(), row.1)),
+                match rows.last_mut().filter(|r| r.last + 1 == n && r.owner == row.0 && r.version == row.1) {
+                    Some(run) => run.last = n,
+                    None => rows.push((n, n, row.0.clone(), row.1).into()),
                 }
             }
             let slices = all.len() as u32;
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
@@ -161,7 +161,7 @@
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
-            rows: vec![(0, 0, "i-2".into(), 1)],
+            rows: vec![(0, 0, "i-2".into(), 1).into()],
         }];
         rig.edge.take(Update { assignments: slices, ..Update::default() });
         assert!(rig.edge.ready());
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -234,7 +234,8 @@
 
 impl Rig {
     pub fn rows(&self, rows: Vec<(u32, String, u64)>) {
-        let rows = rows.into_iter().map(|(slice, ident, number)| (slice, slice, ident, number)).collect();
+        let rows =
+            rows.into_iter().map(|(slice, ident, number)| (slice, slice, ident, number).into()).collect();
         let slices = vec![AssignmentUpdate { service: "parted".into(), slice_count: 4, rows }];
         self.news.send(Update { assignments: slices, ..Update::default() }).unwrap();
     }
--- a/crates/data-plane/load-balancing/src/registry.rs
+++ b/crates/data-plane/load-balancing/src/registry.rs
@@ -2,7 +2,7 @@
 use crate::health::Health;
 use crate::load::Load;
 use crate::Ms;
-use coppersail_peer_protocol::{AssignmentUpdate, EndpointState, EndpointUpdate, Update};
+use coppersail_peer_protocol::{AssignmentRow, AssignmentUpdate, EndpointState, EndpointUpdate, Update};
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -284,13 +284,13 @@
         if slices.rows.len() != news.slice_count as usize {
             // Late news of how it was divided before takes no row back.
             let held = slices.rows.iter().map(|row| row.fence).max();
-            if held >= news.rows.iter().map(|(.., fence)| *fence).max() && held.is_some() {
+            if held >= news.rows.iter().map(|row| row.version).max() && held.is_some() {
                 return false;
             }
             slices.rows = vec![SliceOwner::default(); news.slice_count as usize];
         }
         let mut any = false;
-        for (first, last, ident, fence) in &news.rows {
+        for AssignmentRow { first, last, owner: ident, version: fence } in &news.rows {
             let known = self.hosts.get_key_value(ident.as_str()).map(|(ident, _)| ident.clone());
             let holder = (!ident.is_empty()).then(|| known.unwrap_or_else(|| ident.as_str().into()));
             let all = slices.rows.iter_mut().take(*last as usize + 1).skip(*first as usize);
--- a/crates/data-plane/load-balancing/src/registry_tests.rs
+++ b/crates/data-plane/load-balancing/src/registry_tests.rs
@@ -54,12 +54,15 @@
         assignments: vec![AssignmentUpdate { service: "b".into(), slice_count: 4, rows }],
         ..Update::default()
     };
-    assert!(book.merge(&rows(vec![(3, 3, "i-1".into(), 7)]), 0).rows);
-    assert!(!book.merge(&rows(vec![(3, 3, "i-2".into(), 6)]), 0).rows);
+    assert!(book.merge(&rows(vec![(3, 3, "i-1".into(), 7).into()]), 0).rows);
+    assert!(!book.merge(&rows(vec![(3, 3, "i-2".into(), 6).into()]), 0).rows);
     assert_eq!(book.owner("b", 65_535, 0).map(|ident| &**ident), Some("i-1"));
     book.suspect_owner("b", 65_535, "i-1", 0);
     assert!(book.owner("b", 65_535, 10).is_none() && book.owner("b", 65_535, 400).is_some());
-    assert!(book.merge(&rows(vec![(3, 3, "".into(), 8)]), 0).rows && book.owner("b", 65_535, 400).is_none());
+    assert!(
+        book.merge(&rows(vec![(3, 3, "".into(), 8).into()]), 0).rows
+            && book.owner("b", 65_535, 400).is_none()
+    );
 }
 
 #[test]
@@ -69,10 +72,10 @@
         assignments: vec![AssignmentUpdate { service: "b".into(), slice_count: slices, rows }],
         ..Update::default()
     };
-    book.merge(&rows(8, vec![(0, 7, "i-1".into(), 9)]), 0);
-    assert!(!book.merge(&rows(4, vec![(0, 3, "i-2".into(), 8)]), 0).rows);
+    book.merge(&rows(8, vec![(0, 7, "i-1".into(), 9).into()]), 0);
+    assert!(!book.merge(&rows(4, vec![(0, 3, "i-2".into(), 8).into()]), 0).rows);
     assert!(!book.merge(&rows(4, vec![]), 0).rows);
     assert_eq!(book.owner("b", 65_535, 0).map(|ident| &**ident), Some("i-1"));
-    assert!(book.merge(&rows(16, vec![(0, 15, "i-2".into(), 10)]), 0).rows);
+    assert!(book.merge(&rows(16, vec![(0, 15, "i-2".into(), 10).into()]), 0).rows);
     assert_eq!(book.owner("b", 65_535, 0).map(|ident| &**ident), Some("i-2"));
 }
--- a/crates/data-plane/load-balancing/src/selection/tests.rs
+++ b/crates/data-plane/load-balancing/src/selection/tests.rs
@@ -68,8 +68,11 @@
 fn a_key_goes_to_its_holder_alone() {
     let (mut book, mut chance) = (book(4), fastrand::Rng::with_seed(7));
     let ask = SelectionRequest { key: Some(40_000), ..ask(true) };
-    let slices =
-        vec![AssignmentUpdate { service: "b".into(), slice_count: 2, rows: vec![(1, 1, "i-2".into(), 1)] }];
+    let slices = vec![AssignmentUpdate {
+        service: "b".into(),
+        slice_count: 2,
+        rows: vec![(1, 1, "i-2".into(), 1).into()],
+    }];
     book.merge(&Update { assignments: slices, ..Update::default() }, 0);
     assert_eq!(select_endpoint(&book, &ask, 0, &mut chance), Selection::Endpoint("i-2".into()));
     book.mark_stale_address("i-2", 0);
--- a/crates/tools/simulator/src/edge.rs
+++ b/crates/tools/simulator/src/edge.rs
@@ -5,7 +5,7 @@
 use crate::{Us, World, APPLY, EMPTY};
 use coppersail_control_plane::node::{PeerRequest, PeerResponse};
 use coppersail_load_balancing::EndpointRegistry;
-use coppersail_peer_protocol::{EndpointState, RequestCounts, Update, WatchRequest};
+use coppersail_peer_protocol::{AssignmentRow, EndpointState, RequestCounts, Update, WatchRequest};
 use std::collections::{BTreeMap, BTreeSet};
 
 const HELD: u64 = 700;
@@ -83,7 +83,7 @@
             if rows.len() < table.slice_count as usize {
                 rows.resize(table.slice_count as usize, (0, String::new()));
             }
-            for (first, last, ident, number) in &table.rows {
+            for AssignmentRow { first, last, owner: ident, version: number } in &table.rows {
                 for slice in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
                     let row = &mut rows[slice as usize];
                     if row.0 == *number && row.1 != *ident {
