--- a/crates/control-plane/peer-client/src/lib.rs
+++ b/crates/control-plane/peer-client/src/lib.rs
@@ -1,34 +1,40 @@
-//! Calls between directors: JSON by POST, to addresses that are numbers.
-use serde::{de::DeserializeOwned, Serialize};
-use std::time::Duration;
-use ureq::config::Config;
-use ureq::http::Uri;
-use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
-use ureq::unversioned::transport::{DefaultConnector, NextTimeout};
+//! Calls to control-plane nodes: JSON by HTTP POST, to numeric addresses.
+//!
+//! A call is sent once. It is never repeated here, because only the caller knows whether the peer may run it twice.
+//!
+//! ```no_run
+//! use coppersail_peer_client::{PeerClient, PeerError};
+//! use std::time::Duration;
+//! let client = PeerClient::new(Duration::from_millis(300), Duration::from_secs(2));
+//! match client.post::<_, u64>("10.1.0.1:7540", "/follow", &1) {
+//!     Ok(answer) => println!("{answer}"),
+//!     Err(PeerError::Status(status)) => println!("rejected with {}", status.as_u16()),
+//!     Err(error) => println!("{error}"),
+//! }
+//! ```
+mod error;
+mod resolver;
 
-/// Directors know each other by numbers. The usual resolver starts a thread for each call, to be able to give up.
-#[derive(Debug)]
-struct Numbers;
+pub use error::PeerError;
 
-impl Resolver for Numbers {
-    fn resolve(&self, uri: &Uri, _: &Config, _: NextTimeout) -> Result<ResolvedSocketAddrs, ureq::Error> {
-        let address = uri.authority().and_then(|authority| authority.as_str().parse().ok());
-        let mut found = self.empty();
-        found.push(address.ok_or(ureq::Error::HostNotFound)?);
-        Ok(found)
-    }
-}
+use resolver::NumericResolver;
+use serde::{de::DeserializeOwned, Serialize};
+use std::time::Duration;
+use ureq::http::StatusCode;
+use ureq::unversioned::transport::DefaultConnector;
 
-/// An answer is read up to this: a whole table of keys and hosts is well below it.
-const MOST: u64 = 64 << 20;
+/// The longest answer that is read, in bytes. A snapshot of all assignments and endpoints is far below it.
+const MAX_ANSWER_BYTES: u64 = 64 << 20;
+/// Of the buffers of a connection, each, in bytes.
+const BUFFER_BYTES: usize = 8 * 1024;
 
-/// Keeps one connection to each peer that it calls.
+/// A client that keeps one connection to each peer.
 pub struct PeerClient {
     agent: ureq::Agent,
 }
 
 impl PeerClient {
-    /// `connect`: for the connection; `whole`: for all of a call.
+    /// `connect`: the timeout for a connection; `whole`: for a complete call, from connecting to the end of the answer.
     pub fn new(connect: Duration, whole: Duration) -> PeerClient {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -38,32 +44,40 @@
             .timeout_global(Some(whole))
             .max_idle_connections(2)
             .max_idle_connections_per_host(1)
-            // Longer silence between calls means that something is wrong with the connection.
+            // Calls follow each other closely. A connection that was idle for longer may be dead.
             .max_idle_age(whole)
-            .input_buffer_size(8 * 1024)
-            .output_buffer_size(8 * 1024)
+            .input_buffer_size(BUFFER_BYTES)
+            .output_buffer_size(BUFFER_BYTES)
             .build();
-        PeerClient { agent: ureq::Agent::with_parts(config, DefaultConnector::default(), Numbers) }
+        PeerClient { agent: ureq::Agent::with_parts(config, DefaultConnector::default(), NumericResolver) }
     }
 
-    /// Anything but a 200 with the JSON that is expected is an error, in words.
+    /// Posts `body` as JSON to `path` at `address` ("ip:port"), and reads the answer.
+    ///
+    /// # Errors
+    /// Anything but an answer with status 200 and the expected JSON. Unless the error is [`PeerError::Encode`],
+    /// [`PeerError::Address`] or [`PeerError::Connect`], the peer may have run the call.
     pub fn post<T: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
         body: &T,
-    ) -> Result<R, String> {
+    ) -> Result<R, PeerError> {
         self.call(address, path, body, None)
     }
 
-    /// The same for a call that is answered at once: the answer has to begin within this.
+    /// [`PeerClient::post`] for a call that the peer answers at once: the answer has to begin within `begin`, though all of it
+    /// may take longer.
+    ///
+    /// # Errors
+    /// As [`PeerClient::post`].
     pub fn post_with_response_timeout<T: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
         path: &str,
         body: &T,
         begin: Duration,
-    ) -> Result<R, String> {
+    ) -> Result<R, PeerError> {
         self.call(address, path, body, Some(begin))
     }
 
@@ -72,16 +86,16 @@
         address: &str,
         path: &str,
         body: &T,
-        begin: Option<Duration>,
-    ) -> Result<R, String> {
-        let text = serde_json::to_vec(body).map_err(|e| e.to_string())?;
-        let call = self.agent.post(format!("http://{address}{path}")).content_type("application/json");
-        let call = call.config().timeout_recv_response(begin).build();
-        let mut answer = call.send(&text[..]).map_err(|e| e.to_string())?;
-        if answer.status() != 200 {
-            return Err(format!("status {}", answer.status()));
+        response_timeout: Option<Duration>,
+    ) -> Result<R, PeerError> {
+        let text = serde_json::to_vec(body).map_err(PeerError::Encode)?;
+        let request = self.agent.post(format!("http://{address}{path}")).content_type("application/json");
+        let request = request.config().timeout_recv_response(response_timeout).build();
+        let mut response = request.send(&text[..])?;
+        if response.status() != StatusCode::OK {
+            return Err(PeerError::Status(response.status()));
         }
-        let body = answer.body_mut().with_config().limit(MOST).read_to_vec().map_err(|e| e.to_string())?;
-        serde_json::from_slice(&body).map_err(|e| e.to_string())
+        let answer = response.body_mut().with_config().limit(MAX_ANSWER_BYTES).read_to_vec()?;
+        serde_json::from_slice(&answer).map_err(PeerError::Decode)
     }
 }
