--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -1,7 +1,8 @@
-//! The settings file of a process (`COPPERSAIL_SETTINGS`), read once and checked.
-use crate::field::{
-    any, filled, flag, fraction, list, maybe, must, object, or, table, text, texts, time, whole, FieldError,
-};
+//! The settings of a process: the file that `COPPERSAIL_SETTINGS` names, read at the start and again on SIGHUP.
+use crate::checks::{accept_any, expect, not_blank, positive_time};
+use crate::error::FieldError;
+use crate::readers::{boolean, list, non_negative, object, optional, text, text_map, time, unsigned};
+use crate::table::{default_ms, default_to, required, table};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,95 +10,124 @@
 /// The environment variable that holds the path of the settings file.
 pub const VARIABLE: &str = "COPPERSAIL_SETTINGS";
 
-const fn ms(n: u64) -> Option<Duration> {
-    Some(Duration::from_millis(n))
-}
-
 table! {
-    /// Every field of the settings that the programs use. Unknown fields are passed over.
+    /// The settings that the programs use; others in the file are skipped.
     pub struct ProcessSettings {
-        node: String = "self.nodeName", text, or(String::new()), any;
-        ip: String = "self.ipAddress", text, must(), ip;
-        area: String = "self.area", text, must(), filled;
-        place: String = "self.place", text, or(String::new()), any;
-        counts_as_loss: bool = "self.countsAsLoss", flag, or(false), any, live;
-        /// Not assumed: a process that takes itself for new may take its state for empty.
-        initial_boot: bool = "self.initialBoot", flag, or(false), any, first;
-        data_folder: Option<String> = "self.dataFolder", maybe(text), or(None), any;
-        /// No limit where none is given.
-        ram_mb: u64 = "self.caps.ramMb", whole, or(u64::MAX), any, live;
-        open_files: u64 = "self.caps.openFiles", whole, or(u64::MAX), any, live;
-        /// "ip:port" of each; absent where the role does not serve it.
-        public_plain: Option<String> = "network.binds.publicPlain", maybe(text), or(None), address;
-        readiness: Option<String> = "network.binds.readiness", maybe(text), or(None), address;
-        admin: Option<String> = "network.binds.admin", maybe(text), or(None), address;
-        /// The first and the last of the ports between directors.
-        spare_ports: (u16, u16) = "network.sparePorts", span, must(), any;
-        known_peers: Vec<String> = "network.knownPeers", list(text), or(Vec::new()), addresses, live;
-        /// area -> place
-        zones: BTreeMap<String, String> = "network.zones", texts, or(BTreeMap::new()), any, live;
-        heartbeat: Duration = "provider.heartbeat", time, ms(1000), above_zero, live;
-        /// `survive.boxes`
-        survive: u32 = "terms.survive.boxes", whole, or(0), any, live;
-        promises: Vec<String> = "terms.promises", list(text), or(Vec::new()), any, live;
-        limits: TimeLimits = "terms.timeLimits", limits, or(TimeLimits::default()), any, each;
+        /// The name of the machine.
+        node: String = "self.nodeName", text, default_to(String::new()), accept_any;
+        /// The IP address of the machine; it identifies the process among its peers.
+        ip: String = "self.ipAddress", text, required(), ip_address;
+        /// The zone of the machine.
+        area: String = "self.area", text, required(), not_blank;
+        /// The region of the zone.
+        place: String = "self.place", text, default_to(String::new()), accept_any;
+        /// Whether the loss of this machine is one of those that `survive` counts.
+        counts_as_loss: bool = "self.countsAsLoss", boolean, default_to(false), accept_any, apply;
+        /// The whole system starts for the first time, with empty disks. Never assumed: a process that believes so wrongly could take
+        /// lost state for empty state.
+        initial_boot: bool = "self.initialBoot", boolean, default_to(false), accept_any, keep_first;
+        /// The folder of durable state; absent for a process without any.
+        data_folder: Option<String> = "self.dataFolder", optional(text), default_to(None), accept_any;
+        /// The limit of memory, in MiB. Without a limit the greatest number, as with open files.
+        ram_mb: u64 = "self.caps.ramMb", unsigned, default_to(u64::MAX), accept_any, apply;
+        /// The limit of open file descriptors.
+        open_files: u64 = "self.caps.openFiles", unsigned, default_to(u64::MAX), accept_any, apply;
+        /// Where clients are served, "ip:port". This and the other binds are absent where the role does not serve them.
+        public_plain: Option<String> = "network.binds.publicPlain", optional(text), default_to(None), optional_address;
+        /// Where readiness is served, "ip:port".
+        readiness: Option<String> = "network.binds.readiness", optional(text), default_to(None), optional_address;
+        /// Where operators and endpoints are served, "ip:port".
+        admin: Option<String> = "network.binds.admin", optional(text), default_to(None), optional_address;
+        /// The first and the last of the ports that edges and control-plane nodes use among themselves.
+        spare_ports: (u16, u16) = "network.sparePorts", port_range, required(), accept_any;
+        /// The admin addresses, "ip:port", of some control-plane nodes, by which the others are found.
+        known_peers: Vec<String> = "network.knownPeers", list(text), default_to(Vec::new()), addresses, apply;
+        /// The region of each zone.
+        zones: BTreeMap<String, String> = "network.zones", text_map, default_to(BTreeMap::new()), accept_any, apply;
+        /// The interval at which endpoints send heartbeats.
+        heartbeat: Duration = "provider.heartbeat", time, default_ms(1000), positive_time, apply;
+        /// How many machines may be lost at once while all guarantees hold.
+        survive: u32 = "terms.survive.boxes", unsigned, default_to(0), accept_any, apply;
+        /// The names of the guarantees that are asked of the system.
+        promises: Vec<String> = "terms.promises", list(text), default_to(Vec::new()), accept_any, apply;
+        /// Time limits and retry limits.
+        limits: TimeLimits = "terms.timeLimits", limits, default_to(TimeLimits::default()), accept_any, reload_each;
     }
 }
 
 table! {
-    /// `terms.timeLimits`. A limit is left out where no promise needs it; what stands here then is the careful side:
-    /// quick where the system has to act, long where it has to wait.
+    /// Limits that the guarantees are measured by. One that no guarantee needs is left out of the file; the defaults are on the
+    /// safe side: short where the system has to act, long where it has to wait.
     pub struct TimeLimits {
-        peer_delay: Duration = "peerDelay", time, ms(3000), any, live;
-        recycle_after: Duration = "recycleAfter", time, ms(1000), any, live;
-        in_contact: Duration = "inContact", time, ms(3000), any, live;
-        confirm: Duration = "confirm", time, ms(5000), any, live;
-        sync_time: Duration = "sync_time", time, ms(5000), any, live;
-        empty: Duration = "empty", time, ms(2000), any, live;
-        leeway: Duration = "leeway", time, ms(5000), any, live;
-        missing: Duration = "missing", time, ms(200), any, live;
-        apply: Duration = "apply", time, ms(2000), any, live;
-        revert: Duration = "revert", time, ms(200), any, live;
-        stretch_time: Duration = "stretch_time", time, ms(5000), any, live;
-        retry_ratio: f64 = "retryRatio", fraction, or(0.1), any, live;
-        retry_window: Duration = "retryWindow", time, ms(10000), any, live;
-        extra_tries: u32 = "extraTries", whole, or(0), any, live;
-        heal: Duration = "heal", time, ms(10000), any, live;
-        keep_max: Duration = "keepMax", time, ms(5000), any, live;
-        unfreeze: Duration = "unfreeze", time, ms(0), any, live;
+        /// How old the list of control-plane nodes may be by which the operator and endpoints call them.
+        peer_delay: Duration = "peerDelay", time, default_ms(3000), accept_any, apply;
+        /// How long after an endpoint's end its address may be given to one of another service.
+        recycle_after: Duration = "recycleAfter", time, default_ms(1000), accept_any, apply;
+        /// How long a machine has to have been connected and running to be asked to keep the guarantees.
+        in_contact: Duration = "inContact", time, default_ms(3000), accept_any, apply;
+        /// Within this an operator's order is acknowledged.
+        confirm: Duration = "confirm", time, default_ms(5000), accept_any, apply;
+        /// How long after its return a machine still counts as lost.
+        sync_time: Duration = "sync_time", time, default_ms(5000), accept_any, apply;
+        /// Within this of its draining an endpoint gets no more requests.
+        empty: Duration = "empty", time, default_ms(2000), accept_any, apply;
+        /// The time between SIGTERM and SIGKILL.
+        leeway: Duration = "leeway", time, default_ms(5000), accept_any, apply;
+        /// How long after a request began it may still be closed without an answer, if no endpoint got it.
+        missing: Duration = "missing", time, default_ms(200), accept_any, apply;
+        /// Within this of its acknowledgement a configuration is in force at all edges.
+        apply: Duration = "apply", time, default_ms(2000), accept_any, apply;
+        /// How much later than a newer configuration an older one may still be seen within one run of an edge.
+        revert: Duration = "revert", time, default_ms(200), accept_any, apply;
+        /// How much later a configuration may be in force at an edge while the control plane is unsettled.
+        stretch_time: Duration = "stretch_time", time, default_ms(5000), accept_any, apply;
+        /// Further attempts in each window, as a share of the requests.
+        retry_ratio: f64 = "retryRatio", non_negative, default_to(0.1), accept_any, apply;
+        /// The window over which further attempts are counted.
+        retry_window: Duration = "retryWindow", time, default_ms(10000), accept_any, apply;
+        /// Further attempts in each window beyond the share.
+        extra_tries: u32 = "extraTries", unsigned, default_to(0), accept_any, apply;
+        /// How long after the loss and return of machines most requests may still fail.
+        heal: Duration = "heal", time, default_ms(10000), accept_any, apply;
+        /// The longest lease duration of a slice, by the endpoint's clock.
+        keep_max: Duration = "keepMax", time, default_ms(5000), accept_any, apply;
+        /// What is received within this after a process was frozen, or a link cut, is not counted.
+        unfreeze: Duration = "unfreeze", time, default_ms(0), accept_any, apply;
     }
 }
 
 impl ProcessSettings {
-    /// Reads the file that the environment names.
+    /// Reads the file that the environment variable [`VARIABLE`] names.
+    ///
+    /// # Errors
+    /// The variable is not set, the file can't be read, or a field is not valid.
     pub fn read() -> Result<ProcessSettings, FieldError> {
         let path = std::env::var(VARIABLE).unwrap_or_default();
-        let fault = |value, expected| FieldError { field: VARIABLE.into(), value, expected };
         if path.is_empty() {
-            return Err(fault(String::new(), "the path of the settings file"));
+            return Err(FieldError::missing("the path of the settings file").within(VARIABLE));
         }
         let text = std::fs::read_to_string(&path)
-            .map_err(|e| fault(format!("{path:?} ({e})"), "a file that can be read"))?;
+            .map_err(|error| FieldError::unreadable_file(VARIABLE, &path, &error))?;
         ProcessSettings::from_json(&text)
     }
 
     /// Reads settings from their text.
     ///
+    /// # Errors
+    /// The text is not JSON, or a field is not valid.
+    ///
     /// ```
-    /// let boot = coppersail_config::Boot::from_json(r#"{
-    ///     "self": {"ipAddress": "10.1.0.34", "area": "north", "mood": "new to us"},
+    /// let settings = coppersail_config::ProcessSettings::from_json(r#"{
+    ///     "self": {"ipAddress": "10.1.0.34", "area": "north", "mood": "unknown fields are skipped"},
     ///     "network": {"sparePorts": [7540, 7555]},
     ///     "provider": {"heartbeat": "1300ms"},
     ///     "terms": {"timeLimits": {"leeway": "6s"}}
     /// }"#).unwrap();
-    /// assert_eq!((boot.spare_ports.0, boot.limits.leeway.as_secs()), (7540, 6));
+    /// assert_eq!((settings.spare_ports.0, settings.limits.leeway.as_secs()), (7540, 6));
     /// ```
     pub fn from_json(text: &str) -> Result<ProcessSettings, FieldError> {
-        let value: Value = serde_json::from_str(text).map_err(|e| FieldError {
-            field: String::new(),
-            value: format!("not JSON ({e})"),
-            expected: "the settings as one table",
-        })?;
+        let value: Value = serde_json::from_str(text)
+            .map_err(|error| FieldError::not_json(&error, "the settings as one table"))?;
         ProcessSettings::from_source(object(&value)?)
     }
 }
@@ -106,33 +136,25 @@
     TimeLimits::from_source(object(value)?)
 }
 
-fn span(value: &Value) -> Result<(u16, u16), FieldError> {
-    match list(whole)(value)?[..] {
+fn port_range(value: &Value) -> Result<(u16, u16), FieldError> {
+    match list(unsigned)(value)?[..] {
         [first, last] if first <= last => Ok((first, last)),
         _ => Err(FieldError::new(value, "the first and the last port")),
     }
 }
 
-fn ip(text: &str) -> Result<(), &'static str> {
-    text.parse::<std::net::IpAddr>().map(drop).map_err(|_| "an IP address")
+fn ip_address(text: &str) -> Result<(), &'static str> {
+    expect(text.parse::<std::net::IpAddr>().is_ok(), "an IP address")
 }
 
-fn is_address(text: &str) -> Result<(), &'static str> {
-    text.parse::<std::net::SocketAddr>().map(drop).map_err(|_| "an address such as \"10.0.0.4:8080\"")
+fn address(text: &str) -> Result<(), &'static str> {
+    expect(text.parse::<std::net::SocketAddr>().is_ok(), "an address such as \"10.0.0.4:8080\"")
 }
 
-fn address(text: &Option<String>) -> Result<(), &'static str> {
-    text.as_deref().map_or(Ok(()), is_address)
+fn optional_address(text: &Option<String>) -> Result<(), &'static str> {
+    text.as_deref().map_or(Ok(()), address)
 }
 
 fn addresses(texts: &[String]) -> Result<(), &'static str> {
-    texts.iter().try_for_each(|text| is_address(text))
-}
-
-fn above_zero(time: &Duration) -> Result<(), &'static str> {
-    if time.is_zero() {
-        Err("a time above 0")
-    } else {
-        Ok(())
-    }
+    texts.iter().try_for_each(|text| address(text))
 }
--- /dev/null
+++ b/crates/control-plane/config/src/config/model.rs
@@ -0,0 +1,104 @@
+//! The parts of a configuration, as the operator writes them.
+use crate::checks::{accept_any, expect, not_blank};
+use crate::error::FieldError;
+use crate::readers::{boolean, list, non_negative, object, optional, text, time, unsigned};
+use crate::source::FieldSource;
+use crate::table::{default_to, required, table};
+use serde_json::Value;
+use std::time::Duration;
+
+/// The longest deadline of a request that is valid.
+const MAX_GIVE_UP: Duration = Duration::from_secs(600);
+
+/// A configuration that has been checked: each service that a route names exists.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct Config {
+    /// The number after the `r`; the higher one is newer.
+    pub revision: u64,
+    /// In the order of the configuration.
+    pub routes: Vec<Route>,
+    /// In the order of the configuration.
+    pub services: Vec<Service>,
+    /// Limits for clients.
+    pub caps: Caps,
+}
+
+table! {
+    /// What a client may send, and how long it may take.
+    pub struct Caps {
+        /// The size of the request line and headers, in bytes.
+        head_size: usize = "headSizeBytes", unsigned, default_to(16384), accept_any;
+        /// The size of a request body, in bytes.
+        body_size: u64 = "bodySizeBytes", unsigned, default_to(67108864), accept_any;
+        /// How long the request line and headers may take.
+        head_wait: Duration = "headWait", time, default_to(Duration::from_secs(3)), accept_any;
+        /// How long a connection may be idle, or a body may pause.
+        quiet: Duration = "quiet", time, default_to(Duration::from_secs(15)), accept_any;
+    }
+}
+
+table! {
+    /// Which requests go to which services, and how.
+    pub struct Route {
+        /// The name, by which rollout plans refer to the route.
+        name: String = "name", text, default_to(String::new()), accept_any;
+        /// The domain, compared without case and port.
+        domain: String = "domain", text, required(), not_blank;
+        /// The path prefix; of several that match the longest counts.
+        path_start: String = "pathStart", text, default_to("/".into()), accept_any;
+        /// Requests are idempotent and may be sent again after an indeterminate outcome.
+        repeatable: bool = "sort", is_repeatable, default_to(false), accept_any;
+        /// The deadline of a request; ten minutes at most.
+        give_up: Option<Duration> = "giveUp", optional(time), default_to(None), give_up_limit;
+        /// The latency target: within it an answer has its full value. Less than a minute above `give_up`.
+        target_time: Option<Duration> = "target_time", optional(time), default_to(None), accept_any;
+        /// The priority; 0 is the highest.
+        rank: u32 = "rank", unsigned, default_to(0), accept_any;
+        /// How many endpoints one request may be sent to; at least 1.
+        tries: u32 = "tries", at_least_one, default_to(1), accept_any;
+        /// (service, weight): one entry of weight 1 where the route names a `backend` instead.
+        shares: Vec<(String, f64)> = "shares", list(weighted_service), default_to(Vec::new()), accept_any;
+    }
+}
+
+table! {
+    /// A backend service.
+    pub struct Service {
+        /// The name that routes refer to.
+        name: String = "name", text, required(), accept_any;
+        /// The path of its health check; absent without one.
+        check_path: Option<String> = "checkPath", optional(text), default_to(None), accept_any;
+        /// Connections to one endpoint, of all edges together. Without a limit the greatest number.
+        max_connections: u32 = "maxConnections", unsigned, default_to(u32::MAX), accept_any;
+        /// Its key space is sharded: each key has one endpoint.
+        split_up: bool = "splitUp", boolean, default_to(false), accept_any;
+        /// How long keys are slow after a transfer without a handover.
+        heat: Duration = "heat", time, default_to(Duration::ZERO), accept_any;
+    }
+}
+
+impl Config {
+    /// A service by its name; of several the last.
+    pub fn service(&self, name: &str) -> Option<&Service> {
+        self.services.iter().rev().find(|service| service.name == name)
+    }
+}
+
+fn is_repeatable(value: &Value) -> Result<bool, FieldError> {
+    Ok(text(value)? == "repeatable")
+}
+
+fn at_least_one(value: &Value) -> Result<u32, FieldError> {
+    unsigned(value).map(|number: u32| number.max(1))
+}
+
+fn weighted_service(value: &Value) -> Result<(String, f64), FieldError> {
+    let entry = object(value)?;
+    let service = entry.field("backend").ok_or_else(|| FieldError::missing("a service").within("backend"))?;
+    let weight = entry.field("share").map_or(Ok(1.0), non_negative).map_err(|error| error.within("share"))?;
+    Ok((text(service).map_err(|error| error.within("backend"))?, weight))
+}
+
+fn give_up_limit(time: &Option<Duration>) -> Result<(), &'static str> {
+    expect(time.is_none_or(|time| time <= MAX_GIVE_UP), "ten minutes at most")
+}
--- a/crates/control-plane/config/src/lib.rs
+++ b/crates/control-plane/config/src/lib.rs
@@ -1,13 +1,24 @@
-//! What a process is told and what the operator asks for: settings, configurations, their checks.
+//! Settings and configurations, with their checks: the settings file of a process, the operator's configuration of routes and
+//! services, rollout plans, and the settings of session affinity.
+//!
+//! Everything is read from JSON. Names in JSON are those of the operators' pages and never change; an error names the field by
+//! them, the value that was found and what was expected, in one line.
 pub mod boot;
+mod checks;
 pub mod config;
-mod field;
+mod error;
+mod readers;
 pub mod reload;
+mod reloadable;
 pub mod rollout;
 pub mod sessions;
+mod source;
+mod table;
+mod time;
 
 pub use boot::ProcessSettings;
 pub use config::{Config, Route, Routes, Service};
-pub use field::{duration, format_duration, FieldError};
+pub use error::FieldError;
 pub use reload::reload;
 pub use sessions::SessionSettings;
+pub use time::{duration, format_duration};
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -1,64 +1,87 @@
-//! A plan that moves a share of a service's requests onto a new version, as an operator sends it.
-use crate::field::{
-    any, filled, fraction, list, maybe, must, object, or, table, text, time, whole, FieldError,
-};
-use serde_json::Value;
+//! A rollout plan: the progressive move of a service's requests to a new version, as an operator submits it.
+use crate::checks::{accept_any, at_most_one, expect, not_blank};
+use crate::config::{Config, Route};
+use crate::error::FieldError;
+use crate::readers::{list, non_negative, object, optional, text, time, unsigned};
+use crate::table::{default_to, required, table};
+use serde_json::{Map, Value};
 use std::collections::BTreeSet;
+use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A plan that was forgotten must not steer for ever.
-const ENDS: Duration = Duration::from_secs(4 * 3600);
-const ENDS_MAX: Duration = Duration::from_secs(14 * 24 * 3600);
-/// An edge in touch has an answer that is up to 0.7 s old from a centre that heard the primary up to 0.5 s before; a
-/// shorter lease would come and go by itself.
-const LEASE_MIN: Duration = Duration::from_millis(1500);
-const LEASE_MAX: Duration = Duration::from_secs(60);
+/// A plan that was forgotten must not route requests for ever.
+const DEFAULT_ENDS: Duration = Duration::from_secs(4 * 3600);
+const ENDS_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(14 * 24 * 3600);
+/// The answer that an edge in contact has is up to 0.7 s old, and comes from a node whose last contact with the leader was up
+/// to 0.5 s before. A shorter lease would expire without any fault.
+const LEASE_RANGE: RangeInclusive<Duration> = Duration::from_millis(1500)..=Duration::from_secs(60);
+const ERROR_RANGE: RangeInclusive<f64> = 1e-6..=0.2;
+const MAX_STEPS: usize = 64;
+
+/// The fields of a plan.
+const FIELDS: [&str; 11] =
+    ["service", "from", "to", "routes", "member", "steps", "bounds", "error", "pause", "lease", "ends"];
 
 table! {
+    /// A progressive rollout of one version of a service, as an operator submits it.
     pub struct RolloutPlan {
-        service: String = "service", text, must(), filled;
-        from: Version = "from", version, must(), any;
-        to: Version = "to", version, must(), any;
-        /// Names of routes; all of the service's where there are none.
-        routes: Vec<String> = "routes", list(text), or(Vec::new()), any;
-        /// The header that names a session; the client's address where there is none.
-        member: Option<String> = "member", maybe(text), or(None), any;
-        steps: Vec<Step> = "steps", list(step), must(), rising;
-        bounds: Bounds = "bounds", bounds, or(Bounds::default()), any;
-        /// The most by which a sound release may be paused in error.
-        error: f64 = "error", fraction, or(0.01), probable;
-        pause: Pause = "pause", pause, or(Pause::Withdraw), any;
-        /// For how long an edge that hears nothing goes on with the new version.
-        lease: Duration = "lease", time, or(Duration::from_millis(2500)), leased;
-        /// However it stands by then, it is paused.
-        ends: Duration = "ends", time, or(ENDS), ending;
+        /// The service whose requests are moved.
+        service: String = "service", text, required(), not_blank;
+        /// The version in service, with which the new one is compared.
+        from: Version = "from", version, required(), accept_any;
+        /// The new version.
+        to: Version = "to", version, required(), accept_any;
+        /// Names of routes; none for all routes of the service.
+        routes: Vec<String> = "routes", list(text), default_to(Vec::new()), accept_any;
+        /// The header by whose value a client is put on one version; absent for the client's address.
+        member: Option<String> = "member", optional(text), default_to(None), accept_any;
+        /// 1 to 64 steps with rising shares.
+        steps: Vec<Step> = "steps", list(step), required(), rising_shares;
+        /// How much worse the new version may be.
+        bounds: Bounds = "bounds", bounds, default_to(Bounds::default()), accept_any;
+        /// The highest probability that a version that is not worse is paused in error (significance level).
+        error: f64 = "error", non_negative, default_to(0.01), error_range;
+        /// What a pause does.
+        pause: Pause = "pause", pause, default_to(Pause::Withdraw), accept_any;
+        /// How long an edge without contact to the leader goes on with the new version.
+        lease: Duration = "lease", time, default_to(Duration::from_millis(2500)), lease_range;
+        /// How long the rollout may take; after that it is paused.
+        ends: Duration = "ends", time, default_to(DEFAULT_ENDS), ends_range;
     }
 }
 
 table! {
+    /// A step of a rollout.
     pub struct Step {
-        share: f64 = "share", fraction, must(), part;
-        least: Duration = "least", time, or(Duration::from_secs(60)), any;
-        /// Answers of the new version that must have been counted in this step.
-        evidence: u64 = "evidence", whole, or(200), any;
-        pass: Pass = "pass", pass, or(Pass::Itself), any;
+        /// The share of requests that go to the new version, above 0 and up to 1.
+        share: f64 = "share", non_negative, required(), at_most_one;
+        /// The least duration of the step.
+        least: Duration = "least", time, default_to(Duration::from_secs(60)), accept_any;
+        /// The least number of answers of the new version in this step.
+        evidence: u64 = "evidence", unsigned, default_to(200), accept_any;
+        /// What ends the step.
+        pass: Pass = "pass", pass, default_to(Pass::Itself), accept_any;
     }
 }
 
 table! {
-    /// How much worse than the sound version in the same seconds the new one may be, as a share of its requests.
+    /// How much worse the new version may be than the other in the same seconds.
     pub struct Bounds {
-        late: f64 = "late", fraction, or(0.02), part;
-        lost: f64 = "lost", fraction, or(0.001), part;
-        /// Bookings that were answered twice.
-        doubled: u64 = "doubled", whole, or(0), any;
+        /// Answers after the latency target, as a share of its requests.
+        late: f64 = "late", non_negative, default_to(0.02), at_most_one;
+        /// Failed requests, as a share of its requests.
+        lost: f64 = "lost", non_negative, default_to(0.001), at_most_one;
+        /// Requests that were run twice, as a number.
+        doubled: u64 = "doubled", unsigned, default_to(0), accept_any;
     }
 }
 
-/// Versions are told apart by the service that carries them, or by the `revision` that hosts tell.
+/// A version of a service.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Version {
+    /// All endpoints of the service with this name.
     Backend(String),
+    /// The endpoints that report this revision.
     Revision(String),
 }
 
@@ -68,42 +91,49 @@
     }
 }
 
+/// What ends a step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Pass {
+    /// Its least duration and evidence.
     #[default]
     Itself,
+    /// The operator, after these.
     Operator,
 }
 
+/// What a pause does.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum Pause {
+    /// The share stays as it is.
     Freeze,
+    /// All requests go to the version in service.
     #[default]
     Withdraw,
 }
 
 fn version(value: &Value) -> Result<Version, FieldError> {
     let given = object(value)?;
-    let one =
-        |name: &str| given.get(name).and_then(Value::as_str).filter(|t| !t.is_empty()).map(String::from);
-    match (one("backend"), one("revision"), given.len()) {
-        (Some(name), None, 1) => Ok(Version::Backend(name)),
-        (None, Some(name), 1) => Ok(Version::Revision(name)),
+    let name = |kind: &str| {
+        given.get(kind).and_then(Value::as_str).filter(|name| !name.is_empty()).map(String::from)
+    };
+    match (name("backend"), name("revision"), given.len()) {
+        (Some(service), None, 1) => Ok(Version::Backend(service)),
+        (None, Some(revision), 1) => Ok(Version::Revision(revision)),
         _ => Err(FieldError::new(value, "{\"backend\": name} or {\"revision\": name}")),
     }
 }
 
-fn word<T: Copy>(value: &Value, all: &[(&str, T)], expected: &'static str) -> Result<T, FieldError> {
-    let found = all.iter().find(|(name, _)| value.as_str() == Some(name));
-    found.map(|(_, it)| *it).ok_or_else(|| FieldError::new(value, expected))
+fn one_of<T: Copy>(value: &Value, choices: &[(&str, T)], expected: &'static str) -> Result<T, FieldError> {
+    let choice = choices.iter().find(|(name, _)| value.as_str() == Some(name));
+    choice.map(|(_, choice)| *choice).ok_or_else(|| FieldError::new(value, expected))
 }
 
 fn pass(value: &Value) -> Result<Pass, FieldError> {
-    word(value, &[("itself", Pass::Itself), ("operator", Pass::Operator)], "\"itself\" or \"operator\"")
+    one_of(value, &[("itself", Pass::Itself), ("operator", Pass::Operator)], "\"itself\" or \"operator\"")
 }
 
 fn pause(value: &Value) -> Result<Pause, FieldError> {
-    word(value, &[("freeze", Pause::Freeze), ("withdraw", Pause::Withdraw)], "\"freeze\" or \"withdraw\"")
+    one_of(value, &[("freeze", Pause::Freeze), ("withdraw", Pause::Withdraw)], "\"freeze\" or \"withdraw\"")
 }
 
 fn step(value: &Value) -> Result<Step, FieldError> {
@@ -114,124 +144,140 @@
     Bounds::from_source(object(value)?)
 }
 
-fn part(share: &f64) -> Result<(), &'static str> {
-    if *share > 1.0 {
-        Err("a share of 1 at most")
-    } else {
-        Ok(())
-    }
-}
-
-fn rising(steps: &[Step]) -> Result<(), &'static str> {
-    let shares: Vec<f64> = std::iter::once(0.0).chain(steps.iter().map(|s| s.share)).collect();
-    match steps.len() {
-        1..=64 if shares.windows(2).all(|two| two[0] < two[1]) => Ok(()),
-        _ => Err("1 to 64 steps whose shares rise from above 0"),
-    }
+fn rising_shares(steps: &[Step]) -> Result<(), &'static str> {
+    let shares: Vec<f64> = std::iter::once(0.0).chain(steps.iter().map(|step| step.share)).collect();
+    let rise = shares.windows(2).all(|pair| pair[0] < pair[1]);
+    expect((1..=MAX_STEPS).contains(&steps.len()) && rise, "1 to 64 steps whose shares rise from above 0")
 }
 
-fn probable(error: &f64) -> Result<(), &'static str> {
-    match error {
-        e if (1e-6..=0.2).contains(e) => Ok(()),
-        _ => Err("between 0.000001 and 0.2"),
-    }
+fn error_range(error: &f64) -> Result<(), &'static str> {
+    expect(ERROR_RANGE.contains(error), "between 0.000001 and 0.2")
 }
 
-fn leased(lease: &Duration) -> Result<(), &'static str> {
-    match lease {
-        l if (LEASE_MIN..=LEASE_MAX).contains(l) => Ok(()),
-        _ => Err("between 1.5 s and a minute"),
-    }
+fn lease_range(lease: &Duration) -> Result<(), &'static str> {
+    expect(LEASE_RANGE.contains(lease), "between 1.5 s and a minute")
 }
 
-fn ending(ends: &Duration) -> Result<(), &'static str> {
-    match ends {
-        e if (Duration::from_secs(1)..=ENDS_MAX).contains(e) => Ok(()),
-        _ => Err("between a second and two weeks"),
-    }
+fn ends_range(ends: &Duration) -> Result<(), &'static str> {
+    expect(ENDS_RANGE.contains(ends), "between a second and two weeks")
 }
 
 /// Reads the body of `POST /rollouts/NAME`.
 ///
+/// # Errors
+/// The body is not JSON, a field is unknown or not valid, or the versions don't fit together.
+///
 /// ```
 /// let body = r#"{"service": "ledger", "from": {"revision": "v1"}, "to": {"revision": "v2"},
 ///     "steps": [{"share": 0.05, "least": "60s"}, {"share": 0.5, "pass": "operator"}]}"#;
 /// assert_eq!(coppersail_config::rollout::parse(body).unwrap().steps[1].share, 0.5);
-/// let fault = coppersail_config::rollout::parse(&body.replace("0.05", "0.7")).unwrap_err();
-/// assert!(fault.to_string().ends_with("expected 1 to 64 steps whose shares rise from above 0"));
-/// let fault = coppersail_config::rollout::parse(&body.replace("\"60s\"", "60")).unwrap_err();
-/// assert_eq!(fault.to_string(), "steps[0].least is 60, expected a time such as \"1500ms\" or \"2.5s\"");
-/// let fault = coppersail_config::rollout::parse(&body.replace("\"v2\"", "\"v1\"")).unwrap_err();
-/// assert_eq!(fault.to_string(), "to is {\"revision\":\"v1\"}, expected another version than `from`, of the same kind");
+/// let error = coppersail_config::rollout::parse(&body.replace("0.05", "0.7")).unwrap_err();
+/// assert!(error.to_string().ends_with("expected 1 to 64 steps whose shares rise from above 0"));
+/// let error = coppersail_config::rollout::parse(&body.replace("\"60s\"", "60")).unwrap_err();
+/// assert_eq!(error.to_string(), "steps[0].least is 60, expected a time such as \"1500ms\" or \"2.5s\"");
+/// let error = coppersail_config::rollout::parse(&body.replace("\"v2\"", "\"v1\"")).unwrap_err();
+/// assert_eq!(error.to_string(), "to is {\"revision\":\"v1\"}, expected another version than `from`, of the same kind");
 /// ```
 pub fn parse(body: &str) -> Result<RolloutPlan, FieldError> {
-    let whole: Value = serde_json::from_str(body).map_err(|e| FieldError {
-        field: String::new(),
-        value: format!("not JSON ({e})"),
-        expected: "a plan as one table",
-    })?;
-    let top = object(&whole)?;
-    // A word that is misspelt would be a default that nobody asked for.
-    let known =
-        ["service", "from", "to", "routes", "member", "steps", "bounds", "error", "pause", "lease", "ends"];
-    if let Some(name) = top.keys().find(|name| !known.contains(&name.as_str())) {
-        return Err(FieldError::new(&Value::from(name.as_str()), "no such setting"));
-    }
-    let plan = RolloutPlan::from_source(top)?;
-    let alike = matches!((&plan.from, &plan.to), (Version::Backend(_), Version::Backend(_)))
-        || matches!((&plan.from, &plan.to), (Version::Revision(_), Version::Revision(_)));
-    if !alike || plan.from == plan.to {
-        return Err(
-            FieldError::new(&whole["to"], "another version than `from`, of the same kind").under("to")
-        );
+    let value: Value =
+        serde_json::from_str(body).map_err(|error| FieldError::not_json(&error, "a plan as one table"))?;
+    let document = object(&value)?;
+    reject_unknown_fields(document)?;
+    let plan = RolloutPlan::from_source(document)?;
+    if !plan.versions_are_comparable() {
+        let expected = "another version than `from`, of the same kind";
+        return Err(FieldError::new(&value["to"], expected).within("to"));
     }
     if matches!(&plan.from, Version::Backend(name) if *name != plan.service) {
-        return Err(FieldError::new(&whole["from"], "the service itself").under("from"));
+        return Err(FieldError::new(&value["from"], "the service itself").within("from"));
     }
     Ok(plan)
 }
 
+/// A misspelt field would silently be a default that nobody asked for.
+fn reject_unknown_fields(document: &Map<String, Value>) -> Result<(), FieldError> {
+    match document.keys().find(|name| !FIELDS.contains(&name.as_str())) {
+        Some(name) => Err(FieldError::new(&Value::from(name.as_str()), "no such setting")),
+        None => Ok(()),
+    }
+}
+
 impl RolloutPlan {
-    /// Why a configuration does not carry the plan.
+    /// Whether both versions are of one kind, and not the same.
+    fn versions_are_comparable(&self) -> bool {
+        let same_kind = std::mem::discriminant(&self.from) == std::mem::discriminant(&self.to);
+        same_kind && self.from != self.to
+    }
+
+    /// Whether a configuration can carry the plan.
+    ///
+    /// # Errors
+    /// Why it can't: a service or route is missing, or the service is sharded and its versions are revisions.
     ///
     /// ```
     /// let plan = coppersail_config::rollout::parse(r#"{"service": "a", "from": {"backend": "a"}, "to": {"backend": "b"},
     ///     "steps": [{"share": 0.1}]}"#).unwrap();
-    /// let fault = plan.fits(&coppersail_config::Config::default()).unwrap_err();
-    /// assert_eq!(fault.to_string(), "service is \"a\", expected a service of the configuration in force");
+    /// let error = plan.fits(&coppersail_config::Config::default()).unwrap_err();
+    /// assert_eq!(error.to_string(), "service is \"a\", expected a service of the configuration in force");
     /// ```
-    pub fn fits(&self, config: &crate::Config) -> Result<(), FieldError> {
-        let missing = |name: &str, field: &str, expected| {
-            Err(FieldError::new(&Value::from(name), expected).under(field))
-        };
-        if config.service(&self.service).is_none() {
-            return missing(&self.service, "service", "a service of the configuration in force");
+    pub fn fits(&self, config: &Config) -> Result<(), FieldError> {
+        self.check_service(config)?;
+        self.check_routes(config)?;
+        match &self.to {
+            Version::Backend(target) => self.check_target(config, target),
+            Version::Revision(_) => Ok(()),
         }
-        let divided = config.service(&self.service).is_some_and(|s| s.split_up);
-        if divided && matches!(self.to, Version::Revision(_)) {
-            // Which hosts have its keys is placement's choice, not an edge's.
-            return missing(&self.service, "service", "one that isn't split up, or versions by backend");
+    }
+
+    fn check_service(&self, config: &Config) -> Result<(), FieldError> {
+        let Some(service) = config.service(&self.service) else {
+            return Err(mismatch("service", &self.service, "a service of the configuration in force"));
+        };
+        if service.split_up && matches!(self.to, Version::Revision(_)) {
+            // Which endpoints own its slices is not for an edge to choose.
+            return Err(mismatch(
+                "service",
+                &self.service,
+                "one that isn't split up, or versions by backend",
+            ));
         }
-        let named =
-            |route: &crate::Route, name: &str| route.shares.iter().any(|(service, _)| service == name);
+        Ok(())
+    }
+
+    fn check_routes(&self, config: &Config) -> Result<(), FieldError> {
         for name in &self.routes {
-            if !config.routes.iter().any(|r| r.name == *name && named(r, &self.service)) {
-                return missing(name, "routes", "a route to the service in the configuration in force");
+            let exists =
+                config.routes.iter().any(|route| route.name == *name && has_share(route, &self.service));
+            if !exists {
+                return Err(mismatch("routes", name, "a route to the service in the configuration in force"));
             }
         }
-        if let Version::Backend(to) = &self.to {
-            let of = |r: &&crate::Route| self.covers(&r.name) && named(r, &self.service);
-            // A request goes only to a service that some configuration allows for its route.
-            let all: BTreeSet<&str> = config.routes.iter().filter(of).map(|r| r.name.as_str()).collect();
-            let able = |name: &&str| config.routes.iter().any(|r| r.name == **name && named(r, to));
-            if config.service(to).is_none() || !all.iter().all(able) {
-                return missing(to, "to", "a service that each of the routes names in its shares");
-            }
+        Ok(())
+    }
+
+    /// A request goes only to a service that the configuration allows for its route.
+    fn check_target(&self, config: &Config, target: &str) -> Result<(), FieldError> {
+        let covered = |route: &&Route| self.covers(&route.name) && has_share(route, &self.service);
+        let names: BTreeSet<&str> =
+            config.routes.iter().filter(covered).map(|route| route.name.as_str()).collect();
+        let allows =
+            |name: &&str| config.routes.iter().any(|route| route.name == **name && has_share(route, target));
+        if config.service(target).is_none() || !names.iter().all(allows) {
+            return Err(mismatch("to", target, "a service that each of the routes names in its shares"));
         }
         Ok(())
     }
 
+    /// Whether the plan is for the requests of a route, by its name.
     pub fn covers(&self, route: &str) -> bool {
-        self.routes.is_empty() || self.routes.iter().any(|r| r == route)
+        self.routes.is_empty() || self.routes.iter().any(|name| name == route)
     }
 }
+
+fn has_share(route: &Route, service: &str) -> bool {
+    route.shares.iter().any(|(name, _)| name == service)
+}
+
+fn mismatch(field: &str, name: &str, expected: &'static str) -> FieldError {
+    FieldError::new(&Value::from(name), expected).within(field)
+}
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -1,142 +1,153 @@
-//! The operators' file for sessions that travel between edges; without one there are none.
-use crate::field::{any, filled, flag, list, maybe, must, object, or, table, text, time, whole, FieldError};
+//! The settings of session affinity: the operators' file that `--sessions` names. Without one there are no sessions.
+use crate::checks::{accept_any, expect, not_blank, positive_time};
+use crate::error::FieldError;
+use crate::readers::{boolean, list, object, optional, text, time, unsigned};
+use crate::table::{default_ms, default_to, required, table};
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-const fn ms(n: u64) -> Option<Duration> {
-    Some(Duration::from_millis(n))
-}
-
 table! {
+    /// Sessions that may move between edges. The same file is on every edge.
     pub struct SessionSettings {
-        /// The name of the header or cookie that carries the token; one of them.
-        header: Option<String> = "header", maybe(text), or(None), filled_too;
-        cookie: Option<String> = "cookie", maybe(text), or(None), filled_too;
-        routes: Vec<PeerSite> = "routes", list(place), must(), some;
-        /// Services whose host stays with a session as long as it can.
-        stay: Vec<String> = "services", list(text), or(Vec::new()), any;
-        /// List number -> site number -> "ip:port". Numbers are never given again; a former list stays until the
-        /// life of its tokens is over.
-        rosters: BTreeMap<u16, BTreeMap<u16, String>> = "sites", rosters, must(), any;
-        /// Files with a key each. The first one signs, all are taken.
-        keys: Vec<String> = "keys", list(text), must(), some;
-        life: Duration = "life", time, ms(3_600_000), above_zero;
-        keep: Duration = "keepAnswers", time, ms(600_000), above_zero;
-        wait: Duration = "wait", time, ms(500), above_zero;
-        rest: Duration = "rest", time, ms(1_000), any;
-        skew: Duration = "clocksApart", time, ms(2_000), any;
-        held: usize = "sessions", whole, or(20_000), above_none;
-        each: usize = "confirmationsEach", whole, or(64), above_none;
-        answer: usize = "answerBytes", whole, or(16 * 1024), any;
-        tries: u32 = "claimTries", whole, or(3), any;
+        /// The name of the header that carries the session token; either this or `cookie` is given.
+        header: Option<String> = "header", optional(text), default_to(None), optional_not_blank;
+        /// The name of the cookie that carries the session token.
+        cookie: Option<String> = "cookie", optional(text), default_to(None), optional_not_blank;
+        /// The routes whose requests belong to sessions.
+        routes: Vec<PeerSite> = "routes", list(session_route), required(), not_empty;
+        /// Services of which a session keeps its endpoint as long as that takes requests.
+        stay: Vec<String> = "services", list(text), default_to(Vec::new()), accept_any;
+        /// Peer sets by number; in each the addresses, "ip:port", of edges by their own number. Numbers are never used again. A
+        /// former set stays in the file until its last tokens have expired.
+        rosters: BTreeMap<u16, BTreeMap<u16, String>> = "sites", peer_sets, required(), accept_any;
+        /// Files with a signing key each. The first key signs, all are accepted.
+        keys: Vec<String> = "keys", list(text), required(), not_empty;
+        /// How long a token is valid after it was signed. At half of it a new one is signed.
+        life: Duration = "life", time, default_ms(3_600_000), positive_time;
+        /// How long a repeated confirmation gets the stored answer of the first; after that only that it ran.
+        keep: Duration = "keepAnswers", time, default_ms(600_000), positive_time;
+        /// How long to wait for other edges, before a confirmation is sent and after its answer.
+        wait: Duration = "wait", time, default_ms(500), positive_time;
+        /// How long after a session was moved away a lookup does not claim it back.
+        rest: Duration = "rest", time, default_ms(1_000), accept_any;
+        /// How far the clocks of edges may be apart. Tokens from further ahead are rejected.
+        skew: Duration = "clocksApart", time, default_ms(2_000), accept_any;
+        /// The number of sessions that an edge keeps.
+        held: usize = "sessions", unsigned, default_to(20_000), positive_count;
+        /// The number of confirmations that a session may have; further ones are rejected.
+        each: usize = "confirmationsEach", unsigned, default_to(64), positive_count;
+        /// The longest answer that is stored, in bytes.
+        answer: usize = "answerBytes", unsigned, default_to(16 * 1024), accept_any;
+        /// How often a claim of a session that met a higher fencing token is repeated, while requests wait.
+        tries: u32 = "claimTries", unsigned, default_to(3), accept_any;
     }
 }
 
 table! {
     /// A route of the configuration, by its own domain and prefix.
     pub struct PeerSite {
-        domain: String = "domain", text, must(), filled;
-        path_start: String = "pathStart", text, must(), filled;
-        /// Its requests are confirmations or deposits: they carry a key and run once.
-        confirms: bool = "confirms", flag, or(false), any;
+        /// The domain of the route.
+        domain: String = "domain", text, required(), not_blank;
+        /// The path prefix of the route.
+        path_start: String = "pathStart", text, required(), not_blank;
+        /// Its requests carry an `Idempotency-Key` and run once.
+        confirms: bool = "confirms", boolean, default_to(false), accept_any;
     }
 }
 
 impl SessionSettings {
+    /// Reads settings from their text.
+    ///
+    /// # Errors
+    /// The text is not JSON, a field is not valid, or not exactly one of header and cookie is given.
+    ///
     /// ```
+    /// use coppersail_config::SessionSettings;
     /// let file = r#"{"cookie": "stay", "keys": ["/etc/coppersail/session.key"], "wait": "300ms",
     ///     "routes": [{"domain": "a.example", "pathStart": "/confirm/", "confirms": true}],
     ///     "sites": {"1": {"1": "10.0.0.1:7541", "2": "10.0.0.2:7541", "3": "10.0.0.3:7541"}}}"#;
-    /// let sessions = coppersail_config::Sessions::from_json(file).unwrap();
-    /// assert_eq!((sessions.wait.as_millis(), sessions.routes[0].confirms), (300, true));
+    /// let settings = SessionSettings::from_json(file).unwrap();
+    /// assert_eq!((settings.wait.as_millis(), settings.routes[0].confirms), (300, true));
     ///
-    /// let fault = coppersail_config::Sessions::from_json(&file.replace("\"cookie\": \"stay\",", "")).unwrap_err();
-    /// assert_eq!(fault.to_string(), "header is left out, expected a header or a cookie, one of them");
-    /// let fault = coppersail_config::Sessions::from_json(&file.replace("10.0.0.3", "the-third")).unwrap_err();
+    /// let error = SessionSettings::from_json(&file.replace("\"cookie\": \"stay\",", "")).unwrap_err();
+    /// assert_eq!(error.to_string(), "header is left out, expected a header or a cookie, one of them");
+    /// let error = SessionSettings::from_json(&file.replace("10.0.0.3", "the-third")).unwrap_err();
     /// assert_eq!(
-    ///     fault.to_string(),
+    ///     error.to_string(),
     ///     "sites.1.3 is \"the-third:7541\", expected an address such as \"10.0.0.4:7541\"",
     /// );
     /// ```
     pub fn from_json(text: &str) -> Result<SessionSettings, FieldError> {
-        let value: Value = serde_json::from_str(text).map_err(|e| FieldError {
-            field: String::new(),
-            value: format!("not JSON ({e})"),
-            expected: "the settings of sessions as one table",
-        })?;
-        let sessions = SessionSettings::from_source(object(&value)?)?;
-        if sessions.header.is_some() == sessions.cookie.is_some() {
-            return Err(FieldError::left_out("a header or a cookie, one of them").under("header"));
+        let value: Value = serde_json::from_str(text)
+            .map_err(|error| FieldError::not_json(&error, "the settings of sessions as one table"))?;
+        let settings = SessionSettings::from_source(object(&value)?)?;
+        if settings.header.is_some() == settings.cookie.is_some() {
+            return Err(FieldError::missing("a header or a cookie, one of them").within("header"));
         }
-        Ok(sessions)
+        Ok(settings)
     }
 
+    /// Reads the file at `path`.
+    ///
+    /// # Errors
+    /// The file can't be read, or as [`SessionSettings::from_json`].
     pub fn read(path: &str) -> Result<SessionSettings, FieldError> {
-        let text = std::fs::read_to_string(path).map_err(|e| FieldError {
-            field: "--sessions".into(),
-            value: format!("{path:?} ({e})"),
-            expected: "a file that can be read",
-        })?;
+        let text = std::fs::read_to_string(path)
+            .map_err(|error| FieldError::unreadable_file("--sessions", path, &error))?;
         SessionSettings::from_json(&text)
     }
 }
 
-fn place(value: &Value) -> Result<PeerSite, FieldError> {
+fn session_route(value: &Value) -> Result<PeerSite, FieldError> {
     PeerSite::from_source(object(value)?)
 }
 
+/// An object whose keys are numbers.
 fn numbered<T>(
     value: &Value,
     read: impl Fn(&Value) -> Result<T, FieldError>,
 ) -> Result<BTreeMap<u16, T>, FieldError> {
-    let one = |(name, value): (&String, &Value)| {
+    let entry = |(name, value): (&String, &Value)| {
         let number = name.parse().map_err(|_| FieldError::new(&Value::from(name.as_str()), "a number"))?;
-        Ok((number, read(value).map_err(|fault| fault.under(name))?))
+        Ok((number, read(value).map_err(|error| error.within(name))?))
     };
-    object(value)?.iter().map(one).collect()
+    object(value)?.iter().map(entry).collect()
 }
 
-fn rosters(value: &Value) -> Result<BTreeMap<u16, BTreeMap<u16, String>>, FieldError> {
-    let site = |value: &Value| {
-        let address = text(value)?;
-        match address.parse::<std::net::SocketAddr>() {
-            Ok(_) => Ok(address),
-            Err(_) => Err(FieldError::new(value, "an address such as \"10.0.0.4:7541\"")),
-        }
-    };
-    let all = numbered(value, |sites| match numbered(sites, site)? {
-        // With fewer there is no second one to keep what is sent on.
-        few if few.len() < 2 => Err(FieldError::new(sites, "two sites at least; three, to bear a loss")),
-        sites => Ok(sites),
-    })?;
-    match all.is_empty() {
-        true => Err(FieldError::new(value, "a list of sites at least")),
-        false => Ok(all),
+fn peer_sets(value: &Value) -> Result<BTreeMap<u16, BTreeMap<u16, String>>, FieldError> {
+    let sets = numbered(value, peer_set)?;
+    if sets.is_empty() {
+        return Err(FieldError::new(value, "a list of sites at least"));
     }
+    Ok(sets)
 }
 
-fn filled_too(text: &Option<String>) -> Result<(), &'static str> {
-    text.as_deref().map_or(Ok(()), filled)
+fn peer_set(value: &Value) -> Result<BTreeMap<u16, String>, FieldError> {
+    let peers = numbered(value, peer_address)?;
+    // A record needs a second edge to be stored at.
+    if peers.len() < 2 {
+        return Err(FieldError::new(value, "two sites at least; three, to bear a loss"));
+    }
+    Ok(peers)
 }
 
-fn some<T>(all: &[T]) -> Result<(), &'static str> {
-    match all.is_empty() {
-        true => Err("one at least"),
-        false => Ok(()),
+fn peer_address(value: &Value) -> Result<String, FieldError> {
+    let address = text(value)?;
+    match address.parse::<std::net::SocketAddr>() {
+        Ok(_) => Ok(address),
+        Err(_) => Err(FieldError::new(value, "an address such as \"10.0.0.4:7541\"")),
     }
 }
 
-fn above_zero(time: &Duration) -> Result<(), &'static str> {
-    match time.is_zero() {
-        true => Err("a time above 0"),
-        false => Ok(()),
-    }
+fn optional_not_blank(text: &Option<String>) -> Result<(), &'static str> {
+    text.as_deref().map_or(Ok(()), not_blank)
 }
 
-fn above_none(count: &usize) -> Result<(), &'static str> {
-    match count {
-        0 => Err("a number above 0"),
-        _ => Ok(()),
-    }
+fn not_empty<T>(list: &[T]) -> Result<(), &'static str> {
+    expect(!list.is_empty(), "one at least")
+}
+
+fn positive_count(count: &usize) -> Result<(), &'static str> {
+    expect(*count > 0, "a number above 0")
 }
--- a/crates/control-plane/config/tests/terms.rs
+++ b/crates/control-plane/config/tests/parsing.rs
@@ -1,3 +1,4 @@
+//! Which configurations and settings are accepted, which are rejected, and the text of the error.
 use assert_matches::assert_matches;
 use coppersail_config::config::{parse, Caps};
 use coppersail_config::{Config, FieldError, ProcessSettings, Route, Routes};
@@ -11,13 +12,13 @@
 "rows":[["main","/wellness",130,"h1",false,true,"2s","pulse"],["side","/wellness",110,"h1",false,null,null,null],["next",null,null,null,null,null,null,null]]},
 "caps":{"headSizeBytes":8192,"bodySizeBytes":1000000,"headWait":"2000ms","quiet":"10s"}}"#;
 
-fn with(from: &str, to: &str) -> Result<Config, FieldError> {
+fn parse_with(from: &str, to: &str) -> Result<Config, FieldError> {
     assert!(BODY.contains(from), "{from}");
     parse(BODY.replacen(from, to, 1).as_bytes())
 }
 
 #[test]
-fn a_configuration_is_read_whole() {
+fn every_field_of_a_configuration_is_read() {
     let config = parse(BODY.as_bytes()).unwrap();
     let [a, b] = &config.routes[..] else { panic!("{config:?}") };
     assert_eq!(a.shares, [("main".to_string(), 90.0), ("next".to_string(), 10.0)]);
@@ -31,10 +32,10 @@
     assert_eq!(config.caps, Caps { head_size: 8192, body_size: 1000000, head_wait, quiet });
 }
 
-/// A valid configuration that is refused costs a duty; what the protocol leaves open is taken.
+/// A valid configuration must not be rejected; what the protocol leaves open is accepted.
 #[test]
-fn nothing_valid_is_refused() {
-    let taken = [
+fn a_valid_configuration_is_never_rejected() {
+    let accepted = [
         ("\"6s\"", "\"600s\""),
         ("\"1.5s\"", "\"65999ms\""),
         ("\"share\":90", "\"share\":0"),
@@ -49,20 +50,20 @@
         ("\"single_shot\"", "null"),
         ("[\"main\",\"/wellness\",130", "[\"main\",\"/wellness\",130.0"),
     ];
-    for (from, to) in taken {
-        assert_matches!(with(from, to), Ok(_), "{from} -> {to}");
+    for (from, to) in accepted {
+        assert_matches!(parse_with(from, to), Ok(_), "{from} -> {to}");
     }
     let bare =
         r#"{"revision":"r0","backends":{"rows":[],"columns":[]},"routes":{"rows":[],"columns":["domain"]}}"#;
     assert_eq!(parse(bare.as_bytes()).unwrap(), Config::default());
-    let turned = r#"{"backends":{"columns":["heat","name"],"rows":[["1s","m"]]},"revision":"r3",
+    let reordered = r#"{"backends":{"columns":["heat","name"],"rows":[["1s","m"]]},"revision":"r3",
         "routes":{"columns":["shares","domain"],"rows":[[[{"share":1,"backend":"m"}],"d"]]},"caps":null}"#;
-    assert_eq!(parse(turned.as_bytes()).unwrap().routes[0].path_start, "/");
+    assert_eq!(parse(reordered.as_bytes()).unwrap().routes[0].path_start, "/");
 }
 
 #[test]
-fn each_kind_of_invalid_configuration_is_refused() {
-    let refused = [
+fn each_kind_of_invalid_configuration_is_rejected() {
+    let rejected = [
         ("\"next\",\"share\"", "\"gone\",\"share\"", "routes.rows[0].shares"),
         ("3,\"side\"", "3,\"gone\"", "routes.rows[1].backend"),
         ("2,null]", "2,\"gone\"]", "routes.rows[0].backend"),
@@ -94,25 +95,25 @@
         ("\"10s\"}}", "\"10s\"}}}", ""),
         ("\"10s\"}}", "\"10s\"}} more", ""),
     ];
-    for (from, to, field) in refused {
-        let fault = with(from, to).expect_err(to);
-        assert_eq!(fault.field, field, "{from} -> {to}: {fault}");
-        assert!(!fault.to_string().contains('\n'), "{fault}");
+    for (from, to, field) in rejected {
+        let error = parse_with(from, to).expect_err(to);
+        assert_eq!(error.field, field, "{from} -> {to}: {error}");
+        assert!(!error.to_string().contains('\n'), "{error}");
     }
     assert_matches!(parse(b"\xff{}"), Err(_));
     assert_matches!(parse("[".repeat(100_000).as_bytes()), Err(_));
 }
 
 #[test]
-fn a_body_cut_off_anywhere_is_refused() {
-    for cut in 0..BODY.len() {
-        assert_matches!(parse(&BODY.as_bytes()[..cut]), Err(_), "{cut}");
+fn a_body_truncated_anywhere_is_rejected() {
+    for length in 0..BODY.len() {
+        assert_matches!(parse(&BODY.as_bytes()[..length]), Err(_), "{length}");
     }
 }
 
 /// The lookup against a plain scan, over domains and prefixes that often begin one another.
 #[test]
-fn the_longest_prefix_is_found() {
+fn lookup_finds_the_longest_prefix() {
     let mut seed = 9u64;
     let mut draw = |n: u64| {
         seed = seed.wrapping_mul(6364136223846793005).wrapping_add(1442695040888963407);
@@ -127,24 +128,25 @@
             let domain = format!("d{}.Example", n % 3);
             all.push(Route { name: format!("{n}"), domain, path_start: path("/"), ..Route::default() });
         }
-        let asked: Vec<String> = (0..40).map(|_| path("/")).collect();
+        let requested: Vec<String> = (0..40).map(|_| path("/")).collect();
         let config = Config { routes: all, ..Config::default() };
         let routes = Routes::new(&config);
-        for (n, asked) in asked.iter().enumerate() {
+        for (n, requested) in requested.iter().enumerate() {
             let host = format!("D{}.example", n % 4);
-            let fits = |r: &&Route| r.domain.eq_ignore_ascii_case(&host) && asked.starts_with(&r.path_start);
+            let fits =
+                |r: &&Route| r.domain.eq_ignore_ascii_case(&host) && requested.starts_with(&r.path_start);
             let plain = config.routes.iter().filter(fits).max_by_key(|r| r.path_start.len());
             assert_eq!(
-                routes.lookup(&format!("{host}:8080"), &format!("{asked}?x=/a/")),
+                routes.lookup(&format!("{host}:8080"), &format!("{requested}?x=/a/")),
                 plain,
-                "{host} {asked}"
+                "{host} {requested}"
             );
         }
     }
 }
 
 #[test]
-fn times_are_exact_and_nothing_else_is_one() {
+fn durations_are_exact_and_other_texts_are_rejected() {
     for ms in 0..20_000 {
         let time = Duration::from_millis(ms);
         assert_eq!(coppersail_config::duration(&format!("{ms}ms")), Some(time));
@@ -169,13 +171,16 @@
     "timeLimits": {"peerDelay": "3s", "retryRatio": 0.2, "extraTries": 56, "keepMax": "10000ms", "news": true}}}"#;
 
 #[test]
-fn settings_are_read_and_wrong_ones_named() {
-    let boot = ProcessSettings::from_json(SETTINGS).unwrap();
-    assert_eq!((boot.ip.as_str(), boot.initial_boot, boot.data_folder), ("10.1.0.34", true, None));
-    assert_eq!((boot.public_plain.as_deref(), boot.admin), (Some("10.1.0.34:8548"), None));
-    assert_eq!((boot.spare_ports, boot.survive, boot.ram_mb), ((7540, 7555), 1, 260));
-    assert_eq!((boot.zones["south"].as_str(), boot.heartbeat.as_millis()), ("town", 1300));
-    assert_eq!((boot.limits.retry_ratio, boot.limits.keep_max.as_secs()), (0.2, 10));
+fn settings_are_read_and_errors_name_the_field() {
+    let settings = ProcessSettings::from_json(SETTINGS).unwrap();
+    assert_eq!(
+        (settings.ip.as_str(), settings.initial_boot, settings.data_folder),
+        ("10.1.0.34", true, None)
+    );
+    assert_eq!((settings.public_plain.as_deref(), settings.admin), (Some("10.1.0.34:8548"), None));
+    assert_eq!((settings.spare_ports, settings.survive, settings.ram_mb), ((7540, 7555), 1, 260));
+    assert_eq!((settings.zones["south"].as_str(), settings.heartbeat.as_millis()), ("town", 1300));
+    assert_eq!((settings.limits.retry_ratio, settings.limits.keep_max.as_secs()), (0.2, 10));
     let wrong = [
         ("\"10.1.0.34\"", "\"here\"", "self.ipAddress is \"here\", expected an IP address"),
         ("\"area\"", "\"region\"", "self.area is left out, expected it to be given"),
@@ -207,8 +212,8 @@
         ),
     ];
     for (from, to, line) in wrong {
-        let fault = ProcessSettings::from_json(&SETTINGS.replacen(from, to, 1)).expect_err(to);
-        assert_eq!(fault.to_string(), line);
+        let error = ProcessSettings::from_json(&SETTINGS.replacen(from, to, 1)).expect_err(to);
+        assert_eq!(error.to_string(), line);
     }
-    assert_matches!(ProcessSettings::from_json("{"), Err(fault) if fault.to_string().starts_with("the whole is not JSON"));
+    assert_matches!(ProcessSettings::from_json("{"), Err(error) if error.to_string().starts_with("the whole is not JSON"));
 }
--- a/crates/control-plane/config/tests/reload.rs
+++ b/crates/control-plane/config/tests/reload.rs
@@ -1,3 +1,4 @@
+//! Which settings a running process takes over when they are read again, and which need a restart.
 use coppersail_config::ProcessSettings;
 
 const SETTINGS: &str = r#"{"self": {"nodeName": "centre-1", "ipAddress": "10.1.0.34", "area": "north", "place": "town",
@@ -10,7 +11,7 @@
     "apply": "11s", "revert": "11s", "stretch_time": "11s", "retryRatio": 0.5, "retryWindow": "11s", "extraTries": 7,
     "heal": "11s", "keepMax": "11s", "unfreeze": "11s"}}}"#;
 
-fn boot(changes: &[(&str, &str)]) -> ProcessSettings {
+fn settings(changes: &[(&str, &str)]) -> ProcessSettings {
     let text = changes.iter().fold(SETTINGS.to_string(), |text, (from, to)| {
         assert!(text.contains(from), "{from}");
         text.replace(from, to)
@@ -19,7 +20,7 @@
 }
 
 #[test]
-fn what_can_be_taken_over_is_in_force_and_named() {
+fn reloadable_settings_are_in_force_at_once_and_reported() {
     let changes = [
         ("[\"10.1.0.36:8544\"]", "[\"10.1.0.37:8544\", \"10.1.0.38:8544\"]"),
         ("\"north\": \"town\"", "\"north\": \"town\", \"south\": \"bay\""),
@@ -30,9 +31,9 @@
         ("\"inContact\": \"11s\"", "\"inContact\": \"2s\""),
         ("[\"base\"]", "[\"base\", \"own\"]"),
     ];
-    let reread = coppersail_config::reload(&boot(&[]), boot(&changes));
-    assert_eq!(reread.boot, boot(&changes));
-    assert_eq!(reread.restart, [""; 0]);
+    let reload = coppersail_config::reload(&settings(&[]), settings(&changes));
+    assert_eq!(reload.boot, settings(&changes));
+    assert_eq!(reload.restart, [""; 0]);
     let lines = [
         "self.caps.ramMb: 260, now 512",
         "self.caps.openFiles: 4100, now 9000",
@@ -43,11 +44,11 @@
         r#"terms.promises: ["base"], now ["base", "own"]"#,
         "terms.timeLimits.inContact: 11s, now 2s",
     ];
-    assert_eq!(reread.applied, lines);
+    assert_eq!(reload.applied, lines);
 }
 
 #[test]
-fn what_needs_a_restart_stays_and_is_named() {
+fn settings_that_need_a_restart_stay_and_are_reported() {
     let changes = [
         ("\"10.1.0.34\"", "\"10.1.0.35\""),
         ("\"area\": \"north\"", "\"area\": \"south\""),
@@ -59,9 +60,9 @@
         ("[7540, 7555]", "[7560, 7575]"),
         ("\"centre-1\"", "\"centre-2\""),
     ];
-    let reread = coppersail_config::reload(&boot(&[]), boot(&changes));
-    assert_eq!(reread.boot, boot(&[]));
-    assert_eq!(reread.applied, [""; 0]);
+    let reload = coppersail_config::reload(&settings(&[]), settings(&changes));
+    assert_eq!(reload.boot, settings(&[]));
+    assert_eq!(reload.applied, [""; 0]);
     let lines = [
         r#"self.nodeName: "centre-1", after a restart "centre-2""#,
         r#"self.ipAddress: "10.1.0.34", after a restart "10.1.0.35""#,
@@ -73,24 +74,26 @@
         r#"network.binds.admin: "10.1.0.34:8544", after a restart "10.1.0.34:8545""#,
         "network.sparePorts: (7540, 7555), after a restart (7560, 7575)",
     ];
-    assert_eq!(reread.restart, lines);
+    assert_eq!(reload.restart, lines);
 }
 
 #[test]
-fn what_is_equal_says_nothing_and_only_the_first_reading_says_that_all_is_new() {
-    let reread =
-        coppersail_config::reload(&boot(&[]), boot(&[("\"initialBoot\": true", "\"initialBoot\": false")]));
-    assert_eq!((reread.boot, reread.applied.len(), reread.restart.len()), (boot(&[]), 0, 0));
+fn equal_settings_are_not_reported_and_initial_boot_is_kept() {
+    let reload = coppersail_config::reload(
+        &settings(&[]),
+        settings(&[("\"initialBoot\": true", "\"initialBoot\": false")]),
+    );
+    assert_eq!((reload.boot, reload.applied.len(), reload.restart.len()), (settings(&[]), 0, 0));
 }
 
-/// A field that is added is told of as well, and a long value is cut short.
+/// A field that is added is reported as well, and a long value is truncated.
 #[test]
-fn no_field_is_passed_over() {
+fn every_field_that_differs_is_reported() {
     let bare = r#"{"self": {"ipAddress": "127.0.0.1", "area": "a"}, "network": {"sparePorts": [1, 2]}}"#;
-    let reread = coppersail_config::reload(&boot(&[]), ProcessSettings::from_json(bare).unwrap());
+    let reload = coppersail_config::reload(&settings(&[]), ProcessSettings::from_json(bare).unwrap());
     // All that SETTINGS gives but `initialBoot`: 17 limits and 17 others.
-    assert_eq!(reread.applied.len() + reread.restart.len(), 34, "{reread:#?}");
+    assert_eq!(reload.applied.len() + reload.restart.len(), 34, "{reload:#?}");
     let peers = format!("{:?}", ["10.1.0.36:8544"; 40]);
-    let reread = coppersail_config::reload(&boot(&[]), boot(&[("[\"10.1.0.36:8544\"]", &peers)]));
-    assert!(reread.applied[0].len() < 150, "{}", reread.applied[0]);
+    let reload = coppersail_config::reload(&settings(&[]), settings(&[("[\"10.1.0.36:8544\"]", &peers)]));
+    assert!(reload.applied[0].len() < 150, "{}", reload.applied[0]);
 }
