--- a/crates/control-plane/config/src/checks.rs
+++ b/crates/control-plane/config/src/checks.rs
@@ -15,7 +15,7 @@
     expect(!time.is_zero(), "a time above 0")
 }
 
-pub(crate) fn at_most_one(share: &f64) -> Result<(), &'static str> {
+pub(crate) fn share_limit(share: &f64) -> Result<(), &'static str> {
     expect(*share <= 1.0, "a share of 1 at most")
 }
 
--- a/crates/control-plane/config/src/config/routes.rs
+++ b/crates/control-plane/config/src/config/routes.rs
@@ -47,9 +47,9 @@
 
     fn append(&mut self, domain: &str, route: &Route, ancestors: &mut Vec<u32>) {
         let index = self.routes.len() as u32;
-        let span = self.domains.entry(domain.to_string()).or_insert((index, index));
-        span.1 = index + 1;
-        if span.0 == index {
+        let bounds = self.domains.entry(domain.to_string()).or_insert((index, index));
+        bounds.1 = index + 1;
+        if bounds.0 == index {
             ancestors.clear();
         }
         let is_prefix =
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -1,5 +1,5 @@
 //! A rollout plan: the progressive move of a service's requests to a new version, as an operator submits it.
-use crate::checks::{accept_any, at_most_one, expect, not_blank};
+use crate::checks::{accept_any, expect, not_blank, share_limit};
 use crate::config::{Config, Route};
 use crate::error::FieldError;
 use crate::readers::{list, non_negative, object, optional, text, time, unsigned};
@@ -54,7 +54,7 @@
     /// A step of a rollout.
     pub struct Step {
         /// The share of requests that go to the new version, above 0 and up to 1.
-        share: f64 = "share", non_negative, required(), at_most_one;
+        share: f64 = "share", non_negative, required(), share_limit;
         /// The least duration of the step.
         least: Duration = "least", time, default_to(Duration::from_secs(60)), accept_any;
         /// The least number of answers of the new version in this step.
@@ -68,9 +68,9 @@
     /// How much worse the new version may be than the other in the same seconds.
     pub struct Bounds {
         /// Answers after the latency target, as a share of its requests.
-        late: f64 = "late", non_negative, default_to(0.02), at_most_one;
+        late: f64 = "late", non_negative, default_to(0.02), share_limit;
         /// Failed requests, as a share of its requests.
-        lost: f64 = "lost", non_negative, default_to(0.001), at_most_one;
+        lost: f64 = "lost", non_negative, default_to(0.001), share_limit;
         /// Requests that were run twice, as a number.
         doubled: u64 = "doubled", unsigned, default_to(0), accept_any;
     }
--- a/crates/control-plane/shard-leases/src/candidate.rs
+++ b/crates/control-plane/shard-leases/src/candidate.rs
@@ -50,13 +50,13 @@
     all: &'a [Candidate],
     by_id: BTreeMap<&'a str, usize>,
     /// Every endpoint has had the time for a heartbeat to this leader: one that is not known is gone.
-    settled: bool,
+    all_reported: bool,
 }
 
 impl<'a> CandidateIndex<'a> {
-    pub(crate) fn new(all: &'a [Candidate], settled: bool) -> CandidateIndex<'a> {
+    pub(crate) fn new(all: &'a [Candidate], all_reported: bool) -> CandidateIndex<'a> {
         let by_id = all.iter().enumerate().map(|(index, candidate)| (candidate.id.as_str(), index)).collect();
-        CandidateIndex { all, by_id, settled }
+        CandidateIndex { all, by_id, all_reported }
     }
 
     pub(crate) fn all(&self) -> &'a [Candidate] {
@@ -77,7 +77,7 @@
 
     /// Whether an owner can't be asked to release, as far as is known: unknown owners count only once all have reported.
     pub(crate) fn is_lost(&self, id: &str) -> bool {
-        self.get(id).map_or(self.settled, |candidate| candidate.suspect)
+        self.get(id).map_or(self.all_reported, |candidate| candidate.suspect)
     }
 
     /// Whether no release can be expected from an owner at present.
@@ -87,7 +87,7 @@
 
     /// Whether an owner may still send its first heartbeat to this leader.
     pub(crate) fn may_still_report(&self, id: &str) -> bool {
-        !self.settled && !id.is_empty() && self.index_of(id).is_none()
+        !self.all_reported && !id.is_empty() && self.index_of(id).is_none()
     }
 }
 
--- a/crates/control-plane/shard-leases/src/grant.rs
+++ b/crates/control-plane/shard-leases/src/grant.rs
@@ -1,8 +1,10 @@
-//! Grants: what an endpoint is told in answer to a heartbeat, within the size that it reads.
+//! Grants: what an endpoint gets in answer to a heartbeat, within the size that it reads.
 use crate::lease::SliceLease;
 
 /// An endpoint reads an answer of up to 4 KiB; the difference is for what surrounds the grants.
 pub(crate) const MAX_GRANT_BYTES: usize = 3800;
+/// An endpoint with this much in grants, by estimate, is assigned no more slices.
+pub(crate) const FULL_GRANT_BYTES: usize = MAX_GRANT_BYTES * 9 / 10;
 
 /// Two keys and the punctuation of a grant in an answer.
 const FIXED_GRANT_BYTES: usize = 18;
--- a/crates/control-plane/shard-leases/src/lease.rs
+++ b/crates/control-plane/shard-leases/src/lease.rs
@@ -4,11 +4,11 @@
 /// A time or a duration in milliseconds.
 pub type Ms = u64;
 
-/// The longest time that an owner whose clock runs slow may hold a lease of `duration`, in the time of this node.
+/// The longest time that an owner whose clock runs slow may use a lease of `duration`, in the time of this node.
 ///
 /// An endpoint's clock may run 2% slow, so what it counts as a second lasts up to 1.0205 s here. Half a per cent and 2 ms
 /// are for rounding on both sides. A smaller allowance would let two endpoints own a slice at once.
-pub(crate) fn longest_hold(duration: Ms) -> Ms {
+pub(crate) fn max_lease_time(duration: Ms) -> Ms {
     duration + duration * 25 / 1000 + 2
 }
 
--- a/crates/control-plane/shard-leases/src/rebalance.rs
+++ b/crates/control-plane/shard-leases/src/rebalance.rs
@@ -1,6 +1,6 @@
 //! Rebalancing: which ranges of slices should be transferred to which endpoint.
 use crate::candidate::{rebalancer_holders, Candidate, CandidateIndex};
-use crate::grant::MAX_GRANT_BYTES;
+use crate::grant::FULL_GRANT_BYTES;
 use crate::lease::{Ms, SliceLease, SliceRange};
 use crate::table::{LeaseTable, ServiceLeases};
 use coppersail_rebalancer::{Board, Holder, Move};
@@ -12,15 +12,22 @@
 impl LeaseTable {
     /// Chooses targets by the rebalancer's mechanism; transfers are then made by `renew`, `release` and `expire`.
     ///
-    /// At most `most` ranges are transferred at a time, except for those whose owner is lost or draining, which can't wait.
-    /// `settled`: every endpoint has had the time for a heartbeat to this leader, so that an unknown one is gone.
-    pub fn plan(&mut self, now: Ms, service: &str, hosts: &[Candidate], most: usize, settled: bool) {
+    /// At most `max_transfers` ranges are transferred at a time, except for those whose owner is lost or draining, which can't wait.
+    /// `all_reported`: every endpoint has had the time for a heartbeat to this leader, so that an unknown one is gone.
+    pub fn plan(
+        &mut self,
+        now: Ms,
+        service: &str,
+        endpoints: &[Candidate],
+        max_transfers: usize,
+        all_reported: bool,
+    ) {
         let Some(table) = self.services.get_mut(service) else { return };
-        let candidates = CandidateIndex::new(hosts, settled);
-        table.split_ranges(hosts.len());
+        let candidates = CandidateIndex::new(endpoints, all_reported);
+        table.split_ranges(endpoints.len());
         table.update_targets(&candidates);
-        for next in table.choose_moves(&candidates, most) {
-            if let Some(target) = hosts.get(next.to) {
+        for next in table.choose_moves(&candidates, max_transfers) {
+            if let Some(target) = endpoints.get(next.to) {
                 let range = table.ranges[next.slice];
                 table.set_target(now, range, target, &candidates);
             }
@@ -68,8 +75,8 @@
     fn board(&self, candidates: &CandidateIndex, requests: &[[f64; 1]]) -> Board {
         let mut holders = rebalancer_holders(candidates.all());
         for (candidate, holder) in candidates.all().iter().zip(&mut holders) {
-            // An endpoint with as many leases as an answer has space for is given no more.
-            holder.open &= self.granted_bytes(&candidate.id) < MAX_GRANT_BYTES * 9 / 10;
+            // An endpoint with nearly as many leases as an answer has space for is assigned no more.
+            holder.open &= self.granted_bytes(&candidate.id) < FULL_GRANT_BYTES;
         }
         let unknown = holders.len();
         holders.push(Holder { listed_at: None, open: false, leaving: true, ..Holder::default() });
--- a/crates/control-plane/shard-leases/src/renewal.rs
+++ b/crates/control-plane/shard-leases/src/renewal.rs
@@ -1,6 +1,6 @@
 //! Renewal: what an endpoint is granted in answer to its heartbeat.
 use crate::grant::{GrantList, LeaseGrant};
-use crate::lease::{longest_hold, Ms, OwnerChange, SliceLease};
+use crate::lease::{max_lease_time, Ms, OwnerChange, SliceLease};
 use crate::sizing::slice_keys;
 use crate::table::LeaseTable;
 
@@ -8,18 +8,18 @@
     /// Renews all leases of an endpoint from `now`, and returns them as grants.
     ///
     /// A slice that is to be transferred is left out, which asks the owner to release it, as soon as its target is in
-    /// `back` (its heartbeat is waiting for an answer or due at once), so that the target can be granted the slice right
+    /// `reachable` (its heartbeat is waiting for an answer or due at once), so that the target can be granted the slice right
     /// after the release. Heartbeats come at fixed intervals, so those of two endpoints may never meet; after `patience`
     /// (ms) the slice is left out all the same.
     pub fn renew(
         &mut self,
         now: Ms,
         service: &str,
-        ident: &str,
-        back: &[String],
+        endpoint: &str,
+        reachable: &[String],
         patience: Ms,
     ) -> Vec<LeaseGrant> {
-        let expires_at = now + longest_hold(self.lease_duration());
+        let expires_at = now + max_lease_time(self.lease_duration());
         let Some(table) = self.services.get_mut(service) else { return Vec::new() };
         let width = table.slice_width();
         let mut grants = GrantList::default();
@@ -27,13 +27,13 @@
             let change = OwnerChange { service: service.into(), slice: slice as u32, owner: owner.into() };
             self.owner_changes.push(change);
         };
-        let owned = table.leases.iter_mut().enumerate().filter(|(_, lease)| lease.owner == ident);
+        let owned = table.leases.iter_mut().enumerate().filter(|(_, lease)| lease.owner == endpoint);
         for (slice, lease) in owned {
             let keys = slice_keys(slice, width);
             let extends_last = grants.extends_last(keys.0, lease);
             // What the answer has no space for is not renewed; another endpoint gets it.
             let has_space = extends_last || grants.has_space_for(lease);
-            if (lease.is_transfer_due(now, back, patience) || !has_space) && !lease.release_requested {
+            if (lease.is_transfer_due(now, reachable, patience) || !has_space) && !lease.release_requested {
                 lease.release_requested = true;
                 report(slice, "");
             }
@@ -43,7 +43,7 @@
             lease.expires_at = lease.expires_at.max(expires_at);
             if !lease.granted {
                 lease.granted = true;
-                report(slice, ident);
+                report(slice, endpoint);
             }
             grants.add(keys, lease, extends_last);
         }
--- a/crates/control-plane/shard-leases/src/sizing.rs
+++ b/crates/control-plane/shard-leases/src/sizing.rs
@@ -12,13 +12,13 @@
 const SLICES_PER_RANGE: u32 = 8;
 
 /// How many ranges of slices a service with this many endpoints begins with; a power of two.
-pub fn pieces_for(hosts: usize) -> u32 {
-    (hosts as u32 * RANGES_PER_ENDPOINT).next_power_of_two().clamp(MIN_RANGES, MAX_RANGES)
+pub fn pieces_for(endpoints: usize) -> u32 {
+    (endpoints as u32 * RANGES_PER_ENDPOINT).next_power_of_two().clamp(MIN_RANGES, MAX_RANGES)
 }
 
 /// How many slices a service with this many endpoints has: the finest division that its ranges can be split into.
-pub fn slices_for(hosts: usize) -> u32 {
-    (pieces_for(hosts) * SLICES_PER_RANGE).min(MAX_RANGES)
+pub fn slices_for(endpoints: usize) -> u32 {
+    (pieces_for(endpoints) * SLICES_PER_RANGE).min(MAX_RANGES)
 }
 
 /// How many keys a slice has.
--- a/crates/control-plane/shard-leases/src/table.rs
+++ b/crates/control-plane/shard-leases/src/table.rs
@@ -1,5 +1,5 @@
 //! The lease table: recovery, replicated changes, owner changes for edges, and request counts.
-use crate::lease::{longest_hold, Ms, OwnerChange, SliceLease, SliceRange};
+use crate::lease::{max_lease_time, Ms, OwnerChange, SliceLease, SliceRange};
 use crate::sizing::slice_width;
 use crate::stored::{self, Write};
 use coppersail_rebalancer::Balance;
@@ -42,7 +42,7 @@
     /// The highest fencing token that was ever proposed or read.
     fencing_token: u64,
     pub(crate) services: BTreeMap<String, ServiceLeases>,
-    /// Changes that edges have not been told of.
+    /// Changes that edges have not been sent.
     pub(crate) owner_changes: Vec<OwnerChange>,
 }
 
@@ -67,7 +67,7 @@
         state: impl Iterator<Item = (&'a str, &'a str)>,
     ) -> LeaseTable {
         let mut table = LeaseTable::new(lease_duration);
-        let expires_at = now + longest_hold(lease_duration);
+        let expires_at = now + max_lease_time(lease_duration);
         for (key, value) in state {
             table.load(key, value, expires_at);
         }
@@ -132,12 +132,12 @@
         });
     }
 
-    /// The owner changes since the last call, oldest first; edges have to be told of them.
+    /// The owner changes since the last call, oldest first; they have to be sent to edges.
     pub fn take_owner_changes(&mut self) -> Vec<OwnerChange> {
         std::mem::take(&mut self.owner_changes)
     }
 
-    /// The owners of all slices, for a new leader to tell edges: stored owners count as if the lease were granted.
+    /// The owners of all slices, for a new leader to send to edges: stored owners count as if the lease were granted.
     pub fn all_owners(&self) -> Vec<OwnerChange> {
         let of_service = |(service, table): (&String, &ServiceLeases)| {
             let owner = |(slice, lease): (usize, &SliceLease)| OwnerChange {
--- a/crates/control-plane/shard-leases/src/transfer.rs
+++ b/crates/control-plane/shard-leases/src/transfer.rs
@@ -9,9 +9,9 @@
     /// slice whose target has gone meanwhile is owned by nobody then, until [`LeaseTable::expire`].
     ///
     /// Only slices that the endpoint owns and was asked to release count: it may have got back any other since.
-    pub fn release(&mut self, service: &str, ident: &str, released: &[ReleasedRange]) -> Vec<Write> {
+    pub fn release(&mut self, service: &str, endpoint: &str, released: &[ReleasedRange]) -> Vec<Write> {
         let Some(table) = self.services.get(service) else { return Vec::new() };
-        let changes = released.iter().flat_map(|range| table.changes_by_release(ident, range)).collect();
+        let changes = released.iter().flat_map(|range| table.changes_by_release(endpoint, range)).collect();
         self.propose(service, changes)
     }
 
@@ -30,10 +30,16 @@
     }
 
     /// Whether a slice is being transferred to this endpoint, or about to be, so that it is worth to delay the answer to its
-    /// heartbeat. `soon` says of the current owner whether its own heartbeat is due before that answer has to be sent.
-    pub fn has_pending_transfer(&self, service: &str, ident: &str, soon: impl Fn(&str) -> bool) -> bool {
+    /// heartbeat. `is_heartbeat_due` says of the current owner whether its own heartbeat is due before that answer has to be sent.
+    pub fn has_pending_transfer(
+        &self,
+        service: &str,
+        endpoint: &str,
+        is_heartbeat_due: impl Fn(&str) -> bool,
+    ) -> bool {
         let is_pending = |lease: &SliceLease| {
-            lease.target.as_deref() == Some(ident) && (lease.release_requested || soon(&lease.owner))
+            lease.target.as_deref() == Some(endpoint)
+                && (lease.release_requested || is_heartbeat_due(&lease.owner))
         };
         self.services.get(service).is_some_and(|table| table.leases.iter().any(is_pending))
     }
