--- a/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
@@ -162,7 +162,7 @@
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
-            rows: vec![(0, 0, "i-2".into(), 1)],
+            rows: vec![(0, 0, "i-2".into(), 1).into()],
         }];
         rig.edge.take(Update { assignments: slices, ..Update::default() });
         assert!(rig.edge.ready());
