--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -1,6 +1,6 @@
 //! `council --inspect FOLDER`: what the disk of a stopped centre holds. Opening writes, so it is done on a copy in the
 //! temporary folder.
-use coppersail_control_plane::store::{self, Fault, FolderCondition, RecoveredState};
+use coppersail_control_plane::store::{self, FolderCondition, RecoveredState, StoreError};
 use std::path::Path;
 
 /// Prints one line a fact; the exit status.
@@ -12,16 +12,16 @@
         );
         return 2;
     }
-    match store::read(folder) {
+    match store::read_copy(folder) {
         Ok(found) => {
             lines(&found).iter().for_each(|line| println!("{line}"));
             (found.kept != FolderCondition::Whole) as i32
         }
-        Err(Fault::Torn(why)) => {
+        Err(StoreError::Corrupt(why)) => {
             println!("kept: torn, {why}");
             1
         }
-        Err(Fault::Refused(why)) => {
+        Err(StoreError::Unavailable(why)) => {
             println!("kept: not known, {why}");
             1
         }
--- /dev/null
+++ b/crates/control-plane/server/src/store/contents.rs
@@ -0,0 +1,41 @@
+//! What goes to the disk in one batch, and what is recovered from it.
+use std::collections::BTreeMap;
+
+/// A key and its value, as they are stored.
+pub type KeyValue = (String, String);
+
+/// Changes that become durable together or not at all.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct WriteBatch {
+    /// Entries of the replicated state.
+    pub state: Vec<KeyValue>,
+    /// `state` replaces everything that is stored of the state, as a snapshot does.
+    pub whole: bool,
+    /// Entries that the node keeps about itself: its register as a voter, its terms, its sequence number.
+    pub own: Vec<KeyValue>,
+}
+
+/// How the folder was found when it was opened.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
+pub enum FolderCondition {
+    /// Nothing was ever written here.
+    #[default]
+    Fresh,
+    /// Every acknowledged batch is here.
+    Whole,
+    /// It was corrupt or stale and has been emptied, now or earlier, and was not written since. Nothing of it is left.
+    Lost,
+}
+
+/// What was recovered from the disk.
+#[derive(Debug, Clone, Default, PartialEq)]
+pub struct RecoveredState {
+    /// The replicated state.
+    pub state: BTreeMap<String, String>,
+    /// What the node keeps about itself.
+    pub own: BTreeMap<String, String>,
+    /// How the folder was found.
+    pub kept: FolderCondition,
+    /// The number of the last batch; 0 before the first.
+    pub number: u64,
+}
--- /dev/null
+++ b/crates/control-plane/server/src/store/folder.rs
@@ -0,0 +1,105 @@
+//! The data folder as a directory: its names made durable, its files removed or copied.
+use std::fs::{self, DirEntry, File};
+use std::io;
+use std::path::{Path, PathBuf};
+use std::time::{Duration, Instant, SystemTime};
+
+/// For so long after a directory's modification time was seen to move, it may change again and show the same time:
+/// clocks of file systems move by up to 10 ms at once.
+const MODIFICATION_TIME_GRANULARITY: Duration = Duration::from_millis(20);
+
+/// A directory, and what is known of the last change of its names.
+#[derive(Debug)]
+struct TrackedDirectory {
+    path: PathBuf,
+    modified: Option<SystemTime>,
+    /// When `modified` was seen to move.
+    seen: Instant,
+}
+
+/// Syncs the directories of a data folder after their names have changed.
+///
+/// fjall syncs the directory of each file that it creates, but not the one in which it creates a keyspace's directory,
+/// nor after it removes a file. It creates no directory after it is open, so that the list is made once.
+#[derive(Debug)]
+pub(super) struct DirectorySync {
+    directories: Vec<TrackedDirectory>,
+}
+
+impl DirectorySync {
+    /// All directories below `folder`, and itself; none is synced yet.
+    pub(super) fn new(folder: &Path) -> io::Result<DirectorySync> {
+        let mut directories = Vec::new();
+        track_directories(folder, &mut directories)?;
+        Ok(DirectorySync { directories })
+    }
+
+    /// Syncs each directory whose names may have changed since the last call.
+    pub(super) fn sync_changed(&mut self) -> io::Result<()> {
+        for directory in &mut self.directories {
+            let modified = fs::metadata(&directory.path)?.modified().ok();
+            if modified != directory.modified {
+                directory.modified = modified;
+                directory.seen = Instant::now();
+            } else if directory.seen.elapsed() > MODIFICATION_TIME_GRANULARITY {
+                continue;
+            }
+            sync_directory(&directory.path)?;
+        }
+        Ok(())
+    }
+}
+
+/// Children come before their parent: a parent that is synced first could name a child that is not durable.
+fn track_directories(folder: &Path, found: &mut Vec<TrackedDirectory>) -> io::Result<()> {
+    for entry in fs::read_dir(folder)? {
+        let entry = entry?;
+        if entry.file_type()?.is_dir() {
+            track_directories(&entry.path(), found)?;
+        }
+    }
+    found.push(TrackedDirectory { path: folder.to_path_buf(), modified: None, seen: Instant::now() });
+    Ok(())
+}
+
+/// Makes the names in a directory durable.
+pub(super) fn sync_directory(folder: &Path) -> io::Result<()> {
+    File::open(folder)?.sync_all()
+}
+
+/// Whether nothing is there, or only this file. An entry that can't be read counts as another one.
+pub(super) fn holds_at_most(folder: &Path, file_name: &str) -> io::Result<bool> {
+    let is_other = |entry: io::Result<DirEntry>| entry.map_or(true, |e| e.file_name() != file_name);
+    Ok(!fs::read_dir(folder)?.any(is_other))
+}
+
+/// Removes everything but this file; the removal is durable when this returns.
+pub(super) fn remove_all_except(folder: &Path, file_name: &str) -> io::Result<()> {
+    for entry in fs::read_dir(folder)? {
+        let entry = entry?;
+        if entry.file_name() == file_name {
+            continue;
+        }
+        if entry.file_type()?.is_dir() {
+            fs::remove_dir_all(entry.path())?;
+        } else {
+            fs::remove_file(entry.path())?;
+        }
+    }
+    sync_directory(folder)
+}
+
+/// Copies all files below `from`.
+pub(super) fn copy_recursively(from: &Path, to: &Path) -> io::Result<()> {
+    fs::create_dir_all(to)?;
+    for entry in fs::read_dir(from)? {
+        let entry = entry?;
+        let target = to.join(entry.file_name());
+        if entry.file_type()?.is_dir() {
+            copy_recursively(&entry.path(), &target)?;
+        } else {
+            fs::copy(entry.path(), target)?;
+        }
+    }
+    Ok(())
+}
