--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -1,46 +1,44 @@
-//! `council --inspect FOLDER`: what the disk of a stopped centre holds. Opening writes, so it is done on a copy in the
-//! temporary folder.
+//! `coppersail-control-plane --inspect FOLDER`: what the disk of a stopped node holds.
+use crate::failure::{Failure, UsageError};
 use coppersail_control_plane::store::{self, FolderCondition, RecoveredState, StoreError};
+use coppersail_peer_protocol::ConfigDocument;
 use std::path::Path;
+use std::process::ExitCode;
 
-/// Prints one line a fact; the exit status.
-pub fn run(folder: &Path) -> i32 {
+/// Prints one line a fact. Succeeds if everything that was acknowledged is there.
+pub(crate) fn run(folder: &Path) -> Result<ExitCode, Failure> {
     if !folder.is_dir() {
-        eprintln!(
-            "control-plane! --inspect: {}, expected the data folder of a stopped centre",
-            folder.display()
-        );
-        return 2;
+        return Err(Failure::usage(UsageError::NotADataFolder(folder.to_path_buf())));
     }
     match store::read_copy(folder) {
-        Ok(found) => {
-            lines(&found).iter().for_each(|line| println!("{line}"));
-            (found.kept != FolderCondition::Whole) as i32
-        }
-        Err(StoreError::Corrupt(why)) => {
-            println!("kept: torn, {why}");
-            1
-        }
-        Err(StoreError::Unavailable(why)) => {
-            println!("kept: not known, {why}");
-            1
+        Ok(recovered) => {
+            report_lines(&recovered).iter().for_each(|line| println!("{line}"));
+            if recovered.kept == FolderCondition::Whole {
+                return Ok(ExitCode::SUCCESS);
+            }
         }
+        Err(StoreError::Corrupt(corruption)) => println!("kept: torn, {corruption}"),
+        Err(StoreError::Unavailable(failure)) => println!("kept: not known, {failure}"),
     }
+    Ok(ExitCode::FAILURE)
 }
 
-fn lines(found: &RecoveredState) -> Vec<String> {
-    let kept = match found.kept {
+fn report_lines(recovered: &RecoveredState) -> Vec<String> {
+    let condition = match recovered.kept {
         FolderCondition::Fresh => "fresh, nothing was ever written",
         FolderCondition::Whole => "whole",
         FolderCondition::Lost => "lost, nothing of its batches is left",
     };
-    let bytes: usize = found.state.iter().map(|(name, value)| name.len() + value.len()).sum();
-    let config = found.state.get("config").and_then(|text| serde_json::from_str(text).ok());
-    let revision =
-        config.map_or("none".into(), |c: coppersail_peer_protocol::ConfigDocument| c.revision.to_string());
-    let mut lines = vec![format!("kept: {kept}"), format!("batches: {}", found.number)];
-    lines.extend(found.own.iter().map(|(name, value)| format!("own {name}: {value}")));
-    lines.push(format!("state: {} entries, {bytes} bytes", found.state.len()));
-    lines.push(format!("configuration: revision {revision}"));
+    let bytes: usize = recovered.state.iter().map(|(key, value)| key.len() + value.len()).sum();
+    let mut lines = vec![format!("kept: {condition}"), format!("batches: {}", recovered.number)];
+    lines.extend(recovered.own.iter().map(|(key, value)| format!("own {key}: {value}")));
+    lines.push(format!("state: {} entries, {bytes} bytes", recovered.state.len()));
+    lines.push(format!("configuration: revision {}", config_revision(recovered)));
     lines
 }
+
+fn config_revision(recovered: &RecoveredState) -> String {
+    let config = recovered.state.get("config");
+    let document = config.and_then(|text| serde_json::from_str::<ConfigDocument>(text).ok());
+    document.map_or("none".into(), |document| document.revision.to_string())
+}
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -1,111 +1,155 @@
-//! `coppersail-control-plane`: the program of a centre. Settings: the file that COPPERSAIL_SETTINGS names.
-mod file;
+//! `coppersail-control-plane`: the program of a control-plane node.
+//!
+//! Its settings are in the file that `COPPERSAIL_SETTINGS` names. It reads them again on SIGHUP and when the file has
+//! changed; on SIGTERM it hands over its duties and ends with status 0.
+mod failure;
+mod inspect;
+mod settings_file;
 
-use file::File;
+use coppersail_config::ProcessSettings;
+use coppersail_control_plane::Server;
+use eyre::WrapErr;
+use failure::{Failure, UsageError};
+use settings_file::SettingsFileVersion;
 use signal_hook::consts::{SIGHUP, SIGTERM};
 use signal_hook::iterator::Signals;
 use slog::{Drain, Level, Never, OwnedKVList, Record};
-use std::process::exit;
+use std::path::PathBuf;
+use std::process::{exit, ExitCode};
 use std::sync::mpsc::{channel, Receiver, RecvTimeoutError};
+use std::sync::Arc;
 use std::time::Duration;
 
-mod inspect;
+/// How often the settings file is checked for a change that came without a signal.
+const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+
+/// The status of a process that panicked, as the standard library has it.
+const PANIC_STATUS: i32 = 101;
+
+const SIGNALS_STACK_BYTES: usize = 128 * 1024;
+const SHUTDOWN_STACK_BYTES: usize = 64 * 1024;
 
-/// One line a fact, on standard error, with the prefix of this part.
-struct Lines;
+const HELP: &str = "\
+coppersail-control-plane: a centre of the gateway. COPPERSAIL_SETTINGS names its settings file.
+coppersail-control-plane --inspect FOLDER: what the data folder of a stopped centre holds; 0 if it is whole, else 1.";
 
-impl Drain for Lines {
+/// What the command line asks for.
+enum Command {
+    Serve,
+    Inspect { folder: PathBuf },
+    Help,
+}
+
+/// Log lines on standard error, one a fact, with the prefix of this program.
+struct StderrDrain;
+
+impl Drain for StderrDrain {
     type Ok = ();
     type Err = Never;
 
     fn log(&self, record: &Record, _values: &OwnedKVList) -> Result<(), Never> {
-        let mark =
-            if record.level().is_at_least(Level::Warning) { "control-plane! " } else { "control-plane: " };
-        eprintln!("{mark}{}", record.msg());
+        let is_warning = record.level().is_at_least(Level::Warning);
+        let prefix = if is_warning { "control-plane! " } else { "control-plane: " };
+        eprintln!("{prefix}{}", record.msg());
         Ok(())
     }
 }
 
-/// How soon a settings file is seen that changed without a signal.
-const LOOK: Duration = Duration::from_secs(1);
+fn main() -> ExitCode {
+    let result = match parse_arguments() {
+        Ok(Command::Serve) => serve(),
+        Ok(Command::Inspect { folder }) => inspect::run(&folder),
+        Ok(Command::Help) => {
+            println!("{HELP}");
+            Ok(ExitCode::SUCCESS)
+        }
+        Err(error) => Err(Failure::usage(error)),
+    };
+    result.unwrap_or_else(|failure| failure.print())
+}
 
-/// Signals, from now on. A process without a handler ends by them.
-fn signals() -> std::io::Result<Receiver<i32>> {
-    let mut signals = Signals::new([SIGHUP, SIGTERM])?;
-    let (tell, told) = channel();
-    let run = move || signals.forever().try_for_each(|signal| tell.send(signal)).unwrap_or(());
-    std::thread::Builder::new().name("signals".into()).stack_size(128 * 1024).spawn(run)?;
-    Ok(told)
+fn parse_arguments() -> Result<Command, UsageError> {
+    let mut arguments = lexopt::Parser::from_env();
+    match arguments.next() {
+        Ok(None) => Ok(Command::Serve),
+        Ok(Some(lexopt::Arg::Long("help"))) => Ok(Command::Help),
+        Ok(Some(lexopt::Arg::Long("inspect"))) => parse_inspect(&mut arguments),
+        other => Err(UsageError::UnknownArgument { found: format!("{other:?}") }),
+    }
 }
 
-fn main() {
-    let mut words = lexopt::Parser::from_env();
-    match words.next() {
-        Ok(None) => {}
-        Ok(Some(lexopt::Arg::Long("help"))) => {
-            println!("coppersail-control-plane: a centre of the gateway. COPPERSAIL_SETTINGS names its settings file.");
-            println!("coppersail-control-plane --inspect FOLDER: what the data folder of a stopped centre holds; 0 if it is whole, else 1.");
-            return;
-        }
-        Ok(Some(lexopt::Arg::Long("inspect"))) => match (words.value(), words.next()) {
-            (Ok(folder), Ok(None)) => exit(inspect::run(folder.as_ref())),
-            (Err(_), _) => {
-                eprintln!("control-plane! --inspect: nothing, expected a folder");
-                exit(2);
-            }
-            (_, other) => {
-                eprintln!("control-plane! word: {other:?}, expected none after the folder");
-                exit(2);
-            }
-        },
-        other => {
-            eprintln!("control-plane! word: {other:?}, expected none, --inspect FOLDER or --help");
-            exit(2);
-        }
+fn parse_inspect(arguments: &mut lexopt::Parser) -> Result<Command, UsageError> {
+    let folder = arguments.value().map_err(|_| UsageError::MissingFolder)?;
+    match arguments.next() {
+        Ok(None) => Ok(Command::Inspect { folder: folder.into() }),
+        other => Err(UsageError::UnexpectedAfterFolder { found: format!("{other:?}") }),
     }
-    let told = signals().unwrap_or_else(|e| {
-        eprintln!("control-plane! signals can't be taken: {e}");
-        exit(1)
-    });
-    // Looked at before it is read: what is written meanwhile is seen as a change.
-    let mut file = File::now();
-    let boot = coppersail_config::ProcessSettings::read().unwrap_or_else(|fault| {
-        eprintln!("control-plane! {fault}");
-        exit(2)
-    });
-    // Nothing is mended by going on without one of the threads.
-    let hook = std::panic::take_hook();
+}
+
+/// Runs the node; ends the process on SIGTERM, once the node has handed over its duties.
+fn serve() -> Result<ExitCode, Failure> {
+    let signals = subscribe_to_signals().wrap_err("signals can't be taken").map_err(Failure::runtime)?;
+    // Before it is read, so that a write in between is seen as a change.
+    let settings_version = SettingsFileVersion::current();
+    let settings = ProcessSettings::read().map_err(Failure::usage)?;
+    exit_on_panic();
+    let log = slog::Logger::root(StderrDrain.fuse(), slog::o!());
+    let server = Server::start(&settings, log).map_err(Failure::runtime)?;
+    handle_signals(&server, &signals, settings_version);
+    Ok(ExitCode::FAILURE)
+}
+
+/// Receives signals from now on: one without a handler would end the process.
+fn subscribe_to_signals() -> std::io::Result<Receiver<i32>> {
+    let mut signals = Signals::new([SIGHUP, SIGTERM])?;
+    let (sender, receiver) = channel();
+    let forward = move || signals.forever().try_for_each(|signal| sender.send(signal)).unwrap_or(());
+    std::thread::Builder::new().name("signals".into()).stack_size(SIGNALS_STACK_BYTES).spawn(forward)?;
+    Ok(receiver)
+}
+
+/// A panic of any thread ends the process: the node can't go on without one of them, nor with a state that was left
+/// half changed. The next start recovers from the disk.
+fn exit_on_panic() {
+    let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
-        hook(info);
-        exit(101)
+        default_hook(info);
+        exit(PANIC_STATUS)
     }));
-    let log = slog::Logger::root(Lines.fuse(), slog::o!());
-    let centre = coppersail_control_plane::Server::start(&boot, log).unwrap_or_else(|e| {
-        eprintln!("control-plane! {e:#}");
-        exit(1)
-    });
+}
+
+/// Returns only if the thread that receives signals has ended.
+fn handle_signals(server: &Arc<Server>, signals: &Receiver<i32>, mut settings_version: SettingsFileVersion) {
     loop {
-        match told.recv_timeout(LOOK) {
-            Ok(SIGTERM) => {
-                centre.term();
-                let centre = centre.clone();
-                let leave = move || {
-                    centre.wait_to_leave();
-                    exit(0)
-                };
-                if std::thread::Builder::new().stack_size(64 * 1024).spawn(leave).is_err() {
-                    exit(0)
-                }
-                continue;
+        match signals.recv_timeout(SETTINGS_CHECK_INTERVAL) {
+            Ok(SIGTERM) => shut_down(server),
+            Ok(_) => {
+                settings_version = SettingsFileVersion::current();
+                reload_settings(server);
             }
-            Ok(_) => file = File::now(),
-            Err(RecvTimeoutError::Timeout) if file.changed() => {}
-            Err(RecvTimeoutError::Timeout) => continue,
-            Err(RecvTimeoutError::Disconnected) => exit(1),
-        }
-        match coppersail_config::ProcessSettings::read() {
-            Ok(boot) => centre.reread(boot),
-            Err(fault) => centre.note(&format!("Settings are not taken, nothing changes: {fault}.")),
+            Err(RecvTimeoutError::Timeout) if settings_version.refresh() => reload_settings(server),
+            Err(RecvTimeoutError::Timeout) => {}
+            Err(RecvTimeoutError::Disconnected) => return,
         }
     }
 }
+
+/// Begins a graceful shutdown; signals are handled on meanwhile.
+fn shut_down(server: &Arc<Server>) {
+    server.begin_shutdown();
+    let server = server.clone();
+    let wait_and_exit = move || {
+        server.wait_for_exit();
+        exit(0)
+    };
+    if std::thread::Builder::new().stack_size(SHUTDOWN_STACK_BYTES).spawn(wait_and_exit).is_err() {
+        exit(0)
+    }
+}
+
+fn reload_settings(server: &Arc<Server>) {
+    match ProcessSettings::read() {
+        Ok(settings) => server.change_settings(settings),
+        Err(error) => server.log_info(&format!("Settings are not taken, nothing changes: {error}.")),
+    }
+}
--- a/crates/control-plane/server/src/peer_rpc.rs
+++ b/crates/control-plane/server/src/peer_rpc.rs
@@ -1,84 +1,142 @@
-//! Carries out calls to other centres: a thread with one kept connection for each peer and kind of call, so that a held
-//! poll or a long snapshot holds up nothing else.
+//! Sends requests to other control-plane nodes.
+//!
+//! There is a thread with a queue and one persistent connection for each peer and kind of request, so that a long poll
+//! or a large snapshot holds up nothing else. A queue is bounded by time: a request that has waited in it for as long
+//! as its timeout fails without being sent.
 use crate::node::{PeerRequest, PeerResponse};
 use crate::state::peer_address;
 use coppersail_consensus::{Id, Ms, OperationId, Request};
 use coppersail_peer_client::PeerClient;
 use std::collections::BTreeMap;
 use std::sync::mpsc::{channel, Receiver, Sender};
-use std::sync::{Arc, Mutex};
+use std::sync::{Arc, Mutex, PoisonError};
 use std::time::{Duration, Instant};
 
-/// Takes what came of a call.
-pub type Told = Arc<dyn Fn(OperationId, Option<PeerResponse>) + Send + Sync>;
+const WORKER_STACK_BYTES: usize = 256 * 1024;
 
+const WATCH_PATH: &str = "/follow";
+const CONSENSUS_PATH: &str = "/core";
+
+/// Called on the worker's thread with the response; `None` if the request failed.
+pub(crate) type ResponseHandler = Arc<dyn Fn(OperationId, Option<PeerResponse>) + Send + Sync>;
+
+/// A request to another node.
+pub(crate) struct PeerCall {
+    pub(crate) operation: OperationId,
+    pub(crate) peer: Id,
+    pub(crate) request: PeerRequest,
+    /// For queue and response together, in ms.
+    pub(crate) timeout: Ms,
+}
+
+/// Requests of different kinds do not wait for each other.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Kind {
-    Polls,
-    Witnesses,
-    Copies,
+enum RequestKind {
+    Watch,
+    Voter,
+    ReplicaWrite,
+}
+
+impl RequestKind {
+    fn of(request: &PeerRequest) -> RequestKind {
+        match request {
+            PeerRequest::Watch(_) => RequestKind::Watch,
+            PeerRequest::Consensus(Request::Voter(_)) => RequestKind::Voter,
+            PeerRequest::Consensus(Request::ReplicaWrite(_)) => RequestKind::ReplicaWrite,
+        }
+    }
 }
 
-struct Job {
-    token: OperationId,
-    call: PeerRequest,
-    wait: Ms,
-    since: Instant,
+struct QueuedRequest {
+    operation: OperationId,
+    request: PeerRequest,
+    timeout: Duration,
+    queued_at: Instant,
 }
 
-pub struct PeerRpcWorkers {
+/// The workers of all peers; each starts with the first request for it.
+pub(crate) struct PeerRpcWorkers {
+    /// On which all nodes listen for each other.
     port: u16,
-    lanes: Mutex<BTreeMap<(Id, Kind), Sender<Job>>>,
+    queues: Mutex<BTreeMap<(Id, RequestKind), Sender<QueuedRequest>>>,
 }
 
 impl PeerRpcWorkers {
-    pub fn new(port: u16) -> PeerRpcWorkers {
-        PeerRpcWorkers { port, lanes: Mutex::default() }
+    pub(crate) fn new(port: u16) -> PeerRpcWorkers {
+        PeerRpcWorkers { port, queues: Mutex::default() }
     }
 
-    pub fn send(&self, token: OperationId, to: Id, call: PeerRequest, wait: Ms, told: &Told) {
-        let kind = match &call {
-            PeerRequest::Watch(_) => Kind::Polls,
-            PeerRequest::Consensus(Request::Voter(_)) => Kind::Witnesses,
-            PeerRequest::Consensus(Request::ReplicaWrite(_)) => Kind::Copies,
+    /// Queues a request. `on_response` is called once for it, here if there is no thread to send it.
+    pub(crate) fn send(&self, call: PeerCall, on_response: &ResponseHandler) {
+        let key = (call.peer, RequestKind::of(&call.request));
+        let queued = QueuedRequest {
+            operation: call.operation,
+            request: call.request,
+            timeout: Duration::from_millis(call.timeout),
+            queued_at: Instant::now(),
         };
-        let job = Job { token, call, wait, since: Instant::now() };
-        let mut lanes = self.lanes.lock().unwrap_or_else(|e| e.into_inner());
-        let lane = lanes.entry((to.clone(), kind)).or_insert_with(|| {
-            let ((jobs, todo), told) = (channel(), told.clone());
-            let address = peer_address(&to, self.port);
-            let thread = std::thread::Builder::new().name("lane".into()).stack_size(256 * 1024);
-            // Without a thread the sender's other end is gone, and the call has failed.
-            let _ = thread.spawn(move || run(&address, &todo, &told));
-            jobs
-        });
-        if let Err(failed) = lane.send(job) {
-            lanes.remove(&(to, kind));
-            drop(lanes);
-            told(failed.0.token, None);
+        let mut queues = self.queues.lock().unwrap_or_else(PoisonError::into_inner);
+        let queue = queues
+            .entry(key.clone())
+            .or_insert_with(|| spawn_worker(peer_address(&key.0, self.port), on_response.clone()));
+        if let Err(rejected) = queue.send(queued) {
+            queues.remove(&key);
+            // The handler may send the next request.
+            drop(queues);
+            on_response(rejected.0.operation, None);
         }
     }
 }
 
-fn run(address: &str, todo: &Receiver<Job>, told: &Told) {
-    let mut caller: Option<(Ms, PeerClient)> = None;
-    while let Ok(job) = todo.recv() {
-        let wait = Duration::from_millis(job.wait);
-        // What has waited behind another call for as long as it may take is not sent any more.
-        if job.since.elapsed() >= wait {
-            told(job.token, None);
-            continue;
-        }
-        if caller.as_ref().is_none_or(|(for_wait, _)| *for_wait != job.wait) {
-            caller = Some((job.wait, PeerClient::new(wait / 2, wait)));
+/// The queue of a new worker. If its thread can't be started, the queue is closed and the first request fails.
+fn spawn_worker(address: String, on_response: ResponseHandler) -> Sender<QueuedRequest> {
+    let (sender, receiver) = channel();
+    let thread = std::thread::Builder::new().name("peer-rpc".into()).stack_size(WORKER_STACK_BYTES);
+    let _ = thread.spawn(move || Worker { address, connection: None }.run(&receiver, &on_response));
+    sender
+}
+
+/// A client with its persistent connection; the timeouts are the client's.
+struct Connection {
+    timeout: Duration,
+    client: PeerClient,
+}
+
+struct Worker {
+    address: String,
+    connection: Option<Connection>,
+}
+
+impl Worker {
+    fn run(mut self, queue: &Receiver<QueuedRequest>, on_response: &ResponseHandler) {
+        while let Ok(queued) = queue.recv() {
+            let is_expired = queued.queued_at.elapsed() >= queued.timeout;
+            let response = if is_expired { None } else { self.send(&queued) };
+            on_response(queued.operation, response);
         }
-        let Some((_, to)) = &caller else { continue };
-        let say = match &job.call {
-            PeerRequest::Watch(follow) => {
-                to.post(address, "/follow", follow).map(|n| PeerResponse::Update(Box::new(n)))
+    }
+
+    fn send(&mut self, queued: &QueuedRequest) -> Option<PeerResponse> {
+        let address = self.address.clone();
+        let client = self.client(queued.timeout);
+        let response = match &queued.request {
+            PeerRequest::Watch(watch) => {
+                client.post(&address, WATCH_PATH, watch).map(|update| PeerResponse::Update(Box::new(update)))
+            }
+            PeerRequest::Consensus(request) => {
+                client.post(&address, CONSENSUS_PATH, request).map(PeerResponse::Consensus)
             }
-            PeerRequest::Consensus(call) => to.post(address, "/core", call).map(PeerResponse::Consensus),
         };
-        told(job.token, say.ok());
+        response.ok()
+    }
+
+    /// The client for this timeout; another timeout costs a new connection.
+    fn client(&mut self, timeout: Duration) -> &PeerClient {
+        let connection = self
+            .connection
+            .take()
+            .filter(|connection| connection.timeout == timeout)
+            .unwrap_or_else(|| Connection { timeout, client: PeerClient::new(timeout / 2, timeout) });
+        &self.connection.insert(connection).client
     }
 }
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,124 +1,168 @@
-//! One handler for each resource: what hosts and operators call on `admin`, and what directors call among themselves.
+//! One handler for each HTTP resource: what hosts and operators request on the admin address, and what nodes and edge
+//! proxies request on the peer address.
 use crate::admin::one_line;
 use crate::node::{AdminRequest, PeerRequest};
 use coppersail_peer_protocol::WatchRequest;
 use std::io::Read;
+use thiserror::Error;
 use tiny_http::{Method, Request};
 
-/// A call, as the centre takes it.
-pub enum ParsedRequest {
+/// The longest body that is read, in bytes: no configuration is longer.
+const MAX_BODY_BYTES: u64 = 16 << 20;
+
+/// A request, as the node takes it.
+pub(crate) enum ParsedRequest {
     Admin(AdminRequest),
     Peer(PeerRequest),
 }
 
-pub trait Resource: Send + Sync {
-    /// The part of the path that it is about, if the call is for it.
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str>;
-    /// What can't be read is refused with a line.
-    fn read(&self, method: &Method, part: &str, body: String) -> Result<ParsedRequest, String>;
+/// Why a request is refused before the node sees it.
+#[derive(Debug, Error)]
+pub(crate) enum RequestError {
+    #[error("nothing here")]
+    UnknownResource,
+    /// It ended before its Content-Length, is longer than allowed, or is no UTF-8.
+    #[error("the body was cut short")]
+    IncompleteBody,
+    #[error("not a poll")]
+    InvalidWatch(#[source] serde_json::Error),
+    #[error(transparent)]
+    InvalidConsensusRequest(serde_json::Error),
+}
+
+impl RequestError {
+    pub(crate) fn status(&self) -> u16 {
+        match self {
+            RequestError::UnknownResource => 404,
+            _ => 400,
+        }
+    }
+
+    /// `{"why": ...}`
+    pub(crate) fn body(&self) -> String {
+        one_line(self)
+    }
+}
+
+/// A resource, or several that belong together.
+pub(crate) trait Resource: Send + Sync {
+    /// The part of the path that names what the request is about, if the request is for this resource.
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str>;
+
+    /// Parses a request for this resource; `parameter` is what [`Resource::matches`] found.
+    fn parse(&self, method: &Method, parameter: &str, body: String) -> Result<ParsedRequest, RequestError>;
+}
+
+/// What hosts and operators use.
+pub(crate) fn of_admin() -> Vec<Box<dyn Resource>> {
+    vec![Box::new(Heartbeats), Box::new(SignOffs), Box::new(Configurations), Box::new(Rollouts)]
+}
+
+/// What edge proxies and other nodes use.
+pub(crate) fn of_peers() -> Vec<Box<dyn Resource>> {
+    vec![Box::new(Watches), Box::new(ConsensusRequests)]
 }
 
-/// Reads the body, as much as it says, and no more than a configuration may have.
-pub fn read(request: &mut Request) -> Option<String> {
+/// Reads the body up to its Content-Length.
+pub(crate) fn read_body(request: &mut Request) -> Result<String, RequestError> {
     let mut body = String::new();
-    let most = 16 << 20;
-    request.as_reader().take(most).read_to_string(&mut body).ok()?;
-    request.body_length().is_none_or(|n| n == body.len()).then_some(body)
+    let mut reader = request.as_reader().take(MAX_BODY_BYTES);
+    reader.read_to_string(&mut body).map_err(|_| RequestError::IncompleteBody)?;
+    let is_complete = request.body_length().is_none_or(|length| length == body.len());
+    is_complete.then_some(body).ok_or(RequestError::IncompleteBody)
 }
 
-fn host<'a>(method: &Method, path: &'a str, end: &str) -> Option<&'a str> {
-    let ident = path.strip_prefix("/servers/")?.strip_suffix(end)?;
-    (*method == Method::Post && !ident.is_empty()).then_some(ident)
+/// The id in `POST /servers/ID` with this suffix.
+fn endpoint_id<'a>(method: &Method, path: &'a str, suffix: &str) -> Option<&'a str> {
+    let id = path.strip_prefix("/servers/")?.strip_suffix(suffix)?;
+    (*method == Method::Post && !id.is_empty()).then_some(id)
 }
 
 /// `POST /servers/ID/pulse`
-pub struct Pulses;
+struct Heartbeats;
 
-impl Resource for Pulses {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
-        host(method, path, "/pulse")
+impl Resource for Heartbeats {
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+        endpoint_id(method, path, "/pulse")
     }
 
-    fn read(&self, _method: &Method, ident: &str, body: String) -> Result<ParsedRequest, String> {
-        Ok(ParsedRequest::Admin(AdminRequest::Heartbeat { ident: ident.into(), body }))
+    fn parse(&self, _method: &Method, id: &str, body: String) -> Result<ParsedRequest, RequestError> {
+        Ok(ParsedRequest::Admin(AdminRequest::Heartbeat { ident: id.into(), body }))
     }
 }
 
 /// `POST /servers/ID/sign-off`
-pub struct SignOffs;
+struct SignOffs;
 
 impl Resource for SignOffs {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
-        host(method, path, "/sign-off")
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+        endpoint_id(method, path, "/sign-off")
     }
 
-    fn read(&self, _method: &Method, ident: &str, _body: String) -> Result<ParsedRequest, String> {
-        Ok(ParsedRequest::Admin(AdminRequest::SignOff { ident: ident.into() }))
+    fn parse(&self, _method: &Method, id: &str, _body: String) -> Result<ParsedRequest, RequestError> {
+        Ok(ParsedRequest::Admin(AdminRequest::SignOff { ident: id.into() }))
     }
 }
 
 /// `POST /settings/replace` and `GET /settings/read`
-pub struct Configurations;
+struct Configurations;
 
 impl Resource for Configurations {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
         match (method, path) {
             (Method::Post, "/settings/replace") | (Method::Get, "/settings/read") => Some(path),
             _ => None,
         }
     }
 
-    fn read(&self, method: &Method, _path: &str, body: String) -> Result<ParsedRequest, String> {
-        let replace = *method == Method::Post;
-        Ok(ParsedRequest::Admin(if replace {
-            AdminRequest::ReplaceConfig { body }
-        } else {
-            AdminRequest::ReadConfig
+    fn parse(&self, method: &Method, _path: &str, body: String) -> Result<ParsedRequest, RequestError> {
+        Ok(ParsedRequest::Admin(match method {
+            Method::Post => AdminRequest::ReplaceConfig { body },
+            _ => AdminRequest::ReadConfig,
         }))
     }
 }
 
 /// `POST /rollouts/NAME`, `POST /rollouts/NAME/ORDER`, `GET /rollouts/NAME`, `GET /rollouts`
-pub struct Plans;
+struct Rollouts;
 
-impl Resource for Plans {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+impl Resource for Rollouts {
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
         let rest = path.strip_prefix("/rollouts")?;
-        let whole = rest.is_empty() || rest.starts_with('/');
-        (whole && matches!(method, Method::Get | Method::Post)).then_some(rest)
+        let is_segment = rest.is_empty() || rest.starts_with('/');
+        (is_segment && matches!(method, Method::Get | Method::Post)).then_some(rest)
     }
 
-    fn read(&self, method: &Method, rest: &str, body: String) -> Result<ParsedRequest, String> {
+    fn parse(&self, method: &Method, rest: &str, body: String) -> Result<ParsedRequest, RequestError> {
         let post = *method == Method::Post;
         Ok(ParsedRequest::Admin(AdminRequest::Rollouts { post, rest: rest.into(), body }))
     }
 }
 
-/// `POST /follow`: edges, and other centres.
-pub struct Follows;
+/// `POST /follow`: the change feed, for edge proxies and other nodes.
+struct Watches;
 
-impl Resource for Follows {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+impl Resource for Watches {
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
         (*method == Method::Post && path == "/follow").then_some(path)
     }
 
-    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<ParsedRequest, String> {
-        let follow = serde_json::from_str::<WatchRequest>(&body).map_err(|_| one_line("not a poll"))?;
-        Ok(ParsedRequest::Peer(PeerRequest::Watch(Box::new(follow))))
+    fn parse(&self, _method: &Method, _path: &str, body: String) -> Result<ParsedRequest, RequestError> {
+        let watch = serde_json::from_str::<WatchRequest>(&body).map_err(RequestError::InvalidWatch)?;
+        Ok(ParsedRequest::Peer(PeerRequest::Watch(Box::new(watch))))
     }
 }
 
-/// `POST /core`: calls to a witness, and a primary's writes to its backup.
-pub struct Cores;
+/// `POST /core`: a candidate's or leader's requests to a voter, and its writes to a replica.
+struct ConsensusRequests;
 
-impl Resource for Cores {
-    fn takes<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
+impl Resource for ConsensusRequests {
+    fn matches<'a>(&self, method: &Method, path: &'a str) -> Option<&'a str> {
         (*method == Method::Post && path == "/core").then_some(path)
     }
 
-    fn read(&self, _method: &Method, _part: &str, body: String) -> Result<ParsedRequest, String> {
-        serde_json::from_str(&body)
-            .map(|call| ParsedRequest::Peer(PeerRequest::Consensus(call)))
-            .map_err(one_line)
+    fn parse(&self, _method: &Method, _path: &str, body: String) -> Result<ParsedRequest, RequestError> {
+        let request = serde_json::from_str(&body).map_err(RequestError::InvalidConsensusRequest)?;
+        Ok(ParsedRequest::Peer(PeerRequest::Consensus(request)))
     }
 }
--- /dev/null
+++ b/crates/control-plane/server/src/server.rs
@@ -0,0 +1,235 @@
+//! The adapter around [`Node`]: threads, sockets, the disk and the clock.
+//!
+//! An event goes to the node under its lock, with the time; the effects that come out are carried out here. Nothing is
+//! decided in this module.
+use crate::listener::{BindError, Listener, RequestHandler};
+use crate::node::{Effect, Event, Node, PeerResponse, Startup};
+use crate::peer_rpc::{PeerCall, PeerRpcWorkers, ResponseHandler};
+use crate::resources::{self, ParsedRequest};
+use crate::response_writer;
+use crate::store::{DiskWriter, RecoveredState, WriteBatch};
+use coppersail_config::ProcessSettings;
+use coppersail_consensus::{Ms, OperationId, RequestId};
+use slab::Slab;
+use std::io;
+use std::path::Path;
+use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
+use std::time::{Duration, Instant};
+use tiny_http::Request;
+
+/// How often the node is given the time.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+
+const TICK_STACK_BYTES: usize = 512 * 1024;
+
+/// Integers below this are exact in every JSON reader.
+const MAX_INCARNATION: u64 = 1 << 53;
+
+/// The first instant of the node's clock, in ms: 0 stands for never.
+const CLOCK_START: Ms = 1;
+
+/// Why a node can't be started.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The settings name no folder for its data.
+    #[error("self.dataFolder: null, expected a folder")]
+    NoDataFolder,
+    /// The settings name no address for hosts and operators.
+    #[error("network.binds.admin: missing, expected an address")]
+    NoAdminAddress,
+    /// An address can't be listened on.
+    #[error(transparent)]
+    Bind(#[from] BindError),
+    /// A thread can't be started.
+    #[error(transparent)]
+    Thread(#[from] io::Error),
+}
+
+/// A running control-plane node.
+pub struct Server {
+    node: Mutex<Node>,
+    /// Requests that the node has not answered yet; the index is the request's id.
+    pending_requests: Mutex<Slab<Request>>,
+    disk_writer: DiskWriter,
+    peer_workers: PeerRpcWorkers,
+    started: Instant,
+    log: slog::Logger,
+    exit: ExitFlag,
+}
+
+/// Set once the node has handed over its duties.
+#[derive(Default)]
+struct ExitFlag {
+    is_set: Mutex<bool>,
+    changed: Condvar,
+}
+
+impl ExitFlag {
+    fn set(&self) {
+        *lock(&self.is_set) = true;
+        self.changed.notify_all();
+    }
+
+    fn wait(&self) {
+        let is_set = lock(&self.is_set);
+        let wait = self.changed.wait_while(is_set, |is_set| !*is_set);
+        drop(wait.unwrap_or_else(PoisonError::into_inner));
+    }
+}
+
+/// A poisoned lock is never used: a thread that panics ends the process, see `main`.
+fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
+    mutex.lock().unwrap_or_else(PoisonError::into_inner)
+}
+
+impl Server {
+    /// Recovers the node from its disk, however long that takes, and starts its threads and listeners.
+    ///
+    /// # Errors
+    /// See [`StartError`]. Threads that were started before stay: the process is to end.
+    pub fn start(settings: &ProcessSettings, log: slog::Logger) -> Result<Arc<Server>, StartError> {
+        let data_folder = settings.data_folder.as_ref().ok_or(StartError::NoDataFolder)?;
+        let admin_address = settings.admin.as_ref().ok_or(StartError::NoAdminAddress)?;
+        let log_warning = |text: &str| slog::warn!(log, "{text}");
+        let (disk_writer, recovered) = DiskWriter::start(Path::new(data_folder), log_warning)?;
+        let server = Server::recover(settings, recovered, disk_writer, log);
+        server.spawn_ticks()?;
+        let peer_address = format!("{}:{}", settings.ip, settings.spare_ports.0);
+        Listener::bind(&peer_address, resources::of_peers(), server.request_handler())?.spawn()?;
+        Listener::bind(admin_address, resources::of_admin(), server.request_handler())?.spawn()?;
+        Ok(server)
+    }
+
+    /// Starts the node's state machine and carries out its first effects.
+    fn recover(
+        settings: &ProcessSettings,
+        recovered: RecoveredState,
+        disk_writer: DiskWriter,
+        log: slog::Logger,
+    ) -> Arc<Server> {
+        let started = Instant::now();
+        let new_incarnation = fastrand::u64(1..MAX_INCARNATION);
+        let startup = Startup { settings: settings.clone(), recovered, new_incarnation };
+        let (node, effects) = Node::start(CLOCK_START, startup);
+        let server = Arc::new(Server {
+            node: Mutex::new(node),
+            pending_requests: Mutex::default(),
+            disk_writer,
+            peer_workers: PeerRpcWorkers::new(settings.spare_ports.0),
+            started,
+            log,
+            exit: ExitFlag::default(),
+        });
+        server.carry_out_all(lock(&server.node), effects);
+        server
+    }
+
+    fn spawn_ticks(self: &Arc<Self>) -> io::Result<()> {
+        let server = self.clone();
+        let tick = move || loop {
+            std::thread::sleep(TICK_INTERVAL);
+            server.submit(Event::Tick);
+        };
+        std::thread::Builder::new().name("tick".into()).stack_size(TICK_STACK_BYTES).spawn(tick)?;
+        Ok(())
+    }
+
+    fn request_handler(self: &Arc<Self>) -> RequestHandler {
+        let server = self.clone();
+        Arc::new(move |request, parsed| server.submit_request(request, parsed))
+    }
+
+    /// The response is written when the node answers, by the request's id.
+    fn submit_request(self: &Arc<Self>, request: Request, parsed: ParsedRequest) {
+        let request_id = lock(&self.pending_requests).insert(request) as RequestId;
+        self.submit(match parsed {
+            ParsedRequest::Admin(request) => Event::Admin { request_id, request },
+            ParsedRequest::Peer(call) => Event::Peer { caller: request_id, call },
+        });
+    }
+
+    fn submit(self: &Arc<Self>, event: Event) {
+        let mut node = lock(&self.node);
+        let now = self.now();
+        let mut effects = Vec::new();
+        node.step(now, event, &mut effects);
+        self.carry_out_all(node, effects);
+    }
+
+    /// Since the start, in ms.
+    fn now(&self) -> Ms {
+        self.started.elapsed().as_millis() as Ms + CLOCK_START
+    }
+
+    /// Writes are queued under the node's lock, as the disk must have them in the order in which they were decided;
+    /// everything else needs no order, and may block.
+    fn carry_out_all(self: &Arc<Self>, node: MutexGuard<'_, Node>, effects: Vec<Effect>) {
+        let (writes, others): (Vec<Effect>, Vec<Effect>) =
+            effects.into_iter().partition(|effect| matches!(effect, Effect::Persist { .. }));
+        writes.into_iter().for_each(|write| self.carry_out(write));
+        drop(node);
+        others.into_iter().for_each(|effect| self.carry_out(effect));
+    }
+
+    fn carry_out(self: &Arc<Self>, effect: Effect) {
+        match effect {
+            Effect::Persist { token, write } => self.persist(token, write),
+            Effect::RespondToAdmin { caller, status, body } => self.respond(caller, status, body),
+            Effect::RespondToPeer { caller, response } => self.respond_to_peer(caller, &response),
+            Effect::SendToPeer { token, peer, call, timeout } => {
+                let call = PeerCall { operation: token, peer, request: call, timeout };
+                self.peer_workers.send(call, &self.response_handler());
+            }
+            Effect::Log(line) => self.log_info(&line),
+            Effect::Exit => self.exit.set(),
+        }
+    }
+
+    fn persist(self: &Arc<Self>, operation: OperationId, batch: WriteBatch) {
+        let server = self.clone();
+        let on_complete = move |ok| server.submit(Event::WriteFinished { token: operation, ok });
+        self.disk_writer.write(batch, Box::new(on_complete));
+    }
+
+    fn response_handler(self: &Arc<Self>) -> ResponseHandler {
+        let server = self.clone();
+        Arc::new(move |operation_id, response| {
+            server.submit(Event::PeerResponded { operation_id, response });
+        })
+    }
+
+    fn respond_to_peer(&self, request_id: RequestId, response: &PeerResponse) {
+        let body = match response {
+            PeerResponse::Update(update) => serde_json::to_string(update),
+            PeerResponse::Consensus(response) => serde_json::to_string(response),
+        };
+        self.respond(request_id, 200, body.unwrap_or_default());
+    }
+
+    fn respond(&self, request_id: RequestId, status: u16, body: String) {
+        let request = lock(&self.pending_requests).try_remove(request_id as usize);
+        if let Some(request) = request {
+            response_writer::respond(request, status, body);
+        }
+    }
+
+    /// Logs a line that is no warning.
+    pub fn log_info(&self, line: &str) {
+        slog::info!(self.log, "{line}");
+    }
+
+    /// Takes over settings that were read again, as far as they may change in a running process.
+    pub fn change_settings(self: &Arc<Self>, settings: ProcessSettings) {
+        self.submit(Event::SettingsChanged(Box::new(settings)));
+    }
+
+    /// Begins a graceful shutdown: the node hands over its duties.
+    pub fn begin_shutdown(self: &Arc<Self>) {
+        self.submit(Event::Shutdown);
+    }
+
+    /// Blocks until a graceful shutdown is complete.
+    pub fn wait_for_exit(&self) {
+        self.exit.wait();
+    }
+}
