--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -1,4 +1,4 @@
-//! Three real centres on loopback, killed and wiped.
+//! Three real control-plane nodes on loopback, killed and wiped.
 mod common;
 
 use common::{settings, Core};
@@ -7,16 +7,16 @@
 use std::time::{Duration, Instant};
 
 #[test]
-fn an_acknowledged_configuration_is_on_two_disks_and_outlives_any_one_of_them() {
+fn an_acknowledged_configuration_survives_the_loss_of_any_one_disk() {
     for lost in 0..3 {
         let mut core = Core::start(lost as u8);
         assert_eq!(core.replace(5, "/five/"), 200);
         (0..3).for_each(|n| core.kill(n));
-        let on = |n: &usize| {
+        let is_stored = |n: &usize| {
             let found = coppersail_control_plane::store::read_copy(&core.data(*n)).unwrap();
             found.state.get("config").is_some_and(|c| c.contains("/five/"))
         };
-        assert!((0..3).filter(on).count() >= 2, "acknowledged with one disk only");
+        assert!((0..3).filter(is_stored).count() >= 2, "acknowledged with one disk only");
         std::fs::remove_dir_all(core.data(lost)).unwrap();
         (0..3).for_each(|n| core.run(n, false));
         assert_eq!(core.read(), settings(5, "/five/"), "disk {lost} lost after the acknowledgement");
@@ -25,40 +25,40 @@
 }
 
 #[test]
-fn a_torn_folder_is_no_first_start_whatever_the_settings_say() {
+fn a_corrupt_folder_does_not_bootstrap_whatever_the_settings_say() {
     let mut core = Core::start(14);
-    core.up();
+    core.wait_until_ready();
     (0..3).for_each(|n| core.kill(n));
     let journal = std::fs::File::options().write(true).open(core.data(0).join("0.jnl")).unwrap();
     journal.set_len(0).unwrap();
     core.run(0, true);
-    core.up();
+    core.wait_until_ready();
     core.kill(0);
     let found = coppersail_control_plane::store::read_copy(&core.data(0)).unwrap();
-    let held: coppersail_consensus::VoterState = serde_json::from_str(&found.own["witness"]).unwrap();
-    let floor: coppersail_consensus::Term = serde_json::from_str(&found.own["floor"]).unwrap();
+    let voter: coppersail_consensus::VoterState = serde_json::from_str(&found.own["witness"]).unwrap();
+    let last_durable_term: coppersail_consensus::Term = serde_json::from_str(&found.own["floor"]).unwrap();
     let nothing = (
         coppersail_consensus::Term::default(),
         coppersail_consensus::Term::default(),
         coppersail_consensus::LeadershipRecord::default(),
     );
     assert_eq!(
-        (floor, held.promised, held.record),
+        (last_durable_term, voter.promised, voter.record),
         nothing,
-        "it made itself a witness of the first three again"
+        "it made itself one of the first voters again"
     );
-    assert!(held.incarnation > 0, "it has the life of the disk that was torn");
+    assert!(voter.incarnation > 0, "it has the incarnation of the corrupt disk");
 }
 
 #[test]
-fn versions_in_any_order_leave_the_highest_also_after_a_takeover() {
+fn revisions_out_of_order_leave_the_highest_also_after_a_failover() {
     let mut core = Core::start(10);
     assert_eq!(core.replace(7, "/seven/"), 200);
     assert_eq!(core.replace(4, "/four/"), 200, "an older one is acknowledged");
     assert_eq!(core.replace(7, "/seven/"), 200, "the same again is acknowledged");
     assert_eq!(core.replace(7, "/other/"), 409, "another content has that number");
     assert_eq!(core.read(), settings(7, "/seven/"));
-    // The first of the seats is the first primary.
+    // The first member is the first leader.
     core.kill(0);
     assert_eq!(core.replace(6, "/six/"), 200);
     assert_eq!(core.read(), settings(7, "/seven/"));
@@ -69,16 +69,16 @@
 }
 
 #[test]
-fn what_is_invalid_is_refused_and_in_force_nowhere() {
+fn an_invalid_configuration_is_rejected_and_applied_nowhere() {
     let core = Core::start(11);
     assert_eq!(core.replace(1, "/one/"), 200);
-    let whole = settings(2, "/two/").to_string();
-    let mut bad: Vec<String> = (1..whole.len()).step_by(37).map(|n| whole[..n].to_string()).collect();
-    bad.push(whole.replace(r#""s"]]"#, r#""nobody"]]"#));
-    bad.push(whole.replace("1000ms", "601s"));
-    bad.push(whole.replace("400ms", "62s"));
-    bad.push(whole.replace("d.example", ""));
-    for text in bad {
+    let valid = settings(2, "/two/").to_string();
+    let mut invalid: Vec<String> = (1..valid.len()).step_by(37).map(|n| valid[..n].to_string()).collect();
+    invalid.push(valid.replace(r#""s"]]"#, r#""nobody"]]"#));
+    invalid.push(valid.replace("1000ms", "601s"));
+    invalid.push(valid.replace("400ms", "62s"));
+    invalid.push(valid.replace("d.example", ""));
+    for text in invalid {
         let (status, why) = core.order("POST", "/settings/replace", &text);
         assert!((400..500).contains(&status) && !why.contains('\n'), "{status} {why}: {text}");
     }
@@ -86,24 +86,25 @@
 }
 
 #[test]
-fn a_host_that_leaves_is_known_before_it_is_told_and_late_calls_change_nothing() {
+fn draining_is_known_everywhere_before_its_acknowledgement_and_late_heartbeats_change_nothing() {
     let core = Core::start(12);
     assert_eq!(core.replace(1, "/one/"), 200);
-    let beat = |stage: &str, calls: u64| {
+    let heartbeat = |stage: &str, calls: u64| {
         let body = json!({"backend": "s", "address": "127.0.0.1:9", "area": "a", "capacity": 2, "stage": stage, "callCount": calls});
         core.order("POST", "/servers/i-1/pulse", &body.to_string()).0
     };
-    assert_eq!((beat("ready", 3), beat("emptying", 5), beat("ready", 4)), (200, 200, 200));
+    assert_eq!((heartbeat("ready", 3), heartbeat("emptying", 5), heartbeat("ready", 4)), (200, 200, 200));
     for ip in &core.ips {
-        let follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        let news: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
-        let host = news.endpoints.iter().find(|h| h.id == "i-1").expect("every centre knows it");
-        assert_eq!(host.state, coppersail_peer_protocol::EndpointState::Draining);
+        let watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        let update: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
+        let endpoint =
+            update.endpoints.iter().find(|endpoint| endpoint.id == "i-1").expect("every node knows it");
+        assert_eq!(endpoint.state, coppersail_peer_protocol::EndpointState::Draining);
     }
 }
 
 #[test]
-fn a_plan_outlives_its_primary_and_one_doubled_booking_told_anywhere_pauses_it() {
+fn a_rollout_survives_its_leader_and_one_duplicated_request_reported_anywhere_withdraws_it() {
     let mut core = Core::start(13);
     assert_eq!(core.replace(1, "/one/"), 200);
     let plan =
@@ -127,15 +128,15 @@
     row.new.all[coppersail_rollout::OutcomeKind::Doubled as usize] = 1;
     let report =
         coppersail_rollout::EvidenceReport { edge: "e".into(), rows: vec![row], ..Default::default() };
-    // To both that are left: one of them is not primary and passes it on; taken twice, it counts once.
+    // To both that are left: one of them is a follower and forwards it; received twice, it counts once.
     for ip in &core.ips[1..] {
-        let follow = WatchRequest {
+        let watch = WatchRequest {
             edge: "e".into(),
             rollout_reports: vec![report.clone()],
             ..WatchRequest::default()
         };
-        let news: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &follow).unwrap();
-        assert!(news.rollouts_as_of.is_some_and(|seen| seen.age_ms < 5_000), "{:?}", news.rollouts_as_of);
+        let update: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
+        assert!(update.rollouts_as_of.is_some_and(|seen| seen.age_ms < 5_000), "{:?}", update.rollouts_as_of);
     }
     let end = Instant::now() + Duration::from_secs(20);
     while read()["phase"] != "withdrawn" {
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -1,6 +1,8 @@
-//! Three real centres on loopback, seen from outside. Waits are polls that a centre holds, with an end.
+//! Three real control-plane nodes on loopback, seen from outside. Waits are long polls, with a deadline.
 #![allow(dead_code)]
 
+pub(crate) mod batches;
+
 use coppersail_peer_client::PeerClient;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use serde_json::{json, Value};
@@ -9,11 +11,12 @@
 use std::process::{Child, Command};
 use std::time::{Duration, Instant};
 
-pub struct Core {
-    pub ips: Vec<String>,
+/// Three processes with their data folders, settings files and logs.
+pub(crate) struct Core {
+    pub(crate) ips: Vec<String>,
     folder: PathBuf,
-    pub children: Vec<Option<Child>>,
-    pub caller: PeerClient,
+    pub(crate) children: Vec<Option<Child>>,
+    pub(crate) caller: PeerClient,
 }
 
 impl Drop for Core {
@@ -24,62 +27,62 @@
 }
 
 impl Core {
-    pub fn start(test: u8) -> Core {
+    pub(crate) fn start(test: u8) -> Core {
         let net = std::process::id() % 200 + 20;
         let ips = (1..4).map(|n| format!("127.{net}.{test}.{n}")).collect();
         let folder = std::env::temp_dir().join(format!("council-{}-{test}", std::process::id()));
         let caller = PeerClient::new(Duration::from_millis(300), Duration::from_millis(1500));
         let mut core = Core { ips, folder, children: vec![None, None, None], caller };
         (0..3).for_each(|n| core.run(n, true));
-        // Who is killed before its first write has lost its disk, and two such are more than may be lost.
-        (0..3).for_each(|n| core.up_at(n));
+        // A node that is killed before its first write has lost its disk, and two of them are more than may be lost.
+        (0..3).for_each(|n| core.wait_until_node_ready(n));
         core
     }
 
-    pub fn data(&self, n: usize) -> PathBuf {
+    pub(crate) fn data(&self, n: usize) -> PathBuf {
         self.folder.join(n.to_string())
     }
 
-    pub fn settings_file(&self, n: usize) -> PathBuf {
+    pub(crate) fn settings_file(&self, n: usize) -> PathBuf {
         self.folder.join(format!("{n}.json"))
     }
 
-    /// What the process has written so far, over all its lives.
-    pub fn log(&self, n: usize) -> String {
+    /// What the node has logged so far, over all its processes.
+    pub(crate) fn log(&self, n: usize) -> String {
         std::fs::read_to_string(self.folder.join(format!("{n}.log"))).unwrap()
     }
 
-    pub fn run(&mut self, n: usize, first: bool) {
+    pub(crate) fn run(&mut self, n: usize, initial_boot: bool) {
         std::fs::create_dir_all(self.data(n)).unwrap();
         let peers: Vec<String> = self.ips.iter().map(|ip| format!("{ip}:8544")).collect();
-        let boot = json!({
-            "self": {"ipAddress": self.ips[n], "area": "a", "initialBoot": first, "dataFolder": self.data(n)},
+        let settings = json!({
+            "self": {"ipAddress": self.ips[n], "area": "a", "initialBoot": initial_boot, "dataFolder": self.data(n)},
             "network": {"binds": {"admin": peers[n]}, "sparePorts": [7540, 7555], "knownPeers": peers},
             "provider": {"heartbeat": "300ms"},
             "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "1500ms", "keepMax": "2s"}}
         });
         let log = File::options().create(true).append(true).open(self.folder.join(format!("{n}.log")));
-        std::fs::write(self.settings_file(n), boot.to_string()).unwrap();
+        std::fs::write(self.settings_file(n), settings.to_string()).unwrap();
         let mut command = Command::new(env!("CARGO_BIN_EXE_coppersail-control-plane"));
         command.env("COPPERSAIL_SETTINGS", self.settings_file(n)).stderr(log.unwrap());
         self.children[n] = Some(command.spawn().unwrap());
     }
 
-    /// As SIGKILL ends it.
-    pub fn kill(&mut self, n: usize) {
+    /// With SIGKILL.
+    pub(crate) fn kill(&mut self, n: usize) {
         if let Some(mut child) = self.children[n].take() {
             child.kill().unwrap();
             child.wait().unwrap();
         }
     }
 
-    pub fn signal(&self, n: usize, name: &str) {
+    pub(crate) fn signal(&self, n: usize, name: &str) {
         let pid = self.children[n].as_ref().unwrap().id();
         assert!(Command::new("sh").args(["-c", &format!("kill -{name} {pid}")]).status().unwrap().success());
     }
 
-    /// A call at one centre, which may send it on twice. None: no clear answer.
-    pub fn at(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+    /// A request to one node, which may redirect it twice. `None`: no definite response.
+    pub(crate) fn at(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .timeout_global(Some(Duration::from_millis(1500)))
@@ -91,67 +94,67 @@
                 "POST" => agent.post(&url).config().max_redirects(0).build().send(body),
                 _ => agent.get(&url).config().max_redirects(0).build().call(),
             };
-            let mut answer = call.ok()?;
-            match answer.status().as_u16() {
-                307 => url = answer.headers()["location"].to_str().unwrap().into(),
+            let mut response = call.ok()?;
+            match response.status().as_u16() {
+                307 => url = response.headers()["location"].to_str().unwrap().into(),
                 503 => return None,
-                status => return Some((status, answer.body_mut().read_to_string().ok()?)),
+                status => return Some((status, response.body_mut().read_to_string().ok()?)),
             }
         }
         None
     }
 
-    /// At any centre that runs.
-    pub fn admin(&self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
+    /// To any running node.
+    pub(crate) fn admin(&self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let running = (0..3).filter(|n| self.children[*n].is_some());
         running.into_iter().find_map(|n| self.at(n, method, path, body))
     }
 
-    /// Until somebody answers for all; a held poll passes the time between.
-    pub fn order(&self, method: &str, path: &str, body: &str) -> (u16, String) {
+    /// Until a node answers; a long poll passes the time between.
+    pub(crate) fn order(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let end = Instant::now() + Duration::from_secs(30);
         while Instant::now() < end {
-            if let Some(answer) = self.admin(method, path, body) {
-                return answer;
+            if let Some(response) = self.admin(method, path, body) {
+                return response;
             }
             self.held(200);
         }
-        panic!("nobody took {method} {path}: {:#?}", [0, 1, 2].map(|n| self.log(n)));
+        panic!("no node took {method} {path}: {:#?}", [0, 1, 2].map(|n| self.log(n)));
     }
 
-    pub fn held(&self, wait_ms: u64) -> Option<Update> {
-        let live = self.children.iter().position(|c| c.is_some()).unwrap_or(0);
-        let address = format!("{}:7540", self.ips[live]);
-        let mut follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        let news: Update = self.caller.post(&address, "/follow", &follow).ok()?;
-        (follow.feed_id, follow.sequence, follow.wait_ms) = (news.feed_id, news.sequence, wait_ms);
-        self.caller.post(&address, "/follow", &follow).ok().or(Some(news))
+    pub(crate) fn held(&self, wait_ms: u64) -> Option<Update> {
+        let running = self.children.iter().position(|c| c.is_some()).unwrap_or(0);
+        let address = format!("{}:7540", self.ips[running]);
+        let mut watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        let update: Update = self.caller.post(&address, "/follow", &watch).ok()?;
+        (watch.feed_id, watch.sequence, watch.wait_ms) = (update.feed_id, update.sequence, wait_ms);
+        self.caller.post(&address, "/follow", &watch).ok().or(Some(update))
     }
 
-    /// Until the first that runs has opened its disk and answers.
-    pub fn up(&self) {
-        self.up_at(self.children.iter().position(|c| c.is_some()).unwrap_or(0));
+    /// Until the first running node has opened its disk and answers.
+    pub(crate) fn wait_until_ready(&self) {
+        self.wait_until_node_ready(self.children.iter().position(|c| c.is_some()).unwrap_or(0));
     }
 
-    fn up_at(&self, n: usize) {
+    fn wait_until_node_ready(&self, n: usize) {
         let (end, address) = (Instant::now() + Duration::from_secs(20), format!("{}:7540", self.ips[n]));
-        let follow = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        while self.caller.post::<_, Update>(&address, "/follow", &follow).is_err() {
+        let watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
+        while self.caller.post::<_, Update>(&address, "/follow", &watch).is_err() {
             assert!(Instant::now() < end, "{n} does not start");
             std::thread::yield_now();
         }
     }
 
-    pub fn replace(&self, revision: u64, prefix: &str) -> u16 {
+    pub(crate) fn replace(&self, revision: u64, prefix: &str) -> u16 {
         self.order("POST", "/settings/replace", &settings(revision, prefix).to_string()).0
     }
 
-    pub fn read(&self) -> Value {
+    pub(crate) fn read(&self) -> Value {
         serde_json::from_str(&self.order("GET", "/settings/read", "").1).unwrap()
     }
 }
 
-pub fn settings(revision: u64, prefix: &str) -> Value {
+pub(crate) fn settings(revision: u64, prefix: &str) -> Value {
     json!({
         "revision": format!("r{revision}"),
         "routes": {"columns": ["name", "domain", "pathStart", "sort", "giveUp", "target_time", "backend"],
