--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -1,9 +1,12 @@
-//! What the disk of a centre costs after many changes: `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`.
-//! Each change writes one configuration anew; every tenth also the centre's own floor.
-use coppersail_control_plane::store::{DiskWriter, WriteBatch};
+//! Measures the store of a control-plane node: the time of a write in ms, the size of its folder and the peak memory after
+//! many changes.
+//!
+//! `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`. Each change replaces one configuration; every
+//! tenth also writes the node's last durable term.
+use coppersail_control_plane::store::{DiskWriter, KeyValue, WriteBatch};
 use std::path::Path;
 use std::sync::mpsc::channel;
-use std::time::Instant;
+use std::time::{Duration, Instant};
 
 /// A configuration of the target's size; about every byte differs from one revision to the next.
 fn config(revision: u64, routes: u64, tenants: u64) -> String {
@@ -20,71 +23,84 @@
     serde_json::to_string(&coppersail_peer_protocol::ConfigDocument { revision, body }).unwrap_or_default()
 }
 
-fn size(folder: &Path) -> u64 {
-    let Ok(all) = std::fs::read_dir(folder) else { return 0 };
-    all.flatten()
-        .map(|f| match f.metadata() {
-            Ok(m) if m.is_dir() => size(&f.path()),
-            Ok(m) => m.len(),
+/// The size of all files below, in bytes.
+fn folder_bytes(folder: &Path) -> u64 {
+    let Ok(entries) = std::fs::read_dir(folder) else { return 0 };
+    entries
+        .flatten()
+        .map(|entry| match entry.metadata() {
+            Ok(metadata) if metadata.is_dir() => folder_bytes(&entry.path()),
+            Ok(metadata) => metadata.len(),
             Err(_) => 0,
         })
         .sum()
 }
 
-fn peak() -> String {
+/// The peak resident memory of this process, as Linux prints it.
+fn peak_memory() -> String {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
-    let line = status.lines().find(|l| l.starts_with("VmHWM")).unwrap_or("VmHWM: ?");
+    let line = status.lines().find(|line| line.starts_with("VmHWM")).unwrap_or("VmHWM: ?");
     line.split_whitespace().skip(1).collect::<Vec<_>>().join(" ")
 }
 
+/// Writes a batch and waits until it is durable.
+fn write(writer: &DiskWriter, state: Vec<KeyValue>, own: Vec<KeyValue>) -> Duration {
+    let (sender, receiver) = channel();
+    let on_complete = Box::new(move |ok| sender.send(ok).unwrap_or(()));
+    let started = Instant::now();
+    writer.write(WriteBatch { state, whole: false, own }, on_complete);
+    assert!(receiver.recv().expect("an answer"), "the write failed");
+    started.elapsed()
+}
+
+/// Prints the distribution of the times of all writes.
+fn print_times(mut times: Vec<Duration>, bytes: usize) {
+    times.sort();
+    let Some(maximum) = times.last() else { return };
+    let percentile = |percent: usize| times[(times.len() * percent / 100).min(times.len() - 1)];
+    println!(
+        "{} changes of {bytes} bytes: median {:?}, 99 in 100 {:?}, most {maximum:?}",
+        times.len(),
+        percentile(50),
+        percentile(99)
+    );
+}
+
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
-    let number = |n: usize| words.get(n).and_then(|w| w.parse::<u64>().ok()).unwrap_or(0);
-    let folder = Path::new(words.first().expect("FOLDER CHANGES ROUTES TENANTS ROWS"));
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
+    let number = |n: usize| arguments.get(n).and_then(|text| text.parse::<u64>().ok()).unwrap_or(0);
+    let folder = Path::new(arguments.first().expect("FOLDER CHANGES ROUTES TENANTS ROWS"));
     let (changes, routes, tenants, rows) = (number(1), number(2), number(3), number(4));
     std::fs::create_dir_all(folder).expect("a folder");
     let opened = Instant::now();
-    let (scribe, found) = DiskWriter::start(folder, |text| println!("{text}")).expect("a disk");
+    let (writer, recovered) = DiskWriter::start(folder, |line| println!("{line}")).expect("a disk");
     println!(
         "open and read: {:?}, {} entries, {} bytes on disk, peak {}",
         opened.elapsed(),
-        found.state.len(),
-        size(folder),
-        peak()
+        recovered.state.len(),
+        folder_bytes(folder),
+        peak_memory()
     );
-    let (mut times, mut most) = (Vec::new(), 0);
-    let write = |state, own| {
-        let (tell, told) = channel();
-        let done = Box::new(move |ok| tell.send(ok).unwrap_or(()));
-        let begun = Instant::now();
-        scribe.write(WriteBatch { state, whole: false, own }, done);
-        assert!(told.recv().expect("an answer"), "the write failed");
-        begun.elapsed()
-    };
     if rows > 0 {
-        write(
-            (0..rows).map(|n| (format!("row/s/{n}"), format!("host-{n} 17 fence {n}"))).collect(),
-            Vec::new(),
-        );
+        let row = |n| (format!("row/s/{n}"), format!("host-{n} 17 fence {n}"));
+        write(&writer, (0..rows).map(row).collect(), Vec::new());
     }
+    let (mut times, mut max_folder_bytes) = (Vec::new(), 0);
     for n in 1..=changes {
         let own = if n % 10 == 0 {
             vec![("floor".into(), format!("{{\"n\":{n},\"by\":\"a\"}}"))]
         } else {
             Vec::new()
         };
-        times.push(write(vec![("config".into(), config(n, routes, tenants))], own));
-        most = most.max(size(folder));
+        times.push(write(&writer, vec![("config".into(), config(n, routes, tenants))], own));
+        max_folder_bytes = max_folder_bytes.max(folder_bytes(folder));
     }
-    times.sort();
-    if let (Some(last), false) = (times.last(), times.is_empty()) {
-        let at = |part: usize| times[(times.len() * part / 100).min(times.len() - 1)];
+    if changes > 0 {
+        print_times(times, config(1, routes, tenants).len());
         println!(
-            "{changes} changes of {} bytes: median {:?}, 99 in 100 {:?}, most {last:?}",
-            config(1, routes, tenants).len(),
-            at(50),
-            at(99)
+            "folder: {} bytes, at most {max_folder_bytes}; peak {}",
+            folder_bytes(folder),
+            peak_memory()
         );
-        println!("folder: {} bytes, at most {most}; peak {}", size(folder), peak());
     }
 }
--- a/crates/control-plane/server/src/store/disk.rs
+++ b/crates/control-plane/server/src/store/disk.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 /// How long to wait before the next attempt to open a folder.
-const RETRY_PAUSE: Duration = Duration::from_millis(200);
+const RETRY_BACKOFF: Duration = Duration::from_millis(200);
 
 /// An open database.
 pub trait Disk: Send {
@@ -27,7 +27,7 @@
     fn clear(&mut self) -> Result<(), StoreError>;
 
     /// Waits between two attempts.
-    fn pause(&mut self) {
-        std::thread::sleep(RETRY_PAUSE);
+    fn back_off(&mut self) {
+        std::thread::sleep(RETRY_BACKOFF);
     }
 }
--- a/crates/control-plane/server/src/store/folder.rs
+++ b/crates/control-plane/server/src/store/folder.rs
@@ -68,7 +68,7 @@
 }
 
 /// Whether nothing is there, or only this file. An entry that can't be read counts as another one.
-pub(super) fn holds_at_most(folder: &Path, file_name: &str) -> io::Result<bool> {
+pub(super) fn contains_at_most(folder: &Path, file_name: &str) -> io::Result<bool> {
     let is_other = |entry: io::Result<DirEntry>| entry.map_or(true, |e| e.file_name() != file_name);
     Ok(!fs::read_dir(folder)?.any(is_other))
 }
--- a/crates/control-plane/server/src/store/recovery.rs
+++ b/crates/control-plane/server/src/store/recovery.rs
@@ -60,7 +60,7 @@
 /// The generation of the folder. A folder without a database gets its generation file before all else, so that
 /// whatever is found beside it later was written under it.
 fn initial_generation(path: &Path) -> Result<Generation, StoreError> {
-    let has_no_database = folder::holds_at_most(path, generation::FILE_NAME)?;
+    let has_no_database = folder::contains_at_most(path, generation::FILE_NAME)?;
     let generation = generation::read(path)?;
     if !has_no_database || matches!(generation, Generation::Number(_)) {
         return Ok(generation);
@@ -106,7 +106,7 @@
                 return (disk, recovered);
             }
             Err(StoreError::Unavailable(failure)) => {
-                retries.pause(folder, &format!("The folder can't be opened: {failure}."));
+                retries.back_off(folder, &format!("The folder can't be opened: {failure}."));
             }
             Err(StoreError::Corrupt(corruption)) => retries.clear(folder, &corruption),
         }
@@ -115,7 +115,7 @@
 
 /// The attempts to open one folder.
 struct Retries<L> {
-    /// Attempts that ended with a pause.
+    /// Attempts that ended with a backoff.
     attempts: u64,
     /// The folder was corrupt and has been emptied.
     cleared: bool,
@@ -126,24 +126,27 @@
     /// Empties a corrupt folder, however long that takes. After the first time it is to be opened at once.
     fn clear(&mut self, folder: &mut impl DataFolder, corruption: &Corruption) {
         while let Err(error) = folder.clear() {
-            self.pause(folder, &format!("The folder is torn ({corruption}), and can't be emptied: {error}."));
+            self.back_off(
+                folder,
+                &format!("The folder is torn ({corruption}), and can't be emptied: {error}."),
+            );
         }
         let line = format!("The folder is torn, and emptied: {corruption}.");
         let is_first = !std::mem::replace(&mut self.cleared, true);
         if is_first {
             (self.log_warning)(&line);
         } else {
-            self.pause(folder, &line);
+            self.back_off(folder, &line);
         }
     }
 
     /// Waits before the next attempt; logs why, for the first of so many attempts.
-    fn pause(&mut self, folder: &mut impl DataFolder, reason: &str) {
+    fn back_off(&mut self, folder: &mut impl DataFolder, reason: &str) {
         if self.attempts.is_multiple_of(ATTEMPTS_PER_LOG_LINE) {
             (self.log_warning)(reason);
         }
         self.attempts += 1;
-        folder.pause();
+        folder.back_off();
     }
 }
 
--- a/crates/control-plane/server/src/store/writer.rs
+++ b/crates/control-plane/server/src/store/writer.rs
@@ -42,8 +42,8 @@
     ) -> io::Result<(DiskWriter, RecoveredState)> {
         let (disk, recovered) = open_with_retries(&mut folder, log_warning);
         let (sender, receiver) = channel();
-        let holds_data = recovered.kept == FolderCondition::Whole;
-        let worker = Worker { folder, disk: Some(disk), holds_data };
+        let has_data = recovered.kept == FolderCondition::Whole;
+        let worker = Worker { folder, disk: Some(disk), has_data };
         let thread =
             std::thread::Builder::new().name("disk-writer".into()).spawn(move || worker.run(&receiver))?;
         Ok((DiskWriter { requests: Some(sender), thread: Some(thread) }, recovered))
@@ -73,7 +73,7 @@
     /// `None` after an error: fjall refuses all further writes of an open database then.
     disk: Option<Box<dyn Disk>>,
     /// This process has read or written data in the folder.
-    holds_data: bool,
+    has_data: bool,
 }
 
 impl<F: DataFolder> Worker<F> {
@@ -90,7 +90,7 @@
         }
         let written = self.disk.as_mut().is_some_and(|disk| disk.write(batch).is_ok());
         if written {
-            self.holds_data = true;
+            self.has_data = true;
         } else {
             self.disk = None;
         }
@@ -101,7 +101,7 @@
     /// was there, and would write on where the rest of it is gone.
     fn reopen(&mut self) -> Option<Box<dyn Disk>> {
         let disk = self.folder.open().ok()?;
-        let is_usable = !self.holds_data || disk.condition() == FolderCondition::Whole;
+        let is_usable = !self.has_data || disk.condition() == FolderCondition::Whole;
         is_usable.then_some(disk)
     }
 }
--- a/crates/control-plane/server/tests/disk_writer.rs
+++ b/crates/control-plane/server/tests/disk_writer.rs
@@ -61,7 +61,7 @@
         self.next("clear", |s| &mut s.clear_results)
     }
 
-    fn pause(&mut self) {}
+    fn back_off(&mut self) {}
 }
 
 impl Disk for FakeDisk {
