--- a/crates/control-plane/server/src/listener.rs
+++ b/crates/control-plane/server/src/listener.rs
@@ -1,5 +1,5 @@
 //! Accepts HTTP requests on one address and parses them by the resource that they are for.
-use crate::resources::{ParsedRequest, RequestError, Resource};
+use crate::resources::{self, ParsedRequest, RequestError, Resource};
 use crate::response_writer;
 use std::error::Error;
 use std::io;
@@ -79,7 +79,7 @@
     }
 
     fn parse(&self, request: &mut Request) -> Result<ParsedRequest, RequestError> {
-        let body = crate::resources::read_body(request);
+        let body = resources::read_body(request);
         let path = request.url().split('?').next().unwrap_or("");
         let method = request.method();
         let (resource, parameter) = self
