--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -1,5 +1,5 @@
 //! What hosts and operators call, and what becomes of it. No I/O.
-use crate::node::{AdminRequest, Effect};
+use crate::messages::{AdminRequest, Effect};
 use crate::orders::{digest, Judged};
 use crate::state::{HeartbeatRecord, Kind, PendingReply, Say, State};
 use coppersail_consensus::{Ms, RequestId};
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod feed;
 #[cfg(test)]
 mod feed_tests;
+pub mod messages;
 pub mod node;
 pub mod orders;
 pub mod peer_links;
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -1,86 +1,13 @@
 //! A centre as one pure machine: what comes goes in, what follows comes out. Threads, sockets and the disk are adapters
 //! (`lib.rs`, `peer_rpc.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
+pub use crate::messages::{AdminRequest, Effect, Event, PeerRequest, PeerResponse, Startup};
 use crate::peer_links::PeerLinks;
 use crate::state::{Say, State, Timeouts};
-use crate::store::{FolderCondition, RecoveredState, WriteBatch};
+use crate::store::{FolderCondition, WriteBatch};
 use coppersail_config::ProcessSettings;
-use coppersail_consensus::{Core, Id, InitialState, KeyValue, Ms, OperationId, Output, RequestId, Role};
-use coppersail_peer_protocol::{Update, WatchRequest};
+use coppersail_consensus::{Core, InitialState, Ms, Output, Role};
 use std::collections::VecDeque;
 
-/// What a centre begins with.
-pub struct Startup {
-    pub settings: ProcessSettings,
-    pub recovered: RecoveredState,
-    /// Drawn by lot, from 1 to below 2^53.
-    pub new_incarnation: u64,
-}
-
-pub enum Event {
-    /// About twenty times a second.
-    Tick,
-    /// A host or an operator calls.
-    Admin { request_id: RequestId, request: AdminRequest },
-    /// A director calls.
-    Peer { caller: RequestId, call: PeerRequest },
-    /// What came of [`Effect::Call`]; none: refused, cut off, reset or silent.
-    PeerResponded { operation_id: OperationId, response: Option<PeerResponse> },
-    /// What came of [`Effect::Write`], in the order of the writes.
-    WriteFinished { token: OperationId, ok: bool },
-    /// SIGTERM.
-    Shutdown,
-    /// The settings file was read again, and is sound.
-    SettingsChanged(Box<ProcessSettings>),
-}
-
-/// Calls of hosts and operators. Bodies are JSON.
-pub enum AdminRequest {
-    Heartbeat { ident: String, body: String },
-    SignOff { ident: String },
-    ReplaceConfig { body: String },
-    ReadConfig,
-    Rollouts { post: bool, rest: String, body: String },
-}
-
-/// Calls of directors.
-pub enum PeerRequest {
-    Watch(Box<WatchRequest>),
-    Consensus(coppersail_consensus::Request),
-}
-
-pub enum PeerResponse {
-    Update(Box<Update>),
-    Consensus(coppersail_consensus::Response),
-}
-
-pub enum Effect {
-    /// With 307 the body is where to.
-    RespondToAdmin {
-        caller: RequestId,
-        status: u16,
-        body: String,
-    },
-    RespondToPeer {
-        caller: RequestId,
-        response: PeerResponse,
-    },
-    /// `to`: where the member serves hosts and operators, "ip:port".
-    SendToPeer {
-        token: OperationId,
-        peer: Id,
-        call: PeerRequest,
-        timeout: Ms,
-    },
-    /// Synced, whole or not at all, one after the other.
-    Persist {
-        token: OperationId,
-        write: WriteBatch,
-    },
-    Log(String),
-    /// The process may end.
-    Exit,
-}
-
 pub struct Node {
     pub state: State,
     links: PeerLinks,
@@ -263,8 +190,3 @@
         matches!(self.state.core.role, Role::Leader(_))
     }
 }
-
-/// A change of the control state.
-pub fn put(name: &str, value: String) -> KeyValue {
-    (name.into(), value)
-}
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -1,5 +1,5 @@
 //! Whom this centre follows, and the polls that are its heartbeats. No I/O.
-use crate::node::{Effect, PeerRequest};
+use crate::messages::{Effect, PeerRequest};
 use crate::state::{Say, State};
 use coppersail_consensus::{Id, Ms, OperationId, Output};
 use coppersail_peer_protocol::{RequestCounts, Update, WatchRequest};
