--- /dev/null
+++ b/crates/control-plane/server/src/endpoint_requests.rs
@@ -0,0 +1,155 @@
+//! Requests of endpoints: heartbeats and sign-offs.
+use crate::pending_replies::{PendingReply, ReplyKind};
+use crate::responses::{Rejection, Reply, Response, ISOLATED};
+use crate::state::State;
+use coppersail_consensus::{Ms, RequestId};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate};
+use serde::Deserialize;
+
+/// The body of a heartbeat. Endpoints of other builds may leave out what has a default.
+#[derive(Deserialize)]
+struct HeartbeatRequest {
+    #[serde(rename = "backend")]
+    service: String,
+    address: String,
+    #[serde(default, rename = "area")]
+    zone: String,
+    #[serde(default, rename = "revision")]
+    version: String,
+    #[serde(default)]
+    capacity: f64,
+    #[serde(default, rename = "stage")]
+    state: EndpointState,
+    #[serde(default, rename = "warmLeft")]
+    slow_start: Option<String>,
+    #[serde(default, rename = "callCount")]
+    sequence: u64,
+    /// First and last shard, and the state transfer to the next owner.
+    #[serde(default)]
+    released: Option<Vec<(u32, u32, String)>>,
+}
+
+impl HeartbeatRequest {
+    fn slow_start_ms(&self) -> u64 {
+        let slow_start = self.slow_start.as_deref().and_then(coppersail_config::duration);
+        slow_start.map_or(0, |duration| duration.as_millis() as u64)
+    }
+}
+
+impl State {
+    pub(crate) fn handle_heartbeat(
+        &mut self,
+        now: Ms,
+        request_id: RequestId,
+        endpoint: &str,
+        body: &str,
+        replies: &mut Vec<Reply>,
+    ) {
+        let heartbeat = match self.read_heartbeat(now, body) {
+            Ok(heartbeat) => heartbeat,
+            Err(rejection) => return replies.push(Reply::Admin(request_id, rejection.into())),
+        };
+        if !self.record_heartbeat(now, endpoint, &heartbeat) {
+            return replies.push(Reply::Admin(request_id, Response::acknowledged()));
+        }
+        let starts_draining = self.starts_draining(endpoint, &heartbeat);
+        self.publish_endpoint(endpoint, &heartbeat);
+        let is_sharded = self.is_sharded(&heartbeat.service);
+        if is_sharded && !self.holds_leader_lease(now) {
+            let redirect = self.redirect_to_leader(now, &format!("/servers/{endpoint}/pulse"));
+            self.settle_replies(now, replies);
+            return replies.push(Reply::Admin(request_id, redirect));
+        }
+        let sequence = starts_draining.then_some(self.feed.seq);
+        let mut ticket = None;
+        if is_sharded {
+            ticket = self.release_leases(endpoint, &heartbeat);
+            if starts_draining {
+                self.reconcile_assignments(now);
+            }
+        }
+        let sharded_service = is_sharded.then_some(heartbeat.service);
+        let kind = ReplyKind::Heartbeat { endpoint: endpoint.into(), sharded_service };
+        let deadline = now + self.timeouts.acknowledgement_wait;
+        self.pending_replies.push(PendingReply { request_id, deadline, ticket, sequence, kind });
+        self.settle_replies(now, replies);
+    }
+
+    fn read_heartbeat(&self, now: Ms, body: &str) -> Result<HeartbeatRequest, Rejection> {
+        let heartbeat =
+            serde_json::from_str(body).map_err(|error| Rejection::bad_request(format!("beat: {error}")))?;
+        if self.is_isolated(now) {
+            return Err(Rejection::unavailable(ISOLATED));
+        }
+        Ok(heartbeat)
+    }
+
+    /// False for one that was sent before another which has come already: that one said more.
+    fn record_heartbeat(&mut self, now: Ms, endpoint: &str, heartbeat: &HeartbeatRequest) -> bool {
+        let record = self.heartbeats.entry(now, endpoint);
+        if heartbeat.sequence < record.sequence {
+            return false;
+        }
+        (record.received_at, record.sequence, record.capacity) =
+            (now, heartbeat.sequence, heartbeat.capacity);
+        true
+    }
+
+    fn starts_draining(&self, endpoint: &str, heartbeat: &HeartbeatRequest) -> bool {
+        let known = self.feed.host(endpoint);
+        heartbeat.state > EndpointState::Ready && known.is_none_or(|e| e.state == EndpointState::Ready)
+    }
+
+    fn publish_endpoint(&mut self, endpoint: &str, heartbeat: &HeartbeatRequest) {
+        self.feed.put_host(&EndpointUpdate {
+            id: endpoint.into(),
+            service: heartbeat.service.clone(),
+            address: heartbeat.address.clone(),
+            zone: heartbeat.zone.clone(),
+            capacity: heartbeat.capacity.round() as u32,
+            version: heartbeat.version.clone(),
+            state: heartbeat.state,
+            suspect: false,
+            slow_start_ms: heartbeat.slow_start_ms(),
+            heartbeat_sequence: heartbeat.sequence,
+            reported_by: self.core.id.clone(),
+        });
+    }
+
+    /// Proposes what becomes of the shards that an endpoint has released; the ticket, if that changes anything.
+    fn release_leases(&mut self, endpoint: &str, heartbeat: &HeartbeatRequest) -> Option<u64> {
+        let released = heartbeat.released.as_deref().unwrap_or_default();
+        let writes = self.assignments.leases.release(&heartbeat.service, endpoint, released);
+        (!writes.is_empty()).then(|| self.proposals.submit(writes))
+    }
+
+    /// The endpoint ends. It is acknowledged once followers know, as they send requests there until then.
+    pub(crate) fn sign_off(
+        &mut self,
+        now: Ms,
+        request_id: RequestId,
+        endpoint: &str,
+        replies: &mut Vec<Reply>,
+    ) {
+        if self.is_isolated(now) {
+            return replies.push(Reply::Admin(request_id, Rejection::unavailable(ISOLATED).into()));
+        }
+        if let Some(known) = self.feed.host(endpoint).cloned() {
+            let last_sequence = self.heartbeats.get(endpoint).map_or(0, |record| record.sequence);
+            self.feed.put_host(&EndpointUpdate {
+                state: EndpointState::Removed,
+                heartbeat_sequence: last_sequence + 1,
+                reported_by: self.core.id.clone(),
+                ..known
+            });
+        }
+        self.pending_replies.push(PendingReply {
+            request_id,
+            deadline: now + self.timeouts.acknowledgement_wait,
+            ticket: None,
+            sequence: Some(self.feed.seq),
+            kind: ReplyKind::Heartbeat { endpoint: endpoint.into(), sharded_service: None },
+        });
+        self.settle_replies(now, replies);
+    }
+}
--- /dev/null
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -0,0 +1,175 @@
+//! Heartbeats of endpoints, and which endpoints are suspect for the lack of them: a failure detector by timeout.
+//!
+//! The member that an endpoint sends its heartbeats to detects its failure. If that member is gone, every other one does
+//! after twice the time, and the change feeds converge.
+use crate::feed::ChangeFeed;
+use crate::timeouts::Timeouts;
+use coppersail_consensus::{Core, Ms};
+use coppersail_peer_protocol::{EndpointState, EndpointUpdate};
+use coppersail_shard_leases::Candidate;
+use std::collections::BTreeMap;
+
+/// An endpoint is forgotten after so long without a heartbeat, in ms.
+const FORGET_AFTER: Ms = 60_000;
+/// A heartbeat that is due within this time, in ms, counts as one that waits for leases already.
+const DUE_SOON: Ms = 150;
+
+/// The last heartbeat of an endpoint.
+#[derive(Debug, Clone, Default)]
+pub(crate) struct HeartbeatRecord {
+    pub(crate) received_at: Ms,
+    /// The number of the heartbeat, as the endpoint counts.
+    pub(crate) sequence: u64,
+    /// The place of the endpoint in the order of their first heartbeats.
+    listing_order: u64,
+    first_seen_at: Ms,
+    pub(crate) capacity: f64,
+}
+
+#[derive(Default)]
+pub(crate) struct Heartbeats {
+    records: BTreeMap<String, HeartbeatRecord>,
+    /// Since when this member has had quorum contact without a break.
+    quorum_contact_since: Option<Ms>,
+}
+
+impl Heartbeats {
+    pub(crate) fn get(&self, endpoint: &str) -> Option<&HeartbeatRecord> {
+        self.records.get(endpoint)
+    }
+
+    /// The record of an endpoint, a new one if it is not known.
+    pub(crate) fn entry(&mut self, now: Ms, endpoint: &str) -> &mut HeartbeatRecord {
+        let listing_order = self.records.len() as u64;
+        let new = HeartbeatRecord { listing_order, first_seen_at: now, ..HeartbeatRecord::default() };
+        self.records.entry(endpoint.into()).or_insert(new)
+    }
+
+    /// An isolated member would take its own lost connections for failures of endpoints, and would spread that once it
+    /// is back.
+    pub(crate) fn record_quorum_contact(&mut self, now: Ms, has_contact: bool) {
+        self.quorum_contact_since = has_contact.then(|| self.quorum_contact_since.unwrap_or(now));
+    }
+
+    /// Endpoints that have become suspect.
+    pub(crate) fn new_suspects(
+        &self,
+        now: Ms,
+        core: &Core,
+        feed: &ChangeFeed,
+        timeouts: &Timeouts,
+    ) -> Vec<EndpointUpdate> {
+        let suspect_after = timeouts.suspect_after();
+        if self.quorum_contact_since.is_none_or(|since| now < since + suspect_after) {
+            return Vec::new();
+        }
+        let is_silent = |endpoint: &EndpointUpdate, last_heartbeat_at: Ms| {
+            if endpoint.reported_by == core.id {
+                return now > last_heartbeat_at + suspect_after;
+            }
+            let reporter = core.peers.get(&endpoint.reported_by);
+            let reporter_is_gone = reporter.is_none_or(|p| now > p.last_heard + 2 * timeouts.core.lease);
+            reporter_is_gone && now > last_heartbeat_at + 2 * suspect_after
+        };
+        let candidates = feed.hosts().filter(|e| !e.suspect && e.state < EndpointState::Removed);
+        let suspect = |endpoint: &EndpointUpdate| {
+            let record = self.records.get(&endpoint.id)?;
+            is_silent(endpoint, record.received_at).then(|| EndpointUpdate {
+                suspect: true,
+                heartbeat_sequence: record.sequence.max(endpoint.heartbeat_sequence),
+                ..endpoint.clone()
+            })
+        };
+        candidates.filter_map(suspect).collect()
+    }
+
+    /// Endpoints that live members report count as if their heartbeats came here.
+    pub(crate) fn record_reports_of_live_members(
+        &mut self,
+        now: Ms,
+        core: &Core,
+        feed: &ChangeFeed,
+        timeouts: &Timeouts,
+    ) {
+        let is_live =
+            |member: &str| core.peers.get(member).is_some_and(|p| now < p.last_heard + timeouts.core.lease);
+        let reported =
+            |e: &&EndpointUpdate| e.reported_by != core.id && !e.suspect && is_live(&e.reported_by);
+        for endpoint in feed.hosts().filter(reported) {
+            let record = self.entry(now, &endpoint.id);
+            (record.received_at, record.capacity) = (now, f64::from(endpoint.capacity));
+        }
+    }
+
+    /// Drops the records of endpoints that were silent for long; their ids.
+    pub(crate) fn remove_expired(&mut self, now: Ms) -> Vec<String> {
+        let expired = |record: &HeartbeatRecord| now > record.received_at + FORGET_AFTER;
+        let ids: Vec<String> =
+            self.records.iter().filter(|(_, r)| expired(r)).map(|(id, _)| id.clone()).collect();
+        for id in &ids {
+            self.records.remove(id);
+        }
+        ids
+    }
+
+    /// Whether the next heartbeat of an endpoint is due by then.
+    pub(crate) fn is_due_by(&self, endpoint: &str, deadline: Ms, timeouts: &Timeouts) -> bool {
+        let record = self.records.get(endpoint);
+        record.is_some_and(|r| r.received_at + timeouts.heartbeat_interval <= deadline)
+    }
+
+    /// Endpoints whose heartbeat is due any moment, or late by less than an interval.
+    pub(crate) fn due_soon(&self, now: Ms, timeouts: &Timeouts) -> impl Iterator<Item = &String> {
+        let interval = timeouts.heartbeat_interval;
+        let is_due = move |r: &HeartbeatRecord| {
+            r.received_at + interval <= now + DUE_SOON && now < r.received_at + 2 * interval
+        };
+        self.records.iter().filter(move |(_, record)| is_due(record)).map(|(id, _)| id)
+    }
+
+    /// The endpoints of a sharded service, as placement takes them.
+    pub(crate) fn candidates(
+        &self,
+        now: Ms,
+        service: &str,
+        feed: &ChangeFeed,
+        timeouts: &Timeouts,
+    ) -> Vec<Candidate> {
+        let candidate = |endpoint: &EndpointUpdate| {
+            let record = self.records.get(&endpoint.id)?;
+            let suspect = endpoint.suspect || now > record.received_at + timeouts.suspect_after();
+            Some(Candidate {
+                id: endpoint.id.clone(),
+                listing_order: record.listing_order,
+                capacity: record.capacity.max(1.0),
+                new: now < record.first_seen_at + 2 * timeouts.lease_duration,
+                draining: endpoint.state > EndpointState::Ready || suspect,
+                suspect,
+                next_heartbeat_at: record.received_at + timeouts.heartbeat_interval,
+            })
+        };
+        let endpoints = feed.hosts().filter(|e| e.service == service && e.state < EndpointState::Removed);
+        endpoints.filter_map(candidate).collect()
+    }
+
+    /// Whether an endpoint has died since a request to it was lost, at `lost_at`; none while that is not known.
+    pub(crate) fn has_died_since(
+        &self,
+        now: Ms,
+        endpoint: &str,
+        lost_at: Ms,
+        core: &Core,
+        feed: &ChangeFeed,
+        timeouts: &Timeouts,
+    ) -> Option<bool> {
+        let Some(update) = feed.host(endpoint) else { return Some(true) };
+        if update.suspect || update.state == EndpointState::Removed {
+            return Some(true);
+        }
+        // One that reports to another member is known to live once it would have become suspect there.
+        let has_sent_heartbeat = update.reported_by == core.id
+            && self.records.get(endpoint).is_some_and(|r| r.received_at > lost_at);
+        let is_alive = has_sent_heartbeat || now > lost_at + 3 * timeouts.heartbeat_interval;
+        is_alive.then_some(false)
+    }
+}
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -1,22 +1,37 @@
 //! The centre: configuration, hosts and keys, on two disks before it answers. `docs/system.md` and `docs/control.md` are
 //! the design. [`node::Node`] decides; what stands here carries out.
 pub mod admin;
+mod assignments;
+mod endpoint_requests;
+mod endpoints;
 pub mod feed;
 #[cfg(test)]
 mod feed_tests;
+mod followers;
+mod members;
 pub mod messages;
 pub mod node;
+mod operator_requests;
 pub mod orders;
 pub mod peer_links;
 pub mod peer_rpc;
+mod pending_replies;
 pub mod placement_gate;
 #[cfg(test)]
 mod placement_gate_tests;
+mod proposals;
+mod reconciliation;
+mod replication;
+mod reply_settlement;
 pub mod resources;
 pub mod response_writer;
+mod responses;
+mod rollout_views;
 pub mod rollouts;
 pub mod state;
 pub mod store;
+mod timeouts;
+mod watch;
 
 use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Ms, RequestId};
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -1,192 +1,250 @@
-//! A centre as one pure machine: what comes goes in, what follows comes out. Threads, sockets and the disk are adapters
-//! (`lib.rs`, `peer_rpc.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
+//! A member of the control plane as a pure state machine: events go in, effects come out. Threads, sockets and the disk
+//! are adapters (`lib.rs`, `peer_rpc.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
 pub use crate::messages::{AdminRequest, Effect, Event, PeerRequest, PeerResponse, Startup};
 use crate::peer_links::PeerLinks;
-use crate::state::{Say, State, Timeouts};
+use crate::responses::Reply;
+use crate::state::State;
 use crate::store::{FolderCondition, WriteBatch};
+use crate::timeouts::Timeouts;
 use coppersail_config::ProcessSettings;
-use coppersail_consensus::{Core, InitialState, Ms, Output, Role};
+use coppersail_consensus::{Core, InitialState, Ms, OperationId, Output, RequestId};
+use coppersail_peer_protocol::WatchRequest;
 use std::collections::VecDeque;
 
+// Periodic work, in ticks of about 50 ms.
+const RECONCILIATION_TICKS: u64 = 4;
+const COUNT_DECAY_TICKS: u64 = 100;
+const PEER_SELECTION_TICKS: u64 = 10;
+
+/// One member of the control plane.
 pub struct Node {
-    pub state: State,
-    links: PeerLinks,
-    boot: ProcessSettings,
-    round: u64,
-    left: bool,
-    in_touch: bool,
+    state: State,
+    peer_links: PeerLinks,
+    settings: ProcessSettings,
+    ticks: u64,
+    had_quorum_contact: bool,
+    has_exited: bool,
 }
 
 impl Node {
-    pub fn start(now: Ms, begin: Startup) -> (Node, Vec<Effect>) {
-        let Startup { settings: boot, recovered: found, new_incarnation: life } = begin;
-        let spans = Timeouts::new(&boot);
-        let mut outs = Vec::new();
-        let start = InitialState {
-            me: boot.admin.clone().unwrap_or_default(),
-            area: boot.area.clone(),
-            timeouts: spans.core,
-            peers: boot.known_peers.clone(),
-            bootstrap: boot.initial_boot && found.kept == FolderCondition::Fresh,
-            state: found.state,
-            own: found.own,
-            new_incarnation: life,
+    /// A node that starts at `now` (ms), and the first effects.
+    pub fn start(now: Ms, startup: Startup) -> (Node, Vec<Effect>) {
+        let Startup { settings, recovered, new_incarnation } = startup;
+        let timeouts = Timeouts::new(&settings);
+        let mut outputs = Vec::new();
+        let initial_state = InitialState {
+            me: settings.admin.clone().unwrap_or_default(),
+            area: settings.area.clone(),
+            timeouts: timeouts.core,
+            peers: settings.known_peers.clone(),
+            bootstrap: settings.initial_boot && recovered.kept == FolderCondition::Fresh,
+            state: recovered.state,
+            own: recovered.own,
+            new_incarnation,
+        };
+        let core = Core::start(now, initial_state, &mut outputs);
+        let mut node = Node {
+            state: State::new(&settings, timeouts, core, new_incarnation),
+            peer_links: PeerLinks::default(),
+            settings,
+            ticks: 0,
+            had_quorum_contact: false,
+            has_exited: false,
         };
-        let core = Core::start(now, start, &mut outs);
-        let state = State::new(&boot, spans, core, life);
-        let mut node =
-            Node { state, links: PeerLinks::default(), boot, round: 0, left: false, in_touch: false };
-        let mut out = Vec::new();
-        if node.boot.survive > 1 {
-            let n = 2 * node.boot.survive + 1;
-            let line = format!("terms.survive.boxes is {}: that wants {n} witnesses.", node.boot.survive);
-            out.push(Effect::Log(line));
+        let mut effects = Vec::new();
+        node.log_voters_needed(&mut effects);
+        node.apply_outputs(now, outputs, &mut effects);
+        (node, effects)
+    }
+
+    fn log_voters_needed(&self, effects: &mut Vec<Effect>) {
+        let failures = self.settings.survive;
+        if failures > 1 {
+            let voters = 2 * failures + 1;
+            let line = format!("terms.survive.boxes is {failures}: that wants {voters} witnesses.");
+            effects.push(Effect::Log(line));
         }
-        node.carry(now, outs, &mut out);
-        (node, out)
     }
 
-    pub fn step(&mut self, now: Ms, event: Event, out: &mut Vec<Effect>) {
-        let (mut outs, mut say) = (Vec::new(), Vec::new());
+    /// Takes one event at `now` (ms); the effects are appended in the order in which they are to be carried out.
+    pub fn step(&mut self, now: Ms, event: Event, effects: &mut Vec<Effect>) {
+        let (mut outputs, mut replies) = (Vec::new(), Vec::new());
         match event {
-            Event::Tick => self.tick(now, &mut outs, &mut say, out),
-            Event::Admin { request_id: caller, request: call } => {
-                self.state.admin(now, caller, call, &mut say, out)
+            Event::Tick => self.tick(now, &mut replies, &mut outputs, effects),
+            Event::Admin { request_id, request } => {
+                self.state.handle_admin_request(now, request_id, request, &mut replies, effects)
             }
-            Event::Peer { caller, call: PeerRequest::Watch(follow) } => {
-                self.state.follow(now, &follow, caller, &mut say, &mut outs);
-                // A receipt may be what an acknowledgement waits for.
-                if self.state.parked.iter().any(|p| p.heard > 0) {
-                    self.state.settle(now, &mut say);
-                }
+            Event::Peer { caller, call: PeerRequest::Watch(request) } => {
+                self.watch(now, caller, &request, &mut replies, &mut outputs)
             }
-            Event::Peer { caller, call: PeerRequest::Consensus(call) } => {
-                self.state.core.handle_request(now, caller, call, &mut outs);
+            Event::Peer { caller, call: PeerRequest::Consensus(request) } => {
+                self.state.core.handle_request(now, caller, request, &mut outputs)
             }
-            Event::PeerResponded { operation_id: token, response: told } => match self.links.ended(token) {
-                Some(peer) => {
-                    let news = match told {
-                        Some(PeerResponse::Update(news)) => Some(news),
-                        _ => None,
-                    };
-                    self.links.heard(now, &mut self.state, &peer, news, &mut say, &mut outs);
-                    self.links.start(now, &mut self.state, Some(&peer), out);
-                }
-                None => {
-                    let told = match told {
-                        Some(PeerResponse::Consensus(say)) => Some(say),
-                        _ => None,
-                    };
-                    self.state.core.handle_response(now, token, told, &mut outs);
-                }
-            },
-            Event::WriteFinished { token, ok } => {
-                self.state.core.handle_write_result(now, token, ok, &mut outs)
+            Event::PeerResponded { operation_id, response } => {
+                self.take_response(now, operation_id, response, &mut replies, &mut outputs, effects)
             }
-            Event::Shutdown => {
-                if !self.state.core.is_shutting_down() {
-                    out.push(Effect::Log("Leaving: hands over what it holds.".into()));
-                    self.state.core.begin_shutdown(now);
-                    // Everybody is told at once.
-                    self.state.flush_all(now, &mut say);
-                }
+            Event::WriteFinished { token, ok } => {
+                self.state.core.handle_write_result(now, token, ok, &mut outputs)
             }
-            Event::SettingsChanged(boot) => self.reread(now, *boot, &mut outs, out),
+            Event::Shutdown => self.begin_shutdown(now, &mut replies, effects),
+            Event::SettingsChanged(settings) => self.change_settings(now, *settings, &mut outputs, effects),
         }
-        self.carry(now, outs, out);
-        self.speak(say, out);
+        self.apply_outputs(now, outputs, effects);
+        effects.extend(replies.into_iter().map(Effect::from));
     }
 
-    /// Twenty times a second: what has waited long enough, who fell silent, where keys should be.
-    fn tick(&mut self, now: Ms, outs: &mut Vec<Output>, say: &mut Vec<Say>, out: &mut Vec<Effect>) {
-        self.round += 1;
-        self.state.core.tick(now, outs);
-        if self.round.is_multiple_of(4) {
-            self.state.listen(now);
-            self.state.place(now);
-            out.extend(self.state.steer(now).into_iter().map(Effect::Log));
+    fn tick(
+        &mut self,
+        now: Ms,
+        replies: &mut Vec<Reply>,
+        outputs: &mut Vec<Output>,
+        effects: &mut Vec<Effect>,
+    ) {
+        self.ticks += 1;
+        self.state.core.tick(now, outputs);
+        if self.ticks.is_multiple_of(RECONCILIATION_TICKS) {
+            self.state.detect_failures(now);
+            self.state.reconcile_assignments(now);
+            effects.extend(self.state.advance_rollouts(now).into_iter().map(Effect::Log));
         }
-        if self.round.is_multiple_of(100) {
-            self.state.keys.decay_counts();
+        if self.ticks.is_multiple_of(COUNT_DECAY_TICKS) {
+            self.state.assignments.leases.decay_counts();
         }
-        // Edges are not left waiting for news of a centre that has none.
-        let in_touch = self.state.core.has_quorum_contact(now);
-        if self.in_touch && !in_touch {
-            self.state.flush_edges(now, say);
+        self.answer_edges_if_isolated(now, replies);
+        self.state.settle_replies(now, replies);
+        if self.ticks % PEER_SELECTION_TICKS == 1 {
+            self.peer_links.select_peers(now, &self.state);
         }
-        self.in_touch = in_touch;
-        self.state.settle(now, say);
-        if self.round % 10 == 1 {
-            self.links.choose(now, &self.state);
+        self.peer_links.start_due_polls(now, &mut self.state, effects);
+        self.exit_if_possible(now, effects);
+    }
+
+    /// Once quorum contact is lost, edges are sent to other members at once.
+    fn answer_edges_if_isolated(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        let has_quorum_contact = self.state.core.has_quorum_contact(now);
+        if self.had_quorum_contact && !has_quorum_contact {
+            self.state.answer_polls_of_edges(now, replies);
+        }
+        self.had_quorum_contact = has_quorum_contact;
+    }
+
+    fn exit_if_possible(&mut self, now: Ms, effects: &mut Vec<Effect>) {
+        if !self.has_exited && self.state.core.may_exit(now) {
+            self.has_exited = true;
+            effects.push(Effect::Log("Left.".into()));
+            effects.push(Effect::Exit);
         }
-        self.links.start(now, &mut self.state, None, out);
-        if !self.left && self.state.core.may_exit(now) {
-            self.left = true;
-            out.push(Effect::Log("Left.".into()));
-            out.push(Effect::Exit);
+    }
+
+    fn watch(
+        &mut self,
+        now: Ms,
+        request_id: RequestId,
+        request: &WatchRequest,
+        replies: &mut Vec<Reply>,
+        outputs: &mut Vec<Output>,
+    ) {
+        self.state.watch(now, request, request_id, replies, outputs);
+        // The poll acknowledges the update before it.
+        if self.state.pending_replies.any_awaits_followers() {
+            self.state.settle_replies(now, replies);
         }
     }
 
-    /// Carries out what the core says, and what follows from it in turn.
-    fn carry(&mut self, now: Ms, outs: Vec<Output>, out: &mut Vec<Effect>) {
-        let (mut todo, mut say): (VecDeque<Output>, Vec<Say>) = (outs.into(), Vec::new());
+    fn take_response(
+        &mut self,
+        now: Ms,
+        operation_id: OperationId,
+        response: Option<PeerResponse>,
+        replies: &mut Vec<Reply>,
+        outputs: &mut Vec<Output>,
+        effects: &mut Vec<Effect>,
+    ) {
+        if let Some(peer) = self.peer_links.peer_of_poll(operation_id) {
+            let update = match response {
+                Some(PeerResponse::Update(update)) => Some(update),
+                _ => None,
+            };
+            self.peer_links.finish_poll(now, &mut self.state, &peer, update, replies, outputs);
+            self.peer_links.start_poll_if_due(now, &mut self.state, &peer, effects);
+        } else {
+            let response = match response {
+                Some(PeerResponse::Consensus(response)) => Some(response),
+                _ => None,
+            };
+            self.state.core.handle_response(now, operation_id, response, outputs);
+        }
+    }
+
+    fn begin_shutdown(&mut self, now: Ms, replies: &mut Vec<Reply>, effects: &mut Vec<Effect>) {
+        if !self.state.core.is_shutting_down() {
+            effects.push(Effect::Log("Leaving: hands over what it holds.".into()));
+            self.state.core.begin_shutdown(now);
+            // Other members learn of it by this member's status.
+            self.state.answer_all_polls(now, replies);
+        }
+    }
+
+    /// Applies what can be applied without a restart; one line for each field, one for what needs a restart.
+    fn change_settings(
+        &mut self,
+        now: Ms,
+        settings: ProcessSettings,
+        outputs: &mut Vec<Output>,
+        effects: &mut Vec<Effect>,
+    ) {
+        let reloaded = coppersail_config::reload(&self.settings, settings);
+        let lines = reloaded.applied.iter().chain(&reloaded.restart);
+        effects.extend(lines.map(|line| Effect::Log(format!("Settings: {line}."))));
+        self.settings = reloaded.boot;
+        self.state.change_timeouts(Timeouts::new(&self.settings));
+        self.state.core.add_members(now, self.settings.known_peers.iter(), outputs);
+    }
+
+    /// Applies the outputs of the consensus core, and those that follow from them, until nothing is left to be proposed.
+    fn apply_outputs(&mut self, now: Ms, outputs: Vec<Output>, effects: &mut Vec<Effect>) {
+        let (mut queue, mut replies): (VecDeque<Output>, Vec<Reply>) = (outputs.into(), Vec::new());
         loop {
-            for change in std::mem::take(&mut self.state.todo) {
-                let mut more = Vec::new();
-                self.state.core.propose(now, change, &mut more);
-                todo.extend(more);
-            }
-            let Some(one) = todo.pop_front() else { break };
-            match one {
-                Output::Send { operation_id: token, to, call, timeout: wait } => {
-                    out.push(Effect::SendToPeer {
-                        token,
-                        peer: to,
-                        call: PeerRequest::Consensus(call),
-                        timeout: wait,
-                    });
-                }
-                Output::Respond { request_id: caller, response: say } => {
-                    out.push(Effect::RespondToPeer { caller, response: PeerResponse::Consensus(say) })
-                }
-                Output::Persist { token, state, replace: whole, metadata: own } => {
-                    out.push(Effect::Persist { token, write: WriteBatch { state, whole, own } });
-                }
-                Output::Log(line) => out.push(Effect::Log(line)),
-                Output::BecameLeader { newly_elected: fresh } => self.state.acts(now, fresh),
-                Output::SteppedDown => self.state.stops(),
-                Output::Committed(changes) => self.state.wrote(now, &changes),
-                Output::Failed(tickets) => self.state.failed(&tickets),
+            for change in self.state.proposals.take_unproposed() {
+                let mut outputs = Vec::new();
+                self.state.core.propose(now, change, &mut outputs);
+                queue.extend(outputs);
             }
-            if todo.is_empty() {
-                self.state.settle_if_due(now, &mut say);
+            let Some(output) = queue.pop_front() else { break };
+            self.apply_output(now, output, effects);
+            if queue.is_empty() {
+                self.state.settle_replies_if_due(now, &mut replies);
             }
         }
-        self.speak(say, out);
+        effects.extend(replies.into_iter().map(Effect::from));
     }
 
-    fn speak(&mut self, say: Vec<Say>, out: &mut Vec<Effect>) {
-        for say in say {
-            out.push(match say {
-                Say::News(caller, news) => {
-                    Effect::RespondToPeer { caller, response: PeerResponse::Update(news) }
-                }
-                Say::Text(caller, status, body) => Effect::RespondToAdmin { caller, status, body },
-            });
+    fn apply_output(&mut self, now: Ms, output: Output, effects: &mut Vec<Effect>) {
+        match output {
+            Output::Send { operation_id, to, call, timeout } => effects.push(Effect::SendToPeer {
+                token: operation_id,
+                peer: to,
+                call: PeerRequest::Consensus(call),
+                timeout,
+            }),
+            Output::Respond { request_id, response } => effects.push(Effect::RespondToPeer {
+                caller: request_id,
+                response: PeerResponse::Consensus(response),
+            }),
+            Output::Persist { token, state, replace, metadata } => {
+                let write = WriteBatch { state, whole: replace, own: metadata };
+                effects.push(Effect::Persist { token, write });
+            }
+            Output::Log(line) => effects.push(Effect::Log(line)),
+            Output::BecameLeader { newly_elected } => self.state.became_leader(now, newly_elected),
+            Output::SteppedDown => self.state.stepped_down(),
+            Output::Committed(changes) => self.state.committed(now, &changes),
+            Output::Failed(tickets) => self.state.failed(&tickets),
         }
     }
 
-    /// Takes over what can be while it runs; one line for each field, one for what needs a restart.
-    fn reread(&mut self, now: Ms, boot: ProcessSettings, outs: &mut Vec<Output>, out: &mut Vec<Effect>) {
-        let reread = coppersail_config::reload(&self.boot, boot);
-        let line = |line: &String| Effect::Log(format!("Settings: {line}."));
-        out.extend(reread.applied.iter().chain(&reread.restart).map(line));
-        self.boot = reread.boot;
-        self.state.respan(Timeouts::new(&self.boot));
-        self.state.core.add_members(now, self.boot.known_peers.iter(), outs);
-    }
-
-    pub fn acts(&self) -> bool {
-        matches!(self.state.core.role, Role::Leader(_))
+    /// Whether this member leads, as far as it knows. It may have lost its lease meanwhile.
+    pub fn is_leader(&self) -> bool {
+        self.state.is_leader()
     }
 }
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -41,6 +41,8 @@
     known: BTreeMap<u64, String>,
     /// By ticket.
     begun: Vec<Begun>,
+    /// The highest revision that this leader has proposed as the configuration.
+    newest_in_progress: Option<u64>,
 }
 
 /// Names a content. Bodies that are equal as JSON have one digest, whatever the order of their fields.
@@ -81,7 +83,7 @@
             known.entry(newest.revision).or_insert_with(|| digest(&newest.body));
         }
         fit(&mut known);
-        Orders { known, begun: Vec::new() }
+        Orders { known, ..Orders::default() }
     }
 
     /// `held`: the number of the configuration in force.
@@ -106,6 +108,15 @@
         self.begun.push(Begun { ticket, revision, digest });
     }
 
+    /// The configuration of this revision is proposed.
+    pub(crate) fn record_newest(&mut self, revision: u64) {
+        self.newest_in_progress = self.newest_in_progress.max(Some(revision));
+    }
+
+    pub(crate) fn newest_in_progress(&self) -> Option<u64> {
+        self.newest_in_progress
+    }
+
     /// What is to be written with the orders up to this ticket, in one batch with the configuration. A number whose
     /// value is empty is not remembered any more.
     pub fn puts(&self, ticket: u64) -> Vec<KeyValue> {
@@ -138,6 +149,7 @@
     /// A step-down: nothing that was begun is going to be answered.
     pub fn failed_all(&mut self) {
         self.begun.clear();
+        self.newest_in_progress = None;
     }
 }
 
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -1,108 +1,143 @@
-//! Whom this centre follows, and the polls that are its heartbeats. No I/O.
+//! The members whose change feeds this one watches. The long polls are its heartbeats. No I/O.
+use crate::followers::FeedPosition;
 use crate::messages::{Effect, PeerRequest};
-use crate::state::{Say, State};
+use crate::responses::Reply;
+use crate::state::State;
 use coppersail_consensus::{Id, Ms, OperationId, Output};
-use coppersail_peer_protocol::{RequestCounts, Update, WatchRequest};
+use coppersail_peer_protocol::{Update, WatchRequest};
+use coppersail_rollout::EvidenceReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many others a centre's heartbeats go to, besides the witnesses and who holds the state.
-const FEW: usize = 3;
-/// Tokens of polls, apart from those of the core.
-const POLLS: OperationId = 1 << 48;
+/// How many members heartbeats go to, besides the voters and those that hold the replicated state.
+const HEARTBEAT_FANOUT: usize = 3;
+/// Ids of polls are above this one, those of the consensus core's operations below.
+const FIRST_POLL_ID: OperationId = 1 << 48;
 
-#[derive(Default)]
-struct Link {
-    feed: u64,
-    seq: u64,
-    under_way: Option<LongPoll>,
-    next_at: Ms,
+struct PeerLink {
+    /// What this member has of the peer's change feed.
+    position: FeedPosition,
+    poll_in_flight: Option<PollInFlight>,
+    next_poll_at: Ms,
 }
 
-struct LongPoll {
-    token: OperationId,
-    asked_at: Ms,
-    evidence: Vec<coppersail_rollout::EvidenceReport>,
+impl Default for PeerLink {
+    fn default() -> PeerLink {
+        let position = FeedPosition { feed_id: 0, sequence: 0 };
+        PeerLink { position, poll_in_flight: None, next_poll_at: 0 }
+    }
+}
+
+struct PollInFlight {
+    operation_id: OperationId,
+    started_at: Ms,
+    /// What it carries: kept if it fails.
+    rollout_reports: Vec<EvidenceReport>,
 }
 
 #[derive(Default)]
-pub struct PeerLinks {
-    wanted: BTreeSet<Id>,
-    links: BTreeMap<Id, Link>,
-    tokens: OperationId,
-    turn: usize,
+pub(crate) struct PeerLinks {
+    peers: BTreeSet<Id>,
+    links: BTreeMap<Id, PeerLink>,
+    polls_started: OperationId,
+    /// Changes with each selection, so that every member is selected in turn.
+    selection_round: usize,
 }
 
 impl PeerLinks {
-    pub fn choose(&mut self, now: Ms, state: &State) {
-        self.turn += 1;
-        self.wanted = state.core.heartbeat_targets(now, self.turn, FEW);
-        let wanted = &self.wanted;
-        self.links.retain(|id, link| wanted.contains(id) || link.under_way.is_some());
+    /// Selects the members to poll. A link to another ends with its poll.
+    pub(crate) fn select_peers(&mut self, now: Ms, state: &State) {
+        self.selection_round += 1;
+        self.peers = state.core.heartbeat_targets(now, self.selection_round, HEARTBEAT_FANOUT);
+        let peers = &self.peers;
+        self.links.retain(|id, link| peers.contains(id) || link.poll_in_flight.is_some());
     }
 
-    /// Starts the polls that are due, of one peer or of all.
-    pub fn start(&mut self, now: Ms, state: &mut State, only: Option<&Id>, out: &mut Vec<Effect>) {
-        for peer in &self.wanted {
-            if only.is_some_and(|only| only != peer) {
-                continue;
-            }
-            let link = self.links.entry(peer.clone()).or_default();
-            if link.under_way.is_some() || now < link.next_at {
-                continue;
-            }
-            let to_primary = state.primary(now) == Some(peer);
-            let asked = if to_primary { std::mem::take(&mut state.asked) } else { Default::default() };
-            let asked = asked
-                .into_iter()
-                .map(|(backend, c)| RequestCounts { service: backend, counts: c.into_iter().collect() });
-            let evidence = if to_primary { state.rollouts.relay() } else { Vec::new() };
-            let follow = WatchRequest {
-                edge: state.core.id.clone(),
-                zone: String::new(),
-                feed_id: link.feed,
-                sequence: link.seq,
-                wait_ms: state.spans.core.heartbeat_interval,
-                request_counts: asked.collect(),
-                rollout_reports: evidence.clone(),
-                status: Some(state.standing(now, peer)),
-            };
-            self.tokens += 1;
-            let token = POLLS + self.tokens;
-            link.under_way = Some(LongPoll { token, asked_at: now, evidence });
-            let (call, wait) = (PeerRequest::Watch(Box::new(follow)), state.spans.core.rpc_timeout);
-            out.push(Effect::SendToPeer { token, peer: peer.clone(), call, timeout: wait });
+    /// Starts all polls that are due.
+    pub(crate) fn start_due_polls(&mut self, now: Ms, state: &mut State, effects: &mut Vec<Effect>) {
+        for peer in self.peers.clone() {
+            self.start_poll_if_due(now, state, &peer, effects);
         }
     }
 
-    /// Whose poll this was, if it was one.
-    pub fn ended(&self, token: OperationId) -> Option<Id> {
-        let of = |(id, link): (&Id, &Link)| {
-            link.under_way.as_ref().is_some_and(|p| p.token == token).then(|| id.clone())
+    /// Starts the poll of one peer, if it is selected and its poll is due.
+    pub(crate) fn start_poll_if_due(
+        &mut self,
+        now: Ms,
+        state: &mut State,
+        peer: &Id,
+        effects: &mut Vec<Effect>,
+    ) {
+        if !self.peers.contains(peer) {
+            return;
+        }
+        let link = self.links.entry(peer.clone()).or_default();
+        if link.poll_in_flight.is_some() || now < link.next_poll_at {
+            return;
+        }
+        self.polls_started += 1;
+        let operation_id = FIRST_POLL_ID + self.polls_started;
+        let request = watch_request(now, state, peer, link.position);
+        let rollout_reports = request.rollout_reports.clone();
+        link.poll_in_flight = Some(PollInFlight { operation_id, started_at: now, rollout_reports });
+        effects.push(Effect::SendToPeer {
+            token: operation_id,
+            peer: peer.clone(),
+            call: PeerRequest::Watch(Box::new(request)),
+            timeout: state.timeouts.core.rpc_timeout,
+        });
+    }
+
+    /// The peer to which this poll went, if the operation is a poll.
+    pub(crate) fn peer_of_poll(&self, operation_id: OperationId) -> Option<Id> {
+        let is_it = |link: &PeerLink| {
+            link.poll_in_flight.as_ref().is_some_and(|poll| poll.operation_id == operation_id)
         };
-        self.links.iter().find_map(of)
+        self.links.iter().find(|(_, link)| is_it(link)).map(|(id, _)| id.clone())
     }
 
-    pub fn heard(
+    /// Takes the result of a poll; none if it has failed.
+    pub(crate) fn finish_poll(
         &mut self,
         now: Ms,
         state: &mut State,
         peer: &Id,
-        news: Option<Box<Update>>,
-        say: &mut Vec<Say>,
-        outs: &mut Vec<Output>,
+        update: Option<Box<Update>>,
+        replies: &mut Vec<Reply>,
+        outputs: &mut Vec<Output>,
     ) {
         let Some(link) = self.links.get_mut(peer) else { return };
-        let Some(poll) = link.under_way.take() else { return };
-        let Some(news) = news else {
-            link.next_at = now + state.spans.core.heartbeat_interval / 4;
-            return state.rollouts.put_back(poll.evidence);
+        let Some(poll) = link.poll_in_flight.take() else { return };
+        let Some(update) = update else {
+            link.next_poll_at = now + state.timeouts.core.heartbeat_interval / 4;
+            return state.rollouts.put_back(poll.rollout_reports);
         };
-        (link.feed, link.seq, link.next_at) = (news.feed_id, news.sequence, now);
-        if let Some(standing) = &news.status {
-            state.hear(now, standing, Some(poll.asked_at), outs);
+        link.position = FeedPosition { feed_id: update.feed_id, sequence: update.sequence };
+        link.next_poll_at = now;
+        if let Some(status) = &update.status {
+            state.receive_status(now, status, Some(poll.started_at), outputs);
         }
-        state.merge(&news);
-        state.rollouts.hear(poll.asked_at, &news.rollouts_as_of);
-        state.settle(now, say);
+        state.merge_update(&update);
+        state.rollouts.hear(poll.started_at, &update.rollouts_as_of);
+        state.settle_replies(now, replies);
+    }
+}
+
+/// The leader is sent what edges have measured as well.
+fn watch_request(now: Ms, state: &mut State, peer: &Id, position: FeedPosition) -> WatchRequest {
+    let to_leader = state.known_leader(now) == Some(peer);
+    let (mut request_counts, mut rollout_reports) = (Vec::new(), Vec::new());
+    if to_leader {
+        request_counts = state.assignments.take_unforwarded_counts();
+        rollout_reports = state.rollouts.relay();
+    }
+    WatchRequest {
+        edge: state.core.id.clone(),
+        zone: String::new(),
+        feed_id: position.feed_id,
+        sequence: position.sequence,
+        wait_ms: state.timeouts.core.heartbeat_interval,
+        request_counts,
+        rollout_reports,
+        status: Some(state.status_for(now, peer)),
     }
 }
--- /dev/null
+++ b/crates/control-plane/server/src/pending_replies.rs
@@ -0,0 +1,57 @@
+//! Requests of endpoints and operators whose reply waits: for a commit, for followers, or for a lease to be released.
+use coppersail_consensus::{Ms, RequestId};
+
+/// A request that is not answered yet.
+pub(crate) struct PendingReply {
+    pub(crate) request_id: RequestId,
+    /// It is answered by then, whatever has come.
+    pub(crate) deadline: Ms,
+    /// The proposal that has to be committed first.
+    pub(crate) ticket: Option<u64>,
+    /// The sequence number of the change feed that followers have to acknowledge first.
+    pub(crate) sequence: Option<u64>,
+    pub(crate) kind: ReplyKind,
+}
+
+pub(crate) enum ReplyKind {
+    /// An order that is being committed.
+    Order,
+    /// Another content under the revision that is being committed: refused once that is in force.
+    ConflictingOrder,
+    /// A heartbeat or a sign-off.
+    Heartbeat {
+        endpoint: String,
+        /// The sharded service of which the endpoint renews leases.
+        sharded_service: Option<String>,
+    },
+}
+
+#[derive(Default)]
+pub(crate) struct PendingReplies {
+    replies: Vec<PendingReply>,
+    /// A proposal was committed or failed, or leadership changed, since replies were last checked.
+    pub(crate) check_due: bool,
+}
+
+impl PendingReplies {
+    pub(crate) fn push(&mut self, reply: PendingReply) {
+        self.replies.push(reply);
+    }
+
+    /// All of them, in the order of their requests, to be checked; those that still wait are pushed again.
+    pub(crate) fn take_all(&mut self) -> Vec<PendingReply> {
+        std::mem::take(&mut self.replies)
+    }
+
+    pub(crate) fn any_awaits_followers(&self) -> bool {
+        self.replies.iter().any(|reply| reply.sequence.is_some())
+    }
+
+    /// Endpoints whose heartbeat is waiting here for leases.
+    pub(crate) fn waiting_endpoints(&self) -> impl Iterator<Item = &String> {
+        self.replies.iter().filter_map(|reply| match &reply.kind {
+            ReplyKind::Heartbeat { endpoint, sharded_service: Some(_) } => Some(endpoint),
+            _ => None,
+        })
+    }
+}
--- /dev/null
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -0,0 +1,64 @@
+//! What time brings: endpoints that fall silent, assignments that are not as they should be, rollouts that go on.
+use crate::rollouts::Hosts;
+use crate::state::State;
+use crate::store::KeyValue;
+use coppersail_consensus::Ms;
+
+impl State {
+    /// Finds endpoints that have fallen silent, forgets what is long gone, and announces members that are new.
+    pub(crate) fn detect_failures(&mut self, now: Ms) {
+        self.announce_new_members(now);
+        self.heartbeats.record_quorum_contact(now, !self.is_isolated(now));
+        let suspects = self.heartbeats.new_suspects(now, &self.core, &self.feed, &self.timeouts);
+        for suspect in &suspects {
+            self.feed.put_host(suspect);
+        }
+        self.heartbeats.record_reports_of_live_members(now, &self.core, &self.feed, &self.timeouts);
+        for endpoint in self.heartbeats.remove_expired(now) {
+            self.feed.forget(&endpoint);
+        }
+        self.followers.forget_silent(now);
+    }
+
+    /// All followers are told of a member that was not there before, whatever they have.
+    fn announce_new_members(&mut self, now: Ms) {
+        let new = self.members.unannounced(now, &self.core);
+        if !new.is_empty() {
+            let sequence = self.feed.stir();
+            self.members.mark_announced(new, sequence);
+        }
+    }
+
+    /// Proposes the changes by which the assignments of sharded services come closer to what they should be.
+    pub(crate) fn reconcile_assignments(&mut self, now: Ms) {
+        if !self.holds_leader_lease(now) {
+            return;
+        }
+        let services = self.config.iter().flat_map(|config| &config.services);
+        for service in services.filter(|service| service.split_up) {
+            let candidates = self.heartbeats.candidates(now, &service.name, &self.feed, &self.timeouts);
+            let writes = self.assignments.reconcile(now, &service.name, &candidates, &self.timeouts);
+            if let Some(writes) = writes {
+                self.proposals.submit(writes);
+            }
+        }
+    }
+
+    /// Proposes the next steps of rollouts; a line for the log about each.
+    pub(crate) fn advance_rollouts(&mut self, now: Ms) -> Vec<String> {
+        if !self.holds_leader_lease(now) || !self.feed.planned() {
+            return Vec::new();
+        }
+        let (core, feed, heartbeats, timeouts) = (&self.core, &self.feed, &self.heartbeats, &self.timeouts);
+        let all = || feed.hosts().cloned().collect();
+        let dead = |endpoint: &str, lost_at: Ms| {
+            heartbeats.has_died_since(now, endpoint, lost_at, core, feed, timeouts)
+        };
+        let changes = self.rollouts.tick(now, self.config.as_ref(), &Hosts { all: &all, dead: &dead });
+        let (writes, lines): (Vec<KeyValue>, Vec<String>) = changes.into_iter().unzip();
+        if !writes.is_empty() {
+            self.proposals.submit(writes);
+        }
+        lines
+    }
+}
--- /dev/null
+++ b/crates/control-plane/server/src/replication.rs
@@ -0,0 +1,68 @@
+//! What follows from outputs of the consensus core: commits, failed proposals, changes of leadership.
+use crate::orders::Orders;
+use crate::rollouts;
+use crate::state::State;
+use coppersail_consensus::{Change, Ms};
+use coppersail_peer_protocol::ConfigDocument;
+
+/// The key of the configuration in the replicated state.
+pub(crate) const CONFIG_KEY: &str = "config";
+
+impl State {
+    /// This member leads from now on. If it is newly elected, it takes over the replicated state, and publishes all of it
+    /// under its term.
+    pub(crate) fn became_leader(&mut self, now: Ms, newly_elected: bool) {
+        if !newly_elected {
+            return;
+        }
+        let term = self.leader_term().unwrap_or(0);
+        let state = || self.core.held().iter().map(|(key, value)| (key.as_str(), value.as_str()));
+        self.orders = Orders::recover(state());
+        self.assignments.recover(now, term, state(), &self.timeouts, &mut self.feed);
+        let config = self.core.held().get(CONFIG_KEY).and_then(|text| serde_json::from_str(text).ok());
+        if let Some(config) = config {
+            self.put_config(&config);
+        }
+        for rollout in self.rollouts.took_over(now, self.core.held().iter()) {
+            self.feed.put_plan(&rollout);
+        }
+        self.pending_replies.check_due = true;
+    }
+
+    pub(crate) fn stepped_down(&mut self) {
+        self.rollouts.step_down();
+        self.orders.failed_all();
+        self.pending_replies.check_due = true;
+    }
+
+    /// These changes are on all disks of the leadership record: they are in force.
+    pub(crate) fn committed(&mut self, now: Ms, changes: &[Change]) {
+        for change in changes {
+            self.assignments.leases.apply(now, &change.writes);
+            for rollout in change.writes.iter().filter_map(rollouts::read) {
+                self.feed.put_plan(&rollout);
+            }
+            let config = change.writes.iter().find(|(key, _)| key == CONFIG_KEY);
+            if let Some(config) = config.and_then(|(_, text)| serde_json::from_str(text).ok()) {
+                self.put_config(&config);
+            }
+            self.orders.done(change.ticket);
+            self.proposals.mark_committed(change.ticket);
+        }
+        self.pending_replies.check_due = true;
+    }
+
+    /// These proposals may be on some disk or not: the next leader finds out.
+    pub(crate) fn failed(&mut self, tickets: &[u64]) {
+        self.proposals.mark_failed(tickets);
+        for ticket in tickets {
+            self.orders.failed(*ticket);
+        }
+        self.pending_replies.check_due = true;
+    }
+
+    fn put_config(&mut self, config: &ConfigDocument) {
+        self.feed.put_settings(config);
+        self.load_config();
+    }
+}
--- /dev/null
+++ b/crates/control-plane/server/src/reply_settlement.rs
@@ -0,0 +1,124 @@
+//! Replies that are due: each pending request is checked for what it waits for, and answered once that has come or its
+//! deadline has passed.
+use crate::pending_replies::{PendingReply, ReplyKind};
+use crate::proposals::ProposalStatus;
+use crate::responses::{
+    heartbeat_response, GrantedShards, Rejection, RenewedLeases, Reply, Response, CONFLICTING_REVISION,
+    NOT_COMMITTED,
+};
+use crate::state::State;
+use coppersail_consensus::Ms;
+use coppersail_peer_protocol::EndpointState;
+
+/// A follower that was silent for longer than a poll lasts and this time, in ms, is not waited for.
+const FOLLOWER_SILENCE: Ms = 1000;
+
+enum Readiness {
+    Waiting,
+    Due,
+    NotCommitted,
+}
+
+impl State {
+    /// Publishes what has changed, answers requests that have waited for what has come, or for too long, and then the
+    /// polls of followers.
+    pub(crate) fn settle_replies(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        self.pending_replies.check_due = false;
+        self.publish_assignments();
+        for pending in self.pending_replies.take_all() {
+            let response = match self.readiness(now, &pending) {
+                Readiness::Waiting => {
+                    self.pending_replies.push(pending);
+                    continue;
+                }
+                Readiness::NotCommitted => Rejection::unavailable(NOT_COMMITTED).into(),
+                Readiness::Due => self.final_response(now, &pending.kind),
+            };
+            replies.push(Reply::Admin(pending.request_id, response));
+        }
+        self.publish_assignments();
+        self.answer_due_polls(now, replies);
+    }
+
+    /// After a commit, a failed proposal or a change of leadership.
+    pub(crate) fn settle_replies_if_due(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        if self.pending_replies.check_due {
+            self.settle_replies(now, replies);
+        }
+    }
+
+    fn publish_assignments(&mut self) {
+        if let Some(term) = self.leader_term() {
+            self.assignments.publish_changes(term, &mut self.feed);
+        }
+    }
+
+    fn readiness(&self, now: Ms, pending: &PendingReply) -> Readiness {
+        let is_late = now >= pending.deadline;
+        match pending.ticket.map_or(ProposalStatus::Committed, |ticket| self.proposals.status(ticket)) {
+            ProposalStatus::Failed => return Readiness::NotCommitted,
+            ProposalStatus::Pending if is_late => return Readiness::NotCommitted,
+            ProposalStatus::Pending => return Readiness::Waiting,
+            ProposalStatus::Committed => {}
+        }
+        if !is_late && (self.awaits_followers(now, pending) || self.awaits_lease_transfer(pending)) {
+            return Readiness::Waiting;
+        }
+        Readiness::Due
+    }
+
+    fn awaits_followers(&self, now: Ms, pending: &PendingReply) -> bool {
+        let silence = FOLLOWER_SILENCE + self.timeouts.core.heartbeat_interval;
+        pending.sequence.is_some_and(|sequence| !self.followers.have_acknowledged(now, sequence, silence))
+    }
+
+    /// Whether shards are on their way to the endpoint whose holders are to release them before the deadline.
+    fn awaits_lease_transfer(&self, pending: &PendingReply) -> bool {
+        let ReplyKind::Heartbeat { endpoint, sharded_service: Some(service) } = &pending.kind else {
+            return false;
+        };
+        let releases_in_time =
+            |holder: &str| self.heartbeats.is_due_by(holder, pending.deadline, &self.timeouts);
+        self.assignments.leases.has_pending_transfer(service, endpoint, releases_in_time)
+    }
+
+    fn final_response(&mut self, now: Ms, kind: &ReplyKind) -> Response {
+        match kind {
+            // A process that was frozen since the commit must not acknowledge: there may be another leader.
+            ReplyKind::Order | ReplyKind::ConflictingOrder if !self.holds_leader_lease(now) => {
+                Response::indeterminate()
+            }
+            ReplyKind::Order => Response::acknowledged(),
+            ReplyKind::ConflictingOrder => Rejection::conflict(CONFLICTING_REVISION).into(),
+            ReplyKind::Heartbeat { endpoint, sharded_service } => {
+                self.heartbeat_reply(now, endpoint, sharded_service.as_deref())
+            }
+        }
+    }
+
+    fn heartbeat_reply(&mut self, now: Ms, endpoint: &str, sharded_service: Option<&str>) -> Response {
+        let may_grant = sharded_service.is_none() || self.holds_leader_lease(now);
+        if self.is_isolated(now) || !may_grant {
+            return Response::indeterminate();
+        }
+        let report_to = (!self.core.is_shutting_down()).then(|| self.core.id.clone());
+        let leases = sharded_service.map(|service| self.renew_leases(now, service, endpoint));
+        heartbeat_response(report_to, leases)
+    }
+
+    fn renew_leases(&mut self, now: Ms, service: &str, endpoint: &str) -> RenewedLeases {
+        let waiting = self.pending_replies.waiting_endpoints();
+        let about_to_report: Vec<String> =
+            waiting.chain(self.heartbeats.due_soon(now, &self.timeouts)).cloned().collect();
+        // The shards of an endpoint that drains have to be transferred before it ends.
+        let is_draining = self.feed.host(endpoint).is_some_and(|e| e.state > EndpointState::Ready);
+        let interval = self.timeouts.heartbeat_interval;
+        let transfer_wait = if is_draining { interval / 2 } else { interval * 3 / 2 };
+        let leases = &mut self.assignments.leases;
+        let granted = leases.renew(now, service, endpoint, &about_to_report, transfer_wait);
+        let shards = granted
+            .into_iter()
+            .map(|grant| GrantedShards(grant.from, grant.to, grant.fencing_token, grant.handover));
+        RenewedLeases { shards: shards.collect(), lease_duration: leases.lease_duration() }
+    }
+}
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,11 +1,12 @@
 //! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
 //! of plans is. No I/O; decisions are those of `coppersail-rollout`.
+use crate::responses::Rejection;
+use crate::rollout_views::{RolloutView, VariantView};
 use crate::store::KeyValue;
 use coppersail_config::Config;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
 use coppersail_rollout::analysis::FleetCapacity;
-use coppersail_rollout::evidence::OutcomeKind;
 use coppersail_rollout::lifecycle::{Phase, RolloutCommand, RolloutState, Since};
 use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
@@ -42,6 +43,32 @@
         put(&self.stand)
     }
 
+    fn view(&self, now: Ms, name: &str) -> RolloutView {
+        let (state, analysis) = (&self.stand, &self.judge);
+        let verdict = match &self.verdict {
+            Verdict::Wait(why) => format!("waits: {why}"),
+            Verdict::Sound => "sound".into(),
+            Verdict::Pause(why) => format!("bad: {why}"),
+        };
+        RolloutView {
+            answers: analysis.counted(state.number),
+            late_rows: analysis.late,
+            name: name.into(),
+            new: VariantView::new(&analysis.sums.new),
+            next_in_ms: state.left(&self.plan, now, self.since),
+            number: state.number,
+            old: VariantView::new(&analysis.sums.old),
+            phase: state.phase,
+            plan: serde_json::from_str(&state.body).unwrap_or_default(),
+            rows: analysis.rows_taken,
+            share: state.share(),
+            step: state.step + 1,
+            steps: self.plan.steps.len(),
+            verdict,
+            why: state.why.clone(),
+        }
+    }
+
     fn live(&self) -> bool {
         self.stand.phase != Phase::Ended
     }
@@ -57,14 +84,14 @@
 }
 
 /// What a plan is told about hosts.
-pub struct Hosts<'a> {
-    pub all: &'a dyn Fn() -> Vec<EndpointUpdate>,
+pub(crate) struct Hosts<'a> {
+    pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
     /// Whether a host has died, for a loss that was told at a time.
-    pub dead: &'a dyn Fn(&str, Ms) -> Option<bool>,
+    pub(crate) dead: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
 
 #[derive(Default)]
-pub struct Rollouts {
+pub(crate) struct Rollouts {
     plans: BTreeMap<String, Entry>,
     relay: Vec<EvidenceReport>,
     /// Until when the plans here are known to be a primary's, and its epoch.
@@ -72,7 +99,7 @@
 }
 
 impl Rollouts {
-    pub fn took_over<'a>(
+    pub(crate) fn took_over<'a>(
         &mut self,
         now: Ms,
         held: impl Iterator<Item = (&'a String, &'a String)>,
@@ -83,19 +110,19 @@
         found
     }
 
-    pub fn step_down(&mut self) {
+    pub(crate) fn step_down(&mut self) {
         self.plans.clear();
     }
 
     /// What another centre says about how new its plans are, asked for at a time.
-    pub fn hear(&mut self, asked: Ms, seen: &Option<RolloutsAsOf>) {
+    pub(crate) fn hear(&mut self, asked: Ms, seen: &Option<RolloutsAsOf>) {
         if let Some(seen) = seen {
             self.heard = self.heard.max(Some((seen.term, asked.saturating_sub(seen.age_ms))));
         }
     }
 
     /// How new the plans here are: of now where this centre is primary.
-    pub fn seen(&self, now: Ms, epoch: Option<u64>) -> Option<RolloutsAsOf> {
+    pub(crate) fn seen(&self, now: Ms, epoch: Option<u64>) -> Option<RolloutsAsOf> {
         match (epoch, self.heard) {
             (Some(epoch), _) => Some(RolloutsAsOf { term: epoch, age_ms: 0 }),
             (None, Some((epoch, at))) => Some(RolloutsAsOf { term: epoch, age_ms: now.saturating_sub(at) }),
@@ -104,7 +131,7 @@
     }
 
     /// Takes reports; where this centre does not act, they are kept to be passed on.
-    pub fn take(&mut self, now: Ms, acts: bool, reports: &[EvidenceReport]) {
+    pub(crate) fn take(&mut self, now: Ms, acts: bool, reports: &[EvidenceReport]) {
         if !acts {
             let room = MOST_REPORTS.saturating_sub(self.relay.len());
             self.relay.extend(reports.iter().take(room).cloned());
@@ -117,28 +144,30 @@
         }
     }
 
-    pub fn relay(&mut self) -> Vec<EvidenceReport> {
+    pub(crate) fn relay(&mut self) -> Vec<EvidenceReport> {
         std::mem::take(&mut self.relay)
     }
 
-    pub fn put_back(&mut self, reports: Vec<EvidenceReport>) {
+    pub(crate) fn put_back(&mut self, reports: Vec<EvidenceReport>) {
         self.take(0, false, &reports);
     }
 
-    pub fn submit(
+    pub(crate) fn submit(
         &mut self,
         now: Ms,
         name: &str,
         body: &str,
         config: Option<&Config>,
-    ) -> Result<Vec<KeyValue>, (u16, String)> {
+    ) -> Result<Vec<KeyValue>, Rejection> {
         let sound = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if name.is_empty() || name.len() > 64 || !name.chars().all(sound) {
-            return Err((400, format!("name is \"{name}\", expected letters, digits and -_. of up to 64")));
+            return Err(Rejection::bad_request(format!(
+                "name is \"{name}\", expected letters, digits and -_. of up to 64"
+            )));
         }
-        let plan = coppersail_config::rollout::parse(body).map_err(|fault| (400, fault.to_string()))?;
+        let plan = coppersail_config::rollout::parse(body).map_err(Rejection::bad_request)?;
         if let Some(config) = config {
-            plan.fits(config).map_err(|fault| (400, fault.to_string()))?;
+            plan.fits(config).map_err(Rejection::bad_request)?;
         }
         let of = |p: &RolloutPlan| {
             let to = match &p.to {
@@ -151,10 +180,10 @@
         let shares = |p: &RolloutPlan| of(p).iter().flatten().any(|s| mine.iter().flatten().any(|m| m == s));
         let other = self.plans.iter().find(|(n, e)| *n != name && e.live() && shares(&e.plan));
         if let Some((other, _)) = other {
-            return Err((409, format!("plan {other} moves the same service; end it first")));
+            return Err(Rejection::conflict(format!("plan {other} moves the same service; end it first")));
         }
         let before = self.plans.get(name).map(|e| &e.stand);
-        let stand = RolloutState::submit(name, body, before).map_err(|why| (409, why))?;
+        let stand = RolloutState::submit(name, body, before).map_err(Rejection::conflict)?;
         if before.is_some_and(|old| *old == stand) {
             return Ok(Vec::new());
         }
@@ -163,21 +192,26 @@
         Ok(vec![put])
     }
 
-    pub fn order(
+    pub(crate) fn order(
         &mut self,
         now: Ms,
         name: &str,
         order: RolloutCommand,
-    ) -> Result<Vec<KeyValue>, (u16, String)> {
-        let entry = self.plans.get_mut(name).ok_or((404, format!("no plan {name}")))?;
+    ) -> Result<Vec<KeyValue>, Rejection> {
+        let entry =
+            self.plans.get_mut(name).ok_or_else(|| Rejection::not_found(format!("no plan {name}")))?;
         let ran = now.saturating_sub(entry.since.0);
-        let next =
-            entry.stand.order(ran, order, "an operator's order").map_err(|why| (409, why.to_string()))?;
+        let next = entry.stand.order(ran, order, "an operator's order").map_err(Rejection::conflict)?;
         Ok(next.map(|next| entry.next(now, next)).into_iter().collect())
     }
 
     /// What time, evidence and the configuration make of plans: changes to be written, and a line about each.
-    pub fn tick(&mut self, now: Ms, config: Option<&Config>, hosts: &Hosts) -> Vec<(KeyValue, String)> {
+    pub(crate) fn tick(
+        &mut self,
+        now: Ms,
+        config: Option<&Config>,
+        hosts: &Hosts,
+    ) -> Vec<(KeyValue, String)> {
         let mut all = Vec::new();
         for (name, entry) in self.plans.iter_mut().filter(|(_, e)| e.live()) {
             let ran = now.saturating_sub(entry.since.0);
@@ -200,45 +234,13 @@
         all
     }
 
-    /// What people are shown.
-    pub fn show(&self, now: Ms, name: &str) -> Option<serde_json::Value> {
-        let entry = self.plans.get(name)?;
-        let stand = &entry.stand;
-        let side = |c: &coppersail_rollout::evidence::Counts| {
-            let of = |k| c.of(k);
-            let all: u64 = c.times.iter().map(|t| u64::from(t.1)).sum();
-            let at = |part: f64| {
-                let mut sum = 0;
-                c.times.iter().find(|t| {
-                    sum += u64::from(t.1);
-                    sum as f64 >= all as f64 * part
-                })
-            };
-            serde_json::json!({
-                "offered": of(OutcomeKind::Offered), "good": of(OutcomeKind::Good), "late": of(OutcomeKind::Late),
-                "failed": of(OutcomeKind::Failed), "lost": of(OutcomeKind::Lost), "doubled": of(OutcomeKind::Doubled),
-                "wrong": of(OutcomeKind::Foreign), "aside": of(OutcomeKind::Aside),
-                "median_ms": at(0.5).map(|t| t.0), "p99_ms": at(0.99).map(|t| t.0),
-            })
-        };
-        let verdict = match &entry.verdict {
-            Verdict::Wait(why) => format!("waits: {why}"),
-            Verdict::Sound => "sound".into(),
-            Verdict::Pause(why) => format!("bad: {why}"),
-        };
-        Some(serde_json::json!({
-            "name": name, "number": stand.number, "phase": stand.phase, "step": stand.step + 1,
-            "steps": entry.plan.steps.len(), "share": stand.share(), "why": stand.why, "verdict": verdict,
-            "next_in_ms": stand.left(&entry.plan, now, entry.since),
-            "answers": entry.judge.counted(stand.number), "rows": entry.judge.rows_taken,
-            "late_rows": entry.judge.late,
-            "new": side(&entry.judge.sums.new), "old": side(&entry.judge.sums.old),
-            "plan": serde_json::from_str::<serde_json::Value>(&stand.body).unwrap_or_default(),
-        }))
+    /// A rollout as operators see it.
+    pub(crate) fn view(&self, now: Ms, name: &str) -> Option<RolloutView> {
+        self.plans.get(name).map(|entry| entry.view(now, name))
     }
 
-    pub fn names(&self) -> Vec<&String> {
-        self.plans.keys().collect()
+    pub(crate) fn views(&self, now: Ms) -> Vec<RolloutView> {
+        self.plans.iter().map(|(name, entry)| entry.view(now, name)).collect()
     }
 }
 
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -1,7 +1,7 @@
 //! Tests of the module `rollouts`.
 use super::*;
 use assert_matches::assert_matches;
-use coppersail_rollout::evidence::EvidenceRow;
+use coppersail_rollout::evidence::{EvidenceRow, OutcomeKind};
 
 const BODY: &str = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"},
         "steps": [{"share": 0.1, "least": "5s", "evidence": 0}, {"share": 1}]}"#;
@@ -28,10 +28,10 @@
 #[test]
 fn two_plans_on_one_service_and_plans_that_fit_nothing_are_refused() {
     let mut rollouts = Rollouts::default();
-    assert_matches!(rollouts.submit(0, "p", BODY, Some(&config("b"))), Err((400, _)));
-    assert_matches!(rollouts.submit(0, "a/b", BODY, None), Err((400, _)));
+    assert_matches!(rollouts.submit(0, "p", BODY, Some(&config("b"))), Err(Rejection { status: 400, .. }));
+    assert_matches!(rollouts.submit(0, "a/b", BODY, None), Err(Rejection { status: 400, .. }));
     assert_eq!(rollouts.submit(0, "p", BODY, Some(&config("a"))).unwrap().len(), 1);
-    assert_matches!(rollouts.submit(1, "q", BODY, None), Err((409, why)) if why.contains("plan p"));
+    assert_matches!(rollouts.submit(1, "q", BODY, None), Err(Rejection { status: 409, reason }) if reason.contains("plan p"));
     assert_eq!(rollouts.submit(2, "p", BODY, None).unwrap().len(), 0, "sent again");
     rollouts.order(3, "p", RolloutCommand::End).unwrap();
     assert_eq!(rollouts.submit(4, "q", BODY, None).unwrap().len(), 1);
@@ -63,7 +63,7 @@
     second.take(12, true, &again);
     let changes = tick(&mut second, 13, "a");
     assert_eq!(read(&changes[0].0).map(|s| (s.phase, s.number)), Some((Phase::Withdrawn, 2)));
-    assert_eq!(second.show(13, "p").unwrap()["phase"], "withdrawn");
+    assert_eq!(serde_json::to_value(second.view(13, "p").unwrap()).unwrap()["phase"], "withdrawn");
 }
 
 #[test]
--- /dev/null
+++ b/crates/control-plane/server/src/timeouts.rs
@@ -0,0 +1,59 @@
+//! Durations that follow from the process settings.
+use coppersail_config::ProcessSettings;
+use coppersail_consensus::Ms;
+
+/// How long a pending reply may wait for followers to acknowledge, in ms. Callers give up after a second.
+const ACKNOWLEDGEMENT_WAIT: Ms = 600;
+
+/// Durations, in ms.
+#[derive(Debug, Clone, Copy)]
+pub(crate) struct Timeouts {
+    pub(crate) core: coppersail_consensus::Timeouts,
+    /// How long an endpoint holds a shard lease without renewing it. It is half of what the settings allow: that is
+    /// longer than a restart of all members takes, and the shards of a lost endpoint are not served meanwhile.
+    pub(crate) lease_duration: Ms,
+    /// How often endpoints send heartbeats.
+    pub(crate) heartbeat_interval: Ms,
+    /// How long a reply may wait for followers to acknowledge.
+    pub(crate) acknowledgement_wait: Ms,
+}
+
+impl Timeouts {
+    pub(crate) fn new(settings: &ProcessSettings) -> Timeouts {
+        let ms = |time: std::time::Duration| time.as_millis() as Ms;
+        let limits = &settings.limits;
+        // A failover and the heartbeats after it have to end within the time after which members count as in contact.
+        let lease = (ms(limits.in_contact) * 2 / 5).clamp(300, 3000);
+        let core = coppersail_consensus::Timeouts {
+            lease,
+            heartbeat_interval: lease / 3,
+            rpc_timeout: lease / 2,
+            // After the replacement and this time the next member may fail: the other half is left for the repair.
+            replace_after: ms(limits.sync_time) / 2,
+            shutdown_grace: ms(limits.leeway) / 2,
+            max_failures: settings.survive as usize,
+        };
+        Timeouts {
+            core,
+            lease_duration: ms(limits.keep_max) / 2,
+            heartbeat_interval: ms(settings.heartbeat),
+            acknowledgement_wait: ACKNOWLEDGEMENT_WAIT,
+        }
+    }
+
+    /// These timeouts, except for those by which leases in force were granted: they last until the process ends.
+    pub(crate) fn keeping_leases_of(self, running: &Timeouts) -> Timeouts {
+        let core = coppersail_consensus::Timeouts {
+            lease: running.core.lease,
+            heartbeat_interval: running.core.heartbeat_interval,
+            rpc_timeout: running.core.rpc_timeout,
+            ..self.core
+        };
+        Timeouts { core, lease_duration: running.lease_duration, ..self }
+    }
+
+    /// An endpoint is suspect after so long without a heartbeat.
+    pub(crate) fn suspect_after(&self) -> Ms {
+        self.heartbeat_interval * 5 / 2
+    }
+}
--- /dev/null
+++ b/crates/control-plane/server/src/watch.rs
@@ -0,0 +1,111 @@
+//! Followers of the change feed: edge proxies and other members poll, and are answered at once or later.
+use crate::followers::{FeedPosition, LongPoll};
+use crate::members;
+use crate::responses::Reply;
+use crate::state::State;
+use coppersail_consensus::{Ms, Output, RequestId};
+use coppersail_peer_protocol::{Update, WatchRequest};
+
+impl State {
+    pub(crate) fn watch(
+        &mut self,
+        now: Ms,
+        request: &WatchRequest,
+        request_id: RequestId,
+        replies: &mut Vec<Reply>,
+        outputs: &mut Vec<Output>,
+    ) {
+        match &request.status {
+            Some(status) => self.receive_status(now, status, None, outputs),
+            None => self.followers.record_edge(now, request.edge.clone()),
+        }
+        self.receive_measurements(now, request);
+        let is_this_feed = request.feed_id == self.feed.id;
+        let acknowledged = if is_this_feed { request.sequence } else { 0 };
+        self.followers.record_poll(now, &request.edge, acknowledged, request.status.is_none());
+        let poll = LongPoll {
+            request_id,
+            position: FeedPosition { feed_id: request.feed_id, sequence: request.sequence },
+            deadline: now + request.wait_ms,
+            member: request.status.as_ref().map(|status| status.id.clone()),
+        };
+        let is_current = is_this_feed && request.sequence == self.feed.seq;
+        if is_current && !self.must_send_elsewhere(now, &poll) {
+            self.followers.hold(poll);
+        } else {
+            replies.push(self.poll_reply(now, &poll));
+        }
+    }
+
+    /// Request counts and evidence about rollouts; the leader uses them, other members send them on to it.
+    fn receive_measurements(&mut self, now: Ms, request: &WatchRequest) {
+        let is_leader = self.is_leader();
+        self.assignments.record_requests(is_leader, &request.request_counts);
+        if !request.rollout_reports.is_empty() {
+            self.rollouts.take(now, is_leader, &request.rollout_reports);
+        }
+    }
+
+    /// Answers polls whose deadline has passed, or for which there is something new.
+    pub(crate) fn answer_due_polls(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        let sequence = self.feed.seq;
+        self.answer_polls(now, replies, |poll| poll.position.sequence < sequence || now >= poll.deadline);
+    }
+
+    pub(crate) fn answer_all_polls(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        self.answer_polls(now, replies, |_| true);
+    }
+
+    pub(crate) fn answer_polls_of_edges(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+        self.answer_polls(now, replies, |poll| poll.member.is_none());
+    }
+
+    fn answer_polls(&mut self, now: Ms, replies: &mut Vec<Reply>, is_due: impl Fn(&LongPoll) -> bool) {
+        for poll in self.followers.take_polls(is_due) {
+            replies.push(self.poll_reply(now, &poll));
+        }
+    }
+
+    /// An edge must not follow an isolated member.
+    fn must_send_elsewhere(&self, now: Ms, poll: &LongPoll) -> bool {
+        poll.member.is_none() && self.is_isolated(now)
+    }
+
+    fn poll_reply(&self, now: Ms, poll: &LongPoll) -> Reply {
+        let update = if self.must_send_elsewhere(now, poll) {
+            self.isolated_update(now, poll.position)
+        } else {
+            self.update_since(now, poll.position, poll.member.as_deref())
+        };
+        Reply::Update(poll.request_id, Box::new(update))
+    }
+
+    /// Where the other members are, and nothing else; the edge keeps what it has.
+    fn isolated_update(&self, now: Ms, position: FeedPosition) -> Update {
+        Update {
+            feed_id: position.feed_id,
+            sequence: position.sequence,
+            isolated: true,
+            uptime_ms: now,
+            control_plane_addresses: members::all_addresses(&self.core, self.peer_port),
+            ..Update::default()
+        }
+    }
+
+    fn update_since(&self, now: Ms, position: FeedPosition, member: Option<&str>) -> Update {
+        let mut update = self.feed.since(position.feed_id, position.sequence);
+        if self.feed.planned() {
+            let term = self.leader_term().filter(|_| self.holds_leader_lease(now));
+            update.rollouts_as_of = self.rollouts.seen(now, term);
+        }
+        update.isolated = self.is_isolated(now);
+        update.uptime_ms = now;
+        update.edge_count = self.followers.edge_count(now) as u32;
+        if let Some(peer) = member {
+            update.status = Some(self.status_for(now, peer));
+        } else if update.is_snapshot || self.members.any_announced_after(position.sequence) {
+            update.control_plane_addresses = members::live_addresses(now, &self.core, self.peer_port);
+        }
+        update
+    }
+}
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -54,7 +54,7 @@
         }
         effects.into_iter().enumerate().for_each(|(at, first)| three.carry(at, first));
         three.run(5_000);
-        assert!(three.nodes[0].acts());
+        assert!(three.nodes[0].is_leader());
         three.writes.clear();
         three
     }
