--- a/crates/control-plane/server/src/assignments.rs
+++ b/crates/control-plane/server/src/assignments.rs
@@ -70,7 +70,7 @@
     fn publish_row(&self, term: u64, service: &str, shard: u32, owner: &str, feed: &mut ChangeFeed) {
         let shard_count = self.leases.slices(service);
         let number = (term << TERM_SHIFT) + self.last_row_number;
-        feed.put_row(service, shard_count, shard, owner, number);
+        feed.put_owner(service, shard_count, shard, owner, number);
     }
 
     /// The writes by which the assignments of a service come closer to what they should be, if any are due.
@@ -101,7 +101,7 @@
     ) -> Option<Vec<KeyValue>> {
         let count = candidates.len();
         let gate = self.gates.entry(service.into()).or_default();
-        if !gate.complete(now, count, timeouts.heartbeat_interval, timeouts.lease_duration) {
+        if !gate.update(now, count, timeouts.heartbeat_interval, timeouts.lease_duration) {
             return None;
         }
         Some(self.leases.assign_initially(now, service, slices_for(count), pieces_for(count), candidates))
--- a/crates/control-plane/server/src/endpoint_requests.rs
+++ b/crates/control-plane/server/src/endpoint_requests.rs
@@ -60,7 +60,7 @@
             self.settle_replies(now, replies);
             return replies.push(Reply::Admin(request_id, redirect));
         }
-        let sequence = starts_draining.then_some(self.feed.seq);
+        let sequence = starts_draining.then_some(self.feed.sequence);
         let mut ticket = None;
         if is_sharded {
             ticket = self.release_leases(endpoint, &heartbeat);
@@ -96,12 +96,12 @@
     }
 
     fn starts_draining(&self, endpoint: &str, heartbeat: &HeartbeatRequest) -> bool {
-        let known = self.feed.host(endpoint);
+        let known = self.feed.endpoint(endpoint);
         heartbeat.state > EndpointState::Ready && known.is_none_or(|e| e.state == EndpointState::Ready)
     }
 
     fn publish_endpoint(&mut self, endpoint: &str, heartbeat: &HeartbeatRequest) {
-        self.feed.put_host(&EndpointUpdate {
+        self.feed.put_endpoint(&EndpointUpdate {
             id: endpoint.into(),
             service: heartbeat.service.clone(),
             address: heartbeat.address.clone(),
@@ -134,9 +134,9 @@
         if self.is_isolated(now) {
             return replies.push(Reply::Admin(request_id, Rejection::unavailable(ISOLATED).into()));
         }
-        if let Some(known) = self.feed.host(endpoint).cloned() {
+        if let Some(known) = self.feed.endpoint(endpoint).cloned() {
             let last_sequence = self.heartbeats.get(endpoint).map_or(0, |record| record.sequence);
-            self.feed.put_host(&EndpointUpdate {
+            self.feed.put_endpoint(&EndpointUpdate {
                 state: EndpointState::Removed,
                 heartbeat_sequence: last_sequence + 1,
                 reported_by: self.core.id.clone(),
@@ -147,7 +147,7 @@
             request_id,
             deadline: now + self.timeouts.acknowledgement_wait,
             ticket: None,
-            sequence: Some(self.feed.seq),
+            sequence: Some(self.feed.sequence),
             kind: ReplyKind::Heartbeat { endpoint: endpoint.into(), sharded_service: None },
         });
         self.settle_replies(now, replies);
--- a/crates/control-plane/server/src/endpoints.rs
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -71,7 +71,7 @@
             let reporter_is_gone = reporter.is_none_or(|p| now > p.last_heard + 2 * timeouts.core.lease);
             reporter_is_gone && now > last_heartbeat_at + 2 * suspect_after
         };
-        let candidates = feed.hosts().filter(|e| !e.suspect && e.state < EndpointState::Removed);
+        let candidates = feed.endpoints().filter(|e| !e.suspect && e.state < EndpointState::Removed);
         let suspect = |endpoint: &EndpointUpdate| {
             let record = self.records.get(&endpoint.id)?;
             is_silent(endpoint, record.received_at).then(|| EndpointUpdate {
@@ -95,7 +95,7 @@
             |member: &str| core.peers.get(member).is_some_and(|p| now < p.last_heard + timeouts.core.lease);
         let reported =
             |e: &&EndpointUpdate| e.reported_by != core.id && !e.suspect && is_live(&e.reported_by);
-        for endpoint in feed.hosts().filter(reported) {
+        for endpoint in feed.endpoints().filter(reported) {
             let record = self.entry(now, &endpoint.id);
             (record.received_at, record.capacity) = (now, f64::from(endpoint.capacity));
         }
@@ -148,7 +148,7 @@
                 next_heartbeat_at: record.received_at + timeouts.heartbeat_interval,
             })
         };
-        let endpoints = feed.hosts().filter(|e| e.service == service && e.state < EndpointState::Removed);
+        let endpoints = feed.endpoints().filter(|e| e.service == service && e.state < EndpointState::Removed);
         endpoints.filter_map(candidate).collect()
     }
 
@@ -162,7 +162,7 @@
         feed: &ChangeFeed,
         timeouts: &Timeouts,
     ) -> Option<bool> {
-        let Some(update) = feed.host(endpoint) else { return Some(true) };
+        let Some(update) = feed.endpoint(endpoint) else { return Some(true) };
         if update.suspect || update.state == EndpointState::Removed {
             return Some(true);
         }
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -1,173 +1,225 @@
-//! What followers are told: hosts, rows, the configuration. Pure. Everything in it only goes forward (revision, number,
-//! stage, count of calls), so it may be taken twice, in any order, from any centre; a centre follows others the way
-//! that edges follow it, and tells on what was new to it.
+//! The change feed: endpoints, shard assignments, rollouts and the configuration, as followers are sent them. Pure.
+//!
+//! Everything in it only goes forward (revision, number, state, count of heartbeats), so updates may be merged twice, in
+//! any order and from any member: the feeds converge. Members follow each other as edge proxies follow them, and send on
+//! what was new to them.
 use coppersail_peer_protocol::{AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update};
 use coppersail_rollout::{Phase, RolloutState};
 use std::collections::BTreeMap;
 
+/// A value and the sequence number with which it entered the feed.
+#[derive(Debug)]
+struct Versioned<T> {
+    value: T,
+    sequence: u64,
+}
+
+/// The owner of one shard; empty for none.
+#[derive(Debug, Clone, Default, PartialEq)]
+struct ShardOwner {
+    endpoint: String,
+    /// A later row of the same shard has a higher number.
+    number: u64,
+    sequence: u64,
+}
+
 #[derive(Debug, Default)]
-pub struct ChangeFeed {
-    /// Which life of this centre speaks.
-    pub id: u64,
-    pub seq: u64,
-    settings: Option<(ConfigDocument, u64)>,
-    hosts: BTreeMap<String, (EndpointUpdate, u64)>,
-    slices: BTreeMap<String, Vec<(String, u64, u64)>>,
-    plans: BTreeMap<String, (RolloutState, u64)>,
+pub(crate) struct ChangeFeed {
+    /// Differs with each start of the process: sequence numbers begin anew.
+    pub(crate) id: u64,
+    pub(crate) sequence: u64,
+    config: Option<Versioned<ConfigDocument>>,
+    endpoints: BTreeMap<String, Versioned<EndpointUpdate>>,
+    /// By service, the owner of each shard.
+    assignments: BTreeMap<String, Vec<ShardOwner>>,
+    rollouts: BTreeMap<String, Versioned<RolloutState>>,
 }
 
 impl ChangeFeed {
-    pub fn new(id: u64) -> ChangeFeed {
+    pub(crate) fn new(id: u64) -> ChangeFeed {
         ChangeFeed { id, ..ChangeFeed::default() }
     }
 
-    pub fn settings(&self) -> Option<&ConfigDocument> {
-        self.settings.as_ref().map(|(s, _)| s)
+    pub(crate) fn config(&self) -> Option<&ConfigDocument> {
+        self.config.as_ref().map(|config| &config.value)
+    }
+
+    pub(crate) fn revision(&self) -> Option<u64> {
+        self.config().map(|config| config.revision)
+    }
+
+    pub(crate) fn endpoints(&self) -> impl Iterator<Item = &EndpointUpdate> {
+        self.endpoints.values().map(|endpoint| &endpoint.value)
+    }
+
+    pub(crate) fn endpoint(&self, id: &str) -> Option<&EndpointUpdate> {
+        self.endpoints.get(id).map(|endpoint| &endpoint.value)
     }
 
-    pub fn hosts(&self) -> impl Iterator<Item = &EndpointUpdate> {
-        self.hosts.values().map(|(h, _)| h)
+    /// Whether any rollout is under way.
+    pub(crate) fn has_active_rollout(&self) -> bool {
+        self.rollouts.values().any(|rollout| rollout.value.phase != Phase::Ended)
     }
 
-    pub fn host(&self, ident: &str) -> Option<&EndpointUpdate> {
-        self.hosts.get(ident).map(|(h, _)| h)
+    /// Something is new that is not kept here: followers get an update. Its sequence number.
+    pub(crate) fn advance(&mut self) -> u64 {
+        self.sequence += 1;
+        self.sequence
     }
 
-    /// Something is new that is not kept here: followers are answered.
-    pub fn stir(&mut self) -> u64 {
-        self.seq += 1;
-        self.seq
+    fn versioned<T>(&mut self, value: T) -> Versioned<T> {
+        Versioned { value, sequence: self.advance() }
     }
 
-    /// An acknowledged configuration. An older one changes nothing.
-    pub fn put_settings(&mut self, new: &ConfigDocument) -> bool {
-        if self.settings().is_some_and(|old| old.revision >= new.revision) {
+    /// A committed configuration. An older one changes nothing. Whether it was new.
+    pub(crate) fn put_config(&mut self, new: &ConfigDocument) -> bool {
+        if self.config().is_some_and(|old| old.revision >= new.revision) {
             return false;
         }
-        self.seq += 1;
-        self.settings = Some((new.clone(), self.seq));
+        self.config = Some(self.versioned(new.clone()));
         true
     }
 
-    /// One life of a host. Its stage never goes back; besides that, the later call counts.
-    pub fn put_host(&mut self, new: &EndpointUpdate) -> bool {
-        let old = self.hosts.get(&new.id).map(|(h, _)| h);
-        let mut new = new.clone();
-        if let Some(old) = old {
-            let stage = old.state.max(new.state);
-            // One call that two centres heard, as the first of them sent it on to the other: all agree on one of them, or
-            // each would take the host for its own, and the first would soon miss its beats.
-            let lower = old.suspect || new.reported_by < old.reported_by;
-            let same_call = new.heartbeat_sequence == old.heartbeat_sequence
-                && new.reported_by != old.reported_by
-                && !new.suspect;
-            if new.heartbeat_sequence < old.heartbeat_sequence || (same_call && lower) {
-                new = old.clone();
-            }
-            new.state = stage;
-            let same = EndpointUpdate {
-                heartbeat_sequence: old.heartbeat_sequence,
-                slow_start_ms: old.slow_start_ms,
-                ..new.clone()
-            } == *old;
-            if same {
-                return false;
+    /// An endpoint. Its state never goes back; besides that, the later heartbeat counts. Whether anything is new.
+    pub(crate) fn put_endpoint(&mut self, new: &EndpointUpdate) -> bool {
+        let merged = match self.endpoint(&new.id) {
+            Some(old) => {
+                let merged = merge_endpoint(old, new);
+                if differs_only_by_heartbeat(old, &merged) {
+                    return false;
+                }
+                merged
             }
-        }
-        self.seq += 1;
-        self.hosts.insert(new.id.clone(), (new, self.seq));
+            None => new.clone(),
+        };
+        let merged = self.versioned(merged);
+        self.endpoints.insert(new.id.clone(), merged);
         true
     }
 
-    /// Nobody needs a host any more that has gone a while ago.
-    pub fn forget(&mut self, ident: &str) {
-        self.hosts.remove(ident);
+    /// Removes an endpoint that ended long ago. Followers are not told.
+    pub(crate) fn forget_endpoint(&mut self, id: &str) {
+        self.endpoints.remove(id);
     }
 
-    pub fn put_row(&mut self, backend: &str, slices: u32, slice: u32, ident: &str, number: u64) -> bool {
-        let rows = self.slices.entry(backend.into()).or_default();
-        if rows.len() < slices as usize {
-            rows.resize(slices as usize, (String::new(), 0, 0));
+    /// The owner of a shard. A lower number changes nothing. Whether it was new.
+    pub(crate) fn put_owner(
+        &mut self,
+        service: &str,
+        shard_count: u32,
+        shard: u32,
+        endpoint: &str,
+        number: u64,
+    ) -> bool {
+        let owners = self.assignments.entry(service.into()).or_default();
+        if owners.len() < shard_count as usize {
+            owners.resize(shard_count as usize, ShardOwner::default());
         }
-        let Some(row) = rows.get_mut(slice as usize).filter(|row| row.1 < number) else { return false };
-        self.seq += 1;
-        *row = (ident.into(), number, self.seq);
+        let Some(owner) = owners.get_mut(shard as usize).filter(|owner| owner.number < number) else {
+            return false;
+        };
+        self.sequence += 1;
+        *owner = ShardOwner { endpoint: endpoint.into(), number, sequence: self.sequence };
         true
     }
 
-    /// A plan's state, written on both disks.
-    pub fn put_plan(&mut self, new: &RolloutState) -> bool {
-        if self.plans.get(&new.name).is_some_and(|(old, _)| old.number >= new.number) {
+    /// The committed state of a rollout. An older one changes nothing. Whether it was new.
+    pub(crate) fn put_rollout(&mut self, new: &RolloutState) -> bool {
+        if self.rollouts.get(&new.name).is_some_and(|old| old.value.number >= new.number) {
             return false;
         }
-        self.seq += 1;
-        self.plans.insert(new.name.clone(), (new.clone(), self.seq));
+        let rollout = self.versioned(new.clone());
+        self.rollouts.insert(new.name.clone(), rollout);
         true
     }
 
-    /// Whether any plan steers.
-    pub fn planned(&self) -> bool {
-        self.plans.values().any(|(s, _)| s.phase != Phase::Ended)
-    }
-
-    /// What another centre told.
-    pub fn merge(&mut self, news: &Update) -> bool {
-        let before = self.seq;
-        news.config.iter().for_each(|s| {
-            self.put_settings(s);
-        });
-        news.endpoints.iter().for_each(|h| {
-            self.put_host(h);
-        });
-        news.rollouts.iter().for_each(|p| {
-            self.put_plan(p);
-        });
-        for table in &news.assignments {
-            for (first, last, ident, number) in &table.rows {
-                for slice in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
-                    self.put_row(&table.service, table.slice_count, slice, ident, *number);
-                }
-            }
+    /// Takes an update of another member's feed.
+    pub(crate) fn merge(&mut self, update: &Update) {
+        if let Some(config) = &update.config {
+            self.put_config(config);
+        }
+        for endpoint in &update.endpoints {
+            self.put_endpoint(endpoint);
         }
-        self.seq > before
-    }
-
-    /// What is new since `seq` of feed `id`; everything for who has another feed or none.
-    pub fn since(&self, id: u64, seq: u64) -> Update {
-        let whole = id != self.id || seq > self.seq;
-        let seq = if whole { 0 } else { seq };
-        let settings = self.settings.as_ref().filter(|(_, at)| *at > seq).map(|(s, _)| s.clone());
-        let gone = |h: &EndpointUpdate| whole && h.state == EndpointState::Removed;
-        let hosts =
-            self.hosts.values().filter(|(h, at)| *at > seq && !gone(h)).map(|(h, _)| h.clone()).collect();
-        let slices = self.slices.iter().filter_map(|(backend, all)| {
-            let mut rows: Vec<(u32, u32, String, u64)> = Vec::new();
-            for (n, row) in all.iter().enumerate().filter(|(_, r)| r.2 > seq) {
-                let n = n as u32;
-                match rows.last_mut().filter(|r| r.1 + 1 == n && r.2 == row.0 && r.3 == row.1) {
-                    Some(run) => run.1 = n,
-                    None => rows.push((n, n, row.0.clone(), row.1)),
+        for rollout in &update.rollouts {
+            self.put_rollout(rollout);
+        }
+        for table in &update.assignments {
+            for (first, last, endpoint, number) in &table.rows {
+                for shard in *first..=(*last).min(table.slice_count.saturating_sub(1)) {
+                    self.put_owner(&table.service, table.slice_count, shard, endpoint, *number);
                 }
             }
-            let slices = all.len() as u32;
-            (!rows.is_empty()).then(|| AssignmentUpdate {
-                service: backend.clone(),
-                slice_count: slices,
-                rows,
-            })
-        });
-        let plans = self.plans.values().filter(|(_, at)| *at > seq).map(|(p, _)| p.clone()).collect();
+        }
+    }
+
+    /// What is new since `sequence` of the feed `id`; a snapshot for a follower that has another feed or none.
+    pub(crate) fn updates_since(&self, id: u64, sequence: u64) -> Update {
+        let is_snapshot = id != self.id || sequence > self.sequence;
+        let since = if is_snapshot { 0 } else { sequence };
+        let config = self.config.iter().find(|config| config.sequence > since);
+        let rollouts = self.rollouts.values().filter(|rollout| rollout.sequence > since);
+        // A follower that begins needs no endpoint that has ended.
+        let is_needed = |e: &EndpointUpdate| !is_snapshot || e.state != EndpointState::Removed;
+        let endpoints = self.endpoints.values().filter(|e| e.sequence > since && is_needed(&e.value));
         Update {
             feed_id: self.id,
-            sequence: self.seq,
-            is_snapshot: whole,
-            config: settings,
-            endpoints: hosts,
-            assignments: slices.collect(),
-            rollouts: plans,
+            sequence: self.sequence,
+            is_snapshot,
+            config: config.map(|config| config.value.clone()),
+            endpoints: endpoints.map(|endpoint| endpoint.value.clone()).collect(),
+            assignments: self.assignments_since(since),
+            rollouts: rollouts.map(|rollout| rollout.value.clone()).collect(),
             ..Update::default()
         }
     }
+
+    fn assignments_since(&self, since: u64) -> Vec<AssignmentUpdate> {
+        let updates = self.assignments.iter().map(|(service, owners)| AssignmentUpdate {
+            service: service.clone(),
+            slice_count: owners.len() as u32,
+            rows: rows_since(owners, since),
+        });
+        updates.filter(|update| !update.rows.is_empty()).collect()
+    }
+}
+
+/// Runs of neighbouring shards with the same owner and number: first and last shard, endpoint, number.
+fn rows_since(owners: &[ShardOwner], since: u64) -> Vec<(u32, u32, String, u64)> {
+    let mut rows: Vec<(u32, u32, String, u64)> = Vec::new();
+    for (shard, owner) in owners.iter().enumerate().filter(|(_, owner)| owner.sequence > since) {
+        let shard = shard as u32;
+        let continues = |(_, last, endpoint, number): &(u32, u32, String, u64)| {
+            last + 1 == shard && *endpoint == owner.endpoint && *number == owner.number
+        };
+        match rows.last_mut().filter(|row| continues(row)) {
+            Some(row) => row.1 = shard,
+            None => rows.push((shard, shard, owner.endpoint.clone(), owner.number)),
+        }
+    }
+    rows
+}
+
+fn merge_endpoint(old: &EndpointUpdate, new: &EndpointUpdate) -> EndpointUpdate {
+    // One heartbeat may come to two members, if the first redirected it to the other. All have to agree on one of them:
+    // else each would take the endpoint for its own, and the first would soon miss its heartbeats.
+    let is_same_heartbeat = new.heartbeat_sequence == old.heartbeat_sequence
+        && new.reported_by != old.reported_by
+        && !new.suspect;
+    let old_wins = old.suspect || new.reported_by < old.reported_by;
+    let is_late = new.heartbeat_sequence < old.heartbeat_sequence;
+    let latest = if is_late || (is_same_heartbeat && old_wins) { old } else { new };
+    EndpointUpdate { state: old.state.max(new.state), ..latest.clone() }
+}
+
+/// A heartbeat alone is nothing new to followers.
+fn differs_only_by_heartbeat(old: &EndpointUpdate, new: &EndpointUpdate) -> bool {
+    let comparable = EndpointUpdate {
+        heartbeat_sequence: old.heartbeat_sequence,
+        slow_start_ms: old.slow_start_ms,
+        ..new.clone()
+    };
+    comparable == *old
 }
 
 #[cfg(test)]
--- a/crates/control-plane/server/src/feed/tests.rs
+++ b/crates/control-plane/server/src/feed/tests.rs
@@ -14,29 +14,29 @@
 #[test]
 fn what_a_follower_has_is_not_told_again_and_a_gap_is_filled_whole() {
     let mut feed = ChangeFeed::new(7);
-    feed.put_host(&host("i", 1, EndpointState::Ready));
-    feed.put_settings(&ConfigDocument { revision: 9, body: "x".into() });
-    let news = feed.since(0, 0);
+    feed.put_endpoint(&host("i", 1, EndpointState::Ready));
+    feed.put_config(&ConfigDocument { revision: 9, body: "x".into() });
+    let news = feed.updates_since(0, 0);
     assert!(news.is_snapshot && news.endpoints.len() == 1 && news.config.is_some());
-    assert_eq!(feed.since(7, news.sequence).endpoints.len(), 0);
-    assert!(feed.since(6, 1).is_snapshot, "another life of the centre");
-    assert!(feed.since(7, 99).is_snapshot, "a number that was never given");
+    assert_eq!(feed.updates_since(7, news.sequence).endpoints.len(), 0);
+    assert!(feed.updates_since(6, 1).is_snapshot, "another life of the centre");
+    assert!(feed.updates_since(7, 99).is_snapshot, "a number that was never given");
 }
 
 #[test]
 fn versions_in_any_order_leave_the_newest() {
     let mut feed = ChangeFeed::new(7);
-    assert!(feed.put_settings(&ConfigDocument { revision: 9, body: "nine".into() }));
-    assert!(!feed.put_settings(&ConfigDocument { revision: 8, body: "eight".into() }));
-    assert!(feed.put_row("s", 4, 1, "i", 12) && !feed.put_row("s", 4, 1, "j", 11));
+    assert!(feed.put_config(&ConfigDocument { revision: 9, body: "nine".into() }));
+    assert!(!feed.put_config(&ConfigDocument { revision: 8, body: "eight".into() }));
+    assert!(feed.put_owner("s", 4, 1, "i", 12) && !feed.put_owner("s", 4, 1, "j", 11));
 }
 
 #[test]
 fn a_host_that_empties_is_never_ready_again_and_late_beats_change_nothing() {
     let mut feed = ChangeFeed::new(7);
-    feed.put_host(&host("i", 5, EndpointState::Draining));
-    assert!(!feed.put_host(&host("i", 4, EndpointState::Ready)));
-    feed.put_host(&host("i", 6, EndpointState::Ready));
-    assert_eq!(feed.host("i").unwrap().state, EndpointState::Draining);
-    assert!(!feed.put_host(&host("i", 7, EndpointState::Draining)), "a beat alone is no news");
+    feed.put_endpoint(&host("i", 5, EndpointState::Draining));
+    assert!(!feed.put_endpoint(&host("i", 4, EndpointState::Ready)));
+    feed.put_endpoint(&host("i", 6, EndpointState::Ready));
+    assert_eq!(feed.endpoint("i").unwrap().state, EndpointState::Draining);
+    assert!(!feed.put_endpoint(&host("i", 7, EndpointState::Draining)), "a beat alone is no news");
 }
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -19,25 +19,29 @@
             ..host("i", calls, EndpointState::Ready)
         };
         let (mut here, mut there) = (ChangeFeed::new(7), ChangeFeed::new(8));
-        here.put_host(&heard(first, 1));
-        there.put_host(&heard(other, 1));
+        here.put_endpoint(&heard(first, 1));
+        there.put_endpoint(&heard(other, 1));
         // Each tells the other before its own is told: the news have crossed.
-        let (ours, theirs) = (here.since(0, 0), there.since(0, 0));
+        let (ours, theirs) = (here.updates_since(0, 0), there.updates_since(0, 0));
         here.merge(&theirs);
         there.merge(&ours);
-        assert_eq!(here.host("i"), there.host("i"));
+        assert_eq!(here.endpoint("i"), there.endpoint("i"));
         // It goes on to beat there.
-        there.put_host(&heard(other, 2));
-        here.merge(&there.since(0, 0));
-        assert_eq!(here.host("i").unwrap().reported_by, other);
+        there.put_endpoint(&heard(other, 2));
+        here.merge(&there.updates_since(0, 0));
+        assert_eq!(here.endpoint("i").unwrap().reported_by, other);
     }
 }
 
 #[test]
 fn a_call_that_was_sent_on_does_not_end_a_silence() {
     let mut feed = ChangeFeed::new(7);
-    feed.put_host(&EndpointUpdate { suspect: true, ..host("i", 4, EndpointState::Ready) });
-    assert!(!feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 4, EndpointState::Ready) }));
-    assert!(feed.put_host(&EndpointUpdate { reported_by: "b".into(), ..host("i", 5, EndpointState::Ready) }));
-    assert!(!feed.host("i").unwrap().suspect);
+    feed.put_endpoint(&EndpointUpdate { suspect: true, ..host("i", 4, EndpointState::Ready) });
+    assert!(
+        !feed.put_endpoint(&EndpointUpdate { reported_by: "b".into(), ..host("i", 4, EndpointState::Ready) })
+    );
+    assert!(
+        feed.put_endpoint(&EndpointUpdate { reported_by: "b".into(), ..host("i", 5, EndpointState::Ready) })
+    );
+    assert!(!feed.endpoint("i").unwrap().suspect);
 }
--- a/crates/control-plane/server/src/operator_requests.rs
+++ b/crates/control-plane/server/src/operator_requests.rs
@@ -1,8 +1,7 @@
 //! Requests of operators: configurations, and plans of rollouts.
 use crate::messages::Effect;
-use crate::orders::{digest, Judged};
+use crate::orders::{digest, OrderDecision, CONFIG_KEY};
 use crate::pending_replies::{PendingReply, ReplyKind};
-use crate::replication::CONFIG_KEY;
 use crate::responses::{Rejection, Reply, Response, CONFLICTING_REVISION};
 use crate::rollout_views::RolloutList;
 use crate::state::State;
@@ -33,18 +32,22 @@
             return replies.push(Reply::Admin(request_id, redirect));
         }
         let (revision, digest) = (config.revision, digest(&body));
-        let in_force = self.feed.settings().map(|s| s.revision);
-        let (ticket, kind) = match self.orders.judge(revision, &digest, in_force) {
-            Judged::Again => return replies.push(Reply::Admin(request_id, Response::acknowledged())),
-            Judged::Taken => {
+        let in_force = self.feed.revision();
+        let (ticket, kind) = match self.orders.decide(revision, &digest, in_force) {
+            OrderDecision::AlreadyCommitted => {
+                return replies.push(Reply::Admin(request_id, Response::acknowledged()))
+            }
+            OrderDecision::Conflict => {
                 let line = format!("A configuration is refused: r{revision} has another content.");
                 effects.push(Effect::Log(line));
                 let conflict = Rejection::conflict(CONFLICTING_REVISION);
                 return replies.push(Reply::Admin(request_id, conflict.into()));
             }
-            Judged::Waits(ticket) => (ticket, ReplyKind::Order),
-            Judged::Rival(ticket) => (ticket, ReplyKind::ConflictingOrder),
-            Judged::New | Judged::Below => (self.propose_config(revision, digest, body), ReplyKind::Order),
+            OrderDecision::InProgress(ticket) => (ticket, ReplyKind::Order),
+            OrderDecision::ConflictInProgress(ticket) => (ticket, ReplyKind::ConflictingOrder),
+            OrderDecision::Propose | OrderDecision::ProposeWithoutEffect => {
+                (self.propose_config(revision, digest, body), ReplyKind::Order)
+            }
         };
         self.await_commit(now, request_id, ticket, kind);
     }
@@ -54,7 +57,7 @@
         let ticket = self.proposals.next_ticket();
         let newest = self.newest_revision();
         self.orders.begin(revision, digest, ticket);
-        let mut writes = self.orders.puts(ticket);
+        let mut writes = self.orders.writes(ticket);
         // Of several in progress the highest comes into force, and only above the one in force.
         if newest.is_none_or(|newest| newest < revision) {
             self.orders.record_newest(revision);
@@ -74,7 +77,7 @@
         if !self.holds_leader_lease(now) {
             return self.redirect_to_leader(now, "/settings/read");
         }
-        match self.feed.settings() {
+        match self.feed.config() {
             Some(config) => Response::ok(config.body.clone()),
             None => Rejection::not_found("no configuration yet").into(),
         }
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -1,51 +1,59 @@
-//! One number, one content: which content of an operator's order has which number. Pure. What is remembered is part of
-//! the control state, written in one batch with the configuration, so it outlives takeovers and restarts.
+//! Orders for a configuration: each revision has one content. Pure.
+//!
+//! The digests of committed orders are part of the replicated state, written in one batch with the configuration, so they
+//! outlive changes of leadership and restarts.
 use crate::store::KeyValue;
 use coppersail_peer_protocol::ConfigDocument;
 use sha2::{Digest, Sha256};
 use std::collections::BTreeMap;
 
-/// How many numbers are remembered: a day holds hundreds of changes. The lowest go first.
-pub const MOST: usize = 1000;
+/// The key of the configuration in the replicated state.
+pub(crate) const CONFIG_KEY: &str = "config";
+/// The keys of orders begin with it; the revision follows.
+const ORDER_KEY_PREFIX: &str = "order/";
+/// How many revisions are remembered: a day holds hundreds of changes. The lowest go first.
+pub(crate) const MAX_REMEMBERED: usize = 1000;
+/// How much of the SHA-256 sum is kept.
+const DIGEST_BYTES: usize = 16;
 
-const PREFIX: &str = "order/";
-
-/// What becomes of an order.
+/// What is to be done about an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Judged {
-    /// A number above the newest: to be written, and in force then.
-    New,
-    /// This very content has that number: acknowledged again.
-    Again,
-    /// This very content is being written: answered as the order with this ticket.
-    Waits(u64),
-    /// Another content of that number is being written: refused once it is, without a clear answer if it fails.
-    Rival(u64),
-    /// Another content has that number: refused.
-    Taken,
-    /// Below the newest, and the number is not known: acknowledged, and the configuration stays as it is. It may be
-    /// begun like a new one, so that its number has one content from then on.
-    Below,
+pub enum OrderDecision {
+    /// The revision is above the one in force: propose it as the configuration.
+    Propose,
+    /// This content has been committed under this revision: acknowledge it again.
+    AlreadyCommitted,
+    /// This content is being committed: answer when the proposal with this ticket is decided.
+    InProgress(u64),
+    /// Another content is being committed under this revision, with this ticket: refuse it once that is committed, and
+    /// give no clear answer if that fails.
+    ConflictInProgress(u64),
+    /// Another content has been committed under this revision: refuse it.
+    Conflict,
+    /// The revision is not known, and below the one in force: propose the order alone, so that the revision has one
+    /// content from then on, and leave the configuration as it is.
+    ProposeWithoutEffect,
 }
 
 #[derive(Debug)]
-struct Begun {
+struct OrderInProgress {
     ticket: u64,
     revision: u64,
     digest: String,
 }
 
+/// The orders that are committed or in progress.
 #[derive(Debug, Default)]
 pub struct Orders {
-    /// number -> digest, of what is on both disks.
-    known: BTreeMap<u64, String>,
-    /// By ticket.
-    begun: Vec<Begun>,
+    /// Committed: digests by revision.
+    committed: BTreeMap<u64, String>,
+    /// By rising ticket.
+    in_progress: Vec<OrderInProgress>,
     /// The highest revision that this leader has proposed as the configuration.
     newest_in_progress: Option<u64>,
 }
 
-/// Names a content. Bodies that are equal as JSON have one digest, whatever the order of their fields.
+/// The digest of a content. Bodies that are equal as JSON have one digest, whatever the order of their fields.
 pub fn digest(body: &str) -> String {
     let canonical = serde_json::from_str::<serde_json::Value>(body).map(|mut value| {
         // They are sorted already, unless some package of the build has `serde_json` keep their order.
@@ -53,62 +61,65 @@
         value.to_string()
     });
     let sum = Sha256::digest(canonical.as_deref().unwrap_or(body).as_bytes());
-    sum.iter().take(16).map(|byte| format!("{byte:02x}")).collect()
+    sum.iter().take(DIGEST_BYTES).map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn name(revision: u64) -> String {
-    format!("{PREFIX}{revision:020}")
+fn order_key(revision: u64) -> String {
+    format!("{ORDER_KEY_PREFIX}{revision:020}")
 }
 
-fn fit(known: &mut BTreeMap<u64, String>) {
-    while known.len() > MOST {
-        known.pop_first();
+fn drop_lowest(digests: &mut BTreeMap<u64, String>) {
+    while digests.len() > MAX_REMEMBERED {
+        digests.pop_first();
     }
 }
 
 impl Orders {
-    /// What the control state says. A state from before numbers were remembered has the newest configuration alone.
+    /// The orders of the replicated state. A state of an older build, which remembered none, has the newest
+    /// configuration alone.
     pub fn recover<'a>(state: impl Iterator<Item = (&'a str, &'a str)>) -> Orders {
-        let (mut known, mut newest) = (BTreeMap::new(), None);
-        for (name, value) in state {
-            if name == "config" {
+        let (mut committed, mut newest) = (BTreeMap::new(), None);
+        for (key, value) in state {
+            if key == CONFIG_KEY {
                 newest = serde_json::from_str::<ConfigDocument>(value).ok();
-            } else if let Some(revision) = name.strip_prefix(PREFIX).and_then(|r| r.parse().ok()) {
+            } else if let Some(revision) = key.strip_prefix(ORDER_KEY_PREFIX).and_then(|r| r.parse().ok()) {
                 if !value.is_empty() {
-                    known.insert(revision, value.to_string());
+                    committed.insert(revision, value.to_string());
                 }
             }
         }
         if let Some(newest) = newest {
-            known.entry(newest.revision).or_insert_with(|| digest(&newest.body));
+            committed.entry(newest.revision).or_insert_with(|| digest(&newest.body));
         }
-        fit(&mut known);
-        Orders { known, ..Orders::default() }
+        drop_lowest(&mut committed);
+        Orders { committed, ..Orders::default() }
     }
 
-    /// `held`: the number of the configuration in force.
-    pub fn judge(&self, revision: u64, digest: &str, held: Option<u64>) -> Judged {
-        if let Some(begun) = self.begun.iter().find(|b| b.revision == revision) {
-            return if begun.digest == digest {
-                Judged::Waits(begun.ticket)
+    /// What is to be done about an order. `in_force`: the revision of the configuration in force.
+    pub fn decide(&self, revision: u64, digest: &str, in_force: Option<u64>) -> OrderDecision {
+        if let Some(order) = self.in_progress.iter().find(|order| order.revision == revision) {
+            return if order.digest == digest {
+                OrderDecision::InProgress(order.ticket)
             } else {
-                Judged::Rival(begun.ticket)
+                OrderDecision::ConflictInProgress(order.ticket)
             };
         }
-        match self.known.get(&revision) {
-            Some(known) if known == digest => Judged::Again,
-            Some(_) => Judged::Taken,
-            None if held.is_some_and(|held| revision <= held) => Judged::Below,
-            None => Judged::New,
+        match self.committed.get(&revision) {
+            Some(committed) if committed == digest => OrderDecision::AlreadyCommitted,
+            Some(_) => OrderDecision::Conflict,
+            None if in_force.is_some_and(|in_force| revision <= in_force) => {
+                OrderDecision::ProposeWithoutEffect
+            }
+            None => OrderDecision::Propose,
         }
     }
 
-    /// An order that was judged [`Judged::New`] or [`Judged::Below`] is going to be written. Tickets rise.
-    pub fn begin(&mut self, revision: u64, digest: String, ticket: u64) {
-        self.begun.push(Begun { ticket, revision, digest });
+    /// An order is going to be proposed under this ticket. Tickets rise.
+    pub(crate) fn begin(&mut self, revision: u64, digest: String, ticket: u64) {
+        self.in_progress.push(OrderInProgress { ticket, revision, digest });
     }
 
-    /// The configuration of this revision is proposed.
+    /// The configuration of this revision is going to be proposed.
     pub(crate) fn record_newest(&mut self, revision: u64) {
         self.newest_in_progress = self.newest_in_progress.max(Some(revision));
     }
@@ -117,38 +128,39 @@
         self.newest_in_progress
     }
 
-    /// What is to be written with the orders up to this ticket, in one batch with the configuration. A number whose
-    /// value is empty is not remembered any more.
-    pub fn puts(&self, ticket: u64) -> Vec<KeyValue> {
-        let batch = || self.begun.iter().filter(|b| b.ticket <= ticket);
+    /// The writes of the orders up to this ticket, for one batch with the configuration. An empty value removes a
+    /// revision that is not remembered any more.
+    pub(crate) fn writes(&self, ticket: u64) -> Vec<KeyValue> {
+        let batch = || self.in_progress.iter().filter(|order| order.ticket <= ticket);
         if batch().next().is_none() {
             return Vec::new();
         }
-        let mut all = self.known.clone();
-        all.extend(batch().map(|b| (b.revision, b.digest.clone())));
-        fit(&mut all);
-        let gone = self.known.keys().filter(|r| !all.contains_key(r)).map(|r| (name(*r), String::new()));
-        let new = batch().filter(|b| all.contains_key(&b.revision));
-        new.map(|b| (name(b.revision), b.digest.clone())).chain(gone).collect()
+        let mut remembered = self.committed.clone();
+        remembered.extend(batch().map(|order| (order.revision, order.digest.clone())));
+        drop_lowest(&mut remembered);
+        let new = batch().filter(|order| remembered.contains_key(&order.revision));
+        let forgotten = self.committed.keys().filter(|revision| !remembered.contains_key(revision));
+        let new = new.map(|order| (order_key(order.revision), order.digest.clone()));
+        let forgotten = forgotten.map(|revision| (order_key(*revision), String::new()));
+        new.chain(forgotten).collect()
     }
 
-    /// On both disks.
-    pub fn done(&mut self, ticket: u64) {
-        if let Some(at) = self.begun.iter().position(|b| b.ticket == ticket) {
-            let begun = self.begun.remove(at);
-            self.known.insert(begun.revision, begun.digest);
-            fit(&mut self.known);
+    pub(crate) fn mark_committed(&mut self, ticket: u64) {
+        if let Some(index) = self.in_progress.iter().position(|order| order.ticket == ticket) {
+            let order = self.in_progress.remove(index);
+            self.committed.insert(order.revision, order.digest);
+            drop_lowest(&mut self.committed);
         }
     }
 
-    /// May be on a disk or not: the next who acts finds out.
-    pub fn failed(&mut self, ticket: u64) {
-        self.begun.retain(|b| b.ticket != ticket);
+    /// It may be on a disk or not: the next leader finds out.
+    pub(crate) fn mark_failed(&mut self, ticket: u64) {
+        self.in_progress.retain(|order| order.ticket != ticket);
     }
 
-    /// A step-down: nothing that was begun is going to be answered.
-    pub fn failed_all(&mut self) {
-        self.begun.clear();
+    /// This member has stepped down: nothing that is in progress is going to be answered.
+    pub(crate) fn abandon_all(&mut self) {
+        self.in_progress.clear();
         self.newest_in_progress = None;
     }
 }
--- a/crates/control-plane/server/src/orders_tests.rs
+++ b/crates/control-plane/server/src/orders_tests.rs
@@ -9,13 +9,13 @@
 
 /// Written as one batch, and on the disk.
 fn write(orders: &mut Orders, disk: &mut Disk, tickets: std::ops::RangeInclusive<u64>) {
-    disk.extend(orders.puts(*tickets.end()));
-    tickets.for_each(|ticket| orders.done(ticket));
+    disk.extend(orders.writes(*tickets.end()));
+    tickets.for_each(|ticket| orders.mark_committed(ticket));
 }
 
 fn begun(revision: u64, content: &str, ticket: u64) -> Orders {
     let mut orders = Orders::default();
-    assert_eq!(orders.judge(revision, &digest(content), None), Judged::New);
+    assert_eq!(orders.decide(revision, &digest(content), None), OrderDecision::Propose);
     orders.begin(revision, digest(content), ticket);
     orders
 }
@@ -23,52 +23,56 @@
 #[test]
 fn the_same_order_is_acknowledged_while_it_is_written_after_it_and_after_a_takeover() {
     let (mut orders, mut disk, a) = (begun(50, "a", 1), Disk::new(), digest("a"));
-    assert_eq!(orders.judge(50, &a, None), Judged::Waits(1));
+    assert_eq!(orders.decide(50, &a, None), OrderDecision::InProgress(1));
     write(&mut orders, &mut disk, 1..=1);
     for orders in [&orders, &recovered(&disk)] {
-        assert_eq!(orders.judge(50, &a, Some(50)), Judged::Again);
-        assert_eq!(orders.judge(50, &a, Some(60)), Judged::Again, "also once it is not the newest");
+        assert_eq!(orders.decide(50, &a, Some(50)), OrderDecision::AlreadyCommitted);
+        assert_eq!(
+            orders.decide(50, &a, Some(60)),
+            OrderDecision::AlreadyCommitted,
+            "also once it is not the newest"
+        );
     }
 }
 
 #[test]
-fn another_content_is_refused_under_a_number_that_is_held() {
+fn another_content_under_a_committed_revision_is_refused() {
     let (mut orders, mut disk) = (begun(50, "a", 1), Disk::new());
     write(&mut orders, &mut disk, 1..=1);
     for orders in [&orders, &recovered(&disk)] {
-        assert_eq!(orders.judge(50, &digest("b"), Some(50)), Judged::Taken);
-        assert_eq!(orders.judge(50, &digest("b"), Some(60)), Judged::Taken);
+        assert_eq!(orders.decide(50, &digest("b"), Some(50)), OrderDecision::Conflict);
+        assert_eq!(orders.decide(50, &digest("b"), Some(60)), OrderDecision::Conflict);
     }
 }
 
 #[test]
-fn a_rival_hears_what_becomes_of_the_first() {
+fn a_conflicting_order_is_decided_by_what_becomes_of_the_first() {
     let (a, b) = (digest("a"), digest("b"));
     let mut orders = begun(50, "a", 1);
-    assert_eq!(orders.judge(50, &b, Some(49)), Judged::Rival(1));
-    orders.done(1);
-    assert_eq!(orders.judge(50, &b, Some(50)), Judged::Taken);
+    assert_eq!(orders.decide(50, &b, Some(49)), OrderDecision::ConflictInProgress(1));
+    orders.mark_committed(1);
+    assert_eq!(orders.decide(50, &b, Some(50)), OrderDecision::Conflict);
 
     let mut orders = begun(50, "a", 1);
-    orders.failed(1);
-    assert_eq!(orders.judge(50, &b, Some(49)), Judged::New, "nobody has that number");
+    orders.mark_failed(1);
+    assert_eq!(orders.decide(50, &b, Some(49)), OrderDecision::Propose, "nobody has that number");
     orders.begin(50, b, 2);
-    assert_eq!(orders.judge(50, &a, Some(49)), Judged::Rival(2));
-    orders.failed_all();
-    assert_eq!(orders.judge(50, &a, Some(49)), Judged::New);
+    assert_eq!(orders.decide(50, &a, Some(49)), OrderDecision::ConflictInProgress(2));
+    orders.abandon_all();
+    assert_eq!(orders.decide(50, &a, Some(49)), OrderDecision::Propose);
 }
 
 #[test]
 fn a_lower_number_that_nobody_knows_is_acknowledged_and_has_one_content_then() {
     let (mut orders, mut disk) = (begun(50, "a", 1), Disk::new());
     write(&mut orders, &mut disk, 1..=1);
-    assert_eq!(orders.judge(40, &digest("c"), Some(50)), Judged::Below);
+    assert_eq!(orders.decide(40, &digest("c"), Some(50)), OrderDecision::ProposeWithoutEffect);
     orders.begin(40, digest("c"), 2);
-    assert_eq!(orders.judge(40, &digest("d"), Some(50)), Judged::Rival(2));
+    assert_eq!(orders.decide(40, &digest("d"), Some(50)), OrderDecision::ConflictInProgress(2));
     write(&mut orders, &mut disk, 2..=2);
     for orders in [&orders, &recovered(&disk)] {
-        assert_eq!(orders.judge(40, &digest("c"), Some(50)), Judged::Again);
-        assert_eq!(orders.judge(40, &digest("d"), Some(50)), Judged::Taken);
+        assert_eq!(orders.decide(40, &digest("c"), Some(50)), OrderDecision::AlreadyCommitted);
+        assert_eq!(orders.decide(40, &digest("d"), Some(50)), OrderDecision::Conflict);
     }
 }
 
@@ -77,8 +81,8 @@
     let settings = ConfigDocument { revision: 7, body: r#"{"revision": "r7"}"#.into() };
     let disk = Disk::from([("config".into(), serde_json::to_string(&settings).unwrap())]);
     let orders = recovered(&disk);
-    assert_eq!(orders.judge(7, &digest(&settings.body), Some(7)), Judged::Again);
-    assert_eq!(orders.judge(7, &digest("{}"), Some(7)), Judged::Taken);
+    assert_eq!(orders.decide(7, &digest(&settings.body), Some(7)), OrderDecision::AlreadyCommitted);
+    assert_eq!(orders.decide(7, &digest("{}"), Some(7)), OrderDecision::Conflict);
 }
 
 #[test]
@@ -86,39 +90,39 @@
     let (mut orders, mut disk) = (Orders::default(), Disk::new());
     for ticket in 1..=7 {
         let (revision, digest) = (20 - ticket, digest(&format!("content {ticket}")));
-        assert_eq!(orders.judge(revision, &digest, Some(3)), Judged::New);
+        assert_eq!(orders.decide(revision, &digest, Some(3)), OrderDecision::Propose);
         orders.begin(revision, digest, ticket);
     }
-    assert_eq!(orders.judge(15, &digest("another"), Some(3)), Judged::Rival(5));
-    assert_eq!(orders.puts(4).len(), 4, "the others come with a later batch");
+    assert_eq!(orders.decide(15, &digest("another"), Some(3)), OrderDecision::ConflictInProgress(5));
+    assert_eq!(orders.writes(4).len(), 4, "the others come with a later batch");
     write(&mut orders, &mut disk, 1..=4);
-    assert_eq!(orders.judge(15, &digest("content 5"), Some(19)), Judged::Waits(5));
+    assert_eq!(orders.decide(15, &digest("content 5"), Some(19)), OrderDecision::InProgress(5));
     write(&mut orders, &mut disk, 5..=7);
     for ticket in 1..=7 {
-        let found = recovered(&disk).judge(20 - ticket, &digest(&format!("content {ticket}")), Some(19));
-        assert_eq!(found, Judged::Again);
+        let found = recovered(&disk).decide(20 - ticket, &digest(&format!("content {ticket}")), Some(19));
+        assert_eq!(found, OrderDecision::AlreadyCommitted);
     }
-    assert_eq!(recovered(&disk).judge(15, &digest("another"), Some(19)), Judged::Taken);
+    assert_eq!(recovered(&disk).decide(15, &digest("another"), Some(19)), OrderDecision::Conflict);
 }
 
 #[test]
 fn no_more_numbers_are_kept_than_stated_and_the_lowest_go() {
     let (mut orders, mut disk) = (Orders::default(), Disk::new());
-    let most = MOST as u64;
+    let most = MAX_REMEMBERED as u64;
     for revision in 1..=most + 10 {
         orders.begin(revision, digest("x"), revision);
         write(&mut orders, &mut disk, revision..=revision);
     }
     // Lower than all that is kept: acknowledged, and not remembered.
     orders.begin(2, digest("y"), most + 11);
-    assert_eq!(orders.puts(most + 11), []);
-    orders.done(most + 11);
+    assert_eq!(orders.writes(most + 11), []);
+    orders.mark_committed(most + 11);
     for orders in [&orders, &recovered(&disk)] {
-        assert_eq!(orders.known.len(), MOST);
-        assert_eq!(orders.judge(10, &digest("x"), Some(most + 10)), Judged::Below);
-        assert_eq!(orders.judge(11, &digest("x"), Some(most + 10)), Judged::Again);
+        assert_eq!(orders.committed.len(), MAX_REMEMBERED);
+        assert_eq!(orders.decide(10, &digest("x"), Some(most + 10)), OrderDecision::ProposeWithoutEffect);
+        assert_eq!(orders.decide(11, &digest("x"), Some(most + 10)), OrderDecision::AlreadyCommitted);
     }
-    assert_eq!(disk.values().filter(|value| !value.is_empty()).count(), MOST);
+    assert_eq!(disk.values().filter(|value| !value.is_empty()).count(), MAX_REMEMBERED);
     let names: Vec<&String> = disk.keys().collect();
     assert_eq!(names[0], "order/00000000000000000001", "names are in the order of numbers");
 }
@@ -150,12 +154,13 @@
         // ticket -> number and content, of those that wait for it
         let mut waits: Vec<(u64, u64, String)> = Vec::new();
         for _ in 0..200 {
-            let held = || disk.keys().filter_map(|n| n.strip_prefix(PREFIX)?.parse::<u64>().ok()).max();
+            let held =
+                || disk.keys().filter_map(|n| n.strip_prefix(ORDER_KEY_PREFIX)?.parse::<u64>().ok()).max();
             match chance.u8(0..10) {
                 0 => {
                     // A takeover; what was being written is found on the disk, or not.
                     if chance.bool() {
-                        disk.extend(orders.puts(ticket));
+                        disk.extend(orders.writes(ticket));
                     }
                     waits.clear();
                     orders = recovered(&disk);
@@ -170,15 +175,17 @@
                 _ => {
                     let (revision, content) = (chance.u64(1..9), chance.u8(0..3).to_string());
                     let known = acknowledged.get(&revision).is_some_and(|first| *first == content);
-                    match orders.judge(revision, &digest(&content), held()) {
-                        Judged::New | Judged::Below => {
+                    match orders.decide(revision, &digest(&content), held()) {
+                        OrderDecision::Propose | OrderDecision::ProposeWithoutEffect => {
                             ticket += 1;
                             orders.begin(revision, digest(&content), ticket);
                             waits.push((ticket, revision, content));
                         }
-                        Judged::Waits(ticket) => waits.push((ticket, revision, content)),
-                        Judged::Rival(_) | Judged::Taken => assert!(!known, "seed {seed}: refused"),
-                        Judged::Again => {
+                        OrderDecision::InProgress(ticket) => waits.push((ticket, revision, content)),
+                        OrderDecision::ConflictInProgress(_) | OrderDecision::Conflict => {
+                            assert!(!known, "seed {seed}: refused")
+                        }
+                        OrderDecision::AlreadyCommitted => {
                             let first = acknowledged.entry(revision).or_insert(content.clone());
                             assert_eq!(*first, content, "seed {seed}");
                         }
--- a/crates/control-plane/server/src/placement_gate.rs
+++ b/crates/control-plane/server/src/placement_gate.rs
@@ -1,24 +1,28 @@
-//! When the first layout of a divided service is due. Pure. Hosts that are there at the start are heard of one after
-//! another; what is laid on the first of them only goes on to the others at the pace of balancing.
+//! The initial placement gate: when a sharded service gets its first assignments. Pure.
+//!
+//! Endpoints that run at the start become known one after another. Shards that were assigned to the first of them alone
+//! would go on to the others only at the pace of rebalancing.
 use coppersail_consensus::Ms;
 
-/// The hosts of one service until it is laid out.
+/// The endpoints of one service until it has assignments.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct PlacementGate {
-    hosts: usize,
-    since: Ms,
-    grown: Ms,
+pub(crate) struct PlacementGate {
+    endpoints: usize,
+    first_endpoint_at: Ms,
+    last_new_endpoint_at: Ms,
 }
 
 impl PlacementGate {
-    /// Whether all that are there are known: none more for one and a half heartbeats, within which every host beats.
-    /// Where they never stop coming it ends after `most`, as nothing is served before.
-    pub fn complete(&mut self, now: Ms, hosts: usize, beat: Ms, most: Ms) -> bool {
-        if hosts == 0 || self.hosts == 0 {
-            *self = PlacementGate { hosts, since: now, grown: now };
-        } else if hosts > self.hosts {
-            (self.hosts, self.grown) = (hosts, now);
+    /// Takes the number of endpoints that are known now; whether the gate is open. It opens when no endpoint was new for
+    /// one and a half heartbeat intervals, within which every one sends a heartbeat. If endpoints never stop coming, it
+    /// opens `max_wait` after the first, as nothing is served before.
+    pub(crate) fn update(&mut self, now: Ms, endpoints: usize, heartbeat_interval: Ms, max_wait: Ms) -> bool {
+        if endpoints == 0 || self.endpoints == 0 {
+            *self = PlacementGate { endpoints, first_endpoint_at: now, last_new_endpoint_at: now };
+        } else if endpoints > self.endpoints {
+            (self.endpoints, self.last_new_endpoint_at) = (endpoints, now);
         }
-        hosts > 0 && (now >= self.grown + beat * 3 / 2 || now >= self.since + most)
+        let is_settled = now >= self.last_new_endpoint_at + heartbeat_interval * 3 / 2;
+        endpoints > 0 && (is_settled || now >= self.first_endpoint_at + max_wait)
     }
 }
--- a/crates/control-plane/server/src/reconciliation.rs
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -11,11 +11,11 @@
         self.heartbeats.record_quorum_contact(now, !self.is_isolated(now));
         let suspects = self.heartbeats.new_suspects(now, &self.core, &self.feed, &self.timeouts);
         for suspect in &suspects {
-            self.feed.put_host(suspect);
+            self.feed.put_endpoint(suspect);
         }
         self.heartbeats.record_reports_of_live_members(now, &self.core, &self.feed, &self.timeouts);
         for endpoint in self.heartbeats.remove_expired(now) {
-            self.feed.forget(&endpoint);
+            self.feed.forget_endpoint(&endpoint);
         }
         self.followers.forget_silent(now);
     }
@@ -24,7 +24,7 @@
     fn announce_new_members(&mut self, now: Ms) {
         let new = self.members.unannounced(now, &self.core);
         if !new.is_empty() {
-            let sequence = self.feed.stir();
+            let sequence = self.feed.advance();
             self.members.mark_announced(new, sequence);
         }
     }
@@ -46,11 +46,11 @@
 
     /// Proposes the next steps of rollouts; a line for the log about each.
     pub(crate) fn advance_rollouts(&mut self, now: Ms) -> Vec<String> {
-        if !self.holds_leader_lease(now) || !self.feed.planned() {
+        if !self.holds_leader_lease(now) || !self.feed.has_active_rollout() {
             return Vec::new();
         }
         let (core, feed, heartbeats, timeouts) = (&self.core, &self.feed, &self.heartbeats, &self.timeouts);
-        let all = || feed.hosts().cloned().collect();
+        let all = || feed.endpoints().cloned().collect();
         let dead = |endpoint: &str, lost_at: Ms| {
             heartbeats.has_died_since(now, endpoint, lost_at, core, feed, timeouts)
         };
--- a/crates/control-plane/server/src/replication.rs
+++ b/crates/control-plane/server/src/replication.rs
@@ -1,13 +1,10 @@
 //! What follows from outputs of the consensus core: commits, failed proposals, changes of leadership.
-use crate::orders::Orders;
+use crate::orders::{Orders, CONFIG_KEY};
 use crate::rollouts;
 use crate::state::State;
 use coppersail_consensus::{Change, Ms};
 use coppersail_peer_protocol::ConfigDocument;
 
-/// The key of the configuration in the replicated state.
-pub(crate) const CONFIG_KEY: &str = "config";
-
 impl State {
     /// This member leads from now on. If it is newly elected, it takes over the replicated state, and publishes all of it
     /// under its term.
@@ -24,14 +21,14 @@
             self.put_config(&config);
         }
         for rollout in self.rollouts.took_over(now, self.core.held().iter()) {
-            self.feed.put_plan(&rollout);
+            self.feed.put_rollout(&rollout);
         }
         self.pending_replies.check_due = true;
     }
 
     pub(crate) fn stepped_down(&mut self) {
         self.rollouts.step_down();
-        self.orders.failed_all();
+        self.orders.abandon_all();
         self.pending_replies.check_due = true;
     }
 
@@ -40,13 +37,13 @@
         for change in changes {
             self.assignments.leases.apply(now, &change.writes);
             for rollout in change.writes.iter().filter_map(rollouts::read) {
-                self.feed.put_plan(&rollout);
+                self.feed.put_rollout(&rollout);
             }
             let config = change.writes.iter().find(|(key, _)| key == CONFIG_KEY);
             if let Some(config) = config.and_then(|(_, text)| serde_json::from_str(text).ok()) {
                 self.put_config(&config);
             }
-            self.orders.done(change.ticket);
+            self.orders.mark_committed(change.ticket);
             self.proposals.mark_committed(change.ticket);
         }
         self.pending_replies.check_due = true;
@@ -56,13 +53,13 @@
     pub(crate) fn failed(&mut self, tickets: &[u64]) {
         self.proposals.mark_failed(tickets);
         for ticket in tickets {
-            self.orders.failed(*ticket);
+            self.orders.mark_failed(*ticket);
         }
         self.pending_replies.check_due = true;
     }
 
     fn put_config(&mut self, config: &ConfigDocument) {
-        self.feed.put_settings(config);
+        self.feed.put_config(config);
         self.load_config();
     }
 }
--- a/crates/control-plane/server/src/reply_settlement.rs
+++ b/crates/control-plane/server/src/reply_settlement.rs
@@ -111,7 +111,7 @@
         let about_to_report: Vec<String> =
             waiting.chain(self.heartbeats.due_soon(now, &self.timeouts)).cloned().collect();
         // The shards of an endpoint that drains have to be transferred before it ends.
-        let is_draining = self.feed.host(endpoint).is_some_and(|e| e.state > EndpointState::Ready);
+        let is_draining = self.feed.endpoint(endpoint).is_some_and(|e| e.state > EndpointState::Ready);
         let interval = self.timeouts.heartbeat_interval;
         let transfer_wait = if is_draining { interval / 2 } else { interval * 3 / 2 };
         let leases = &mut self.assignments.leases;
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -114,9 +114,9 @@
 
     /// Parses the configuration of the change feed, if it is another than before.
     pub(crate) fn load_config(&mut self) {
-        let revision = self.feed.settings().map(|s| s.revision);
+        let revision = self.feed.revision();
         if revision != self.config.as_ref().map(|c| c.revision) {
-            let body = self.feed.settings().map(|s| s.body.clone()).unwrap_or_default();
+            let body = self.feed.config().map(|s| s.body.clone()).unwrap_or_default();
             self.config = coppersail_config::config::parse(body.as_bytes()).ok();
         }
     }
@@ -129,6 +129,6 @@
 
     /// The highest revision that is in force or being committed.
     pub(crate) fn newest_revision(&self) -> Option<u64> {
-        self.feed.settings().map(|s| s.revision).max(self.orders.newest_in_progress())
+        self.feed.revision().max(self.orders.newest_in_progress())
     }
 }
--- a/crates/control-plane/server/src/watch.rs
+++ b/crates/control-plane/server/src/watch.rs
@@ -29,7 +29,7 @@
             deadline: now + request.wait_ms,
             member: request.status.as_ref().map(|status| status.id.clone()),
         };
-        let is_current = is_this_feed && request.sequence == self.feed.seq;
+        let is_current = is_this_feed && request.sequence == self.feed.sequence;
         if is_current && !self.must_send_elsewhere(now, &poll) {
             self.followers.hold(poll);
         } else {
@@ -48,7 +48,7 @@
 
     /// Answers polls whose deadline has passed, or for which there is something new.
     pub(crate) fn answer_due_polls(&mut self, now: Ms, replies: &mut Vec<Reply>) {
-        let sequence = self.feed.seq;
+        let sequence = self.feed.sequence;
         self.answer_polls(now, replies, |poll| poll.position.sequence < sequence || now >= poll.deadline);
     }
 
@@ -93,8 +93,8 @@
     }
 
     fn update_since(&self, now: Ms, position: FeedPosition, member: Option<&str>) -> Update {
-        let mut update = self.feed.since(position.feed_id, position.sequence);
-        if self.feed.planned() {
+        let mut update = self.feed.updates_since(position.feed_id, position.sequence);
+        if self.feed.has_active_rollout() {
             let term = self.leader_term().filter(|_| self.holds_leader_lease(now));
             update.rollouts_as_of = self.rollouts.seen(now, term);
         }
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -1,7 +1,7 @@
 //! The bytes of the control state on disk, of the `mark` beside it, and of answers to hosts and operators. These bytes
 //! are read by builds of other versions; a change here breaks rolling upgrades or stored data.
 use coppersail_control_plane::node::{AdminRequest, Effect, Event, Node, PeerRequest, PeerResponse, Startup};
-use coppersail_control_plane::orders::{digest, Judged, Orders};
+use coppersail_control_plane::orders::{digest, OrderDecision, Orders};
 use coppersail_control_plane::rollouts;
 use coppersail_control_plane::store::{DiskWriter, FolderCondition, KeyValue, WriteBatch};
 use coppersail_rollout::lifecycle::{Phase, RolloutState};
@@ -298,9 +298,12 @@
     let settings = format!(r#"{{"body":"{}","later":1,"revision":5}}"#, body.replace('"', "\\\""));
     let state = [("config", settings.as_str()), ("order/00000000000000000003", "d3"), ("order/2", "")];
     let orders = Orders::recover(state.into_iter());
-    assert_eq!(orders.judge(5, "9abdb47792cf710a67981acfe875bded", Some(5)), Judged::Again);
-    assert_eq!(orders.judge(3, "d3", Some(5)), Judged::Again);
-    assert_eq!(orders.judge(2, "d2", Some(5)), Judged::Below);
+    assert_eq!(
+        orders.decide(5, "9abdb47792cf710a67981acfe875bded", Some(5)),
+        OrderDecision::AlreadyCommitted
+    );
+    assert_eq!(orders.decide(3, "d3", Some(5)), OrderDecision::AlreadyCommitted);
+    assert_eq!(orders.decide(2, "d2", Some(5)), OrderDecision::ProposeWithoutEffect);
     assert_eq!(digest(r#"{"b": 1, "a": 2}"#), "d3626ac30a87e6f7a6428233b3c68299");
     assert_eq!(digest("no json"), "5ad3040044b6d872316bf4312926c3b9");
     let rows = [("row/s/t/00001", "7 i-1 h 1"), ("row/s/t/00000", "6 i-2")];
