--- a/crates/control-plane/server/src/reply_settlement.rs
+++ b/crates/control-plane/server/src/due_replies.rs
@@ -11,7 +11,7 @@
 use coppersail_peer_protocol::EndpointState;
 
 /// A follower that was silent for longer than a poll lasts and this time, in ms, is not waited for.
-const FOLLOWER_SILENCE: Ms = 1000;
+const FOLLOWER_TIMEOUT: Ms = 1000;
 
 enum Readiness {
     Waiting,
@@ -22,7 +22,7 @@
 impl State {
     /// Publishes what has changed, answers requests that have waited for what has come, or for too long, and then the
     /// polls of followers.
-    pub(crate) fn settle_replies(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+    pub(crate) fn send_due_replies(&mut self, now: Ms, replies: &mut Vec<Reply>) {
         self.pending_replies.check_due = false;
         self.publish_assignments();
         for pending in self.pending_replies.take_all() {
@@ -41,9 +41,9 @@
     }
 
     /// After a commit, a failed proposal or a change of leadership.
-    pub(crate) fn settle_replies_if_due(&mut self, now: Ms, replies: &mut Vec<Reply>) {
+    pub(crate) fn send_replies_if_check_due(&mut self, now: Ms, replies: &mut Vec<Reply>) {
         if self.pending_replies.check_due {
-            self.settle_replies(now, replies);
+            self.send_due_replies(now, replies);
         }
     }
 
@@ -68,8 +68,8 @@
     }
 
     fn awaits_followers(&self, now: Ms, pending: &PendingReply) -> bool {
-        let silence = FOLLOWER_SILENCE + self.timeouts.core.heartbeat_interval;
-        pending.sequence.is_some_and(|sequence| !self.followers.have_acknowledged(now, sequence, silence))
+        let timeout = FOLLOWER_TIMEOUT + self.timeouts.core.heartbeat_interval;
+        pending.sequence.is_some_and(|sequence| !self.followers.have_acknowledged(now, sequence, timeout))
     }
 
     /// Whether shards are on their way to the endpoint whose holders are to release them before the deadline.
--- a/crates/control-plane/server/src/endpoint_requests.rs
+++ b/crates/control-plane/server/src/endpoint_requests.rs
@@ -57,7 +57,7 @@
         let is_sharded = self.is_sharded(&heartbeat.service);
         if is_sharded && !self.holds_leader_lease(now) {
             let redirect = self.redirect_to_leader(now, &format!("/servers/{endpoint}/pulse"));
-            self.settle_replies(now, replies);
+            self.send_due_replies(now, replies);
             return replies.push(Reply::Admin(request_id, redirect));
         }
         let sequence = starts_draining.then_some(self.feed.sequence);
@@ -72,7 +72,7 @@
         let kind = ReplyKind::Heartbeat { endpoint: endpoint.into(), sharded_service };
         let deadline = now + self.timeouts.acknowledgement_wait;
         self.pending_replies.push(PendingReply { request_id, deadline, ticket, sequence, kind });
-        self.settle_replies(now, replies);
+        self.send_due_replies(now, replies);
     }
 
     fn read_heartbeat(&self, now: Ms, body: &str) -> Result<HeartbeatRequest, Rejection> {
@@ -150,6 +150,6 @@
             sequence: Some(self.feed.sequence),
             kind: ReplyKind::Heartbeat { endpoint: endpoint.into(), sharded_service: None },
         });
-        self.settle_replies(now, replies);
+        self.send_due_replies(now, replies);
     }
 }
--- a/crates/control-plane/server/src/endpoints.rs
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -63,7 +63,7 @@
         if self.quorum_contact_since.is_none_or(|since| now < since + suspect_after) {
             return Vec::new();
         }
-        let is_silent = |endpoint: &EndpointUpdate, last_heartbeat_at: Ms| {
+        let has_timed_out = |endpoint: &EndpointUpdate, last_heartbeat_at: Ms| {
             if endpoint.reported_by == core.id {
                 return now > last_heartbeat_at + suspect_after;
             }
@@ -74,7 +74,7 @@
         let candidates = feed.endpoints().filter(|e| !e.suspect && e.state < EndpointState::Removed);
         let suspect = |endpoint: &EndpointUpdate| {
             let record = self.records.get(&endpoint.id)?;
-            is_silent(endpoint, record.received_at).then(|| EndpointUpdate {
+            has_timed_out(endpoint, record.received_at).then(|| EndpointUpdate {
                 suspect: true,
                 heartbeat_sequence: record.sequence.max(endpoint.heartbeat_sequence),
                 ..endpoint.clone()
--- a/crates/control-plane/server/src/feed/tests.rs
+++ b/crates/control-plane/server/src/feed/tests.rs
@@ -12,19 +12,19 @@
 }
 
 #[test]
-fn what_a_follower_has_is_not_told_again_and_a_gap_is_filled_whole() {
+fn a_current_follower_gets_nothing_and_one_of_another_feed_a_snapshot() {
     let mut feed = ChangeFeed::new(7);
     feed.put_endpoint(&host("i", 1, EndpointState::Ready));
     feed.put_config(&ConfigDocument { revision: 9, body: "x".into() });
-    let news = feed.updates_since(0, 0);
-    assert!(news.is_snapshot && news.endpoints.len() == 1 && news.config.is_some());
-    assert_eq!(feed.updates_since(7, news.sequence).endpoints.len(), 0);
+    let update = feed.updates_since(0, 0);
+    assert!(update.is_snapshot && update.endpoints.len() == 1 && update.config.is_some());
+    assert_eq!(feed.updates_since(7, update.sequence).endpoints.len(), 0);
     assert!(feed.updates_since(6, 1).is_snapshot, "another life of the centre");
     assert!(feed.updates_since(7, 99).is_snapshot, "a number that was never given");
 }
 
 #[test]
-fn versions_in_any_order_leave_the_newest() {
+fn updates_out_of_order_keep_the_newest_version() {
     let mut feed = ChangeFeed::new(7);
     assert!(feed.put_config(&ConfigDocument { revision: 9, body: "nine".into() }));
     assert!(!feed.put_config(&ConfigDocument { revision: 8, body: "eight".into() }));
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_host_that_empties_is_never_ready_again_and_late_beats_change_nothing() {
+fn a_draining_endpoint_never_becomes_ready_again_and_late_heartbeats_change_nothing() {
     let mut feed = ChangeFeed::new(7);
     feed.put_endpoint(&host("i", 5, EndpointState::Draining));
     assert!(!feed.put_endpoint(&host("i", 4, EndpointState::Ready)));
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -12,29 +12,29 @@
 }
 
 #[test]
-fn a_host_that_was_sent_on_is_missed_by_neither_centre() {
+fn a_heartbeat_redirected_to_another_member_leaves_one_reporter_in_both_feeds() {
     for (first, other) in [("a", "b"), ("b", "a")] {
-        let heard = |via: &str, calls| EndpointUpdate {
+        let heartbeat_at = |via: &str, calls| EndpointUpdate {
             reported_by: via.into(),
             ..host("i", calls, EndpointState::Ready)
         };
         let (mut here, mut there) = (ChangeFeed::new(7), ChangeFeed::new(8));
-        here.put_endpoint(&heard(first, 1));
-        there.put_endpoint(&heard(other, 1));
+        here.put_endpoint(&heartbeat_at(first, 1));
+        there.put_endpoint(&heartbeat_at(other, 1));
         // Each tells the other before its own is told: the news have crossed.
         let (ours, theirs) = (here.updates_since(0, 0), there.updates_since(0, 0));
         here.merge(&theirs);
         there.merge(&ours);
         assert_eq!(here.endpoint("i"), there.endpoint("i"));
         // It goes on to beat there.
-        there.put_endpoint(&heard(other, 2));
+        there.put_endpoint(&heartbeat_at(other, 2));
         here.merge(&there.updates_since(0, 0));
         assert_eq!(here.endpoint("i").unwrap().reported_by, other);
     }
 }
 
 #[test]
-fn a_call_that_was_sent_on_does_not_end_a_silence() {
+fn a_heartbeat_redirected_to_another_member_does_not_clear_a_suspicion() {
     let mut feed = ChangeFeed::new(7);
     feed.put_endpoint(&EndpointUpdate { suspect: true, ..host("i", 4, EndpointState::Ready) });
     assert!(
--- a/crates/control-plane/server/src/followers.rs
+++ b/crates/control-plane/server/src/followers.rs
@@ -62,10 +62,10 @@
         self.by_name.iter().filter(|(_, f)| live(f)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether all followers have this sequence number. One that was silent for longer than `silence` (ms) is not in
+    /// Whether all followers have this sequence number. One that was silent for longer than `timeout` (ms) is not in
     /// contact, and knows that itself.
-    pub(crate) fn have_acknowledged(&self, now: Ms, sequence: u64, silence: Ms) -> bool {
-        let mut live = self.by_name.values().filter(|f| now < f.last_seen + silence);
+    pub(crate) fn have_acknowledged(&self, now: Ms, sequence: u64, timeout: Ms) -> bool {
+        let mut live = self.by_name.values().filter(|f| now < f.last_seen + timeout);
         live.all(|f| f.acknowledged_sequence >= sequence)
     }
 
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -2,6 +2,7 @@
 //! the design. [`node::Node`] decides; what stands here carries out.
 pub mod admin;
 mod assignments;
+mod due_replies;
 mod endpoint_requests;
 mod endpoints;
 pub mod feed;
@@ -22,7 +23,6 @@
 mod proposals;
 mod reconciliation;
 mod replication;
-mod reply_settlement;
 pub mod resources;
 pub mod response_writer;
 mod responses;
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -111,7 +111,7 @@
             self.state.assignments.leases.decay_counts();
         }
         self.answer_edges_if_isolated(now, replies);
-        self.state.settle_replies(now, replies);
+        self.state.send_due_replies(now, replies);
         if self.ticks % PEER_SELECTION_TICKS == 1 {
             self.peer_links.select_peers(now, &self.state);
         }
@@ -147,7 +147,7 @@
         self.state.watch(now, request, request_id, replies, outputs);
         // The poll acknowledges the update before it.
         if self.state.pending_replies.any_awaits_followers() {
-            self.state.settle_replies(now, replies);
+            self.state.send_due_replies(now, replies);
         }
     }
 
@@ -213,7 +213,7 @@
             let Some(output) = queue.pop_front() else { break };
             self.apply_output(now, output, effects);
             if queue.is_empty() {
-                self.state.settle_replies_if_due(now, &mut replies);
+                self.state.send_replies_if_check_due(now, &mut replies);
             }
         }
         effects.extend(replies.into_iter().map(Effect::from));
--- a/crates/control-plane/server/src/operator_requests.rs
+++ b/crates/control-plane/server/src/operator_requests.rs
@@ -135,7 +135,7 @@
         match path_segments(path)[..] {
             [name] => self.rollouts.submit(now, name, body, self.config.as_ref()),
             [name, command] => match RolloutCommand::named(command) {
-                Some(command) => self.rollouts.order(now, name, command),
+                Some(command) => self.rollouts.apply_command(now, name, command),
                 None => Err(Rejection::not_found(format!("no order {command}"))),
             },
             _ => Err(Rejection::not_found("nothing here")),
--- a/crates/control-plane/server/src/orders_tests.rs
+++ b/crates/control-plane/server/src/orders_tests.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn the_same_order_is_acknowledged_while_it_is_written_after_it_and_after_a_takeover() {
+fn an_order_submitted_again_is_acknowledged_also_after_a_failover() {
     let (mut orders, mut disk, a) = (begun(50, "a", 1), Disk::new(), digest("a"));
     assert_eq!(orders.decide(50, &a, None), OrderDecision::InProgress(1));
     write(&mut orders, &mut disk, 1..=1);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_lower_number_that_nobody_knows_is_acknowledged_and_has_one_content_then() {
+fn an_unknown_lower_revision_is_acknowledged_and_then_has_one_content() {
     let (mut orders, mut disk) = (begun(50, "a", 1), Disk::new());
     write(&mut orders, &mut disk, 1..=1);
     assert_eq!(orders.decide(40, &digest("c"), Some(50)), OrderDecision::ProposeWithoutEffect);
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn the_newest_of_a_state_that_remembers_no_numbers_is_known_by_its_body() {
+fn the_state_of_an_older_build_knows_the_newest_order_by_its_body() {
     let settings = ConfigDocument { revision: 7, body: r#"{"revision": "r7"}"#.into() };
     let disk = Disk::from([("config".into(), serde_json::to_string(&settings).unwrap())]);
     let orders = recovered(&disk);
@@ -86,7 +86,7 @@
 }
 
 #[test]
-fn eight_under_way_are_written_as_one_and_all_of_them_remembered() {
+fn orders_committed_in_batches_are_all_remembered() {
     let (mut orders, mut disk) = (Orders::default(), Disk::new());
     for ticket in 1..=7 {
         let (revision, digest) = (20 - ticket, digest(&format!("content {ticket}")));
@@ -106,21 +106,21 @@
 }
 
 #[test]
-fn no_more_numbers_are_kept_than_stated_and_the_lowest_go() {
+fn revisions_above_the_limit_drop_the_lowest() {
     let (mut orders, mut disk) = (Orders::default(), Disk::new());
-    let most = MAX_REMEMBERED as u64;
-    for revision in 1..=most + 10 {
+    let limit = MAX_REMEMBERED as u64;
+    for revision in 1..=limit + 10 {
         orders.begin(revision, digest("x"), revision);
         write(&mut orders, &mut disk, revision..=revision);
     }
     // Lower than all that is kept: acknowledged, and not remembered.
-    orders.begin(2, digest("y"), most + 11);
-    assert_eq!(orders.writes(most + 11), []);
-    orders.mark_committed(most + 11);
+    orders.begin(2, digest("y"), limit + 11);
+    assert_eq!(orders.writes(limit + 11), []);
+    orders.mark_committed(limit + 11);
     for orders in [&orders, &recovered(&disk)] {
         assert_eq!(orders.committed.len(), MAX_REMEMBERED);
-        assert_eq!(orders.decide(10, &digest("x"), Some(most + 10)), OrderDecision::ProposeWithoutEffect);
-        assert_eq!(orders.decide(11, &digest("x"), Some(most + 10)), OrderDecision::AlreadyCommitted);
+        assert_eq!(orders.decide(10, &digest("x"), Some(limit + 10)), OrderDecision::ProposeWithoutEffect);
+        assert_eq!(orders.decide(11, &digest("x"), Some(limit + 10)), OrderDecision::AlreadyCommitted);
     }
     assert_eq!(disk.values().filter(|value| !value.is_empty()).count(), MAX_REMEMBERED);
     let names: Vec<&String> = disk.keys().collect();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn contents_are_equal_that_are_equal_as_json() {
+fn bodies_equal_as_json_have_one_digest() {
     let same = [r#"{"a":1,"b":{"c":[1,2],"d":null}}"#, "{ \"b\": {\"d\":null, \"c\":[1, 2]},\n\"a\": 1 }"];
     assert_eq!(digest(same[0]), digest(same[1]));
     let other = [
@@ -146,7 +146,7 @@
 /// Operators that resend, takeovers with and without what was being written: by what was acknowledged, one number has
 /// one content for ever, and what was acknowledged is never refused.
 #[test]
-fn whatever_happens_one_number_has_one_content() {
+fn random_failovers_leave_one_content_per_revision() {
     for seed in 0..500 {
         let mut chance = fastrand::Rng::with_seed(seed);
         let (mut orders, mut disk) = (Orders::default(), Disk::new());
@@ -154,7 +154,7 @@
         // ticket -> number and content, of those that wait for it
         let mut waits: Vec<(u64, u64, String)> = Vec::new();
         for _ in 0..200 {
-            let held =
+            let in_force =
                 || disk.keys().filter_map(|n| n.strip_prefix(ORDER_KEY_PREFIX)?.parse::<u64>().ok()).max();
             match chance.u8(0..10) {
                 0 => {
@@ -175,7 +175,7 @@
                 _ => {
                     let (revision, content) = (chance.u64(1..9), chance.u8(0..3).to_string());
                     let known = acknowledged.get(&revision).is_some_and(|first| *first == content);
-                    match orders.decide(revision, &digest(&content), held()) {
+                    match orders.decide(revision, &digest(&content), in_force()) {
                         OrderDecision::Propose | OrderDecision::ProposeWithoutEffect => {
                             ticket += 1;
                             orders.begin(revision, digest(&content), ticket);
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -40,14 +40,14 @@
     links: BTreeMap<Id, PeerLink>,
     polls_started: OperationId,
     /// Changes with each selection, so that every member is selected in turn.
-    selection_round: usize,
+    selections: usize,
 }
 
 impl PeerLinks {
     /// Selects the members to poll. A link to another ends with its poll.
     pub(crate) fn select_peers(&mut self, now: Ms, state: &State) {
-        self.selection_round += 1;
-        self.peers = state.core.heartbeat_targets(now, self.selection_round, HEARTBEAT_FANOUT);
+        self.selections += 1;
+        self.peers = state.core.heartbeat_targets(now, self.selections, HEARTBEAT_FANOUT);
         let peers = &self.peers;
         self.links.retain(|id, link| peers.contains(id) || link.poll_in_flight.is_some());
     }
@@ -109,7 +109,7 @@
         let Some(poll) = link.poll_in_flight.take() else { return };
         let Some(update) = update else {
             link.next_poll_at = now + state.timeouts.core.heartbeat_interval / 4;
-            return state.rollouts.put_back(poll.rollout_reports);
+            return state.rollouts.keep_for_leader(&poll.rollout_reports);
         };
         link.position = FeedPosition { feed_id: update.feed_id, sequence: update.sequence };
         link.next_poll_at = now;
@@ -117,8 +117,8 @@
             state.receive_status(now, status, Some(poll.started_at), outputs);
         }
         state.merge_update(&update);
-        state.rollouts.hear(poll.started_at, &update.rollouts_as_of);
-        state.settle_replies(now, replies);
+        state.rollouts.record_as_of(poll.started_at, &update.rollouts_as_of);
+        state.send_due_replies(now, replies);
     }
 }
 
@@ -128,7 +128,7 @@
     let (mut request_counts, mut rollout_reports) = (Vec::new(), Vec::new());
     if to_leader {
         request_counts = state.assignments.take_unforwarded_counts();
-        rollout_reports = state.rollouts.relay();
+        rollout_reports = state.rollouts.take_unforwarded_reports();
     }
     WatchRequest {
         edge: state.core.id.clone(),
--- a/crates/control-plane/server/src/placement_gate.rs
+++ b/crates/control-plane/server/src/placement_gate.rs
@@ -22,7 +22,7 @@
         } else if endpoints > self.endpoints {
             (self.endpoints, self.last_new_endpoint_at) = (endpoints, now);
         }
-        let is_settled = now >= self.last_new_endpoint_at + heartbeat_interval * 3 / 2;
-        endpoints > 0 && (is_settled || now >= self.first_endpoint_at + max_wait)
+        let has_stopped_growing = now >= self.last_new_endpoint_at + heartbeat_interval * 3 / 2;
+        endpoints > 0 && (has_stopped_growing || now >= self.first_endpoint_at + max_wait)
     }
 }
--- a/crates/control-plane/server/src/reconciliation.rs
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -1,5 +1,5 @@
 //! What time brings: endpoints that fall silent, assignments that are not as they should be, rollouts that go on.
-use crate::rollouts::Hosts;
+use crate::rollouts::Endpoints;
 use crate::state::State;
 use crate::store::KeyValue;
 use coppersail_consensus::Ms;
@@ -51,11 +51,13 @@
         }
         let (core, feed, heartbeats, timeouts) = (&self.core, &self.feed, &self.heartbeats, &self.timeouts);
         let all = || feed.endpoints().cloned().collect();
-        let dead = |endpoint: &str, lost_at: Ms| {
+        let has_died_since = |endpoint: &str, lost_at: Ms| {
             heartbeats.has_died_since(now, endpoint, lost_at, core, feed, timeouts)
         };
-        let changes = self.rollouts.tick(now, self.config.as_ref(), &Hosts { all: &all, dead: &dead });
-        let (writes, lines): (Vec<KeyValue>, Vec<String>) = changes.into_iter().unzip();
+        let endpoints = Endpoints { all: &all, has_died_since: &has_died_since };
+        let changes = self.rollouts.advance(now, self.config.as_ref(), &endpoints);
+        let parts = changes.into_iter().map(|change| (change.write, change.log_line));
+        let (writes, lines): (Vec<KeyValue>, Vec<String>) = parts.unzip();
         if !writes.is_empty() {
             self.proposals.submit(writes);
         }
--- a/crates/control-plane/server/src/replication.rs
+++ b/crates/control-plane/server/src/replication.rs
@@ -20,7 +20,7 @@
         if let Some(config) = config {
             self.put_config(&config);
         }
-        for rollout in self.rollouts.took_over(now, self.core.held().iter()) {
+        for rollout in self.rollouts.recover(now, self.core.held().iter()) {
             self.feed.put_rollout(&rollout);
         }
         self.pending_replies.check_due = true;
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! Plans at a centre: what is queued and in force while it is primary, evidence on its way, and how old its knowledge
-//! of plans is. No I/O; decisions are those of `coppersail-rollout`.
+//! The rollouts of this member: their states while it leads, evidence on its way to the leader, and how current its
+//! knowledge of them is. No I/O; the decisions are those of `coppersail-rollout`.
 use crate::responses::Rejection;
 use crate::rollout_views::{RolloutView, VariantView};
 use crate::store::KeyValue;
@@ -11,40 +11,93 @@
 use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
-/// Reports that wait to be passed on. A primary that is away for longer asks for all of it again.
-const MOST_REPORTS: usize = 4096;
+/// The keys of rollouts in the replicated state begin with it; the name follows.
+const ROLLOUT_KEY_PREFIX: &str = "plan/";
+/// How many reports are kept for the leader. A leader that is away for longer asks for all of them again.
+const MAX_UNFORWARDED_REPORTS: usize = 4096;
+const MAX_NAME_LENGTH: usize = 64;
 
-struct Entry {
-    /// As last queued: it is in force once it is on both disks.
-    stand: RolloutState,
+/// The write by which a rollout gets this state.
+fn write_of(state: &RolloutState) -> KeyValue {
+    let value = serde_json::to_string(state).unwrap_or_default();
+    (format!("{ROLLOUT_KEY_PREFIX}{}", state.name), value)
+}
+
+/// The state of a rollout in an entry of the replicated state, if it is one.
+pub fn read((key, value): &KeyValue) -> Option<RolloutState> {
+    if !key.starts_with(ROLLOUT_KEY_PREFIX) {
+        return None;
+    }
+    serde_json::from_str(value).ok()
+}
+
+/// What rollouts need to know of endpoints.
+pub(crate) struct Endpoints<'a> {
+    pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
+    /// Whether an endpoint has died since a request to it was lost at that time; none while that is not known.
+    pub(crate) has_died_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
+}
+
+/// The next step of a rollout.
+pub(crate) struct RolloutChange {
+    pub(crate) write: KeyValue,
+    pub(crate) log_line: String,
+}
+
+struct Rollout {
+    /// As last proposed: it is in force once it is committed.
+    state: RolloutState,
     plan: RolloutPlan,
     since: Since,
-    judge: RolloutAnalysis,
+    analysis: RolloutAnalysis,
     verdict: Verdict,
 }
 
-impl Entry {
-    fn new(now: Ms, stand: RolloutState) -> Entry {
-        let plan = stand.plan();
-        let judge = RolloutAnalysis::new(&plan, stand.run);
-        let mut entry =
-            Entry { stand, plan, since: Since(now), judge, verdict: Verdict::Wait("nothing yet".into()) };
-        entry.judge.step(entry.stand.step);
-        entry
+impl Rollout {
+    fn new(now: Ms, state: RolloutState) -> Rollout {
+        let plan = state.plan();
+        let mut analysis = RolloutAnalysis::new(&plan, state.run);
+        analysis.step(state.step);
+        Rollout { state, plan, since: Since(now), analysis, verdict: Verdict::Wait("nothing yet".into()) }
     }
 
-    fn next(&mut self, now: Ms, next: RolloutState) -> KeyValue {
-        if next.run != self.stand.run {
-            *self = Entry::new(now, next);
+    fn is_active(&self) -> bool {
+        self.state.phase != Phase::Ended
+    }
+
+    /// Takes the next state; the write to be proposed. A new run is analysed anew.
+    fn change_state(&mut self, now: Ms, next: RolloutState) -> KeyValue {
+        if next.run != self.state.run {
+            *self = Rollout::new(now, next);
         } else {
-            (self.stand, self.since) = (next, Since(now));
-            self.judge.step(self.stand.step);
+            (self.state, self.since) = (next, Since(now));
+            self.analysis.step(self.state.step);
+        }
+        write_of(&self.state)
+    }
+
+    /// What time, evidence and the configuration make of it. One that does not fit the configuration any more is paused,
+    /// and ended if its service is gone.
+    fn next_state(
+        &mut self,
+        now: Ms,
+        config: Option<&Config>,
+        endpoints: &Endpoints,
+    ) -> Option<RolloutState> {
+        let misfit = config.and_then(|config| Some((config, self.plan.fits(config).err()?)));
+        if let Some((config, error)) = misfit {
+            let service_is_gone = config.service(&self.plan.service).is_none();
+            let command = if service_is_gone { RolloutCommand::End } else { RolloutCommand::Pause };
+            let elapsed = now.saturating_sub(self.since.0);
+            return self.state.order(elapsed, command, &error.to_string()).ok().flatten();
         }
-        put(&self.stand)
+        let capacity = fleet_capacity(&self.plan, &(endpoints.all)());
+        self.verdict = self.analysis.judge(now, self.state.number, capacity, endpoints.has_died_since);
+        self.state.tick(&self.plan, now, self.since, &self.verdict)
     }
 
     fn view(&self, now: Ms, name: &str) -> RolloutView {
-        let (state, analysis) = (&self.stand, &self.judge);
+        let (state, analysis) = (&self.state, &self.analysis);
         let verdict = match &self.verdict {
             Verdict::Wait(why) => format!("waits: {why}"),
             Verdict::Sound => "sound".into(),
@@ -68,90 +121,74 @@
             why: state.why.clone(),
         }
     }
-
-    fn live(&self) -> bool {
-        self.stand.phase != Phase::Ended
-    }
-}
-
-fn put(stand: &RolloutState) -> KeyValue {
-    (format!("plan/{}", stand.name), serde_json::to_string(stand).unwrap_or_default())
-}
-
-/// A plan as it is on the disk.
-pub fn read(put: &KeyValue) -> Option<RolloutState> {
-    put.0.starts_with("plan/").then(|| serde_json::from_str(&put.1).ok()).flatten()
-}
-
-/// What a plan is told about hosts.
-pub(crate) struct Hosts<'a> {
-    pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
-    /// Whether a host has died, for a loss that was told at a time.
-    pub(crate) dead: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
 
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    plans: BTreeMap<String, Entry>,
-    relay: Vec<EvidenceReport>,
-    /// Until when the plans here are known to be a primary's, and its epoch.
-    heard: Option<(u64, Ms)>,
+    /// Known to the leader alone.
+    rollouts: BTreeMap<String, Rollout>,
+    unforwarded_reports: Vec<EvidenceReport>,
+    /// The term of the leader whose rollouts the change feed has, and the time as of which it has them.
+    known_as_of: Option<(u64, Ms)>,
 }
 
 impl Rollouts {
-    pub(crate) fn took_over<'a>(
+    /// A new leader begins with the rollouts of the replicated state; their states.
+    pub(crate) fn recover<'a>(
         &mut self,
         now: Ms,
-        held: impl Iterator<Item = (&'a String, &'a String)>,
+        state: impl Iterator<Item = (&'a String, &'a String)>,
     ) -> Vec<RolloutState> {
-        let found = held.filter_map(|(name, value)| read(&(name.clone(), value.clone())));
-        let found: Vec<RolloutState> = found.collect();
-        self.plans = found.iter().map(|s| (s.name.clone(), Entry::new(now, s.clone()))).collect();
-        found
+        let states: Vec<RolloutState> =
+            state.filter_map(|(key, value)| read(&(key.clone(), value.clone()))).collect();
+        self.rollouts = states.iter().map(|s| (s.name.clone(), Rollout::new(now, s.clone()))).collect();
+        states
     }
 
     pub(crate) fn step_down(&mut self) {
-        self.plans.clear();
+        self.rollouts.clear();
     }
 
-    /// What another centre says about how new its plans are, asked for at a time.
-    pub(crate) fn hear(&mut self, asked: Ms, seen: &Option<RolloutsAsOf>) {
-        if let Some(seen) = seen {
-            self.heard = self.heard.max(Some((seen.term, asked.saturating_sub(seen.age_ms))));
+    /// Another member says how current its rollouts are, in the answer to a request of that time.
+    pub(crate) fn record_as_of(&mut self, requested_at: Ms, theirs: &Option<RolloutsAsOf>) {
+        if let Some(theirs) = theirs {
+            let as_of = requested_at.saturating_sub(theirs.age_ms);
+            self.known_as_of = self.known_as_of.max(Some((theirs.term, as_of)));
         }
     }
 
-    /// How new the plans here are: of now where this centre is primary.
-    pub(crate) fn seen(&self, now: Ms, epoch: Option<u64>) -> Option<RolloutsAsOf> {
-        match (epoch, self.heard) {
-            (Some(epoch), _) => Some(RolloutsAsOf { term: epoch, age_ms: 0 }),
-            (None, Some((epoch, at))) => Some(RolloutsAsOf { term: epoch, age_ms: now.saturating_sub(at) }),
-            (None, None) => None,
+    /// How current the rollouts of the change feed are. `term`: of this member, if it holds the leader lease.
+    pub(crate) fn as_of(&self, now: Ms, term: Option<u64>) -> Option<RolloutsAsOf> {
+        if let Some(term) = term {
+            return Some(RolloutsAsOf { term, age_ms: 0 });
         }
+        let (term, as_of) = self.known_as_of?;
+        Some(RolloutsAsOf { term, age_ms: now.saturating_sub(as_of) })
     }
 
-    /// Takes reports; where this centre does not act, they are kept to be passed on.
-    pub(crate) fn take(&mut self, now: Ms, acts: bool, reports: &[EvidenceReport]) {
-        if !acts {
-            let room = MOST_REPORTS.saturating_sub(self.relay.len());
-            self.relay.extend(reports.iter().take(room).cloned());
-            return;
+    /// Evidence of edges: the leader analyses it, other members keep it for the leader.
+    pub(crate) fn record_reports(&mut self, now: Ms, is_leader: bool, reports: &[EvidenceReport]) {
+        if !is_leader {
+            return self.keep_for_leader(reports);
         }
         for report in reports {
-            self.plans.iter_mut().filter(|(_, e)| e.live()).for_each(|(name, entry)| {
-                entry.judge.take(now, name, report);
-            });
+            for (name, rollout) in self.rollouts.iter_mut().filter(|(_, r)| r.is_active()) {
+                rollout.analysis.take(now, name, report);
+            }
         }
     }
 
-    pub(crate) fn relay(&mut self) -> Vec<EvidenceReport> {
-        std::mem::take(&mut self.relay)
+    /// Keeps reports as far as there is room.
+    pub(crate) fn keep_for_leader(&mut self, reports: &[EvidenceReport]) {
+        let room = MAX_UNFORWARDED_REPORTS.saturating_sub(self.unforwarded_reports.len());
+        self.unforwarded_reports.extend(reports.iter().take(room).cloned());
     }
 
-    pub(crate) fn put_back(&mut self, reports: Vec<EvidenceReport>) {
-        self.take(0, false, &reports);
+    pub(crate) fn take_unforwarded_reports(&mut self) -> Vec<EvidenceReport> {
+        std::mem::take(&mut self.unforwarded_reports)
     }
 
+    /// A plan that an operator submits; the writes to be proposed. The same again changes nothing.
     pub(crate) fn submit(
         &mut self,
         now: Ms,
@@ -159,106 +196,112 @@
         body: &str,
         config: Option<&Config>,
     ) -> Result<Vec<KeyValue>, Rejection> {
-        let sound = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if name.is_empty() || name.len() > 64 || !name.chars().all(sound) {
-            return Err(Rejection::bad_request(format!(
-                "name is \"{name}\", expected letters, digits and -_. of up to 64"
-            )));
-        }
+        check_name(name)?;
         let plan = coppersail_config::rollout::parse(body).map_err(Rejection::bad_request)?;
         if let Some(config) = config {
             plan.fits(config).map_err(Rejection::bad_request)?;
         }
-        let of = |p: &RolloutPlan| {
-            let to = match &p.to {
-                Version::Backend(to) => Some(to.clone()),
-                Version::Revision(_) => None,
-            };
-            [Some(p.service.clone()), to]
-        };
-        let mine = of(&plan);
-        let shares = |p: &RolloutPlan| of(p).iter().flatten().any(|s| mine.iter().flatten().any(|m| m == s));
-        let other = self.plans.iter().find(|(n, e)| *n != name && e.live() && shares(&e.plan));
-        if let Some((other, _)) = other {
-            return Err(Rejection::conflict(format!("plan {other} moves the same service; end it first")));
-        }
-        let before = self.plans.get(name).map(|e| &e.stand);
-        let stand = RolloutState::submit(name, body, before).map_err(Rejection::conflict)?;
-        if before.is_some_and(|old| *old == stand) {
+        self.check_services_are_free(name, &plan)?;
+        let previous = self.rollouts.get(name).map(|rollout| &rollout.state);
+        let state = RolloutState::submit(name, body, previous).map_err(Rejection::conflict)?;
+        if previous.is_some_and(|previous| *previous == state) {
             return Ok(Vec::new());
         }
-        let put = put(&stand);
-        self.plans.insert(name.into(), Entry::new(now, stand));
-        Ok(vec![put])
+        let write = write_of(&state);
+        self.rollouts.insert(name.into(), Rollout::new(now, state));
+        Ok(vec![write])
     }
 
-    pub(crate) fn order(
+    /// Two rollouts must not shift the traffic of one service.
+    fn check_services_are_free(&self, name: &str, plan: &RolloutPlan) -> Result<(), Rejection> {
+        let mine = services(plan);
+        let overlaps =
+            |other: &RolloutPlan| services(other).any(|service| mine.clone().any(|m| m == service));
+        let others = self.rollouts.iter().filter(|(other, _)| *other != name);
+        match others.filter(|(_, rollout)| rollout.is_active()).find(|(_, r)| overlaps(&r.plan)) {
+            Some((other, _)) => {
+                Err(Rejection::conflict(format!("plan {other} moves the same service; end it first")))
+            }
+            None => Ok(()),
+        }
+    }
+
+    /// A command of an operator; the writes to be proposed.
+    pub(crate) fn apply_command(
         &mut self,
         now: Ms,
         name: &str,
-        order: RolloutCommand,
+        command: RolloutCommand,
     ) -> Result<Vec<KeyValue>, Rejection> {
-        let entry =
-            self.plans.get_mut(name).ok_or_else(|| Rejection::not_found(format!("no plan {name}")))?;
-        let ran = now.saturating_sub(entry.since.0);
-        let next = entry.stand.order(ran, order, "an operator's order").map_err(Rejection::conflict)?;
-        Ok(next.map(|next| entry.next(now, next)).into_iter().collect())
+        let unknown = || Rejection::not_found(format!("no plan {name}"));
+        let rollout = self.rollouts.get_mut(name).ok_or_else(unknown)?;
+        let elapsed = now.saturating_sub(rollout.since.0);
+        let next = rollout.state.order(elapsed, command, "an operator's order");
+        let next = next.map_err(Rejection::conflict)?;
+        Ok(next.map(|next| rollout.change_state(now, next)).into_iter().collect())
     }
 
-    /// What time, evidence and the configuration make of plans: changes to be written, and a line about each.
-    pub(crate) fn tick(
+    /// The next steps that are due by time, evidence and configuration.
+    pub(crate) fn advance(
         &mut self,
         now: Ms,
         config: Option<&Config>,
-        hosts: &Hosts,
-    ) -> Vec<(KeyValue, String)> {
-        let mut all = Vec::new();
-        for (name, entry) in self.plans.iter_mut().filter(|(_, e)| e.live()) {
-            let ran = now.saturating_sub(entry.since.0);
-            let unfit = config.and_then(|c| entry.plan.fits(c).err().map(|fault| (c, fault)));
-            let next = if let Some((config, fault)) = unfit {
-                let gone = config.service(&entry.plan.service).is_none();
-                let order = if gone { RolloutCommand::End } else { RolloutCommand::Pause };
-                entry.stand.order(ran, order, &fault.to_string()).ok().flatten()
-            } else {
-                let fleet = fleet(&entry.plan, &(hosts.all)());
-                entry.verdict = entry.judge.judge(now, entry.stand.number, fleet, hosts.dead);
-                entry.stand.tick(&entry.plan, now, entry.since, &entry.verdict)
-            };
-            if let Some(next) = next {
-                let share = next.share().unwrap_or(0.0) * 100.0;
-                let line = format!("Plan {name} is {:?} at {share}%: {}.", next.phase, next.why);
-                all.push((entry.next(now, next), line));
-            }
+        endpoints: &Endpoints,
+    ) -> Vec<RolloutChange> {
+        let mut changes = Vec::new();
+        for (name, rollout) in self.rollouts.iter_mut().filter(|(_, r)| r.is_active()) {
+            let Some(next) = rollout.next_state(now, config, endpoints) else { continue };
+            let percent = next.share().unwrap_or(0.0) * 100.0;
+            let log_line = format!("Plan {name} is {:?} at {percent}%: {}.", next.phase, next.why);
+            changes.push(RolloutChange { write: rollout.change_state(now, next), log_line });
         }
-        all
+        changes
     }
 
     /// A rollout as operators see it.
     pub(crate) fn view(&self, now: Ms, name: &str) -> Option<RolloutView> {
-        self.plans.get(name).map(|entry| entry.view(now, name))
+        self.rollouts.get(name).map(|rollout| rollout.view(now, name))
     }
 
     pub(crate) fn views(&self, now: Ms) -> Vec<RolloutView> {
-        self.plans.iter().map(|(name, entry)| entry.view(now, name)).collect()
+        self.rollouts.iter().map(|(name, rollout)| rollout.view(now, name)).collect()
     }
 }
 
-fn fleet(plan: &RolloutPlan, hosts: &[EndpointUpdate]) -> FleetCapacity {
-    let mut fleet = FleetCapacity::default();
-    for host in hosts.iter().filter(|h| h.state == EndpointState::Ready && !h.suspect) {
-        let of = |version: &Version| match version {
-            Version::Backend(name) => host.service == *name,
-            Version::Revision(name) => host.service == plan.service && host.version == *name,
+fn check_name(name: &str) -> Result<(), Rejection> {
+    let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+    if name.is_empty() || name.len() > MAX_NAME_LENGTH || !name.chars().all(is_allowed) {
+        let expected = format!("expected letters, digits and -_. of up to {MAX_NAME_LENGTH}");
+        return Err(Rejection::bad_request(format!("name is \"{name}\", {expected}")));
+    }
+    Ok(())
+}
+
+/// The services whose traffic a plan shifts.
+fn services(plan: &RolloutPlan) -> impl Iterator<Item = &String> + Clone {
+    let to = match &plan.to {
+        Version::Backend(to) => Some(to),
+        Version::Revision(_) => None,
+    };
+    std::iter::once(&plan.service).chain(to)
+}
+
+/// The endpoints of each version that take requests.
+fn fleet_capacity(plan: &RolloutPlan, endpoints: &[EndpointUpdate]) -> FleetCapacity {
+    let mut capacity = FleetCapacity::default();
+    for endpoint in endpoints.iter().filter(|e| e.state == EndpointState::Ready && !e.suspect) {
+        let is_of = |version: &Version| match version {
+            Version::Backend(name) => endpoint.service == *name,
+            Version::Revision(name) => endpoint.service == plan.service && endpoint.version == *name,
         };
-        if of(&plan.to) {
-            fleet.new_hosts += 1;
-            fleet.new_slots += f64::from(host.capacity);
-        } else if of(&plan.from) {
-            fleet.old_slots += f64::from(host.capacity);
+        if is_of(&plan.to) {
+            capacity.new_hosts += 1;
+            capacity.new_slots += f64::from(endpoint.capacity);
+        } else if is_of(&plan.from) {
+            capacity.old_slots += f64::from(endpoint.capacity);
         }
     }
-    fleet
+    capacity
 }
 
 #[cfg(test)]
--- a/crates/control-plane/server/src/watch.rs
+++ b/crates/control-plane/server/src/watch.rs
@@ -42,7 +42,7 @@
         let is_leader = self.is_leader();
         self.assignments.record_requests(is_leader, &request.request_counts);
         if !request.rollout_reports.is_empty() {
-            self.rollouts.take(now, is_leader, &request.rollout_reports);
+            self.rollouts.record_reports(now, is_leader, &request.rollout_reports);
         }
     }
 
@@ -96,7 +96,7 @@
         let mut update = self.feed.updates_since(position.feed_id, position.sequence);
         if self.feed.has_active_rollout() {
             let term = self.leader_term().filter(|_| self.holds_leader_lease(now));
-            update.rollouts_as_of = self.rollouts.seen(now, term);
+            update.rollouts_as_of = self.rollouts.as_of(now, term);
         }
         update.isolated = self.is_isolated(now);
         update.uptime_ms = now;
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn a_centre_out_of_touch_judges_no_host() {
+fn an_isolated_member_suspects_no_endpoint() {
     let mut one = One::start(vec![host()]);
     one.run(5_000);
     assert!(!one.ask(None).isolated, "itself and one other are two of three");
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn an_edge_is_told_nothing_but_where_else_to_ask_once_touch_is_lost() {
+fn lost_quorum_contact_sends_edges_to_other_members_and_nothing_else() {
     let mut one = One::start(vec![host()]);
     one.run(5_000);
     let follow = |news: &Update| WatchRequest {
--- a/crates/control-plane/server/tests/orders.rs
+++ b/crates/control-plane/server/tests/orders.rs
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn another_content_under_a_number_is_refused_wherever_it_is_sent_and_the_first_stays() {
+fn another_content_under_a_revision_is_refused_by_every_member() {
     let mut core = Core::start(30);
     assert_eq!(clear(&core, 0, 5, "/five/"), 200);
     assert_eq!(clear(&core, 0, 9, "/nine/"), 200);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn of_two_contents_sent_at_once_under_one_number_exactly_one_is_acknowledged() {
+fn concurrent_contents_under_one_revision_get_one_acknowledgement() {
     let core = Core::start(31);
     assert_eq!(clear(&core, 0, 1, "/one/"), 200);
     for revision in 2..22 {
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn the_same_order_is_never_refused_before_and_after_a_takeover() {
+fn a_failover_never_refuses_an_order_that_is_submitted_again() {
     let mut core = Core::start(32);
     assert_eq!(clear(&core, 0, 1, "/one/"), 200);
     for round in 0..6u64 {
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn eight_orders_under_way_two_of_them_with_one_number_are_remembered_over_a_restart_of_all() {
+fn concurrent_orders_are_remembered_over_a_restart_of_all_members() {
     let mut core = Core::start(33);
     assert_eq!(clear(&core, 0, 1, "/one/"), 200);
     for round in 0..3u64 {
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -17,7 +17,7 @@
 }
 
 /// Three members in memory; what one calls, the others answer with the next step of time. Disks take all.
-struct Three {
+struct Cluster {
     nodes: Vec<Node>,
     now: u64,
     due: VecDeque<(usize, Event)>,
@@ -27,16 +27,17 @@
     writes: Vec<WriteBatch>,
     answers: Vec<(u16, String)>,
     /// Nobody hears anybody.
-    parted: bool,
+    partitioned: bool,
 }
 
 /// Answers to hosts and operators have this number, apart from those of calls between members.
 const OUTSIDE: u64 = u64::MAX;
 
-impl Three {
-    fn start() -> Three {
+impl Cluster {
+    fn start() -> Cluster {
         let (nodes, calls, writes, answers) = (Vec::new(), Vec::new(), Vec::new(), Vec::new());
-        let mut three = Three { nodes, now: 1, due: VecDeque::new(), calls, writes, answers, parted: false };
+        let mut cluster =
+            Cluster { nodes, now: 1, due: VecDeque::new(), calls, writes, answers, partitioned: false };
         let mut effects = Vec::new();
         for me in MEMBERS {
             let ip = me.split(':').next().unwrap();
@@ -49,14 +50,14 @@
             let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
             let (node, first) =
                 Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
-            three.nodes.push(node);
+            cluster.nodes.push(node);
             effects.push(first);
         }
-        effects.into_iter().enumerate().for_each(|(at, first)| three.carry(at, first));
-        three.run(5_000);
-        assert!(three.nodes[0].is_leader());
-        three.writes.clear();
-        three
+        effects.into_iter().enumerate().for_each(|(at, first)| cluster.carry(at, first));
+        cluster.run(5_000);
+        assert!(cluster.nodes[0].is_leader());
+        cluster.writes.clear();
+        cluster
     }
 
     fn carry(&mut self, at: usize, effects: Vec<Effect>) {
@@ -68,7 +69,7 @@
                     }
                     self.due.push_back((at, Event::WriteFinished { token, ok: true }));
                 }
-                Effect::SendToPeer { token, peer: to, .. } if self.parted => {
+                Effect::SendToPeer { token, peer: to, .. } if self.partitioned => {
                     assert!(MEMBERS.contains(&to.as_str()));
                     self.due.push_back((at, Event::PeerResponded { operation_id: token, response: None }));
                 }
@@ -80,7 +81,7 @@
                 }
                 Effect::RespondToPeer { caller, response: say } => {
                     let (asker, token) = self.calls[caller as usize - 1];
-                    let say = Some(answer_over_the_wire(say)).filter(|_| !self.parted);
+                    let say = Some(answer_over_the_wire(say)).filter(|_| !self.partitioned);
                     self.due.push_back((asker, Event::PeerResponded { operation_id: token, response: say }));
                 }
                 Effect::RespondToAdmin { caller, status, body } => {
@@ -181,45 +182,45 @@
 
 #[test]
 fn a_configuration_order_keeps_its_keys_values_and_answers() {
-    let mut three = Three::start();
+    let mut cluster = Cluster::start();
     let read = || AdminRequest::ReadConfig;
-    three.assert_answer(0, read(), 404, r#"{"why":"no configuration yet"}"#);
-    three.assert_answer(0, replace(5, "null"), 200, "{}");
+    cluster.assert_answer(0, read(), 404, r#"{"why":"no configuration yet"}"#);
+    cluster.assert_answer(0, replace(5, "null"), 200, "{}");
     let escaped = configuration(5, "null").replace('"', "\\\"");
     let settings = format!(r#"{{"revision":5,"body":"{escaped}"}}"#);
-    three.assert_writes(&[(
+    cluster.assert_writes(&[(
         "1",
         &[put("order/00000000000000000005", "9abdb47792cf710a67981acfe875bded"), put("config", &settings)],
     )]);
-    three.assert_answer(0, read(), 200, &configuration(5, "null"));
-    three.assert_answer(0, replace(5, "null"), 200, "{}");
+    cluster.assert_answer(0, read(), 200, &configuration(5, "null"));
+    cluster.assert_answer(0, replace(5, "null"), 200, "{}");
     let rival = r#"{"why":"revision: its number has another content already, expected a higher one"}"#;
-    three.assert_answer(0, replace(5, "true"), 409, rival);
-    three.assert_writes(&[]);
-    three.assert_answer(0, replace(4, "null"), 200, "{}");
-    three.assert_writes(&[("2", &[put("order/00000000000000000004", "7cd2994012b0076934c1b3cc5cf95ce4")])]);
+    cluster.assert_answer(0, replace(5, "true"), 409, rival);
+    cluster.assert_writes(&[]);
+    cluster.assert_answer(0, replace(4, "null"), 200, "{}");
+    cluster.assert_writes(&[("2", &[put("order/00000000000000000004", "7cd2994012b0076934c1b3cc5cf95ce4")])]);
 }
 
 const PLAN: &str =
     r#"{"service":"s","from":{"revision":"v1"},"to":{"revision":"v2"},"steps":[{"share":0.5}]}"#;
 
 #[test]
-fn plan_orders_keep_their_keys_values_and_answers() {
-    let mut three = Three::start();
-    three.assert_answer(0, replace(5, "null"), 200, "{}");
-    three.writes.clear();
-    three.assert_answer(0, plan("/p", PLAN), 200, "{}");
+fn rollout_commands_keep_their_keys_values_and_responses() {
+    let mut cluster = Cluster::start();
+    cluster.assert_answer(0, replace(5, "null"), 200, "{}");
+    cluster.writes.clear();
+    cluster.assert_answer(0, plan("/p", PLAN), 200, "{}");
     let stand = |head: &str, why: &str| {
         let body = PLAN.replace('"', "\\\"");
         put("plan/p", &format!(r#"{{"name":"p",{head},"why":"{why}","body":"{body}"}}"#))
     };
     let first = stand(r#""number":1,"phase":"running","step":0,"run":1,"ran":0"#, "submitted");
-    three.assert_writes(&[("2", &[first])]);
-    three.run(1000);
-    three.assert_answer(0, plan("/p/undo", ""), 200, "{}");
+    cluster.assert_writes(&[("2", &[first])]);
+    cluster.run(1000);
+    cluster.assert_answer(0, plan("/p/undo", ""), 200, "{}");
     let second =
         stand(r#""number":2,"phase":"withdrawn","step":0,"run":1,"ran":1150"#, "an operator's order");
-    three.assert_writes(&[("3", &[second])]);
+    cluster.assert_writes(&[("3", &[second])]);
     let table = [
         ("/p/undo", "", 200, "{}"),
         ("/p", "{}", 400, r#"{"why":"service is left out, expected it to be given"}"#),
@@ -230,65 +231,65 @@
         ("", "", 404, r#"{"why":"nothing here"}"#),
     ];
     for (rest, body, status, text) in table {
-        three.assert_answer(0, plan(rest, body), status, text);
+        cluster.assert_answer(0, plan(rest, body), status, text);
     }
     let show = AdminRequest::Rollouts { post: false, rest: String::new(), body: String::new() };
     let shown = r#"{"rollouts":[{"answers":0,"late_rows":0,"name":"p","new":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"next_in_ms":null,"number":2,"old":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"phase":"withdrawn","plan":{"from":{"revision":"v1"},"service":"s","steps":[{"share":0.5}],"to":{"revision":"v2"}},"rows":0,"share":0.0,"step":1,"steps":1,"verdict":"waits: 0 of 200 answers","why":"an operator's order"}]}"#;
-    three.assert_answer(0, show, 200, shown);
+    cluster.assert_answer(0, show, 200, shown);
 }
 
 #[test]
-fn answers_to_pulses_keep_their_bytes() {
-    let mut three = Three::start();
-    three.assert_answer(0, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
-    three.assert_answer(1, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
-    three.assert_answer(
+fn heartbeat_responses_keep_their_bytes() {
+    let mut cluster = Cluster::start();
+    cluster.assert_answer(0, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
+    cluster.assert_answer(1, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
+    cluster.assert_answer(
         0,
         AdminRequest::SignOff { ident: "i-1".into() },
         200,
         r#"{"reportTo":"10.1.0.1:8544"}"#,
     );
     let missing = r#"{"why":"beat: missing field `backend` at line 1 column 2"}"#;
-    three.assert_answer(0, pulse("{}"), 400, missing);
-    three.parted = true;
-    three.run(5_000);
-    three.assert_answer(0, pulse(SHORT_PULSE), 503, r#"{"why":"out of touch with most witnesses"}"#);
+    cluster.assert_answer(0, pulse("{}"), 400, missing);
+    cluster.partitioned = true;
+    cluster.run(5_000);
+    cluster.assert_answer(0, pulse(SHORT_PULSE), 503, r#"{"why":"out of touch with most witnesses"}"#);
     let nobody = r#"{"why":"no primary is known"}"#;
-    three.assert_answer(0, replace(5, "null"), 503, nobody);
-    three.assert_answer(0, AdminRequest::ReadConfig, 503, nobody);
+    cluster.assert_answer(0, replace(5, "null"), 503, nobody);
+    cluster.assert_answer(0, AdminRequest::ReadConfig, 503, nobody);
 }
 
 #[test]
-fn an_order_that_is_not_written_in_time_keeps_its_answer() {
-    let mut three = Three::start();
-    three.parted = true;
-    three.assert_answer(0, replace(5, "null"), 503, r#"{"why":"not on two disks"}"#);
+fn an_order_that_is_not_committed_in_time_keeps_its_response() {
+    let mut cluster = Cluster::start();
+    cluster.partitioned = true;
+    cluster.assert_answer(0, replace(5, "null"), 503, r#"{"why":"not on two disks"}"#);
 }
 
 #[test]
-fn rows_of_a_divided_service_and_what_a_host_is_told_of_them_keep_their_bytes() {
-    let mut three = Three::start();
-    three.assert_answer(0, replace(5, "true"), 200, "{}");
-    three.writes.clear();
+fn leases_of_a_sharded_service_and_heartbeat_responses_keep_their_bytes() {
+    let mut cluster = Cluster::start();
+    cluster.assert_answer(0, replace(5, "true"), 200, "{}");
+    cluster.writes.clear();
     let full = r#"{"backend":"s","address":"10.9.0.1:80","area":"a","revision":"v1","capacity":10.0,"stage":"ready","warmLeft":"10ms","callCount":@,"released":[]}"#;
     let mut calls = 0;
-    let beat = |three: &mut Three, calls: &mut u64| {
+    let beat = |cluster: &mut Cluster, calls: &mut u64| {
         *calls += 1;
-        let answer = three.ask(0, pulse(&full.replace('@', &calls.to_string())));
-        three.run(900);
+        let answer = cluster.ask(0, pulse(&full.replace('@', &calls.to_string())));
+        cluster.run(900);
         answer
     };
     let nothing = (200, r#"{"held":[],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#.to_string());
-    assert_eq!(beat(&mut three, &mut calls), nothing);
-    let last = (0..5).map(|_| beat(&mut three, &mut calls)).last().unwrap();
+    assert_eq!(beat(&mut cluster, &mut calls), nothing);
+    let last = (0..5).map(|_| beat(&mut cluster, &mut calls)).last().unwrap();
     let held = r#"{"held":[[0,65535,1,""]],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#;
     assert_eq!(last, (200, held.to_string()));
     let rows: Vec<KeyValue> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
     assert_eq!(rows[511].0, "row/s/00511");
-    three.assert_writes(&[("2", &rows)]);
-    three.assert_answer(1, pulse(SHORT_PULSE), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
-    three.assert_answer(1, replace(6, "true"), 307, "http://10.1.0.1:8544/settings/replace");
-    three.assert_answer(1, plan("/p", PLAN), 307, "http://10.1.0.1:8544/rollouts/p");
+    cluster.assert_writes(&[("2", &rows)]);
+    cluster.assert_answer(1, pulse(SHORT_PULSE), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
+    cluster.assert_answer(1, replace(6, "true"), 307, "http://10.1.0.1:8544/settings/replace");
+    cluster.assert_answer(1, plan("/p", PLAN), 307, "http://10.1.0.1:8544/rollouts/p");
 }
 
 #[test]
@@ -326,7 +327,7 @@
 }
 
 #[test]
-fn the_mark_keeps_its_bytes_and_a_folder_opens_again_with_all_that_was_put() {
+fn the_generation_file_keeps_its_bytes_and_a_folder_opens_again_with_all_that_was_written() {
     let folder = std::env::temp_dir().join(format!("stored-format-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
     let mark = || {
