--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -221,6 +221,3 @@
     };
     comparable == *old
 }
-
-#[cfg(test)]
-mod tests;
--- a/crates/control-plane/server/src/orders_tests.rs
+++ b/crates/control-plane/server/src/orders_tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the module `orders`.
 use super::*;
 use std::collections::BTreeMap;
 
--- a/crates/control-plane/server/src/placement_gate_tests.rs
+++ b/crates/control-plane/server/src/placement_gate_tests.rs
@@ -1,3 +1,4 @@
+//! Tests of the initial placement gate.
 use crate::placement_gate::PlacementGate;
 
 #[test]
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -1,4 +1,4 @@
-//! The pure machine of a centre, without threads, sockets or a disk.
+//! The pure state machine of a member, without threads, sockets or a disk.
 use coppersail_control_plane::node::{Effect, Event, Node, PeerRequest, PeerResponse, Startup};
 use coppersail_peer_protocol::{EndpointUpdate, MemberDetail, MemberStatus, Update, WatchRequest};
 use serde_json::json;
@@ -6,17 +6,17 @@
 const PEERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
 
 /// The first of three, at the first start of the system. Its disk takes all; the second of the three answers polls while
-/// it has `hosts` to tell of; nobody answers else.
-struct One {
+/// it has `endpoints` to report; the third answers nothing.
+struct Harness {
     node: Node,
     now: u64,
     due: Vec<Event>,
-    hosts: Option<Vec<EndpointUpdate>>,
-    news: Vec<Update>,
+    endpoints: Option<Vec<EndpointUpdate>>,
+    updates: Vec<Update>,
 }
 
-impl One {
-    fn start(hosts: Vec<EndpointUpdate>) -> One {
+impl Harness {
+    fn start(endpoints: Vec<EndpointUpdate>) -> Harness {
         let boot = json!({
             "self": {"ipAddress": "10.1.0.1", "area": "a", "initialBoot": true, "dataFolder": "unused"},
             "network": {"binds": {"admin": PEERS[0]}, "sparePorts": [7540, 7555], "knownPeers": PEERS},
@@ -26,9 +26,10 @@
         let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
         let (node, effects) =
             Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
-        let mut one = One { node, now: 1, due: Vec::new(), hosts: Some(hosts), news: Vec::new() };
-        one.carry(effects);
-        one
+        let mut harness =
+            Harness { node, now: 1, due: Vec::new(), endpoints: Some(endpoints), updates: Vec::new() };
+        harness.carry(effects);
+        harness
     }
 
     fn carry(&mut self, effects: Vec<Effect>) {
@@ -36,10 +37,12 @@
             match effect {
                 Effect::Persist { token, .. } => self.due.push(Event::WriteFinished { token, ok: true }),
                 Effect::SendToPeer { token, peer: to, call, .. } => {
-                    let say = self.answer(&to, &call);
-                    self.due.push(Event::PeerResponded { operation_id: token, response: say });
+                    let response = self.answer(&to, &call);
+                    self.due.push(Event::PeerResponded { operation_id: token, response });
+                }
+                Effect::RespondToPeer { response: PeerResponse::Update(update), .. } => {
+                    self.updates.push(*update)
                 }
-                Effect::RespondToPeer { response: PeerResponse::Update(news), .. } => self.news.push(*news),
                 _ => {}
             }
         }
@@ -47,9 +50,9 @@
 
     fn answer(&self, to: &str, call: &PeerRequest) -> Option<PeerResponse> {
         let PeerRequest::Watch(_) = call else { return None };
-        let hosts = self.hosts.clone().filter(|_| to == PEERS[1])?;
+        let endpoints = self.endpoints.clone().filter(|_| to == PEERS[1])?;
         let detail = Some(MemberDetail::default());
-        let standing = Some(MemberStatus {
+        let status = Some(MemberStatus {
             id: to.into(),
             disk_healthy: true,
             detail_sum: 9,
@@ -59,8 +62,8 @@
         Some(PeerResponse::Update(Box::new(Update {
             feed_id: 3,
             sequence: 1,
-            endpoints: hosts,
-            status: standing,
+            endpoints,
+            status,
             ..Update::default()
         })))
     }
@@ -71,7 +74,7 @@
         self.carry(out);
     }
 
-    /// Lets time pass; what it called is answered with the next tick.
+    /// Lets time pass; its requests are answered with the next tick.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -83,18 +86,16 @@
         }
     }
 
-    /// What it tells who has nothing yet: an edge, or another centre.
-    fn ask(&mut self, from: Option<&str>) -> Update {
-        let standing =
-            from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
-        let follow =
-            WatchRequest { edge: "e".into(), wait_ms: 1, status: standing, ..WatchRequest::default() };
-        self.step(Event::Peer { caller: 1, call: PeerRequest::Watch(Box::new(follow)) });
-        self.news.pop().expect("who has nothing is answered at once")
+    /// The update for a follower that has nothing yet: an edge, or another member.
+    fn poll(&mut self, from: Option<&str>) -> Update {
+        let status = from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
+        let watch = WatchRequest { edge: "e".into(), wait_ms: 1, status, ..WatchRequest::default() };
+        self.step(Event::Peer { caller: 1, call: PeerRequest::Watch(Box::new(watch)) });
+        self.updates.pop().expect("a follower that has nothing is answered at once")
     }
 }
 
-fn host() -> EndpointUpdate {
+fn endpoint() -> EndpointUpdate {
     let (ident, backend, via) = ("i-1".into(), "s".into(), PEERS[1].into());
     EndpointUpdate {
         id: ident,
@@ -108,34 +109,34 @@
 
 #[test]
 fn an_isolated_member_suspects_no_endpoint() {
-    let mut one = One::start(vec![host()]);
-    one.run(5_000);
-    assert!(!one.ask(None).isolated, "itself and one other are two of three");
-    one.hosts = None;
-    one.run(20_000);
-    let told = one.ask(Some(PEERS[2])).endpoints;
-    assert!(!told[0].suspect, "its own deafness would be news to who hears it again");
+    let mut harness = Harness::start(vec![endpoint()]);
+    harness.run(5_000);
+    assert!(!harness.poll(None).isolated, "itself and one other are two of three");
+    harness.endpoints = None;
+    harness.run(20_000);
+    let reported = harness.poll(Some(PEERS[2])).endpoints;
+    assert!(!reported[0].suspect, "its own lost connections would spread as failures of endpoints");
 }
 
 #[test]
 fn lost_quorum_contact_sends_edges_to_other_members_and_nothing_else() {
-    let mut one = One::start(vec![host()]);
-    one.run(5_000);
-    let follow = |news: &Update| WatchRequest {
+    let mut harness = Harness::start(vec![endpoint()]);
+    harness.run(5_000);
+    let watch = |update: &Update| WatchRequest {
         edge: "e".into(),
-        feed_id: news.feed_id,
-        sequence: news.sequence,
+        feed_id: update.feed_id,
+        sequence: update.sequence,
         wait_ms: 60_000,
         ..WatchRequest::default()
     };
-    let before = one.ask(None);
+    let before = harness.poll(None);
     assert_eq!(before.endpoints.len(), 1);
-    one.step(Event::Peer { caller: 2, call: PeerRequest::Watch(Box::new(follow(&before))) });
-    one.run(1_000);
-    assert!(one.news.is_empty(), "nothing is new");
-    one.hosts = None;
-    one.run(2_000);
-    let after = one.news.pop().expect("a held poll is answered once touch is lost");
+    harness.step(Event::Peer { caller: 2, call: PeerRequest::Watch(Box::new(watch(&before))) });
+    harness.run(1_000);
+    assert!(harness.updates.is_empty(), "nothing is new");
+    harness.endpoints = None;
+    harness.run(2_000);
+    let after = harness.updates.pop().expect("a long poll is answered once quorum contact is lost");
     let nothing = Update {
         isolated: true,
         uptime_ms: after.uptime_ms,
@@ -146,5 +147,5 @@
     };
     assert_eq!(after, nothing);
     assert_eq!(after.control_plane_addresses.len(), 3);
-    assert!(one.ask(None).isolated);
+    assert!(harness.poll(None).isolated);
 }
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of the control state on disk, of the `mark` beside it, and of answers to hosts and operators. These bytes
+//! The bytes of the control state on disk, of the `mark` beside it, and of responses to endpoints and operators. These bytes
 //! are read by builds of other versions; a change here breaks rolling upgrades or stored data.
 use coppersail_control_plane::node::{AdminRequest, Effect, Event, Node, PeerRequest, PeerResponse, Startup};
 use coppersail_control_plane::orders::{digest, OrderDecision, Orders};
@@ -16,21 +16,21 @@
     (name.into(), value.into())
 }
 
-/// Three members in memory; what one calls, the others answer with the next step of time. Disks take all.
+/// Three members in memory; requests of one are answered by the others with the next step of time. All writes succeed.
 struct Cluster {
     nodes: Vec<Node>,
     now: u64,
     due: VecDeque<(usize, Event)>,
-    /// Who waits for which call of a member: (member, token).
+    /// The requests between members: (member, token).
     calls: Vec<(usize, u64)>,
-    /// What the first member was asked to write of the state.
+    /// The writes of the replicated state by the first member.
     writes: Vec<WriteBatch>,
     answers: Vec<(u16, String)>,
-    /// Nobody hears anybody.
+    /// No message between members arrives.
     partitioned: bool,
 }
 
-/// Answers to hosts and operators have this number, apart from those of calls between members.
+/// The id of all requests of endpoints and operators, apart from those between members.
 const OUTSIDE: u64 = u64::MAX;
 
 impl Cluster {
@@ -79,10 +79,10 @@
                     let caller = self.calls.len() as u64;
                     self.due.push_back((other, Event::Peer { caller, call: over_the_wire(call) }));
                 }
-                Effect::RespondToPeer { caller, response: say } => {
+                Effect::RespondToPeer { caller, response } => {
                     let (asker, token) = self.calls[caller as usize - 1];
-                    let say = Some(answer_over_the_wire(say)).filter(|_| !self.partitioned);
-                    self.due.push_back((asker, Event::PeerResponded { operation_id: token, response: say }));
+                    let response = Some(response_over_the_wire(response)).filter(|_| !self.partitioned);
+                    self.due.push_back((asker, Event::PeerResponded { operation_id: token, response }));
                 }
                 Effect::RespondToAdmin { caller, status, body } => {
                     assert_eq!(caller, OUTSIDE);
@@ -111,7 +111,7 @@
     }
 
     /// Until there is an answer.
-    fn ask(&mut self, at: usize, call: AdminRequest) -> (u16, String) {
+    fn request(&mut self, at: usize, call: AdminRequest) -> (u16, String) {
         self.step(at, Event::Admin { request_id: OUTSIDE, request: call });
         for _ in 0..100 {
             if let Some(answer) = self.answers.pop() {
@@ -124,7 +124,7 @@
 
     #[track_caller]
     fn assert_answer(&mut self, at: usize, call: AdminRequest, status: u16, body: &str) {
-        assert_eq!(self.ask(at, call), (status, body.to_string()));
+        assert_eq!(self.request(at, call), (status, body.to_string()));
     }
 
     /// What the first member wrote since, each time with the number of the change beside it.
@@ -139,22 +139,22 @@
     }
 }
 
-/// Calls and answers go as text, as they do between processes.
+/// Requests and responses go as text, as they do between processes.
 fn through_text<T: Serialize + DeserializeOwned>(value: &T) -> T {
     serde_json::from_str(&serde_json::to_string(value).unwrap()).unwrap()
 }
 
 fn over_the_wire(call: PeerRequest) -> PeerRequest {
     match call {
-        PeerRequest::Watch(follow) => PeerRequest::Watch(through_text(&follow)),
+        PeerRequest::Watch(watch) => PeerRequest::Watch(through_text(&watch)),
         PeerRequest::Consensus(call) => PeerRequest::Consensus(through_text(&call)),
     }
 }
 
-fn answer_over_the_wire(say: PeerResponse) -> PeerResponse {
-    match say {
-        PeerResponse::Update(news) => PeerResponse::Update(through_text(&news)),
-        PeerResponse::Consensus(say) => PeerResponse::Consensus(through_text(&say)),
+fn response_over_the_wire(response: PeerResponse) -> PeerResponse {
+    match response {
+        PeerResponse::Update(update) => PeerResponse::Update(through_text(&update)),
+        PeerResponse::Consensus(response) => PeerResponse::Consensus(through_text(&response)),
     }
 }
 
@@ -169,7 +169,7 @@
     AdminRequest::ReplaceConfig { body: configuration(number, divided) }
 }
 
-fn pulse(body: &str) -> AdminRequest {
+fn heartbeat(body: &str) -> AdminRequest {
     AdminRequest::Heartbeat { ident: "i-1".into(), body: body.into() }
 }
 
@@ -177,8 +177,8 @@
     AdminRequest::Rollouts { post: true, rest: rest.into(), body: body.into() }
 }
 
-/// Hosts that know nothing of later fields.
-const SHORT_PULSE: &str = r#"{"backend":"s","address":"10.9.0.1:80"}"#;
+/// Of an endpoint that knows nothing of later fields.
+const SHORT_HEARTBEAT: &str = r#"{"backend":"s","address":"10.9.0.1:80"}"#;
 
 #[test]
 fn a_configuration_order_keeps_its_keys_values_and_answers() {
@@ -241,8 +241,8 @@
 #[test]
 fn heartbeat_responses_keep_their_bytes() {
     let mut cluster = Cluster::start();
-    cluster.assert_answer(0, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
-    cluster.assert_answer(1, pulse(SHORT_PULSE), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
+    cluster.assert_answer(0, heartbeat(SHORT_HEARTBEAT), 200, r#"{"reportTo":"10.1.0.1:8544"}"#);
+    cluster.assert_answer(1, heartbeat(SHORT_HEARTBEAT), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
     cluster.assert_answer(
         0,
         AdminRequest::SignOff { ident: "i-1".into() },
@@ -250,10 +250,15 @@
         r#"{"reportTo":"10.1.0.1:8544"}"#,
     );
     let missing = r#"{"why":"beat: missing field `backend` at line 1 column 2"}"#;
-    cluster.assert_answer(0, pulse("{}"), 400, missing);
+    cluster.assert_answer(0, heartbeat("{}"), 400, missing);
     cluster.partitioned = true;
     cluster.run(5_000);
-    cluster.assert_answer(0, pulse(SHORT_PULSE), 503, r#"{"why":"out of touch with most witnesses"}"#);
+    cluster.assert_answer(
+        0,
+        heartbeat(SHORT_HEARTBEAT),
+        503,
+        r#"{"why":"out of touch with most witnesses"}"#,
+    );
     let nobody = r#"{"why":"no primary is known"}"#;
     cluster.assert_answer(0, replace(5, "null"), 503, nobody);
     cluster.assert_answer(0, AdminRequest::ReadConfig, 503, nobody);
@@ -275,7 +280,7 @@
     let mut calls = 0;
     let beat = |cluster: &mut Cluster, calls: &mut u64| {
         *calls += 1;
-        let answer = cluster.ask(0, pulse(&full.replace('@', &calls.to_string())));
+        let answer = cluster.request(0, heartbeat(&full.replace('@', &calls.to_string())));
         cluster.run(900);
         answer
     };
@@ -287,7 +292,7 @@
     let rows: Vec<KeyValue> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
     assert_eq!(rows[511].0, "row/s/00511");
     cluster.assert_writes(&[("2", &rows)]);
-    cluster.assert_answer(1, pulse(SHORT_PULSE), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
+    cluster.assert_answer(1, heartbeat(SHORT_HEARTBEAT), 307, "http://10.1.0.1:8544/servers/i-1/pulse");
     cluster.assert_answer(1, replace(6, "true"), 307, "http://10.1.0.1:8544/settings/replace");
     cluster.assert_answer(1, plan("/p", PLAN), 307, "http://10.1.0.1:8544/rollouts/p");
 }
@@ -341,7 +346,7 @@
     let (none, zero) = ("000000000000000000000000", "000000000000000069df2265");
     let (one, two, three) =
         ("0100000000000000f7df88a9", "020000000000000014d80727", "03000000000000008ad8adeb");
-    let (scribe, found) = open(&folder);
+    let (writer, found) = open(&folder);
     assert_eq!((found.kept, found.number), (FolderCondition::Fresh, 0));
     assert_eq!(mark(), [zero, none, none, none]);
     let batches = [
@@ -361,15 +366,15 @@
     let marks = [[zero, one, none, none], [zero, one, two, none], [three, one, two, none]];
     for (batch, expected) in batches.into_iter().zip(marks) {
         let (tell, told) = std::sync::mpsc::channel();
-        scribe.write(batch, Box::new(move |ok| tell.send(ok).unwrap()));
+        writer.write(batch, Box::new(move |ok| tell.send(ok).unwrap()));
         assert!(told.recv().unwrap());
         assert_eq!(mark(), expected);
     }
-    drop(scribe);
-    let (scribe, found) = open(&folder);
+    drop(writer);
+    let (writer, found) = open(&folder);
     assert_eq!((found.kept, found.number), (FolderCondition::Whole, 3));
     assert_eq!(found.state, BTreeMap::from([put("plan/p", "p")]));
     assert_eq!(found.own, BTreeMap::from([put("floor", "g"), put("seq", "2")]));
-    drop(scribe);
+    drop(writer);
     std::fs::remove_dir_all(&folder).unwrap();
 }
