--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -2,7 +2,8 @@
 //! comes out as replies and as outputs of the consensus core.
 //!
 //! What the state does stands in one file for each kind of input: `replication.rs` (commits and changes of leadership),
-//! `watch.rs` (followers), `admin.rs` (endpoints and operators), `reconciliation.rs` (time).
+//! `watch.rs` (followers), `admin.rs` (endpoints and operators), `reconciliation.rs` (time). `due_replies.rs` answers the
+//! requests whose reply has waited for one of them.
 use crate::assignments::Assignments;
 use crate::endpoints::Heartbeats;
 use crate::feed::ChangeFeed;
--- a/crates/control-plane/server/tests/orders.rs
+++ b/crates/control-plane/server/tests/orders.rs
@@ -1,20 +1,20 @@
-//! One number, one content, at real processes: rivals, orders that are sent again, takeovers and restarts.
+//! One content per revision, with real processes: conflicting and repeated orders, failovers and restarts.
 mod common;
 
 use common::{settings, Core};
 use std::sync::Barrier;
 use std::time::{Duration, Instant};
 
-fn order(core: &Core, n: usize, revision: u64, prefix: &str) -> Option<(u16, String)> {
+fn submit(core: &Core, n: usize, revision: u64, prefix: &str) -> Option<(u16, String)> {
     core.at(n, "POST", "/settings/replace", &settings(revision, prefix).to_string())
 }
 
-/// As an operator does: again and again, beginning at one centre, until there is a clear answer.
-fn clear(core: &Core, first: usize, revision: u64, prefix: &str) -> u16 {
+/// As an operator does: again and again, beginning with one member, until the response is 200 or 409.
+fn submit_until_decided(core: &Core, first: usize, revision: u64, prefix: &str) -> u16 {
     let end = Instant::now() + Duration::from_secs(30);
     for n in (first..).map(|n| n % 3) {
         assert!(Instant::now() < end, "no clear answer to r{revision}");
-        match order(core, n, revision, prefix) {
+        match submit(core, n, revision, prefix) {
             Some((status, why)) => {
                 assert!(status == 200 || status == 409, "r{revision} {prefix}: {status} {why}");
                 assert!(!why.is_empty() && !why.contains('\n'), "one line: {why}");
@@ -34,28 +34,28 @@
 #[test]
 fn another_content_under_a_revision_is_refused_by_every_member() {
     let mut core = Core::start(30);
-    assert_eq!(clear(&core, 0, 5, "/five/"), 200);
-    assert_eq!(clear(&core, 0, 9, "/nine/"), 200);
+    assert_eq!(submit_until_decided(&core, 0, 5, "/five/"), 200);
+    assert_eq!(submit_until_decided(&core, 0, 9, "/nine/"), 200);
     for again in 0..2 {
         for n in 0..3 {
-            assert_eq!(clear(&core, n, 9, "/other/"), 409, "newest, at {n}");
-            assert_eq!(clear(&core, n, 5, "/other/"), 409, "older, at {n}");
-            assert_eq!(clear(&core, n, 9, "/nine/"), 200, "the same again, at {n}");
-            assert_eq!(clear(&core, n, 5, "/five/"), 200, "the same older one again, at {n}");
+            assert_eq!(submit_until_decided(&core, n, 9, "/other/"), 409, "newest, at {n}");
+            assert_eq!(submit_until_decided(&core, n, 5, "/other/"), 409, "older, at {n}");
+            assert_eq!(submit_until_decided(&core, n, 9, "/nine/"), 200, "the same again, at {n}");
+            assert_eq!(submit_until_decided(&core, n, 5, "/five/"), 200, "the same older one again, at {n}");
         }
-        // A lower number that nobody has is acknowledged, leaves everything as it is, and has one content then.
-        assert_eq!(clear(&core, again, 7 + again as u64, "/late/"), 200);
-        assert_eq!(clear(&core, again, 7 + again as u64, "/later/"), 409);
+        // An unknown lower revision is acknowledged, leaves the configuration as it is, and has one content then.
+        assert_eq!(submit_until_decided(&core, again, 7 + again as u64, "/late/"), 200);
+        assert_eq!(submit_until_decided(&core, again, 7 + again as u64, "/later/"), 409);
         assert_eq!(core.read(), settings(9, "/nine/"));
         restart(&mut core);
     }
-    assert_eq!(clear(&core, 0, 7, "/later/"), 409);
+    assert_eq!(submit_until_decided(&core, 0, 7, "/later/"), 409);
 }
 
 #[test]
 fn concurrent_contents_under_one_revision_get_one_acknowledgement() {
     let core = Core::start(31);
-    assert_eq!(clear(&core, 0, 1, "/one/"), 200);
+    assert_eq!(submit_until_decided(&core, 0, 1, "/one/"), 200);
     for revision in 2..22 {
         let (start, contents) = (Barrier::new(2), ["/a/", "/b/"]);
         let statuses = std::thread::scope(|scope| {
@@ -63,7 +63,7 @@
                 let (core, start) = (&core, &start);
                 scope.spawn(move || {
                     start.wait();
-                    clear(core, operator + revision as usize, revision, contents[operator])
+                    submit_until_decided(core, operator + revision as usize, revision, contents[operator])
                 })
             });
             both.map(|operator| operator.join().unwrap())
@@ -77,39 +77,39 @@
 #[test]
 fn a_failover_never_refuses_an_order_that_is_submitted_again() {
     let mut core = Core::start(32);
-    assert_eq!(clear(&core, 0, 1, "/one/"), 200);
+    assert_eq!(submit_until_decided(&core, 0, 1, "/one/"), 200);
     for round in 0..6u64 {
-        let (lost, revision) = (round as usize % 3, 10 + 2 * round);
-        assert_eq!(clear(&core, lost, revision, "/taken/"), 200);
-        // This one may be lost on its way, taken, or taken without an answer.
+        let (killed, revision) = (round as usize % 3, 10 + 2 * round);
+        assert_eq!(submit_until_decided(&core, killed, revision, "/taken/"), 200);
+        // This one may be lost on its way, committed, or committed without a response.
         let sent = std::thread::scope(|scope| {
-            let sent = scope.spawn(|| order(&core, lost, revision + 1, "/sent/"));
+            let sent = scope.spawn(|| submit(&core, killed, revision + 1, "/sent/"));
             if round % 2 == 0 {
                 core.held(1);
             }
-            core.signal(lost, "KILL");
+            core.signal(killed, "KILL");
             sent.join().unwrap()
         });
         assert!(sent.is_none_or(|(status, _)| status == 200), "an order was refused");
-        core.kill(lost);
-        // From when nobody acts to when somebody does; `clear` takes nothing but 200 and 409.
-        for n in [lost + 1, lost + 2] {
-            assert_eq!(clear(&core, n, revision, "/taken/"), 200, "round {round}");
-            assert_eq!(clear(&core, n, revision + 1, "/sent/"), 200, "round {round}");
-            assert_eq!(clear(&core, n, revision, "/other/"), 409, "round {round}");
-            assert_eq!(clear(&core, n, revision + 1, "/other/"), 409, "round {round}");
+        core.kill(killed);
+        // From when no member leads to when one does; `submit_until_decided` takes nothing but 200 and 409.
+        for n in [killed + 1, killed + 2] {
+            assert_eq!(submit_until_decided(&core, n, revision, "/taken/"), 200, "round {round}");
+            assert_eq!(submit_until_decided(&core, n, revision + 1, "/sent/"), 200, "round {round}");
+            assert_eq!(submit_until_decided(&core, n, revision, "/other/"), 409, "round {round}");
+            assert_eq!(submit_until_decided(&core, n, revision + 1, "/other/"), 409, "round {round}");
         }
         assert_eq!(core.read(), settings(revision + 1, "/sent/"));
-        core.run(lost, false);
+        core.run(killed, false);
     }
 }
 
 #[test]
 fn concurrent_orders_are_remembered_over_a_restart_of_all_members() {
     let mut core = Core::start(33);
-    assert_eq!(clear(&core, 0, 1, "/one/"), 200);
+    assert_eq!(submit_until_decided(&core, 0, 1, "/one/"), 200);
     for round in 0..3u64 {
-        // The seventh and the eighth have one number, the second highest.
+        // The seventh and the eighth have one revision, the second highest.
         let base = 100 * (round + 1);
         let numbers = [7, 1, 5, 2, 4, 3, 6, 6].map(|n| base + n);
         let contents = [0, 1, 2, 3, 4, 5, 6, 7].map(|n| format!("/{round}-{n}/"));
@@ -119,7 +119,7 @@
                 let (core, start, contents) = (&core, &start, &contents);
                 scope.spawn(move || {
                     start.wait();
-                    clear(core, n, numbers[n], &contents[n])
+                    submit_until_decided(core, n, numbers[n], &contents[n])
                 })
             });
             all.map(|one| one.join().unwrap())
@@ -130,7 +130,7 @@
             assert_eq!(core.read(), settings(numbers[0], &contents[0]));
             for n in 0..8 {
                 assert_eq!(
-                    clear(&core, n, numbers[n], &contents[n]),
+                    submit_until_decided(&core, n, numbers[n], &contents[n]),
                     statuses[n],
                     "round {round}, order {n}"
                 );
