--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -3,23 +3,39 @@
 //! `docs/system.md` and `docs/control.md` are the design. [`node::Node`] decides, without I/O; [`Server`] and the modules
 //! below it are the adapters: HTTP in `listener` and `resources`, other nodes in `peer_rpc`, the disk in [`store`].
 pub mod admin;
+mod assignments;
+mod due_replies;
+mod endpoint_requests;
+mod endpoints;
 pub mod feed;
 #[cfg(test)]
 mod feed_tests;
+mod followers;
 mod listener;
+mod members;
+pub mod messages;
 pub mod node;
+mod operator_requests;
 pub mod orders;
 pub mod peer_links;
 mod peer_rpc;
+mod pending_replies;
 pub mod placement_gate;
 #[cfg(test)]
 mod placement_gate_tests;
+mod proposals;
+mod reconciliation;
+mod replication;
 mod resources;
 mod response_writer;
+mod responses;
+mod rollout_views;
 pub mod rollouts;
 mod server;
 pub mod state;
 pub mod store;
+mod timeouts;
+mod watch;
 
 pub use listener::BindError;
 pub use server::{Server, StartError};
