--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -5,8 +5,6 @@
 use crate::state::State;
 use coppersail_consensus::{Ms, RequestId};
 
-pub use crate::responses::error_body as one_line;
-
 impl State {
     pub(crate) fn handle_admin_request(
         &mut self,
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -2,25 +2,25 @@
 //!
 //! `docs/system.md` and `docs/control.md` are the design. [`node::Node`] decides, without I/O; [`Server`] and the modules
 //! below it are the adapters: HTTP in `listener` and `resources`, other nodes in `peer_rpc`, the disk in [`store`].
-pub mod admin;
+mod admin;
 mod assignments;
 mod due_replies;
 mod endpoint_requests;
 mod endpoints;
-pub mod feed;
+mod feed;
 #[cfg(test)]
 mod feed_tests;
 mod followers;
 mod listener;
 mod members;
-pub mod messages;
+mod messages;
 pub mod node;
 mod operator_requests;
 pub mod orders;
-pub mod peer_links;
+mod peer_links;
 mod peer_rpc;
 mod pending_replies;
-pub mod placement_gate;
+mod placement_gate;
 #[cfg(test)]
 mod placement_gate_tests;
 mod proposals;
@@ -32,7 +32,7 @@
 mod rollout_views;
 pub mod rollouts;
 mod server;
-pub mod state;
+mod state;
 pub mod store;
 mod timeouts;
 mod watch;
--- a/crates/control-plane/server/src/members.rs
+++ b/crates/control-plane/server/src/members.rs
@@ -8,7 +8,7 @@
 
 /// Where a member listens for its peers: on the first spare port, which is the same everywhere. `id` is the address for
 /// endpoints and operators, "ip:port".
-pub fn peer_address(id: &str, port: u16) -> String {
+pub(crate) fn peer_address(id: &str, port: u16) -> String {
     let ip = id.rsplit_once(':').map_or(id, |(ip, _)| ip);
     format!("{ip}:{port}")
 }
--- a/crates/control-plane/server/src/peer_rpc.rs
+++ b/crates/control-plane/server/src/peer_rpc.rs
@@ -3,8 +3,8 @@
 //! There is a thread with a queue and one persistent connection for each peer and kind of request, so that a long poll
 //! or a large snapshot holds up nothing else. A queue is bounded by time: a request that has waited in it for as long
 //! as its timeout fails without being sent.
+use crate::members::peer_address;
 use crate::node::{PeerRequest, PeerResponse};
-use crate::state::peer_address;
 use coppersail_consensus::{Id, Ms, OperationId, Request};
 use coppersail_peer_client::PeerClient;
 use std::collections::BTreeMap;
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,7 +1,7 @@
 //! One handler for each HTTP resource: what hosts and operators request on the admin address, and what nodes and edge
 //! proxies request on the peer address.
-use crate::admin::one_line;
 use crate::node::{AdminRequest, PeerRequest};
+use crate::responses::error_body;
 use coppersail_peer_protocol::WatchRequest;
 use std::io::Read;
 use thiserror::Error;
@@ -40,7 +40,7 @@
 
     /// `{"why": ...}`
     pub(crate) fn body(&self) -> String {
-        one_line(self)
+        error_body(self)
     }
 }
 
--- a/crates/control-plane/server/src/responses.rs
+++ b/crates/control-plane/server/src/responses.rs
@@ -26,7 +26,7 @@
 }
 
 /// The body that says why a request is refused: `{"why": REASON}`, in one line.
-pub fn error_body(reason: impl std::fmt::Display) -> String {
+pub(crate) fn error_body(reason: impl std::fmt::Display) -> String {
     to_json(&ErrorBody { why: reason.to_string() })
 }
 
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -18,8 +18,6 @@
 use coppersail_consensus::{Core, Id, Ms, Output};
 use coppersail_peer_protocol::{MemberStatus, Update};
 
-pub use crate::members::peer_address;
-
 pub(crate) struct State {
     /// Who leads, and what is on which disk.
     pub(crate) core: Core,
