--- a/crates/data-plane/session-affinity/examples/night.rs
+++ b/crates/data-plane/session-affinity/examples/night.rs
@@ -244,7 +244,7 @@
             for site in self.sites.iter().flatten() {
                 let counts = site.counts();
                 self.tally.repeats += counts.repeats_answered;
-                self.tally.healed += counts.healed;
+                self.tally.healed += counts.replicas_restored;
             }
         }
         self.tally
@@ -284,7 +284,10 @@
         let crossing = match &wire {
             Wire::Ours(msg) => !matches!(
                 msg,
-                Message::Write { .. } | Message::Kept { .. } | Message::Told { .. } | Message::Noted { .. }
+                Message::Write { .. }
+                    | Message::WriteAck { .. }
+                    | Message::Completion { .. }
+                    | Message::CompletionAck { .. }
             ),
             Wire::PassOn(_) | Wire::Back(..) => true,
             Wire::Copy(..) | Wire::Copied(_) => false,
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -1,63 +1,65 @@
-//! Sessions that travel between edge sites, with what was confirmed in them.
+//! Session affinity between edge proxies: sessions that move from node to node, with their idempotent requests.
 //!
-//! A session has one owner at a time, and three sites that its id names keep it: its seats. A site claims the session
-//! at the seats under a fence higher than any before; a majority of them has to promise. A confirmation is entered at
-//! a majority of the seats under that fence before it goes to a host, so that whoever claims the session later sees
-//! it: it is sent at most once unless it is proven not to have run. Nothing that keeps this true rests on a clock.
+//! A session has one owner at a time and three replicas, nodes that follow from its id. A node claims a session at its
+//! replicas under a fencing token higher than any before; a quorum of them has to promise. An idempotent request is
+//! recorded at a quorum of the replicas under that token before it goes to an endpoint, so that whoever claims the
+//! session later sees it: it is executed at most once, unless it is proven that it was not executed. No clock is
+//! needed for this to hold. Each session is a register of its own (Paxos' single-decree proposals, repeated), not a log.
 //!
-//! All here is pure: times (milliseconds of the time of day) and messages are given in, messages and answers come out.
+//! The package is pure: times (milliseconds of the time of day) and messages go in, effects come out.
 //!
 //! ```
-//! use coppersail_session_affinity::{Ask, Id, Out, Outcome, Reply, Site, Terms};
-//! let terms = Terms::default();
-//! let mut site = Site::new(1, &terms, 1, 0);
-//! let ask = |ticket| Ask {
-//!     ticket, id: Id([7, 7]), born: 60_000, seats: vec![1], key: "a".into(), print: 5, until: 70_000,
+//! use coppersail_session_affinity::{
+//!     AffinityNode, AffinitySettings, Decision, IdempotentRequest, Outcome, Output, RecordedResponse, SessionId,
 //! };
-//! // The only seat of a roster of one: nothing has to be waited for.
-//! assert!(matches!(site.ask(60_000, ask(1))[..], [Out::Run { ticket: 1 }]));
-//! let answer = coppersail_session_affinity::Answer { status: 200, headers: vec![], body: b"taken".to_vec() };
-//! assert!(matches!(site.ran(60_010, 1, Outcome::Ran(answer))[..], [Out::Done { ticket: 1 }]));
-//! let again = site.ask(60_020, ask(2));
-//! assert!(matches!(&again[..], [Out::Answer { ticket: 2, reply: Reply::Kept(kept) }] if kept.body == b"taken"));
+//! let settings = AffinitySettings::default();
+//! let mut node = AffinityNode::new(1, &settings, 1, 0);
+//! let request = |ticket| IdempotentRequest {
+//!     ticket, id: SessionId([7, 7]), born: 60_000, seats: vec![1], key: "a".into(), print: 5, until: 70_000,
+//! };
+//! // The only replica in a peer set of one node: there is nothing to wait for.
+//! assert!(matches!(node.ask(60_000, request(1))[..], [Output::Run { ticket: 1 }]));
+//! let response = RecordedResponse { status: 200, headers: vec![], body: b"taken".to_vec() };
+//! assert!(matches!(node.ran(60_010, 1, Outcome::Ran(response))[..], [Output::Done { ticket: 1 }]));
+//! let repeat = node.ask(60_020, request(2));
+//! assert!(matches!(
+//!     &repeat[..],
+//!     [Output::Answer { ticket: 2, reply: Decision::Kept(response) }] if response.body == b"taken"
+//! ));
 //! ```
-#[cfg(test)]
-mod model;
+#![warn(missing_docs, unreachable_pub)]
+
+mod lru;
+mod messages;
+#[cfg(any(test, feature = "model-checking"))]
+#[doc(hidden)]
+pub mod model;
 mod node;
 mod owner;
 mod peer_sets;
 mod record;
 mod replica;
+mod request;
+mod settings;
 #[cfg(test)]
 mod tests;
 pub mod token;
+mod view;
 
-pub use node::{AffinityNode, AffinitySettings, Output};
-pub use owner::{Counters, Decision, IdempotentRequest, SessionView};
+pub use messages::Message;
+pub use node::AffinityNode;
 pub use peer_sets::{preferred_endpoint, PeerSets};
 pub use record::{
-    AttemptId, EntryState, FencingToken, IdempotencyEntry, Message, Outcome, RecordedResponse, SessionId,
-    SessionRecord,
+    AttemptId, EntryState, FencingToken, IdempotencyEntry, Outcome, ParseSessionIdError, RecordedResponse,
+    SessionId, SessionRecord,
 };
+pub use request::{Decision, IdempotentRequest, Output};
+pub use settings::AffinitySettings;
+pub use view::{Counters, RequestView, SessionView};
 
 /// Milliseconds of the time of day.
 pub type Ms = u64;
-/// A site's number in the operators' file; it is never given to another one.
+/// A node's number in the operators' file; it is never given to another one.
 pub type NodeId = u16;
-/// A request that waits for a decision.
+/// The adapter's id of a request that waits for a decision.
 pub type RequestId = u64;
-
-/// Faults that the model has to find; outside of its test none is ever in force.
-#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub(crate) enum Fault {
-    /// A seat takes what is written under a fence that it has promised away.
-    StaleWrites,
-    /// What one seat has is sent on.
-    OneCopy,
-    /// A seat that has lost what it held takes itself for whole.
-    Forgetful,
-    /// An outcome that is unknown is taken for one that did not run.
-    SentAgain,
-    /// What one seat says twice counts as two seats.
-    CountedTwice,
-}
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/model/tests.rs
@@ -0,0 +1,48 @@
+//! The walks that a debug build bears, and mutations that the search has to find.
+use super::scenario::{
+    Scenario, CROSSING, CROWDED, DOCUMENTED_WALKS, ONE_REQUEST, REDUCED_CROSSING, REPEAT_AT_SAME_NODE,
+};
+use super::search::{search, search_within, SearchError};
+use super::world::Violation;
+use crate::settings::InjectedBug;
+
+#[test]
+fn no_order_of_events_runs_a_request_twice() {
+    let table = [
+        (10_943, Scenario { requests: ONE_REQUEST, outcomes: 3, ..CROSSING }),
+        (344, Scenario { requests: REPEAT_AT_SAME_NODE, losses: 0, outcomes: 2, ..CROSSING }),
+        (30_840, CROWDED),
+        (148_990, Scenario { requests: ONE_REQUEST, duplicates: 1, outcomes: 2, ..CROSSING }),
+        (63_627, Scenario { losses: 0, duplicates: 1, ..REDUCED_CROSSING }),
+    ];
+    for (states, scenario) in table {
+        assert_eq!(search(scenario), Ok(states), "{scenario:?}");
+    }
+}
+
+/// The example `model_walks` searches each of these to its end.
+#[test]
+fn no_order_of_ten_events_runs_a_request_twice_in_any_documented_walk() {
+    let states = [848, 3_305, 3_821, 4_580, 21_822, 4_183, 22_649, 30_569, 5_245, 14_152];
+    assert_eq!(DOCUMENTED_WALKS.len(), states.len());
+    for (walk, states) in DOCUMENTED_WALKS.into_iter().zip(states) {
+        assert_eq!(search_within(walk.scenario, 10), Ok(states), "{walk:?}");
+    }
+}
+
+#[test]
+fn the_search_finds_each_injected_bug() {
+    let without_loss = Scenario { losses: 0, ..CROSSING };
+    for (bug, scenario) in [
+        (InjectedBug::StaleWrites, without_loss),
+        (InjectedBug::NoQuorum, without_loss),
+        (InjectedBug::LossIgnored, CROSSING),
+        (InjectedBug::RetryOfUnknown, without_loss),
+        (InjectedBug::DuplicatesCounted, Scenario { duplicates: 2, ..without_loss }),
+    ] {
+        let found = search(Scenario { injected_bug: Some(bug), max_states: 3_000_000, ..scenario });
+        let twice =
+            matches!(found, Err(SearchError::Violated { violation: Violation::ExecutedTwice { .. }, .. }));
+        assert!(twice, "{bug:?} is not found: {found:?}");
+    }
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/model/world.rs
@@ -0,0 +1,279 @@
+//! A state of the world, and the states that may follow it.
+use super::scenario::Scenario;
+use crate::messages::Message;
+use crate::node::AffinityNode;
+use crate::record::{Outcome, RecordedResponse, SessionId};
+use crate::request::{Decision, IdempotentRequest, Output};
+use crate::settings::AffinitySettings;
+use crate::{NodeId, RequestId};
+use std::collections::{BTreeMap, BTreeSet};
+use std::hash::{DefaultHasher, Hash, Hasher};
+use std::sync::Arc;
+use thiserror::Error;
+
+const NODES: [NodeId; 3] = [0, 1, 2];
+/// Time stands still: no wait ends by the clock.
+const NOW: u64 = 100;
+const MAX_SESSIONS: usize = 2;
+/// Incarnations of two nodes are this far apart; a restart adds half of it.
+const INCARNATIONS_PER_NODE: u64 = 1_000;
+
+/// A promise of the package that a state breaks.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+pub enum Violation {
+    /// The request of a session was sent to an endpoint a second time, though the first one was not proven not to run.
+    #[error("the request of session {session} ran twice")]
+    ExecutedTwice {
+        /// The session.
+        session: usize,
+    },
+    /// A client got the recorded response of a request that was not executed.
+    #[error("session {session} had the response to a request that did not run")]
+    ResponseWithoutExecution {
+        /// The session.
+        session: usize,
+    },
+}
+
+/// A scenario with the settings that follow from it.
+pub(super) struct Model {
+    pub(super) scenario: Scenario,
+    settings: AffinitySettings,
+}
+
+impl Model {
+    pub(super) fn new(scenario: Scenario) -> Model {
+        let settings = AffinitySettings {
+            sessions: scenario.capacity,
+            skew: 0,
+            wait: 1_000,
+            tries: scenario.claim_retries,
+            #[cfg(test)]
+            injected_bug: scenario.injected_bug,
+            ..AffinitySettings::default()
+        };
+        Model { scenario, settings }
+    }
+
+    fn session_of(&self, request: RequestId) -> usize {
+        self.scenario.requests[request as usize].session as usize
+    }
+}
+
+/// A value and its hash, shared between worlds that did not change it.
+#[derive(Clone)]
+struct Hashed<T> {
+    hash: u64,
+    value: Arc<T>,
+}
+
+impl<T: Hash> Hashed<T> {
+    fn new(value: T) -> Hashed<T> {
+        let mut hasher = DefaultHasher::new();
+        value.hash(&mut hasher);
+        Hashed { hash: hasher.finish(), value: Arc::new(value) }
+    }
+}
+
+impl<T> Hash for Hashed<T> {
+    fn hash<H: Hasher>(&self, state: &mut H) {
+        self.hash.hash(state);
+    }
+}
+
+#[derive(Clone, Hash)]
+struct Envelope {
+    from: NodeId,
+    to: NodeId,
+    message: Message,
+}
+
+#[derive(Clone, Hash)]
+pub(super) struct World {
+    nodes: [Hashed<AffinityNode>; 3],
+    /// Messages on their way, by hash.
+    network: BTreeMap<u64, Hashed<Envelope>>,
+    /// The requests that have arrived, as a bit set.
+    arrived: u8,
+    /// Requests at an endpoint, with the node that sent them.
+    running: BTreeSet<(NodeId, RequestId)>,
+    /// How often the request of each session was sent and not proven not to run.
+    executions: [u8; MAX_SESSIONS],
+    losses_left: u8,
+    duplicates_left: u8,
+}
+
+/// The worlds that may follow one world.
+type Successors = Vec<Result<World, Violation>>;
+
+impl World {
+    pub(super) fn new(model: &Model) -> World {
+        let node = |id: NodeId| {
+            let incarnation = u64::from(id) * INCARNATIONS_PER_NODE;
+            Hashed::new(AffinityNode::new(id, &model.settings, incarnation, 0))
+        };
+        World {
+            nodes: NODES.map(node),
+            network: BTreeMap::new(),
+            arrived: 0,
+            running: BTreeSet::new(),
+            executions: [0; MAX_SESSIONS],
+            losses_left: model.scenario.losses,
+            duplicates_left: model.scenario.duplicates,
+        }
+    }
+
+    pub(super) fn state_hash(&self) -> u64 {
+        let mut hasher = DefaultHasher::new();
+        self.hash(&mut hasher);
+        hasher.finish()
+    }
+
+    pub(super) fn successors(&self, model: &Model) -> Successors {
+        let mut next = vec![];
+        self.requests_arrive(model, &mut next);
+        self.messages_arrive(model, &mut next);
+        self.attempts_end(model, &mut next);
+        self.a_node_restarts(model, &mut next);
+        next
+    }
+
+    fn branch(&self, next: &mut Successors, change: impl FnOnce(&mut World) -> Result<(), Violation>) {
+        let mut world = self.clone();
+        next.push(change(&mut world).map(|()| world));
+    }
+
+    fn requests_arrive(&self, model: &Model, next: &mut Successors) {
+        for (index, request) in model.scenario.requests.iter().enumerate() {
+            if self.arrived & (1 << index) != 0 {
+                continue;
+            }
+            self.branch(next, |world| {
+                world.arrived |= 1 << index;
+                let idempotent_request = IdempotentRequest {
+                    ticket: index as RequestId,
+                    id: SessionId([request.session, 0]),
+                    born: request.session + 1,
+                    seats: NODES.to_vec(),
+                    key: "k".into(),
+                    print: 1,
+                    until: NOW + 5_000,
+                };
+                world.step(model, request.node, |node| node.ask(NOW, idempotent_request))
+            });
+        }
+    }
+
+    fn messages_arrive(&self, model: &Model, next: &mut Successors) {
+        for (hash, envelope) in &self.network {
+            let deliver = |world: &mut World| {
+                let Envelope { from, to, message } = Envelope::clone(&envelope.value);
+                world.step(model, to, |node| node.hear(NOW, from, message))
+            };
+            self.branch(next, |world| {
+                world.network.remove(hash);
+                deliver(world)
+            });
+            if self.duplicates_left > 0 {
+                self.branch(next, |world| {
+                    world.duplicates_left -= 1;
+                    deliver(world)
+                });
+            }
+        }
+    }
+
+    fn attempts_end(&self, model: &Model, next: &mut Successors) {
+        for &(node, request) in &self.running {
+            let outcomes = [
+                Outcome::NotRun,
+                Outcome::Unknown,
+                Outcome::Ran(RecordedResponse { status: 200, headers: vec![], body: vec![] }),
+            ];
+            for outcome in outcomes.into_iter().take(model.scenario.outcomes.into()) {
+                self.branch(next, |world| {
+                    world.running.remove(&(node, request));
+                    if outcome == Outcome::NotRun {
+                        world.executions[model.session_of(request)] -= 1;
+                    }
+                    world.step(model, node, |node| node.ran(NOW, request, outcome))
+                });
+            }
+        }
+    }
+
+    fn a_node_restarts(&self, model: &Model, next: &mut Successors) {
+        if self.losses_left == 0 || self.arrived == 0 {
+            return;
+        }
+        for id in NODES {
+            self.branch(next, |world| {
+                world.losses_left -= 1;
+                // What it had at an endpoint may have been executed; nobody is left to report it.
+                world.running.retain(|(node, _)| *node != id);
+                let incarnation = u64::from(id) * INCARNATIONS_PER_NODE + INCARNATIONS_PER_NODE / 2;
+                let settings = &model.settings;
+                world.step(model, id, |node| {
+                    *node = AffinityNode::new(id, settings, incarnation, settings.floor(NOW));
+                    vec![]
+                })
+            });
+        }
+    }
+
+    /// One step of a node, and what follows from it.
+    fn step(
+        &mut self,
+        model: &Model,
+        id: NodeId,
+        act: impl FnOnce(&mut AffinityNode) -> Vec<Output>,
+    ) -> Result<(), Violation> {
+        let mut node = AffinityNode::clone(&self.nodes[id as usize].value);
+        let outputs = act(&mut node);
+        node.normalize();
+        self.nodes[id as usize] = Hashed::new(node);
+        for output in outputs {
+            self.apply(model, id, output)?;
+        }
+        self.drop_obsolete_messages();
+        Ok(())
+    }
+
+    fn apply(&mut self, model: &Model, from: NodeId, output: Output) -> Result<(), Violation> {
+        match output {
+            // It only ends the wait of a client.
+            Output::Send { msg: Message::CompletionAck { .. }, .. } | Output::Done { .. } => {}
+            Output::Send { msg: Message::Superseded { .. }, .. } if model.scenario.without_superseded => {}
+            Output::Send { to, msg } => {
+                let envelope = Hashed::new(Envelope { from, to, message: msg });
+                self.network.insert(envelope.hash, envelope);
+            }
+            Output::Run { ticket } => {
+                let session = model.session_of(ticket);
+                self.running.insert((from, ticket));
+                self.executions[session] += 1;
+                if self.executions[session] > 1 {
+                    return Err(Violation::ExecutedTwice { session });
+                }
+            }
+            Output::Answer { ticket, reply } => {
+                let session = model.session_of(ticket);
+                let executed = self.executions[session] == 1;
+                if matches!(reply, Decision::Kept(_) | Decision::Past) && !executed {
+                    return Err(Violation::ResponseWithoutExecution { session });
+                }
+            }
+        }
+        Ok(())
+    }
+
+    /// A message that can't change anything any more is as good as lost.
+    fn drop_obsolete_messages(&mut self) {
+        let World { nodes, network, .. } = self;
+        network.retain(|_, envelope| {
+            let Envelope { from, to, message } = &*envelope.value;
+            let (sender, receiver) = (&nodes[*from as usize].value, &nodes[*to as usize].value);
+            !receiver.is_obsolete(sender, message)
+        });
+    }
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/owner/attempt.rs
@@ -0,0 +1,152 @@
+//! An attempt after its admission: it is recorded at a quorum of the replicas, sent, and its outcome is reported.
+use super::session::{AttemptPhase, ReplicaIncarnation};
+use super::SessionOwner;
+use crate::messages::Message;
+use crate::record::{
+    AttemptId, EntryState, FencingToken, IdempotencyEntry, Outcome, SessionId, SessionRecord,
+};
+use crate::request::Output;
+use crate::settings::{AffinitySettings, InjectedBug};
+use crate::{Ms, NodeId, RequestId};
+
+impl SessionOwner {
+    /// To the replicas that promised: others may have promised another owner since.
+    pub(super) fn write(&self, id: SessionId, entries: Vec<IdempotencyEntry>) -> Vec<Output> {
+        let Some(session) = self.sessions.get(&id) else { return vec![] };
+        let record = SessionRecord {
+            endpoints: session.record.endpoints.clone(),
+            endpoints_version: session.record.endpoints_version,
+            entries,
+        };
+        let write = |&ReplicaIncarnation { replica, incarnation }: &ReplicaIncarnation| Output::Send {
+            to: replica,
+            msg: Message::Write { id, fence: session.fence, incarnation, record: record.clone() },
+        };
+        session.promises.iter().map(write).collect()
+    }
+
+    /// A request of the session was served by this endpoint: the next ones shall be, too.
+    pub(crate) fn set_endpoint(&mut self, id: SessionId, service: &str, endpoint: &str) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| !session.superseded) else {
+            return vec![];
+        };
+        match session.record.endpoints.iter_mut().find(|(name, _)| name == service) {
+            Some((_, present)) if present == endpoint => return vec![],
+            Some((_, present)) => *present = endpoint.into(),
+            None => session.record.endpoints.push((service.into(), endpoint.into())),
+        }
+        self.write_endpoints(id)
+    }
+
+    /// Writes the session's endpoints to the replicas. What is learnt during a claim waits for its end, and yields to
+    /// what the replicas know.
+    pub(super) fn write_endpoints(&mut self, id: SessionId) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.owned) else {
+            return vec![];
+        };
+        session.record.endpoints_version = session.next_attempt_id();
+        self.write(id, vec![])
+    }
+
+    /// A replica has recorded the attempt. With a quorum it may be sent: any later owner will see it.
+    pub(super) fn receive_write_ack(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Ms,
+        from: NodeId,
+        id: SessionId,
+        fence: FencingToken,
+        attempt: AttemptId,
+    ) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.fence == fence) else {
+            return vec![];
+        };
+        let needed = if settings.has_bug(InjectedBug::NoQuorum) { 1 } else { session.quorum() };
+        let Some(attempt) = session.attempts.iter_mut().find(|other| other.id == attempt) else {
+            return vec![];
+        };
+        let duplicate =
+            attempt.acknowledged_by.contains(&from) && !settings.has_bug(InjectedBug::DuplicatesCounted);
+        if attempt.phase != AttemptPhase::Recording || duplicate {
+            return vec![];
+        }
+        attempt.acknowledged_by.push(from);
+        if attempt.acknowledged_by.len() < needed || now >= attempt.wait_until {
+            return vec![];
+        }
+        attempt.phase = AttemptPhase::Running;
+        self.counters.sent += 1;
+        vec![Output::Run { ticket: attempt.request }]
+    }
+
+    /// The attempt that [`Output::Run`] allowed has ended.
+    pub(crate) fn complete(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Ms,
+        request: RequestId,
+        outcome: Outcome,
+    ) -> Vec<Output> {
+        let Some(id) = self.requests.get(&request).copied() else { return vec![] };
+        let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
+        let Some(attempt) = session.attempts.iter_mut().find(|attempt| attempt.request == request) else {
+            return vec![];
+        };
+        let state = match outcome {
+            Outcome::Ran(response) if response.body.len() > settings.answer => EntryState::ResponseDropped,
+            Outcome::Ran(response) => EntryState::Completed(response),
+            Outcome::RanLong => EntryState::ResponseDropped,
+            Outcome::NotRun => EntryState::NotRun,
+            Outcome::Unknown => EntryState::Unknown,
+        };
+        attempt.phase = AttemptPhase::Reporting;
+        attempt.wait_until = now + settings.wait;
+        attempt.acknowledged_by.clear();
+        let entry = attempt.entry(state, now);
+        self.report(id, entry)
+    }
+
+    /// Reports an outcome to all replicas: it is a fact, whatever they have promised since.
+    pub(super) fn report(&mut self, id: SessionId, entry: IdempotencyEntry) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
+        session.record.put(&entry);
+        let msg = Message::Completion { id, entry };
+        session.replicas.iter().map(|&to| Output::Send { to, msg: msg.clone() }).collect()
+    }
+
+    pub(super) fn receive_completion_ack(
+        &mut self,
+        from: NodeId,
+        id: SessionId,
+        attempt: AttemptId,
+    ) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
+        let quorum = session.quorum();
+        let Some(attempt) = session.attempts.iter_mut().find(|other| other.id == attempt) else {
+            return vec![];
+        };
+        if attempt.phase != AttemptPhase::Reporting || attempt.acknowledged_by.contains(&from) {
+            return vec![];
+        }
+        attempt.acknowledged_by.push(from);
+        if attempt.acknowledged_by.len() < quorum {
+            return vec![];
+        }
+        let attempt = attempt.id;
+        self.finish_attempt(id, attempt)
+    }
+
+    /// The outcome is recorded, or the wait for that is over.
+    pub(super) fn finish_attempt(&mut self, id: SessionId, attempt: AttemptId) -> Vec<Output> {
+        let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
+        let Some(position) = session.attempts.iter().position(|other| other.id == attempt) else {
+            return vec![];
+        };
+        let ticket = session.attempts.remove(position).request;
+        self.requests.remove(&ticket);
+        if session.superseded && session.is_idle() {
+            self.remove(id);
+        }
+        vec![Output::Done { ticket }]
+    }
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/owner/mod.rs
@@ -0,0 +1,125 @@
+//! A node as the owner of sessions.
+//!
+//! An ownership passes through these phases, one file each: [`claim`] (prepare at the replicas), [`admission`] of
+//! idempotent requests, [`attempt`] (record, send, report the outcome), [`release`] to another owner, and [`expiry`] of
+//! waits.
+mod admission;
+mod attempt;
+mod claim;
+mod expiry;
+mod release;
+mod session;
+#[cfg(any(test, feature = "model-checking"))]
+mod state_reduction;
+
+use crate::lru::LruOrder;
+use crate::messages::Message;
+use crate::record::SessionId;
+use crate::request::Output;
+use crate::settings::AffinitySettings;
+use crate::view::{Counters, SessionView};
+use crate::{Ms, NodeId, RequestId};
+use session::OwnedSession;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// The sessions that a node owns, claims, or has lost while attempts were in flight.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(crate) struct SessionOwner {
+    pub(crate) node: NodeId,
+    sessions: BTreeMap<SessionId, OwnedSession>,
+    /// The session of each request that has an attempt.
+    requests: BTreeMap<RequestId, SessionId>,
+    lru: LruOrder,
+    /// Sessions with pending requests or attempts: `tick` looks at these only, and they are not evicted.
+    busy: BTreeSet<SessionId>,
+    /// Sessions that another node took over, and when.
+    taken_over: BTreeMap<SessionId, Ms>,
+    incarnation: u64,
+    /// The highest number that this incarnation has claimed under: no fencing token is used twice.
+    last_fence_number: u64,
+    pub(crate) counters: Counters,
+}
+
+impl SessionOwner {
+    pub(crate) fn new(node: NodeId, incarnation: u64) -> SessionOwner {
+        SessionOwner {
+            node,
+            sessions: BTreeMap::new(),
+            requests: BTreeMap::new(),
+            lru: LruOrder::default(),
+            busy: BTreeSet::new(),
+            taken_over: BTreeMap::new(),
+            incarnation,
+            last_fence_number: 0,
+            counters: Counters::default(),
+        }
+    }
+
+    pub(crate) fn ids(&self) -> impl Iterator<Item = SessionId> + '_ {
+        self.sessions.keys().copied()
+    }
+
+    pub(crate) fn owns(&self, id: SessionId) -> bool {
+        self.sessions.get(&id).is_some_and(|session| session.owned && !session.superseded)
+    }
+
+    /// The endpoint of the session for a service, as far as this node knows.
+    pub(crate) fn endpoint(&self, id: SessionId, service: &str) -> Option<&str> {
+        let record = &self.sessions.get(&id)?.record;
+        record.endpoints.iter().find(|(name, _)| name == service).map(|(_, endpoint)| endpoint.as_str())
+    }
+
+    pub(crate) fn view(&self, now: Ms, id: SessionId) -> Option<SessionView> {
+        let session = self.sessions.get(&id).filter(|session| session.owned)?;
+        Some(SessionView::new(id, !session.superseded, session.fence, &session.record, now))
+    }
+
+    /// Handles a message from a replica, or the notice of a new owner.
+    pub(crate) fn receive(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Ms,
+        from: NodeId,
+        message: Message,
+    ) -> Vec<Output> {
+        match message {
+            Message::Promise { id, fence, round, incarnation, previous_owner, record } => {
+                let promise = claim::Promise { from, id, fence, round, incarnation, previous_owner };
+                self.receive_promise(settings, now, &promise, &record)
+            }
+            Message::StateLost { id, fence, incarnation } => {
+                self.receive_state_lost(now, from, id, fence, incarnation)
+            }
+            Message::Rejected { id, fence, promised } => {
+                self.receive_rejection(settings, now, from, id, fence, promised)
+            }
+            Message::NoCapacity { id, fence } => {
+                self.receive_rejection(settings, now, from, id, fence, fence)
+            }
+            Message::WriteAck { id, fence, attempt } => {
+                self.receive_write_ack(settings, now, from, id, fence, attempt)
+            }
+            Message::CompletionAck { id, attempt } => self.receive_completion_ack(from, id, attempt),
+            Message::CompletionNotice { id, entry } => {
+                if let Some(session) = self.sessions.get_mut(&id) {
+                    session.record.put(&entry);
+                }
+                vec![]
+            }
+            Message::Superseded { id, fence } => self.receive_superseded(now, id, fence),
+            Message::Prepare { .. }
+            | Message::Restore { .. }
+            | Message::Write { .. }
+            | Message::Completion { .. } => {
+                vec![]
+            }
+        }
+    }
+
+    fn remove(&mut self, id: SessionId) {
+        if let Some(session) = self.sessions.remove(&id) {
+            self.lru.remove(id, session.last_use);
+        }
+        self.busy.remove(&id);
+    }
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/owner/session.rs
@@ -0,0 +1,134 @@
+//! The state of one session at its owner.
+use crate::record::{AttemptId, EntryState, FencingToken, IdempotencyEntry, SessionRecord};
+use crate::request::IdempotentRequest;
+use crate::{Ms, NodeId, RequestId};
+
+/// A replica, in the time between two losses of its state.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) struct ReplicaIncarnation {
+    pub(super) replica: NodeId,
+    pub(super) incarnation: u64,
+}
+
+/// A request that waits for the claim.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct PendingRequest {
+    pub(super) request: IdempotentRequest,
+    /// When it is refused.
+    pub(super) wait_until: Ms,
+}
+
+/// One attempt to have a request executed.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct Attempt {
+    pub(super) request: RequestId,
+    pub(super) key: String,
+    pub(super) fingerprint: u64,
+    pub(super) id: AttemptId,
+    /// When the wait for the replicas ends, in the phases that wait for them.
+    pub(super) wait_until: Ms,
+    pub(super) deadline: Ms,
+    /// Replicas that have acknowledged the last message of this attempt.
+    pub(super) acknowledged_by: Vec<NodeId>,
+    pub(super) phase: AttemptPhase,
+}
+
+impl Attempt {
+    /// The entry that records this state of the attempt.
+    pub(super) fn entry(&self, state: EntryState, now: Ms) -> IdempotencyEntry {
+        IdempotencyEntry {
+            key: self.key.clone(),
+            fingerprint: self.fingerprint,
+            attempt: self.id,
+            state,
+            changed_at: now,
+        }
+    }
+}
+
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
+pub(super) enum AttemptPhase {
+    /// Being recorded at the replicas; no endpoint has the request.
+    Recording,
+    /// At an endpoint.
+    Running,
+    /// The outcome is being reported to the replicas.
+    Reporting,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct OwnedSession {
+    pub(super) created_at: Ms,
+    pub(super) replicas: Vec<NodeId>,
+    pub(super) fence: FencingToken,
+    /// Replicas that promised this token.
+    pub(super) promises: Vec<ReplicaIncarnation>,
+    /// Replicas that said that they lost their state.
+    pub(super) lost: Vec<ReplicaIncarnation>,
+    /// Counts the times that all replicas were asked.
+    pub(super) round: u32,
+    /// Replicas that promised in this round.
+    pub(super) promised_this_round: Vec<NodeId>,
+    pub(super) rejected_by: Vec<NodeId>,
+    pub(super) owned: bool,
+    /// Another node has claimed it since, or the claim was given up: only attempts keep the session here.
+    pub(super) superseded: bool,
+    /// Of the last attempt under this token.
+    pub(super) attempt_number: u32,
+    pub(super) claim_retries: u32,
+    pub(super) record: SessionRecord,
+    pub(super) pending: Vec<PendingRequest>,
+    pub(super) attempts: Vec<Attempt>,
+    /// Its position in the owner's `LruOrder`.
+    pub(super) last_use: u64,
+}
+
+impl OwnedSession {
+    pub(super) fn new(created_at: Ms, replicas: &[NodeId]) -> OwnedSession {
+        OwnedSession {
+            created_at,
+            replicas: replicas.to_vec(),
+            fence: FencingToken::default(),
+            promises: vec![],
+            lost: vec![],
+            round: 0,
+            promised_this_round: vec![],
+            rejected_by: vec![],
+            owned: false,
+            superseded: false,
+            attempt_number: 0,
+            claim_retries: 0,
+            record: SessionRecord::default(),
+            pending: vec![],
+            attempts: vec![],
+            last_use: 0,
+        }
+    }
+
+    pub(super) fn quorum(&self) -> usize {
+        coppersail_consensus::majority(self.replicas.len())
+    }
+
+    pub(super) fn is_idle(&self) -> bool {
+        self.pending.is_empty() && self.attempts.is_empty()
+    }
+
+    /// Whether a message about this token still concerns the session.
+    pub(super) fn is_current(&self, fence: FencingToken) -> bool {
+        self.fence == fence && !self.superseded
+    }
+
+    /// A new id, above all that were used for the session before.
+    pub(super) fn next_attempt_id(&mut self) -> AttemptId {
+        self.attempt_number += 1;
+        AttemptId { fence: self.fence, number: self.attempt_number }
+    }
+
+    pub(super) fn forget_promise(&mut self, replica: NodeId) {
+        self.promises.retain(|promise| promise.replica != replica);
+    }
+
+    pub(super) fn forget_loss(&mut self, replica: NodeId) {
+        self.lost.retain(|lost| lost.replica != replica);
+    }
+}
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -1,11 +1,25 @@
-//! What is kept of a session, and what sites tell each other about it.
+//! The state that is replicated for a session: which endpoints serve it, and its idempotent requests with their
+//! outcomes. Merging two records is commutative, associative and idempotent, so that messages may arrive in any order
+//! and any number of times.
 use crate::{Ms, NodeId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
+use thiserror::Error;
 
+/// A session's id: 128 random bits, written as 32 hexadecimal digits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub [u64; 2]);
 
+/// A text that is not a session id.
+#[derive(Debug, Clone, PartialEq, Eq, Error)]
+#[error("{found:?} is not a session id: expected {SESSION_ID_DIGITS} hexadecimal digits")]
+pub struct ParseSessionIdError {
+    /// The text that was read.
+    pub found: String,
+}
+
+const SESSION_ID_DIGITS: usize = 32;
+
 impl fmt::Display for SessionId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{:016x}{:016x}", self.0[0], self.0[1])
@@ -13,224 +27,202 @@
 }
 
 impl std::str::FromStr for SessionId {
-    type Err = ();
+    type Err = ParseSessionIdError;
 
-    fn from_str(text: &str) -> Result<SessionId, ()> {
-        if text.len() != 32 || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
-            return Err(());
+    fn from_str(text: &str) -> Result<SessionId, ParseSessionIdError> {
+        let invalid = || ParseSessionIdError { found: text.into() };
+        if text.len() != SESSION_ID_DIGITS || !text.bytes().all(|byte| byte.is_ascii_hexdigit()) {
+            return Err(invalid());
         }
-        let half = |part: &str| u64::from_str_radix(part, 16).map_err(drop);
-        Ok(SessionId([half(&text[..16])?, half(&text[16..])?]))
+        let (high, low) = text.split_at(SESSION_ID_DIGITS / 2);
+        let word = |digits: &str| u64::from_str_radix(digits, 16).map_err(|_| invalid());
+        Ok(SessionId([word(high)?, word(low)?]))
     }
 }
 
-/// No two sites ever claim under the same one, nor two starts of one site.
+/// The number under which a node owns a session. No two nodes ever use the same one, nor two starts of one node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// The time of the claim, so that the later one is above the earlier in one round trip; safety needs only that
-    /// the highest wins.
+    /// The time of the claim in milliseconds, so that a later claim is above an earlier one in one round trip. Safety
+    /// needs only that the highest token wins.
     #[serde(rename = "n")]
     pub number: u64,
+    /// The node that claims.
     #[serde(rename = "by")]
     pub node: NodeId,
+    /// The incarnation of that node.
     pub start: u64,
 }
 
-/// The fence that a sending was opened under, and its number under that fence: no two sendings are the same.
-pub type AttemptId = (FencingToken, u32);
+/// Identifies one attempt to send a request to an endpoint. No two attempts have the same id.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+#[serde(from = "(FencingToken, u32)", into = "(FencingToken, u32)")]
+pub struct AttemptId {
+    /// The token that the owner had.
+    pub fence: FencingToken,
+    /// The number of the attempt under that token.
+    pub number: u32,
+}
+
+impl From<(FencingToken, u32)> for AttemptId {
+    fn from((fence, number): (FencingToken, u32)) -> AttemptId {
+        AttemptId { fence, number }
+    }
+}
+
+impl From<AttemptId> for (FencingToken, u32) {
+    fn from(id: AttemptId) -> (FencingToken, u32) {
+        (id.fence, id.number)
+    }
+}
 
+/// An endpoint's response, as it is replayed to a client that repeats the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordedResponse {
+    /// HTTP status.
     pub status: u16,
+    /// Names and values, in the order of the response.
     pub headers: Vec<(String, String)>,
-    #[serde(with = "body")]
+    /// Base64 on the wire.
+    #[serde(with = "base64_body")]
     pub body: Vec<u8>,
 }
 
-/// A body as text, four signs for three bytes.
-mod body {
+mod base64_body {
     use base64::engine::general_purpose::STANDARD;
     use base64::Engine;
     use serde::{de::Error, Deserialize, Deserializer, Serializer};
 
-    pub fn serialize<S: Serializer>(body: &[u8], to: S) -> Result<S::Ok, S::Error> {
+    pub(super) fn serialize<S: Serializer>(body: &[u8], to: S) -> Result<S::Ok, S::Error> {
         to.serialize_str(&STANDARD.encode(body))
     }
 
-    pub fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<u8>, D::Error> {
+    pub(super) fn deserialize<'a, D: Deserializer<'a>>(from: D) -> Result<Vec<u8>, D::Error> {
         STANDARD.decode(String::deserialize(from)?).map_err(D::Error::custom)
     }
 }
 
-/// How a sending ended.
+/// How an attempt ended.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
+    /// The endpoint executed the request and responded.
     Ran(RecordedResponse),
-    /// It ran, with an answer that is too long to be kept.
+    /// The endpoint executed it; the response is too long to be recorded.
     RanLong,
-    /// Proven: no host has read it, or each that did has said that it never will run it.
+    /// Proven: no endpoint has read it, or each that did has said that it never will execute it.
     NotRun,
+    /// It may have been executed.
     Unknown,
 }
 
-/// Later ones are known better than earlier ones.
+/// What is known of an idempotent request. The variants are ordered by how definite they are: of two states of one
+/// attempt the greater one replaces the other.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryState {
-    /// It may be at a host. Whoever opened it tells the outcome before `until`; after that it is unknown.
-    Open {
-        until: Ms,
+    /// It may be at an endpoint. The owner that began it reports the outcome before `deadline`; after that it counts
+    /// as unknown.
+    #[serde(rename = "Open")]
+    InFlight {
+        /// Time of day in milliseconds.
+        #[serde(rename = "until")]
+        deadline: Ms,
     },
+    /// It may have been executed.
     Unknown,
+    /// It was not executed and may be sent again.
     NotRun,
-    /// It ran, and its answer is no longer kept.
-    Past,
-    Ran(RecordedResponse),
+    /// It was executed; its response is no longer kept, or never was.
+    #[serde(rename = "Past")]
+    ResponseDropped,
+    /// It was executed, with this response.
+    #[serde(rename = "Ran")]
+    Completed(RecordedResponse),
 }
 
-/// A confirmation or deposit.
+/// An idempotent request of a session.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct IdempotencyEntry {
+    /// The client's `Idempotency-Key`.
     pub key: String,
     /// Of the request: another one under the same key is refused.
     #[serde(rename = "print")]
     pub fingerprint: u64,
+    /// The latest attempt.
     pub attempt: AttemptId,
+    /// What is known of that attempt.
     #[serde(rename = "step")]
     pub state: EntryState,
-    /// Since when it stands so, for how long an answer is kept.
-    pub at: Ms,
+    /// When the state was reached (milliseconds); a response is kept from here on.
+    #[serde(rename = "at")]
+    pub changed_at: Ms,
 }
 
 impl IdempotencyEntry {
-    pub fn open(&self, now: Ms) -> bool {
-        matches!(self.state, EntryState::Open { until } if now < until)
+    /// Whether the request may be at an endpoint, and its owner still has time to report.
+    pub fn is_in_flight(&self, now: Ms) -> bool {
+        matches!(self.state, EntryState::InFlight { deadline } if now < deadline)
     }
 
-    /// What is known better replaces what is known. A later attempt stands above all of an earlier one: it was only
-    /// opened because the earlier one was proven not to have run, or never stood at enough seats to be sent.
-    fn better(&self, than: &IdempotencyEntry) -> bool {
-        (self.attempt, &self.state) > (than.attempt, &than.state)
+    /// A later attempt supersedes all states of an earlier one: it was only begun because the earlier one was proven
+    /// not to have run, or was never recorded at enough replicas to be sent.
+    fn supersedes(&self, other: &IdempotencyEntry) -> bool {
+        (self.attempt, &self.state) > (other.attempt, &other.state)
     }
 }
 
-/// What is kept of a session. Merging is in any order and any number of times.
+/// The replicated state of a session.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// The host of each service that serves it, as of `stamp`.
-    pub hosts: Vec<(String, String)>,
-    pub stamp: AttemptId,
+    /// The endpoint of each service that serves the session: service, endpoint.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<(String, String)>,
+    /// Of two lists of endpoints the one with the higher version is valid. Numbered like attempts.
+    #[serde(rename = "stamp")]
+    pub endpoints_version: AttemptId,
+    /// The session's idempotent requests, in the order in which this node learnt of them.
     pub entries: Vec<IdempotencyEntry>,
 }
 
 impl SessionRecord {
+    /// The entry of an idempotency key.
     pub fn entry(&self, key: &str) -> Option<&IdempotencyEntry> {
         self.entries.iter().find(|entry| entry.key == key)
     }
 
+    /// Adds an entry, unless the one that is present supersedes it.
     pub fn put(&mut self, entry: &IdempotencyEntry) {
-        match self.entries.iter_mut().find(|held| held.key == entry.key) {
-            Some(held) if entry.better(held) => *held = entry.clone(),
+        match self.entries.iter_mut().find(|present| present.key == entry.key) {
+            Some(present) if entry.supersedes(present) => *present = entry.clone(),
             Some(_) => {}
             None => self.entries.push(entry.clone()),
         }
     }
 
-    #[cfg(test)]
-    pub(crate) fn knows(&self, entry: &IdempotencyEntry) -> bool {
-        self.entry(&entry.key).is_some_and(|held| !entry.better(held))
+    /// Whether adding the entry would change nothing.
+    #[cfg(any(test, feature = "model-checking"))]
+    pub(crate) fn includes(&self, entry: &IdempotencyEntry) -> bool {
+        self.entry(&entry.key).is_some_and(|present| !entry.supersedes(present))
     }
 
+    /// Takes over what the other record knows better.
     pub fn merge(&mut self, other: &SessionRecord) {
-        if other.stamp > self.stamp {
-            (self.hosts, self.stamp) = (other.hosts.clone(), other.stamp);
+        if other.endpoints_version > self.endpoints_version {
+            (self.endpoints, self.endpoints_version) = (other.endpoints.clone(), other.endpoints_version);
         }
         other.entries.iter().for_each(|entry| self.put(entry));
     }
 
-    /// Drops answers whose time is over; that they ran is kept.
-    pub fn age(&mut self, now: Ms, keep: Ms) {
+    /// Drops responses older than `keep` milliseconds; that the requests were executed stays known.
+    pub fn drop_expired_responses(&mut self, now: Ms, keep: Ms) {
         for entry in &mut self.entries {
-            if matches!(entry.state, EntryState::Ran(_)) && entry.at + keep <= now {
-                entry.state = EntryState::Past;
+            if matches!(entry.state, EntryState::Completed(_)) && entry.changed_at + keep <= now {
+                entry.state = EntryState::ResponseDropped;
             }
         }
     }
 
-    pub fn busy(&self, now: Ms) -> bool {
-        self.entries.iter().any(|entry| entry.open(now))
+    /// Whether one of the requests is in flight: such a record must not be evicted.
+    pub fn has_in_flight(&self, now: Ms) -> bool {
+        self.entries.iter().any(|entry| entry.is_in_flight(now))
     }
 }
-
-/// What sites tell each other. All but `News` and `LetGo` go between a session's claimant and one of its seats.
-#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Message {
-    /// Promise me the session under this fence, and tell me what you have.
-    Claim {
-        id: SessionId,
-        born: Ms,
-        fence: FencingToken,
-        round: u32,
-    },
-    Promised {
-        id: SessionId,
-        fence: FencingToken,
-        round: u32,
-        life: u64,
-        former: Option<NodeId>,
-        record: SessionRecord,
-    },
-    /// I may have known it, and don't any more.
-    Blank {
-        id: SessionId,
-        fence: FencingToken,
-        life: u64,
-    },
-    Outranked {
-        id: SessionId,
-        fence: FencingToken,
-        promised: FencingToken,
-    },
-    /// Every place is taken by open confirmations.
-    Full {
-        id: SessionId,
-        fence: FencingToken,
-    },
-    /// Since you told that you are blank, all other seats have promised me: take what they know.
-    Install {
-        id: SessionId,
-        born: Ms,
-        fence: FencingToken,
-        life: u64,
-        record: SessionRecord,
-    },
-    Write {
-        id: SessionId,
-        fence: FencingToken,
-        life: u64,
-        record: SessionRecord,
-    },
-    Kept {
-        id: SessionId,
-        fence: FencingToken,
-        attempt: AttemptId,
-    },
-    /// How a sending ended: a fact, whoever owns the session by now.
-    Told {
-        id: SessionId,
-        entry: IdempotencyEntry,
-    },
-    Noted {
-        id: SessionId,
-        attempt: AttemptId,
-    },
-    /// The same, from a seat to the owner of the day.
-    News {
-        id: SessionId,
-        entry: IdempotencyEntry,
-    },
-    /// To the owner before: it is mine now.
-    LetGo {
-        id: SessionId,
-        fence: FencingToken,
-    },
-}
--- a/crates/data-plane/session-affinity/src/replica.rs
+++ b/crates/data-plane/session-affinity/src/replica.rs
@@ -1,169 +1,209 @@
-//! A site as one of the seats that keep sessions.
-use crate::node::AffinitySettings;
-use crate::{Fault, FencingToken, IdempotencyEntry, Message, Ms, NodeId, SessionId, SessionRecord};
-use std::collections::{BTreeMap, BTreeSet};
+//! A node as a replica of sessions: it promises fencing tokens and keeps records in memory (Paxos' acceptor).
+use crate::lru::LruOrder;
+use crate::messages::Message;
+use crate::record::{FencingToken, IdempotencyEntry, SessionId, SessionRecord};
+use crate::settings::{AffinitySettings, InjectedBug};
+use crate::{Ms, NodeId};
+use std::collections::BTreeMap;
+
+/// The round of the promise that follows from [`Message::Restore`]: claims count from 1.
+const RESTORED: u32 = 0;
+
+/// A message and the node that it goes to.
+pub(crate) type Addressed = (NodeId, Message);
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub(crate) struct Held {
-    pub born: Ms,
-    pub promised: FencingToken,
-    /// Changes whenever this seat may have forgotten the session in between.
-    life: u64,
-    used: u64,
-    pub record: SessionRecord,
+pub(crate) struct ReplicatedSession {
+    created_at: Ms,
+    pub(crate) promised: FencingToken,
+    /// Of the replica when the record was created.
+    incarnation: u64,
+    /// Its position in the replica's `LruOrder`.
+    last_use: u64,
+    pub(crate) record: SessionRecord,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SessionReplica {
-    pub held: BTreeMap<SessionId, Held>,
-    /// By last use.
-    order: BTreeSet<(u64, SessionId)>,
-    uses: u64,
-    /// What is not held and was born until then may have been held before.
-    floor: Ms,
-    life: u64,
-    pub dropped: u64,
+    pub(crate) sessions: BTreeMap<SessionId, ReplicatedSession>,
+    lru: LruOrder,
+    /// A session that is not here and was created up to this time may have been here before.
+    lost_up_to: Ms,
+    /// Rises whenever a session is evicted, so that writes of an owner that knows the state before are refused.
+    incarnation: u64,
+    pub(crate) sessions_evicted: u64,
 }
 
 impl SessionReplica {
-    /// `life` is one that no earlier start of this site had.
-    pub fn new(life: u64, floor: Ms) -> SessionReplica {
-        SessionReplica { held: BTreeMap::new(), order: BTreeSet::new(), uses: 0, floor, life, dropped: 0 }
-    }
-
-    /// The same with the smallest numbers, so that the model meets it once.
-    #[cfg(test)]
-    pub fn plain(&mut self) {
-        let order = std::mem::take(&mut self.order);
-        for (rank, (_, id)) in order.into_iter().enumerate() {
-            self.order.insert((rank as u64, id));
-            self.held.get_mut(&id).expect("ordered").used = rank as u64;
-        }
-        (self.uses, self.dropped) = (self.order.len() as u64, 0);
-    }
-
-    fn touch(&mut self, id: SessionId) {
-        self.uses += 1;
-        if let Some(held) = self.held.get_mut(&id) {
-            self.order.remove(&(held.used, id));
-            held.used = self.uses;
-            self.order.insert((self.uses, id));
-        }
-    }
-
-    /// Makes room by dropping what was not used for the longest; never an open confirmation.
-    fn room(&mut self, terms: &AffinitySettings, now: Ms) -> bool {
-        if self.held.len() < terms.sessions {
-            return true;
-        }
-        let idle = |(_, id): &&(u64, SessionId)| !self.held[id].record.busy(now);
-        let Some(&(used, id)) = self.order.iter().find(idle) else { return false };
-        self.order.remove(&(used, id));
-        if let (Some(held), false) = (self.held.remove(&id), terms.fault(Fault::Forgetful)) {
-            // Whoever asks for it later hears that it may have been here.
-            self.floor = self.floor.max(held.born);
+    /// `incarnation` is one that no earlier start of this node had.
+    pub(crate) fn new(incarnation: u64, lost_up_to: Ms) -> SessionReplica {
+        SessionReplica {
+            sessions: BTreeMap::new(),
+            lru: LruOrder::default(),
+            lost_up_to,
+            incarnation,
+            sessions_evicted: 0,
         }
-        self.life += 1;
-        self.dropped += 1;
-        true
     }
 
-    fn hold(&mut self, id: SessionId, born: Ms, promised: FencingToken, record: SessionRecord) {
-        self.held.insert(id, Held { born, promised, life: self.life, used: 0, record });
-        self.touch(id);
+    /// Gives states that differ only in numbers of uses and counters the same value, for the model search.
+    #[cfg(any(test, feature = "model-checking"))]
+    pub(crate) fn normalize(&mut self) {
+        let sessions = &mut self.sessions;
+        self.lru.renumber(|id, last_use| sessions.get_mut(&id).expect("in the order").last_use = last_use);
+        self.sessions_evicted = 0;
     }
 
-    /// What this seat answers, and to whom.
-    pub fn hear(
+    /// Handles a message from a claimant or owner; returns the answers.
+    pub(crate) fn receive(
         &mut self,
-        terms: &AffinitySettings,
+        settings: &AffinitySettings,
         now: Ms,
         from: NodeId,
-        msg: Message,
-    ) -> Vec<(NodeId, Message)> {
-        match msg {
-            Message::Claim { id, born, fence, round } => {
-                vec![(from, self.claim(terms, now, id, born, fence, round))]
+        message: Message,
+    ) -> Vec<Addressed> {
+        let answer = match message {
+            Message::Prepare { id, created_at, fence, round } => {
+                Some(self.prepare(settings, now, id, created_at, fence, round))
             }
-            Message::Install { id, born, fence, life, record } => {
-                if let Some(held) = self.held.get(&id) {
-                    let promised = held.promised;
-                    return match promised > fence {
-                        true => vec![(from, Message::Outranked { id, fence, promised })],
-                        false => vec![],
-                    };
-                }
-                if life != self.life {
-                    return vec![(from, Message::Blank { id, fence, life: self.life })];
-                }
-                // Making room changes the life for others that wait, not for this one.
-                if !self.room(terms, now) {
-                    return vec![];
-                }
-                self.hold(id, born, fence, record);
-                vec![(from, self.promise(id, fence, 0, None))]
+            Message::Restore { id, created_at, fence, incarnation, record } => {
+                let session =
+                    ReplicatedSession { created_at, promised: fence, incarnation, last_use: 0, record };
+                self.restore(settings, now, id, session)
             }
-            Message::Write { id, fence, life, record } => {
-                self.touch(id);
-                match self.held.get_mut(&id).filter(|held| held.life == life) {
-                    None => vec![(from, Message::Blank { id, fence, life: self.life })],
-                    Some(held) if held.promised > fence && !terms.fault(Fault::StaleWrites) => {
-                        vec![(from, Message::Outranked { id, fence, promised: held.promised })]
-                    }
-                    Some(held) => {
-                        let attempt = record.entries.first().map_or(record.stamp, |entry| entry.attempt);
-                        held.record.merge(&record);
-                        held.record.age(now, terms.keep);
-                        vec![(from, Message::Kept { id, fence, attempt })]
-                    }
-                }
+            Message::Write { id, fence, incarnation, record } => {
+                Some(self.write(settings, now, id, fence, incarnation, &record))
             }
-            Message::Told { id, entry } => self.told(from, id, entry),
-            _ => vec![],
-        }
-    }
-
-    fn promise(&self, id: SessionId, fence: FencingToken, round: u32, former: Option<NodeId>) -> Message {
-        let held = &self.held[&id];
-        Message::Promised { id, fence, round, life: held.life, former, record: held.record.clone() }
+            Message::Completion { id, entry } => return self.complete(from, id, entry),
+            _ => None,
+        };
+        answer.into_iter().map(|answer| (from, answer)).collect()
     }
 
-    fn claim(
+    fn prepare(
         &mut self,
-        terms: &AffinitySettings,
+        settings: &AffinitySettings,
         now: Ms,
         id: SessionId,
-        born: Ms,
+        created_at: Ms,
         fence: FencingToken,
         round: u32,
     ) -> Message {
-        if let Some(held) = self.held.get_mut(&id) {
-            let before = held.promised;
+        if let Some(session) = self.sessions.get_mut(&id) {
+            let before = session.promised;
             if before > fence {
-                return Message::Outranked { id, fence, promised: before };
+                return Message::Rejected { id, fence, promised: before };
             }
-            held.promised = fence;
-            held.record.age(now, terms.keep);
-            self.touch(id);
-            return self.promise(id, fence, round, (before.node != fence.node).then_some(before.node));
+            session.promised = fence;
+            session.record.drop_expired_responses(now, settings.keep);
+            self.lru.touch(id, &mut session.last_use);
+            let previous_owner = (before.node != fence.node).then_some(before.node);
+            return self.promise(id, fence, round, previous_owner);
         }
-        if born <= self.floor && !terms.fault(Fault::Forgetful) {
-            return Message::Blank { id, fence, life: self.life };
+        if created_at <= self.lost_up_to && !settings.has_bug(InjectedBug::LossIgnored) {
+            return Message::StateLost { id, fence, incarnation: self.incarnation };
         }
-        if !self.room(terms, now) {
-            return Message::Full { id, fence };
+        if !self.make_capacity(settings, now) {
+            return Message::NoCapacity { id, fence };
         }
-        self.hold(id, born, fence, SessionRecord::default());
+        let (incarnation, record) = (self.incarnation, SessionRecord::default());
+        self.insert(id, ReplicatedSession { created_at, promised: fence, incarnation, last_use: 0, record });
         self.promise(id, fence, round, None)
     }
 
-    fn told(&mut self, from: NodeId, id: SessionId, entry: IdempotencyEntry) -> Vec<(NodeId, Message)> {
-        let Some(held) = self.held.get_mut(&id) else { return vec![] };
-        held.record.put(&entry);
-        let mut out = vec![(from, Message::Noted { id, attempt: entry.attempt })];
-        if held.promised.node != from {
-            out.push((held.promised.node, Message::News { id, entry }));
+    fn promise(
+        &self,
+        id: SessionId,
+        fence: FencingToken,
+        round: u32,
+        previous_owner: Option<NodeId>,
+    ) -> Message {
+        let session = &self.sessions[&id];
+        let (incarnation, record) = (session.incarnation, session.record.clone());
+        Message::Promise { id, fence, round, incarnation, previous_owner, record }
+    }
+
+    /// Takes over the state that the other replicas know, if nothing was lost since this one reported the loss.
+    fn restore(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Ms,
+        id: SessionId,
+        session: ReplicatedSession,
+    ) -> Option<Message> {
+        let fence = session.promised;
+        if let Some(present) = self.sessions.get(&id) {
+            let promised = present.promised;
+            return (promised > fence).then_some(Message::Rejected { id, fence, promised });
+        }
+        if session.incarnation != self.incarnation {
+            return Some(Message::StateLost { id, fence, incarnation: self.incarnation });
+        }
+        // An eviction changes the incarnation for others that wait, not for this one.
+        if !self.make_capacity(settings, now) {
+            return None;
+        }
+        self.insert(id, ReplicatedSession { incarnation: self.incarnation, ..session });
+        Some(self.promise(id, fence, RESTORED, None))
+    }
+
+    fn write(
+        &mut self,
+        settings: &AffinitySettings,
+        now: Ms,
+        id: SessionId,
+        fence: FencingToken,
+        incarnation: u64,
+        record: &SessionRecord,
+    ) -> Message {
+        if let Some(session) = self.sessions.get_mut(&id) {
+            self.lru.touch(id, &mut session.last_use);
+        }
+        let session = self.sessions.get_mut(&id).filter(|session| session.incarnation == incarnation);
+        let Some(session) = session else {
+            return Message::StateLost { id, fence, incarnation: self.incarnation };
+        };
+        if session.promised > fence && !settings.has_bug(InjectedBug::StaleWrites) {
+            return Message::Rejected { id, fence, promised: session.promised };
+        }
+        let attempt = record.entries.first().map_or(record.endpoints_version, |entry| entry.attempt);
+        session.record.merge(record);
+        session.record.drop_expired_responses(now, settings.keep);
+        Message::WriteAck { id, fence, attempt }
+    }
+
+    /// Records an outcome, whoever has the promise by now, and passes it on to that node.
+    fn complete(&mut self, from: NodeId, id: SessionId, entry: IdempotencyEntry) -> Vec<Addressed> {
+        let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
+        session.record.put(&entry);
+        let mut out = vec![(from, Message::CompletionAck { id, attempt: entry.attempt })];
+        if session.promised.node != from {
+            out.push((session.promised.node, Message::CompletionNotice { id, entry }));
         }
         out
     }
+
+    fn insert(&mut self, id: SessionId, mut session: ReplicatedSession) {
+        self.lru.touch(id, &mut session.last_use);
+        self.sessions.insert(id, session);
+    }
+
+    /// Evicts the least recently used session if there is no capacity, but never one with a request in flight.
+    fn make_capacity(&mut self, settings: &AffinitySettings, now: Ms) -> bool {
+        if self.sessions.len() < settings.sessions {
+            return true;
+        }
+        let idle = self.lru.iter().find(|id| !self.sessions[id].record.has_in_flight(now));
+        let Some(id) = idle else { return false };
+        if let Some(evicted) = self.sessions.remove(&id) {
+            self.lru.remove(id, evicted.last_use);
+            if !settings.has_bug(InjectedBug::LossIgnored) {
+                // Whoever claims it later learns that it may have been here.
+                self.lost_up_to = self.lost_up_to.max(evicted.created_at);
+            }
+        }
+        self.incarnation += 1;
+        self.sessions_evicted += 1;
+        true
+    }
 }
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/request.rs
@@ -0,0 +1,73 @@
+//! What the adapter passes in and gets back: idempotent requests, decisions on them, and effects.
+use crate::messages::Message;
+use crate::record::{RecordedResponse, SessionId};
+use crate::{Ms, NodeId, RequestId};
+
+/// A request that must be executed at most once, as its client may repeat it under the same key.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub struct IdempotentRequest {
+    /// The adapter's id of the request, in the effects that concern it.
+    pub ticket: RequestId,
+    /// Its session.
+    pub id: SessionId,
+    /// When the session was created, in milliseconds.
+    pub born: Ms,
+    /// The nodes that keep the session, by [`crate::PeerSets::seats`].
+    pub seats: Vec<NodeId>,
+    /// The client's `Idempotency-Key`.
+    pub key: String,
+    /// Fingerprint of method, path and body.
+    pub print: u64,
+    /// Deadline of the request, and of reporting its outcome.
+    pub until: Ms,
+}
+
+/// Why a request is not sent to an endpoint now.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub enum Decision {
+    /// A repeat: the recorded response.
+    Kept(RecordedResponse),
+    /// A repeat of a request that was executed; its response is no longer kept.
+    Past,
+    /// The first one is in flight, at this node or at the previous owner.
+    UnderWay,
+    /// The first one may have been executed.
+    Unknown,
+    /// The key was used for a request with another fingerprint.
+    Other,
+    /// Not executed; the client may retry.
+    NotNow,
+    /// Too few replicas know the session: not executed, and never will be in this session.
+    Forgotten,
+    /// The session has had [`crate::AffinitySettings::keys`] requests: not executed.
+    Spent,
+}
+
+/// What the adapter has to do.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub enum Output {
+    /// Send a message to another node.
+    Send {
+        /// The node.
+        to: NodeId,
+        /// The message.
+        msg: Message,
+    },
+    /// Send the request to an endpoint now, once, and report the outcome by [`crate::AffinityNode::ran`].
+    Run {
+        /// The request.
+        ticket: RequestId,
+    },
+    /// The outcome is recorded, or the wait for that is over: respond to the client.
+    Done {
+        /// The request.
+        ticket: RequestId,
+    },
+    /// Respond without sending the request.
+    Answer {
+        /// The request.
+        ticket: RequestId,
+        /// What the client gets.
+        reply: Decision,
+    },
+}
--- a/crates/data-plane/session-affinity/src/tests.rs
+++ b/crates/data-plane/session-affinity/src/tests.rs
@@ -191,7 +191,10 @@
     net.start(1);
     net.now += 10;
     net.ask(4, 3, "a");
-    assert_eq!((net.got[&3].clone(), net.sites[&4].counts().healed), (Some(Decision::Kept(taken())), 1));
+    assert_eq!(
+        (net.got[&3].clone(), net.sites[&4].counts().replicas_restored),
+        (Some(Decision::Kept(taken())), 1)
+    );
     // So the next one may go.
     net.die(2);
     net.now += 10;
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -1,34 +1,45 @@
-//! The token that a client carries: which session it is, signed.
-use crate::{Ms, SessionId};
+//! The token that a client carries: which session it is, signed with HMAC-SHA256.
+use crate::record::SessionId;
+use crate::Ms;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use hmac::{Hmac, KeyInit, Mac};
 use sha2::{Digest, Sha256};
+use thiserror::Error;
 
+/// What a token says.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionToken {
+    /// The session.
     pub id: SessionId,
-    /// The list of sites that the session was born under.
+    /// The number of the peer set under which the session was created.
     pub roster: u16,
+    /// When the session was created, in milliseconds.
     pub born: Ms,
-    /// When it was signed last; its life counts from here.
+    /// When the token was last signed; its lifetime counts from here.
     pub signed: Ms,
 }
 
-/// Why a token is not taken. The client gets a new session.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+/// Why a token is not accepted. The client gets a new session. The token itself is shown neither to the client nor
+/// in the log, so that the error doesn't have it.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TokenError {
-    /// Not as long as a token, or not written as one.
+    /// Not as long as a token, or not Base64.
+    #[error("the session's token is cut or no token")]
     Cut,
-    /// No key of ours signed it, or one that is no longer valid.
+    /// Not signed by one of the keys in force.
+    #[error("the session's token is not signed by a key in force")]
     Forged,
+    /// Its lifetime is over.
+    #[error("the session's token has expired")]
     Expired,
-    /// Its time lies ahead.
+    /// Its time lies ahead of this clock.
+    #[error("the session's token is from a time to come")]
     Early,
 }
 
 impl TokenError {
-    /// For the client and the log: the token itself is shown to neither.
+    /// The text of the error, for the client and the log.
     pub fn why(self) -> &'static str {
         match self {
             TokenError::Cut => "the session's token is cut or no token",
@@ -39,63 +50,85 @@
     }
 }
 
-/// The keys in force: the first one signs, all of them are taken.
+/// The keys in force: the first one signs, all of them are accepted.
 #[derive(Clone, Default)]
 pub struct SigningKeys(Vec<Vec<u8>>);
 
-/// A key is at least as long as what it makes.
+/// Why keys are not accepted. The text says what was expected: the caller puts it into a sentence of its own.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
+pub enum SigningKeysError {
+    /// The list is empty.
+    #[error("a key at least")]
+    NoKeys,
+    /// A key is shorter than [`MIN_KEY_BYTES`].
+    #[error("keys of {MIN_KEY_BYTES} bytes or more")]
+    TooShort {
+        /// The position of the first such key, from 0.
+        index: usize,
+        /// Its length in bytes.
+        found: usize,
+    },
+}
+
+/// A key is at least as long as the signature that it makes (RFC 2104, 3).
 pub const MIN_KEY_BYTES: usize = 32;
-const BODY: usize = 16 + 2 + 8 + 8;
-const MARK: usize = 32;
+/// Id, number of the peer set, time of creation, time of signing; all big-endian.
+const BODY_BYTES: usize = 16 + 2 + 8 + 8;
+const SIGNATURE_BYTES: usize = 32;
 
 impl SigningKeys {
     /// Fails on a list without keys and on a key that is too short.
-    pub fn new(keys: Vec<Vec<u8>>) -> Result<SigningKeys, &'static str> {
+    pub fn new(keys: Vec<Vec<u8>>) -> Result<SigningKeys, SigningKeysError> {
         if keys.is_empty() {
-            return Err("a key at least");
+            return Err(SigningKeysError::NoKeys);
         }
-        match keys.iter().any(|key| key.len() < MIN_KEY_BYTES) {
-            true => Err("keys of 32 bytes or more"),
-            false => Ok(SigningKeys(keys)),
+        let short = |(_, key): &(usize, &Vec<u8>)| key.len() < MIN_KEY_BYTES;
+        match keys.iter().enumerate().find(short) {
+            Some((index, key)) => Err(SigningKeysError::TooShort { index, found: key.len() }),
+            None => Ok(SigningKeys(keys)),
         }
     }
 
     fn mac(key: &[u8], body: &[u8]) -> Hmac<Sha256> {
-        let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("any length is taken");
+        let mut mac = Hmac::<Sha256>::new_from_slice(key).expect("HMAC accepts any length");
         mac.update(body);
         mac
     }
 
+    /// The token as text, in URL-safe Base64.
+    ///
     /// ```
-    /// use coppersail_session_affinity::token::{Keys, Token, Unfit};
-    /// let keys = Keys::new(vec![vec![1; 32]]).unwrap();
-    /// let token = Token { id: coppersail_session_affinity::Id([1, 2]), roster: 1, born: 5_000, signed: 5_000 };
+    /// use coppersail_session_affinity::token::{SessionToken, SigningKeys, TokenError};
+    /// let keys = SigningKeys::new(vec![vec![1; 32]]).unwrap();
+    /// let token = SessionToken { id: coppersail_session_affinity::SessionId([1, 2]), roster: 1, born: 5_000, signed: 5_000 };
     /// let text = keys.sign(&token);
     /// assert_eq!(keys.read(&text, 6_000, 60_000, 100), Ok((token, true)));
-    /// assert_eq!(keys.read(&text[1..], 6_000, 60_000, 100), Err(Unfit::Cut));
-    /// assert_eq!(keys.read(&text, 66_000, 60_000, 100), Err(Unfit::Expired));
+    /// assert_eq!(keys.read(&text[1..], 6_000, 60_000, 100), Err(TokenError::Cut));
+    /// assert_eq!(keys.read(&text, 66_000, 60_000, 100), Err(TokenError::Expired));
     /// ```
     pub fn sign(&self, token: &SessionToken) -> String {
-        let mut bytes = Vec::with_capacity(BODY + MARK);
+        let mut bytes = Vec::with_capacity(BODY_BYTES + SIGNATURE_BYTES);
         bytes.extend(token.id.0.iter().flat_map(|half| half.to_be_bytes()));
         bytes.extend(token.roster.to_be_bytes());
         bytes.extend(token.born.to_be_bytes());
         bytes.extend(token.signed.to_be_bytes());
-        let mark = Self::mac(self.0.first().map_or(&[], |key| &key[..]), &bytes).finalize().into_bytes();
-        bytes.extend_from_slice(&mark);
+        let signing_key = self.0.first().map_or(&[][..], |key| &key[..]);
+        let signature = Self::mac(signing_key, &bytes).finalize().into_bytes();
+        bytes.extend_from_slice(&signature);
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The token, and whether the first key signed it: one of another key is signed anew.
+    /// The token, and whether the first key signed it: one of another key is to be signed anew. `life` is a token's
+    /// lifetime and `skew` how far ahead its time may lie, both in milliseconds.
     pub fn read(&self, text: &str, now: Ms, life: Ms, skew: Ms) -> Result<(SessionToken, bool), TokenError> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Cut)?;
-        if bytes.len() != BODY + MARK {
+        if bytes.len() != BODY_BYTES + SIGNATURE_BYTES {
             return Err(TokenError::Cut);
         }
-        let (body, mark) = bytes.split_at(BODY);
-        let by = self.0.iter().position(|key| Self::mac(key, body).verify_slice(mark).is_ok());
-        let by = by.ok_or(TokenError::Forged)?;
-        let word = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("eight"));
+        let (body, signature) = bytes.split_at(BODY_BYTES);
+        let signed_by = |key: &Vec<u8>| Self::mac(key, body).verify_slice(signature).is_ok();
+        let key_index = self.0.iter().position(signed_by).ok_or(TokenError::Forged)?;
+        let word = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = SessionToken {
             id: SessionId([word(0), word(8)]),
             roster: u16::from_be_bytes([body[16], body[17]]),
@@ -108,16 +141,16 @@
         if token.signed + life <= now {
             return Err(TokenError::Expired);
         }
-        Ok((token, by == 0))
+        Ok((token, key_index == 0))
     }
 }
 
-/// What tells two requests apart: a print of their parts.
+/// A hash by which two requests are told apart: the first 8 bytes of a SHA-256 of their parts with their lengths.
 pub fn fingerprint(parts: &[&[u8]]) -> u64 {
     let mut hash = Sha256::new();
     for part in parts {
         hash.update((part.len() as u64).to_be_bytes());
         hash.update(part);
     }
-    u64::from_be_bytes(hash.finalize()[..8].try_into().expect("eight"))
+    u64::from_be_bytes(hash.finalize()[..8].try_into().expect("8 bytes"))
 }
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/view.rs
@@ -0,0 +1,112 @@
+//! What operators are shown: counters, and a session without token, keys and bodies.
+use crate::record::{EntryState, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
+use crate::Ms;
+use serde::{Deserialize, Serialize};
+
+/// Counts since the node's start.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
+#[serde(default)]
+pub struct Counters {
+    /// Claims of a session, retries included.
+    pub claims: u64,
+    /// Claims that took a session over from another node.
+    pub crossings: u64,
+    /// Sessions that another node took over.
+    pub let_go: u64,
+    /// Requests that had to wait for a claim.
+    pub waits: u64,
+    /// Requests that were sent to an endpoint.
+    pub sent: u64,
+    /// Repeats that were answered from the record.
+    pub repeats_answered: u64,
+    /// Repeats of a request in flight.
+    #[serde(rename = "under_way")]
+    pub in_flight: u64,
+    /// Requests whose key belongs to another request.
+    #[serde(rename = "other_body")]
+    pub fingerprint_mismatches: u64,
+    /// Repeats of a request whose outcome is unknown.
+    pub unknown: u64,
+    /// Requests that were refused and certainly not executed.
+    pub refused: u64,
+    /// Requests of sessions that too few replicas know.
+    #[serde(rename = "forgotten")]
+    pub session_lost: u64,
+    /// Replicas that got a session's record back after a loss.
+    #[serde(rename = "healed")]
+    pub replicas_restored: u64,
+    /// Sessions that a replica evicted for capacity.
+    #[serde(rename = "dropped")]
+    pub sessions_evicted: u64,
+}
+
+/// A session, as operators see it.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+pub struct SessionView {
+    /// 32 hexadecimal digits.
+    pub id: String,
+    /// Whether the node owns the session; otherwise it is one of its replicas or a former owner.
+    pub owner: bool,
+    /// The token that the node owns it under or has promised.
+    pub fence: FencingToken,
+    /// The endpoint of each service: service, endpoint.
+    #[serde(rename = "hosts")]
+    pub endpoints: Vec<(String, String)>,
+    /// The idempotent requests.
+    #[serde(rename = "confirmations")]
+    pub requests: Vec<RequestView>,
+}
+
+/// An idempotent request, as operators see it; an array of three on the wire.
+#[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(from = "(String, String, Ms)", into = "(String, String, Ms)")]
+pub struct RequestView {
+    /// 16 hexadecimal digits: the key itself is not shown.
+    pub key_fingerprint: String,
+    /// What is known of it, in words.
+    pub state: String,
+    /// For how long this has been known, in milliseconds.
+    pub age_ms: Ms,
+}
+
+impl From<(String, String, Ms)> for RequestView {
+    fn from((key_fingerprint, state, age_ms): (String, String, Ms)) -> RequestView {
+        RequestView { key_fingerprint, state, age_ms }
+    }
+}
+
+impl From<RequestView> for (String, String, Ms) {
+    fn from(view: RequestView) -> (String, String, Ms) {
+        (view.key_fingerprint, view.state, view.age_ms)
+    }
+}
+
+impl RequestView {
+    fn new(entry: &IdempotencyEntry, now: Ms) -> RequestView {
+        let state = match &entry.state {
+            EntryState::InFlight { deadline } if now < *deadline => "under way".into(),
+            EntryState::InFlight { .. } | EntryState::Unknown => "unknown".into(),
+            EntryState::NotRun => "not run".into(),
+            EntryState::ResponseDropped => "ran, answer dropped".into(),
+            EntryState::Completed(response) => format!("ran, {}", response.status),
+        };
+        RequestView {
+            key_fingerprint: format!("{:016x}", crate::token::fingerprint(&[entry.key.as_bytes()])),
+            state,
+            age_ms: now.saturating_sub(entry.changed_at),
+        }
+    }
+}
+
+impl SessionView {
+    pub(crate) fn new(
+        id: SessionId,
+        owner: bool,
+        fence: FencingToken,
+        record: &SessionRecord,
+        now: Ms,
+    ) -> SessionView {
+        let requests = record.entries.iter().map(|entry| RequestView::new(entry, now)).collect();
+        SessionView { id: id.to_string(), owner, fence, endpoints: record.endpoints.clone(), requests }
+    }
+}
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -2,8 +2,8 @@
 //! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
 use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
 use coppersail_session_affinity::{
-    Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, SessionId,
-    SessionRecord, SessionView,
+    AttemptId, Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, RequestView,
+    SessionId, SessionRecord, SessionView,
 };
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -16,6 +16,7 @@
 
 const ID: SessionId = SessionId([1, 0xabc]);
 const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, start: 9 };
+const ATTEMPT: AttemptId = AttemptId { fence: FENCE, number: 3 };
 const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
 const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
 
@@ -24,8 +25,8 @@
     RecordedResponse { status: 201, headers, body: b"taken?".to_vec() }
 }
 
-fn entry(step: EntryState) -> IdempotencyEntry {
-    IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: (FENCE, 3), state: step, at: 71_000 }
+fn entry(state: EntryState) -> IdempotencyEntry {
+    IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: ATTEMPT, state, changed_at: 71_000 }
 }
 
 fn entry_text(step: &str) -> String {
@@ -33,8 +34,12 @@
 }
 
 fn record() -> SessionRecord {
-    let hosts = vec![("ledger".into(), "10.0.0.1:80".into())];
-    SessionRecord { hosts, stamp: (FENCE, 4), entries: vec![entry(EntryState::Past)] }
+    let endpoints = vec![("ledger".into(), "10.0.0.1:80".into())];
+    SessionRecord {
+        endpoints,
+        endpoints_version: AttemptId { fence: FENCE, number: 4 },
+        entries: vec![entry(EntryState::ResponseDropped)],
+    }
 }
 
 fn record_text() -> String {
@@ -54,11 +59,11 @@
 fn an_entry_keeps_its_bytes_in_each_step() {
     let ran = format!(r#"{{"Ran":{ANSWER_TEXT}}}"#);
     let table = [
-        (EntryState::Open { until: 80_000 }, r#"{"Open":{"until":80000}}"#),
+        (EntryState::InFlight { deadline: 80_000 }, r#"{"Open":{"until":80000}}"#),
         (EntryState::Unknown, r#""Unknown""#),
         (EntryState::NotRun, r#""NotRun""#),
-        (EntryState::Past, r#""Past""#),
-        (EntryState::Ran(answer()), &ran),
+        (EntryState::ResponseDropped, r#""Past""#),
+        (EntryState::Completed(answer()), &ran),
     ];
     for (step, text) in table {
         assert_text(step.clone(), text);
@@ -75,42 +80,58 @@
 
 #[test]
 fn each_message_between_edges_keeps_its_bytes() {
-    let (id, fence, attempt) = (ID, FENCE, (FENCE, 3));
+    let (id, fence, attempt) = (ID, FENCE, ATTEMPT);
     let table = [
         (
-            Message::Claim { id, born: 60_000, fence, round: 6 },
+            Message::Prepare { id, created_at: 60_000, fence, round: 6 },
             r#"{"Claim":{"id":[1,2748],"born":60000,"fence":FENCE,"round":6}}"#,
         ),
         (
-            Message::Promised { id, fence, round: 6, life: 8, former: Some(3), record: record() },
+            Message::Promise {
+                id,
+                fence,
+                round: 6,
+                incarnation: 8,
+                previous_owner: Some(3),
+                record: record(),
+            },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":3,"record":RECORD}}"#,
         ),
         (
-            Message::Promised { id, fence, round: 6, life: 8, former: None, record: record() },
+            Message::Promise { id, fence, round: 6, incarnation: 8, previous_owner: None, record: record() },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":null,"record":RECORD}}"#,
         ),
-        (Message::Blank { id, fence, life: 8 }, r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#),
         (
-            Message::Outranked { id, fence, promised: FencingToken { number: 1, node: 2, start: 3 } },
+            Message::StateLost { id, fence, incarnation: 8 },
+            r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#,
+        ),
+        (
+            Message::Rejected { id, fence, promised: FencingToken { number: 1, node: 2, start: 3 } },
             r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
         ),
-        (Message::Full { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
+        (Message::NoCapacity { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
         (
-            Message::Install { id, born: 60_000, fence, life: 8, record: record() },
+            Message::Restore { id, created_at: 60_000, fence, incarnation: 8, record: record() },
             r#"{"Install":{"id":[1,2748],"born":60000,"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
         (
-            Message::Write { id, fence, life: 8, record: record() },
+            Message::Write { id, fence, incarnation: 8, record: record() },
             r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
         (
-            Message::Kept { id, fence, attempt },
+            Message::WriteAck { id, fence, attempt },
             r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#,
         ),
-        (Message::Told { id, entry: entry(EntryState::NotRun) }, r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Message::Noted { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
-        (Message::News { id, entry: entry(EntryState::NotRun) }, r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Message::LetGo { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
+        (
+            Message::Completion { id, entry: entry(EntryState::NotRun) },
+            r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#,
+        ),
+        (Message::CompletionAck { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
+        (
+            Message::CompletionNotice { id, entry: entry(EntryState::NotRun) },
+            r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#,
+        ),
+        (Message::Superseded { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
     ];
     for (message, text) in table {
         let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
@@ -127,13 +148,13 @@
         waits: 4,
         sent: 5,
         repeats_answered: 6,
-        under_way: 7,
-        other_body: 8,
+        in_flight: 7,
+        fingerprint_mismatches: 8,
         unknown: 9,
         refused: 10,
-        forgotten: 11,
-        healed: 12,
-        dropped: 13,
+        session_lost: 11,
+        replicas_restored: 12,
+        sessions_evicted: 13,
     };
     let text = concat!(
         r#"{"claims":1,"crossings":2,"let_go":3,"waits":4,"sent":5,"repeats_answered":6,"under_way":7,"#,
@@ -144,8 +165,8 @@
         id: "ab".into(),
         owner: true,
         fence: FENCE,
-        hosts: vec![("ledger".into(), "h".into())],
-        confirmations: vec![("c".into(), "under way".into(), 9)],
+        endpoints: vec![("ledger".into(), "h".into())],
+        requests: vec![RequestView { key_fingerprint: "c".into(), state: "under way".into(), age_ms: 9 }],
     };
     let text = concat!(
         r#"{"id":"ab","owner":true,"fence":FENCE,"hosts":[["ledger","h"]],"#,
