--- /dev/null
+++ b/crates/data-plane/session-affinity/examples/night/main.rs
@@ -0,0 +1,34 @@
+//! Busy nights in simulated time: clients move between nodes while nodes are killed, zones cut off, responses lost and
+//! connections reset. The ledger of the stand-in endpoint says which requests were executed, and how often.
+//!
+//! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` plays them all and writes
+//! its tables there. `-- - SEEDS` prints the tables of fewer nights.
+mod clients;
+mod endpoint;
+mod network;
+mod report;
+mod results;
+mod simulation;
+mod strategies;
+mod world;
+
+const BEGIN: &str = "<!-- night: begin -->\n";
+const END: &str = "<!-- night: end -->";
+const DEFAULT_SEEDS: u64 = 200;
+
+fn main() -> Result<(), Box<dyn std::error::Error>> {
+    let mut args = std::env::args().skip(1);
+    let page = args.next();
+    let seeds = args.next().and_then(|seeds| seeds.parse().ok()).unwrap_or(DEFAULT_SEEDS);
+    let report = report::report(seeds);
+    let Some(page) = page.filter(|page| page != "-") else {
+        print!("{}", report.text);
+        return Ok(());
+    };
+    let old = std::fs::read_to_string(&page)?;
+    let (before, rest) = old.split_once(BEGIN).ok_or("the page has no place for the tables")?;
+    let (_, after) = rest.split_once(END).ok_or("the page's place for the tables has no end")?;
+    std::fs::write(&page, format!("{before}{BEGIN}{}{END}{after}", report.text))?;
+    report::draw_chart(&page.replace(".md", ".svg"), &report.bars)?;
+    Ok(())
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/examples/night/results.rs
@@ -0,0 +1,100 @@
+//! What is counted in a night, and the comparison with the endpoint's ledger.
+use crate::simulation::Night;
+use crate::world::{Micros, Strategy};
+use std::collections::BTreeMap;
+
+/// What a client knows of an idempotent request at its end.
+pub(crate) const RAN: &str = "ran";
+pub(crate) const NOT_RUN: &str = "not run";
+pub(crate) const UNKNOWN: &str = "unknown";
+/// Counted besides the three.
+pub(crate) const SESSION_LOST: &str = "session lost";
+
+/// Messages and bytes between nodes.
+#[derive(Default, Clone, Copy)]
+pub(crate) struct Traffic {
+    pub(crate) messages: u64,
+    pub(crate) bytes: u64,
+}
+
+#[derive(Default, Clone)]
+pub(crate) struct Results {
+    pub(crate) outcomes: BTreeMap<&'static str, u64>,
+    pub(crate) wrong: Vec<String>,
+    /// Added latency, by kind of request (lookup, idempotent), then outside and during a crossing.
+    pub(crate) added: [[Vec<Micros>; 2]; 2],
+    pub(crate) crossings: u64,
+    pub(crate) crossing_traffic: Traffic,
+    pub(crate) request_traffic: Traffic,
+    pub(crate) repeats_answered: u64,
+    pub(crate) replicas_restored: u64,
+}
+
+impl Traffic {
+    pub(crate) fn add(&mut self, other: Traffic) {
+        self.messages += other.messages;
+        self.bytes += other.bytes;
+    }
+}
+
+impl Results {
+    /// Adds the results of the night with this seed.
+    fn add(&mut self, seed: u64, night: Results) {
+        for (outcome, count) in night.outcomes {
+            *self.outcomes.entry(outcome).or_default() += count;
+        }
+        self.wrong.extend(night.wrong.into_iter().map(|wrong| format!("seed {seed}: {wrong}")));
+        for (all, added) in self.added.iter_mut().flatten().zip(night.added.iter().flatten()) {
+            all.extend(added);
+        }
+        self.crossings += night.crossings;
+        self.crossing_traffic.add(night.crossing_traffic);
+        self.request_traffic.add(night.request_traffic);
+        self.repeats_answered += night.repeats_answered;
+        self.replicas_restored += night.replicas_restored;
+    }
+
+    pub(crate) fn count(&self, outcome: &str) -> u64 {
+        self.outcomes.get(outcome).copied().unwrap_or_default()
+    }
+}
+
+/// The sum of the nights of seeds 1 to `seeds`.
+pub(crate) fn play_nights(strategy: Strategy, seeds: u64, trouble: bool) -> Results {
+    let mut all = Results::default();
+    for seed in 1..=seeds {
+        all.add(seed, Night::new(strategy, seed, trouble).play());
+    }
+    all.added.iter_mut().flatten().for_each(|list| list.sort_unstable());
+    all
+}
+
+impl Night {
+    /// What clients were told against what the endpoint did.
+    pub(crate) fn compare_with_ledger(&mut self) {
+        for (request, executions) in &self.ledger {
+            if *executions > 1 {
+                self.results.wrong.push(format!("{request:?} ran {executions} times"));
+            }
+        }
+        for (request, told) in &self.told {
+            let executions = self.ledger.get(request).copied().unwrap_or_default();
+            if (*told == RAN && executions != 1) || (*told == NOT_RUN && executions != 0) {
+                let wrong = match *told {
+                    RAN => format!("{request:?} was told as run, ran {executions} times"),
+                    _ => format!("{request:?} was told as not run, ran {executions} times"),
+                };
+                self.results.wrong.push(wrong);
+            }
+            *self.results.outcomes.entry(told).or_default() += 1;
+        }
+    }
+
+    pub(crate) fn add_counters(&mut self) {
+        for node in self.nodes.iter().flatten() {
+            let counters = node.counts();
+            self.results.repeats_answered += counters.repeats_answered;
+            self.results.replicas_restored += counters.replicas_restored;
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/session-affinity/examples/night/strategies.rs
@@ -0,0 +1,89 @@
+//! How a node serves a request: by this package, or as plainly as can be by the strategies that it is compared with.
+use crate::simulation::Night;
+use crate::world::{Packet, Request, RequestKind, Response, Strategy, MS, NODES};
+use coppersail_session_affinity::{IdempotentRequest, NodeId};
+
+/// For how long an outcome is waited for, in milliseconds.
+const REQUEST_TIMEOUT: u64 = 3_000;
+const FINGERPRINT: u64 = 1;
+
+impl Night {
+    pub(crate) fn serve_by_affinity(&mut self, ticket: u64, node: NodeId) {
+        let request = &self.requests[&ticket];
+        let (id, born, kind) = (request.id, request.created_at, request.kind);
+        let key = request.key.clone();
+        let seats = self.peer_sets.seats(1, id).expect("a peer set");
+        if kind == RequestKind::Lookup {
+            self.with_node(node, |node, now| node.visit(now, id, born, &seats));
+            return self.send_to_endpoint(node, ticket);
+        }
+        let until = self.clock(node) + REQUEST_TIMEOUT;
+        let request = IdempotentRequest { ticket, id, born, seats, key, print: FINGERPRINT, until };
+        self.with_node(node, |node, now| node.ask(now, request));
+    }
+
+    pub(crate) fn serve_by_copies(&mut self, ticket: u64, node: NodeId) {
+        let request = &self.requests[&ticket];
+        if request.kind == RequestKind::Lookup {
+            return self.send_to_endpoint(node, ticket);
+        }
+        let key = (request.id, request.key.clone());
+        match self.copies[node as usize].get(&key) {
+            Some(None) => return self.respond(node, ticket, Response::InFlight),
+            Some(Some(true)) => return self.respond(node, ticket, Response::Replayed),
+            Some(Some(false)) => return self.respond(node, ticket, Response::Unknown),
+            None => {}
+        }
+        self.copies[node as usize].insert(key.clone(), None);
+        if self.strategy == Strategy::Pinned {
+            return self.send_to_endpoint(node, ticket);
+        }
+        for to in (0..NODES).filter(|to| *to != node) {
+            self.send_packet(node, to, Packet::CopyBegin { request: ticket, key: key.clone() });
+        }
+    }
+
+    /// The request is sent once all other nodes have their copy.
+    pub(crate) fn receive_copy_ack(&mut self, node: NodeId, ticket: u64) {
+        let Some(request) = self.requests.get_mut(&ticket) else { return };
+        request.copy_acks += 1;
+        if request.copy_acks == u32::from(NODES) - 1 && !request.sent {
+            request.sent = true;
+            self.send_to_endpoint(node, ticket);
+        }
+    }
+
+    /// What has waited for other nodes for too long proceeds without them.
+    pub(crate) fn end_waits(&mut self, node: NodeId) {
+        let wait = self.settings.wait * MS;
+        let is_late = |request: &Request| !request.sent && self.now > request.arrived + wait;
+        let mut late: Vec<u64> =
+            self.requests.iter().filter(|(_, request)| is_late(request)).map(|(ticket, _)| *ticket).collect();
+        late.sort_unstable();
+        for ticket in late {
+            self.proceed_alone(node, ticket);
+        }
+    }
+
+    fn proceed_alone(&mut self, node: NodeId, ticket: u64) {
+        let request = &self.requests[&ticket];
+        let client = &mut self.clients[request.client];
+        if client.last_node != Some(node) || client.request != ticket || request.endpoint_time != 0 {
+            return;
+        }
+        match self.strategy {
+            Strategy::Pinned if request.forwarded_by == Some(node) => {
+                client.home = node;
+                let request = self.requests.get_mut(&ticket).expect("just seen");
+                request.forwarded_by = None;
+                request.sent = true;
+                self.serve_by_copies(ticket, node);
+            }
+            Strategy::Everywhere if request.kind == RequestKind::Idempotent => {
+                self.requests.get_mut(&ticket).expect("just seen").sent = true;
+                self.send_to_endpoint(node, ticket);
+            }
+            _ => {}
+        }
+    }
+}
