--- a/crates/data-plane/session-affinity/examples/night/main.rs
+++ b/crates/data-plane/session-affinity/examples/night/main.rs
@@ -5,6 +5,7 @@
 //! its tables there. `-- - SEEDS` prints the tables of fewer nights.
 mod clients;
 mod endpoint;
+mod ledger;
 mod network;
 mod report;
 mod results;
--- a/crates/data-plane/session-affinity/examples/night/report.rs
+++ b/crates/data-plane/session-affinity/examples/night/report.rs
@@ -1,5 +1,6 @@
 //! The tables and the chart of docs/sessions.md.
-use crate::results::{play_nights, Results, Traffic, NOT_RUN, RAN, SESSION_LOST, UNKNOWN};
+use crate::results::{Results, Traffic, NOT_RUN, RAN, SESSION_LOST, UNKNOWN};
+use crate::simulation::Night;
 use crate::world::{Micros, Strategy, CLIENTS, MS, NODES, ZONES};
 use plotters::prelude::*;
 
@@ -58,6 +59,16 @@
     Report { text, bars }
 }
 
+/// The sum of the nights of seeds 1 to `seeds`.
+fn play_nights(strategy: Strategy, seeds: u64, trouble: bool) -> Results {
+    let mut all = Results::default();
+    for seed in 1..=seeds {
+        all.add(seed, Night::new(strategy, seed, trouble).play());
+    }
+    all.added.iter_mut().flatten().for_each(|list| list.sort_unstable());
+    all
+}
+
 fn outcome_row(prefix: &str, results: &Results) -> String {
     let [ran, not_run, unknown, lost] = [RAN, NOT_RUN, UNKNOWN, SESSION_LOST].map(|what| results.count(what));
     format!("{prefix} {ran} | {not_run} | {unknown} | {lost} | {} |\n", results.wrong.len())
--- a/crates/data-plane/session-affinity/examples/night/results.rs
+++ b/crates/data-plane/session-affinity/examples/night/results.rs
@@ -1,6 +1,5 @@
-//! What is counted in a night, and the comparison with the endpoint's ledger.
-use crate::simulation::Night;
-use crate::world::{Micros, Strategy};
+//! What is counted in a night.
+use crate::world::Micros;
 use std::collections::BTreeMap;
 
 /// What a client knows of an idempotent request at its end.
@@ -39,7 +38,7 @@
 
 impl Results {
     /// Adds the results of the night with this seed.
-    fn add(&mut self, seed: u64, night: Results) {
+    pub(crate) fn add(&mut self, seed: u64, night: Results) {
         for (outcome, count) in night.outcomes {
             *self.outcomes.entry(outcome).or_default() += count;
         }
@@ -58,43 +57,3 @@
         self.outcomes.get(outcome).copied().unwrap_or_default()
     }
 }
-
-/// The sum of the nights of seeds 1 to `seeds`.
-pub(crate) fn play_nights(strategy: Strategy, seeds: u64, trouble: bool) -> Results {
-    let mut all = Results::default();
-    for seed in 1..=seeds {
-        all.add(seed, Night::new(strategy, seed, trouble).play());
-    }
-    all.added.iter_mut().flatten().for_each(|list| list.sort_unstable());
-    all
-}
-
-impl Night {
-    /// What clients were told against what the endpoint did.
-    pub(crate) fn compare_with_ledger(&mut self) {
-        for (request, executions) in &self.ledger {
-            if *executions > 1 {
-                self.results.wrong.push(format!("{request:?} ran {executions} times"));
-            }
-        }
-        for (request, told) in &self.told {
-            let executions = self.ledger.get(request).copied().unwrap_or_default();
-            if (*told == RAN && executions != 1) || (*told == NOT_RUN && executions != 0) {
-                let wrong = match *told {
-                    RAN => format!("{request:?} was told as run, ran {executions} times"),
-                    _ => format!("{request:?} was told as not run, ran {executions} times"),
-                };
-                self.results.wrong.push(wrong);
-            }
-            *self.results.outcomes.entry(told).or_default() += 1;
-        }
-    }
-
-    pub(crate) fn add_counters(&mut self) {
-        for node in self.nodes.iter().flatten() {
-            let counters = node.counts();
-            self.results.repeats_answered += counters.repeats_answered;
-            self.results.replicas_restored += counters.replicas_restored;
-        }
-    }
-}
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -27,8 +27,8 @@
 //!     [Output::Answer { ticket: 2, reply: Decision::Kept(response) }] if response.body == b"taken"
 //! ));
 //! ```
-#![warn(missing_docs, unreachable_pub)]
 
+mod ids;
 mod lru;
 mod messages;
 #[cfg(any(test, feature = "model-checking"))]
@@ -46,6 +46,7 @@
 pub mod token;
 mod view;
 
+pub use ids::{Ms, NodeId, RequestId};
 pub use messages::Message;
 pub use node::AffinityNode;
 pub use peer_sets::{preferred_endpoint, PeerSets};
@@ -56,10 +57,3 @@
 pub use request::{Decision, IdempotentRequest, Output};
 pub use settings::AffinitySettings;
 pub use view::{Counters, RequestView, SessionView};
-
-/// Milliseconds of the time of day.
-pub type Ms = u64;
-/// A node's number in the operators' file; it is never given to another one.
-pub type NodeId = u16;
-/// The adapter's id of a request that waits for a decision.
-pub type RequestId = u64;
--- a/crates/data-plane/session-affinity/src/messages.rs
+++ b/crates/data-plane/session-affinity/src/messages.rs
@@ -1,7 +1,7 @@
 //! Messages between nodes. All but [`Message::CompletionNotice`] and [`Message::Superseded`] go between the node that
 //! claims or owns a session and one of the session's replicas.
+use crate::ids::{Ms, NodeId};
 use crate::record::{AttemptId, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
-use crate::{Ms, NodeId};
 use serde::{Deserialize, Serialize};
 
 /// The round of the promise that answers [`Message::Restore`]: claims count rounds from 1.
--- a/crates/data-plane/session-affinity/src/model/scenario.rs
+++ b/crates/data-plane/session-affinity/src/model/scenario.rs
@@ -1,7 +1,7 @@
 //! What may happen in a walk of the model, and the walks of docs/sessions.md.
+use crate::ids::NodeId;
 #[cfg(test)]
 use crate::settings::InjectedBug;
-use crate::NodeId;
 
 /// An idempotent request of the clients. All requests of a session have the same key.
 #[derive(Debug, Clone, Copy, PartialEq)]
--- a/crates/data-plane/session-affinity/src/model/world.rs
+++ b/crates/data-plane/session-affinity/src/model/world.rs
@@ -1,11 +1,11 @@
 //! A state of the world, and the states that may follow it.
 use super::scenario::Scenario;
+use crate::ids::{NodeId, RequestId};
 use crate::messages::Message;
 use crate::node::AffinityNode;
 use crate::record::{Outcome, RecordedResponse, SessionId};
 use crate::request::{Decision, IdempotentRequest, Output};
 use crate::settings::AffinitySettings;
-use crate::{NodeId, RequestId};
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::sync::Arc;
--- a/crates/data-plane/session-affinity/src/node.rs
+++ b/crates/data-plane/session-affinity/src/node.rs
@@ -1,4 +1,5 @@
 //! A node: a replica of some sessions, the owner of others.
+use crate::ids::{Ms, NodeId, RequestId};
 use crate::messages::Message;
 use crate::owner::SessionOwner;
 use crate::record::{Outcome, SessionId};
@@ -6,7 +7,6 @@
 use crate::request::{IdempotentRequest, Output};
 use crate::settings::AffinitySettings;
 use crate::view::{Counters, SessionView};
-use crate::{Ms, NodeId, RequestId};
 use std::collections::VecDeque;
 
 /// The state machine of one node. Each input returns the effects that the caller has to carry out, in order.
--- a/crates/data-plane/session-affinity/src/owner/admission.rs
+++ b/crates/data-plane/session-affinity/src/owner/admission.rs
@@ -1,10 +1,10 @@
 //! Admitting an idempotent request: a new one begins an attempt, a repeat is answered from the record.
 use super::session::{Attempt, AttemptPhase, PendingRequest};
 use super::SessionOwner;
+use crate::ids::{Ms, RequestId};
 use crate::record::EntryState;
 use crate::request::{Decision, IdempotentRequest, Output};
 use crate::settings::{AffinitySettings, InjectedBug};
-use crate::{Ms, RequestId};
 
 /// What happens to a request of a session that this node owns.
 enum Admission {
--- a/crates/data-plane/session-affinity/src/owner/attempt.rs
+++ b/crates/data-plane/session-affinity/src/owner/attempt.rs
@@ -1,13 +1,13 @@
 //! An attempt after its admission: it is recorded at a quorum of the replicas, sent, and its outcome is reported.
 use super::session::{AttemptPhase, ReplicaIncarnation};
 use super::SessionOwner;
+use crate::ids::{Ms, NodeId, RequestId};
 use crate::messages::Message;
 use crate::record::{
     AttemptId, EntryState, FencingToken, IdempotencyEntry, Outcome, SessionId, SessionRecord,
 };
 use crate::request::Output;
 use crate::settings::{AffinitySettings, InjectedBug};
-use crate::{Ms, NodeId, RequestId};
 
 impl SessionOwner {
     /// To the replicas that promised: others may have promised another owner since.
--- a/crates/data-plane/session-affinity/src/owner/claim.rs
+++ b/crates/data-plane/session-affinity/src/owner/claim.rs
@@ -1,22 +1,12 @@
 //! Claiming a session: a quorum of its replicas promises a fencing token (Paxos, phase 1), and replicas that lost
 //! their state get it back.
-use super::session::{OwnedSession, PendingRequest, ReplicaIncarnation};
+use super::session::{OwnedSession, PendingRequest, Promise, ReplicaIncarnation};
 use super::SessionOwner;
+use crate::ids::{Ms, NodeId};
 use crate::messages::{Message, RESTORED_ROUND};
 use crate::record::{AttemptId, FencingToken, SessionId, SessionRecord};
 use crate::request::{Decision, Output};
 use crate::settings::{AffinitySettings, InjectedBug};
-use crate::{Ms, NodeId};
-
-/// A replica's promise without its record.
-pub(super) struct Promise {
-    pub(super) from: NodeId,
-    pub(super) id: SessionId,
-    pub(super) fencing_token: FencingToken,
-    pub(super) round: u32,
-    pub(super) incarnation: u64,
-    pub(super) previous_owner: Option<NodeId>,
-}
 
 impl SessionOwner {
     /// A request other than an idempotent one has arrived: the session is claimed in the background, unless another
@@ -109,10 +99,7 @@
         record: &SessionRecord,
     ) -> Vec<Output> {
         let (id, fencing_token) = (promise.id, promise.fencing_token);
-        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.is_current(fencing_token))
-        else {
-            return vec![];
-        };
+        let Some(session) = self.current_session(id, fencing_token) else { return vec![] };
         session.record.merge(record);
         if !settings.has_bug(InjectedBug::DuplicatesCounted) {
             session.forget_promise(promise.from);
@@ -124,9 +111,11 @@
         }
         if promise.round == RESTORED_ROUND {
             session.forget_loss(promise.from);
-            self.counters.replicas_restored += 1;
         }
         let won = !session.owned && session.promises.len() >= session.quorum();
+        if promise.round == RESTORED_ROUND {
+            self.counters.replicas_restored += 1;
+        }
         let mut out = vec![];
         if let Some(previous_owner) = promise.previous_owner {
             out.push(Output::Send { to: previous_owner, msg: Message::Superseded { id, fencing_token } });
@@ -187,10 +176,7 @@
         fencing_token: FencingToken,
         incarnation: u64,
     ) -> Vec<Output> {
-        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.is_current(fencing_token))
-        else {
-            return vec![];
-        };
+        let Some(session) = self.current_session(id, fencing_token) else { return vec![] };
         let loss = ReplicaIncarnation { replica: from, incarnation };
         let known = session.lost.contains(&loss);
         session.forget_promise(from);
@@ -218,10 +204,7 @@
         fencing_token: FencingToken,
         promised: FencingToken,
     ) -> Vec<Output> {
-        let Some(session) = self.sessions.get_mut(&id).filter(|session| session.is_current(fencing_token))
-        else {
-            return vec![];
-        };
+        let Some(session) = self.current_session(id, fencing_token) else { return vec![] };
         session.forget_promise(from);
         if !session.rejected_by.contains(&from) {
             session.rejected_by.push(from);
--- a/crates/data-plane/session-affinity/src/owner/expiry.rs
+++ b/crates/data-plane/session-affinity/src/owner/expiry.rs
@@ -1,10 +1,10 @@
 //! Waits that end by the clock.
 use super::session::{Attempt, AttemptPhase, OwnedSession, PendingRequest};
 use super::SessionOwner;
+use crate::ids::Ms;
 use crate::record::{AttemptId, SessionId};
 use crate::request::{Decision, Output};
 use crate::settings::AffinitySettings;
-use crate::Ms;
 
 impl SessionOwner {
     pub(crate) fn tick(&mut self, settings: &AffinitySettings, now: Ms) -> Vec<Output> {
--- a/crates/data-plane/session-affinity/src/owner/mod.rs
+++ b/crates/data-plane/session-affinity/src/owner/mod.rs
@@ -12,14 +12,14 @@
 #[cfg(any(test, feature = "model-checking"))]
 mod state_reduction;
 
+use crate::ids::{Ms, NodeId, RequestId};
 use crate::lru::LruOrder;
 use crate::messages::Message;
-use crate::record::SessionId;
+use crate::record::{FencingToken, SessionId};
 use crate::request::Output;
 use crate::settings::AffinitySettings;
 use crate::view::{Counters, SessionView};
-use crate::{Ms, NodeId, RequestId};
-use session::OwnedSession;
+use session::{OwnedSession, Promise};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The sessions that a node owns, claims, or has lost while attempts were in flight.
@@ -84,7 +84,7 @@
     ) -> Vec<Output> {
         match message {
             Message::Promise { id, fencing_token, round, incarnation, previous_owner, record } => {
-                let promise = claim::Promise { from, id, fencing_token, round, incarnation, previous_owner };
+                let promise = Promise { from, id, fencing_token, round, incarnation, previous_owner };
                 self.receive_promise(settings, now, &promise, &record)
             }
             Message::StateLost { id, fencing_token, incarnation } => {
@@ -116,6 +116,11 @@
         }
     }
 
+    /// The session, if a message about this token still concerns it.
+    fn current_session(&mut self, id: SessionId, fencing_token: FencingToken) -> Option<&mut OwnedSession> {
+        self.sessions.get_mut(&id).filter(|session| session.is_current(fencing_token))
+    }
+
     fn remove(&mut self, id: SessionId) {
         if let Some(session) = self.sessions.remove(&id) {
             self.lru.remove(id, session.last_use);
--- a/crates/data-plane/session-affinity/src/owner/release.rs
+++ b/crates/data-plane/session-affinity/src/owner/release.rs
@@ -1,9 +1,9 @@
 //! Releasing a session that another node has claimed, or that can't be claimed.
 use super::session::{Attempt, AttemptPhase, OwnedSession, PendingRequest};
 use super::SessionOwner;
+use crate::ids::Ms;
 use crate::record::{EntryState, FencingToken, SessionId};
 use crate::request::{Decision, Output};
-use crate::Ms;
 
 impl SessionOwner {
     /// Another node has the session, unless this one has claimed it again under a higher token.
--- a/crates/data-plane/session-affinity/src/owner/session.rs
+++ b/crates/data-plane/session-affinity/src/owner/session.rs
@@ -1,7 +1,7 @@
 //! The state of one session at its owner.
-use crate::record::{AttemptId, EntryState, FencingToken, IdempotencyEntry, SessionRecord};
+use crate::ids::{Ms, NodeId, RequestId};
+use crate::record::{AttemptId, EntryState, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
 use crate::request::IdempotentRequest;
-use crate::{Ms, NodeId, RequestId};
 
 /// A replica, in the time between two losses of its state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
@@ -10,6 +10,16 @@
     pub(super) incarnation: u64,
 }
 
+/// A replica's promise without its record.
+pub(super) struct Promise {
+    pub(super) from: NodeId,
+    pub(super) id: SessionId,
+    pub(super) fencing_token: FencingToken,
+    pub(super) round: u32,
+    pub(super) incarnation: u64,
+    pub(super) previous_owner: Option<NodeId>,
+}
+
 /// A request that waits for the claim.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
--- a/crates/data-plane/session-affinity/src/peer_sets.rs
+++ b/crates/data-plane/session-affinity/src/peer_sets.rs
@@ -1,6 +1,6 @@
 //! Which nodes are the replicas of a session.
+use crate::ids::NodeId;
 use crate::record::SessionId;
-use crate::NodeId;
 use std::collections::BTreeMap;
 
 /// Lists of nodes with their addresses, by the number of the list. A session keeps the list under which it was
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -1,7 +1,7 @@
 //! The state that is replicated for a session: which endpoints serve it, and its idempotent requests with their
 //! outcomes. Merging two records is commutative, associative and idempotent, so that messages may arrive in any order
 //! and any number of times.
-use crate::{Ms, NodeId};
+use crate::ids::{Ms, NodeId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
--- a/crates/data-plane/session-affinity/src/replica.rs
+++ b/crates/data-plane/session-affinity/src/replica.rs
@@ -1,9 +1,9 @@
 //! A node as a replica of sessions: it promises fencing tokens and keeps records in memory (Paxos' acceptor).
+use crate::ids::{Ms, NodeId};
 use crate::lru::LruOrder;
 use crate::messages::{Message, RESTORED_ROUND};
 use crate::record::{FencingToken, IdempotencyEntry, SessionId, SessionRecord};
 use crate::settings::{AffinitySettings, InjectedBug};
-use crate::{Ms, NodeId};
 use std::collections::BTreeMap;
 
 /// A message and the node that it goes to.
--- a/crates/data-plane/session-affinity/src/request.rs
+++ b/crates/data-plane/session-affinity/src/request.rs
@@ -1,7 +1,7 @@
 //! What the adapter passes in and gets back: idempotent requests, decisions on them, and effects.
+use crate::ids::{Ms, NodeId, RequestId};
 use crate::messages::Message;
 use crate::record::{RecordedResponse, SessionId};
-use crate::{Ms, NodeId, RequestId};
 
 /// A request that must be executed at most once, as its client may repeat it under the same key.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
--- a/crates/data-plane/session-affinity/src/settings.rs
+++ b/crates/data-plane/session-affinity/src/settings.rs
@@ -1,5 +1,5 @@
 //! Settings from the operators' file, with their defaults.
-use crate::Ms;
+use crate::ids::Ms;
 
 /// Times and sizes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
--- /dev/null
+++ b/crates/data-plane/session-affinity/src/tests/cluster.rs
@@ -0,0 +1,120 @@
+//! Four nodes joined by a network that delivers in order and can be partitioned.
+use crate::{
+    AffinityNode, AffinitySettings, Decision, IdempotentRequest, Message, Ms, NodeId, Outcome, Output,
+    RecordedResponse, RequestId, SessionId,
+};
+use std::collections::{BTreeMap, VecDeque};
+
+pub(super) const CREATED_AT: Ms = 1_000_000;
+
+pub(super) struct Cluster {
+    pub(super) settings: AffinitySettings,
+    pub(super) now: Ms,
+    pub(super) nodes: BTreeMap<NodeId, AffinityNode>,
+    /// Nodes that reach only each other.
+    pub(super) partition: Vec<NodeId>,
+    network: VecDeque<(NodeId, NodeId, Message)>,
+    /// Requests that were sent to endpoints, by the node that sent them.
+    pub(super) sent: Vec<(NodeId, RequestId)>,
+    /// What each request got: nothing where it was sent and its outcome is recorded.
+    pub(super) answers: BTreeMap<RequestId, Option<Decision>>,
+}
+
+impl Cluster {
+    pub(super) fn new(settings: AffinitySettings) -> Cluster {
+        let node = |id| (id, AffinityNode::new(id, &settings, u64::from(id), 0));
+        let nodes = (1..=4).map(node).collect();
+        let (partition, network) = (vec![], VecDeque::new());
+        Cluster {
+            nodes,
+            settings,
+            now: CREATED_AT,
+            partition,
+            network,
+            sent: vec![],
+            answers: BTreeMap::new(),
+        }
+    }
+
+    pub(super) fn apply(&mut self, from: NodeId, outputs: Vec<Output>) {
+        for output in outputs {
+            match output {
+                Output::Send { to, msg } => self.network.push_back((from, to, msg)),
+                Output::Run { ticket } => self.sent.push((from, ticket)),
+                Output::Done { ticket } => drop(self.answers.insert(ticket, None)),
+                Output::Answer { ticket, reply } => drop(self.answers.insert(ticket, Some(reply))),
+            }
+        }
+    }
+
+    pub(super) fn with_node(&mut self, id: NodeId, act: impl FnOnce(&mut AffinityNode, Ms) -> Vec<Output>) {
+        let now = self.now;
+        if let Some(node) = self.nodes.get_mut(&id) {
+            let outputs = act(node, now);
+            self.apply(id, outputs);
+        }
+    }
+
+    pub(super) fn deliver_all(&mut self) {
+        while let Some((from, to, msg)) = self.network.pop_front() {
+            if self.partition.contains(&from) == self.partition.contains(&to) {
+                self.with_node(to, |node, now| node.hear(now, from, msg));
+            }
+        }
+    }
+
+    pub(super) fn request(
+        &self,
+        session: u64,
+        ticket: RequestId,
+        key: &str,
+        print: u64,
+    ) -> IdempotentRequest {
+        let (key, until) = (key.into(), self.now + 5_000);
+        IdempotentRequest {
+            ticket,
+            id: SessionId([session, 0]),
+            born: CREATED_AT,
+            seats: vec![1, 2, 3],
+            key,
+            print,
+            until,
+        }
+    }
+
+    pub(super) fn send(&mut self, id: NodeId, ticket: RequestId, key: &str) {
+        let request = self.request(1, ticket, key, 7);
+        self.with_node(id, |node, now| node.ask(now, request));
+        self.deliver_all();
+    }
+
+    pub(super) fn complete(&mut self, id: NodeId, ticket: RequestId, outcome: Outcome) {
+        self.with_node(id, |node, now| node.ran(now, ticket, outcome));
+        self.deliver_all();
+    }
+
+    pub(super) fn advance(&mut self, time: Ms) {
+        self.now += time;
+        for id in 1..=4 {
+            self.with_node(id, |node, now| node.tick(now));
+        }
+        self.deliver_all();
+    }
+
+    pub(super) fn kill(&mut self, id: NodeId) {
+        self.nodes.remove(&id);
+    }
+
+    pub(super) fn restart(&mut self, id: NodeId) {
+        let floor = self.settings.floor(self.now);
+        self.nodes.insert(id, AffinityNode::new(id, &self.settings, self.now, floor));
+    }
+}
+
+pub(super) fn response() -> RecordedResponse {
+    RecordedResponse { status: 201, headers: vec![], body: b"table 4".to_vec() }
+}
+
+pub(super) fn executed() -> Outcome {
+    Outcome::Ran(response())
+}
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -1,6 +1,6 @@
 //! The token that a client carries: which session it is, signed with HMAC-SHA256.
+use crate::ids::Ms;
 use crate::record::SessionId;
-use crate::Ms;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
 use base64::Engine;
 use hmac::{Hmac, KeyInit, Mac};
--- a/crates/data-plane/session-affinity/src/view.rs
+++ b/crates/data-plane/session-affinity/src/view.rs
@@ -1,6 +1,6 @@
 //! What operators are shown: counters, and a session without token, keys and bodies.
+use crate::ids::Ms;
 use crate::record::{EntryState, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
-use crate::Ms;
 use serde::{Deserialize, Serialize};
 
 /// Counts since the node's start.
