--- a/crates/data-plane/session-affinity/src/owner/expiry.rs
+++ b/crates/data-plane/session-affinity/src/owner/expiry.rs
@@ -14,7 +14,7 @@
     }
 
     fn end_waits(&mut self, now: Ms, id: SessionId) -> Vec<Output> {
-        let mut out = self.refuse_unsent(now, id, now);
+        let mut out = self.reject_unsent(now, id, now);
         let Some(session) = self.sessions.get_mut(&id) else { return out };
         let reported: Vec<AttemptId> = session
             .attempts
--- a/crates/data-plane/session-affinity/src/owner/release.rs
+++ b/crates/data-plane/session-affinity/src/owner/release.rs
@@ -40,7 +40,7 @@
             .iter()
             .map(|PendingRequest { request, .. }| self.answer(request.ticket, reason.clone()))
             .collect();
-        out.extend(self.refuse_unsent(now, id, Ms::MAX));
+        out.extend(self.reject_unsent(now, id, Ms::MAX));
         if self.sessions.get(&id).is_some_and(OwnedSession::is_idle) {
             self.remove(id);
         }
@@ -48,7 +48,7 @@
     }
 
     /// Ends attempts whose wait for the replicas ends by `wait_until`: they were never sent, and never will be.
-    pub(super) fn refuse_unsent(&mut self, now: Ms, id: SessionId, wait_until: Ms) -> Vec<Output> {
+    pub(super) fn reject_unsent(&mut self, now: Ms, id: SessionId, wait_until: Ms) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         let unsent =
             |attempt: &Attempt| attempt.phase == AttemptPhase::Recording && attempt.wait_until <= wait_until;
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -35,8 +35,8 @@
             return Err(invalid());
         }
         let (high, low) = text.split_at(SESSION_ID_DIGITS / 2);
-        let word = |digits: &str| u64::from_str_radix(digits, 16).map_err(|_| invalid());
-        Ok(SessionId([word(high)?, word(low)?]))
+        let parse_half = |digits: &str| u64::from_str_radix(digits, 16).map_err(|_| invalid());
+        Ok(SessionId([parse_half(high)?, parse_half(low)?]))
     }
 }
 
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -133,12 +133,12 @@
         let (body, signature) = bytes.split_at(BODY_BYTES);
         let signed_by = |key: &Vec<u8>| Self::mac(key, body).verify_slice(signature).is_ok();
         let key_index = self.0.iter().position(signed_by).ok_or(TokenError::InvalidSignature)?;
-        let word = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
+        let u64_at = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = SessionToken {
-            id: SessionId([word(0), word(8)]),
+            id: SessionId([u64_at(0), u64_at(8)]),
             roster: u16::from_be_bytes([body[16], body[17]]),
-            born: word(18),
-            signed: word(26),
+            born: u64_at(18),
+            signed: u64_at(26),
         };
         if token.born.max(token.signed) > now + skew {
             return Err(TokenError::FromFuture);
