--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -2,8 +2,8 @@
 //! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
 use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
 use coppersail_session_affinity::{
-    Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, SessionId,
-    SessionRecord, SessionView,
+    AttemptId, Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, RequestView,
+    SessionId, SessionRecord, SessionView,
 };
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
@@ -16,6 +16,7 @@
 
 const ID: SessionId = SessionId([1, 0xabc]);
 const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, start: 9 };
+const ATTEMPT: AttemptId = AttemptId { fencing_token: FENCE, number: 3 };
 const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
 const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
 
@@ -24,8 +25,8 @@
     RecordedResponse { status: 201, headers, body: b"taken?".to_vec() }
 }
 
-fn entry(step: EntryState) -> IdempotencyEntry {
-    IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: (FENCE, 3), state: step, at: 71_000 }
+fn entry(state: EntryState) -> IdempotencyEntry {
+    IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: ATTEMPT, state, changed_at: 71_000 }
 }
 
 fn entry_text(step: &str) -> String {
@@ -33,8 +34,12 @@
 }
 
 fn record() -> SessionRecord {
-    let hosts = vec![("ledger".into(), "10.0.0.1:80".into())];
-    SessionRecord { hosts, stamp: (FENCE, 4), entries: vec![entry(EntryState::Past)] }
+    let endpoints = vec![("ledger".into(), "10.0.0.1:80".into())];
+    SessionRecord {
+        endpoints,
+        endpoints_version: AttemptId { fencing_token: FENCE, number: 4 },
+        entries: vec![entry(EntryState::ResponseDropped)],
+    }
 }
 
 fn record_text() -> String {
@@ -43,7 +48,7 @@
 }
 
 #[test]
-fn ids_and_fences_keep_their_bytes() {
+fn ids_and_fencing_tokens_keep_their_bytes() {
     assert_text(ID, "[1,2748]");
     assert_eq!(ID.to_string(), "00000000000000010000000000000abc");
     assert_eq!("00000000000000010000000000000abc".parse(), Ok(ID));
@@ -51,14 +56,14 @@
 }
 
 #[test]
-fn an_entry_keeps_its_bytes_in_each_step() {
+fn an_entry_keeps_its_bytes_in_each_state() {
     let ran = format!(r#"{{"Ran":{ANSWER_TEXT}}}"#);
     let table = [
-        (EntryState::Open { until: 80_000 }, r#"{"Open":{"until":80000}}"#),
+        (EntryState::InFlight { deadline: 80_000 }, r#"{"Open":{"until":80000}}"#),
         (EntryState::Unknown, r#""Unknown""#),
         (EntryState::NotRun, r#""NotRun""#),
-        (EntryState::Past, r#""Past""#),
-        (EntryState::Ran(answer()), &ran),
+        (EntryState::ResponseDropped, r#""Past""#),
+        (EntryState::Completed(answer()), &ran),
     ];
     for (step, text) in table {
         assert_text(step.clone(), text);
@@ -73,49 +78,83 @@
     assert_text(SessionRecord::default(), empty);
 }
 
+/// The names of values in the text are replaced by their texts.
+fn assert_message(message: Message, text: &str) {
+    let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
+    assert_text(message, &text.replace("FENCE", FENCE_TEXT));
+}
+
 #[test]
-fn each_message_between_edges_keeps_its_bytes() {
-    let (id, fence, attempt) = (ID, FENCE, (FENCE, 3));
+fn each_message_to_a_replica_keeps_its_bytes() {
+    let (id, fencing_token) = (ID, FENCE);
     let table = [
         (
-            Message::Claim { id, born: 60_000, fence, round: 6 },
+            Message::Prepare { id, created_at: 60_000, fencing_token, round: 6 },
             r#"{"Claim":{"id":[1,2748],"born":60000,"fence":FENCE,"round":6}}"#,
         ),
         (
-            Message::Promised { id, fence, round: 6, life: 8, former: Some(3), record: record() },
+            Message::Restore { id, created_at: 60_000, fencing_token, incarnation: 8, record: record() },
+            r#"{"Install":{"id":[1,2748],"born":60000,"fence":FENCE,"life":8,"record":RECORD}}"#,
+        ),
+        (
+            Message::Write { id, fencing_token, incarnation: 8, record: record() },
+            r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
+        ),
+        (
+            Message::Completion { id, entry: entry(EntryState::NotRun) },
+            r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#,
+        ),
+    ];
+    table.into_iter().for_each(|(message, text)| assert_message(message, text));
+}
+
+#[test]
+fn each_message_to_an_owner_keeps_its_bytes() {
+    let (id, fencing_token, attempt) = (ID, FENCE, ATTEMPT);
+    let table = [
+        (
+            Message::Promise {
+                id,
+                fencing_token,
+                round: 6,
+                incarnation: 8,
+                previous_owner: Some(3),
+                record: record(),
+            },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":3,"record":RECORD}}"#,
         ),
         (
-            Message::Promised { id, fence, round: 6, life: 8, former: None, record: record() },
+            Message::Promise {
+                id,
+                fencing_token,
+                round: 6,
+                incarnation: 8,
+                previous_owner: None,
+                record: record(),
+            },
             r#"{"Promised":{"id":[1,2748],"fence":FENCE,"round":6,"life":8,"former":null,"record":RECORD}}"#,
         ),
-        (Message::Blank { id, fence, life: 8 }, r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#),
         (
-            Message::Outranked { id, fence, promised: FencingToken { number: 1, node: 2, start: 3 } },
-            r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
+            Message::StateLost { id, fencing_token, incarnation: 8 },
+            r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#,
         ),
-        (Message::Full { id, fence }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
         (
-            Message::Install { id, born: 60_000, fence, life: 8, record: record() },
-            r#"{"Install":{"id":[1,2748],"born":60000,"fence":FENCE,"life":8,"record":RECORD}}"#,
+            Message::Rejected { id, fencing_token, promised: FencingToken { number: 1, node: 2, start: 3 } },
+            r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
         ),
+        (Message::NoCapacity { id, fencing_token }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
         (
-            Message::Write { id, fence, life: 8, record: record() },
-            r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
+            Message::WriteAck { id, fencing_token, attempt },
+            r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#,
         ),
+        (Message::CompletionAck { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
         (
-            Message::Kept { id, fence, attempt },
-            r#"{"Kept":{"id":[1,2748],"fence":FENCE,"attempt":[FENCE,3]}}"#,
+            Message::CompletionNotice { id, entry: entry(EntryState::NotRun) },
+            r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#,
         ),
-        (Message::Told { id, entry: entry(EntryState::NotRun) }, r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Message::Noted { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
-        (Message::News { id, entry: entry(EntryState::NotRun) }, r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#),
-        (Message::LetGo { id, fence }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
+        (Message::Superseded { id, fencing_token }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
     ];
-    for (message, text) in table {
-        let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
-        assert_text(message, &text.replace("FENCE", FENCE_TEXT));
-    }
+    table.into_iter().for_each(|(message, text)| assert_message(message, text));
 }
 
 #[test]
@@ -127,13 +166,13 @@
         waits: 4,
         sent: 5,
         repeats_answered: 6,
-        under_way: 7,
-        other_body: 8,
+        in_flight: 7,
+        fingerprint_mismatches: 8,
         unknown: 9,
         refused: 10,
-        forgotten: 11,
-        healed: 12,
-        dropped: 13,
+        session_lost: 11,
+        replicas_restored: 12,
+        sessions_evicted: 13,
     };
     let text = concat!(
         r#"{"claims":1,"crossings":2,"let_go":3,"waits":4,"sent":5,"repeats_answered":6,"under_way":7,"#,
@@ -143,9 +182,9 @@
     let shown = SessionView {
         id: "ab".into(),
         owner: true,
-        fence: FENCE,
-        hosts: vec![("ledger".into(), "h".into())],
-        confirmations: vec![("c".into(), "under way".into(), 9)],
+        fencing_token: FENCE,
+        endpoints: vec![("ledger".into(), "h".into())],
+        requests: vec![RequestView { key_fingerprint: "c".into(), state: "under way".into(), age_ms: 9 }],
     };
     let text = concat!(
         r#"{"id":"ab","owner":true,"fence":FENCE,"hosts":[["ledger","h"]],"#,
@@ -164,7 +203,7 @@
 }
 
 #[test]
-fn the_print_of_a_request_keeps_its_number() {
+fn the_fingerprint_of_a_request_keeps_its_number() {
     assert_eq!(fingerprint(&[b"POST", b"/book", b"body"]), 13912192665841633907);
 }
 
