--- a/crates/tools/fleet-emulator/src/main.rs
+++ b/crates/tools/fleet-emulator/src/main.rs
@@ -3,7 +3,7 @@
 
 use coppersail_fleet_emulator::{settings, table, walk, Follower, Size, Spent, Tally};
 use coppersail_peer_protocol::{RequestCounts, Update};
-use coppersail_stub_backend::{Life, Plan, Reply, Way};
+use coppersail_stub_backend::{Endpoint, EndpointConfig, HeartbeatResponse, NodeSelector, RedirectTarget};
 use eyre::{bail, eyre, Result};
 use lexopt::prelude::*;
 use line::{Line, Traffic};
@@ -144,8 +144,8 @@
         self.tally.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    fn way(&self, number: usize) -> Way {
-        Way::new(self.of.centres.clone(), number)
+    fn way(&self, number: usize) -> NodeSelector {
+        NodeSelector::new(self.of.centres.clone(), number)
     }
 
     fn area(&self, number: usize) -> String {
@@ -168,9 +168,9 @@
             }
             let call = line.post(&target, &path, body.clone(), &self.traffic);
             let (status, location, body) = tokio::time::timeout(most, call).await??;
-            match (status, location.as_deref().and_then(coppersail_stub_backend::way::location)) {
+            match (status, location.as_deref().and_then(RedirectTarget::parse)) {
                 (200..=299, _) => return Ok(body),
-                (307, Some((to, at))) => (target, path) = (to.to_string(), at.to_string()),
+                (307, Some(to)) => (target, path) = (to.address.to_string(), to.path.to_string()),
                 _ => bail!("answered {status}"),
             }
         }
@@ -181,42 +181,41 @@
         let ident = format!("i-{:04x}{number:04x}", self.run);
         let (beats, leaves) = (format!("/servers/{ident}/pulse"), format!("/servers/{ident}/sign-off"));
         let net = (number >> 8 & 255, number & 255);
-        let mut life = Life::new(Plan {
-            ident,
-            backend: walk::service(number, self.of.size.services),
+        let mut life = Endpoint::new(EndpointConfig {
+            id: ident,
+            service: walk::service(number, self.of.size.services),
             address: format!("127.{}.{}.{}:8080", 128 + (number >> 16 & 63), net.0, net.1),
-            area: self.area(number),
+            zone: self.area(number),
             revision: "v1".into(),
             capacity: 4,
-            split: number % self.of.size.services.max(1) < self.of.size.split,
-            heartbeat: self.of.heartbeat,
-            ..Plan::default()
+            sharded: number % self.of.size.services.max(1) < self.of.size.split,
+            heartbeat_interval: self.of.heartbeat,
+            ..EndpointConfig::default()
         });
         let (mut line, mut way) = (Line::default(), self.way(number));
         // Not all at once: real hosts beat at any time.
         sleep(self.of.heartbeat.mul_f64(fastrand::f64())).await;
         while !self.traffic.over() {
             let began = self.now();
-            let body = serde_json::to_vec(&life.beat(began)).unwrap_or_default();
+            let body = serde_json::to_vec(&life.next_heartbeat(began)).unwrap_or_default();
             let target = way.target().to_string();
             let answer = self.call(&mut line, &target, &beats, body, PATIENCE).await;
-            let reply =
-                answer.and_then(|body| Reply::read(&body).ok_or_else(|| eyre!("no answer to a beat")));
+            let reply = answer.and_then(|body| Ok(HeartbeatResponse::parse(&body)?));
             match reply {
                 Ok(reply) => {
-                    let news = reply.held.is_some();
+                    let news = reply.leases.is_some();
                     self.tally().answered(self.now() - began, news);
-                    way.answered(reply.report_to.as_deref());
-                    life.acknowledged(self.now(), &reply);
+                    way.record_success(reply.report_to.as_deref());
+                    life.acknowledge_heartbeat(self.now(), &reply);
                 }
                 Err(_) => {
                     self.tally().failed += 1;
                     line.close();
-                    way.failed();
+                    way.record_failure();
                 }
             }
-            let pause = way.pause().map_or(Duration::ZERO, |pause| self.now() + pause);
-            sleep(life.due().max(pause).saturating_sub(self.now())).await;
+            let pause = way.backoff().map_or(Duration::ZERO, |pause| self.now() + pause);
+            sleep(life.heartbeat_due_at().max(pause).saturating_sub(self.now())).await;
         }
         // It goes as a host that ends in order, so that the centre is left without it.
         let _ = self.call(&mut line, way.target(), &leaves, Vec::new(), PATIENCE).await;
@@ -241,15 +240,15 @@
                 Ok(news) => {
                     let new = edge.took(&news);
                     self.tally().answered(self.now() - began, new);
-                    way.answered(None);
+                    way.record_success(None);
                 }
                 Err(_) => {
                     self.tally().failed += 1;
                     line.close();
-                    way.failed();
+                    way.record_failure();
                 }
             }
-            sleep(way.pause().unwrap_or_default().max(self.of.pause)).await;
+            sleep(way.backoff().unwrap_or_default().max(self.of.pause)).await;
         }
     }
 }
--- a/crates/tools/simulator/src/host.rs
+++ b/crates/tools/simulator/src/host.rs
@@ -4,7 +4,7 @@
 use crate::machine::Body;
 use crate::world::{local, one_holder, Ask, End, Ev, Origin, Say};
 use crate::{Us, World, BEAT, EMPTY};
-use coppersail_stub_backend::{Beat, Keys, Reply};
+use coppersail_stub_backend::{EndpointState, Heartbeat, HeartbeatResponse, LeasedRanges};
 use std::time::Duration;
 
 /// The service that is divided by key, and the other.
@@ -32,7 +32,7 @@
     pub life: u32,
     pub start: Us,
     pub pace: f64,
-    pub keys: Keys,
+    pub keys: LeasedRanges,
     /// Only the last wake that was ordered counts.
     no: u32,
     beats: u64,
@@ -56,7 +56,7 @@
                 life: 0,
                 start: 0,
                 pace: 1.0,
-                keys: Keys::default(),
+                keys: LeasedRanges::default(),
                 no: 0,
                 beats: 0,
                 seek: Seek::default(),
@@ -91,7 +91,7 @@
             host.life += 1;
             host.ident = format!("i-{n}-{}", host.life);
             (host.up, host.start, host.pace, host.beats) = (true, now, pace, 0);
-            (host.keys, host.seek) = (Keys::default(), Seek { at, ..Seek::default() });
+            (host.keys, host.seek) = (LeasedRanges::default(), Seek { at, ..Seek::default() });
             (host.leaving, host.heard, host.stays) = (None, None, stays);
         }
         let host = &mut self.hosts[n];
@@ -112,18 +112,18 @@
             Act::SignOff { ident }
         } else {
             host.beats += 1;
-            let (held, released) = host.keys.told(local(now, host.start, host.pace));
-            let beat = Beat {
-                backend: if host.split { SPLIT } else { PLAIN }.into(),
+            let report = host.keys.report(local(now, host.start, host.pace));
+            let beat = Heartbeat {
+                service: if host.split { SPLIT } else { PLAIN }.into(),
                 address: format!("10.{}.2.{n}:8080", host.zone + 1),
-                area: format!("zone-{}", host.zone),
+                zone: format!("zone-{}", host.zone),
                 revision: "v1".into(),
                 capacity: 4,
-                stage: if host.leaving.is_some() { "emptying" } else { "ready" }.into(),
-                warm_left: "0ms".into(),
-                call_count: host.beats,
-                held: host.split.then_some(held),
-                released: host.split.then_some(released),
+                state: if host.leaving.is_some() { EndpointState::Draining } else { EndpointState::Ready },
+                slow_start_left: "0ms".into(),
+                sequence: host.beats,
+                leases: host.split.then_some(report.leases),
+                released: host.split.then_some(report.released),
             };
             Act::Pulse { ident, body: serde_json::to_string(&beat).expect("a beat").into() }
         };
@@ -163,8 +163,8 @@
             }
         }
         let Some(sent) = self.hosts[n].sent.take() else { return };
-        let reply = Reply::read(body.as_bytes()).filter(|_| (200..300).contains(&status));
-        let Some(reply) = reply.filter(|_| body.len() <= Reply::MOST) else {
+        let reply = HeartbeatResponse::parse(body.as_bytes()).ok().filter(|_| (200..300).contains(&status));
+        let Some(reply) = reply.filter(|_| body.len() <= HeartbeatResponse::MAX_BYTES) else {
             let pause = self.hosts[n].seek.bad();
             if sent.off {
                 return self.host_ends(n);
@@ -176,7 +176,7 @@
         }
         let host = &mut self.hosts[n];
         host.seek.good(reply.report_to);
-        host.keys.acknowledged();
+        host.keys.acknowledge_report();
         if sent.leaving && host.heard.is_none() {
             host.heard = Some(now);
             let ident = host.ident.clone();
@@ -186,10 +186,11 @@
             }
         }
         let host = &mut self.hosts[n];
-        if let (true, Some(rows)) = (host.split, &reply.held) {
-            let keep = reply.keep_time.as_deref().and_then(coppersail_config::duration).unwrap_or_default();
+        if let (true, Some(rows)) = (host.split, &reply.leases) {
+            let keep =
+                reply.lease_duration.as_deref().and_then(coppersail_config::duration).unwrap_or_default();
             let at = |t: Us| local(t, host.start, host.pace);
-            host.keys.granted(at(now), at(sent.at), keep, rows);
+            host.keys.apply_grants(at(now), at(sent.at), keep, rows);
             self.tally.grants += 1;
             let held = one_holder(&self.hosts, n, now);
             self.check(held);
@@ -202,10 +203,10 @@
                 let over = host.heard.unwrap_or(now) + EMPTY * 1000 + host.stays;
                 over.saturating_sub(now).min(BEAT * 1000)
             }
-            _ if host.keys.unsettled() => 50_000,
+            _ if host.keys.has_pending_releases() => 50_000,
             _ => BEAT * 1000,
         };
-        let next = if host.keys.unsettled() { next.min(50_000) } else { next };
+        let next = if host.keys.has_pending_releases() { next.min(50_000) } else { next };
         self.host_wake(n, next);
     }
 
@@ -219,7 +220,7 @@
         host.works += 1;
         let (id, life) = (host.works, host.life);
         let now: Duration = local(self.now, host.start, host.pace);
-        if host.keys.start(now, id, key) {
+        if host.keys.start_request(now, id, key) {
             self.after(takes, Ev::HostDone { n, life, id });
         }
     }
@@ -228,8 +229,8 @@
         let now = self.now;
         let host = &mut self.hosts[n];
         if host.life == life && host.up {
-            host.keys.finish(local(now, host.start, host.pace), id);
-            if host.keys.unsettled() && host.sent.is_none() {
+            host.keys.finish_request(local(now, host.start, host.pace), id);
+            if host.keys.has_pending_releases() && host.sent.is_none() {
                 self.host_wake(n, 1000);
             }
         }
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -704,10 +704,10 @@
             }
             if let End::Host(n) = origin.end {
                 let host = &self.hosts[n];
-                if let (true, Some(reply)) =
-                    (host.split, coppersail_stub_backend::Reply::read(body.as_bytes()))
+                if let (true, Ok(reply)) =
+                    (host.split, coppersail_stub_backend::HeartbeatResponse::parse(body.as_bytes()))
                 {
-                    let rows = reply.held.unwrap_or_default();
+                    let rows: Vec<_> = reply.leases.into_iter().flatten().map(Into::into).collect();
                     // The caller is who sent the beat only as long as it is the same life.
                     if host.life == origin.life {
                         held = self.fences.granted(crate::host::SPLIT, &host.ident, &rows);
@@ -968,7 +968,8 @@
 
 /// The rows of a host and of any other must be apart.
 pub(crate) fn one_holder(hosts: &[Host], n: usize, now: Us) -> Held {
-    let rows = |h: &Host| h.keys.clone().told(local(now, h.start, h.pace)).0;
+    let held = |h: &Host| h.keys.clone().report(local(now, h.start, h.pace)).leases;
+    let rows = |h: &Host| held(h).into_iter().map(Into::into).collect::<Vec<_>>();
     let mine = rows(&hosts[n]);
     for other in hosts.iter().enumerate().filter(|(o, h)| *o != n && h.up && h.split).map(|(_, h)| h) {
         if let Some(key) = apart(&mine, &rows(other)) {
--- a/crates/tools/stub-backend/src/lib.rs
+++ b/crates/tools/stub-backend/src/lib.rs
@@ -1,9 +1,18 @@
-//! A stand-in host: its life, its keys and its way to the centres, without sockets or clocks of its own.
-//! Times are given in, counted from the host's start.
-pub mod keys;
-pub mod life;
-pub mod way;
+//! A stub backend: one endpoint of a service without the service. It sends heartbeats, runs requests, holds leases of
+//! key ranges and drains before it ends.
+//!
+//! The library is pure: times are passed in, counted from the endpoint's start, and the program brings sockets,
+//! threads and the clock. The simulator and the fleet emulator use the same parts.
+pub mod endpoint;
+pub mod heartbeat;
+mod key_range;
+pub mod leases;
+pub mod node_selector;
+pub mod redirect;
 
-pub use keys::Keys;
-pub use life::{Ask, Beat, Life, Plan, Reply, Verdict};
-pub use way::Way;
+pub use endpoint::{Endpoint, EndpointConfig, QueuedRequest, RequestHead, RequestOutcome};
+pub use heartbeat::{EndpointState, Heartbeat, HeartbeatResponse, LeaseGrant};
+pub use key_range::MAX_KEY;
+pub use leases::LeasedRanges;
+pub use node_selector::NodeSelector;
+pub use redirect::RedirectTarget;
