--- a/crates/tools/fleet-emulator/src/lib.rs
+++ b/crates/tools/fleet-emulator/src/lib.rs
@@ -1,8 +1,15 @@
-//! What hollow members do and what is counted of them, without sockets: for the slopes of docs/CAPACITY.md.
-pub mod spent;
+//! A fleet emulator: many endpoints or edges without traffic, to measure what a control-plane node spends on each
+//! (docs/CAPACITY.md has the figures).
+//!
+//! The library has what needs no sockets: the watch requests of an edge, a generated configuration, and the figures of
+//! a measurement window.
+pub mod call_stats;
+pub mod emulated_edge;
+pub mod generated_config;
+pub mod process_usage;
 pub mod table;
-pub mod walk;
 
-pub use spent::Spent;
-pub use table::Tally;
-pub use walk::{settings, Follower, Size};
+pub use call_stats::CallStats;
+pub use emulated_edge::EmulatedEdge;
+pub use generated_config::{generate_config, service_name, ConfigSize};
+pub use process_usage::{ProcessUsage, UsageError};
