--- a/crates/tools/fleet-emulator/src/measurement.rs
+++ b/crates/tools/fleet-emulator/src/measurement.rs
@@ -57,5 +57,6 @@
 fn read_usage(pid: u32) -> Result<ProcessUsage> {
     let read = |file| std::fs::read_to_string(format!("/proc/{pid}/{file}"));
     let (stat, status) = (read("stat")?, read("status")?);
+    // The message is all that is printed: its text is fixed, so the cause is not chained to it.
     ProcessUsage::parse(&stat, &status).map_err(|_| eyre!("process {pid} can't be read"))
 }
