--- a/crates/data-plane/edge-proxy/src/conns.rs
+++ b/crates/data-plane/edge-proxy/src/conns.rs
@@ -2,8 +2,8 @@
 use crate::edge::Edge;
 use crate::reply::Sent;
 use crate::steer::{Lookout, Way};
-use coppersail_load_balancing::backoff;
-use coppersail_load_balancing::health::FailureSign;
+use coppersail_load_balancing::health::FailureKind;
+use coppersail_load_balancing::timeouts;
 use coppersail_retry::SendFailure;
 use hyper::client::conn::http1::{self, SendRequest};
 use hyper::header::HeaderValue;
@@ -202,7 +202,8 @@
     pub fn sweep(&mut self, now: Instant) {
         for pool in self.hosts.values_mut() {
             pool.idle.retain(|idle| {
-                !idle.sender.is_closed() && now.duration_since(idle.since) < backoff::kept(idle.keep, true)
+                !idle.sender.is_closed()
+                    && now.duration_since(idle.since) < timeouts::idle_timeout(idle.keep, true)
             });
         }
         self.hosts.retain(|_, pool| pool.open > 0 || !pool.idle.is_empty());
@@ -215,8 +216,8 @@
         for at in (0..idle.len()).rev() {
             let one = &idle[at];
             let since = if need.repeatable { one.since } else { one.at_least };
-            let until = since + backoff::kept(one.keep, need.repeatable);
-            let over = now >= one.since + backoff::kept(one.keep, true) || one.sender.is_closed();
+            let until = since + timeouts::idle_timeout(one.keep, need.repeatable);
+            let over = now >= one.since + timeouts::idle_timeout(one.keep, true) || one.sender.is_closed();
             // It may still do for another request.
             if !over && (now >= until || need.before.contains(&one.number)) {
                 continue;
@@ -299,7 +300,7 @@
         let _ = socket.set_tcp_nodelay(true);
         let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED));
         let taken = Instant::now();
-        let line = Line::new(stream, taken + backoff::kept(keep, need.repeatable));
+        let line = Line::new(stream, taken + timeouts::idle_timeout(keep, need.repeatable));
         let wire = Wire(line.clone());
         let handshake = http1::Builder::new().max_buf_size(HELD).handshake(wire).await;
         let Ok((sender, connection)) = handshake else { return Err(SendFailure::Unreachable) };
@@ -364,8 +365,8 @@
 impl Working {
     pub fn new(edge: &Rc<Edge>, ident: &Rc<str>) -> Working {
         if let Some(host) = edge.book.borrow_mut().endpoint_mut(ident) {
-            host.load.own += 1;
-            host.health.begin();
+            host.load.in_flight += 1;
+            host.health.begin_request();
         }
         Working { edge: edge.clone(), ident: ident.clone(), judged: false }
     }
@@ -377,7 +378,7 @@
         }
     }
 
-    pub fn bad(&mut self, sign: FailureSign) {
+    pub fn bad(&mut self, sign: FailureKind) {
         self.judged = true;
         if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(&self.ident) {
             host.health.record_failure(sign, self.edge.now());
@@ -388,9 +389,9 @@
 impl Drop for Working {
     fn drop(&mut self) {
         if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(&self.ident) {
-            host.load.own = host.load.own.saturating_sub(1);
+            host.load.in_flight = host.load.in_flight.saturating_sub(1);
             if !self.judged {
-                host.health.untried();
+                host.health.cancel_request();
             }
         }
     }
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -159,7 +159,7 @@
         }
         let changed = self.book.borrow_mut().merge(&news, now);
         self.heard_at.set(self.heard_at.get().or(Some(now)));
-        for ident in &changed.left {
+        for ident in &changed.unusable {
             self.pools.borrow_mut().drop_idle(ident);
         }
         if self.steer.on() || !news.rollouts.is_empty() {
@@ -171,10 +171,10 @@
     /// Once a second: what only time changes.
     pub fn tick(&self) {
         self.report();
-        let mut changed = coppersail_load_balancing::registry::RegistryChanges::default();
+        let mut changed = coppersail_load_balancing::RegistryChanges::default();
         self.book.borrow_mut().remove_expired(self.now(), &mut changed);
         let mut pools = self.pools.borrow_mut();
-        changed.left.iter().for_each(|ident| pools.drop_idle(ident));
+        changed.unusable.iter().for_each(|ident| pools.drop_idle(ident));
         pools.sweep(Instant::now());
     }
 
@@ -192,7 +192,7 @@
                 let open = |(service, share): &(String, f64)| service == name && *share > 0.0;
                 told.config.routes.iter().any(|route| route.shares.iter().any(open))
             };
-            if self.book.borrow().able(services.filter(routed), heard_for) {
+            if self.book.borrow().is_ready(services.filter(routed), heard_for) {
                 info!(self.log, "edge: ready");
                 self.ready.set(true);
             }
@@ -201,17 +201,20 @@
         self.ready.get()
     }
 
-    /// For how long a host that leaves gets requests for keys that only it holds: well within the time that it
-    /// serves on, with the rest of it for the way.
+    /// For how long (ms) a draining endpoint gets requests for keys that only it owns.
     pub fn stays(&self) -> Ms {
-        self.boot.borrow().limits.empty.as_millis() as Ms * 2 / 5
+        coppersail_load_balancing::endpoint::drain_grace(self.boot.borrow().limits.empty)
     }
 
     pub fn budget_terms(&self) -> budget::BudgetSettings {
         let boot = self.boot.borrow();
         let limits = &boot.limits;
         let window = limits.retry_window.as_millis() as Ms;
-        budget::BudgetSettings { ratio: limits.retry_ratio, window, extra: limits.extra_tries }
+        budget::BudgetSettings {
+            ratio: limits.retry_ratio,
+            window_ms: window,
+            extra_retries: limits.extra_tries,
+        }
     }
 
     pub fn with_budget<T>(&self, service: &str, use_it: impl FnOnce(&mut RetryBudget) -> T) -> T {
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -13,7 +13,7 @@
 pub mod steer;
 
 use coppersail_config::ProcessSettings;
-use coppersail_load_balancing::backoff;
+use coppersail_load_balancing::timeouts::ShutdownTimes;
 use coppersail_peer_protocol::Update;
 use edge::{Edge, Stay};
 use eyre::WrapErr;
@@ -105,14 +105,14 @@
 /// Leaves in order: says so, takes connections for as long as some may come, and lets what is under way end.
 pub async fn leave(edge: &Rc<Edge>) {
     let leeway = edge.boot.borrow().limits.leeway;
-    let (taken, end) = backoff::leave(leeway);
+    let ShutdownTimes { accept_until, exit_at } = ShutdownTimes::within(leeway);
     let begun = Instant::now();
     info!(edge.log, "edge: leaving, {} connections open", edge.open.get());
     edge.stay.send_replace(Stay::Leaving);
-    sleep_until(begun + taken).await;
+    sleep_until(begun + accept_until).await;
     edge.stay.send_replace(Stay::Closing);
     // A look now and then is cheaper than to count in every connection's end.
-    while edge.open.get() > 0 && begun.elapsed() < end {
+    while edge.open.get() > 0 && begun.elapsed() < exit_at {
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     info!(edge.log, "edge: left, {} connections cut", edge.open.get());
--- a/crates/data-plane/edge-proxy/src/pass.rs
+++ b/crates/data-plane/edge-proxy/src/pass.rs
@@ -7,9 +7,9 @@
 use crate::steer::{self, Way};
 use bytes::{Bytes, BytesMut};
 use coppersail_config::Route;
-use coppersail_load_balancing::health::FailureSign;
-use coppersail_load_balancing::selection::{self, Selection, SelectionRequest};
-use coppersail_load_balancing::{backoff, Ms};
+use coppersail_load_balancing::health::FailureKind;
+use coppersail_load_balancing::selection::{select_endpoint, Selection, SelectionRequest, VersionFilter};
+use coppersail_load_balancing::{backoff, timeouts, traffic_split, Ms};
 use coppersail_retry::{
     AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, RejectReason, SendFailure,
 };
@@ -151,7 +151,7 @@
     }
     let route = host.to_str().ok().and_then(|host| told.routes.lookup(host, uri.path()));
     let route = route.ok_or(Unfit::NoRoute)?;
-    let mut name = selection::service(&route.shares, id.as_bytes()).ok_or(Unfit::NoRoute)?;
+    let mut name = traffic_split::select_service(&route.shares, id.as_bytes()).ok_or(Unfit::NoRoute)?;
     let way = if edge.steer.on() { way(edge, told, route, &headers, from, &mut name, now) } else { None };
     let service = told.config.service(name);
     let divided = service.is_some_and(|service| service.split_up);
@@ -165,8 +165,8 @@
     strip(&mut headers);
     headers.remove(EXPECT);
     let most = service.map_or(0, |service| service.max_connections);
-    let part = backoff::part(most, edge.book.borrow().edges);
-    let until = now + selection::deadline(left, route.give_up);
+    let part = timeouts::connection_limit(most, edge.book.borrow().edge_count);
+    let until = now + timeouts::request_timeout(left, route.give_up);
     // In absolute form the authority is the client's business with this edge.
     let uri = match uri.path_and_query() {
         Some(path) if uri.authority().is_some() => Uri::from(path.clone()),
@@ -285,7 +285,7 @@
 
 pub(crate) async fn forward(edge: &Rc<Edge>, taken: Taken<'_>, mut held: Held) -> Passed {
     let now = edge.now();
-    edge.with_budget(taken.service, |budget| budget.request(&edge.budget_terms(), now));
+    edge.with_budget(taken.service, |budget| budget.record_request(&edge.budget_terms(), now));
     if let Some(slice) = taken.key.and_then(|key| edge.book.borrow().slice(taken.service, key)) {
         edge.tallies.count(taken.service, slice);
     }
@@ -298,7 +298,7 @@
     let mut way = taken.way.clone();
     // Connections that have carried it.
     let mut carried: Vec<u64> = Vec::new();
-    let wait_until = now + backoff::for_holder(taken.route.target_time, taken.left(now));
+    let wait_until = now + timeouts::owner_wait(taken.route.target_time, taken.left(now));
     loop {
         let now = edge.now();
         let left = taken.left(now);
@@ -308,15 +308,20 @@
         let ask = SelectionRequest {
             service: taken.service,
             key: taken.key,
-            repeatable: taken.route.repeatable,
+            idempotent: taken.route.repeatable,
             rank: taken.route.rank,
             left,
-            stays: edge.stays(),
-            revision: way.as_ref().and_then(Way::hosts),
+            drain_grace: edge.stays(),
+            version: way.as_ref().and_then(Way::hosts).map(|(name, is)| {
+                if is {
+                    VersionFilter::Only(name)
+                } else {
+                    VersionFilter::Except(name)
+                }
+            }),
             tried: &tried,
         };
-        let choice =
-            selection::select_endpoint(&edge.book.borrow(), &ask, now, &mut edge.chance.borrow_mut());
+        let choice = select_endpoint(&edge.book.borrow(), &ask, now, &mut edge.chance.borrow_mut());
         let ident = match choice {
             Selection::Endpoint(ident) => match &taken.stay {
                 Some(stay) => stay.steer(edge, &taken, ident, &tried),
@@ -342,8 +347,8 @@
             Selection::NoEndpoint | Selection::Overloaded => break,
         };
         if tally.delivered > 0 {
-            let (terms, edges) = (edge.budget_terms(), edge.book.borrow().edges);
-            if !edge.with_budget(taken.service, |budget| budget.spend(&terms, edges, now)) {
+            let (terms, edges) = (edge.budget_terms(), edge.book.borrow().edge_count);
+            if !edge.with_budget(taken.service, |budget| budget.try_spend(&terms, edges, now)) {
                 break;
             }
         }
@@ -429,13 +434,13 @@
     let Some(address) = edge.book.borrow().endpoint(ident).map(|host| host.address) else {
         return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body));
     };
-    let most = backoff::for_connect(taken.route.target_time, taken.left(edge.now()));
+    let most = timeouts::connect_timeout(taken.route.target_time, taken.left(edge.now()));
     let need = Need { repeatable: taken.route.repeatable, part: taken.part, most, before: carried };
     let mut lease = match Lease::take(edge, ident, address, need).await {
         Ok(lease) => lease,
         Err(unsent) => {
             if unsent == SendFailure::Unreachable {
-                working.bad(FailureSign::Unreachable);
+                working.bad(FailureKind::Unreachable);
             }
             return (AttemptOutcome::NotSent(unsent), Some(body));
         }
@@ -443,8 +448,8 @@
     // News may have come while the connection did.
     let sent_at = edge.now();
     let busy = match edge.book.borrow().endpoint(ident) {
-        Some(host) if host.serves(sent_at, taken.key, edge.stays()) && host.address == address => {
-            host.load.busy(sent_at, 0.0)
+        Some(host) if host.still_accepts(sent_at, taken.key, edge.stays()) && host.address == address => {
+            host.load.concurrency(sent_at, 0.0)
         }
         _ => return (AttemptOutcome::NotSent(SendFailure::EndpointDraining), Some(body)),
     };
@@ -468,7 +473,7 @@
             // Kept connections end for many reasons; a new one ends for the host's.
             // Nor is a host to blame for what the client sent.
             if !lease.reused && !wrong.error().is_user() {
-                working.bad(FailureSign::Broken);
+                working.bad(FailureKind::Broken);
             }
             if body.is_some() || !lease.begun() {
                 let unsent =
@@ -487,7 +492,7 @@
         }
         Err(_) if !lease.begun() => return (AttemptOutcome::NotSent(SendFailure::DeadlineExceeded), None),
         Err(_) => {
-            working.bad(FailureSign::Silent);
+            working.bad(FailureKind::Timeout);
             return (AttemptOutcome::Indeterminate(IndeterminateCause::Timeout), None);
         }
     };
@@ -498,9 +503,9 @@
         Ok(verdict) => (verdict, None),
         Err(broke) => {
             working.bad(if broke == IndeterminateCause::Timeout {
-                FailureSign::Silent
+                FailureKind::Timeout
             } else {
-                FailureSign::Broken
+                FailureKind::Broken
             });
             (AttemptOutcome::Indeterminate(broke), None)
         }
@@ -543,7 +548,7 @@
                 *told_back = seconds(headers.get(RETRY_AFTER)).or(*told_back);
                 let now = self.edge.now();
                 if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(self.ident) {
-                    host.load.full(now);
+                    host.load.record_rejection(now);
                 }
             }
             working.good();
@@ -622,7 +627,7 @@
         {
             let now = self.edge.now();
             if let Some(host) = self.edge.book.borrow_mut().endpoint_mut(self.ident) {
-                host.load.told(running, waiting, slots, now);
+                host.load.record_report(running, waiting, slots, now);
             }
         }
     }
@@ -630,12 +635,12 @@
     fn note_time(&self) {
         let took = self.edge.now().saturating_sub(self.sent_at);
         let mut book = self.edge.book.borrow_mut();
-        let usual = book.service(self.taken.service).map_or(0.0, |part| part.usual);
+        let usual = book.service(self.taken.service).map_or(0.0, |part| part.mean_latency);
         let Some(host) = book.endpoint_mut(self.ident) else { return };
-        host.load.took(took, self.busy, usual);
-        let mean = host.load.mean();
+        host.load.record_latency(took, self.busy, usual);
+        let mean = host.load.mean_latency();
         if let Some(part) = book.service_mut(self.taken.service) {
-            part.note(mean);
+            part.record_latency(mean);
         }
     }
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -278,7 +278,7 @@
         host.read(1).await;
         drop(client);
         host.ended(1).await;
-        assert_eq!(rig.edge.book.borrow().endpoint("i-1").unwrap().load.own, 0);
+        assert_eq!(rig.edge.book.borrow().endpoint("i-1").unwrap().load.in_flight, 0);
     });
 }
 
--- a/crates/data-plane/load-balancing/src/budget.rs
+++ b/crates/data-plane/load-balancing/src/budget.rs
@@ -1,78 +1,96 @@
-//! The budget of further tries, one for each service.
+//! The retry budget of a service, as in Finagle and linkerd: retries are limited to a ratio of the requests in a window,
+//! so that they cannot multiply the load of a service that fails.
 //!
-//! Each edge keeps to its own part: what the requests that it has seen allow in the same window, and an even part of
-//! the fixed extra, as a bucket that is empty at first, so that an edge that restarts cannot spend its part twice.
+//! The budget is that of all edges together. Each keeps to its share: the ratio of the requests that it has seen itself,
+//! and an even part of the fixed extra. The extra is a token bucket that is empty at first, so that an edge that
+//! restarts cannot spend its part twice.
 use crate::Ms;
 use std::collections::VecDeque;
 
-/// Of the ratio; requests that come late in a window may be counted by others in the next.
-const USED_PART: f64 = 0.8;
-/// Spans that a window is counted in.
-const SPANS: u64 = 20;
+/// Part of the ratio that is used; requests that arrive late in a window may be counted by others in the next.
+const USED_PART_OF_RATIO: f64 = 0.8;
+/// A window is counted in so many buckets.
+const BUCKETS_PER_WINDOW: u64 = 20;
 
+/// Settings of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetSettings {
+    /// Retries per request.
     pub ratio: f64,
-    pub window: Ms,
-    pub extra: u32,
+    /// Length of the window in ms.
+    pub window_ms: Ms,
+    /// Retries in a window beyond the ratio, of all edges together.
+    pub extra_retries: u32,
 }
 
+/// Counts of one part of the window.
 #[derive(Debug, Clone, Copy, Default)]
-struct Span {
-    at: u64,
+struct Bucket {
+    index: u64,
     requests: u32,
-    tries: u32,
+    retries: u32,
 }
 
 /// ```
-/// use coppersail_load_balancing::budget::{Budget, Terms};
-/// let mut budget = Budget::default();
-/// let terms = Terms { ratio: 0.2, window: 10_000, extra: 0 };
-/// assert!(!budget.spend(&terms, 8, 0), "nothing has been asked for yet");
-/// (0..10).for_each(|_| budget.request(&terms, 0));
-/// assert!(budget.spend(&terms, 8, 1) && !budget.spend(&terms, 8, 2));
+/// use coppersail_load_balancing::budget::{BudgetSettings, RetryBudget};
+///
+/// let mut budget = RetryBudget::default();
+/// let settings = BudgetSettings { ratio: 0.2, window_ms: 10_000, extra_retries: 0 };
+/// assert!(!budget.try_spend(&settings, 8, 0), "there was no request yet");
+/// (0..10).for_each(|_| budget.record_request(&settings, 0));
+/// assert!(budget.try_spend(&settings, 8, 1) && !budget.try_spend(&settings, 8, 2));
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct RetryBudget {
-    spans: VecDeque<Span>,
-    tokens: f64,
-    filled: Option<Ms>,
+    buckets: VecDeque<Bucket>,
+    extra_tokens: f64,
+    extra_refilled_at: Option<Ms>,
 }
 
 impl RetryBudget {
-    fn span(&mut self, terms: &BudgetSettings, now: Ms) -> &mut Span {
-        let at = now / (terms.window / SPANS).max(1);
-        // The span that is only partly inside stays: tries in it still count.
-        while self.spans.front().is_some_and(|span| span.at + SPANS < at) {
-            self.spans.pop_front();
+    fn current_bucket(&mut self, settings: &BudgetSettings, now: Ms) -> &mut Bucket {
+        let index = now / (settings.window_ms / BUCKETS_PER_WINDOW).max(1);
+        // The bucket that is only partly inside the window stays: retries in it still count.
+        while self.buckets.front().is_some_and(|bucket| bucket.index + BUCKETS_PER_WINDOW < index) {
+            self.buckets.pop_front();
         }
-        if self.spans.back().is_none_or(|span| span.at < at) {
-            self.spans.push_back(Span { at, ..Span::default() });
+        if self.buckets.back().is_none_or(|bucket| bucket.index < index) {
+            self.buckets.push_back(Bucket { index, ..Bucket::default() });
         }
-        self.spans.back_mut().expect("just pushed")
+        self.buckets.back_mut().expect("just pushed")
     }
 
-    pub fn request(&mut self, terms: &BudgetSettings, now: Ms) {
-        self.span(terms, now).requests += 1;
+    /// Counts a request; its retries are not counted here.
+    pub fn record_request(&mut self, settings: &BudgetSettings, now: Ms) {
+        self.current_bucket(settings, now).requests += 1;
     }
 
-    /// Takes one further try, if there is one. `edges` is the most that were ever seen; 0 is unknown.
-    pub fn spend(&mut self, terms: &BudgetSettings, edges: u32, now: Ms) -> bool {
-        let at = self.span(terms, now).at;
-        let requests: u32 =
-            self.spans.iter().filter(|span| span.at + SPANS > at).map(|span| span.requests).sum();
-        let tries: u32 = self.spans.iter().map(|span| span.tries).sum();
-        if f64::from(tries + 1) <= USED_PART * terms.ratio * f64::from(requests) {
-            self.span(terms, now).tries += 1;
-            return true;
+    /// Takes one retry, if there is one. `edge_count` is the most edges that were ever known; 0 if unknown.
+    pub fn try_spend(&mut self, settings: &BudgetSettings, edge_count: u32, now: Ms) -> bool {
+        self.try_spend_ratio(settings, now) || self.try_spend_extra(settings, edge_count, now)
+    }
+
+    fn try_spend_ratio(&mut self, settings: &BudgetSettings, now: Ms) -> bool {
+        let index = self.current_bucket(settings, now).index;
+        let in_window = |bucket: &&Bucket| bucket.index + BUCKETS_PER_WINDOW > index;
+        let requests: u32 = self.buckets.iter().filter(in_window).map(|bucket| bucket.requests).sum();
+        let retries: u32 = self.buckets.iter().map(|bucket| bucket.retries).sum();
+        let allowed = f64::from(retries + 1) <= USED_PART_OF_RATIO * settings.ratio * f64::from(requests);
+        if allowed {
+            self.current_bucket(settings, now).retries += 1;
         }
-        let part = if edges == 0 { 0.0 } else { f64::from(terms.extra) / f64::from(edges) };
-        // Half at once and half spread over the window: never more than the part in any window.
-        let since = now - self.filled.replace(now).unwrap_or(now);
-        let grown = part / 2.0 * since as f64 / terms.window.max(1) as f64;
-        self.tokens = (self.tokens + grown).min(part / 2.0);
-        let spent = self.tokens >= 1.0;
-        self.tokens -= if spent { 1.0 } else { 0.0 };
+        allowed
+    }
+
+    /// Half of this edge's part at once and half spread over the window: never more than the part in any window.
+    fn try_spend_extra(&mut self, settings: &BudgetSettings, edge_count: u32, now: Ms) -> bool {
+        let part =
+            if edge_count == 0 { 0.0 } else { f64::from(settings.extra_retries) / f64::from(edge_count) };
+        let elapsed = now - self.extra_refilled_at.replace(now).unwrap_or(now);
+        let refill = part / 2.0 * elapsed as f64 / settings.window_ms.max(1) as f64;
+        self.extra_tokens = (self.extra_tokens + refill).min(part / 2.0);
+        let spent = self.extra_tokens >= 1.0;
+        self.extra_tokens -= if spent { 1.0 } else { 0.0 };
         spent
     }
 }
--- a/crates/data-plane/load-balancing/src/budget/tests.rs
+++ b/crates/data-plane/load-balancing/src/budget/tests.rs
@@ -1,38 +1,38 @@
-//! Tests of the module `budget`.
+//! Limits of the retry budget.
 use super::*;
 
-/// Against a plain count of every try and request, in every window that ends with a try.
+/// Against a plain count of every retry and request, in every window that ends with a retry.
 #[test]
-fn no_window_holds_more_than_its_part() {
-    let terms = BudgetSettings { ratio: 0.2, window: 10_000, extra: 56 };
+fn no_window_holds_more_retries_than_the_share_of_an_edge() {
+    let settings = BudgetSettings { ratio: 0.2, window_ms: 10_000, extra_retries: 56 };
     for seed in 0..40 {
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut random = fastrand::Rng::with_seed(seed);
         let (mut budget, mut now) = (RetryBudget::default(), 0);
-        let (mut requests, mut tries): (Vec<Ms>, Vec<Ms>) = (vec![], vec![]);
+        let (mut requests, mut retries): (Vec<Ms>, Vec<Ms>) = (vec![], vec![]);
         for step in 0..4_000 {
-            let crowd = if step / 500 % 2 == 0 { 2 } else { 300 };
-            now += chance.u64(0..crowd);
+            let max_gap = if step / 500 % 2 == 0 { 2 } else { 300 };
+            now += random.u64(0..max_gap);
             requests.push(now);
-            budget.request(&terms, now);
-            // Everything fails at times: each request asks for as many further tries as it may.
-            while chance.u32(0..3) > 0 && budget.spend(&terms, 8, now) {
-                tries.push(now);
+            budget.record_request(&settings, now);
+            // Everything fails at times: each request takes as many retries as it may.
+            while random.u32(0..3) > 0 && budget.try_spend(&settings, 8, now) {
+                retries.push(now);
             }
         }
-        for (end, &last) in tries.iter().enumerate() {
-            let inside = |at: &&Ms| **at + terms.window > last && **at <= last;
-            let spent = tries[..=end].iter().filter(inside).count() as f64;
-            let asked = requests.iter().filter(inside).count() as f64;
-            assert!(spent <= 0.8 * terms.ratio * asked + 56.0 / 8.0, "seed {seed}: {spent} of {asked}");
+        for (end, &last) in retries.iter().enumerate() {
+            let inside = |at: &&Ms| **at + settings.window_ms > last && **at <= last;
+            let spent = retries[..=end].iter().filter(inside).count() as f64;
+            let seen = requests.iter().filter(inside).count() as f64;
+            assert!(spent <= 0.8 * settings.ratio * seen + 56.0 / 8.0, "seed {seed}: {spent} of {seen}");
         }
     }
 }
 
 #[test]
-fn a_new_edge_has_nothing_extra_and_unknown_edges_none() {
-    let terms = BudgetSettings { ratio: 0.0, window: 10_000, extra: 56 };
+fn a_restarted_edge_gets_no_extra_retry_at_once_and_none_while_the_edge_count_is_unknown() {
+    let settings = BudgetSettings { ratio: 0.0, window_ms: 10_000, extra_retries: 56 };
     let mut budget = RetryBudget::default();
-    assert!(!budget.spend(&terms, 8, 0));
-    assert!(budget.spend(&terms, 8, 3_000));
-    assert!(!RetryBudget::default().spend(&terms, 0, 0));
+    assert!(!budget.try_spend(&settings, 8, 0));
+    assert!(budget.try_spend(&settings, 8, 3_000));
+    assert!(!RetryBudget::default().try_spend(&settings, 0, 0));
 }
--- /dev/null
+++ b/crates/data-plane/load-balancing/src/merge/tests.rs
@@ -0,0 +1,82 @@
+//! Updates that arrive in any order.
+use super::*;
+
+fn endpoint(id: &str, address: &str, heartbeat_sequence: u64) -> EndpointUpdate {
+    EndpointUpdate {
+        id: id.into(),
+        service: "b".into(),
+        address: address.into(),
+        heartbeat_sequence,
+        capacity: 2,
+        ..EndpointUpdate::default()
+    }
+}
+
+fn registry(endpoints: Vec<EndpointUpdate>) -> EndpointRegistry {
+    let mut registry = EndpointRegistry::new("north");
+    registry.merge(&Update { endpoints, ..Update::default() }, 0);
+    registry
+}
+
+#[test]
+fn an_endpoint_that_a_node_in_warm_up_does_not_list_is_kept_for_a_while() {
+    let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1), endpoint("i-2", "10.0.0.2:80", 1)]);
+    let endpoints = vec![endpoint("i-1", "10.0.0.1:80", 2)];
+    registry.merge(
+        &Update { is_snapshot: true, uptime_ms: 1_000, endpoints: endpoints.clone(), ..Update::default() },
+        100,
+    );
+    assert!(registry.endpoint("i-2").is_some());
+    let changes = registry.merge(&Update::default(), 4_100);
+    assert_eq!(changes.unusable, ["i-2".into()]);
+    registry.merge(&Update { is_snapshot: true, uptime_ms: 60_000, ..Update::default() }, 4_200);
+    assert!(registry.endpoint("i-1").is_some(), "a node that lists no endpoint is not trusted about them");
+}
+
+#[test]
+fn a_removed_endpoint_does_not_come_back_and_a_suspect_one_loses_a_reused_address() {
+    let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1)]);
+    let suspect = EndpointUpdate { suspect: true, ..endpoint("i-1", "10.0.0.1:80", 1) };
+    registry.merge(&Update { endpoints: vec![suspect], ..Update::default() }, 4);
+    registry.merge(&Update { endpoints: vec![endpoint("i-2", "10.0.0.1:80", 1)], ..Update::default() }, 5);
+    assert!(
+        !registry.endpoint("i-1").unwrap().usable(1_000_000) && registry.endpoint("i-2").unwrap().usable(5)
+    );
+    let removed = EndpointUpdate { state: EndpointState::Removed, ..endpoint("i-1", "10.0.0.1:80", 2) };
+    registry.merge(&Update { endpoints: vec![removed], ..Update::default() }, 10);
+    registry.merge(&Update { endpoints: vec![endpoint("i-1", "10.0.0.1:80", 9)], ..Update::default() }, 11);
+    assert!(registry.endpoint("i-1").is_none());
+}
+
+#[test]
+fn a_lower_fencing_token_changes_no_owner_and_a_suspected_owner_is_trusted_again() {
+    let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1), endpoint("i-2", "10.0.0.2:80", 1)]);
+    let update = |rows| Update {
+        assignments: vec![AssignmentUpdate { service: "b".into(), slice_count: 4, rows }],
+        ..Update::default()
+    };
+    assert!(registry.merge(&update(vec![(3, 3, "i-1".into(), 7)]), 0).owners);
+    assert!(!registry.merge(&update(vec![(3, 3, "i-2".into(), 6)]), 0).owners);
+    assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-1"));
+    registry.suspect_owner("b", 65_535, "i-1", 0);
+    assert!(registry.owner("b", 65_535, 10).is_none() && registry.owner("b", 65_535, 400).is_some());
+    assert!(
+        registry.merge(&update(vec![(3, 3, "".into(), 8)]), 0).owners
+            && registry.owner("b", 65_535, 400).is_none()
+    );
+}
+
+#[test]
+fn a_late_update_with_another_slice_count_changes_no_owner() {
+    let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1), endpoint("i-2", "10.0.0.2:80", 1)]);
+    let update = |slice_count, rows| Update {
+        assignments: vec![AssignmentUpdate { service: "b".into(), slice_count, rows }],
+        ..Update::default()
+    };
+    registry.merge(&update(8, vec![(0, 7, "i-1".into(), 9)]), 0);
+    assert!(!registry.merge(&update(4, vec![(0, 3, "i-2".into(), 8)]), 0).owners);
+    assert!(!registry.merge(&update(4, vec![]), 0).owners);
+    assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-1"));
+    assert!(registry.merge(&update(16, vec![(0, 15, "i-2".into(), 10)]), 0).owners);
+    assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-2"));
+}
--- a/crates/data-plane/load-balancing/src/selection.rs
+++ b/crates/data-plane/load-balancing/src/selection.rs
@@ -1,146 +1,210 @@
-//! The host that a request goes to.
-use crate::load::UNMEASURED;
-use crate::registry::{Endpoint, EndpointRegistry};
-use crate::{backoff, Ms};
-use rustc_hash::FxHasher;
-use std::hash::Hasher;
+//! Endpoint selection: the owner of the request's key, or the endpoint with the least expected latency.
+use crate::endpoint::Endpoint;
+use crate::load::UNMEASURED_LATENCY;
+use crate::registry::EndpointRegistry;
+use crate::service::ServiceEndpoints;
+use crate::Ms;
 use std::rc::Rc;
-use std::time::Duration;
 
-/// Bytes between zones are priced, but far below a late answer.
-const FAR: f32 = 1.15;
-/// A host that has just started is slow by about this.
-const COLD: f32 = 3.0;
-/// A silent host is the last resort.
-const SILENT: f32 = 20.0;
-/// Estimates of hosts within this of each other are equal; chance decides, so that edges do not run together.
-const ALIKE: f32 = 0.1;
-/// A request of the first rank is refused when its answer is expected this much past its deadline (what is known of
-/// the others' requests is old); each rank below stands aside sooner.
-const PATIENCE: f32 = 1.3;
-const PATIENCE_PER_RANK: f32 = 0.15;
+/// Factor on the expected latency of an endpoint in another zone: traffic between zones has its price, but one far below
+/// that of a late response.
+const OTHER_ZONE_PENALTY: f32 = 1.15;
+/// Factor for an endpoint that has just started, which is slow by about this.
+const SLOW_START_PENALTY: f32 = 3.0;
+/// Factor for a suspect endpoint: it is the last resort.
+const SUSPECT_PENALTY: f32 = 20.0;
+/// Expected latencies within this part of each other count as equal; chance decides, so that edges do not herd.
+const RANDOM_SPREAD: f32 = 0.1;
+/// A request of rank 0 is refused when its response is expected this much past its deadline, since what is known of
+/// other edges' requests is old; each further rank is refused sooner.
+const OVERLOAD_FACTOR: f32 = 1.3;
+const OVERLOAD_FACTOR_PER_RANK: f32 = 0.15;
+/// An endpoint has a queue if its expected latency is more than so many times the service's mean.
+const QUEUEING_FACTOR: f32 = 2.0;
+/// Of the usable endpoints, at most one in so many is kept ejected (Envoy's maximum ejection percentage).
+const MIN_ENDPOINTS_PER_EJECTED: usize = 2;
 
+/// Which versions of a service's software may process a request.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum VersionFilter<'a> {
+    /// Endpoints of this version only.
+    Only(&'a str),
+    /// All endpoints but those of this version.
+    Except(&'a str),
+}
+
+impl VersionFilter<'_> {
+    fn matches(self, version: &str) -> bool {
+        match self {
+            VersionFilter::Only(wanted) => version == wanted,
+            VersionFilter::Except(excluded) => version != excluded,
+        }
+    }
+}
+
+/// What the selection for one attempt of a request depends on.
+#[derive(Debug, Clone)]
 pub struct SelectionRequest<'a> {
+    /// The service that is to process it.
     pub service: &'a str,
-    /// The key, where the service is divided and the request carries one.
+    /// The key, where the service is sharded and the request carries one.
     pub key: Option<u16>,
-    pub repeatable: bool,
+    /// Whether it may be sent again if its outcome is unknown.
+    pub idempotent: bool,
+    /// 0 is the most important.
     pub rank: u32,
+    /// Until its deadline, in ms.
     pub left: Ms,
-    /// For how long a host that leaves may still get requests for keys that it holds.
-    pub stays: Ms,
-    /// Hosts of this revision only, or all but them, where a plan tells versions apart by it.
-    pub revision: Option<(&'a str, bool)>,
-    /// Hosts that this request has been to.
+    /// For how long (ms) a draining endpoint still gets requests for keys that it owns.
+    pub drain_grace: Ms,
+    /// Where a rollout tells versions apart.
+    pub version: Option<VersionFilter<'a>>,
+    /// Ids of endpoints that earlier attempts were sent to.
     pub tried: &'a [Rc<str>],
 }
 
+/// The result of a selection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Selection {
+    /// The id of the endpoint.
     Endpoint(Rc<str>),
-    /// Nobody is known to hold the key; a newer row may come.
+    /// No endpoint that can be reached is known to own the key; a later update may name one.
     NoLeaseHolder,
-    /// No host is left to go to.
+    /// No endpoint is left.
     NoEndpoint,
-    /// Every host would answer too late.
+    /// The response of every endpoint would come too late.
     Overloaded,
 }
 
+/// Selects the endpoint for the next attempt of a request.
+///
 /// ```
-/// use coppersail_load_balancing::{selection, Ask, Book, Choice};
-/// let ask = Ask { service: "b", key: None, repeatable: true, rank: 0, left: 900, stays: 0, revision: None, tried: &[] };
-/// assert_eq!(selection::pick(&Book::new("north"), &ask, 0, &mut fastrand::Rng::with_seed(1)), Choice::Nobody);
+/// use coppersail_load_balancing::selection::select_endpoint;
+/// use coppersail_load_balancing::{EndpointRegistry, Selection, SelectionRequest};
+///
+/// let request = SelectionRequest {
+///     service: "b",
+///     key: None,
+///     idempotent: true,
+///     rank: 0,
+///     left: 900,
+///     drain_grace: 0,
+///     version: None,
+///     tried: &[],
+/// };
+/// let selection = select_endpoint(&EndpointRegistry::new("north"), &request, 0, &mut fastrand::Rng::with_seed(1));
+/// assert_eq!(selection, Selection::NoEndpoint);
 /// ```
 pub fn select_endpoint(
-    book: &EndpointRegistry,
-    ask: &SelectionRequest,
+    registry: &EndpointRegistry,
+    request: &SelectionRequest,
     now: Ms,
-    chance: &mut fastrand::Rng,
+    random: &mut fastrand::Rng,
 ) -> Selection {
-    let Some(part) = book.service(ask.service) else { return Selection::NoEndpoint };
-    let usual = if part.usual > 0.0 { part.usual } else { UNMEASURED };
-    if let Some(key) = ask.key {
-        let Some(ident) = book.owner(ask.service, key, now) else { return Selection::NoLeaseHolder };
-        let unable = |host: &Endpoint| host.health.unreachable && host.health.is_ejected(ask.repeatable, now);
-        return match book.endpoint(ident) {
-            Some(host) if !host.holds(now, ask.stays) || unable(host) => Selection::NoLeaseHolder,
-            Some(host) if overrun(host.load.expected(now, usual), ask, part.usual) => Selection::Overloaded,
-            Some(_) => Selection::Endpoint(ident.clone()),
-            None => Selection::NoLeaseHolder,
-        };
+    let Some(service) = registry.service(request.service) else { return Selection::NoEndpoint };
+    if let Some(key) = request.key {
+        return select_owner(registry, service, request, key, now);
     }
-    let fits = |host: &Endpoint| ask.revision.is_none_or(|(name, is)| (*host.version == *name) == is);
-    let usable: Vec<&Endpoint> = part
-        .hosts
-        .iter()
-        .filter_map(|ident| book.endpoint(ident))
-        .filter(|host| host.usable(now) && fits(host))
-        .collect();
-    // Judgement may be wrong about many hosts at once, such as when the trouble is this edge's own.
-    let mut aside: Vec<&Endpoint> =
-        usable.iter().copied().filter(|host| host.health.is_ejected(ask.repeatable, now)).collect();
-    aside.sort_by_key(|host| (host.health.ejected_until(), host.id.clone()));
-    let kept_out = aside.len().min(usable.len() / 2);
-    let out = &aside[aside.len() - kept_out..];
-    let fresh = |host: &&&Endpoint| !ask.tried.contains(&host.id);
-    let mut best: Option<(f32, &Endpoint)> = None;
-    for host in usable.iter().filter(fresh) {
-        if out.iter().any(|other| other.id == host.id) {
-            continue;
-        }
-        let score = expected(host, now, usual) * (1.0 + ALIKE * chance.f32());
-        if best.is_none_or(|(least, _)| score < least) {
-            best = Some((score, host));
-        }
-    }
-    match best {
+    let mut candidates = usable_endpoints(registry, service, request, now);
+    remove_ejected(&mut candidates, request, now);
+    candidates.retain(|endpoint| !request.tried.contains(&endpoint.id));
+    match least_expected_latency(&candidates, service_latency(service), now, random) {
         None => Selection::NoEndpoint,
-        Some((_, host)) if overrun(host.load.expected(now, usual), ask, part.usual) => Selection::Overloaded,
-        Some((_, host)) => Selection::Endpoint(host.id.clone()),
+        Some(endpoint) if is_overloaded(endpoint, service, request, now) => Selection::Overloaded,
+        Some(endpoint) => Selection::Endpoint(endpoint.id.clone()),
+    }
+}
+
+/// The owner of the key: no other endpoint may process the request.
+fn select_owner(
+    registry: &EndpointRegistry,
+    service: &ServiceEndpoints,
+    request: &SelectionRequest,
+    key: u16,
+    now: Ms,
+) -> Selection {
+    let owner = registry.owner(request.service, key, now).and_then(|id| registry.endpoint(id));
+    let Some(owner) = owner else { return Selection::NoLeaseHolder };
+    let is_unreachable = owner.health.unreachable && owner.health.is_ejected(request.idempotent, now);
+    if !owner.accepts_owned_keys(now, request.drain_grace) || is_unreachable {
+        return Selection::NoLeaseHolder;
     }
+    if is_overloaded(owner, service, request, now) {
+        return Selection::Overloaded;
+    }
+    Selection::Endpoint(owner.id.clone())
 }
 
-fn expected(host: &Endpoint, now: Ms, usual: f32) -> f32 {
-    let far = if host.same_zone { 1.0 } else { FAR };
-    let cold = if now < host.slow_start_until { COLD } else { 1.0 };
-    let silent = if host.suspect { SILENT } else { 1.0 };
-    host.load.expected(now, usual) * far * cold * silent
+fn usable_endpoints<'a>(
+    registry: &'a EndpointRegistry,
+    service: &ServiceEndpoints,
+    request: &SelectionRequest,
+    now: Ms,
+) -> Vec<&'a Endpoint> {
+    let has_version =
+        |endpoint: &Endpoint| request.version.is_none_or(|filter| filter.matches(&endpoint.version));
+    let endpoints = service.endpoints.iter().filter_map(|id| registry.endpoint(id));
+    endpoints.filter(|endpoint| endpoint.usable(now) && has_version(endpoint)).collect()
 }
 
-/// Only what was measured speaks for a refusal, and only a queue: were an idle host too slow for a request, refusing
-/// all of them would end the measuring as well.
-fn overrun(expected: f32, ask: &SelectionRequest, measured: f32) -> bool {
-    let patience = PATIENCE / (1.0 + PATIENCE_PER_RANK * ask.rank as f32);
-    measured > 0.0 && expected > ask.left as f32 * patience && expected > measured * 2.0
+/// Removes ejected endpoints, but not more than half of all: outlier detection may be wrong about many at once, such as
+/// when the fault is this edge's own. Those whose ejection ends first stay.
+fn remove_ejected(candidates: &mut Vec<&Endpoint>, request: &SelectionRequest, now: Ms) {
+    let is_ejected = |endpoint: &&Endpoint| endpoint.health.is_ejected(request.idempotent, now);
+    let mut ejected: Vec<&Endpoint> = candidates.iter().copied().filter(is_ejected).collect();
+    ejected.sort_by_key(|endpoint| (endpoint.health.ejected_until(), endpoint.id.clone()));
+    let removed = ejected.len().min(candidates.len() / MIN_ENDPOINTS_PER_EJECTED);
+    let removed = &ejected[ejected.len() - removed..];
+    candidates.retain(|endpoint| removed.iter().all(|other| other.id != endpoint.id));
 }
 
-/// The service of a request: by share and id, the same for the same id.
-pub fn service<'a>(shares: &'a [(String, f64)], id: &[u8]) -> Option<&'a str> {
-    let open = || shares.iter().filter(|(_, share)| *share > 0.0);
-    let whole: f64 = open().map(|(_, share)| share).sum();
-    let mut hash = FxHasher::default();
-    hash.write(id);
-    // The upper bits are the well mixed ones.
-    let mut at =
-        (hash.finish().wrapping_mul(0x9e37_79b9_7f4a_7c15) >> 11) as f64 / (1u64 << 53) as f64 * whole;
-    for (name, share) in open() {
-        if at < *share {
-            return Some(name);
+fn least_expected_latency<'a>(
+    candidates: &[&'a Endpoint],
+    service_latency: f32,
+    now: Ms,
+    random: &mut fastrand::Rng,
+) -> Option<&'a Endpoint> {
+    let mut best: Option<(f32, &Endpoint)> = None;
+    for endpoint in candidates {
+        // One draw for each candidate, in their order: the same seed makes the same selections.
+        let cost = latency_cost(endpoint, service_latency, now) * (1.0 + RANDOM_SPREAD * random.f32());
+        if best.is_none_or(|(least, _)| cost < least) {
+            best = Some((cost, endpoint));
         }
-        at -= share;
     }
-    open().next_back().map(|(name, _)| name.as_str())
+    best.map(|(_, endpoint)| endpoint)
+}
+
+/// The expected latency with all penalties.
+fn latency_cost(endpoint: &Endpoint, service_latency: f32, now: Ms) -> f32 {
+    let zone = if endpoint.same_zone { 1.0 } else { OTHER_ZONE_PENALTY };
+    let slow_start = if now < endpoint.slow_start_until { SLOW_START_PENALTY } else { 1.0 };
+    let suspect = if endpoint.suspect { SUSPECT_PENALTY } else { 1.0 };
+    endpoint.load.expected_latency(now, service_latency) * zone * slow_start * suspect
 }
 
-/// The time a request has: what the client says and what the operator allows.
-pub fn deadline(told: Option<Ms>, give_up: Option<Duration>) -> Ms {
-    let most = give_up.map(|give_up| give_up.as_millis() as Ms);
-    match (told, most) {
-        (Some(told), Some(most)) => told.min(most),
-        (Some(one), None) | (None, Some(one)) => one,
-        (None, None) => backoff::UNTOLD.as_millis() as Ms,
+/// The mean latency (ms) that stands in for endpoints that were not measured.
+fn service_latency(service: &ServiceEndpoints) -> f32 {
+    if service.mean_latency > 0.0 {
+        service.mean_latency
+    } else {
+        UNMEASURED_LATENCY
     }
 }
 
+/// Whether the response is expected too late for the request. Only a measured latency counts, and only a queue: if an
+/// idle endpoint were too slow for a request, refusing all of them would end the measuring as well.
+fn is_overloaded(
+    endpoint: &Endpoint,
+    service: &ServiceEndpoints,
+    request: &SelectionRequest,
+    now: Ms,
+) -> bool {
+    let expected = endpoint.load.expected_latency(now, service_latency(service));
+    let measured = service.mean_latency;
+    let factor = OVERLOAD_FACTOR / (1.0 + OVERLOAD_FACTOR_PER_RANK * request.rank as f32);
+    measured > 0.0 && expected > request.left as f32 * factor && expected > measured * QUEUEING_FACTOR
+}
+
 #[cfg(test)]
 mod tests;
--- /dev/null
+++ b/crates/data-plane/load-balancing/src/slices.rs
@@ -0,0 +1,96 @@
+//! The slice table of a service: which endpoint owns which slice of its key space.
+use crate::Ms;
+use coppersail_peer_protocol::AssignmentUpdate;
+use std::rc::Rc;
+
+/// Keys are 0 to 65535; a service has at most as many slices.
+const KEY_SPACE: u32 = 65_536;
+/// Once its owner has rejected a key, the row is trusted again after this (ms): the endpoint may not have received its
+/// lease yet.
+const OWNER_DOUBT_MS: Ms = 300;
+
+/// The owner of one slice.
+#[derive(Debug, Clone, Default)]
+struct SliceOwner {
+    /// Id of the endpoint that holds the lease; none while the lease changes hands.
+    endpoint: Option<Rc<str>>,
+    /// Of the lease; a later owner has a higher one.
+    fencing_token: u64,
+    doubted_until: Ms,
+}
+
+/// The owners of all slices, by number.
+#[derive(Debug, Default)]
+pub struct SliceTable {
+    rows: Vec<SliceOwner>,
+}
+
+impl SliceTable {
+    /// The slice of a key.
+    pub fn slice_of(&self, key: u16) -> u32 {
+        (u64::from(key) * self.rows.len() as u64 / u64::from(KEY_SPACE)) as u32
+    }
+
+    /// The owner of a key, unless it is unknown or in doubt.
+    pub fn owner(&self, key: u16, now: Ms) -> Option<&Rc<str>> {
+        let row = self.rows.get(self.slice_of(key) as usize)?;
+        row.endpoint.as_ref().filter(|_| now >= row.doubted_until)
+    }
+
+    /// Whether any slice has an owner.
+    pub fn has_owner(&self) -> bool {
+        self.rows.iter().any(|row| row.endpoint.is_some())
+    }
+
+    /// The endpoint has rejected a key of which this table says that it is the owner.
+    pub(crate) fn suspect_owner(&mut self, key: u16, endpoint: &str, now: Ms) {
+        let slice = self.slice_of(key) as usize;
+        if let Some(row) = self.rows.get_mut(slice) {
+            if row.endpoint.as_deref() == Some(endpoint) {
+                row.doubted_until = now + OWNER_DOUBT_MS;
+            }
+        }
+    }
+
+    /// Whether the update's slice count is within the key space.
+    pub(crate) fn is_valid(update: &AssignmentUpdate) -> bool {
+        (1..=KEY_SPACE).contains(&update.slice_count)
+    }
+
+    /// Merges an update in any order of arrival: the row with the higher fencing token wins. `shared_id` yields the
+    /// registry's copy of an endpoint's id. Returns whether any row changed.
+    pub(crate) fn merge(
+        &mut self,
+        update: &AssignmentUpdate,
+        mut shared_id: impl FnMut(&str) -> Rc<str>,
+    ) -> bool {
+        if self.rows.len() != update.slice_count as usize && !self.resize(update) {
+            return false;
+        }
+        let mut changed = false;
+        for (first, last, id, fencing_token) in &update.rows {
+            let endpoint = (!id.is_empty()).then(|| shared_id(id));
+            let rows = self.rows.iter_mut().take(*last as usize + 1).skip(*first as usize);
+            for row in rows.filter(|row| *fencing_token > row.fencing_token) {
+                *row = SliceOwner {
+                    endpoint: endpoint.clone(),
+                    fencing_token: *fencing_token,
+                    doubted_until: 0,
+                };
+                changed = true;
+            }
+        }
+        changed
+    }
+
+    /// Starts a table with another number of slices, unless the update is older than this one.
+    fn resize(&mut self, update: &AssignmentUpdate) -> bool {
+        let newest_known = self.rows.iter().map(|row| row.fencing_token).max();
+        let newest_of_update = update.rows.iter().map(|(.., fencing_token)| *fencing_token).max();
+        if newest_known.is_some() && newest_known >= newest_of_update {
+            return false;
+        }
+        self.rows = vec![SliceOwner::default(); update.slice_count as usize];
+        true
+    }
+}
