--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -0,0 +1,323 @@
+//! The attempts of one request, until one brings a response or the request is given up.
+use crate::attempt::{Attempt, AttemptResult};
+use crate::body::{Body, RequestBody};
+use crate::edge::Edge;
+use crate::request::ReceivedRequest;
+use crate::response::{empty_response, unavailable, ResponseBody};
+use crate::steer::{self, Way};
+use crate::upstream_response::UpstreamResponse;
+use coppersail_load_balancing::selection::{self, Selection, SelectionRequest, VersionFilter};
+use coppersail_load_balancing::{backoff, timeouts, Ms};
+use coppersail_retry::{AttemptHistory, AttemptOutcome, FinalOutcome, RejectReason, SendFailure};
+use hyper::Response;
+use std::rc::Rc;
+use tokio::time::{timeout_at, Instant};
+
+/// Attempts of one request that reach no endpoint; each costs the client a part of its time.
+const MAX_UNSENT_ATTEMPTS: u32 = 3;
+
+/// How a request ended.
+pub(crate) struct ProxiedResponse {
+    pub(crate) answer: Response<ResponseBody>,
+    /// None: the response is the endpoint's own.
+    pub(crate) closing: Option<FinalOutcome>,
+}
+
+impl From<UpstreamResponse> for ProxiedResponse {
+    fn from(response: UpstreamResponse) -> ProxiedResponse {
+        ProxiedResponse { answer: response.into_response(), closing: None }
+    }
+}
+
+/// A request between its attempts.
+pub(crate) struct AttemptLoop<'a> {
+    edge: &'a Rc<Edge>,
+    request: ReceivedRequest<'a>,
+    body: Body,
+    history: AttemptHistory,
+    /// Ids of endpoints that are not to be selected again.
+    tried: Vec<Rc<str>>,
+    /// The variant of the rollout; it changes if the new version has no endpoint.
+    variant: Option<Way>,
+    /// An endpoint's own failure, kept in case that no other does better.
+    failed_response: Option<UpstreamResponse>,
+    /// Whether the request had to wait for the owner of its key.
+    lacked_owner: bool,
+    /// In ms, as the last endpoint that was overloaded said.
+    retry_after: Option<Ms>,
+    /// Numbers of the connections that the request was sent on.
+    used_connections: Vec<u64>,
+    /// How long the request may wait for its key's owner, in ms of the edge's clock.
+    owner_wait_until: Ms,
+}
+
+/// What follows from the selection of an endpoint.
+enum SelectionStep {
+    Attempt(Rc<str>),
+    SelectAgain,
+    GiveUp,
+}
+
+/// What follows from an attempt.
+enum NextStep {
+    Respond(UpstreamResponse),
+    Retry,
+    GiveUp,
+}
+
+impl<'a> AttemptLoop<'a> {
+    /// Counts the request, in its service's retry budget and for the balance of shards.
+    pub(crate) fn new(edge: &'a Rc<Edge>, request: ReceivedRequest<'a>, body: Body) -> AttemptLoop<'a> {
+        let now = edge.now();
+        edge.record_request(request.service, now);
+        if let Some(slice) = request.key.and_then(|key| edge.book.borrow().slice(request.service, key)) {
+            edge.tallies.count(request.service, slice);
+        }
+        let owner_wait = timeouts::owner_wait(request.route.target_time, request.left(now));
+        AttemptLoop {
+            edge,
+            body,
+            history: AttemptHistory::default(),
+            tried: Vec::new(),
+            variant: request.way.clone(),
+            failed_response: None,
+            lacked_owner: false,
+            retry_after: None,
+            used_connections: Vec::new(),
+            owner_wait_until: now + owner_wait,
+            request,
+        }
+    }
+
+    /// Makes attempts until one brings a response or the request is given up.
+    pub(crate) async fn run(mut self) -> ProxiedResponse {
+        loop {
+            let now = self.edge.now();
+            if !self.may_attempt(now) {
+                break;
+            }
+            let endpoint = match self.select_endpoint(now).await {
+                SelectionStep::Attempt(endpoint) => endpoint,
+                SelectionStep::SelectAgain => continue,
+                SelectionStep::GiveUp => break,
+            };
+            if !self.take_retry_budget(now) {
+                break;
+            }
+            let Some(body) = self.attempt_body() else { break };
+            let outcome = self.send_attempt(&endpoint, body, now).await;
+            self.record_outcome(endpoint, &outcome);
+            match self.next_step(outcome).await {
+                NextStep::Respond(response) => return response.into(),
+                NextStep::Retry => {}
+                NextStep::GiveUp => break,
+            }
+        }
+        self.final_response()
+    }
+
+    /// Whether time and attempts are left.
+    fn may_attempt(&self, now: Ms) -> bool {
+        self.request.left(now) > 0
+            && self.history.delivered < self.request.route.tries.max(1)
+            && self.history.unsent < MAX_UNSENT_ATTEMPTS
+    }
+
+    /// Selects the endpoint of the next attempt, or waits until it is worth selecting again.
+    async fn select_endpoint(&mut self, now: Ms) -> SelectionStep {
+        match self.selection(now) {
+            Selection::Endpoint(selected) => SelectionStep::Attempt(self.apply_affinity(selected)),
+            Selection::NoLeaseHolder => self.wait_for_owner(now).await,
+            Selection::NoEndpoint if self.can_fall_back() => {
+                self.variant = self.variant.take().map(Way::old);
+                SelectionStep::SelectAgain
+            }
+            Selection::NoEndpoint | Selection::Overloaded => SelectionStep::GiveUp,
+        }
+    }
+
+    fn selection(&self, now: Ms) -> Selection {
+        let version = self.variant.as_ref().and_then(Way::hosts).map(|(version, is_new)| match is_new {
+            true => VersionFilter::Only(version),
+            false => VersionFilter::Except(version),
+        });
+        let request = SelectionRequest {
+            service: self.request.service,
+            key: self.request.key,
+            idempotent: self.request.route.repeatable,
+            rank: self.request.route.rank,
+            left: self.request.left(now),
+            drain_grace: self.edge.drain_grace(),
+            version,
+            tried: &self.tried,
+        };
+        let (registry, mut random) = (self.edge.book.borrow(), self.edge.chance.borrow_mut());
+        selection::select_endpoint(&registry, &request, now, &mut random)
+    }
+
+    /// The endpoint of the request's session, where it has one.
+    fn apply_affinity(&self, selected: Rc<str>) -> Rc<str> {
+        match &self.request.stay {
+            Some(stay) => stay.steer(self.edge, &self.request, selected, &self.tried),
+            None => selected,
+        }
+    }
+
+    /// Waits for an update. An owner is in doubt for a while only, so that the end of the wait is worth a selection, too.
+    async fn wait_for_owner(&mut self, now: Ms) -> SelectionStep {
+        self.lacked_owner = true;
+        let updated = self.edge.updated.notified();
+        let until = self.edge.instant(self.owner_wait_until);
+        if now >= self.owner_wait_until || timeout_at(until, updated).await.is_err() {
+            return SelectionStep::GiveUp;
+        }
+        SelectionStep::SelectAgain
+    }
+
+    /// Whether the request may go to the old version because the new one has no endpoint: only if it has certainly not
+    /// been processed.
+    fn can_fall_back(&self) -> bool {
+        let is_new = self.variant.as_ref().and_then(Way::hosts).is_some_and(|(_, is_new)| is_new);
+        is_new && !self.history.may_have_run()
+    }
+
+    /// Whether the attempt is within the retry budget; the first one, and those after which no endpoint has read the
+    /// request, are not retries.
+    fn take_retry_budget(&self, now: Ms) -> bool {
+        self.history.delivered == 0 || self.edge.try_spend_retry(self.request.service, now)
+    }
+
+    /// The body for the next attempt; none if its beginning was sent with an earlier one.
+    fn attempt_body(&mut self) -> Option<RequestBody> {
+        match &mut self.body {
+            Body::Whole(bytes) => Some(RequestBody::buffered(bytes)),
+            Body::Long(stream) => stream.take().map(RequestBody::streaming),
+        }
+    }
+
+    /// Makes one attempt.
+    async fn send_attempt(
+        &mut self,
+        endpoint: &Rc<str>,
+        body: RequestBody,
+        now: Ms,
+    ) -> AttemptOutcome<UpstreamResponse> {
+        let sample = self.variant.as_ref().map(|variant| RolloutSample {
+            sent_at: Instant::now(),
+            is_latency_excluded: self.edge.steered(variant, endpoint, now),
+        });
+        let attempt = Attempt {
+            edge: self.edge,
+            request: &self.request,
+            endpoint,
+            variant: self.variant.as_ref(),
+            used_connections: &self.used_connections,
+        };
+        let AttemptResult { outcome, unsent_body, connection, retry_after } = attempt.run(body).await;
+        if let Some(sample) = sample {
+            self.record_rollout_sample(endpoint, &outcome, &sample);
+        }
+        if let (Body::Long(stream), Some(RequestBody::Streaming(unsent, _))) = (&mut self.body, unsent_body) {
+            *stream = Some(unsent);
+        }
+        self.used_connections.extend(connection);
+        self.retry_after = retry_after.or(self.retry_after);
+        outcome
+    }
+
+    /// Counts an attempt as evidence for the analysis of a rollout.
+    fn record_rollout_sample(
+        &self,
+        endpoint: &str,
+        outcome: &AttemptOutcome<UpstreamResponse>,
+        sample: &RolloutSample,
+    ) {
+        let Some(variant) = &self.variant else { return };
+        let failed =
+            matches!(outcome, AttemptOutcome::Completed(response) if response.status.is_server_error());
+        let route = self.request.route;
+        let latency_target = route.target_time.map_or(Ms::MAX, |target| target.as_millis() as Ms);
+        let latency = steer::took(sample.sent_at);
+        let excluded = sample.is_latency_excluded;
+        self.edge.weigh(variant, &route.name, endpoint, outcome, failed, latency, latency_target, excluded);
+    }
+
+    /// Records what an attempt says about the request and about its endpoint.
+    fn record_outcome(&mut self, endpoint: Rc<str>, outcome: &AttemptOutcome<UpstreamResponse>) {
+        self.history.record(outcome);
+        match outcome {
+            AttemptOutcome::NotSent(SendFailure::ConnectionClosed) => {}
+            AttemptOutcome::Rejected(RejectReason::NotOwner) => {
+                self.lacked_owner = true;
+                let key = self.request.key.unwrap_or_default();
+                let now = self.edge.now();
+                self.edge.book.borrow_mut().suspect_owner(self.request.service, key, &endpoint, now);
+            }
+            AttemptOutcome::Rejected(RejectReason::Overloaded) if self.request.key.is_some() => {}
+            AttemptOutcome::Rejected(RejectReason::StaleAddress) => {
+                self.edge.book.borrow_mut().mark_stale_address(&endpoint, self.edge.now());
+            }
+            _ => self.tried.push(endpoint),
+        }
+    }
+
+    /// Decides what follows from an attempt.
+    async fn next_step(&mut self, outcome: AttemptOutcome<UpstreamResponse>) -> NextStep {
+        let retryable = outcome.is_retryable(self.request.route.repeatable);
+        match outcome {
+            AttemptOutcome::Completed(response) => NextStep::Respond(response),
+            AttemptOutcome::Failed(response) if retryable && self.may_keep_failed_response() => {
+                self.failed_response = Some(response);
+                NextStep::Retry
+            }
+            AttemptOutcome::Failed(response) => NextStep::Respond(response),
+            AttemptOutcome::Rejected(RejectReason::Overloaded) if self.request.key.is_some() => {
+                self.wait_for_overloaded_owner().await
+            }
+            _ if retryable => NextStep::Retry,
+            _ => NextStep::GiveUp,
+        }
+    }
+
+    fn may_keep_failed_response(&self) -> bool {
+        self.failed_response.is_none() && matches!(self.body, Body::Whole(_))
+    }
+
+    /// Only the owner can process the request, so that it is asked again, but not before a slot of it may be free.
+    async fn wait_for_overloaded_owner(&self) -> NextStep {
+        if self.edge.now() >= self.owner_wait_until {
+            return NextStep::GiveUp;
+        }
+        tokio::time::sleep_until(self.edge.instant(self.owner_wait_until)).await;
+        NextStep::Retry
+    }
+
+    /// The response of a request that is given up.
+    fn final_response(self) -> ProxiedResponse {
+        if let Some(response) = self.failed_response {
+            return response.into();
+        }
+        let outcome = self.history.final_outcome();
+        let answer = match outcome {
+            FinalOutcome::Unavailable => unavailable(self.client_backoff()),
+            other => empty_response(other.status()),
+        };
+        ProxiedResponse { answer, closing: Some(outcome) }
+    }
+
+    /// When the client should come back, in ms.
+    fn client_backoff(&self) -> Ms {
+        let left = self.request.left(self.edge.now());
+        match self.retry_after {
+            Some(retry_after) => retry_after.min(left / 3),
+            None => backoff::back(left, self.lacked_owner, self.edge.chance.borrow_mut().f64()),
+        }
+    }
+}
+
+/// What is noted of an attempt under a rollout when it is sent.
+struct RolloutSample {
+    sent_at: Instant,
+    /// Its latency tells nothing about the version.
+    is_latency_excluded: bool,
+}
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -0,0 +1,169 @@
+//! One connection of a client: HTTP/1.1 on its socket, and the timeouts that end it when it is idle or slow.
+use crate::connection_state::{ConnectionPhase, ConnectionState};
+use crate::edge::{Edge, Lifecycle};
+use crate::request_handler;
+use crate::response::close_connection;
+use crate::socket_read::poll_read_observed;
+use coppersail_config::config::Caps;
+use hyper::body::Incoming;
+use hyper::rt::{Read, ReadBufCursor, Write};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::Request;
+use socket2::SockRef;
+use std::convert::Infallible;
+use std::io;
+use std::net::IpAddr;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::io::{AsyncWrite, AsyncWriteExt};
+use tokio::net::TcpStream;
+use tokio::time::Instant;
+
+/// hyper accepts no smaller buffer (bytes).
+const MIN_BUFFER: usize = 8192;
+/// How often a connection is checked once the process only waits for its end.
+const CHECK_WHILE_CLOSING: Duration = Duration::from_millis(100);
+/// The response to a head that takes too long.
+const HEAD_TIMEOUT_RESPONSE: &[u8] =
+    b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
+
+/// A client's socket as hyper sees it.
+struct ClientIo {
+    stream: TcpStream,
+    state: Rc<ConnectionState>,
+}
+
+impl Read for ClientIo {
+    fn poll_read(
+        self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        cursor: ReadBufCursor<'_>,
+    ) -> Poll<io::Result<()>> {
+        let ClientIo { stream, state } = self.get_mut();
+        poll_read_observed(stream, cx, cursor, |bytes| state.record_read(bytes))
+    }
+}
+
+impl Write for ClientIo {
+    fn poll_write(mut self: Pin<&mut Self>, cx: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write(cx, bytes)
+    }
+
+    fn is_write_vectored(&self) -> bool {
+        true
+    }
+
+    fn poll_write_vectored(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+        bytes: &[io::IoSlice<'_>],
+    ) -> Poll<io::Result<usize>> {
+        Pin::new(&mut self.stream).poll_write_vectored(cx, bytes)
+    }
+
+    fn poll_flush(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_flush(cx)
+    }
+
+    fn poll_shutdown(mut self: Pin<&mut Self>, cx: &mut Context<'_>) -> Poll<io::Result<()>> {
+        Pin::new(&mut self.stream).poll_shutdown(cx)
+    }
+}
+
+/// A connection in the edge's count, until it is dropped.
+struct OpenConnection(Rc<Edge>);
+
+impl OpenConnection {
+    fn count(edge: &Rc<Edge>) -> OpenConnection {
+        edge.open_connections.set(edge.open_connections.get() + 1);
+        OpenConnection(edge.clone())
+    }
+}
+
+impl Drop for OpenConnection {
+    fn drop(&mut self) {
+        self.0.open_connections.set(self.0.open_connections.get() - 1);
+    }
+}
+
+/// Serves requests on a connection until it ends, times out, or is closed by a shutdown.
+pub(crate) async fn serve(edge: Rc<Edge>, stream: TcpStream, client: IpAddr) {
+    let _open = OpenConnection::count(&edge);
+    let _ = SockRef::from(&stream).set_tcp_nodelay(true);
+    let (state, caps) = (ConnectionState::new(), edge.caps());
+    let service = service_fn(|request: Request<Incoming>| {
+        let (edge, state) = (edge.clone(), state.clone());
+        async move {
+            let (scanned, guard) = state.begin_request();
+            let mut response = request_handler::handle(&edge, request, scanned, client).await;
+            if edge.is_shutting_down() {
+                response = close_connection(response);
+            }
+            response.body_mut().guard = Some(guard);
+            Ok::<_, Infallible>(response)
+        }
+    });
+    let mut connection = http1::Builder::new()
+        .max_header_size(caps.head_size)
+        .max_buf_size(caps.head_size.max(MIN_BUFFER))
+        .header_read_timeout(None)
+        .auto_date_header(false)
+        .serve_connection(ClientIo { stream, state: state.clone() }, service);
+    let mut lifecycle = edge.lifecycle.subscribe();
+    let timer = tokio::time::sleep_until(Instant::now() + caps.head_wait.min(caps.quiet));
+    tokio::pin!(timer);
+    let mut closing = false;
+    loop {
+        tokio::select! {
+            _ = &mut connection => return,
+            _ = &mut timer => {}
+            _ = lifecycle.wait_for(|phase| *phase == Lifecycle::Closing), if !closing => closing = true,
+        }
+        match check(&state, &caps, closing, Instant::now()) {
+            Check::AgainAt(instant) => timer.as_mut().reset(instant),
+            Check::Close => return,
+            Check::HeadTimeout => {
+                let mut stream = connection.into_parts().io.stream;
+                let _ = stream.write_all(HEAD_TIMEOUT_RESPONSE).await;
+                let _ = stream.shutdown().await;
+                return;
+            }
+        }
+    }
+}
+
+/// What becomes of a connection whose timer fired.
+enum Check {
+    AgainAt(Instant),
+    Close,
+    /// Its head takes too long.
+    HeadTimeout,
+}
+
+fn check(state: &ConnectionState, caps: &Caps, closing: bool, now: Instant) -> Check {
+    let phase = state.phase();
+    if closing {
+        return match phase {
+            ConnectionPhase::Idle => Check::Close,
+            _ => Check::AgainAt(now + CHECK_WHILE_CLOSING),
+        };
+    }
+    let limit = match phase {
+        ConnectionPhase::ReadingHead => caps.head_wait,
+        ConnectionPhase::Idle | ConnectionPhase::Processing => caps.quiet,
+    };
+    let end = state.since() + limit;
+    if end > now {
+        // A head that begins in between is seen at the sooner of both ends.
+        return Check::AgainAt(end.min(now + caps.head_wait));
+    }
+    match phase {
+        // The request's own deadline ends it.
+        ConnectionPhase::Processing => Check::AgainAt(now + caps.head_wait.min(caps.quiet)),
+        ConnectionPhase::Idle => Check::Close,
+        ConnectionPhase::ReadingHead => Check::HeadTimeout,
+    }
+}
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -1,239 +1,233 @@
-//! What all requests of this process share.
-use crate::conns::Pools;
+//! The state that all requests of this process share.
+use crate::clock::Clock;
+use crate::connection_pool::ConnectionPool;
+pub use crate::request_counter::RequestCounter as Tallies;
 use crate::steer::Steer;
-use coppersail_config::config::Routes;
+use coppersail_config::config::{Caps, Routes};
 use coppersail_config::{Config, ProcessSettings};
-use coppersail_load_balancing::budget::{self, RetryBudget};
-use coppersail_load_balancing::{EndpointRegistry, Ms};
-use coppersail_peer_protocol::{RequestCounts, Update};
+use coppersail_load_balancing::budget::{BudgetSettings, RetryBudget};
+use coppersail_load_balancing::endpoint::drain_grace;
+use coppersail_load_balancing::{EndpointRegistry, Ms, RegistryChanges};
+use coppersail_peer_protocol::{ConfigDocument, Update};
 use rustc_hash::FxHashMap;
 use slog::{info, warn, Logger};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::rc::Rc;
-use std::sync::{Arc, Mutex};
+use std::sync::Arc;
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// The configuration in force.
-pub struct Told {
-    pub config: Config,
-    pub routes: Routes,
+/// The configuration in force, with its index of routes.
+pub(crate) struct ConfigSnapshot {
+    pub(crate) config: Config,
+    pub(crate) routes: Routes,
 }
 
-/// How far the process is on its way out.
+/// Former name, which `sessions.rs` uses.
+pub(crate) use self::ConfigSnapshot as Told;
+
+/// The phases of the process, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
-pub enum Stay {
-    Open,
-    /// Connections are taken and closed after their answer.
-    Leaving,
-    /// Connections without a request are closed.
+pub(crate) enum Lifecycle {
+    Serving,
+    /// Shutting down: connections are accepted, and closed after their next response.
+    Draining,
+    /// No connection is accepted, and those without a request are closed.
     Closing,
 }
 
-/// Requests by slice since the last poll, for the follower's thread to take.
-#[derive(Debug, Default)]
-pub struct Tallies(Mutex<FxHashMap<String, FxHashMap<u32, u32>>>);
-
-impl Tallies {
-    /// Slices that are counted between two polls; more tell nothing new within so short a time.
-    const MOST: usize = 4096;
-
-    pub fn count(&self, service: &str, slice: u32) {
-        let mut counts = self.0.lock().expect("tallies");
-        if !counts.contains_key(service) {
-            counts.insert(service.into(), FxHashMap::default());
-        }
-        let counts = counts.get_mut(service).expect("just put in");
-        if counts.len() < Self::MOST || counts.contains_key(&slice) {
-            *counts.entry(slice).or_default() += 1;
-        }
-    }
-
-    pub fn take(&self) -> Vec<RequestCounts> {
-        let counts = std::mem::take(&mut *self.0.lock().expect("tallies"));
-        let asked = counts.into_iter().map(|(backend, counts)| {
-            let mut counts: Vec<(u32, u32)> = counts.into_iter().collect();
-            counts.sort_unstable();
-            RequestCounts { service: backend, counts }
-        });
-        asked.collect()
-    }
-
-    /// Back with what a failed poll had taken.
-    pub fn put_back(&self, asked: Vec<RequestCounts>) {
-        let mut counts = self.0.lock().expect("tallies");
-        for RequestCounts { service: backend, counts: back } in asked {
-            let counts = counts.entry(backend).or_default();
-            for (slice, count) in back {
-                if counts.len() < Self::MOST || counts.contains_key(&slice) {
-                    *counts.entry(slice).or_default() += count;
-                }
-            }
-        }
-    }
-}
-
+/// The state of an edge proxy.
 pub struct Edge {
+    /// Where it logs to.
     pub log: Logger,
-    start: Instant,
+    clock: Clock,
+    /// The settings of the process.
     pub boot: RefCell<Rc<ProcessSettings>>,
-    pub told: RefCell<Option<Rc<Told>>>,
-    pub book: RefCell<EndpointRegistry>,
-    pub pools: RefCell<Pools>,
-    budgets: RefCell<FxHashMap<String, RetryBudget>>,
-    pub chance: RefCell<fastrand::Rng>,
-    /// Wakes requests that wait for a key's holder.
-    pub news: Notify,
-    pub stay: watch::Sender<Stay>,
+    config: RefCell<Option<Rc<ConfigSnapshot>>>,
+    /// All endpoints that it knows.
+    pub book: Rc<RefCell<EndpointRegistry>>,
+    pub(crate) pool: Rc<ConnectionPool>,
+    retry_budgets: RefCell<FxHashMap<String, RetryBudget>>,
+    pub(crate) chance: RefCell<fastrand::Rng>,
+    /// Wakes requests that wait for the owner of their key.
+    pub(crate) updated: Notify,
+    pub(crate) lifecycle: watch::Sender<Lifecycle>,
+    /// Requests by slice, for the control plane.
     pub tallies: Arc<Tallies>,
-    /// Set at the start where the operators have a file for them.
+    /// Session affinity; set at the start where the operators have a file for it.
     pub sessions: OnceCell<Rc<crate::sessions::Sessions>>,
-    /// Connections of clients.
-    pub open: Cell<usize>,
+    /// Open connections of clients.
+    pub(crate) open_connections: Cell<usize>,
+    /// Rollouts.
     pub steer: Steer,
-    heard_at: Cell<Option<Ms>>,
+    first_update_at: Cell<Option<Ms>>,
     ready: Cell<bool>,
 }
 
 impl Edge {
+    /// An edge that knows no configuration and no endpoint yet.
     pub fn new(boot: ProcessSettings, log: Logger) -> Rc<Edge> {
         let seed = boot.ip.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
+        let clock = Clock::start();
+        let registry = Rc::new(RefCell::new(EndpointRegistry::new(&boot.area)));
         Rc::new(Edge {
             log,
-            start: Instant::now(),
-            book: RefCell::new(EndpointRegistry::new(&boot.area)),
+            clock,
+            pool: ConnectionPool::new(clock, registry.clone()),
+            book: registry,
             steer: Steer::new(&boot.ip, &boot.area),
             boot: RefCell::new(Rc::new(boot)),
-            told: RefCell::default(),
-            pools: RefCell::default(),
-            budgets: RefCell::default(),
+            config: RefCell::default(),
+            retry_budgets: RefCell::default(),
             chance: RefCell::new(fastrand::Rng::with_seed(seed)),
-            news: Notify::new(),
-            stay: watch::Sender::new(Stay::Open),
+            updated: Notify::new(),
+            lifecycle: watch::Sender::new(Lifecycle::Serving),
             tallies: Arc::default(),
             sessions: OnceCell::new(),
-            open: Cell::new(0),
-            heard_at: Cell::new(None),
+            open_connections: Cell::new(0),
+            first_update_at: Cell::new(None),
             ready: Cell::new(false),
         })
     }
 
+    /// Milliseconds since the process started.
     pub fn now(&self) -> Ms {
-        self.start.elapsed().as_millis() as Ms
+        self.clock.now()
     }
 
-    pub fn at(&self, ms: Ms) -> Instant {
-        self.start + std::time::Duration::from_millis(ms)
+    /// The instant of a time of [`Edge::now`].
+    pub(crate) fn instant(&self, time: Ms) -> Instant {
+        self.clock.instant(time)
     }
 
-    pub fn told(&self) -> Option<Rc<Told>> {
-        self.told.borrow().clone()
+    /// The configuration in force, once there is one.
+    pub(crate) fn config(&self) -> Option<Rc<ConfigSnapshot>> {
+        self.config.borrow().clone()
     }
 
-    pub fn caps(&self) -> coppersail_config::config::Caps {
-        self.told.borrow().as_ref().map(|told| told.config.caps.clone()).unwrap_or_default()
+    /// Limits on what clients send.
+    pub(crate) fn caps(&self) -> Caps {
+        self.config.borrow().as_ref().map(|snapshot| snapshot.config.caps.clone()).unwrap_or_default()
     }
 
-    pub fn leaving(&self) -> bool {
-        *self.stay.borrow() > Stay::Open
+    /// Whether a shutdown has begun.
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        *self.lifecycle.borrow() > Lifecycle::Serving
     }
 
-    /// Takes what a centre told; that it may, `follow::Round::heed` has decided.
-    pub fn take(&self, news: Update) {
-        debug_assert!(!news.isolated, "a centre without a majority is not heeded");
+    /// Applies an update of a control-plane node; `follow::Round::heed` has decided that the node may be believed.
+    pub fn take(&self, update: Update) {
+        debug_assert!(!update.isolated, "a node without a majority is not believed");
         let now = self.now();
-        if let Some(settings) = &news.config {
-            let held = self.told.borrow().as_ref().map_or(0, |told| told.config.revision);
-            if settings.revision > held || self.told.borrow().is_none() {
-                match coppersail_config::config::parse(settings.body.as_bytes()) {
-                    Ok(config) => {
-                        info!(self.log, "edge: configuration r{} in force", config.revision);
-                        let routes = Routes::new(&config);
-                        *self.told.borrow_mut() = Some(Rc::new(Told { config, routes }));
-                    }
-                    Err(fault) => {
-                        warn!(self.log, "edge: configuration r{} left out: {fault}", settings.revision)
-                    }
-                }
-            }
+        if let Some(document) = &update.config {
+            self.apply_config(document);
+        }
+        let changes = self.book.borrow_mut().merge(&update, now);
+        self.first_update_at.set(self.first_update_at.get().or(Some(now)));
+        for endpoint in &changes.unusable {
+            self.pool.close_idle(endpoint);
+        }
+        if self.steer.on() || !update.rollouts.is_empty() {
+            self.take_plans(&update);
         }
-        let changed = self.book.borrow_mut().merge(&news, now);
-        self.heard_at.set(self.heard_at.get().or(Some(now)));
-        for ident in &changed.unusable {
-            self.pools.borrow_mut().drop_idle(ident);
+        self.updated.notify_waiters();
+    }
+
+    /// Puts a configuration in force if it is newer. One that cannot be parsed leaves the old one in force.
+    fn apply_config(&self, document: &ConfigDocument) {
+        let known = self.config.borrow().as_ref().map(|snapshot| snapshot.config.revision);
+        if known.is_some_and(|known| document.revision <= known) {
+            return;
         }
-        if self.steer.on() || !news.rollouts.is_empty() {
-            self.take_plans(&news);
+        match coppersail_config::config::parse(document.body.as_bytes()) {
+            Ok(config) => {
+                info!(self.log, "edge: configuration r{} in force", config.revision);
+                let routes = Routes::new(&config);
+                *self.config.borrow_mut() = Some(Rc::new(ConfigSnapshot { config, routes }));
+            }
+            Err(error) => warn!(self.log, "edge: configuration r{} left out: {error}", document.revision),
         }
-        self.news.notify_waiters();
     }
 
     /// Once a second: what only time changes.
-    pub fn tick(&self) {
+    pub(crate) fn tick(&self) {
         self.report();
-        let mut changed = coppersail_load_balancing::RegistryChanges::default();
-        self.book.borrow_mut().remove_expired(self.now(), &mut changed);
-        let mut pools = self.pools.borrow_mut();
-        changed.unusable.iter().for_each(|ident| pools.drop_idle(ident));
-        pools.sweep(Instant::now());
+        let mut changes = RegistryChanges::default();
+        self.book.borrow_mut().remove_expired(self.now(), &mut changes);
+        changes.unusable.iter().for_each(|endpoint| self.pool.close_idle(endpoint));
+        self.pool.close_expired(Instant::now());
     }
 
-    /// Whether what this edge would do with a request is right.
+    /// Whether this edge can serve what clients may send. Once it can, silence of the control plane is no reason to send
+    /// clients away: it serves by the last state that it knows.
     pub fn ready(&self) -> bool {
-        if self.leaving() {
+        if self.is_shutting_down() {
             return false;
         }
-        if !self.ready.get() {
-            let Some(told) = self.told() else { return false };
-            let heard_for = self.heard_at.get().map(|at| self.now().saturating_sub(at));
-            let services =
-                told.config.services.iter().map(|service| (service.name.as_str(), service.split_up));
-            let routed = |(name, _): &(&str, bool)| {
-                let open = |(service, share): &(String, f64)| service == name && *share > 0.0;
-                told.config.routes.iter().any(|route| route.shares.iter().any(open))
-            };
-            if self.book.borrow().is_ready(services.filter(routed), heard_for) {
-                info!(self.log, "edge: ready");
-                self.ready.set(true);
-            }
+        if !self.ready.get() && self.can_serve_all_routes() {
+            info!(self.log, "edge: ready");
+            self.ready.set(true);
         }
-        // Once it is, silence of the centres is no reason to send clients away: the last that was good is served.
         self.ready.get()
     }
 
+    fn can_serve_all_routes(&self) -> bool {
+        let Some(snapshot) = self.config() else { return false };
+        let config = &snapshot.config;
+        let is_routed = |name: &str| {
+            let has_share = |(service, share): &(String, f64)| service == name && *share > 0.0;
+            config.routes.iter().any(|route| route.shares.iter().any(has_share))
+        };
+        let services = config.services.iter().map(|service| (service.name.as_str(), service.split_up));
+        let known_for = self.first_update_at.get().map(|at| self.now().saturating_sub(at));
+        self.book.borrow().is_ready(services.filter(|(name, _)| is_routed(name)), known_for)
+    }
+
     /// For how long (ms) a draining endpoint gets requests for keys that only it owns.
-    pub fn stays(&self) -> Ms {
-        coppersail_load_balancing::endpoint::drain_grace(self.boot.borrow().limits.empty)
+    pub(crate) fn drain_grace(&self) -> Ms {
+        drain_grace(self.boot.borrow().limits.empty)
     }
 
-    pub fn budget_terms(&self) -> budget::BudgetSettings {
-        let boot = self.boot.borrow();
-        let limits = &boot.limits;
-        let window = limits.retry_window.as_millis() as Ms;
-        budget::BudgetSettings {
-            ratio: limits.retry_ratio,
-            window_ms: window,
-            extra_retries: limits.extra_tries,
-        }
+    /// Counts a request in its service's retry budget.
+    pub(crate) fn record_request(&self, service: &str, now: Ms) {
+        self.with_retry_budget(service, |budget, settings| budget.record_request(settings, now));
+    }
+
+    /// Takes a retry from a service's budget, if there is one.
+    pub(crate) fn try_spend_retry(&self, service: &str, now: Ms) -> bool {
+        let edge_count = self.book.borrow().edge_count;
+        self.with_retry_budget(service, |budget, settings| budget.try_spend(settings, edge_count, now))
     }
 
-    pub fn with_budget<T>(&self, service: &str, use_it: impl FnOnce(&mut RetryBudget) -> T) -> T {
-        let mut budgets = self.budgets.borrow_mut();
+    fn with_retry_budget<T>(
+        &self,
+        service: &str,
+        act: impl FnOnce(&mut RetryBudget, &BudgetSettings) -> T,
+    ) -> T {
+        let settings = self.retry_budget_settings();
+        let mut budgets = self.retry_budgets.borrow_mut();
         if !budgets.contains_key(service) {
             budgets.insert(service.into(), RetryBudget::default());
         }
-        use_it(budgets.get_mut(service).expect("just put in"))
+        act(budgets.get_mut(service).expect("just inserted"), &settings)
+    }
+
+    fn retry_budget_settings(&self) -> BudgetSettings {
+        let boot = self.boot.borrow();
+        let limits = &boot.limits;
+        let window_ms = limits.retry_window.as_millis() as Ms;
+        BudgetSettings { ratio: limits.retry_ratio, window_ms, extra_retries: limits.extra_tries }
     }
 
     /// Reads the settings again; bad ones leave the old in force.
-    pub fn reload(&self) {
+    pub(crate) fn reload_settings(&self) {
         match ProcessSettings::read() {
-            Ok(boot) => self.retell(boot),
-            Err(fault) => warn!(self.log, "edge: settings left as they were: {fault}"),
+            Ok(boot) => self.apply_settings(boot),
+            Err(error) => warn!(self.log, "edge: settings left as they were: {error}"),
         }
     }
 
-    pub fn retell(&self, boot: ProcessSettings) {
+    fn apply_settings(&self, boot: ProcessSettings) {
         if **self.boot.borrow() != boot {
             info!(self.log, "edge: settings read again");
             *self.boot.borrow_mut() = Rc::new(boot);
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/headers.rs
@@ -0,0 +1,126 @@
+//! Header fields of the gateway's protocol (docs/gateway.md), and those that concern only one connection.
+use coppersail_load_balancing::Ms;
+use hyper::header::{
+    HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, TE, TRAILER, TRANSFER_ENCODING,
+    UPGRADE,
+};
+use std::time::Duration;
+
+/// Id of a request, the same in all of its attempts; the response repeats it.
+pub(crate) const TRY_ID: HeaderName = HeaderName::from_static("try-id");
+/// Time until the request's deadline, in ms.
+pub(crate) const TIME_LEFT: HeaderName = HeaderName::from_static("time-left-ms");
+/// The endpoint that an attempt is meant for.
+pub(crate) const WANTED_SERVER: HeaderName = HeaderName::from_static("wanted-server");
+/// The key of a request to a sharded service.
+pub(crate) const SHARD_KEY: HeaderName = HeaderName::from_static("shard-key");
+/// The endpoint that responds.
+pub(crate) const SERVER_ID: HeaderName = HeaderName::from_static("server-id");
+/// Its load: "running,waiting,slots".
+pub(crate) const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
+/// Proof that a successful response is the endpoint's own.
+pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
+/// The endpoint's promise that it did not process the request and never will.
+pub(crate) const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
+const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
+const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
+
+/// `Retry-After` values (s) from here on are not believed.
+const MAX_RETRY_AFTER_S: f64 = 86_400.0;
+
+/// Why a header field cannot be used.
+#[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum HeaderError {
+    #[error("header {0} is missing; expected it once")]
+    Missing(HeaderName),
+    #[error("header {0} is there more than once; expected it once")]
+    Repeated(HeaderName),
+    #[error("header value {0:?}; expected a number")]
+    NotANumber(HeaderValue),
+}
+
+/// The value of a header field that may be there once.
+pub(crate) fn optional<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<Option<&'a HeaderValue>, HeaderError> {
+    let mut values = headers.get_all(name).iter();
+    match (values.next(), values.next()) {
+        (value, None) => Ok(value),
+        _ => Err(HeaderError::Repeated(name.clone())),
+    }
+}
+
+/// The value of a header field that must be there once.
+pub(crate) fn required<'a>(
+    headers: &'a HeaderMap,
+    name: &HeaderName,
+) -> Result<&'a HeaderValue, HeaderError> {
+    optional(headers, name)?.ok_or_else(|| HeaderError::Missing(name.clone()))
+}
+
+/// The number that a value is, if there is one.
+pub(crate) fn number(value: Option<&HeaderValue>) -> Result<Option<u64>, HeaderError> {
+    let Some(value) = value else { return Ok(None) };
+    let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
+    number.map(Some).ok_or_else(|| HeaderError::NotANumber(value.clone()))
+}
+
+/// Removes the fields that concern only one connection (RFC 9110, 7.6.1).
+pub(crate) fn remove_hop_by_hop(headers: &mut HeaderMap) {
+    let listed: Vec<HeaderName> = headers
+        .get_all(CONNECTION)
+        .iter()
+        .filter_map(|value| value.to_str().ok())
+        .flat_map(|value| value.split(','))
+        .filter_map(|name| name.trim().parse().ok())
+        // What the protocol and the framing need cannot be removed by listing it.
+        .filter(|name| ![HOST, CONTENT_LENGTH, TRY_ID, SHARD_KEY, SERVER_SEAL].contains(name))
+        .collect();
+    for name in &listed {
+        headers.remove(name);
+    }
+    for name in [CONNECTION, KEEP_ALIVE, PROXY_CONNECTION, TE, TRAILER, TRANSFER_ENCODING, UPGRADE] {
+        headers.remove(name);
+    }
+}
+
+/// Whether the sender closes the connection after this message.
+pub(crate) fn closes_connection(headers: &HeaderMap) -> bool {
+    let values = headers.get_all(CONNECTION).iter().filter_map(|value| value.to_str().ok());
+    values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
+}
+
+/// For how long the sender keeps the connection, if it says so.
+pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
+    let value = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
+    let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+    timeout.parse().ok().map(Duration::from_secs)
+}
+
+/// The milliseconds of a `Retry-After` in seconds, with or without decimals.
+pub(crate) fn retry_after(value: Option<&HeaderValue>) -> Option<Ms> {
+    let seconds: f64 = value?.to_str().ok()?.trim().parse().ok()?;
+    (0.0..MAX_RETRY_AFTER_S).contains(&seconds).then_some((seconds * 1000.0) as Ms)
+}
+
+/// The load that an endpoint reports with a response.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(crate) struct ReportedLoad {
+    pub(crate) running: u32,
+    pub(crate) waiting: u32,
+    pub(crate) slots: u32,
+}
+
+impl ReportedLoad {
+    pub(crate) fn from_headers(headers: &HeaderMap) -> Option<ReportedLoad> {
+        let value = headers.get(&SERVER_LOAD)?.to_str().ok()?;
+        let mut numbers = value.split(',').map(|part| part.trim().parse::<u32>());
+        match (numbers.next(), numbers.next(), numbers.next()) {
+            (Some(Ok(running)), Some(Ok(waiting)), Some(Ok(slots))) => {
+                Some(ReportedLoad { running, waiting, slots })
+            }
+            _ => None,
+        }
+    }
+}
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/in_flight.rs
@@ -0,0 +1,49 @@
+//! One attempt's part in what is known of its endpoint's load and health.
+use crate::edge::Edge;
+use coppersail_load_balancing::health::FailureKind;
+use std::rc::Rc;
+
+/// Counts as a request in flight at the endpoint until dropped.
+pub(crate) struct InFlight {
+    edge: Rc<Edge>,
+    endpoint: Rc<str>,
+    /// Whether the attempt told anything about the endpoint's health.
+    judged: bool,
+}
+
+impl InFlight {
+    pub(crate) fn begin(edge: &Rc<Edge>, endpoint: &Rc<str>) -> InFlight {
+        if let Some(known) = edge.book.borrow_mut().endpoint_mut(endpoint) {
+            known.load.in_flight += 1;
+            known.health.begin_request();
+        }
+        InFlight { edge: edge.clone(), endpoint: endpoint.clone(), judged: false }
+    }
+
+    /// The endpoint responded.
+    pub(crate) fn record_success(&mut self) {
+        self.judged = true;
+        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+            known.health.record_success();
+        }
+    }
+
+    /// The endpoint failed.
+    pub(crate) fn record_failure(&mut self, kind: FailureKind) {
+        self.judged = true;
+        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+            known.health.record_failure(kind, self.edge.now());
+        }
+    }
+}
+
+impl Drop for InFlight {
+    fn drop(&mut self) {
+        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+            known.load.in_flight = known.load.in_flight.saturating_sub(1);
+            if !self.judged {
+                known.health.cancel_request();
+            }
+        }
+    }
+}
--- a/crates/data-plane/edge-proxy/src/main.rs
+++ b/crates/data-plane/edge-proxy/src/main.rs
@@ -1,4 +1,5 @@
 //! `coppersail-edge-proxy`: the edge of the gateway.
+use coppersail_config::{ProcessSettings, SessionSettings};
 use std::process::ExitCode;
 
 const HELP: &str = "\
@@ -12,48 +13,72 @@
 The settings file is named by COPPERSAIL_SETTINGS. SIGHUP reads it again; SIGTERM ends in order.
 ";
 
-fn main() -> ExitCode {
-    let (mut check, mut sessions) = (false, None);
-    let mut args = lexopt::Parser::from_env();
-    loop {
-        match args.next() {
-            Ok(None) => break,
-            Ok(Some(lexopt::Arg::Long("check"))) => check = true,
-            Ok(Some(lexopt::Arg::Long("sessions"))) => match args.value().map(|path| path.into_string()) {
-                Ok(Ok(path)) => sessions = Some(path),
-                _ => return wrong("--sessions lacks a file"),
-            },
-            Ok(Some(lexopt::Arg::Long("help") | lexopt::Arg::Short('h'))) => {
-                print!("{HELP}");
-                return ExitCode::SUCCESS;
+/// What the command line asks for.
+enum Command {
+    Help,
+    Run { check_only: bool, sessions: Option<String> },
+}
+
+/// Why the command line cannot be used.
+#[derive(Debug, thiserror::Error)]
+enum UsageError {
+    #[error("--sessions lacks a file")]
+    NoSessionsFile,
+    #[error(transparent)]
+    Argument(#[from] lexopt::Error),
+}
+
+fn parse_arguments() -> Result<Command, UsageError> {
+    use lexopt::Arg::{Long, Short};
+    let (mut check_only, mut sessions) = (false, None);
+    let mut arguments = lexopt::Parser::from_env();
+    while let Some(argument) = arguments.next()? {
+        match argument {
+            Long("check") => check_only = true,
+            Long("sessions") => {
+                let path = arguments.value().ok().and_then(|path| path.into_string().ok());
+                sessions = Some(path.ok_or(UsageError::NoSessionsFile)?);
             }
-            Ok(Some(other)) => return wrong(&other.unexpected().to_string()),
-            Err(fault) => return wrong(&fault.to_string()),
+            Long("help") | Short('h') => return Ok(Command::Help),
+            other => return Err(other.unexpected().into()),
         }
     }
-    let boot = match coppersail_config::ProcessSettings::read() {
+    Ok(Command::Run { check_only, sessions })
+}
+
+fn main() -> ExitCode {
+    let (check_only, sessions) = match parse_arguments() {
+        Ok(Command::Run { check_only, sessions }) => (check_only, sessions),
+        Ok(Command::Help) => {
+            print!("{HELP}");
+            return ExitCode::SUCCESS;
+        }
+        Err(error) => return reject(&error),
+    };
+    let boot = match ProcessSettings::read() {
         Ok(boot) => boot,
-        Err(fault) => return wrong(&fault.to_string()),
+        Err(error) => return reject(&error),
     };
-    if let Err(fault) = coppersail_edge_proxy::able(&boot) {
-        return wrong(&fault);
+    if let Err(error) = coppersail_edge_proxy::check_settings(&boot) {
+        return reject(&error);
     }
-    if let Some(Err(fault)) = sessions.as_deref().map(coppersail_config::SessionSettings::read) {
-        return wrong(&fault.to_string());
+    if let Some(Err(error)) = sessions.as_deref().map(SessionSettings::read) {
+        return reject(&error);
     }
-    if check {
+    if check_only {
         return ExitCode::SUCCESS;
     }
     match coppersail_edge_proxy::run(boot, sessions, coppersail_edge_proxy::log::root()) {
         Ok(()) => ExitCode::SUCCESS,
-        Err(fault) => {
-            eprintln!("edge: {fault:#}");
+        Err(error) => {
+            eprintln!("edge: {error:#}");
             ExitCode::FAILURE
         }
     }
 }
 
-fn wrong(line: &str) -> ExitCode {
-    eprintln!("edge: {line}");
+/// One line and exit status 2: the command line or the settings are wrong.
+fn reject(error: &dyn std::error::Error) -> ExitCode {
+    eprintln!("edge: {error}");
     ExitCode::from(2)
 }
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/socket_read.rs
@@ -0,0 +1,26 @@
+//! Reads from a socket for hyper, and lets an observer see the bytes first.
+use hyper::rt::ReadBufCursor;
+use std::io;
+use std::pin::Pin;
+use std::task::{ready, Context, Poll};
+use tokio::io::{AsyncRead, ReadBuf};
+use tokio::net::TcpStream;
+
+/// Bytes that are read at once; responses are seldom longer.
+const READ_SIZE: usize = 8 * 1024;
+
+/// Reads what there is into hyper's buffer.
+pub(crate) fn poll_read_observed(
+    stream: &mut TcpStream,
+    cx: &mut Context<'_>,
+    mut cursor: ReadBufCursor<'_>,
+    observe: impl FnOnce(&[u8]),
+) -> Poll<io::Result<()>> {
+    let mut bytes = [0; READ_SIZE];
+    let limit = cursor.remaining().min(READ_SIZE);
+    let mut read = ReadBuf::new(&mut bytes[..limit]);
+    ready!(Pin::new(stream).poll_read(cx, &mut read))?;
+    observe(read.filled());
+    cursor.put_slice(read.filled());
+    Poll::Ready(Ok(()))
+}
--- /dev/null
+++ b/crates/data-plane/edge-proxy/src/upstream_response.rs
@@ -0,0 +1,223 @@
+//! Reads the response of an endpoint, and decides what it says about the attempt.
+use crate::body::{buffer_body, Body, BodyError, MAX_BUFFERED};
+use crate::edge::Edge;
+use crate::headers::{
+    closes_connection, keep_alive, optional, remove_hop_by_hop, retry_after, ReportedLoad, NOT_RUN,
+    SERVER_ID, SERVER_SEAL, TRY_ID,
+};
+use crate::in_flight::InFlight;
+use crate::lease::Lease;
+use crate::request::ReceivedRequest;
+use crate::response::{ResponseBody, StreamedResponse};
+use coppersail_load_balancing::Ms;
+use coppersail_retry::{AttemptOutcome, IndeterminateCause, RejectReason};
+use hyper::body::{Body as HttpBody, Incoming};
+use hyper::header::{HeaderMap, CONTENT_ENCODING, RETRY_AFTER, TRANSFER_ENCODING};
+use hyper::{Response, StatusCode, Version};
+use std::rc::Rc;
+use tokio::time::{timeout_at, Instant};
+
+/// Statuses by which an endpoint may ask for the request to be sent again; without its promise they are not passed on.
+const STATUSES_THAT_INVITE_RETRIES: [u16; 3] = [408, 429, 503];
+
+/// The response of an endpoint: complete, or streamed with a beginning that is sound.
+pub(crate) struct UpstreamResponse {
+    pub(crate) status: StatusCode,
+    headers: HeaderMap,
+    body: ResponseBody,
+}
+
+impl UpstreamResponse {
+    pub(crate) fn into_response(self) -> Response<ResponseBody> {
+        let mut response = Response::new(self.body);
+        (*response.status_mut(), *response.headers_mut()) = (self.status, self.headers);
+        response
+    }
+}
+
+/// What a response says.
+pub(crate) struct ResponseOutcome {
+    pub(crate) outcome: AttemptOutcome<UpstreamResponse>,
+    /// When a rejected request may come back, in ms, if the endpoint says so.
+    pub(crate) retry_after: Option<Ms>,
+}
+
+/// A request that was sent to an endpoint and whose response has begun.
+pub(crate) struct Exchange<'a> {
+    pub(crate) edge: &'a Rc<Edge>,
+    pub(crate) request: &'a ReceivedRequest<'a>,
+    pub(crate) endpoint: &'a Rc<str>,
+    pub(crate) lease: Lease,
+    /// In ms of the edge's clock.
+    pub(crate) sent_at: Ms,
+    /// Requests at the endpoint when it was sent.
+    pub(crate) concurrency: f32,
+    /// The response began before all of the request was sent.
+    pub(crate) early: bool,
+}
+
+impl Exchange<'_> {
+    /// Reads the response: as far as it is buffered.
+    pub(crate) async fn read(
+        mut self,
+        response: Response<Incoming>,
+        in_flight: &mut InFlight,
+    ) -> Result<ResponseOutcome, IndeterminateCause> {
+        let (head, body) = response.into_parts();
+        let (status, headers) = (head.status, head.headers);
+        // A response too many may have been waiting on the connection.
+        let id = optional(&headers, &TRY_ID).ok().flatten();
+        if id != Some(&self.request.id) || status == StatusCode::SWITCHING_PROTOCOLS {
+            return Err(IndeterminateCause::ForeignResponse);
+        }
+        self.record_load(&headers);
+        self.lease.keep_alive = keep_alive(&headers);
+        let reusable = head.version == Version::HTTP_11 && !closes_connection(&headers) && !self.early;
+        if let Some(reason) = self.reject_reason(status, &headers) {
+            in_flight.record_success();
+            let retry_after = self.record_rejection(reason, &headers);
+            if reusable {
+                self.drain_rejection(&headers, body).await;
+            }
+            return Ok(ResponseOutcome { outcome: AttemptOutcome::Rejected(reason), retry_after });
+        }
+        check_passable(status, &headers, &body)?;
+        let response = self.read_body(status, headers, body, reusable, in_flight).await?;
+        // Such a failure is the endpoint's own; a 504 has used up the time.
+        let outcome = match status {
+            StatusCode::INTERNAL_SERVER_ERROR | StatusCode::BAD_GATEWAY => AttemptOutcome::Failed(response),
+            _ => AttemptOutcome::Completed(response),
+        };
+        Ok(ResponseOutcome { outcome, retry_after: None })
+    }
+
+    fn deadline(&self) -> Instant {
+        self.edge.instant(self.request.until)
+    }
+
+    /// Why the endpoint did not process the request, if it says so.
+    fn reject_reason(&self, status: StatusCode, headers: &HeaderMap) -> Option<RejectReason> {
+        if status != StatusCode::MISDIRECTED_REQUEST {
+            let is_error = status.is_client_error() || status.is_server_error();
+            return (is_error && headers.contains_key(&NOT_RUN)).then_some(RejectReason::Overloaded);
+        }
+        let is_other = headers.get(&SERVER_ID).is_some_and(|id| id.as_bytes() != self.endpoint.as_bytes());
+        Some(if self.request.key.is_some() && !is_other {
+            RejectReason::NotOwner
+        } else {
+            RejectReason::StaleAddress
+        })
+    }
+
+    /// Records that the endpoint is overloaded, and yields the time that it names.
+    fn record_rejection(&self, reason: RejectReason, headers: &HeaderMap) -> Option<Ms> {
+        if reason != RejectReason::Overloaded {
+            return None;
+        }
+        let now = self.edge.now();
+        if let Some(endpoint) = self.edge.book.borrow_mut().endpoint_mut(self.endpoint) {
+            endpoint.load.record_rejection(now);
+        }
+        retry_after(headers.get(RETRY_AFTER))
+    }
+
+    /// Reads a rejection to its end, so that its connection can be used again. Without a length it would last until the
+    /// endpoint closes, which the next attempt need not wait for.
+    async fn drain_rejection(self, headers: &HeaderMap, body: Incoming) {
+        let is_short = body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED as u64);
+        if !is_short || !is_framed(headers, &body) {
+            return;
+        }
+        if let Ok(Ok(_)) = timeout_at(self.deadline(), buffer_body(body, MAX_BUFFERED as u64)).await {
+            self.lease.return_to_pool();
+        }
+    }
+
+    /// Buffers the body, or begins to stream it.
+    async fn read_body(
+        self,
+        status: StatusCode,
+        mut headers: HeaderMap,
+        body: Incoming,
+        reusable: bool,
+        in_flight: &mut InFlight,
+    ) -> Result<UpstreamResponse, IndeterminateCause> {
+        remove_hop_by_hop(&mut headers);
+        let deadline = self.deadline();
+        let body = match timeout_at(deadline, buffer_body(body, u64::MAX)).await {
+            Ok(Ok(body)) => body,
+            Ok(Err(BodyError::Aborted | BodyError::TooLong | BodyError::DeadlineExceeded)) => {
+                return Err(IndeterminateCause::Truncated)
+            }
+            Err(_) => return Err(IndeterminateCause::Timeout),
+        };
+        if status.is_success() {
+            self.record_latency();
+        }
+        let lease = reusable.then_some(self.lease);
+        let body = match body {
+            Body::Whole(bytes) => {
+                if let Some(lease) = lease {
+                    lease.return_to_pool();
+                }
+                in_flight.record_success();
+                ResponseBody::whole(bytes)
+            }
+            Body::Long(stream) => ResponseBody::streamed(StreamedResponse {
+                stream: stream.expect("just read"),
+                lease,
+                in_flight: InFlight::begin(self.edge, self.endpoint),
+                deadline: Box::pin(tokio::time::sleep_until(deadline)),
+            }),
+        };
+        Ok(UpstreamResponse { status, headers, body })
+    }
+
+    fn record_load(&self, headers: &HeaderMap) {
+        let Some(ReportedLoad { running, waiting, slots }) = ReportedLoad::from_headers(headers) else {
+            return;
+        };
+        let now = self.edge.now();
+        if let Some(endpoint) = self.edge.book.borrow_mut().endpoint_mut(self.endpoint) {
+            endpoint.load.record_report(running, waiting, slots, now);
+        }
+    }
+
+    fn record_latency(&self) {
+        let latency = self.edge.now().saturating_sub(self.sent_at);
+        let mut registry = self.edge.book.borrow_mut();
+        let service_mean = registry.service(self.request.service).map_or(0.0, |service| service.mean_latency);
+        let Some(endpoint) = registry.endpoint_mut(self.endpoint) else { return };
+        endpoint.load.record_latency(latency, self.concurrency, service_mean);
+        let endpoint_mean = endpoint.load.mean_latency();
+        if let Some(service) = registry.service_mut(self.request.service) {
+            service.record_latency(endpoint_mean);
+        }
+    }
+}
+
+/// Whether the end of the body can be told from the end of the connection.
+fn is_framed(headers: &HeaderMap, body: &Incoming) -> bool {
+    body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
+}
+
+/// Whether a response may be passed on.
+fn check_passable(
+    status: StatusCode,
+    headers: &HeaderMap,
+    body: &Incoming,
+) -> Result<(), IndeterminateCause> {
+    // A promise that the endpoint did not make must not be passed on as one, nor one beside a response.
+    if STATUSES_THAT_INVITE_RETRIES.contains(&status.as_u16()) || headers.contains_key(&NOT_RUN) {
+        return Err(IndeterminateCause::Unsealed);
+    }
+    let is_sealed = !status.is_success() || headers.contains_key(&SERVER_SEAL);
+    if !is_sealed || headers.contains_key(CONTENT_ENCODING) {
+        return Err(IndeterminateCause::Unsealed);
+    }
+    // A body that ends with its connection cannot be told from one that was cut.
+    if !is_framed(headers, body) {
+        return Err(IndeterminateCause::Truncated);
+    }
+    Ok(())
+}
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -328,7 +328,7 @@
         client.write_all(request("/once/", "1", "").as_bytes()).await.unwrap();
         host.read(1).await;
         let edge = rig.edge.clone();
-        let left = tokio::task::spawn_local(async move { coppersail_edge_proxy::leave(&edge).await });
+        let left = tokio::task::spawn_local(async move { coppersail_edge_proxy::shut_down(&edge).await });
         tokio::task::yield_now().await;
         let mut asked = tokio::net::TcpStream::connect(rig.readiness).await.unwrap();
         asked.write_all(b"GET /readiness HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
