--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -36,7 +36,7 @@
     body: Body,
     history: AttemptHistory,
     /// Ids of endpoints that are not to be selected again.
-    tried: Vec<Rc<str>>,
+    excluded: Vec<Rc<str>>,
     /// The variant of the rollout; it changes if the new version has no endpoint.
     variant: Option<Way>,
     /// An endpoint's own failure, kept in case that no other does better.
@@ -54,7 +54,7 @@
 /// What follows from the selection of an endpoint.
 enum SelectionStep {
     Attempt(Rc<str>),
-    SelectAgain,
+    Reselect,
     GiveUp,
 }
 
@@ -78,7 +78,7 @@
             edge,
             body,
             history: AttemptHistory::default(),
-            tried: Vec::new(),
+            excluded: Vec::new(),
             variant: request.way.clone(),
             failed_response: None,
             lacked_owner: false,
@@ -98,7 +98,7 @@
             }
             let endpoint = match self.select_endpoint(now).await {
                 SelectionStep::Attempt(endpoint) => endpoint,
-                SelectionStep::SelectAgain => continue,
+                SelectionStep::Reselect => continue,
                 SelectionStep::GiveUp => break,
             };
             if !self.take_retry_budget(now) {
@@ -130,7 +130,7 @@
             Selection::NoLeaseHolder => self.wait_for_owner(now).await,
             Selection::NoEndpoint if self.can_fall_back() => {
                 self.variant = self.variant.take().map(Way::old);
-                SelectionStep::SelectAgain
+                SelectionStep::Reselect
             }
             Selection::NoEndpoint | Selection::Overloaded => SelectionStep::GiveUp,
         }
@@ -149,7 +149,7 @@
             left: self.request.left(now),
             drain_grace: self.edge.drain_grace(),
             version,
-            tried: &self.tried,
+            excluded: &self.excluded,
         };
         let (registry, mut random) = (self.edge.book.borrow(), self.edge.chance.borrow_mut());
         selection::select_endpoint(&registry, &request, now, &mut random)
@@ -158,7 +158,7 @@
     /// The endpoint of the request's session, where it has one.
     fn apply_affinity(&self, selected: Rc<str>) -> Rc<str> {
         match &self.request.stay {
-            Some(stay) => stay.steer(self.edge, &self.request, selected, &self.tried),
+            Some(stay) => stay.steer(self.edge, &self.request, selected, &self.excluded),
             None => selected,
         }
     }
@@ -171,7 +171,7 @@
         if now >= self.owner_wait_until || timeout_at(until, updated).await.is_err() {
             return SelectionStep::GiveUp;
         }
-        SelectionStep::SelectAgain
+        SelectionStep::Reselect
     }
 
     /// Whether the request may go to the old version because the new one has no endpoint: only if it has certainly not
@@ -184,7 +184,7 @@
     /// Whether the attempt is within the retry budget; the first one, and those after which no endpoint has read the
     /// request, are not retries.
     fn take_retry_budget(&self, now: Ms) -> bool {
-        self.history.delivered == 0 || self.edge.try_spend_retry(self.request.service, now)
+        self.history.delivered == 0 || self.edge.withdraw_retry(self.request.service, now)
     }
 
     /// The body for the next attempt; none if its beginning was sent with an earlier one.
@@ -257,7 +257,7 @@
             AttemptOutcome::Rejected(RejectReason::StaleAddress) => {
                 self.edge.book.borrow_mut().mark_stale_address(&endpoint, self.edge.now());
             }
-            _ => self.tried.push(endpoint),
+            _ => self.excluded.push(endpoint),
         }
     }
 
--- a/crates/data-plane/edge-proxy/src/client_connection.rs
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -123,7 +123,7 @@
             _ = lifecycle.wait_for(|phase| *phase == Lifecycle::Closing), if !closing => closing = true,
         }
         match check(&state, &caps, closing, Instant::now()) {
-            Check::AgainAt(instant) => timer.as_mut().reset(instant),
+            Check::RecheckAt(instant) => timer.as_mut().reset(instant),
             Check::Close => return,
             Check::HeadTimeout => {
                 let mut stream = connection.into_parts().io.stream;
@@ -137,7 +137,7 @@
 
 /// What becomes of a connection whose timer fired.
 enum Check {
-    AgainAt(Instant),
+    RecheckAt(Instant),
     Close,
     /// Its head takes too long.
     HeadTimeout,
@@ -148,7 +148,7 @@
     if closing {
         return match phase {
             ConnectionPhase::Idle => Check::Close,
-            _ => Check::AgainAt(now + CHECK_WHILE_CLOSING),
+            _ => Check::RecheckAt(now + CHECK_WHILE_CLOSING),
         };
     }
     let limit = match phase {
@@ -158,11 +158,11 @@
     let end = state.since() + limit;
     if end > now {
         // A head that begins in between is seen at the sooner of both ends.
-        return Check::AgainAt(end.min(now + caps.head_wait));
+        return Check::RecheckAt(end.min(now + caps.head_wait));
     }
     match phase {
         // The request's own deadline ends it.
-        ConnectionPhase::Processing => Check::AgainAt(now + caps.head_wait.min(caps.quiet)),
+        ConnectionPhase::Processing => Check::RecheckAt(now + caps.head_wait.min(caps.quiet)),
         ConnectionPhase::Idle => Check::Close,
         ConnectionPhase::ReadingHead => Check::HeadTimeout,
     }
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -190,13 +190,13 @@
 
     /// Counts a request in its service's retry budget.
     pub(crate) fn record_request(&self, service: &str, now: Ms) {
-        self.with_retry_budget(service, |budget, settings| budget.record_request(settings, now));
+        self.with_retry_budget(service, |budget, settings| budget.deposit(settings, now));
     }
 
     /// Takes a retry from a service's budget, if there is one.
-    pub(crate) fn try_spend_retry(&self, service: &str, now: Ms) -> bool {
+    pub(crate) fn withdraw_retry(&self, service: &str, now: Ms) -> bool {
         let edge_count = self.book.borrow().edge_count;
-        self.with_retry_budget(service, |budget, settings| budget.try_spend(settings, edge_count, now))
+        self.with_retry_budget(service, |budget, settings| budget.withdraw(settings, edge_count, now))
     }
 
     fn with_retry_budget<T>(
--- a/crates/data-plane/edge-proxy/src/request_handler.rs
+++ b/crates/data-plane/edge-proxy/src/request_handler.rs
@@ -34,7 +34,7 @@
     let (head, body) = request.into_parts();
     let request = match ReceivedRequest::read(edge, &snapshot, head, client) {
         Ok(request) => request,
-        Err(error) => return refuse(&error),
+        Err(error) => return error_response(&error),
     };
     match edge.sessions.get() {
         Some(sessions) => sessions.guide(edge, &snapshot, request, body).await,
@@ -42,9 +42,9 @@
     }
 }
 
-/// The response to a request that cannot be routed. Where its end is not known for sure, the connection is closed: what
+/// The response to a request that is refused by its head. Where its end is not known for sure, the connection is closed: what
 /// follows might be taken for a request.
-fn refuse(error: &RequestError) -> Response<ResponseBody> {
+fn error_response(error: &RequestError) -> Response<ResponseBody> {
     match error {
         RequestError::NoRoute => empty_response(404),
         RequestError::BodyTooLong { .. } => close_connection(empty_response(413)),
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -1,6 +1,6 @@
-//! The edge among hosts that fail in every way that the protocol tells of.
-mod answers;
+//! An edge among endpoints that fail in every way that its protocol knows.
 mod follow;
+mod responses;
 mod rollout;
 mod sessions;
 mod stand_ins;
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 
 #[test]
-fn a_request_goes_through_unchanged() {
+fn only_hop_by_hop_headers_are_removed_from_a_request_and_its_response() {
     play(|| async {
         let host = host("i-1", |_, head| {
             Act::Send(answer(
@@ -24,30 +24,31 @@
         })
         .await;
         let rig = rig(&[&host]).await;
-        let body =
+        let message =
             "POST /once/x%20y?q=/../1 HTTP/1.1\r\nHost: A.example:80\r\nTry-Id: 77\r\nTime-Left-Ms: 5000\r\n\
             X-Mine: 1\r\nX-Hop: 2\r\nConnection: close, X-Hop\r\nTransfer-Encoding: chunked\r\n\r\n\
             3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
-        let answer = rig.raw(body.as_bytes()).await;
+        let answer = rig.raw(message.as_bytes()).await;
         assert_eq!((status(&answer), answer.ends_with("\r\n\r\nwhole")), (200, true), "{answer}");
         assert_eq!(header(&answer, "server-seal").as_deref(), Some("s.1"));
         assert_eq!(header(&answer, "x-own").as_deref(), Some("5"));
         assert_eq!(header(&answer, "keep-alive"), None);
-        let seen = host.seen.borrow()[0].clone();
+        let received = host.seen.borrow()[0].clone();
         assert!(
-            seen.starts_with("POST /once/x%20y?q=/../1 HTTP/1.1\r\n") && seen.ends_with("\r\n\r\nabcdefg")
+            received.starts_with("POST /once/x%20y?q=/../1 HTTP/1.1\r\n")
+                && received.ends_with("\r\n\r\nabcdefg")
         );
-        assert_eq!(header(&seen, "wanted-server").as_deref(), Some("i-1"));
-        assert_eq!(header(&seen, "host").as_deref(), Some("A.example:80"));
-        assert_eq!(header(&seen, "x-mine").as_deref(), Some("1"));
-        assert_eq!((header(&seen, "x-hop"), header(&seen, "transfer-encoding")), (None, None));
-        assert!((1..=5000).contains(&header(&seen, "time-left-ms").unwrap().parse::<u32>().unwrap()));
+        assert_eq!(header(&received, "wanted-server").as_deref(), Some("i-1"));
+        assert_eq!(header(&received, "host").as_deref(), Some("A.example:80"));
+        assert_eq!(header(&received, "x-mine").as_deref(), Some("1"));
+        assert_eq!((header(&received, "x-hop"), header(&received, "transfer-encoding")), (None, None));
+        assert!((1..=5000).contains(&header(&received, "time-left-ms").unwrap().parse::<u32>().unwrap()));
         assert_eq!(status(&rig.get("/unknown/", "78").await), 404);
     });
 }
 
 #[test]
-fn heads_that_can_be_read_in_two_ways_go_nowhere() {
+fn a_head_that_can_be_read_in_two_ways_is_refused_and_reaches_no_endpoint() {
     play(|| async {
         let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
         let rig = rig(&[&host]).await;
@@ -70,7 +71,7 @@
             assert_eq!(status(&answer), 400, "{more}: {answer}");
         }
         assert_eq!(host.count(), 0);
-        // A second request in one piece with the first is sent away unrun, whatever it holds.
+        // A second request in one piece with the first is refused unprocessed, whatever it holds.
         let two = rig.raw((request("/once/out", "1", "") + inner).as_bytes()).await;
         assert!(two.starts_with("HTTP/1.1 200") && two.contains("HTTP/1.1 503"), "{two}");
         assert_eq!(host.count(), 1);
@@ -78,7 +79,7 @@
 }
 
 #[test]
-fn what_is_too_large_or_too_slow_ends() {
+fn a_request_that_is_too_large_or_too_slow_is_refused() {
     play(|| async {
         let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
         let rig = rig_with(&[&host], "40ms").await;
@@ -93,11 +94,11 @@
     });
 }
 
-/// Whatever goes wrong once the request is out: what may run once ends in 502, what may be repeated is.
+/// Whatever goes wrong once the request was sent: one that is not idempotent ends in 502, an idempotent one is retried.
 #[test]
-fn broken_answers_are_neither_passed_on_nor_run_twice() {
-    type Break = fn(&str) -> Act;
-    let ways: [(&str, Break); 14] = [
+fn a_broken_response_is_not_passed_on_and_only_idempotent_requests_are_retried() {
+    type Failure = fn(&str) -> Act;
+    let failures: [(&str, Failure); 14] = [
         ("reset before the answer", |_| Act::Reset),
         ("closed before the answer", |_| Act::End(vec![])),
         ("closed in the head", |_| Act::End(b"HTTP/1.1 200 OK\r\nTry-I".to_vec())),
@@ -137,25 +138,25 @@
         }),
         ("a promise that is none", |head| Act::Send(answer(head, "503 Busy", "", ""))),
     ];
-    for (way, broken) in ways {
+    for (failure, respond) in failures {
         play(|| async move {
-            let failing = host("i-1", move |_, head| broken(head)).await;
+            let failing = host("i-1", move |_, head| respond(head)).await;
             let rig = rig(&[&failing]).await;
             let answer = rig.get("/once/", "1").await;
-            assert_eq!((status(&answer), failing.count()), (502, 1), "{way}: {answer}");
+            assert_eq!((status(&answer), failing.count()), (502, 1), "{failure}: {answer}");
             let sound = host("i-2", |_, head| Act::Send(good(head, "sound"))).await;
             rig.edge
                 .take(Update { endpoints: vec![sound.news(EndpointState::Ready, 1)], ..Update::default() });
             for id in 0..4 {
                 let answer = rig.get("/again/", &format!("r{id}")).await;
-                assert!(answer.ends_with("\r\n\r\nsound"), "{way}: {answer}");
+                assert!(answer.ends_with("\r\n\r\nsound"), "{failure}: {answer}");
             }
         });
     }
 }
 
 #[test]
-fn a_long_answer_that_is_cut_never_looks_whole() {
+fn a_streamed_response_that_is_truncated_never_looks_complete() {
     play(|| async {
         let long = "z".repeat(300_000);
         let whole = long.clone();
@@ -181,7 +182,7 @@
 }
 
 #[test]
-fn a_second_answer_belongs_to_nobody() {
+fn a_second_response_on_a_connection_reaches_no_client() {
     play(|| async {
         let host = host("i-1", |_, head| {
             let mut bytes = good(head, "first");
@@ -195,12 +196,12 @@
             assert!(answer.ends_with("first"), "{answer}");
             assert_eq!(header(&answer, "try-id").as_deref(), Some(id));
         }
-        assert_eq!(host.connections.get(), 3, "none of them is used again");
+        assert_eq!(host.connections.get(), 3, "none of them is reused");
     });
 }
 
 #[test]
-fn connections_are_kept_until_their_host_leaves() {
+fn connections_are_reused_until_their_endpoint_drains() {
     play(|| async {
         let staying = host("i-2", |_, head| Act::Send(good(head, "staying"))).await;
         let leaving = host("i-1", |_, head| Act::Send(good(head, "leaving"))).await;
@@ -211,8 +212,8 @@
             assert!(read_message(&mut client).await.unwrap().ends_with("leaving"));
         }
         assert_eq!(leaving.connections.get(), 1);
-        let hosts = vec![leaving.news(EndpointState::Draining, 2), staying.news(EndpointState::Ready, 1)];
-        rig.edge.take(Update { endpoints: hosts, ..Update::default() });
+        let endpoints = vec![leaving.news(EndpointState::Draining, 2), staying.news(EndpointState::Ready, 1)];
+        rig.edge.take(Update { endpoints, ..Update::default() });
         leaving.ended(1).await;
         client.write_all(request("/once/", "3", "").as_bytes()).await.unwrap();
         assert!(read_message(&mut client).await.unwrap().ends_with("staying"));
@@ -221,7 +222,7 @@
 }
 
 #[test]
-fn what_was_turned_away_goes_elsewhere_or_comes_back_later() {
+fn a_rejected_request_is_sent_to_another_endpoint_or_refused_with_retry_after() {
     play(|| async {
         let full = host("i-1", |_, head| {
             Act::Send(answer(head, "503 Full", "Not-Run: 1\r\nRetry-After: 0.25\r\n", ""))
@@ -235,17 +236,17 @@
             Act::Send(stand_ins::answer(head, "421 Other", "Not-Run: 1\r\nServer-Id: i-9\r\n", ""))
         })
         .await;
-        let hosts = vec![sound.news(EndpointState::Ready, 1), moved.news(EndpointState::Ready, 1)];
-        rig.edge.take(Update { endpoints: hosts, ..Update::default() });
+        let endpoints = vec![sound.news(EndpointState::Ready, 1), moved.news(EndpointState::Ready, 1)];
+        rig.edge.take(Update { endpoints, ..Update::default() });
         for id in 0..6 {
             assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
-        assert!(moved.count() <= 1, "an address that is another's is left alone");
+        assert!(moved.count() <= 1, "an address that is another endpoint's is not tried again");
     });
 }
 
 #[test]
-fn a_dead_host_costs_no_request() {
+fn an_unreachable_endpoint_fails_no_request() {
     play(|| async {
         let sound = host("i-1", |_, head| Act::Send(good(head, "sound"))).await;
         let mut dead = sound.news(EndpointState::Ready, 1);
@@ -259,7 +260,7 @@
 }
 
 #[test]
-fn silence_ends_at_the_deadline_and_not_with_a_promise() {
+fn an_endpoint_that_never_responds_ends_in_504_and_not_in_503() {
     play(|| async {
         let host = host("i-1", |_, _| Act::Hold(Rc::default())).await;
         let rig = rig(&[&host]).await;
@@ -269,7 +270,7 @@
 }
 
 #[test]
-fn a_client_that_goes_takes_its_request_along() {
+fn a_client_that_disconnects_cancels_its_request() {
     play(|| async {
         let host = host("i-1", |_, _| Act::Hold(Rc::default())).await;
         let rig = rig(&[&host]).await;
@@ -283,43 +284,43 @@
 }
 
 #[test]
-fn a_key_waits_for_its_holder_and_no_longer_than_that() {
+fn a_key_without_an_owner_waits_for_one_and_is_refused_after_that() {
     play(|| async {
-        let mut news = Vec::new();
+        let mut endpoints = Vec::new();
         let old = host("i-1", |_, head| Act::Send(answer(head, "421 Unheld", "Not-Run: 1\r\n", ""))).await;
         let new = host("i-2", |_, head| Act::Send(good(head, "held"))).await;
         for host in [&old, &new] {
-            news.push(coppersail_peer_protocol::EndpointUpdate {
+            endpoints.push(coppersail_peer_protocol::EndpointUpdate {
                 service: "parted".into(),
                 ..host.news(EndpointState::Ready, 1)
             });
         }
         let rig = rig(&[]).await;
-        rig.edge.take(Update { endpoints: news, ..Update::default() });
+        rig.edge.take(Update { endpoints, ..Update::default() });
         let key = "Shard-Key: 20000\r\nConnection: close\r\n";
-        let unheld = rig.raw(request("/key/", "1", key).as_bytes()).await;
-        assert_eq!(status(&unheld), 503);
-        assert!(header(&unheld, "retry-after").is_some());
+        let without_owner = rig.raw(request("/key/", "1", key).as_bytes()).await;
+        assert_eq!(status(&without_owner), 503);
+        assert!(header(&without_owner, "retry-after").is_some());
         rig.rows(vec![(1, "i-1".into(), 1)]);
-        let asked = request("/key/", "2", key);
-        let waiting = rig.raw(asked.as_bytes());
+        let message = request("/key/", "2", key);
+        let response = rig.raw(message.as_bytes());
         let moved = async {
             old.read(1).await;
             rig.rows(vec![(1, "i-2".into(), 2)]);
         };
-        let (answer, ()) = tokio::join!(waiting, moved);
+        let (answer, ()) = tokio::join!(response, moved);
         assert!(answer.ends_with("held"), "{answer}");
-        assert_eq!(rig.edge.tallies.take()[0].counts, [(1, 1)], "counted once slices are known");
+        assert_eq!(rig.edge.tallies.take()[0].counts, [(1, 1)], "counted once the slices are known");
     });
 }
 
 #[test]
-fn leaving_lets_what_is_under_way_end() {
+fn a_shutdown_lets_requests_in_flight_complete() {
     play(|| async {
-        let go: Rc<Notify> = Rc::default();
-        let held = go.clone();
+        let release: Rc<Notify> = Rc::default();
+        let released = release.clone();
         let host = host("i-1", move |number, head| match number {
-            0 => Act::Hold(held.clone()),
+            0 => Act::Hold(released.clone()),
             _ => Act::Send(good(head, "late")),
         })
         .await;
@@ -328,18 +329,18 @@
         client.write_all(request("/once/", "1", "").as_bytes()).await.unwrap();
         host.read(1).await;
         let edge = rig.edge.clone();
-        let left = tokio::task::spawn_local(async move { coppersail_edge_proxy::shut_down(&edge).await });
+        let shutdown = tokio::task::spawn_local(async move { coppersail_edge_proxy::shut_down(&edge).await });
         tokio::task::yield_now().await;
-        let mut asked = tokio::net::TcpStream::connect(rig.readiness).await.unwrap();
-        asked.write_all(b"GET /readiness HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
-        assert_eq!(status(&read_message(&mut asked).await.unwrap()), 503);
-        // Clients still come for a while.
+        let mut probe = tokio::net::TcpStream::connect(rig.readiness).await.unwrap();
+        probe.write_all(b"GET /readiness HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
+        assert_eq!(status(&read_message(&mut probe).await.unwrap()), 503);
+        // Clients still connect for a while.
         let late = rig.raw(request("/once/", "2", "").as_bytes()).await;
         assert!(late.ends_with("late") && header(&late, "connection").as_deref() == Some("close"));
-        go.notify_one();
+        release.notify_one();
         let mut answer = String::new();
         client.read_to_string(&mut answer).await.unwrap();
         assert!(answer.ends_with("held") && header(&answer, "connection").as_deref() == Some("close"));
-        left.abort();
+        shutdown.abort();
     });
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/answers.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/responses.rs
@@ -1,17 +1,17 @@
-//! Answers that come late, twice or too soon: none reaches another caller, and none is taken for what it is not.
+//! Responses that arrive late, twice or too early: none reaches another client or is taken for what it is not.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, Update};
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 #[test]
-fn a_late_answer_belongs_to_nobody() {
+fn a_late_response_reaches_no_other_client() {
     play(|| async {
         let host = host("i-1", |number, head| match number {
-            // It was to be kept, and is closed.
+            // The connection could be reused, and is closed.
             0 => Act::End(good(head, "closed")),
             1 => Act::Send(good(head, "first")),
-            // The one before is answered once more, where this one's answer is due.
+            // The response before comes once more, where this request's is due.
             2 => Act::Send([good("Try-Id: 1\r\n", "late"), good(head, "second")].concat()),
             3 => Act::Hold(Rc::default()),
             4 => Act::Send([b"HTTP/1.1 103 Early Hints\r\n\r\n".to_vec(), good(head, "fourth")].concat()),
@@ -19,26 +19,26 @@
         })
         .await;
         let rig = rig(&[&host]).await;
-        let mut got = Vec::new();
+        let mut responses = Vec::new();
         for (path, id) in
             [("/once/", "0"), ("/once/", "1"), ("/once/", "2"), ("/short/", "3"), ("/once/", "4")]
         {
             let answer = rig.get(path, id).await;
             let body = answer.split_once("\r\n\r\n").unwrap().1;
-            got.push((status(&answer), body.to_string(), host.connections.get()));
+            responses.push((status(&answer), body.to_string(), host.connections.get()));
         }
-        let of = |status, body: &str, connection| (status, body.into(), connection);
-        // No connection is used again that brought something foreign or stayed silent.
-        let first = [of(200, "closed", 1), of(200, "first", 2), of(502, "", 2)];
-        assert_eq!(got, [&first[..], &[of(504, "", 3), of(200, "fourth", 4)]].concat());
+        let response = |status, body: &str, connection| (status, body.into(), connection);
+        // No connection is reused on which something foreign arrived or a request timed out.
+        let first = [response(200, "closed", 1), response(200, "first", 2), response(502, "", 2)];
+        assert_eq!(responses, [&first[..], &[response(504, "", 3), response(200, "fourth", 4)]].concat());
         assert_eq!(host.count(), 5);
     });
 }
 
-/// A holder that is full is asked again, under the same id: where its refusal comes twice on one connection, the
-/// second would be taken for the answer to the second sending, which runs.
+/// An owner that is overloaded gets the request again, with the same id. If its rejection came twice on one connection,
+/// the second one would be taken for the response to the second attempt, which is processed.
 #[test]
-fn a_request_goes_out_once_on_each_connection() {
+fn a_request_is_sent_no_more_than_once_on_a_connection() {
     play(|| async {
         let host = bare("i-1", |number, mut stream, host| async move {
             let full = |head: &str| answer(head, "503 Full", "Not-Run: 1\r\n", "");
@@ -56,18 +56,18 @@
         })
         .await;
         let rig = rig(&[]).await;
-        let parted = EndpointUpdate { service: "parted".into(), ..host.news(EndpointState::Ready, 1) };
-        rig.edge.take(Update { endpoints: vec![parted], ..Update::default() });
+        let sharded = EndpointUpdate { service: "parted".into(), ..host.news(EndpointState::Ready, 1) };
+        rig.edge.take(Update { endpoints: vec![sharded], ..Update::default() });
         rig.rows(vec![(1, "i-1".into(), 1)]);
-        let asked = request("/seat/", "1", "Shard-Key: 20000\r\nConnection: close\r\n");
-        let answer = rig.raw(asked.as_bytes()).await;
+        let message = request("/seat/", "1", "Shard-Key: 20000\r\nConnection: close\r\n");
+        let answer = rig.raw(message.as_bytes()).await;
         assert!(status(&answer) == 200 && answer.ends_with("run"), "{answer}");
         assert_eq!((host.count(), host.connections.get()), (2, 2));
     });
 }
 
 #[test]
-fn a_connection_answered_too_soon_is_not_used_again() {
+fn a_connection_with_an_early_response_is_not_reused() {
     play(|| async {
         let host = bare("i-1", |number, mut stream, host| async move {
             if number == 0 {
--- a/crates/data-plane/load-balancing/src/budget/tests.rs
+++ b/crates/data-plane/load-balancing/src/budget/tests.rs
@@ -13,9 +13,9 @@
             let max_gap = if step / 500 % 2 == 0 { 2 } else { 300 };
             now += random.u64(0..max_gap);
             requests.push(now);
-            budget.record_request(&settings, now);
+            budget.deposit(&settings, now);
             // Everything fails at times: each request takes as many retries as it may.
-            while random.u32(0..3) > 0 && budget.try_spend(&settings, 8, now) {
+            while random.u32(0..3) > 0 && budget.withdraw(&settings, 8, now) {
                 retries.push(now);
             }
         }
@@ -32,7 +32,7 @@
 fn a_restarted_edge_gets_no_extra_retry_at_once_and_none_while_the_edge_count_is_unknown() {
     let settings = BudgetSettings { ratio: 0.0, window_ms: 10_000, extra_retries: 56 };
     let mut budget = RetryBudget::default();
-    assert!(!budget.try_spend(&settings, 8, 0));
-    assert!(budget.try_spend(&settings, 8, 3_000));
-    assert!(!RetryBudget::default().try_spend(&settings, 0, 0));
+    assert!(!budget.withdraw(&settings, 8, 0));
+    assert!(budget.withdraw(&settings, 8, 3_000));
+    assert!(!RetryBudget::default().withdraw(&settings, 0, 0));
 }
--- a/crates/data-plane/load-balancing/src/registry.rs
+++ b/crates/data-plane/load-balancing/src/registry.rs
@@ -98,7 +98,7 @@
         Some(self.slice_table(service)?.slice_of(key))
     }
 
-    /// The id of the endpoint that owns a key, unless it is unknown or in doubt.
+    /// The id of the endpoint that owns a key, unless it is unknown or suspect.
     pub fn owner(&self, service: &str, key: u16, now: Ms) -> Option<&Rc<str>> {
         self.slice_table(service)?.owner(key, now)
     }
--- a/crates/data-plane/load-balancing/src/selection.rs
+++ b/crates/data-plane/load-balancing/src/selection.rs
@@ -59,8 +59,8 @@
     pub drain_grace: Ms,
     /// Where a rollout tells versions apart.
     pub version: Option<VersionFilter<'a>>,
-    /// Ids of endpoints that earlier attempts were sent to.
-    pub tried: &'a [Rc<str>],
+    /// Ids of endpoints that earlier attempts failed at.
+    pub excluded: &'a [Rc<str>],
 }
 
 /// The result of a selection.
@@ -90,7 +90,7 @@
 ///     left: 900,
 ///     drain_grace: 0,
 ///     version: None,
-///     tried: &[],
+///     excluded: &[],
 /// };
 /// let selection = select_endpoint(&EndpointRegistry::new("north"), &request, 0, &mut fastrand::Rng::with_seed(1));
 /// assert_eq!(selection, Selection::NoEndpoint);
@@ -107,7 +107,7 @@
     }
     let mut candidates = usable_endpoints(registry, service, request, now);
     remove_ejected(&mut candidates, request, now);
-    candidates.retain(|endpoint| !request.tried.contains(&endpoint.id));
+    candidates.retain(|endpoint| !request.excluded.contains(&endpoint.id));
     match least_expected_latency(&candidates, service_latency(service), now, random) {
         None => Selection::NoEndpoint,
         Some(endpoint) if is_overloaded(endpoint, service, request, now) => Selection::Overloaded,
--- a/crates/data-plane/load-balancing/src/selection/tests.rs
+++ b/crates/data-plane/load-balancing/src/selection/tests.rs
@@ -27,7 +27,7 @@
         left: 1_000,
         drain_grace: 0,
         version: None,
-        tried: &[],
+        excluded: &[],
     }
 }
 
--- a/crates/data-plane/load-balancing/src/slices.rs
+++ b/crates/data-plane/load-balancing/src/slices.rs
@@ -7,7 +7,7 @@
 const KEY_SPACE: u32 = 65_536;
 /// Once its owner has rejected a key, the row is trusted again after this (ms): the endpoint may not have received its
 /// lease yet.
-const OWNER_DOUBT_MS: Ms = 300;
+const SUSPECT_OWNER_MS: Ms = 300;
 
 /// The owner of one slice.
 #[derive(Debug, Clone, Default)]
@@ -16,7 +16,7 @@
     endpoint: Option<Rc<str>>,
     /// Of the lease; a later owner has a higher one.
     fencing_token: u64,
-    doubted_until: Ms,
+    suspect_until: Ms,
 }
 
 /// The owners of all slices, by number.
@@ -31,10 +31,10 @@
         (u64::from(key) * self.rows.len() as u64 / u64::from(KEY_SPACE)) as u32
     }
 
-    /// The owner of a key, unless it is unknown or in doubt.
+    /// The owner of a key, unless it is unknown or suspect.
     pub fn owner(&self, key: u16, now: Ms) -> Option<&Rc<str>> {
         let row = self.rows.get(self.slice_of(key) as usize)?;
-        row.endpoint.as_ref().filter(|_| now >= row.doubted_until)
+        row.endpoint.as_ref().filter(|_| now >= row.suspect_until)
     }
 
     /// Whether any slice has an owner.
@@ -47,7 +47,7 @@
         let slice = self.slice_of(key) as usize;
         if let Some(row) = self.rows.get_mut(slice) {
             if row.endpoint.as_deref() == Some(endpoint) {
-                row.doubted_until = now + OWNER_DOUBT_MS;
+                row.suspect_until = now + SUSPECT_OWNER_MS;
             }
         }
     }
@@ -75,7 +75,7 @@
                 *row = SliceOwner {
                     endpoint: endpoint.clone(),
                     fencing_token: *fencing_token,
-                    doubted_until: 0,
+                    suspect_until: 0,
                 };
                 changed = true;
             }
--- a/crates/data-plane/load-balancing/src/timeouts.rs
+++ b/crates/data-plane/load-balancing/src/timeouts.rs
@@ -4,9 +4,9 @@
 
 /// Of a request for which neither the client nor the operator sets one.
 const DEFAULT_REQUEST_TIMEOUT: Duration = Duration::from_secs(30);
-/// A part of a request's latency target that may be spent on waiting: a refusal within a quarter of the target costs
-/// little, and the way to the client and back and an attempt that fails take their part of that.
-const PART_OF_TARGET: Ms = 8;
+/// A request's latency target, divided by this, is what may be spent on waiting: a refusal within a quarter of the target costs
+/// little, and the way to the client and back and an attempt that fails take their share of that.
+const TARGET_DIVISOR: Ms = 8;
 /// Longest wait (ms) inside the edge for a key's next owner.
 const MAX_OWNER_WAIT_MS: Ms = 250;
 /// Bounds (ms) of the time in which a connection must be established. Zones are milliseconds apart, and an endpoint that
@@ -15,15 +15,15 @@
 const CONNECT_TIMEOUT_MS: (Ms, Ms) = (60, 300);
 /// How long an endpoint keeps an idle connection, where it does not say so.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// Part of an endpoint's keep-alive time in which an idle connection is used for idempotent requests, and for others.
-const KEEP_ALIVE_PARTS: (f64, f64) = (0.6, 0.4);
+/// Fraction of an endpoint's keep-alive time in which an idle connection is used for idempotent requests, and for others.
+const KEEP_ALIVE_FRACTIONS: (f64, f64) = (0.6, 0.4);
 /// How long new connections are accepted after SIGTERM. The platform probes readiness every second and needs two
 /// failures, so that connections stop coming after about three.
 const ACCEPT_AFTER_SIGTERM: Duration = Duration::from_millis(3_500);
-/// Part of the shutdown grace period in which new connections are accepted, at most.
-const ACCEPT_PART_OF_GRACE: f64 = 0.6;
-/// Part of the shutdown grace period after which the process ends; the platform kills it at the end.
-const EXIT_PART_OF_GRACE: f64 = 0.95;
+/// Fraction of the shutdown grace period in which new connections are accepted, at most.
+const ACCEPT_FRACTION_OF_GRACE: f64 = 0.6;
+/// Fraction of the shutdown grace period after which the process ends; the platform kills it at the end.
+const EXIT_FRACTION_OF_GRACE: f64 = 0.95;
 
 /// The time (ms) that a request has: what the client says and what the operator allows.
 pub fn request_timeout(from_client: Option<Ms>, from_operator: Option<Duration>) -> Ms {
@@ -37,22 +37,22 @@
 
 /// How long (ms) a request may wait inside the edge for its key's next owner; `left` ms remain until its deadline.
 pub fn owner_wait(latency_target: Option<Duration>, left: Ms) -> Ms {
-    let part = latency_target.map_or(MAX_OWNER_WAIT_MS, |target| target.as_millis() as Ms / PART_OF_TARGET);
-    part.min(MAX_OWNER_WAIT_MS).min(left / 3)
+    let limit = latency_target.map_or(MAX_OWNER_WAIT_MS, |target| target.as_millis() as Ms / TARGET_DIVISOR);
+    limit.min(MAX_OWNER_WAIT_MS).min(left / 3)
 }
 
 /// How long establishing a connection to an endpoint may take; `left` ms remain until the request's deadline.
 pub fn connect_timeout(latency_target: Option<Duration>, left: Ms) -> Duration {
     let (min, max) = CONNECT_TIMEOUT_MS;
-    let part = latency_target.map_or(max, |target| target.as_millis() as Ms / PART_OF_TARGET);
-    Duration::from_millis(part.clamp(min, max).min(left / 2).max(1))
+    let limit = latency_target.map_or(max, |target| target.as_millis() as Ms / TARGET_DIVISOR);
+    Duration::from_millis(limit.clamp(min, max).min(left / 2).max(1))
 }
 
 /// How long an idle connection may be used, by the keep-alive time that the endpoint reported. That is well before the
 /// endpoint closes it: the FIN would cross the request. A request that must not be repeated stays further away, since
 /// one that crosses may have been processed.
 pub fn idle_timeout(keep_alive: Option<Duration>, idempotent: bool) -> Duration {
-    let (for_idempotent, for_others) = KEEP_ALIVE_PARTS;
+    let (for_idempotent, for_others) = KEEP_ALIVE_FRACTIONS;
     keep_alive.unwrap_or(DEFAULT_KEEP_ALIVE).mul_f64(if idempotent { for_idempotent } else { for_others })
 }
 
@@ -68,8 +68,8 @@
 impl ShutdownTimes {
     /// The phases within a shutdown grace period.
     pub fn within(grace: Duration) -> ShutdownTimes {
-        let accept_until = ACCEPT_AFTER_SIGTERM.min(grace.mul_f64(ACCEPT_PART_OF_GRACE));
-        ShutdownTimes { accept_until, exit_at: grace.mul_f64(EXIT_PART_OF_GRACE).max(accept_until) }
+        let accept_until = ACCEPT_AFTER_SIGTERM.min(grace.mul_f64(ACCEPT_FRACTION_OF_GRACE));
+        ShutdownTimes { accept_until, exit_at: grace.mul_f64(EXIT_FRACTION_OF_GRACE).max(accept_until) }
     }
 }
 
