--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -16,14 +16,14 @@
 /// Far longer than anything here takes; only a test that hangs meets it.
 const HANGS: Duration = Duration::from_secs(20);
 
-pub fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub(crate) fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new()
         .block_on(&runtime, async { tokio::time::timeout(HANGS, test()).await.expect("it hangs") });
 }
 
 /// What a host does when a request's head has been read.
-pub enum Act {
+pub(crate) enum Act {
     Send(Vec<u8>),
     /// Sends, then closes.
     End(Vec<u8>),
@@ -33,18 +33,18 @@
 }
 
 #[derive(Clone)]
-pub struct Host {
-    pub ident: String,
-    pub address: SocketAddr,
+pub(crate) struct Host {
+    pub(crate) ident: String,
+    pub(crate) address: SocketAddr,
     /// Heads of the requests read, with their bodies as they came.
-    pub seen: Rc<RefCell<Vec<String>>>,
-    pub connections: Rc<Cell<usize>>,
+    pub(crate) seen: Rc<RefCell<Vec<String>>>,
+    pub(crate) connections: Rc<Cell<usize>>,
     /// Told at each request and at each connection's end.
-    pub event: Rc<Notify>,
-    pub ended: Rc<Cell<usize>>,
+    pub(crate) event: Rc<Notify>,
+    pub(crate) ended: Rc<Cell<usize>>,
 }
 
-pub fn header(head: &str, name: &str) -> Option<String> {
+pub(crate) fn header(head: &str, name: &str) -> Option<String> {
     let line = head
         .lines()
         .find(|line| line.split_once(':').is_some_and(|(one, _)| one.eq_ignore_ascii_case(name)))?;
@@ -52,17 +52,17 @@
 }
 
 /// A sealed answer with the request's own id.
-pub fn good(head: &str, body: &str) -> Vec<u8> {
+pub(crate) fn good(head: &str, body: &str) -> Vec<u8> {
     answer(head, "200 OK", "Server-Seal: 1a.2b\r\n", body)
 }
 
-pub fn answer(head: &str, status: &str, more: &str, body: &str) -> Vec<u8> {
+pub(crate) fn answer(head: &str, status: &str, more: &str, body: &str) -> Vec<u8> {
     let (id, length) = (header(head, "try-id").unwrap_or_default(), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{more}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
 /// The number of a request counts from 0 over all connections.
-pub async fn host(ident: &str, script: impl Fn(usize, &str) -> Act + 'static) -> Host {
+pub(crate) async fn host(ident: &str, script: impl Fn(usize, &str) -> Act + 'static) -> Host {
     let script = Rc::new(script);
     bare(ident, move |_, stream, host| {
         let script = script.clone();
@@ -72,7 +72,7 @@
 }
 
 /// A host that does with each connection as told; they count from 0.
-pub async fn bare<F: Future<Output = ()> + 'static>(
+pub(crate) async fn bare<F: Future<Output = ()> + 'static>(
     ident: &str,
     serve: impl Fn(usize, TcpStream, Host) -> F + 'static,
 ) -> Host {
@@ -120,7 +120,7 @@
 }
 
 /// Head and body by `Content-Length` or chunks (kept as they came).
-pub async fn read_message(stream: &mut TcpStream) -> Option<String> {
+pub(crate) async fn read_message(stream: &mut TcpStream) -> Option<String> {
     let (mut bytes, mut more) = (Vec::new(), [0; 4096]);
     loop {
         if let Some(end) = bytes.windows(4).position(|four| four == b"\r\n\r\n") {
@@ -141,18 +141,18 @@
 
 impl Host {
     /// The number of a request that has been read.
-    pub fn note(&self, head: &str) -> usize {
+    pub(crate) fn note(&self, head: &str) -> usize {
         self.seen.borrow_mut().push(head.into());
         self.event.notify_waiters();
         self.count() - 1
     }
 
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.seen.borrow().len()
     }
 
     /// Until so many requests have been read.
-    pub async fn read(&self, count: usize) {
+    pub(crate) async fn read(&self, count: usize) {
         loop {
             let event = self.event.notified();
             if self.count() >= count {
@@ -162,7 +162,7 @@
         }
     }
 
-    pub async fn ended(&self, count: usize) {
+    pub(crate) async fn ended(&self, count: usize) {
         loop {
             let event = self.event.notified();
             if self.ended.get() >= count {
@@ -172,7 +172,7 @@
         }
     }
 
-    pub fn news(&self, stage: EndpointState, calls: u64) -> EndpointUpdate {
+    pub(crate) fn news(&self, stage: EndpointState, calls: u64) -> EndpointUpdate {
         EndpointUpdate {
             id: self.ident.clone(),
             service: "plain".into(),
@@ -186,11 +186,11 @@
     }
 }
 
-pub struct Rig {
-    pub edge: Rc<Edge>,
-    pub news: UnboundedSender<Update>,
-    pub clients: SocketAddr,
-    pub readiness: SocketAddr,
+pub(crate) struct Rig {
+    pub(crate) edge: Rc<Edge>,
+    pub(crate) news: UnboundedSender<Update>,
+    pub(crate) clients: SocketAddr,
+    pub(crate) readiness: SocketAddr,
 }
 
 const SETTINGS: &str = r#"{"revision":"r4","routes":{"columns":["name","domain","pathStart","sort","giveUp","target_time","rank","shares","tries","backend"],"rows":[
@@ -202,11 +202,11 @@
 "backends":{"columns":["name","checkPath","maxConnections","protocol","encrypted","splitUp"],"rows":[["plain","/well",100,"h1",false,null],["parted","/well",100,"h1",false,true]]},
 "caps":{"headSizeBytes":9000,"bodySizeBytes":400000,"headWait":"HEADWAIT","quiet":"15000ms"}}"#;
 
-pub async fn rig(hosts: &[&Host]) -> Rig {
+pub(crate) async fn rig(hosts: &[&Host]) -> Rig {
     rig_with(hosts, "3000ms").await
 }
 
-pub async fn rig_with(hosts: &[&Host], head_wait: &str) -> Rig {
+pub(crate) async fn rig_with(hosts: &[&Host], head_wait: &str) -> Rig {
     let mut boot = ProcessSettings {
         area: "north".into(),
         ip: "127.0.0.1".into(),
@@ -233,18 +233,18 @@
 }
 
 impl Rig {
-    pub fn rows(&self, rows: Vec<(u32, String, u64)>) {
+    pub(crate) fn rows(&self, rows: Vec<(u32, String, u64)>) {
         let rows = rows.into_iter().map(|(slice, ident, number)| (slice, slice, ident, number)).collect();
         let slices = vec![AssignmentUpdate { service: "parted".into(), slice_count: 4, rows }];
         self.news.send(Update { assignments: slices, ..Update::default() }).unwrap();
     }
 
-    pub async fn connect(&self) -> TcpStream {
+    pub(crate) async fn connect(&self) -> TcpStream {
         TcpStream::connect(self.clients).await.unwrap()
     }
 
     /// One request on a connection of its own; everything that comes back until it closes.
-    pub async fn raw(&self, bytes: &[u8]) -> String {
+    pub(crate) async fn raw(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect().await;
         let _ = stream.write_all(bytes).await;
         let mut all = Vec::new();
@@ -252,15 +252,15 @@
         String::from_utf8_lossy(&all).into_owned()
     }
 
-    pub async fn get(&self, path: &str, id: &str) -> String {
+    pub(crate) async fn get(&self, path: &str, id: &str) -> String {
         self.raw(request(path, id, "Connection: close\r\n").as_bytes()).await
     }
 }
 
-pub fn request(path: &str, id: &str, more: &str) -> String {
+pub(crate) fn request(path: &str, id: &str, more: &str) -> String {
     format!("GET {path} HTTP/1.1\r\nHost: A.example:80\r\nTry-Id: {id}\r\nTime-Left-Ms: 5000\r\n{more}\r\n")
 }
 
-pub fn status(answer: &str) -> u16 {
+pub(crate) fn status(answer: &str) -> u16 {
     answer.split(' ').nth(1).and_then(|status| status.parse().ok()).unwrap_or(0)
 }
