--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -3,7 +3,7 @@
 //! One thread drives all sockets; another one follows a control-plane node. The decisions are those of
 //! `coppersail-load-balancing`, `coppersail-retry`, `coppersail-rollout` and `coppersail-session-affinity`.
 //!
-//! The way of a request: `ingress` accepts the connection, `client_connection` serves HTTP/1.1 on it, `request_handler`
+//! The path of a request: `ingress` accepts the connection, `client_connection` serves HTTP/1.1 on it, `request_handler`
 //! checks the head (`request`), `proxy` reads the body, `attempt_loop` selects endpoints, `attempt` sends the request on
 //! a connection of the pool (`lease`, `connection_pool`), and `upstream_response` judges the response.
 mod attempt;
