--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -6,7 +6,7 @@
 use crate::in_flight::InFlight;
 use crate::lease::Lease;
 use crate::request::ReceivedRequest;
-use crate::steer::Way;
+use crate::rollout::variants::AssignedVariant;
 use crate::upstream_response::{Exchange, ResponseOutcome, UpstreamResponse};
 use coppersail_load_balancing::health::FailureKind;
 use coppersail_load_balancing::{timeouts, Ms};
@@ -41,7 +41,7 @@
     pub(crate) edge: &'a Rc<Edge>,
     pub(crate) request: &'a ReceivedRequest<'a>,
     pub(crate) endpoint: &'a Rc<str>,
-    pub(crate) variant: Option<&'a Way>,
+    pub(crate) variant: Option<&'a AssignedVariant>,
     /// Numbers of connections that earlier attempts were sent on.
     pub(crate) used_connections: &'a [u64],
 }
@@ -73,12 +73,12 @@
     /// Checks out a connection, and checks that the endpoint still accepts the request: an update may have arrived while
     /// the connection was established.
     async fn connect(&self, in_flight: &mut InFlight) -> Result<ReadyConnection, SendFailure> {
-        let address = self.edge.book.borrow().endpoint(self.endpoint).map(|endpoint| endpoint.address);
+        let address = self.edge.registry.borrow().endpoint(self.endpoint).map(|endpoint| endpoint.address);
         let address = address.ok_or(SendFailure::EndpointDraining)?;
         let target = self.request.route.target_time;
         let requirements = ConnectionRequirements {
             idempotent: self.request.route.repeatable,
-            connection_limit: self.request.part,
+            connection_limit: self.request.connection_limit,
             connect_timeout: timeouts::connect_timeout(target, self.request.left(self.edge.now())),
             used_connections: self.used_connections,
         };
@@ -97,7 +97,7 @@
 
     /// Requests at the endpoint, if it still accepts this one at this address.
     fn concurrency(&self, address: SocketAddr, now: Ms) -> Option<f32> {
-        let registry = self.edge.book.borrow();
+        let registry = self.edge.registry.borrow();
         let endpoint = registry.endpoint(self.endpoint)?;
         let accepts = endpoint.still_accepts(now, self.request.key, self.edge.drain_grace());
         (accepts && endpoint.address == address).then(|| endpoint.load.concurrency(now, 0.0))
@@ -112,8 +112,8 @@
         let ReadyConnection { mut lease, wanted_server, ready_at: sent_at, concurrency } = connection;
         let read_to_end = body.read_to_end();
         let request = self.upstream_request(body, wanted_server, sent_at);
-        lease.watch_responses(self.edge, &self.request.id, self.variant, &self.request.route.name);
-        let deadline = self.edge.instant(self.request.until);
+        lease.watch_responses(self.edge, &self.request.attempt_id, self.variant, &self.request.route.name);
+        let deadline = self.edge.instant(self.request.deadline);
         let response = match timeout_at(deadline, lease.sender.try_send_request(request)).await {
             Ok(Ok(response)) => response,
             Ok(Err(error)) => return failed_send(&lease, error, in_flight),
--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -4,7 +4,9 @@
 use crate::edge::Edge;
 use crate::request::ReceivedRequest;
 use crate::response::{empty_response, unavailable, ResponseBody};
-use crate::steer::{self, Way};
+use crate::rollout::recording::AttemptRecord;
+use crate::rollout::variants::AssignedVariant;
+use crate::sessions::AttemptTarget;
 use crate::upstream_response::UpstreamResponse;
 use coppersail_load_balancing::selection::{self, Selection, SelectionRequest, VersionFilter};
 use coppersail_load_balancing::{backoff, timeouts, Ms};
@@ -18,14 +20,14 @@
 
 /// How a request ended.
 pub(crate) struct ProxiedResponse {
-    pub(crate) answer: Response<ResponseBody>,
+    pub(crate) response: Response<ResponseBody>,
     /// None: the response is the endpoint's own.
-    pub(crate) closing: Option<FinalOutcome>,
+    pub(crate) given_up: Option<FinalOutcome>,
 }
 
 impl From<UpstreamResponse> for ProxiedResponse {
     fn from(response: UpstreamResponse) -> ProxiedResponse {
-        ProxiedResponse { answer: response.into_response(), closing: None }
+        ProxiedResponse { response: response.into_response(), given_up: None }
     }
 }
 
@@ -38,7 +40,7 @@
     /// Ids of endpoints that are not to be selected again.
     excluded: Vec<Rc<str>>,
     /// The variant of the rollout; it changes if the new version has no endpoint.
-    variant: Option<Way>,
+    variant: Option<AssignedVariant>,
     /// An endpoint's own failure, kept in case that no other does better.
     failed_response: Option<UpstreamResponse>,
     /// Whether the request had to wait for the owner of its key.
@@ -70,8 +72,8 @@
     pub(crate) fn new(edge: &'a Rc<Edge>, request: ReceivedRequest<'a>, body: Body) -> AttemptLoop<'a> {
         let now = edge.now();
         edge.record_request(request.service, now);
-        if let Some(slice) = request.key.and_then(|key| edge.book.borrow().slice(request.service, key)) {
-            edge.tallies.count(request.service, slice);
+        if let Some(slice) = request.key.and_then(|key| edge.registry.borrow().slice(request.service, key)) {
+            edge.request_counter.count(request.service, slice);
         }
         let owner_wait = timeouts::owner_wait(request.route.target_time, request.left(now));
         AttemptLoop {
@@ -79,7 +81,7 @@
             body,
             history: AttemptHistory::default(),
             excluded: Vec::new(),
-            variant: request.way.clone(),
+            variant: request.variant.clone(),
             failed_response: None,
             lacked_owner: false,
             retry_after: None,
@@ -129,7 +131,7 @@
             Selection::Endpoint(selected) => SelectionStep::Attempt(self.apply_affinity(selected)),
             Selection::NoLeaseHolder => self.wait_for_owner(now).await,
             Selection::NoEndpoint if self.can_fall_back() => {
-                self.variant = self.variant.take().map(Way::old);
+                self.variant = self.variant.take().map(AssignedVariant::into_control_group);
                 SelectionStep::Reselect
             }
             Selection::NoEndpoint | Selection::Overloaded => SelectionStep::GiveUp,
@@ -137,10 +139,13 @@
     }
 
     fn selection(&self, now: Ms) -> Selection {
-        let version = self.variant.as_ref().and_then(Way::hosts).map(|(version, is_new)| match is_new {
-            true => VersionFilter::Only(version),
-            false => VersionFilter::Except(version),
-        });
+        let version =
+            self.variant.as_ref().and_then(AssignedVariant::revision_filter).map(|(version, is_new)| {
+                match is_new {
+                    true => VersionFilter::Only(version),
+                    false => VersionFilter::Except(version),
+                }
+            });
         let request = SelectionRequest {
             service: self.request.service,
             key: self.request.key,
@@ -151,14 +156,22 @@
             version,
             excluded: &self.excluded,
         };
-        let (registry, mut random) = (self.edge.book.borrow(), self.edge.chance.borrow_mut());
+        let (registry, mut random) = (self.edge.registry.borrow(), self.edge.random.borrow_mut());
         selection::select_endpoint(&registry, &request, now, &mut random)
     }
 
     /// The endpoint of the request's session, where it has one.
     fn apply_affinity(&self, selected: Rc<str>) -> Rc<str> {
-        match &self.request.stay {
-            Some(stay) => stay.steer(self.edge, &self.request, selected, &self.excluded),
+        match &self.request.affinity {
+            Some(affinity) => {
+                let target = AttemptTarget {
+                    service: self.request.service,
+                    sharded: self.request.key.is_some(),
+                    attempted: &self.excluded,
+                };
+                let registry = self.edge.registry.borrow();
+                affinity.choose_endpoint(&registry, self.edge.now(), selected, &target)
+            }
             None => selected,
         }
     }
@@ -177,7 +190,11 @@
     /// Whether the request may go to the old version because the new one has no endpoint: only if it has certainly not
     /// been processed.
     fn can_fall_back(&self) -> bool {
-        let is_new = self.variant.as_ref().and_then(Way::hosts).is_some_and(|(_, is_new)| is_new);
+        let is_new = self
+            .variant
+            .as_ref()
+            .and_then(AssignedVariant::revision_filter)
+            .is_some_and(|(_, is_new)| is_new);
         is_new && !self.history.may_have_run()
     }
 
@@ -190,8 +207,8 @@
     /// The body for the next attempt; none if its beginning was sent with an earlier one.
     fn attempt_body(&mut self) -> Option<RequestBody> {
         match &mut self.body {
-            Body::Whole(bytes) => Some(RequestBody::buffered(bytes)),
-            Body::Long(stream) => stream.take().map(RequestBody::streaming),
+            Body::Buffered(bytes) => Some(RequestBody::buffered(bytes)),
+            Body::Streaming(stream) => stream.take().map(RequestBody::streaming),
         }
     }
 
@@ -204,7 +221,7 @@
     ) -> AttemptOutcome<UpstreamResponse> {
         let sample = self.variant.as_ref().map(|variant| RolloutSample {
             sent_at: Instant::now(),
-            is_latency_excluded: self.edge.steered(variant, endpoint, now),
+            is_latency_excluded: self.edge.record_attempt_start(variant, endpoint, now),
         });
         let attempt = Attempt {
             edge: self.edge,
@@ -217,7 +234,9 @@
         if let Some(sample) = sample {
             self.record_rollout_sample(endpoint, &outcome, &sample);
         }
-        if let (Body::Long(stream), Some(RequestBody::Streaming(unsent, _))) = (&mut self.body, unsent_body) {
+        if let (Body::Streaming(stream), Some(RequestBody::Streaming(unsent, _))) =
+            (&mut self.body, unsent_body)
+        {
             *stream = Some(unsent);
         }
         self.used_connections.extend(connection);
@@ -236,10 +255,16 @@
         let failed =
             matches!(outcome, AttemptOutcome::Completed(response) if response.status.is_server_error());
         let route = self.request.route;
-        let latency_target = route.target_time.map_or(Ms::MAX, |target| target.as_millis() as Ms);
-        let latency = steer::took(sample.sent_at);
-        let excluded = sample.is_latency_excluded;
-        self.edge.weigh(variant, &route.name, endpoint, outcome, failed, latency, latency_target, excluded);
+        let attempt = AttemptRecord {
+            variant,
+            route: &route.name,
+            endpoint,
+            server_error: failed,
+            latency: sample.sent_at.elapsed().as_millis() as Ms,
+            target_time: route.target_time.map_or(Ms::MAX, |target| target.as_millis() as Ms),
+            excluded: sample.is_latency_excluded,
+        };
+        self.edge.record_outcome(&attempt, outcome);
     }
 
     /// Records what an attempt says about the request and about its endpoint.
@@ -251,11 +276,11 @@
                 self.lacked_owner = true;
                 let key = self.request.key.unwrap_or_default();
                 let now = self.edge.now();
-                self.edge.book.borrow_mut().suspect_owner(self.request.service, key, &endpoint, now);
+                self.edge.registry.borrow_mut().suspect_owner(self.request.service, key, &endpoint, now);
             }
             AttemptOutcome::Rejected(RejectReason::Overloaded) if self.request.key.is_some() => {}
             AttemptOutcome::Rejected(RejectReason::StaleAddress) => {
-                self.edge.book.borrow_mut().mark_stale_address(&endpoint, self.edge.now());
+                self.edge.registry.borrow_mut().mark_stale_address(&endpoint, self.edge.now());
             }
             _ => self.excluded.push(endpoint),
         }
@@ -280,7 +305,7 @@
     }
 
     fn may_keep_failed_response(&self) -> bool {
-        self.failed_response.is_none() && matches!(self.body, Body::Whole(_))
+        self.failed_response.is_none() && matches!(self.body, Body::Buffered(_))
     }
 
     /// Only the owner can process the request, so that it is asked again, but not before a slot of it may be free.
@@ -302,7 +327,7 @@
             FinalOutcome::Unavailable => unavailable(self.client_backoff()),
             other => empty_response(other.status()),
         };
-        ProxiedResponse { answer, closing: Some(outcome) }
+        ProxiedResponse { response: answer, given_up: Some(outcome) }
     }
 
     /// When the client should come back, in ms.
@@ -310,7 +335,7 @@
         let left = self.request.left(self.edge.now());
         match self.retry_after {
             Some(retry_after) => retry_after.min(left / 3),
-            None => backoff::back(left, self.lacked_owner, self.edge.chance.borrow_mut().f64()),
+            None => backoff::back(left, self.lacked_owner, self.edge.random.borrow_mut().f64()),
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/body.rs
+++ b/crates/data-plane/edge-proxy/src/body.rs
@@ -27,15 +27,15 @@
 /// A body as far as it was read before the request or response is passed on.
 pub(crate) enum Body {
     /// All of it.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// One that is longer than [`MAX_BUFFERED`]. None once it was sent: its beginning cannot be repeated.
-    Long(Option<BodyStream>),
+    Streaming(Option<BodyStream>),
 }
 
 /// Reads a body to its end, or up to the bound of buffering. Longer than `limit` bytes it is an error.
 pub(crate) async fn buffer_body(mut body: Incoming, limit: u64) -> Result<Body, BodyError> {
     if body.size_hint().exact().is_some_and(|length| length > MAX_BUFFERED as u64) {
-        return Ok(Body::Long(Some(BodyStream { buffered: VecDeque::new(), rest: body, limit })));
+        return Ok(Body::Streaming(Some(BodyStream { buffered: VecDeque::new(), rest: body, limit })));
     }
     let (mut buffered, mut length) = (VecDeque::new(), 0);
     while let Some(frame) = body.frame().await {
@@ -47,10 +47,10 @@
         buffered.push_back(data);
         if length > MAX_BUFFERED {
             let limit = limit - length as u64;
-            return Ok(Body::Long(Some(BodyStream { buffered, rest: body, limit })));
+            return Ok(Body::Streaming(Some(BodyStream { buffered, rest: body, limit })));
         }
     }
-    Ok(Body::Whole(concatenate(buffered, length)))
+    Ok(Body::Buffered(concatenate(buffered, length)))
 }
 
 fn concatenate(mut chunks: VecDeque<Bytes>, length: usize) -> Bytes {
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -1,8 +1,8 @@
 //! The state that all requests of this process share.
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
-pub use crate::request_counter::RequestCounter as Tallies;
-use crate::steer::Steer;
+pub use crate::request_counter::RequestCounter;
+use crate::rollout::variants::RolloutVariants;
 use coppersail_config::config::{Caps, Routes};
 use coppersail_config::{Config, ProcessSettings};
 use coppersail_load_balancing::budget::{BudgetSettings, RetryBudget};
@@ -23,9 +23,6 @@
     pub(crate) routes: Routes,
 }
 
-/// Former name, which `sessions.rs` uses.
-pub(crate) use self::ConfigSnapshot as Told;
-
 /// The phases of the process, in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd)]
 pub(crate) enum Lifecycle {
@@ -42,24 +39,24 @@
     pub log: Logger,
     clock: Clock,
     /// The settings of the process.
-    pub boot: RefCell<Rc<ProcessSettings>>,
+    pub settings: RefCell<Rc<ProcessSettings>>,
     config: RefCell<Option<Rc<ConfigSnapshot>>>,
     /// All endpoints that it knows.
-    pub book: Rc<RefCell<EndpointRegistry>>,
+    pub registry: Rc<RefCell<EndpointRegistry>>,
     pub(crate) pool: Rc<ConnectionPool>,
     retry_budgets: RefCell<FxHashMap<String, RetryBudget>>,
-    pub(crate) chance: RefCell<fastrand::Rng>,
+    pub(crate) random: RefCell<fastrand::Rng>,
     /// Wakes requests that wait for the owner of their key.
     pub(crate) updated: Notify,
     pub(crate) lifecycle: watch::Sender<Lifecycle>,
     /// Requests by slice, for the control plane.
-    pub tallies: Arc<Tallies>,
+    pub request_counter: Arc<RequestCounter>,
     /// Session affinity; set at the start where the operators have a file for it.
     pub sessions: OnceCell<Rc<crate::sessions::Sessions>>,
     /// Open connections of clients.
     pub(crate) open_connections: Cell<usize>,
     /// Rollouts.
-    pub steer: Steer,
+    pub rollouts: RolloutVariants,
     first_update_at: Cell<Option<Ms>>,
     ready: Cell<bool>,
 }
@@ -74,15 +71,15 @@
             log,
             clock,
             pool: ConnectionPool::new(clock, registry.clone()),
-            book: registry,
-            steer: Steer::new(&boot.ip, &boot.area),
-            boot: RefCell::new(Rc::new(boot)),
+            registry: registry,
+            rollouts: RolloutVariants::new(&boot.ip, &boot.area),
+            settings: RefCell::new(Rc::new(boot)),
             config: RefCell::default(),
             retry_budgets: RefCell::default(),
-            chance: RefCell::new(fastrand::Rng::with_seed(seed)),
+            random: RefCell::new(fastrand::Rng::with_seed(seed)),
             updated: Notify::new(),
             lifecycle: watch::Sender::new(Lifecycle::Serving),
-            tallies: Arc::default(),
+            request_counter: Arc::default(),
             sessions: OnceCell::new(),
             open_connections: Cell::new(0),
             first_update_at: Cell::new(None),
@@ -115,20 +112,20 @@
         *self.lifecycle.borrow() > Lifecycle::Serving
     }
 
-    /// Applies an update of a control-plane node; `follow::Round::heed` has decided that the node may be believed.
-    pub fn take(&self, update: Update) {
+    /// Applies an update of a control-plane node; `watch::candidates::Candidates::accept` has decided that the node may be believed.
+    pub fn apply_update(&self, update: Update) {
         debug_assert!(!update.isolated, "a node without a majority is not believed");
         let now = self.now();
         if let Some(document) = &update.config {
             self.apply_config(document);
         }
-        let changes = self.book.borrow_mut().merge(&update, now);
+        let changes = self.registry.borrow_mut().merge(&update, now);
         self.first_update_at.set(self.first_update_at.get().or(Some(now)));
         for endpoint in &changes.unusable {
             self.pool.close_idle(endpoint);
         }
-        if self.steer.on() || !update.rollouts.is_empty() {
-            self.take_plans(&update);
+        if self.rollouts.is_active() || !update.rollouts.is_empty() {
+            self.apply_rollouts(&update);
         }
         self.updated.notify_waiters();
     }
@@ -151,9 +148,9 @@
 
     /// Once a second: what only time changes.
     pub(crate) fn tick(&self) {
-        self.report();
+        self.queue_evidence();
         let mut changes = RegistryChanges::default();
-        self.book.borrow_mut().remove_expired(self.now(), &mut changes);
+        self.registry.borrow_mut().remove_expired(self.now(), &mut changes);
         changes.unusable.iter().for_each(|endpoint| self.pool.close_idle(endpoint));
         self.pool.close_expired(Instant::now());
     }
@@ -180,12 +177,12 @@
         };
         let services = config.services.iter().map(|service| (service.name.as_str(), service.split_up));
         let known_for = self.first_update_at.get().map(|at| self.now().saturating_sub(at));
-        self.book.borrow().is_ready(services.filter(|(name, _)| is_routed(name)), known_for)
+        self.registry.borrow().is_ready(services.filter(|(name, _)| is_routed(name)), known_for)
     }
 
     /// For how long (ms) a draining endpoint gets requests for keys that only it owns.
     pub(crate) fn drain_grace(&self) -> Ms {
-        drain_grace(self.boot.borrow().limits.empty)
+        drain_grace(self.settings.borrow().limits.empty)
     }
 
     /// Counts a request in its service's retry budget.
@@ -195,7 +192,7 @@
 
     /// Takes a retry from a service's budget, if there is one.
     pub(crate) fn withdraw_retry(&self, service: &str, now: Ms) -> bool {
-        let edge_count = self.book.borrow().edge_count;
+        let edge_count = self.registry.borrow().edge_count;
         self.with_retry_budget(service, |budget, settings| budget.withdraw(settings, edge_count, now))
     }
 
@@ -213,7 +210,7 @@
     }
 
     fn retry_budget_settings(&self) -> BudgetSettings {
-        let boot = self.boot.borrow();
+        let boot = self.settings.borrow();
         let limits = &boot.limits;
         let window_ms = limits.retry_window.as_millis() as Ms;
         BudgetSettings { ratio: limits.retry_ratio, window_ms, extra_retries: limits.extra_tries }
@@ -228,9 +225,9 @@
     }
 
     fn apply_settings(&self, boot: ProcessSettings) {
-        if **self.boot.borrow() != boot {
+        if **self.settings.borrow() != boot {
             info!(self.log, "edge: settings read again");
-            *self.boot.borrow_mut() = Rc::new(boot);
+            *self.settings.borrow_mut() = Rc::new(boot);
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/follow.rs
+++ /dev/null
@@ -1,2 +0,0 @@
-//! Earlier name of [`crate::watch`], kept until the callers name that.
-pub use crate::watch::start;
--- a/crates/data-plane/edge-proxy/src/in_flight.rs
+++ b/crates/data-plane/edge-proxy/src/in_flight.rs
@@ -13,7 +13,7 @@
 
 impl InFlight {
     pub(crate) fn begin(edge: &Rc<Edge>, endpoint: &Rc<str>) -> InFlight {
-        if let Some(known) = edge.book.borrow_mut().endpoint_mut(endpoint) {
+        if let Some(known) = edge.registry.borrow_mut().endpoint_mut(endpoint) {
             known.load.in_flight += 1;
             known.health.begin_request();
         }
@@ -23,7 +23,7 @@
     /// The endpoint responded.
     pub(crate) fn record_success(&mut self) {
         self.judged = true;
-        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+        if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.health.record_success();
         }
     }
@@ -31,7 +31,7 @@
     /// The endpoint failed.
     pub(crate) fn record_failure(&mut self, kind: FailureKind) {
         self.judged = true;
-        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+        if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.health.record_failure(kind, self.edge.now());
         }
     }
@@ -39,7 +39,7 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        if let Some(known) = self.edge.book.borrow_mut().endpoint_mut(&self.endpoint) {
+        if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.load.in_flight = known.load.in_flight.saturating_sub(1);
             if !self.judged {
                 known.health.cancel_request();
--- a/crates/data-plane/edge-proxy/src/ingress.rs
+++ b/crates/data-plane/edge-proxy/src/ingress.rs
@@ -52,5 +52,5 @@
 
 /// Half of the file descriptors are for clients, the others for connections to endpoints.
 fn connection_limit(edge: &Edge) -> u64 {
-    edge.boot.borrow().open_files.saturating_sub(RESERVED_FILES) / 2
+    edge.settings.borrow().open_files.saturating_sub(RESERVED_FILES) / 2
 }
--- a/crates/data-plane/edge-proxy/src/lease.rs
+++ b/crates/data-plane/edge-proxy/src/lease.rs
@@ -3,7 +3,8 @@
 use crate::connection_pool::{ConnectionPool, ConnectionRequirements, IdleConnection, OpenConnection};
 use crate::edge::Edge;
 use crate::input_poll::earliest_arrival;
-use crate::steer::{Lookout, Way};
+use crate::rollout::duplicates::DuplicateDetector;
+use crate::rollout::variants::AssignedVariant;
 use crate::upstream_socket::{UpstreamIo, UpstreamSocket};
 use coppersail_load_balancing::timeouts;
 use coppersail_retry::SendFailure;
@@ -106,12 +107,13 @@
         &self,
         edge: &Rc<Edge>,
         id: &HeaderValue,
-        variant: Option<&Way>,
+        variant: Option<&AssignedVariant>,
         route: &str,
     ) {
         let mut socket = self.socket.borrow_mut();
-        let previous = socket.lookout.take();
-        socket.lookout = variant.map(|variant| Lookout::next(previous, edge, id, variant, route));
+        let previous = socket.duplicate_detector.take();
+        socket.duplicate_detector =
+            variant.map(|variant| DuplicateDetector::for_attempt(previous, edge, id, variant, route));
     }
 
     /// Returns the connection to the pool, after a complete response that leaves no doubt.
--- a/crates/data-plane/edge-proxy/src/proxy.rs
+++ b/crates/data-plane/edge-proxy/src/proxy.rs
@@ -17,8 +17,8 @@
     request: ReceivedRequest<'_>,
     body: Incoming,
 ) -> Response<ResponseBody> {
-    match read_request_body(edge, config, request.until, body).await {
-        Ok(body) => proxy_buffered(edge, request, body).await.answer,
+    match read_request_body(edge, config, request.deadline, body).await {
+        Ok(body) => proxy_buffered(edge, request, body).await.response,
         Err(refusal) => refusal,
     }
 }
--- a/crates/data-plane/edge-proxy/src/request.rs
+++ b/crates/data-plane/edge-proxy/src/request.rs
@@ -3,8 +3,8 @@
 use crate::headers::{
     number, optional, remove_hop_by_hop, required, HeaderError, SHARD_KEY, TIME_LEFT, TRY_ID,
 };
-use crate::sessions::Stay;
-use crate::steer::Way;
+use crate::rollout::variants::AssignedVariant;
+use crate::sessions::EndpointAffinity;
 use coppersail_config::Route;
 use coppersail_load_balancing::{timeouts, traffic_split, Ms};
 use hyper::header::{HeaderMap, HeaderValue, CONTENT_LENGTH, EXPECT, HOST, TRANSFER_ENCODING};
@@ -35,7 +35,7 @@
     /// Name of the service that is to process it.
     pub(crate) service: &'a str,
     /// This edge's share of each endpoint's connections.
-    pub(crate) part: u32,
+    pub(crate) connection_limit: u32,
     /// Where the service is sharded and the client names one.
     pub(crate) key: Option<u16>,
     pub(crate) method: Method,
@@ -43,13 +43,13 @@
     /// Without those that concern only the client's connection.
     pub(crate) headers: HeaderMap,
     /// The same in all attempts.
-    pub(crate) id: HeaderValue,
+    pub(crate) attempt_id: HeaderValue,
     /// The deadline, in ms of the edge's clock.
-    pub(crate) until: Ms,
+    pub(crate) deadline: Ms,
     /// Of a session with affinity to an endpoint.
-    pub(crate) stay: Option<Stay>,
+    pub(crate) affinity: Option<EndpointAffinity>,
     /// Its variant, where a rollout applies.
-    pub(crate) way: Option<Way>,
+    pub(crate) variant: Option<AssignedVariant>,
 }
 
 impl<'a> ReceivedRequest<'a> {
@@ -69,8 +69,8 @@
         let route = route.ok_or(RequestError::NoRoute)?;
         let name =
             traffic_split::select_service(&route.shares, id.as_bytes()).ok_or(RequestError::NoRoute)?;
-        let (way, name) = match select_variant(edge, snapshot, route, &headers, client, name, now) {
-            Some((way, name)) => (Some(way), name),
+        let (variant, name) = match select_variant(edge, snapshot, route, &headers, client, name, now) {
+            Some((variant, name)) => (Some(variant), name),
             None => (None, name),
         };
         let service = snapshot.config.service(name);
@@ -80,27 +80,27 @@
         remove_hop_by_hop(&mut headers);
         headers.remove(EXPECT);
         let max_connections = service.map_or(0, |service| service.max_connections);
-        let part = timeouts::connection_limit(max_connections, edge.book.borrow().edge_count);
+        let part = timeouts::connection_limit(max_connections, edge.registry.borrow().edge_count);
         let until = now + timeouts::request_timeout(time_left, route.give_up);
         let uri = origin_form(uri);
         Ok(ReceivedRequest {
             route,
             service: name,
-            part,
+            connection_limit: part,
             key,
             method,
             uri,
             headers,
-            id,
-            until,
-            stay: None,
-            way,
+            attempt_id: id,
+            deadline: until,
+            affinity: None,
+            variant: variant,
         })
     }
 
     /// Until the deadline, in ms.
     pub(crate) fn left(&self, now: Ms) -> Ms {
-        self.until.saturating_sub(now)
+        self.deadline.saturating_sub(now)
     }
 }
 
@@ -144,20 +144,20 @@
     client: IpAddr,
     service: &'a str,
     now: Ms,
-) -> Option<(Way, &'a str)> {
-    if !edge.steer.on() {
+) -> Option<(AssignedVariant, &'a str)> {
+    if !edge.rollouts.is_active() {
         return None;
     }
-    let session_header = edge.steer.member(service, &route.name)?;
+    let session_header = edge.rollouts.selection_header(service, &route.name)?;
     let sharded = snapshot.config.service(service).is_some_and(|service| service.split_up);
     // A key has one owner in each version, so that all of its requests get the same variant.
     let key = headers.get(&SHARD_KEY).filter(|_| sharded);
     let member = key.or_else(|| headers.get(session_header?)).map(|value| value.as_bytes().to_vec());
     let member = member.unwrap_or_else(|| client.to_string().into_bytes());
-    let way = edge.steer.way(now, service, &route.name, &member)?;
-    let Some(other) = way.service() else { return Some((way, service)) };
+    let variant = edge.rollouts.select_variant(now, service, &route.name, &member)?;
+    let Some(other) = variant.service() else { return Some((variant, service)) };
     // Only where the configuration in force allows it.
     let (other, _) = route.shares.iter().find(|(name, _)| name == other)?;
     let other = &snapshot.config.service(other)?.name;
-    Some((way, other))
+    Some((variant, other))
 }
--- a/crates/data-plane/edge-proxy/src/request_handler.rs
+++ b/crates/data-plane/edge-proxy/src/request_handler.rs
@@ -28,7 +28,7 @@
         return close_connection(empty_response(400));
     }
     let Some(snapshot) = edge.config() else {
-        let random = edge.chance.borrow_mut().f64();
+        let random = edge.random.borrow_mut().f64();
         return unavailable(backoff::back(TIME_LEFT_WITHOUT_CONFIG, false, random));
     };
     let (head, body) = request.into_parts();
@@ -37,7 +37,7 @@
         Err(error) => return error_response(&error),
     };
     match edge.sessions.get() {
-        Some(sessions) => sessions.guide(edge, &snapshot, request, body).await,
+        Some(sessions) => sessions.proxy_request(edge, &snapshot, request, body).await,
         None => proxy_request(edge, &snapshot, request, body).await,
     }
 }
--- a/crates/data-plane/edge-proxy/src/rollout/duplicates.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/duplicates.rs
@@ -34,7 +34,7 @@
 
 impl DuplicateDetector {
     /// The detector for the next attempt on a connection; `last` is that of the attempt before.
-    pub fn next<O: DuplicateObserver + 'static>(
+    pub fn for_attempt<O: DuplicateObserver + 'static>(
         last: Option<Box<DuplicateDetector>>,
         observer: &Rc<O>,
         id: &HeaderValue,
--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -54,8 +54,8 @@
 
 impl Edge {
     /// Applies the rollouts of an update and extends the lease under which new versions get requests.
-    pub fn take_plans(&self, update: &Update) {
-        let rollouts = &self.steer;
+    pub fn apply_rollouts(&self, update: &Update) {
+        let rollouts = &self.rollouts;
         let mut selector = rollouts.selector.borrow_mut();
         for state in &update.rollouts {
             if selector.take(state) {
@@ -85,24 +85,24 @@
             }
         }
         drop(selector);
-        self.report();
+        self.queue_evidence();
     }
 
     /// Queues the evidence of spans that are over, for the next poll.
-    pub fn report(&self) {
-        if self.steer.on() {
-            let report = self.steer.evidence.borrow_mut().report(self.now(), MAX_REPORT_BYTES);
-            self.steer.outbox.put_back(report.into_iter().collect());
+    pub fn queue_evidence(&self) {
+        if self.rollouts.is_active() {
+            let report = self.rollouts.evidence.borrow_mut().report(self.now(), MAX_REPORT_BYTES);
+            self.rollouts.outbox.put_back(report.into_iter().collect());
         }
     }
 
     /// A request is sent to an endpoint. True if its latency will say nothing about the version, as the endpoint is
     /// warming up or has more than its part of the requests.
-    pub fn steered(&self, variant: &AssignedVariant, endpoint: &str, now: Ms) -> bool {
-        let registry = self.book.borrow();
+    pub fn record_attempt_start(&self, variant: &AssignedVariant, endpoint: &str, now: Ms) -> bool {
+        let registry = self.registry.borrow();
         let known = registry.endpoint(endpoint).map(|known| (known.capacity, now < known.slow_start_until));
         let (capacity, warming_up) = known.unwrap_or((1, false));
-        let mut evidence = self.steer.evidence.borrow_mut();
+        let mut evidence = self.rollouts.evidence.borrow_mut();
         variant.counted && (evidence.sent(now, endpoint, f64::from(capacity)) || warming_up)
     }
 
@@ -120,24 +120,6 @@
         }
     }
 
-    /// [`Edge::record_outcome`] with the fields of [`AttemptRecord`] one by one.
-    #[expect(clippy::too_many_arguments, reason = "goes once the request path calls record_outcome")]
-    pub fn weigh<A>(
-        &self,
-        variant: &AssignedVariant,
-        route: &str,
-        endpoint: &str,
-        outcome: &AttemptOutcome<A>,
-        server_error: bool,
-        latency: Ms,
-        target_time: Ms,
-        excluded: bool,
-    ) {
-        let attempt =
-            AttemptRecord { variant, route, endpoint, server_error, latency, target_time, excluded };
-        self.record_outcome(&attempt, outcome);
-    }
-
     fn record_evidence(
         &self,
         now: Ms,
@@ -148,7 +130,7 @@
         endpoint: Option<&str>,
     ) {
         let AssignedVariant { rollout, change_number, variant, .. } = variant;
-        let mut evidence = self.steer.evidence.borrow_mut();
+        let mut evidence = self.rollouts.evidence.borrow_mut();
         evidence.note(now, rollout, *change_number, route, *variant, kind, latency, endpoint);
     }
 }
@@ -163,9 +145,9 @@
         let AssignedVariant { rollout, change_number, variant: kind, .. } = variant;
         warn!(self.log, "edge: a try was answered twice by the {kind:?} version of plan {rollout}");
         if *kind == Variant::New {
-            self.steer.selector.borrow_mut().stop(rollout, *change_number);
+            self.rollouts.selector.borrow_mut().stop(rollout, *change_number);
         }
         self.record_evidence(self.now(), variant, route, OutcomeKind::Doubled, None, None);
-        self.report();
+        self.queue_evidence();
     }
 }
--- a/crates/data-plane/edge-proxy/src/rollout/variants.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/variants.rs
@@ -48,12 +48,12 @@
     }
 
     /// The same request in the control group instead.
-    pub fn old(self) -> AssignedVariant {
+    pub fn into_control_group(self) -> AssignedVariant {
         AssignedVariant { variant: Variant::Old, ..self }
     }
 
     /// Where versions are revisions: the new revision, and whether endpoints must have it (true) or must not.
-    pub fn hosts(&self) -> Option<(&str, bool)> {
+    pub fn revision_filter(&self) -> Option<(&str, bool)> {
         self.revision.as_deref().map(|revision| (revision, self.variant == Variant::New))
     }
 }
@@ -72,13 +72,13 @@
     }
 
     /// Whether any rollout is in force.
-    pub fn on(&self) -> bool {
+    pub fn is_active(&self) -> bool {
         self.active.get()
     }
 
     /// None: no rollout covers the route. Otherwise the header whose value is the key of variant selection, or none
     /// for the client's address.
-    pub fn member(&self, service: &str, route: &str) -> Option<Option<String>> {
+    pub fn selection_header(&self, service: &str, route: &str) -> Option<Option<String>> {
         let selector = self.selector.borrow();
         let choice = selector.choose(0, service, route, b"")?;
         Some(selector.get(choice.plan).plan.member.clone())
@@ -86,7 +86,13 @@
 
     /// The variant for a request with this selection key, if a rollout covers the route. Equal keys get the same
     /// variant at every edge, and those of the new version keep it while its share grows.
-    pub fn way(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<AssignedVariant> {
+    pub fn select_variant(
+        &self,
+        now: Ms,
+        service: &str,
+        route: &str,
+        member: &[u8],
+    ) -> Option<AssignedVariant> {
         let selector = self.selector.borrow();
         let choice = selector.choose(now, service, route, member)?;
         let live = selector.get(choice.plan);
--- a/crates/data-plane/edge-proxy/src/server.rs
+++ b/crates/data-plane/edge-proxy/src/server.rs
@@ -1,7 +1,7 @@
 //! Starts an edge, drives it until it is told to stop, and shuts it down in order.
 use crate::edge::{Edge, Lifecycle};
 use crate::sessions::Sessions;
-use crate::{follow, ingress, input_poll, readiness};
+use crate::{ingress, input_poll, readiness, watch};
 use coppersail_config::ProcessSettings;
 use coppersail_load_balancing::timeouts::ShutdownTimes;
 use coppersail_peer_protocol::Update;
@@ -57,8 +57,8 @@
     if let Some(path) = sessions {
         start_sessions(&edge, &path)?;
     }
-    let boot = edge.boot.borrow().clone();
-    follow::start(&boot, log, edge.tallies.clone(), edge.steer.outbox.clone(), sender)?;
+    let boot = edge.settings.borrow().clone();
+    watch::start(&boot, log, edge.request_counter.clone(), edge.rollouts.outbox.clone(), sender)?;
     start(&edge, clients, readiness, updates);
     handle_signals(&edge, terminate, hangup).await;
     shut_down(&edge).await;
@@ -70,8 +70,8 @@
 }
 
 fn start_sessions(edge: &Rc<Edge>, path: &str) -> eyre::Result<()> {
-    let boot = edge.boot.borrow().clone();
-    let (sessions, address) = Sessions::from_boot(path, &boot, edge.log.clone())?;
+    let boot = edge.settings.borrow().clone();
+    let (sessions, address) = Sessions::from_process_settings(path, &boot, edge.log.clone())?;
     sessions.start(listen(&address)?);
     let _ = edge.sessions.set(sessions);
     Ok(())
@@ -89,7 +89,7 @@
     let edge = edge.clone();
     spawn_local(async move {
         while let Some(update) = updates.recv().await {
-            edge.take(update);
+            edge.apply_update(update);
         }
     });
 }
@@ -124,7 +124,7 @@
 /// Shuts down in order: readiness fails, connections are accepted for as long as some may come, and requests in flight
 /// end within the grace period.
 pub async fn shut_down(edge: &Rc<Edge>) {
-    let grace = edge.boot.borrow().limits.leeway;
+    let grace = edge.settings.borrow().limits.leeway;
     let times = ShutdownTimes::within(grace);
     let begun = Instant::now();
     info!(edge.log, "edge: leaving, {} connections open", edge.open_connections.get());
--- a/crates/data-plane/edge-proxy/src/sessions.rs
+++ b/crates/data-plane/edge-proxy/src/sessions.rs
@@ -17,7 +17,7 @@
 mod settings;
 mod tokens;
 
-pub(crate) use endpoint_affinity::EndpointAffinity as Stay;
-pub use listing::Listed;
+pub(crate) use endpoint_affinity::{AttemptTarget, EndpointAffinity};
+pub use listing::SessionListing;
 pub use service::Sessions;
 pub use settings::SessionsError;
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -1,13 +1,15 @@
 //! Admission of a request while sessions are on: finds its session, and lets a request that must run once through
 //! only when the affinity node says so.
 use super::clock::{millis, unix_millis};
-use super::endpoint_affinity::{AttemptTarget, EndpointAffinity, SentTo};
+use super::endpoint_affinity::{EndpointAffinity, SentTo};
 use super::replay::{self, refusal};
 use super::service::{Progress, Sessions};
 use super::tokens::ValidToken;
-use crate::edge::{Edge, Told};
-use crate::pass::{self, Held, Taken};
-use crate::reply::{self, Reply};
+use crate::body::Body;
+use crate::edge::{ConfigSnapshot, Edge};
+use crate::proxy::{proxy_buffered, proxy_request, read_request_body};
+use crate::request::ReceivedRequest;
+use crate::response::{close_connection, empty_response, ResponseBody};
 use bytes::Bytes;
 use coppersail_config::sessions::PeerSite;
 use coppersail_config::Route;
@@ -43,7 +45,7 @@
 
 /// A request that must run at most once, read whole.
 struct BufferedRequest<'a> {
-    request: Taken<'a>,
+    request: ReceivedRequest<'a>,
     body: Bytes,
     /// The same request as the affinity node knows it.
     idempotent: IdempotentRequest,
@@ -68,31 +70,17 @@
     }
 }
 
-impl EndpointAffinity {
-    /// [`EndpointAffinity::choose_endpoint`] with what the request path has at hand.
-    pub(crate) fn steer(
-        &self,
-        edge: &Edge,
-        taken: &Taken<'_>,
-        selected: Rc<str>,
-        attempted: &[Rc<str>],
-    ) -> Rc<str> {
-        let target = AttemptTarget { service: taken.service, sharded: taken.key.is_some(), attempted };
-        self.choose_endpoint(&edge.book.borrow(), edge.now(), selected, &target)
-    }
-}
-
 impl Sessions {
     /// Proxies any request, once sessions are on.
-    pub(crate) async fn guide(
+    pub(crate) async fn proxy_request(
         self: &Rc<Self>,
         edge: &Rc<Edge>,
-        config: &Told,
-        mut request: Taken<'_>,
+        config: &ConfigSnapshot,
+        mut request: ReceivedRequest<'_>,
         body: Incoming,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let Some(kind) = self.route_kind(request.route) else {
-            return pass::pass(edge, config, request, body).await;
+            return proxy_request(edge, config, request, body).await;
         };
         let now = unix_millis();
         let session = match self.session_of(&request.headers, now) {
@@ -101,7 +89,7 @@
                 let mut response = match kind {
                     // Without a session a repeat could not be told from the first request.
                     RouteKind::Confirmation => refusal(428, error.reason()),
-                    RouteKind::Lookup => pass::pass(edge, config, request, body).await,
+                    RouteKind::Lookup => proxy_request(edge, config, request, body).await,
                 };
                 self.attach_new_token(&mut response);
                 return response;
@@ -115,7 +103,7 @@
             RouteKind::Lookup => {
                 // Nothing is waited for: the session is claimed while the request is at its endpoint.
                 self.drive(|node, now| node.visit(now, token.id, token.born, &replicas));
-                pass::pass(edge, config, request, body).await
+                proxy_request(edge, config, request, body).await
             }
             RouteKind::Confirmation => self.confirm(edge, config, request, body, token, replicas).await,
         };
@@ -153,18 +141,18 @@
         session
     }
 
-    fn attach_new_token(&self, response: &mut Response<Reply>) {
+    fn attach_new_token(&self, response: &mut Response<ResponseBody>) {
         let token = self.tokens.issue(unix_millis(), self.new_request_id(), self.peer_sets.newest());
         self.tokens.attach(response, &token);
     }
 
     /// For services with the setting `stay`, the request prefers the session's endpoint. The endpoint that it is sent
     /// to is found in what is returned.
-    fn prefer_endpoint(&self, request: &mut Taken<'_>, token: &SessionToken) -> SentTo {
+    fn prefer_endpoint(&self, request: &mut ReceivedRequest<'_>, token: &SessionToken) -> SentTo {
         let sent_to = SentTo::default();
         if self.settings.stay.iter().any(|service| service == request.service) {
             let previous = self.node.borrow().host(token.id, request.service).map(Rc::from);
-            request.stay = Some(EndpointAffinity::new(previous, sent_to.clone()));
+            request.affinity = Some(EndpointAffinity::new(previous, sent_to.clone()));
         }
         sent_to
     }
@@ -173,22 +161,22 @@
     async fn confirm(
         self: &Rc<Self>,
         edge: &Rc<Edge>,
-        config: &Told,
-        request: Taken<'_>,
+        config: &ConfigSnapshot,
+        request: ReceivedRequest<'_>,
         body: Incoming,
         token: &SessionToken,
         replicas: Vec<NodeId>,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let Some(key) = idempotency_key(&request.headers) else {
-            return reply::closing(refusal(400, "no key"));
+            return close_connection(refusal(400, "no key"));
         };
-        let body = match pass::take_body(edge, config, request.until, body).await {
-            Ok(Held::Whole(body)) => body,
+        let body = match read_request_body(edge, config, request.deadline, body).await {
+            Ok(Body::Buffered(body)) => body,
             // A body that is not buffered cannot be compared with that of a repeat.
-            Ok(Held::Long(_)) => return reply::closing(reply::own(413)),
+            Ok(Body::Streaming(_)) => return close_connection(empty_response(413)),
             Err(response) => return response,
         };
-        let time_left = request.until.saturating_sub(edge.now());
+        let time_left = request.deadline.saturating_sub(edge.now());
         let idempotent = IdempotentRequest {
             ticket: self.new_request_id(),
             id: token.id,
@@ -208,16 +196,39 @@
         self: &Rc<Self>,
         edge: &Rc<Edge>,
         buffered: BufferedRequest<'_>,
-    ) -> Response<Reply> {
+    ) -> Response<ResponseBody> {
         let BufferedRequest { request, body, idempotent } = buffered;
         // The configuration may allow retries on the route; a request that must run once is never retried.
         let route = Route { repeatable: false, ..request.route.clone() };
         let service = request.service.to_owned();
-        let Taken { part, key, method, uri, headers, id, until, stay, way, .. } = request;
+        let ReceivedRequest {
+            connection_limit: part,
+            key,
+            method,
+            uri,
+            headers,
+            attempt_id: id,
+            deadline: until,
+            affinity,
+            variant,
+            ..
+        } = request;
         let (sessions, edge) = (self.clone(), edge.clone());
         let task = spawn_local(async move {
             let (route, service) = (&route, service.as_str());
-            let request = Taken { route, service, part, key, method, uri, headers, id, until, stay, way };
+            let request = ReceivedRequest {
+                route,
+                service,
+                connection_limit: part,
+                key,
+                method,
+                uri,
+                headers,
+                attempt_id: id,
+                deadline: until,
+                affinity,
+                variant,
+            };
             sessions.send_once(&edge, BufferedRequest { request, body, idempotent }).await
         });
         task.await.unwrap_or_else(|_| replay::outcome_unknown())
@@ -228,21 +239,21 @@
         self: &Rc<Self>,
         edge: &Rc<Edge>,
         BufferedRequest { request, body, idempotent }: BufferedRequest<'_>,
-    ) -> Response<Reply> {
-        let (request_id, attempt_id) = (idempotent.ticket, request.id.clone());
+    ) -> Response<ResponseBody> {
+        let (request_id, attempt_id) = (idempotent.ticket, request.attempt_id.clone());
         let mut progress = self.progress_of(request_id);
         self.drive(|node, now| node.ask(now, idempotent));
         let mut response = match progress.recv().await {
             Some(Progress::Send) => {
-                let sent = pass::forward(edge, request, Held::Whole(body)).await;
+                let sent = proxy_buffered(edge, request, Body::Buffered(body)).await;
                 self.drive(|node, now| node.ran(now, request_id, replay::recorded_outcome(&sent)));
                 // The client gets the response once a majority has recorded it, or the wait for that is over.
                 let _ = progress.recv().await;
-                sent.answer
+                sent.response
             }
             Some(Progress::Answer(decision)) => replay::decision_response(decision, || {
                 let wait = millis(self.settings.wait);
-                backoff::back(wait, true, edge.chance.borrow_mut().f64())
+                backoff::back(wait, true, edge.random.borrow_mut().f64())
             }),
             Some(Progress::Recorded) | None => replay::outcome_unknown(),
         };
@@ -260,7 +271,7 @@
 }
 
 /// Tells a repeat from another request under the same key.
-fn request_fingerprint(request: &Taken<'_>, body: &Bytes) -> u64 {
+fn request_fingerprint(request: &ReceivedRequest<'_>, body: &Bytes) -> u64 {
     let path = request.uri.path_and_query().map_or("", |path| path.as_str());
     fingerprint(&[request.method.as_str().as_bytes(), path.as_bytes(), body])
 }
--- a/crates/data-plane/edge-proxy/src/sessions/listing.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/listing.rs
@@ -8,7 +8,7 @@
 /// fields that an older edge does not have read as zero.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Listed {
+pub struct SessionListing {
     /// The edge's number in the peer sets.
     pub site: NodeId,
     /// Ids of the sessions that it owns or keeps a replica of, in order.
@@ -25,10 +25,10 @@
 
 impl Sessions {
     /// What operators see now.
-    pub fn listed(&self) -> Listed {
+    pub fn listed(&self) -> SessionListing {
         let node = self.node.borrow();
         let SentTotals { messages, bytes } = self.links.totals();
-        Listed {
+        SessionListing {
             site: self.node_id,
             sessions: node.list().iter().map(SessionId::to_string).collect(),
             counts: node.counts(),
--- a/crates/data-plane/edge-proxy/src/sessions/replay.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/replay.rs
@@ -1,6 +1,6 @@
 //! Responses of the edge itself to requests that must run once, and the record and replay of endpoints' responses.
-use crate::pass::Passed;
-use crate::reply::{self, Kind, Reply};
+use crate::attempt_loop::ProxiedResponse;
+use crate::response::{empty_response, unavailable, ResponseBody, ResponseContent};
 use coppersail_load_balancing::Ms;
 use coppersail_retry::FinalOutcome;
 use coppersail_session_affinity::{Decision, Outcome, RecordedResponse};
@@ -20,20 +20,23 @@
 const IN_PROGRESS_RETRY_AFTER: &str = "1";
 
 /// A response without a body that says why the request was not sent.
-pub(super) fn refusal(status: u16, reason: &'static str) -> Response<Reply> {
-    let mut response = reply::own(status);
+pub(super) fn refusal(status: u16, reason: &'static str) -> Response<ResponseBody> {
+    let mut response = empty_response(status);
     response.headers_mut().insert(OUTCOME, HeaderValue::from_static(reason));
     response
 }
 
 /// The request may or may not have run.
-pub(super) fn outcome_unknown() -> Response<Reply> {
+pub(super) fn outcome_unknown() -> Response<ResponseBody> {
     refusal(502, "unknown")
 }
 
 /// The response to a request that the affinity node decides not to send. `retry_after`: milliseconds after which the
 /// client may repeat a request that has not run.
-pub(super) fn decision_response(decision: Decision, retry_after: impl FnOnce() -> Ms) -> Response<Reply> {
+pub(super) fn decision_response(
+    decision: Decision,
+    retry_after: impl FnOnce() -> Ms,
+) -> Response<ResponseBody> {
     match decision {
         Decision::Kept(recorded) => replay(recorded),
         Decision::Past => refusal(410, "ran, the answer is no longer kept"),
@@ -45,7 +48,7 @@
         Decision::Unknown => outcome_unknown(),
         Decision::Other => refusal(422, "another request went under this key"),
         Decision::NotNow => {
-            let mut response = reply::later(retry_after());
+            let mut response = unavailable(retry_after());
             response.headers_mut().insert(OUTCOME, HeaderValue::from_static("not run"));
             response
         }
@@ -55,22 +58,24 @@
 }
 
 /// Whether a response ends its session, so that the client needs a new one.
-pub(super) fn ends_session(response: &Response<Reply>) -> bool {
+pub(super) fn ends_session(response: &Response<ResponseBody>) -> bool {
     response.headers().get(OUTCOME).is_some_and(|reason| reason == FORGOTTEN || reason == SPENT)
 }
 
-pub(super) fn is_replay(response: &Response<Reply>) -> bool {
+pub(super) fn is_replay(response: &Response<ResponseBody>) -> bool {
     response.headers().contains_key(&REPLAYED)
 }
 
 /// What is recorded of how sending a request ended.
-pub(super) fn recorded_outcome(Passed { answer, closing }: &Passed) -> Outcome {
+pub(super) fn recorded_outcome(
+    ProxiedResponse { response: answer, given_up: closing }: &ProxiedResponse,
+) -> Outcome {
     match closing {
         Some(FinalOutcome::Unavailable) => return Outcome::NotRun,
         Some(FinalOutcome::OutcomeUnknown | FinalOutcome::DeadlineExceeded) => return Outcome::Unknown,
         None => {}
     }
-    let Kind::Whole(body) = &answer.body().kind else { return Outcome::RanLong };
+    let ResponseContent::Whole(body) = &answer.body().kind else { return Outcome::RanLong };
     let recorded_header = |(name, value): (&HeaderName, &HeaderValue)| {
         let value = value.to_str().ok()?.to_owned();
         (*name != ATTEMPT_ID && *name != CONTENT_LENGTH).then(|| (name.as_str().to_owned(), value))
@@ -82,9 +87,9 @@
     })
 }
 
-fn replay(recorded: RecordedResponse) -> Response<Reply> {
+fn replay(recorded: RecordedResponse) -> Response<ResponseBody> {
     let length = recorded.body.len();
-    let mut response = Response::new(Reply::whole(recorded.body.into()));
+    let mut response = Response::new(ResponseBody::whole(recorded.body.into()));
     *response.status_mut() = StatusCode::from_u16(recorded.status).unwrap_or(StatusCode::BAD_GATEWAY);
     for (name, value) in recorded.headers {
         if let (Ok(name), Ok(value)) = (HeaderName::try_from(name), HeaderValue::try_from(value)) {
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -76,7 +76,7 @@
     ///
     /// # Errors
     /// When there is no such port, the file is wrong, or [`Sessions::new`] fails.
-    pub fn from_boot(
+    pub fn from_process_settings(
         path: &str,
         boot: &ProcessSettings,
         log: Logger,
--- a/crates/data-plane/edge-proxy/src/upstream_response.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_response.rs
@@ -67,7 +67,7 @@
         let (status, headers) = (head.status, head.headers);
         // A response too many may have been waiting on the connection.
         let id = optional(&headers, &TRY_ID).ok().flatten();
-        if id != Some(&self.request.id) || status == StatusCode::SWITCHING_PROTOCOLS {
+        if id != Some(&self.request.attempt_id) || status == StatusCode::SWITCHING_PROTOCOLS {
             return Err(IndeterminateCause::ForeignResponse);
         }
         self.record_load(&headers);
@@ -92,7 +92,7 @@
     }
 
     fn deadline(&self) -> Instant {
-        self.edge.instant(self.request.until)
+        self.edge.instant(self.request.deadline)
     }
 
     /// Why the endpoint did not process the request, if it says so.
@@ -115,7 +115,7 @@
             return None;
         }
         let now = self.edge.now();
-        if let Some(endpoint) = self.edge.book.borrow_mut().endpoint_mut(self.endpoint) {
+        if let Some(endpoint) = self.edge.registry.borrow_mut().endpoint_mut(self.endpoint) {
             endpoint.load.record_rejection(now);
         }
         retry_after(headers.get(RETRY_AFTER))
@@ -156,14 +156,14 @@
         }
         let lease = reusable.then_some(self.lease);
         let body = match body {
-            Body::Whole(bytes) => {
+            Body::Buffered(bytes) => {
                 if let Some(lease) = lease {
                     lease.return_to_pool();
                 }
                 in_flight.record_success();
                 ResponseBody::whole(bytes)
             }
-            Body::Long(stream) => ResponseBody::streamed(StreamedResponse {
+            Body::Streaming(stream) => ResponseBody::streamed(StreamedResponse {
                 stream: stream.expect("just read"),
                 lease,
                 in_flight: InFlight::begin(self.edge, self.endpoint),
@@ -178,14 +178,14 @@
             return;
         };
         let now = self.edge.now();
-        if let Some(endpoint) = self.edge.book.borrow_mut().endpoint_mut(self.endpoint) {
+        if let Some(endpoint) = self.edge.registry.borrow_mut().endpoint_mut(self.endpoint) {
             endpoint.load.record_report(running, waiting, slots, now);
         }
     }
 
     fn record_latency(&self) {
         let latency = self.edge.now().saturating_sub(self.sent_at);
-        let mut registry = self.edge.book.borrow_mut();
+        let mut registry = self.edge.registry.borrow_mut();
         let service_mean = registry.service(self.request.service).map_or(0.0, |service| service.mean_latency);
         let Some(endpoint) = registry.endpoint_mut(self.endpoint) else { return };
         endpoint.load.record_latency(latency, self.concurrency, service_mean);
--- a/crates/data-plane/edge-proxy/src/upstream_socket.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_socket.rs
@@ -1,7 +1,7 @@
 //! The socket of a connection to an endpoint, which hyper drives while the connection pool can look at it: it knows how
 //! much of the next request was written, and can still keep all of it back.
+use crate::rollout::duplicates::DuplicateDetector;
 use crate::socket_read::poll_read_observed;
-use crate::steer::Lookout;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use socket2::SockRef;
 use std::cell::RefCell;
@@ -29,7 +29,7 @@
 pub(crate) struct UpstreamSocket {
     stream: TcpStream,
     /// Watches for second responses, where a rollout asks for it.
-    pub(crate) lookout: Option<Box<Lookout>>,
+    pub(crate) duplicate_detector: Option<Box<DuplicateDetector>>,
     write_state: WriteState,
     /// The socket accepted nothing when last written to.
     write_pending: bool,
@@ -39,7 +39,12 @@
     /// A new connection, whose first request may begin until then.
     pub(crate) fn new(stream: TcpStream, until: Instant) -> Rc<RefCell<UpstreamSocket>> {
         let write_state = WriteState::MayBeginUntil(until);
-        Rc::new(RefCell::new(UpstreamSocket { stream, lookout: None, write_state, write_pending: false }))
+        Rc::new(RefCell::new(UpstreamSocket {
+            stream,
+            duplicate_detector: None,
+            write_state,
+            write_pending: false,
+        }))
     }
 
     /// The next request may begin until then.
@@ -100,10 +105,10 @@
         cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let mut socket = self.0.borrow_mut();
-        let UpstreamSocket { stream, lookout, .. } = &mut *socket;
+        let UpstreamSocket { stream, duplicate_detector, .. } = &mut *socket;
         poll_read_observed(stream, cx, cursor, |bytes| {
-            if let Some(lookout) = lookout {
-                lookout.read(bytes);
+            if let Some(duplicate_detector) = duplicate_detector {
+                duplicate_detector.read(bytes);
             }
         })
     }
--- a/crates/data-plane/edge-proxy/src/watch/candidates.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates.rs
@@ -58,7 +58,7 @@
     }
 
     /// Decides whether an answer is used. This is the only place that does: nothing behind it looks at
-    /// [`Update::isolated`] again, and `Edge::take` asserts that it never sees such an update.
+    /// [`Update::isolated`] again, and `Edge::apply_update` asserts that it never sees such an update.
     ///
     /// A node that has lost contact to a quorum of the voters may describe a state that the others have replaced
     /// since. Were its answer applied, an edge would send requests to past owners of slices, or go back to an older
--- a/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
+++ b/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
@@ -1,6 +1,6 @@
 //! The thread that polls the control plane and hands updates to the edge.
 use super::candidates::{Candidates, CONNECT_TIMEOUT, POLL_TIMEOUT};
-use crate::edge::Tallies;
+use crate::edge::RequestCounter;
 use crate::rollout::outbox::{EvidenceOutbox, ROLLOUT_POLL_WAIT};
 use coppersail_config::ProcessSettings;
 use coppersail_peer_client::PeerClient;
@@ -24,7 +24,7 @@
 pub fn start(
     settings: &ProcessSettings,
     log: Logger,
-    request_counts: Arc<Tallies>,
+    request_counts: Arc<RequestCounter>,
     evidence: Arc<EvidenceOutbox>,
     updates: UnboundedSender<Update>,
 ) -> std::io::Result<()> {
@@ -60,7 +60,7 @@
     /// Whether the last poll brought an answer that is used.
     connected: bool,
     log: Logger,
-    request_counts: Arc<Tallies>,
+    request_counts: Arc<RequestCounter>,
     evidence: Arc<EvidenceOutbox>,
     updates: UnboundedSender<Update>,
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -1,9 +1,9 @@
 //! An edge among endpoints that fail in every way that its protocol knows.
-mod follow;
 mod responses;
 mod rollout;
 mod sessions;
 mod stand_ins;
+mod watch;
 
 use coppersail_peer_protocol::{EndpointState, Update};
 use stand_ins::*;
@@ -145,8 +145,10 @@
             let answer = rig.get("/once/", "1").await;
             assert_eq!((status(&answer), failing.count()), (502, 1), "{failure}: {answer}");
             let sound = host("i-2", |_, head| Act::Send(good(head, "sound"))).await;
-            rig.edge
-                .take(Update { endpoints: vec![sound.news(EndpointState::Ready, 1)], ..Update::default() });
+            rig.edge.apply_update(Update {
+                endpoints: vec![sound.news(EndpointState::Ready, 1)],
+                ..Update::default()
+            });
             for id in 0..4 {
                 let answer = rig.get("/again/", &format!("r{id}")).await;
                 assert!(answer.ends_with("\r\n\r\nsound"), "{failure}: {answer}");
@@ -213,7 +215,7 @@
         }
         assert_eq!(leaving.connections.get(), 1);
         let endpoints = vec![leaving.news(EndpointState::Draining, 2), staying.news(EndpointState::Ready, 1)];
-        rig.edge.take(Update { endpoints, ..Update::default() });
+        rig.edge.apply_update(Update { endpoints, ..Update::default() });
         leaving.ended(1).await;
         client.write_all(request("/once/", "3", "").as_bytes()).await.unwrap();
         assert!(read_message(&mut client).await.unwrap().ends_with("staying"));
@@ -237,7 +239,7 @@
         })
         .await;
         let endpoints = vec![sound.news(EndpointState::Ready, 1), moved.news(EndpointState::Ready, 1)];
-        rig.edge.take(Update { endpoints, ..Update::default() });
+        rig.edge.apply_update(Update { endpoints, ..Update::default() });
         for id in 0..6 {
             assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
@@ -252,7 +254,7 @@
         let mut dead = sound.news(EndpointState::Ready, 1);
         (dead.id, dead.address) = ("i-0".into(), "127.0.0.1:1".into());
         let rig = rig(&[&sound]).await;
-        rig.edge.take(Update { endpoints: vec![dead], ..Update::default() });
+        rig.edge.apply_update(Update { endpoints: vec![dead], ..Update::default() });
         for id in 0..6 {
             assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
@@ -279,7 +281,7 @@
         host.read(1).await;
         drop(client);
         host.ended(1).await;
-        assert_eq!(rig.edge.book.borrow().endpoint("i-1").unwrap().load.in_flight, 0);
+        assert_eq!(rig.edge.registry.borrow().endpoint("i-1").unwrap().load.in_flight, 0);
     });
 }
 
@@ -296,7 +298,7 @@
             });
         }
         let rig = rig(&[]).await;
-        rig.edge.take(Update { endpoints, ..Update::default() });
+        rig.edge.apply_update(Update { endpoints, ..Update::default() });
         let key = "Shard-Key: 20000\r\nConnection: close\r\n";
         let without_owner = rig.raw(request("/key/", "1", key).as_bytes()).await;
         assert_eq!(status(&without_owner), 503);
@@ -310,7 +312,7 @@
         };
         let (answer, ()) = tokio::join!(response, moved);
         assert!(answer.ends_with("held"), "{answer}");
-        assert_eq!(rig.edge.tallies.take()[0].counts, [(1, 1)], "counted once the slices are known");
+        assert_eq!(rig.edge.request_counter.take()[0].counts, [(1, 1)], "counted once the slices are known");
     });
 }
 
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/responses.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/responses.rs
@@ -57,7 +57,7 @@
         .await;
         let rig = rig(&[]).await;
         let sharded = EndpointUpdate { service: "parted".into(), ..host.news(EndpointState::Ready, 1) };
-        rig.edge.take(Update { endpoints: vec![sharded], ..Update::default() });
+        rig.edge.apply_update(Update { endpoints: vec![sharded], ..Update::default() });
         rig.rows(vec![(1, "i-1".into(), 1)]);
         let message = request("/seat/", "1", "Shard-Key: 20000\r\nConnection: close\r\n");
         let answer = rig.raw(message.as_bytes()).await;
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -25,7 +25,7 @@
 async fn edge_with_two_revisions(old: &Host, new: &Host) -> Rig {
     let rig = rig(&[]).await;
     // Done before the first update of a leader, so that its time is not before the edge's start.
-    rig.edge.take(Update {
+    rig.edge.apply_update(Update {
         endpoints: vec![with_revision(old, "v1"), with_revision(new, "v2")],
         ..Update::default()
     });
@@ -43,7 +43,7 @@
         let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
         let new = host("i-new", |_, head| Act::Send(good(head, "new"))).await;
         let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.take(update_of_leader(vec![running()], 1));
+        rig.edge.apply_update(update_of_leader(vec![running()], 1));
         let mut got_new = Vec::new();
         for n in 0..40 {
             got_new.push(send(&rig, "/once/", n).await.ends_with("new"));
@@ -54,16 +54,19 @@
             assert_eq!(send(&rig, "/again/", n).await.ends_with("new"), got_new[n as usize], "session {n}");
         }
         let paused = running().order(0, RolloutCommand::Pause, "").unwrap().unwrap();
-        rig.edge.take(update_of_leader(vec![paused.clone()], 1));
-        rig.edge.take(update_of_leader(vec![running()], 1));
+        rig.edge.apply_update(update_of_leader(vec![paused.clone()], 1));
+        rig.edge.apply_update(update_of_leader(vec![running()], 1));
         let before = new.count();
         for n in 0..20 {
             assert!(send(&rig, "/once/", n).await.ends_with("old"), "{n}");
         }
         assert_eq!(new.count(), before);
         // Without the rollout, both are endpoints like any other.
-        rig.edge.take(update_of_leader(vec![paused.order(0, RolloutCommand::End, "").unwrap().unwrap()], 1));
-        assert!(!rig.edge.steer.on());
+        rig.edge.apply_update(update_of_leader(
+            vec![paused.order(0, RolloutCommand::End, "").unwrap().unwrap()],
+            1,
+        ));
+        assert!(!rig.edge.rollouts.is_active());
     });
 }
 
@@ -73,7 +76,7 @@
         let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
         let new = host("i-new", |_, head| Act::Send([good(head, "new"), good(head, "new")].concat())).await;
         let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.take(update_of_leader(vec![running()], 1));
+        rig.edge.apply_update(update_of_leader(vec![running()], 1));
         let mut at = 0;
         while new.count() == 0 {
             assert_eq!(status(&send(&rig, "/once/", at).await), 200);
@@ -83,8 +86,8 @@
             assert!(send(&rig, "/once/", 100 + n).await.ends_with("old"));
         }
         assert_eq!(new.count(), 1);
-        rig.edge.report();
-        let rows: Vec<_> = rig.edge.steer.outbox.take().into_iter().flat_map(|r| r.rows).collect();
+        rig.edge.queue_evidence();
+        let rows: Vec<_> = rig.edge.rollouts.outbox.take().into_iter().flat_map(|r| r.rows).collect();
         assert_eq!(rows.iter().map(|r| r.new.of(OutcomeKind::Doubled)).max(), Some(1));
         assert_eq!(rows[0].route, "once");
     });
@@ -101,7 +104,7 @@
         .await;
         let rig = edge_with_two_revisions(&old, &new).await;
         let most = RolloutState { body: PLAN.replace("0.5", "0.9"), ..running() };
-        rig.edge.take(update_of_leader(vec![most], 1));
+        rig.edge.apply_update(update_of_leader(vec![most], 1));
         let (mut indeterminate, mut rejected) = (0, 0);
         for n in 0..20 {
             let (seen, before) = (new.count(), old.count());
@@ -131,10 +134,10 @@
         let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
         let new = host("i-new", |_, head| Act::Send(good(head, "new"))).await;
         let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.take(Update { rollouts: vec![running()], ..Update::default() });
+        rig.edge.apply_update(Update { rollouts: vec![running()], ..Update::default() });
         // What is older than the lease does not count.
         let expired = Some(RolloutsAsOf { term: 1, age_ms: 2_600 });
-        rig.edge.take(Update {
+        rig.edge.apply_update(Update {
             rollouts_as_of: expired,
             requested_at: Some(Instant::now()),
             ..Update::default()
@@ -144,17 +147,17 @@
         }
         // Nor does what a leader of an earlier term says.
         let later_term = Some(RolloutsAsOf { term: 2, age_ms: 2_600 });
-        rig.edge.take(Update {
+        rig.edge.apply_update(Update {
             rollouts_as_of: later_term,
             requested_at: Some(Instant::now()),
             ..Update::default()
         });
-        rig.edge.take(update_of_leader(vec![], 1));
+        rig.edge.apply_update(update_of_leader(vec![], 1));
         for n in 30..60 {
             assert!(send(&rig, "/once/", n).await.ends_with("old"));
         }
         assert_eq!(new.count(), 0);
-        rig.edge.take(update_of_leader(vec![], 2));
+        rig.edge.apply_update(update_of_leader(vec![], 2));
         for n in 60..90 {
             send(&rig, "/once/", n).await;
         }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
@@ -3,7 +3,7 @@
 mod session_edges;
 
 use crate::stand_ins::*;
-use coppersail_edge_proxy::sessions::Listed;
+use coppersail_edge_proxy::sessions::SessionListing;
 use session_edges::*;
 use std::rc::Rc;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -37,7 +37,7 @@
         assert_eq!(host.count(), 1);
         // Operators see the session, and neither its token nor its key.
         let listed = edges.query(1, "/sessions").await;
-        let listed: Listed = serde_json::from_str(listed.split("\r\n\r\n").nth(1).unwrap()).unwrap();
+        let listed: SessionListing = serde_json::from_str(listed.split("\r\n\r\n").nth(1).unwrap()).unwrap();
         assert_eq!((listed.sessions.len(), listed.counts.repeats_answered), (1, 2));
         let shown = edges.query(2, &format!("/sessions/{}", listed.sessions[0])).await;
         assert!(shown.contains("ran, 201") && !shown.contains("k-1") && !shown.contains(&token), "{shown}");
@@ -179,7 +179,7 @@
         ];
         assert_eq!(counts, expected);
         assert_eq!(host.count(), 32 + 18, "lookups and confirmations, and no repeat");
-        let total = |counter: fn(&Listed) -> u64| -> u64 {
+        let total = |counter: fn(&SessionListing) -> u64| -> u64 {
             edges.edges.iter().map(|edge| counter(&edge.sessions.listed())).sum()
         };
         assert_eq!(total(|listed| listed.counts.repeats_answered), 16);
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -224,7 +224,7 @@
     let (news, taken) = tokio::sync::mpsc::unbounded_channel();
     coppersail_edge_proxy::start(&edge, clients, readiness, taken);
     let body = SETTINGS.replace("HEADWAIT", head_wait);
-    edge.take(Update {
+    edge.apply_update(Update {
         config: Some(ConfigDocument { revision: 4, body }),
         endpoints: hosts.iter().map(|host| host.news(EndpointState::Ready, 1)).collect(),
         ..Update::default()
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/follow.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
@@ -10,7 +10,7 @@
 
 /// Starts a watch; one request has been counted that its polls report. Returns the updates that it applies.
 fn watch_with_one_counted_request(settings: &ProcessSettings) -> UnboundedReceiver<Update> {
-    let request_counts = std::sync::Arc::new(coppersail_edge_proxy::edge::Tallies::default());
+    let request_counts = std::sync::Arc::new(coppersail_edge_proxy::edge::RequestCounter::default());
     request_counts.count("parted", 4);
     let (sender, updates) = tokio::sync::mpsc::unbounded_channel();
     let log = Logger::root(Discard, o!());
@@ -157,16 +157,19 @@
         let mut sharded = host.news(EndpointState::Ready, 1);
         (sharded.id, sharded.service, sharded.address) =
             ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
-        rig.edge.take(Update { endpoints: vec![sharded], ..Update::default() });
+        rig.edge.apply_update(Update { endpoints: vec![sharded], ..Update::default() });
         assert!(!rig.edge.ready(), "and none owns its slices");
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
             rows: vec![(0, 0, "i-2".into(), 1).into()],
         }];
-        rig.edge.take(Update { assignments: slices, ..Update::default() });
+        rig.edge.apply_update(Update { assignments: slices, ..Update::default() });
         assert!(rig.edge.ready());
-        rig.edge.take(Update { endpoints: vec![host.news(EndpointState::Removed, 2)], ..Update::default() });
+        rig.edge.apply_update(Update {
+            endpoints: vec![host.news(EndpointState::Removed, 2)],
+            ..Update::default()
+        });
         assert!(rig.edge.ready());
     });
 }
--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! These bytes are read by builds of other versions: edges post messages to each other (the path `/sojourn` is a wire
 //! name), and `gatewayctl session` reads the list of sessions. A change here breaks rolling upgrades or stored data.
 use coppersail_config::SessionSettings;
-use coppersail_edge_proxy::sessions::{Listed, Sessions};
+use coppersail_edge_proxy::sessions::{SessionListing, Sessions};
 use coppersail_session_affinity::Counters;
 use serde::{de::DeserializeOwned, Serialize};
 use slog::{o, Discard, Logger};
@@ -23,15 +23,18 @@
 #[test]
 fn the_list_of_sessions_keeps_its_bytes() {
     let (sessions, counts) = (vec!["ab".into()], Counters::default());
-    let listed = Listed { site: 2, sessions, counts, unfit: 3, messages: 4, bytes: 5 };
+    let listed = SessionListing { site: 2, sessions, counts, unfit: 3, messages: 4, bytes: 5 };
     let text = r#"{"site":2,"sessions":["ab"],"counts":COUNTS,"unfit":3,"messages":4,"bytes":5}"#;
     assert_text(listed, &text.replace("COUNTS", NO_COUNTS));
 }
 
 #[test]
 fn a_list_of_an_older_version_without_some_fields_still_parses() {
-    let listed: Listed = serde_json::from_str(r#"{"site":2}"#).unwrap();
-    assert_eq!(format!("{listed:?}"), format!("{:?}", Listed { site: 2, ..Listed::default() }));
+    let listed: SessionListing = serde_json::from_str(r#"{"site":2}"#).unwrap();
+    assert_eq!(
+        format!("{listed:?}"),
+        format!("{:?}", SessionListing { site: 2, ..SessionListing::default() })
+    );
 }
 
 #[tokio::test(flavor = "local")]
--- a/crates/tools/gatewayctl/src/session.rs
+++ b/crates/tools/gatewayctl/src/session.rs
@@ -5,7 +5,7 @@
 use crate::arguments::Arguments;
 use crate::error::CommandError;
 use crate::http;
-use coppersail_edge_proxy::sessions::Listed;
+use coppersail_edge_proxy::sessions::SessionListing;
 use serde_json::Value;
 use std::fmt::Write as _;
 use ureq::Agent;
@@ -82,7 +82,7 @@
 }
 
 fn render_list(answer: &str) -> eyre::Result<String> {
-    let Listed { site, sessions, counts, unfit, messages, bytes } = serde_json::from_str(answer)?;
+    let SessionListing { site, sessions, counts, unfit, messages, bytes } = serde_json::from_str(answer)?;
     let mut text = String::new();
     writeln!(text, "site {site}, {} sessions, {unfit} tokens not taken", sessions.len())?;
     writeln!(text, "{messages} messages to other sites, {bytes} bytes")?;
