--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -71,7 +71,7 @@
             log,
             clock,
             pool: ConnectionPool::new(clock, registry.clone()),
-            registry: registry,
+            registry,
             rollouts: RolloutVariants::new(&boot.ip, &boot.area),
             settings: RefCell::new(Rc::new(boot)),
             config: RefCell::default(),
--- a/crates/data-plane/edge-proxy/src/request.rs
+++ b/crates/data-plane/edge-proxy/src/request.rs
@@ -94,7 +94,7 @@
             attempt_id: id,
             deadline: until,
             affinity: None,
-            variant: variant,
+            variant,
         })
     }
 
