--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -9,7 +9,7 @@
 mod group;
 mod writing;
 
-use crate::flaw::{flaw, Flaw};
+use crate::injected_bugs::{is_injected, InjectedBug};
 use crate::{
     Acceptor, Id, LeadershipRecord, LeaseGrants, Ms, Rejection, Term, Voter, VoterRequest, VoterResponse,
     VoterState,
@@ -376,7 +376,7 @@
             core.acceptor = Acceptor::restart(now, held, core.spans.lease);
             return core;
         }
-        core.acceptor = Acceptor::with_empty_disk(if flaw(Flaw::LostDiskVotes) {
+        core.acceptor = Acceptor::with_empty_disk(if is_injected(InjectedBug::LostDiskVotes) {
             0
         } else {
             start.new_incarnation.max(1)
@@ -430,7 +430,7 @@
     }
 
     pub fn holds_leader_lease(&self, now: Ms) -> bool {
-        let holds = |record| self.leases.hold(record, now) || flaw(Flaw::NoLease);
+        let holds = |record| self.leases.hold(record, now) || is_injected(InjectedBug::NoLease);
         matches!(&self.role, Role::Leader(record) if holds(record))
     }
 
@@ -758,7 +758,7 @@
             Ask::Renew { to, epoch, asked } => {
                 let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
                 if let Some(say) = witness.filter(yes).filter(|_| mine) {
-                    let asked = if flaw(Flaw::FromAnswer) { now } else { asked };
+                    let asked = if is_injected(InjectedBug::LeaseFromResponse) { now } else { asked };
                     self.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, self.spans.lease);
                 }
             }
--- a/crates/control-plane/consensus/src/core/group.rs
+++ b/crates/control-plane/consensus/src/core/group.rs
@@ -76,7 +76,7 @@
         let change = |old: &Voter, new: Voter| {
             let mut witnesses: Vec<Voter> =
                 record.voters.iter().map(|w| if w == old { new.clone() } else { w.clone() }).collect();
-            if flaw(Flaw::TwoAtOnce) {
+            if is_injected(InjectedBug::TwoVotersAtOnce) {
                 let other = witnesses.iter().position(|w| *w != new && w.id != self.id);
                 other.map(|at| witnesses.remove(at));
             }
--- a/crates/control-plane/consensus/src/core/writing.rs
+++ b/crates/control-plane/consensus/src/core/writing.rs
@@ -20,11 +20,12 @@
             // One that comes late or twice must not undo the changes since.
             ReplicaWriteKind::Snapshot { .. } => {
                 let again = same && self.broken && copy.sequence >= self.seq;
-                (newer || again || same && flaw(Flaw::OldSnapshot), "a snapshot of before")
+                (newer || again || same && is_injected(InjectedBug::StaleSnapshot), "a snapshot of before")
             }
             ReplicaWriteKind::Probe { epoch, seq } => {
                 let just = !self.broken && !self.dirty && self.flight.is_none();
-                let alike = self.floor == *epoch && self.seq == *seq || flaw(Flaw::JoinUnproven);
+                let alike =
+                    self.floor == *epoch && self.seq == *seq || is_injected(InjectedBug::UnverifiedProbe);
                 (newer && just && alike, "holds something else")
             }
             ReplicaWriteKind::Append => {
@@ -118,7 +119,11 @@
 
     /// The write has taken its time: only who still holds the lease may say that it is done.
     pub(super) fn landed(&mut self, now: Ms, out: &mut Vec<Output>) {
-        if !self.flight.as_ref().is_some_and(|f| f.here && (f.away.is_empty() || flaw(Flaw::BeforeBackup))) {
+        if !self
+            .flight
+            .as_ref()
+            .is_some_and(|f| f.here && (f.away.is_empty() || is_injected(InjectedBug::CommitWithoutBackup)))
+        {
             return;
         }
         if !self.holds_leader_lease(now) {
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -20,16 +20,16 @@
 //! ```
 mod acceptor;
 mod core;
-mod flaw;
+mod injected_bugs;
 
 pub use crate::core::{
     Change, Core, InitialState, KeyValue, OperationId, Output, PeerStatus, ReplicaWrite, ReplicaWriteKind,
     ReplicaWriteResponse, Request, RequestId, Response, Role, Timeouts, SEQ,
 };
 pub use acceptor::{Acceptor, LeaseGrants, Rejection, VoterRequest, VoterResponse, VoterState};
-#[cfg(feature = "flaws")]
-pub use flaw::choose;
-pub use flaw::Flaw;
+#[cfg(feature = "injected-bugs")]
+pub use injected_bugs::inject;
+pub use injected_bugs::InjectedBug;
 use serde::{Deserialize, Serialize};
 
 #[cfg(test)]
@@ -100,7 +100,9 @@
     /// Whether these witnesses decide.
     pub fn has_quorum(&self, yes: impl Fn(&Voter) -> bool) -> bool {
         let most = |group: &[Voter]| group.iter().filter(|w| yes(w)).count() > group.len() / 2;
-        let new = most(&self.voters) || flaw::flaw(Flaw::OldMajority) && !self.outgoing_voters.is_empty();
+        let new = most(&self.voters)
+            || injected_bugs::is_injected(InjectedBug::OutgoingMajorityOnly)
+                && !self.outgoing_voters.is_empty();
         new && (self.outgoing_voters.is_empty() || most(&self.outgoing_voters))
     }
 
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -299,26 +299,26 @@
     exhaust(&["new backup", "late copies", "late answers"]);
 }
 
-/// Each flaw that is put in on purpose, and the search that finds it.
-#[cfg(feature = "flaws")]
+/// Each bug put in on purpose, and the search that finds it.
+#[cfg(feature = "injected-bugs")]
 #[test]
-fn every_flaw_is_found() {
-    use coppersail_consensus::Flaw::*;
+fn every_injected_bug_is_found() {
+    use coppersail_consensus::InjectedBug::*;
     let all = [
-        (BeforeBackup, "takeovers"),
-        (FromAnswer, "late answers"),
+        (CommitWithoutBackup, "takeovers"),
+        (LeaseFromResponse, "late answers"),
         (LostDiskVotes, "lost disk"),
-        (OldSnapshot, "new backup"),
-        (TwoAtOnce, "lost disk"),
-        (OldMajority, "replaced"),
+        (StaleSnapshot, "new backup"),
+        (TwoVotersAtOnce, "lost disk"),
+        (OutgoingMajorityOnly, "replaced"),
         (NoLease, "takeovers"),
-        (JoinUnproven, "replaced"),
+        (UnverifiedProbe, "replaced"),
     ];
-    for (flaw, name) in all {
-        let found = search(case(name), LIMIT, 0, &|| coppersail_consensus::choose(Some(flaw)));
-        let (why, steps, story) = found.broken.unwrap_or_else(|| panic!("{flaw:?} is not found by {name}"));
+    for (bug, name) in all {
+        let found = search(case(name), LIMIT, 0, &|| coppersail_consensus::inject(Some(bug)));
+        let (why, steps, story) = found.broken.unwrap_or_else(|| panic!("{bug:?} is not found by {name}"));
         println!(
-            "{flaw:?}, by {name}: {why}; {steps} steps, {} states, {:.1} s\n{story}",
+            "{bug:?}, by {name}: {why}; {steps} steps, {} states, {:.1} s\n{story}",
             found.states, found.seconds
         );
     }
