--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -83,7 +83,7 @@
     pub incarnation: u64,
 }
 
-const VERSION: u32 = 1;
+const REPLICA_WRITE_VERSION: u32 = 1;
 
 /// The sum of a snapshot: what is taken is what was sent, whole.
 fn sum(puts: &[KeyValue]) -> u64 {
@@ -188,99 +188,116 @@
 
 /// What waits for an answer of another centre.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Ask {
+enum PendingCall {
     Prepare { to: Id, ballot: Term },
     Accept { to: Id, epoch: Term, asked: Ms },
     Renew { to: Id, epoch: Term, asked: Ms },
-    Bring { to: Id, epoch: Term, snapshot: bool },
-    Change { to: Id, epoch: Term, seq: u64, again: bool },
+    SyncBackup { to: Id, epoch: Term, snapshot: bool },
+    Append { to: Id, epoch: Term, seq: u64, again: bool },
     Release,
 }
 
 /// What waits for the disk.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Job {
+enum DiskWrite {
     /// A witness's yes; `to`: the caller, or the ask of this centre itself.
-    Vote {
-        to: Result<RequestId, Ask>,
+    VoterState {
+        to: Result<RequestId, PendingCall>,
         held: Box<VoterState>,
         say: Box<VoterResponse>,
     },
     /// The floor of a bid.
-    Floor {
+    CampaignTerm {
         ballot: Term,
     },
-    Copied {
+    ReplicaWrite {
         caller: RequestId,
         epoch: Term,
         seq: u64,
         snapshot: bool,
     },
-    Change {
+    Append {
         epoch: Term,
         seq: u64,
     },
     /// All of the state anew, after a write that failed.
-    Whole {
+    RewriteState {
         epoch: Term,
         seq: u64,
     },
-    Own,
+    Metadata,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Pending {
+struct PendingWrite {
     token: OperationId,
     since: Ms,
-    job: Job,
+    job: DiskWrite,
+}
+
+/// One atomic write to the disk.
+struct WriteBatch {
+    /// Entries of the replicated state; an empty value removes the entry.
+    state: Vec<KeyValue>,
+    /// Whether `state` replaces everything that is stored.
+    replace: bool,
+    /// Entries of the node itself: term, sequence number, voter state.
+    metadata: Vec<KeyValue>,
+}
+
+impl WriteBatch {
+    /// Leaves the replicated state as it is.
+    fn metadata(metadata: Vec<KeyValue>) -> WriteBatch {
+        WriteBatch { state: Vec::new(), replace: false, metadata }
+    }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Stage {
+enum CampaignPhase {
     Prepare,
-    Bring,
+    SyncBackups,
     Accept(LeadershipRecord),
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Group {
-    witnesses: Vec<Voter>,
-    before: Vec<Voter>,
+struct MembershipChange {
+    voters: Vec<Voter>,
+    outgoing_voters: Vec<Voter>,
 }
 
 /// Standing for an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Bid {
-    ballot: Term,
+struct Campaign {
+    term: Term,
     /// The newest record among the answers.
-    base: LeadershipRecord,
+    base_record: LeadershipRecord,
     /// The group to write, where the acting primary changes it.
-    group: Option<Group>,
+    membership_change: Option<MembershipChange>,
     /// The epoch in which it acts, if it does.
-    from: Option<Term>,
-    stage: Stage,
-    until: Ms,
-    asked: BTreeSet<Id>,
-    promised: BTreeSet<Voter>,
-    refused: BTreeSet<Id>,
-    own: bool,
+    leading_term: Option<Term>,
+    phase: CampaignPhase,
+    deadline: Ms,
+    contacted: BTreeSet<Id>,
+    prepared_by: BTreeSet<Voter>,
+    rejected_by: BTreeSet<Id>,
+    own_disk_synced: bool,
     /// What this disk held before, by which a backup may join without a snapshot.
-    was: Option<(Term, u64)>,
-    able: Vec<Id>,
-    under_way: BTreeSet<Id>,
-    joined: Vec<Id>,
+    previous_position: Option<(Term, u64)>,
+    candidates: Vec<Id>,
+    syncing: BTreeSet<Id>,
+    synced: Vec<Id>,
     leases: LeaseGrants,
 }
 
 /// A write under way.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Flight {
-    seq: u64,
-    began: Ms,
+struct InFlightAppend {
+    sequence: u64,
+    started_at: Ms,
     changes: Vec<Change>,
-    puts: Vec<KeyValue>,
-    here: bool,
-    away: BTreeSet<Id>,
+    writes: Vec<KeyValue>,
+    persisted_locally: bool,
+    unacknowledged: BTreeSet<Id>,
 }
 
 /// What a centre begins with: of its settings, and of its disk.
@@ -305,40 +322,40 @@
     pub spans: Timeouts,
     acceptor: Acceptor,
     /// What of the acceptor is on the disk.
-    durable: Option<VoterState>,
+    durable_voter_state: Option<VoterState>,
     /// The newest record that was heard of; a hint until a quorum has said so.
     pub record: LeadershipRecord,
     /// The newest epoch in which this disk took part, and the number of its last change there.
-    floor: Term,
-    seq: u64,
-    held: BTreeMap<String, String>,
+    last_durable_term: Term,
+    last_sequence: u64,
+    state: BTreeMap<String, String>,
     /// The disk may hold a change that was not acknowledged: only a snapshot brings others to this state.
-    dirty: bool,
+    may_hold_uncommitted: bool,
     /// Memory and disk may differ: only a snapshot is taken.
-    broken: bool,
+    needs_snapshot: bool,
     pub role: Role,
     leases: LeaseGrants,
-    renewed: BTreeMap<Id, Ms>,
+    renewal_sent_at: BTreeMap<Id, Ms>,
     pub peers: BTreeMap<Id, Peer>,
     pub members: BTreeSet<Id>,
-    bid: Option<Bid>,
-    flight: Option<Flight>,
-    queue: VecDeque<Change>,
-    asks: BTreeMap<OperationId, Ask>,
-    jobs: VecDeque<Pending>,
-    tokens: OperationId,
-    sound: bool,
+    campaign: Option<Campaign>,
+    in_flight: Option<InFlightAppend>,
+    proposals: VecDeque<Change>,
+    pending_calls: BTreeMap<OperationId, PendingCall>,
+    pending_writes: VecDeque<PendingWrite>,
+    last_operation_id: OperationId,
+    last_write_succeeded: bool,
     pub disk_healthy: bool,
-    probe_at: Ms,
+    next_disk_probe: Ms,
     /// The highest number of a ballot that anybody named.
-    top: u64,
-    shunned: BTreeMap<Id, Ms>,
-    bid_at: Ms,
+    highest_term_number: u64,
+    excluded_until: BTreeMap<Id, Ms>,
+    next_campaign_at: Ms,
     /// When somebody was last known to act.
-    led_at: Ms,
-    since: Ms,
-    leaving: Option<Ms>,
-    luck: u64,
+    leader_seen_at: Ms,
+    started_at: Ms,
+    shutdown_began_at: Option<Ms>,
+    jitter_state: u64,
 }
 
 fn json<T: Serialize>(value: &T) -> String {
@@ -354,25 +371,25 @@
             id: start.me.clone(),
             zone: start.area,
             spans: start.timeouts,
-            held: start.state.into_iter().filter(|(_, value)| !value.is_empty()).collect(),
-            sound: true,
+            state: start.state.into_iter().filter(|(_, value)| !value.is_empty()).collect(),
+            last_write_succeeded: true,
             disk_healthy: true,
-            led_at: now,
-            since: now,
-            luck: start.new_incarnation | 1,
+            leader_seen_at: now,
+            started_at: now,
+            jitter_state: start.new_incarnation | 1,
             members: start.peers.iter().cloned().collect(),
             ..Core::default()
         };
         core.members.insert(start.me.clone());
         core.members.extend(read::<Vec<Id>>(&start.own, "members").unwrap_or_default());
         core.record = read(&start.own, "record").unwrap_or_default();
-        core.floor = read(&start.own, "floor").unwrap_or_default();
-        core.seq = read(&start.own, SEQ).unwrap_or_default();
+        core.last_durable_term = read(&start.own, "floor").unwrap_or_default();
+        core.last_sequence = read(&start.own, SEQ).unwrap_or_default();
         if let Some(held) = read::<VoterState>(&start.own, "witness") {
             if held.record.term > core.record.term {
                 core.record = held.record.clone();
             }
-            core.durable = Some(held.clone());
+            core.durable_voter_state = Some(held.clone());
             core.acceptor = Acceptor::restart(now, held, core.spans.lease);
             return core;
         }
@@ -399,26 +416,30 @@
                 core.acceptor = Acceptor::bootstrap(record.clone());
             }
             if record.is_replica(&core.id) {
-                core.floor = record.term.clone();
+                core.last_durable_term = record.term.clone();
             }
             core.record = record;
         }
         let held = core.acceptor.state.clone();
-        let mut own = core.floor_puts();
+        let mut own = core.term_metadata();
         own.push(("record".into(), json(&core.record)));
         own.push(("witness".into(), json(&held)));
-        let job = Job::Vote { to: Err(Ask::Release), held: Box::new(held), say: Box::default() };
-        core.write(now, job, (Vec::new(), false, own), out);
+        let job = DiskWrite::VoterState {
+            to: Err(PendingCall::Release),
+            held: Box::new(held),
+            say: Box::default(),
+        };
+        core.persist(now, job, WriteBatch::metadata(own), out);
         core
     }
 
     /// The epoch in which the disk takes part, and the number of its last change there.
-    fn floor_puts(&self) -> Vec<KeyValue> {
-        vec![("floor".into(), json(&self.floor)), (SEQ.into(), json(&self.seq))]
+    fn term_metadata(&self) -> Vec<KeyValue> {
+        vec![("floor".into(), json(&self.last_durable_term)), (SEQ.into(), json(&self.last_sequence))]
     }
 
     pub fn held(&self) -> &BTreeMap<String, String> {
-        &self.held
+        &self.state
     }
 
     pub fn life(&self) -> u64 {
@@ -426,7 +447,7 @@
     }
 
     pub fn last_durable_term(&self) -> &Term {
-        &self.floor
+        &self.last_durable_term
     }
 
     pub fn holds_leader_lease(&self, now: Ms) -> bool {
@@ -470,7 +491,7 @@
     }
 
     /// Near, its disk takes writes, and it stays.
-    fn good(&self, now: Ms, id: &str) -> bool {
+    fn is_usable_backup(&self, now: Ms, id: &str) -> bool {
         self.is_peer_alive(now, id)
             && self.peers.get(id).is_some_and(|p| p.status.disk_healthy && !p.status.draining)
     }
@@ -480,9 +501,9 @@
             id: self.id.clone(),
             holds_lease: self.holds_leader_lease(now),
             disk_healthy: self.disk_healthy,
-            draining: self.leaving.is_some(),
+            draining: self.shutdown_began_at.is_some(),
             incarnation: self.life(),
-            last_durable_term: self.floor.clone(),
+            last_durable_term: self.last_durable_term.clone(),
             zone: self.zone.clone(),
             record: self.record.clone(),
             members: self.members.iter().cloned().collect(),
@@ -505,10 +526,10 @@
         peer.last_contact = peer.last_contact.max(asked.unwrap_or(0));
         peer.status = told.clone();
         if told.holds_lease {
-            self.led_at = now;
+            self.leader_seen_at = now;
         }
         self.add_members(now, std::iter::once(&told.id).chain(&told.members), out);
-        self.learn(now, &told.record, out);
+        self.observe_record(now, &told.record, out);
     }
 
     /// Members that this centre had not heard of. They are kept, so that a restart finds somebody.
@@ -518,7 +539,7 @@
         if self.members.len() > before {
             let all: Vec<&Id> = self.members.iter().collect();
             let own = vec![("members".into(), json(&all))];
-            self.write(now, Job::Own, (Vec::new(), false, own), out);
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
         }
     }
 
@@ -546,49 +567,49 @@
         all
     }
 
-    fn learn(&mut self, now: Ms, record: &LeadershipRecord, out: &mut Vec<Output>) {
-        self.top = self.top.max(record.term.number);
+    fn observe_record(&mut self, now: Ms, record: &LeadershipRecord, out: &mut Vec<Output>) {
+        self.highest_term_number = self.highest_term_number.max(record.term.number);
         if record.term > self.record.term {
             self.record = record.clone();
             let own = vec![("record".into(), json(record))];
-            self.write(now, Job::Own, (Vec::new(), false, own), out);
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
         }
     }
 
-    fn token(&mut self) -> OperationId {
-        self.tokens += 1;
-        self.tokens
+    fn next_operation_id(&mut self) -> OperationId {
+        self.last_operation_id += 1;
+        self.last_operation_id
     }
 
-    fn write(
-        &mut self,
-        now: Ms,
-        job: Job,
-        what: (Vec<KeyValue>, bool, Vec<KeyValue>),
-        out: &mut Vec<Output>,
-    ) {
-        let token = self.token();
-        self.jobs.push_back(Pending { token, since: now, job });
-        let (state, whole, own) = what;
-        out.push(Output::Persist { token, state, replace: whole, metadata: own });
+    fn persist(&mut self, now: Ms, job: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
+        let token = self.next_operation_id();
+        self.pending_writes.push_back(PendingWrite { token, since: now, job });
+        let WriteBatch { state, replace, metadata } = batch;
+        out.push(Output::Persist { token, state, replace, metadata });
     }
 
-    fn call(&mut self, ask: Ask, to: &Id, call: Request, out: &mut Vec<Output>) {
-        let token = self.token();
-        self.asks.insert(token, ask);
+    fn send_request(&mut self, ask: PendingCall, to: &Id, call: Request, out: &mut Vec<Output>) {
+        let token = self.next_operation_id();
+        self.pending_calls.insert(token, ask);
         out.push(Output::Send { operation_id: token, to: to.clone(), call, timeout: self.spans.rpc_timeout });
     }
 
     /// Another centre calls.
     pub fn handle_request(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
         match call {
-            Request::Voter(call) => self.vote(now, Ok(caller), call, out),
-            Request::ReplicaWrite(copy) => self.copy(now, caller, copy, out),
+            Request::Voter(call) => self.handle_voter_request(now, Ok(caller), call, out),
+            Request::ReplicaWrite(copy) => self.handle_replica_write(now, caller, copy, out),
         }
     }
 
     /// What changes the acceptor is on the disk before it is answered.
-    fn vote(&mut self, now: Ms, to: Result<RequestId, Ask>, call: VoterRequest, out: &mut Vec<Output>) {
+    fn handle_voter_request(
+        &mut self,
+        now: Ms,
+        to: Result<RequestId, PendingCall>,
+        call: VoterRequest,
+        out: &mut Vec<Output>,
+    ) {
         let outcome = match &call {
             VoterRequest::Prepare(ballot) => self.acceptor.prepare(now, ballot).map(Some),
             VoterRequest::Accept(record, span) | VoterRequest::Renew(record, span) => {
@@ -610,96 +631,102 @@
                 if older && record.leader != self.id {
                     self.step_down(now, out);
                 }
-                self.learn(now, record, out);
+                self.observe_record(now, record, out);
             }
             // A write that failed or waits still: what is answered must be on the disk all the same.
-            if self.durable.as_ref() != Some(&self.acceptor.state) {
+            if self.durable_voter_state.as_ref() != Some(&self.acceptor.state) {
                 let held = self.acceptor.state.clone();
                 let own = vec![("witness".to_string(), json(&held))];
-                return self.write(
+                return self.persist(
                     now,
-                    Job::Vote { to, held: Box::new(held), say: Box::new(say) },
-                    (Vec::new(), false, own),
+                    DiskWrite::VoterState { to, held: Box::new(held), say: Box::new(say) },
+                    WriteBatch::metadata(own),
                     out,
                 );
             }
         }
-        self.voted(now, to, say, out);
+        self.respond_to_voter_request(now, to, say, out);
     }
 
-    fn voted(&mut self, now: Ms, to: Result<RequestId, Ask>, say: VoterResponse, out: &mut Vec<Output>) {
+    fn respond_to_voter_request(
+        &mut self,
+        now: Ms,
+        to: Result<RequestId, PendingCall>,
+        say: VoterResponse,
+        out: &mut Vec<Output>,
+    ) {
         match to {
             Ok(caller) => out.push(Output::Respond { request_id: caller, response: Response::Voter(say) }),
-            Err(ask) => self.answered(now, ask, Some(Response::Voter(say)), out),
+            Err(ask) => self.handle_call_result(now, ask, Some(Response::Voter(say)), out),
         }
     }
 
     /// What came of a write.
     pub fn handle_write_result(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
-        let Some(at) = self.jobs.iter().position(|p| p.token == token) else { return };
-        let Some(Pending { job, .. }) = self.jobs.remove(at) else { return };
-        if ok && !self.sound {
+        let Some(at) = self.pending_writes.iter().position(|p| p.token == token) else { return };
+        let Some(PendingWrite { job, .. }) = self.pending_writes.remove(at) else { return };
+        if ok && !self.last_write_succeeded {
             out.push(Output::Log("The disk takes writes again.".into()));
         }
-        if !ok && self.sound {
+        if !ok && self.last_write_succeeded {
             out.push(Output::Log("The disk does not take a write.".into()));
         }
-        self.sound = ok;
+        self.last_write_succeeded = ok;
         match job {
-            Job::Vote { to, held, say } => {
+            DiskWrite::VoterState { to, held, say } => {
                 if ok {
-                    self.durable = Some(*held);
-                } else if matches!(to, Err(Ask::Release)) {
+                    self.durable_voter_state = Some(*held);
+                } else if matches!(to, Err(PendingCall::Release)) {
                     // The first write of all, with the floor: it is made again.
-                    self.broken = true;
+                    self.needs_snapshot = true;
                 }
                 let no = Rejection { reason: "the disk does not take it".into(), ..Rejection::default() };
                 let say = if ok { *say } else { VoterResponse { rejection: Some(no), record: None, ..*say } };
-                if !matches!(to, Err(Ask::Release)) {
-                    self.voted(now, to, say, out);
+                if !matches!(to, Err(PendingCall::Release)) {
+                    self.respond_to_voter_request(now, to, say, out);
                 }
             }
-            Job::Floor { ballot } => {
-                let Some(bid) = self.bid.as_mut().filter(|b| b.ballot == ballot) else { return };
-                if !ok || self.broken {
-                    return self.give_up(now, "the disk does not take it", out);
+            DiskWrite::CampaignTerm { ballot } => {
+                let Some(bid) = self.campaign.as_mut().filter(|b| b.term == ballot) else { return };
+                if !ok || self.needs_snapshot {
+                    return self.abandon_campaign(now, "the disk does not take it", out);
                 }
-                bid.own = true;
-                self.dirty = false;
-                self.brought(now, out);
+                bid.own_disk_synced = true;
+                self.may_hold_uncommitted = false;
+                self.propose_record_if_synced(now, out);
             }
-            Job::Copied { caller, epoch, seq, snapshot } => {
-                let current = self.floor == epoch;
+            DiskWrite::ReplicaWrite { caller, epoch, seq, snapshot } => {
+                let current = self.last_durable_term == epoch;
                 // Also of an epoch before: what came after it, without a snapshot, builds upon it.
                 if !ok {
-                    self.broken = true;
-                } else if ok && snapshot && current && self.seq == seq {
-                    self.broken = false;
+                    self.needs_snapshot = true;
+                } else if ok && snapshot && current && self.last_sequence == seq {
+                    self.needs_snapshot = false;
                 }
                 let say = ReplicaWriteResponse {
-                    accepted: ok && !self.broken && current,
+                    accepted: ok && !self.needs_snapshot && current,
                     reason: String::new(),
                     incarnation: self.life(),
                 };
                 out.push(Output::Respond { request_id: caller, response: Response::ReplicaWrite(say) });
             }
-            Job::Change { epoch, seq } => {
+            DiskWrite::Append { epoch, seq } => {
                 let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
-                match self.flight.as_mut().filter(|f| mine && f.seq == seq) {
+                match self.in_flight.as_mut().filter(|f| mine && f.sequence == seq) {
                     Some(flight) if ok => {
-                        flight.here = true;
-                        self.landed(now, out);
+                        flight.persisted_locally = true;
+                        self.commit_if_replicated(now, out);
                     }
-                    Some(_) => self.crashed(now, "here", out),
+                    Some(_) => self.fail_append(now, "here", out),
                     None => {}
                 }
             }
-            Job::Whole { epoch, seq } => {
-                if ok && self.floor == epoch && self.seq == seq {
-                    self.broken = false;
+            DiskWrite::RewriteState { epoch, seq } => {
+                if ok && self.last_durable_term == epoch && self.last_sequence == seq {
+                    self.needs_snapshot = false;
                 }
             }
-            Job::Own => {}
+            DiskWrite::Metadata => {}
         }
     }
 
@@ -711,12 +738,18 @@
         say: Option<Response>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(ask) = self.asks.remove(&token) {
-            self.answered(now, ask, say, out);
+        if let Some(ask) = self.pending_calls.remove(&token) {
+            self.handle_call_result(now, ask, say, out);
         }
     }
 
-    fn answered(&mut self, now: Ms, ask: Ask, say: Option<Response>, out: &mut Vec<Output>) {
+    fn handle_call_result(
+        &mut self,
+        now: Ms,
+        ask: PendingCall,
+        say: Option<Response>,
+        out: &mut Vec<Output>,
+    ) {
         let witness = match &say {
             Some(Response::Voter(say)) => Some(say.clone()),
             _ => None,
@@ -726,171 +759,193 @@
             _ => None,
         };
         if let Some(no) = witness.as_ref().and_then(|w| w.rejection.as_ref()) {
-            self.top = self.top.max(no.promised.number);
+            self.highest_term_number = self.highest_term_number.max(no.promised.number);
         }
         let yes = |w: &VoterResponse| w.rejection.is_none();
         match ask {
-            Ask::Prepare { to, ballot } => {
+            PendingCall::Prepare { to, ballot } => {
                 let say = witness.unwrap_or_default();
                 match say.record.filter(|_| say.rejection.is_none()) {
-                    Some(record) => self.promised(
+                    Some(record) => self.handle_prepare_granted(
                         now,
                         Voter { id: to, incarnation: say.incarnation },
                         &ballot,
                         record,
                         out,
                     ),
-                    None => self.refused(now, to, &ballot, say.rejection, out),
+                    None => self.handle_rejection(now, to, &ballot, say.rejection, out),
                 }
             }
-            Ask::Accept { to, epoch, asked } => {
+            PendingCall::Accept { to, epoch, asked } => {
                 let span = self.spans.lease;
                 let Some(say) = witness.clone().filter(yes) else {
-                    return self.refused(now, to, &epoch, witness.and_then(|w| w.rejection), out);
+                    return self.handle_rejection(now, to, &epoch, witness.and_then(|w| w.rejection), out);
                 };
-                let Some(bid) = self.bid.as_mut() else { return };
-                let Stage::Accept(record) = &bid.stage else { return };
+                let Some(bid) = self.campaign.as_mut() else { return };
+                let CampaignPhase::Accept(record) = &bid.phase else { return };
                 if record.term == epoch {
                     bid.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, span);
-                    self.chosen(now, out);
+                    self.become_leader_if_chosen(now, out);
                 }
             }
-            Ask::Renew { to, epoch, asked } => {
+            PendingCall::Renew { to, epoch, asked } => {
                 let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
                 if let Some(say) = witness.filter(yes).filter(|_| mine) {
                     let asked = if is_injected(InjectedBug::LeaseFromResponse) { now } else { asked };
                     self.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, self.spans.lease);
                 }
             }
-            Ask::Bring { to, epoch, snapshot } => {
-                let Some(bid) = self.bid.as_mut().filter(|b| b.ballot == epoch && b.stage == Stage::Bring)
+            PendingCall::SyncBackup { to, epoch, snapshot } => {
+                let Some(bid) = self
+                    .campaign
+                    .as_mut()
+                    .filter(|b| b.term == epoch && b.phase == CampaignPhase::SyncBackups)
                 else {
                     return;
                 };
-                bid.under_way.remove(&to);
+                bid.syncing.remove(&to);
                 match copied {
                     Some(say) if say.accepted => {
-                        bid.joined.push(to.clone());
+                        bid.synced.push(to.clone());
                         // What it says now is newer than its last heartbeat.
                         if let Some(peer) = self.peers.get_mut(&to) {
                             peer.status.incarnation = say.incarnation;
                         }
-                        self.brought(now, out);
+                        self.propose_record_if_synced(now, out);
                     }
-                    Some(_) if !snapshot => self.bring(now, &to, true, out),
+                    Some(_) if !snapshot => self.sync_backup(now, &to, true, out),
                     _ => {
-                        self.shunned.insert(to, now + 4 * self.spans.lease);
-                        self.bring_next(now, out);
+                        self.excluded_until.insert(to, now + 4 * self.spans.lease);
+                        self.sync_next_backup(now, out);
                     }
                 }
             }
-            Ask::Change { to, epoch, seq, again } => {
+            PendingCall::Append { to, epoch, seq, again } => {
                 let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
-                let Some(flight) = self.flight.as_mut().filter(|f| mine && f.seq == seq) else { return };
+                let Some(flight) = self.in_flight.as_mut().filter(|f| mine && f.sequence == seq) else {
+                    return;
+                };
                 match copied {
                     Some(say) if say.accepted => {
-                        flight.away.remove(&to);
-                        self.landed(now, out);
+                        flight.unacknowledged.remove(&to);
+                        self.commit_if_replicated(now, out);
                     }
                     // No answer: it may have been lost on its way; the number makes it harmless twice.
                     None if !again => {
-                        let (puts, kind) = (flight.puts.clone(), ReplicaWriteKind::Append);
+                        let (puts, kind) = (flight.writes.clone(), ReplicaWriteKind::Append);
                         let copy = ReplicaWrite {
-                            version: VERSION,
+                            version: REPLICA_WRITE_VERSION,
                             term: epoch.clone(),
                             sequence: seq,
                             kind,
                             writes: puts,
                         };
-                        self.call(
-                            Ask::Change { to: to.clone(), epoch, seq, again: true },
+                        self.send_request(
+                            PendingCall::Append { to: to.clone(), epoch, seq, again: true },
                             &to,
                             Request::ReplicaWrite(copy),
                             out,
                         );
                     }
                     _ => {
-                        self.shunned.insert(to.clone(), now + 4 * self.spans.lease);
-                        self.crashed(now, &format!("at {to}"), out);
+                        self.excluded_until.insert(to.clone(), now + 4 * self.spans.lease);
+                        self.fail_append(now, &format!("at {to}"), out);
                     }
                 }
             }
-            Ask::Release => {}
+            PendingCall::Release => {}
         }
     }
 
-    fn ask(&mut self, now: Ms, to: &Id, ask: Ask, call: VoterRequest, out: &mut Vec<Output>) {
+    fn call_voter(&mut self, now: Ms, to: &Id, ask: PendingCall, call: VoterRequest, out: &mut Vec<Output>) {
         if *to == self.id {
-            self.vote(now, Err(ask), call, out);
+            self.handle_voter_request(now, Err(ask), call, out);
         } else {
-            self.call(ask, to, Request::Voter(call), out);
+            self.send_request(ask, to, Request::Voter(call), out);
         }
     }
 
     /// Twenty times a second.
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let stuck = self.jobs.front().is_some_and(|p| now > p.since + self.spans.rpc_timeout);
-        self.disk_healthy = self.sound && !stuck;
-        if !self.sound && self.jobs.is_empty() && now >= self.probe_at {
-            self.probe_at = now + self.spans.heartbeat_interval;
-            self.write(now, Job::Own, (Vec::new(), false, vec![("probe".into(), now.to_string())]), out);
-        }
-        if self.broken && self.sound && self.jobs.is_empty() {
-            let own = self.floor_puts();
-            let job = Job::Whole { epoch: self.floor.clone(), seq: self.seq };
-            self.write(now, job, (self.all(), true, own), out);
-        }
-        self.shunned.retain(|_, until| now < *until);
-        if self.bid.as_ref().is_some_and(|b| now > b.until) {
-            self.give_up(now, "no answer from enough", out);
-        }
-        if self.flight.as_ref().is_some_and(|f| now > f.began + 3 * self.spans.rpc_timeout) {
-            self.crashed(now, "in time", out);
+        let stuck = self.pending_writes.front().is_some_and(|p| now > p.since + self.spans.rpc_timeout);
+        self.disk_healthy = self.last_write_succeeded && !stuck;
+        if !self.last_write_succeeded && self.pending_writes.is_empty() && now >= self.next_disk_probe {
+            self.next_disk_probe = now + self.spans.heartbeat_interval;
+            self.persist(
+                now,
+                DiskWrite::Metadata,
+                WriteBatch::metadata(vec![("probe".into(), now.to_string())]),
+                out,
+            );
+        }
+        if self.needs_snapshot && self.last_write_succeeded && self.pending_writes.is_empty() {
+            let own = self.term_metadata();
+            let job =
+                DiskWrite::RewriteState { epoch: self.last_durable_term.clone(), seq: self.last_sequence };
+            self.persist(
+                now,
+                job,
+                WriteBatch { state: self.state_entries(), replace: true, metadata: own },
+                out,
+            );
+        }
+        self.excluded_until.retain(|_, until| now < *until);
+        if self.campaign.as_ref().is_some_and(|b| now > b.deadline) {
+            self.abandon_campaign(now, "no answer from enough", out);
+        }
+        if self.in_flight.as_ref().is_some_and(|f| now > f.started_at + 3 * self.spans.rpc_timeout) {
+            self.fail_append(now, "in time", out);
         }
         if matches!(self.role, Role::Leader(_)) {
-            self.lead(now, out);
-        } else if self.bid.is_none() && self.due(now) {
-            self.stand(now, None, out);
+            self.tick_leader(now, out);
+        } else if self.campaign.is_none() && self.should_campaign(now) {
+            self.start_campaign(now, None, out);
         }
     }
 
-    fn lead(&mut self, now: Ms, out: &mut Vec<Output>) {
+    fn tick_leader(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Leader(record) = self.role.clone() else { return };
-        if !self.disk_healthy || self.bid.is_none() && !self.holds_leader_lease(now) {
+        if !self.disk_healthy || self.campaign.is_none() && !self.holds_leader_lease(now) {
             out.push(Output::Log("The lease is over or the disk fails: steps down.".into()));
             return self.step_down(now, out);
         }
-        self.led_at = now;
-        if self.bid.is_some() {
+        self.leader_seen_at = now;
+        if self.campaign.is_some() {
             return;
         }
         for id in record.voter_ids() {
-            if now >= self.renewed.get(&id).copied().unwrap_or(0) + self.spans.heartbeat_interval {
-                self.renewed.insert(id.clone(), now);
-                let ask = Ask::Renew { to: id.clone(), epoch: record.term.clone(), asked: now };
-                self.ask(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
+            if now >= self.renewal_sent_at.get(&id).copied().unwrap_or(0) + self.spans.heartbeat_interval {
+                self.renewal_sent_at.insert(id.clone(), now);
+                let ask = PendingCall::Renew { to: id.clone(), epoch: record.term.clone(), asked: now };
+                self.call_voter(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
             }
         }
-        if self.flight.is_some() || !matches!(self.role, Role::Leader(_)) {
+        if self.in_flight.is_some() || !matches!(self.role, Role::Leader(_)) {
             return;
         }
-        if now >= self.bid_at {
-            if let Some(group) = self.wants(now) {
-                return self.stand(now, group, out);
+        if now >= self.next_campaign_at {
+            if let Some(group) = self.wanted_change(now) {
+                return self.start_campaign(now, group, out);
             }
         }
-        if self.leaving.is_some()
-            && self.queue.is_empty()
-            && record.backups.iter().any(|id| self.good(now, id))
+        if self.shutdown_began_at.is_some()
+            && self.proposals.is_empty()
+            && record.backups.iter().any(|id| self.is_usable_backup(now, id))
         {
             out.push(Output::Log("Hands over and stops acting.".into()));
             self.step_down(now, out);
             for id in record.voter_ids() {
-                self.ask(now, &id, Ask::Release, VoterRequest::Release(record.term.clone()), out);
+                self.call_voter(
+                    now,
+                    &id,
+                    PendingCall::Release,
+                    VoterRequest::Release(record.term.clone()),
+                    out,
+                );
             }
             return;
         }
-        self.pump(now, out);
+        self.append_next(now, out);
     }
 
     fn step_down(&mut self, now: Ms, out: &mut Vec<Output>) {
@@ -899,18 +954,18 @@
         }
         self.role = Role::Follower;
         self.leases.clear();
-        self.renewed.clear();
-        if self.bid.as_ref().is_some_and(|b| b.from.is_some()) {
-            self.bid = None;
+        self.renewal_sent_at.clear();
+        if self.campaign.as_ref().is_some_and(|b| b.leading_term.is_some()) {
+            self.campaign = None;
         }
         let mut failed: Vec<u64> = Vec::new();
-        if let Some(flight) = self.flight.take() {
+        if let Some(flight) = self.in_flight.take() {
             // It may be on this disk, and on others.
-            self.dirty = true;
+            self.may_hold_uncommitted = true;
             failed.extend(flight.changes.iter().map(|c| c.ticket));
         }
-        failed.extend(self.queue.drain(..).map(|c| c.ticket));
-        self.bid_at = self.bid_at.max(now);
+        failed.extend(self.proposals.drain(..).map(|c| c.ticket));
+        self.next_campaign_at = self.next_campaign_at.max(now);
         out.push(Output::SteppedDown);
         if !failed.is_empty() {
             out.push(Output::Failed(failed));
--- a/crates/control-plane/consensus/src/core/bid.rs
+++ b/crates/control-plane/consensus/src/core/bid.rs
@@ -2,17 +2,21 @@
 use super::*;
 
 impl Core {
-    pub(super) fn chance(&mut self, below: Ms) -> Ms {
-        self.luck ^= self.luck << 13;
-        self.luck ^= self.luck >> 7;
-        self.luck ^= self.luck << 17;
-        self.luck % below.max(1)
+    pub(super) fn jitter(&mut self, below: Ms) -> Ms {
+        self.jitter_state ^= self.jitter_state << 13;
+        self.jitter_state ^= self.jitter_state >> 7;
+        self.jitter_state ^= self.jitter_state << 17;
+        self.jitter_state % below.max(1)
     }
 
     /// Stands for the next epoch.
-    pub(super) fn stand(&mut self, now: Ms, group: Option<Group>, out: &mut Vec<Output>) {
-        let high =
-            [self.record.term.number, self.acceptor.state.promised.number, self.top, self.floor.number];
+    pub(super) fn start_campaign(&mut self, now: Ms, group: Option<MembershipChange>, out: &mut Vec<Output>) {
+        let high = [
+            self.record.term.number,
+            self.acceptor.state.promised.number,
+            self.highest_term_number,
+            self.last_durable_term.number,
+        ];
         let ballot = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.id);
         let from = match &self.role {
             Role::Leader(record) => Some(record.term.clone()),
@@ -23,31 +27,31 @@
             Role::Follower => self.record.clone(),
         };
         let ids = base.voter_ids();
-        self.bid = Some(Bid {
-            ballot: ballot.clone(),
-            base,
-            group,
-            from,
-            stage: Stage::Prepare,
-            until: now + self.spans.rpc_timeout,
-            asked: ids.iter().cloned().collect(),
-            promised: BTreeSet::new(),
-            refused: BTreeSet::new(),
-            own: false,
-            was: None,
-            able: Vec::new(),
-            under_way: BTreeSet::new(),
-            joined: Vec::new(),
+        self.campaign = Some(Campaign {
+            term: ballot.clone(),
+            base_record: base,
+            membership_change: group,
+            leading_term: from,
+            phase: CampaignPhase::Prepare,
+            deadline: now + self.spans.rpc_timeout,
+            contacted: ids.iter().cloned().collect(),
+            prepared_by: BTreeSet::new(),
+            rejected_by: BTreeSet::new(),
+            own_disk_synced: false,
+            previous_position: None,
+            candidates: Vec::new(),
+            syncing: BTreeSet::new(),
+            synced: Vec::new(),
             leases: LeaseGrants::default(),
         });
         for id in ids {
-            let ask = Ask::Prepare { to: id.clone(), ballot: ballot.clone() };
-            self.ask(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
+            let ask = PendingCall::Prepare { to: id.clone(), ballot: ballot.clone() };
+            self.call_voter(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
         }
     }
 
     /// A bid that can't have a quorum any more ends at once.
-    pub(super) fn refused(
+    pub(super) fn handle_rejection(
         &mut self,
         now: Ms,
         who: Id,
@@ -55,23 +59,24 @@
         no: Option<Rejection>,
         out: &mut Vec<Output>,
     ) {
-        let Some(bid) = self.bid.as_mut().filter(|b| b.ballot == *ballot) else { return };
-        bid.refused.insert(who.clone());
-        let Some(bid) = &self.bid else { return };
-        let record = match &bid.stage {
-            Stage::Accept(record) => record,
-            _ => &bid.base,
+        let Some(bid) = self.campaign.as_mut().filter(|b| b.term == *ballot) else { return };
+        bid.rejected_by.insert(who.clone());
+        let Some(bid) = &self.campaign else { return };
+        let record = match &bid.phase {
+            CampaignPhase::Accept(record) => record,
+            _ => &bid.base_record,
         };
         // Of those that have not answered yet, only who was heard lately is worth waiting for.
-        let may =
-            |w: &Voter| !bid.refused.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id));
+        let may = |w: &Voter| {
+            !bid.rejected_by.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id))
+        };
         if !record.has_quorum(may) {
             let why = no.map_or("no answer".into(), |no| no.reason);
-            self.give_up(now, &format!("{who}: {why}"), out);
+            self.abandon_campaign(now, &format!("{who}: {why}"), out);
         }
     }
 
-    pub(super) fn promised(
+    pub(super) fn handle_prepare_granted(
         &mut self,
         now: Ms,
         who: Voter,
@@ -79,131 +84,160 @@
         record: LeadershipRecord,
         out: &mut Vec<Output>,
     ) {
-        let Some(bid) = self.bid.as_mut().filter(|b| b.ballot == *ballot && b.stage == Stage::Prepare) else {
+        let Some(bid) =
+            self.campaign.as_mut().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
+        else {
             return;
         };
-        bid.promised.insert(who);
-        if record.term > bid.base.term {
-            bid.base = record.clone();
+        bid.prepared_by.insert(who);
+        if record.term > bid.base_record.term {
+            bid.base_record = record.clone();
             let more: Vec<Id> =
-                record.voter_ids().into_iter().filter(|id| bid.asked.insert(id.clone())).collect();
-            self.learn(now, &record, out);
+                record.voter_ids().into_iter().filter(|id| bid.contacted.insert(id.clone())).collect();
+            self.observe_record(now, &record, out);
             for id in more {
-                let ask = Ask::Prepare { to: id.clone(), ballot: ballot.clone() };
-                self.ask(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
+                let ask = PendingCall::Prepare { to: id.clone(), ballot: ballot.clone() };
+                self.call_voter(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
             }
         }
-        let Some(bid) = self.bid.as_ref().filter(|b| b.ballot == *ballot && b.stage == Stage::Prepare) else {
+        let Some(bid) =
+            self.campaign.as_ref().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
+        else {
             return;
         };
-        if !bid.base.has_quorum(|w| bid.promised.contains(w)) {
+        if !bid.base_record.has_quorum(|w| bid.prepared_by.contains(w)) {
             return;
         }
-        let other = bid.from.as_ref().is_some_and(|from| *from != bid.base.term);
-        if other || !bid.base.may_lead(&self.id, &self.floor) || self.floor > *ballot || self.broken {
-            return self.give_up(now, "another stands in the record", out);
+        let other = bid.leading_term.as_ref().is_some_and(|from| *from != bid.base_record.term);
+        if other
+            || !bid.base_record.may_lead(&self.id, &self.last_durable_term)
+            || self.last_durable_term > *ballot
+            || self.needs_snapshot
+        {
+            return self.abandon_campaign(now, "another stands in the record", out);
         }
         // From here on nothing of an earlier epoch is taken: what goes to the backups is all there is.
-        let base = bid.base.clone();
-        let was = (!self.dirty).then(|| (self.floor.clone(), self.seq));
-        let able = self.partners(now, &base);
-        (self.floor, self.seq) = (ballot.clone(), 0);
+        let base = bid.base_record.clone();
+        let was = (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
+        let able = self.backup_candidates(now, &base);
+        (self.last_durable_term, self.last_sequence) = (ballot.clone(), 0);
         let until = now + 2 * self.spans.rpc_timeout;
-        if let Some(bid) = self.bid.as_mut() {
-            (bid.stage, bid.until, bid.was, bid.able) = (Stage::Bring, until, was, able);
+        if let Some(bid) = self.campaign.as_mut() {
+            (bid.phase, bid.deadline, bid.previous_position, bid.candidates) =
+                (CampaignPhase::SyncBackups, until, was, able);
         }
-        let state = if self.dirty { self.all() } else { Vec::new() };
-        let own = self.floor_puts();
-        self.write(now, Job::Floor { ballot: ballot.clone() }, (state, self.dirty, own), out);
+        let state = if self.may_hold_uncommitted { self.state_entries() } else { Vec::new() };
+        let own = self.term_metadata();
+        self.persist(
+            now,
+            DiskWrite::CampaignTerm { ballot: ballot.clone() },
+            WriteBatch { state, replace: self.may_hold_uncommitted, metadata: own },
+            out,
+        );
         for _ in 0..self.spans.max_failures {
-            self.bring_next(now, out);
+            self.sync_next_backup(now, out);
         }
-        self.brought(now, out);
+        self.propose_record_if_synced(now, out);
     }
 
-    pub(super) fn bring_next(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Some(bid) = self.bid.as_mut().filter(|b| b.stage == Stage::Bring) else { return };
-        if bid.able.is_empty() {
-            if bid.under_way.len() + bid.joined.len() < self.spans.max_failures {
-                self.give_up(now, "nobody to be the backup", out);
+    pub(super) fn sync_next_backup(&mut self, now: Ms, out: &mut Vec<Output>) {
+        let Some(bid) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+            return;
+        };
+        if bid.candidates.is_empty() {
+            if bid.syncing.len() + bid.synced.len() < self.spans.max_failures {
+                self.abandon_campaign(now, "nobody to be the backup", out);
             }
             return;
         }
-        let to = bid.able.remove(0);
-        let was = bid.was.clone();
+        let to = bid.candidates.remove(0);
+        let was = bid.previous_position.clone();
         let alike = was.is_some_and(|(epoch, _)| {
             self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == epoch)
         });
-        self.bring(now, &to, !alike, out);
+        self.sync_backup(now, &to, !alike, out);
     }
 
-    pub(super) fn bring(&mut self, _now: Ms, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
-        let Some(bid) = self.bid.as_mut() else { return };
-        bid.under_way.insert(to.clone());
-        let epoch = bid.ballot.clone();
-        let (kind, puts) = match bid.was.clone().filter(|_| !snapshot) {
+    pub(super) fn sync_backup(&mut self, _now: Ms, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
+        let Some(bid) = self.campaign.as_mut() else { return };
+        bid.syncing.insert(to.clone());
+        let epoch = bid.term.clone();
+        let (kind, puts) = match bid.previous_position.clone().filter(|_| !snapshot) {
             Some((epoch, seq)) => (ReplicaWriteKind::Probe { epoch, seq }, Vec::new()),
             None => {
-                let puts = self.all();
+                let puts = self.state_entries();
                 (ReplicaWriteKind::Snapshot { sum: sum(&puts) }, puts)
             }
         };
         let snapshot = matches!(kind, ReplicaWriteKind::Snapshot { .. });
-        let copy = ReplicaWrite { version: VERSION, term: epoch.clone(), sequence: 0, kind, writes: puts };
-        self.call(Ask::Bring { to: to.clone(), epoch, snapshot }, to, Request::ReplicaWrite(copy), out);
+        let copy = ReplicaWrite {
+            version: REPLICA_WRITE_VERSION,
+            term: epoch.clone(),
+            sequence: 0,
+            kind,
+            writes: puts,
+        };
+        self.send_request(
+            PendingCall::SyncBackup { to: to.clone(), epoch, snapshot },
+            to,
+            Request::ReplicaWrite(copy),
+            out,
+        );
     }
 
     /// Its own disk and those of enough backups are brought to the epoch: the record may be written.
-    pub(super) fn brought(&mut self, now: Ms, out: &mut Vec<Output>) {
+    pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
         let span = self.spans.lease;
-        let Some(bid) = self.bid.as_mut().filter(|b| b.stage == Stage::Bring) else { return };
-        if !bid.own || bid.joined.len() < self.spans.max_failures {
+        let Some(bid) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+            return;
+        };
+        if !bid.own_disk_synced || bid.synced.len() < self.spans.max_failures {
             return;
         }
-        let group = bid.group.clone();
-        let group = group.unwrap_or(Group {
-            witnesses: bid.base.voters.clone(),
-            before: bid.base.outgoing_voters.clone(),
+        let group = bid.membership_change.clone();
+        let group = group.unwrap_or(MembershipChange {
+            voters: bid.base_record.voters.clone(),
+            outgoing_voters: bid.base_record.outgoing_voters.clone(),
         });
         let record = LeadershipRecord {
-            term: bid.ballot.clone(),
+            term: bid.term.clone(),
             leader: self.id.clone(),
-            backups: bid.joined.clone(),
-            voters: group.witnesses,
-            outgoing_voters: group.before,
+            backups: bid.synced.clone(),
+            voters: group.voters,
+            outgoing_voters: group.outgoing_voters,
         };
-        bid.refused.clear();
-        (bid.stage, bid.until) = (Stage::Accept(record.clone()), now + self.spans.rpc_timeout);
+        bid.rejected_by.clear();
+        (bid.phase, bid.deadline) = (CampaignPhase::Accept(record.clone()), now + self.spans.rpc_timeout);
         for id in record.voter_ids() {
-            let ask = Ask::Accept { to: id.clone(), epoch: record.term.clone(), asked: now };
-            self.ask(now, &id, ask, VoterRequest::Accept(record.clone(), span), out);
+            let ask = PendingCall::Accept { to: id.clone(), epoch: record.term.clone(), asked: now };
+            self.call_voter(now, &id, ask, VoterRequest::Accept(record.clone(), span), out);
         }
     }
 
     /// Enough witnesses have written the record: it is chosen, and this centre acts by it.
-    pub(super) fn chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Some(bid) = &self.bid else { return };
-        let Stage::Accept(record) = &bid.stage else { return };
-        if !bid.leases.hold(record, now) || self.floor != record.term {
+    pub(super) fn become_leader_if_chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
+        let Some(bid) = &self.campaign else { return };
+        let CampaignPhase::Accept(record) = &bid.phase else { return };
+        if !bid.leases.hold(record, now) || self.last_durable_term != record.term {
             return;
         }
-        let (record, leases, fresh) = (record.clone(), bid.leases.clone(), bid.from.is_none());
-        self.bid = None;
-        self.renewed.clear();
-        (self.leases, self.bid_at) = (leases, now);
+        let (record, leases, fresh) = (record.clone(), bid.leases.clone(), bid.leading_term.is_none());
+        self.campaign = None;
+        self.renewal_sent_at.clear();
+        (self.leases, self.next_campaign_at) = (leases, now);
         let joint = if record.outgoing_voters.is_empty() { "" } else { ", the group changes" };
         let names = record.backups.join(", ");
         out.push(Output::Log(format!("Acts in epoch {} with backup {names}{joint}.", record.term.number)));
-        self.learn(now, &record, out);
+        self.observe_record(now, &record, out);
         self.role = Role::Leader(record);
         out.push(Output::BecameLeader { newly_elected: fresh });
-        self.pump(now, out);
+        self.append_next(now, out);
     }
 
-    pub(super) fn give_up(&mut self, now: Ms, why: &str, out: &mut Vec<Output>) {
-        self.bid = None;
+    pub(super) fn abandon_campaign(&mut self, now: Ms, why: &str, out: &mut Vec<Output>) {
+        self.campaign = None;
         out.push(Output::Log(format!("Could not take the next epoch: {why}.")));
         self.step_down(now, out);
-        self.bid_at = now + self.chance(self.spans.heartbeat_interval / 2);
+        self.next_campaign_at = now + self.jitter(self.spans.heartbeat_interval / 2);
     }
 }
--- a/crates/control-plane/consensus/src/core/group.rs
+++ b/crates/control-plane/consensus/src/core/group.rs
@@ -4,14 +4,14 @@
 impl Core {
     /// Who may be a backup, best first: whose disk takes writes and who stays; of another zone, which may be lost
     /// whole; named already, as it holds all; a witness.
-    pub(super) fn partners(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
+    pub(super) fn backup_candidates(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
         let fit = |id: &Id| {
             self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.disk_healthy)
         };
         let mut all: Vec<Id> = self.members.iter().filter(|id| **id != self.id && fit(id)).cloned().collect();
         let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.zone == self.zone);
         let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.draining);
-        let shun = |id: &Id| self.shunned.get(id).is_some_and(|until| now < *until);
+        let shun = |id: &Id| self.excluded_until.get(id).is_some_and(|until| now < *until);
         all.sort_by_key(|id| {
             (leaves(id), shun(id), beside(id), !base.is_replica(id), !base.is_voter(id), id.clone())
         });
@@ -19,13 +19,13 @@
     }
 
     /// Whether it is up to this centre to stand, now.
-    pub(super) fn due(&self, now: Ms) -> bool {
+    pub(super) fn should_campaign(&self, now: Ms) -> bool {
         let record = &self.record;
         let able = self.disk_healthy
-            && !self.broken
+            && !self.needs_snapshot
             && self.has_quorum_contact(now)
             && self.known_leader(now).is_none();
-        if !able || !record.may_lead(&self.id, &self.floor) || now < self.bid_at {
+        if !able || !record.may_lead(&self.id, &self.last_durable_term) || now < self.next_campaign_at {
             return false;
         }
         let there = |id: &Id| {
@@ -39,39 +39,44 @@
         let other =
             std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && there(id));
         // Who leaves hands over where there is anybody to take it.
-        if self.leaving.is_some() && other {
+        if self.shutdown_began_at.is_some() && other {
             return false;
         }
         let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
         let place = place.unwrap_or(0);
         let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
         // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
-        place == 0 || !earlier || now > self.led_at + (1 + place as Ms) * self.spans.lease
+        place == 0 || !earlier || now > self.leader_seen_at + (1 + place as Ms) * self.spans.lease
     }
 
     /// What the acting primary would have otherwise: another backup, another group.
-    pub(super) fn wants(&self, now: Ms) -> Option<Option<Group>> {
+    pub(super) fn wanted_change(&self, now: Ms) -> Option<Option<MembershipChange>> {
         let Role::Leader(record) = &self.role else { return None };
         if !record.outgoing_voters.is_empty() {
-            return Some(Some(Group { witnesses: record.voters.clone(), before: Vec::new() }));
+            return Some(Some(MembershipChange {
+                voters: record.voters.clone(),
+                outgoing_voters: Vec::new(),
+            }));
         }
         let reborn = |id: &Id| {
             self.peers.get(id).is_some_and(|p| {
                 p.status.last_durable_term < record.term && p.status.record.term >= record.term
             })
         };
-        let bad = |id: &Id| !self.good(now, id) || reborn(id);
-        let able = self.partners(now, record).into_iter().filter(|id| self.good(now, id));
+        let bad = |id: &Id| !self.is_usable_backup(now, id) || reborn(id);
+        let able =
+            self.backup_candidates(now, record).into_iter().filter(|id| self.is_usable_backup(now, id));
         let able: Vec<Id> =
-            able.filter(|id| self.shunned.get(id).is_none_or(|until| now >= *until)).collect();
+            able.filter(|id| self.excluded_until.get(id).is_none_or(|until| now >= *until)).collect();
         let lost = record.backups.iter().any(bad) || record.backups.len() < self.spans.max_failures;
         if lost && able.len() >= self.spans.max_failures {
             return Some(None);
         }
         // Of who was heard once it is known; the first witnesses have 0.
         let life = |id: &Id| self.peers.get(id).map(|p| p.status.incarnation);
-        let spare =
-            |id: &&Id| **id != self.id && !record.is_voter(id) && self.good(now, id) && life(id).is_some();
+        let spare = |id: &&Id| {
+            **id != self.id && !record.is_voter(id) && self.is_usable_backup(now, id) && life(id).is_some()
+        };
         let mut spares = self.members.iter().filter(spare);
         let change = |old: &Voter, new: Voter| {
             let mut witnesses: Vec<Voter> =
@@ -80,7 +85,7 @@
                 let other = witnesses.iter().position(|w| *w != new && w.id != self.id);
                 other.map(|at| witnesses.remove(at));
             }
-            Some(Some(Group { witnesses, before: record.voters.clone() }))
+            Some(Some(MembershipChange { voters: witnesses, outgoing_voters: record.voters.clone() }))
         };
         for w in &record.voters {
             let (now_life, near) = if w.id == self.id {
@@ -93,7 +98,7 @@
             }
         }
         for w in record.voters.iter().filter(|w| w.id != self.id) {
-            let seen = self.peers.get(&w.id).map_or(0, |p| p.last_heard).max(self.since);
+            let seen = self.peers.get(&w.id).map_or(0, |p| p.last_heard).max(self.started_at);
             let leaves =
                 self.peers.get(&w.id).is_some_and(|p| p.status.draining) && self.is_peer_alive(now, &w.id);
             if leaves || now > seen + self.spans.replace_after {
@@ -103,7 +108,8 @@
             }
         }
         // Its own place, before it goes.
-        if let (Some(_), Some(own)) = (self.leaving, record.voters.iter().find(|w| w.id == self.id)) {
+        if let (Some(_), Some(own)) = (self.shutdown_began_at, record.voters.iter().find(|w| w.id == self.id))
+        {
             if let Some(id) = spares.next() {
                 return change(own, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
             }
@@ -114,7 +120,10 @@
             if record.voters.len() + spare.len() >= wanted {
                 let new = Voter { id: spare[0].clone(), incarnation: life(spare[0]).unwrap_or_default() };
                 let witnesses = record.voters.iter().cloned().chain([new]).collect();
-                return Some(Some(Group { witnesses, before: record.voters.clone() }));
+                return Some(Some(MembershipChange {
+                    voters: witnesses,
+                    outgoing_voters: record.voters.clone(),
+                }));
             }
         }
         None
@@ -122,28 +131,28 @@
 
     /// It was told to end: hands over what it has first.
     pub fn begin_shutdown(&mut self, now: Ms) {
-        self.leaving.get_or_insert(now);
+        self.shutdown_began_at.get_or_insert(now);
     }
 
     pub fn is_shutting_down(&self) -> bool {
-        self.leaving.is_some()
+        self.shutdown_began_at.is_some()
     }
 
     /// Whether the process may end: nothing rests on it, all others end as well, or its time is over. Who hears nobody
     /// waits for them: what it takes along then would be a loss.
     pub fn may_exit(&self, now: Ms) -> bool {
-        let Some(since) = self.leaving else { return false };
+        let Some(since) = self.shutdown_began_at else { return false };
         if now > since + self.spans.shutdown_grace {
             return true;
         }
         let led = self.known_leader(now).is_some();
-        let mut others = self.members.iter().filter(|id| **id != self.id && self.good(now, id));
+        let mut others = self.members.iter().filter(|id| **id != self.id && self.is_usable_backup(now, id));
         let spare = others.any(|id| !self.record.is_voter(id));
         let stays = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && spare;
         // All stop at once: nobody stays to whom anything could be handed.
         let gone =
             |id: &Id| self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.draining);
         let all = self.members.iter().filter(|id| **id != self.id).all(gone);
-        self.role == Role::Follower && (!stays && led || all && self.bid.is_none())
+        self.role == Role::Follower && (!stays && led || all && self.campaign.is_none())
     }
 }
