--- a/crates/control-plane/consensus/src/core/bid.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -1,12 +1,37 @@
-//! A bid for the next epoch: ballot, own disk, backups' disks, record.
+//! A campaign for the next term: prepare at a quorum, own disk, backups synced, record accepted.
+use super::tracker::*;
 use super::*;
 
 impl Core {
-    pub(super) fn jitter(&mut self, below: Ms) -> Ms {
-        self.jitter_state ^= self.jitter_state << 13;
-        self.jitter_state ^= self.jitter_state >> 7;
-        self.jitter_state ^= self.jitter_state << 17;
-        self.jitter_state % below.max(1)
+    /// Whether it is up to this centre to stand, now.
+    pub(super) fn should_campaign(&self, now: Ms) -> bool {
+        let record = &self.record;
+        let able = self.disk_healthy
+            && !self.needs_snapshot
+            && self.has_quorum_contact(now)
+            && self.known_leader(now).is_none();
+        if !able || !record.may_lead(&self.id, &self.last_durable_term) || now < self.next_campaign_at {
+            return false;
+        }
+        let there = |id: &Id| {
+            let peer = self.peers.get(id);
+            peer.is_some_and(|p| {
+                now < p.last_heard + 2 * self.spans.heartbeat_interval
+                    && p.status.disk_healthy
+                    && !p.status.draining
+            })
+        };
+        let other =
+            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && there(id));
+        // Who leaves hands over where there is anybody to take it.
+        if self.shutdown_began_at.is_some() && other {
+            return false;
+        }
+        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
+        let place = place.unwrap_or(0);
+        let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
+        // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
+        place == 0 || !earlier || now > self.leader_seen_at + (1 + place as Ms) * self.spans.lease
     }
 
     /// Stands for the next epoch.
@@ -166,7 +191,7 @@
             Some((epoch, seq)) => (ReplicaWriteKind::Probe { epoch, seq }, Vec::new()),
             None => {
                 let puts = self.state_entries();
-                (ReplicaWriteKind::Snapshot { sum: sum(&puts) }, puts)
+                (ReplicaWriteKind::Snapshot { sum: snapshot_checksum(&puts) }, puts)
             }
         };
         let snapshot = matches!(kind, ReplicaWriteKind::Snapshot { .. });
@@ -240,4 +265,11 @@
         self.step_down(now, out);
         self.next_campaign_at = now + self.jitter(self.spans.heartbeat_interval / 2);
     }
+
+    pub(super) fn jitter(&mut self, below: Ms) -> Ms {
+        self.jitter_state ^= self.jitter_state << 13;
+        self.jitter_state ^= self.jitter_state >> 7;
+        self.jitter_state ^= self.jitter_state << 17;
+        self.jitter_state % below.max(1)
+    }
 }
--- /dev/null
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -0,0 +1,79 @@
+//! The leader lease (Raft 6.4.1): renewal, loss, release at a leadership transfer.
+use super::tracker::*;
+use super::*;
+
+impl Core {
+    pub fn holds_leader_lease(&self, now: Ms) -> bool {
+        let holds = |record| self.leases.hold(record, now) || is_injected(InjectedBug::NoLease);
+        matches!(&self.role, Role::Leader(record) if holds(record))
+    }
+
+    pub(super) fn tick_leader(&mut self, now: Ms, out: &mut Vec<Output>) {
+        let Role::Leader(record) = self.role.clone() else { return };
+        if !self.disk_healthy || self.campaign.is_none() && !self.holds_leader_lease(now) {
+            out.push(Output::Log("The lease is over or the disk fails: steps down.".into()));
+            return self.step_down(now, out);
+        }
+        self.leader_seen_at = now;
+        if self.campaign.is_some() {
+            return;
+        }
+        for id in record.voter_ids() {
+            if now >= self.renewal_sent_at.get(&id).copied().unwrap_or(0) + self.spans.heartbeat_interval {
+                self.renewal_sent_at.insert(id.clone(), now);
+                let ask = PendingCall::Renew { to: id.clone(), epoch: record.term.clone(), asked: now };
+                self.call_voter(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
+            }
+        }
+        if self.in_flight.is_some() || !matches!(self.role, Role::Leader(_)) {
+            return;
+        }
+        if now >= self.next_campaign_at {
+            if let Some(group) = self.wanted_change(now) {
+                return self.start_campaign(now, group, out);
+            }
+        }
+        if self.shutdown_began_at.is_some()
+            && self.proposals.is_empty()
+            && record.backups.iter().any(|id| self.is_usable_backup(now, id))
+        {
+            out.push(Output::Log("Hands over and stops acting.".into()));
+            self.step_down(now, out);
+            for id in record.voter_ids() {
+                self.call_voter(
+                    now,
+                    &id,
+                    PendingCall::Release,
+                    VoterRequest::Release(record.term.clone()),
+                    out,
+                );
+            }
+            return;
+        }
+        self.append_next(now, out);
+    }
+
+    pub(super) fn step_down(&mut self, now: Ms, out: &mut Vec<Output>) {
+        if self.role == Role::Follower {
+            return;
+        }
+        self.role = Role::Follower;
+        self.leases.clear();
+        self.renewal_sent_at.clear();
+        if self.campaign.as_ref().is_some_and(|b| b.leading_term.is_some()) {
+            self.campaign = None;
+        }
+        let mut failed: Vec<u64> = Vec::new();
+        if let Some(flight) = self.in_flight.take() {
+            // It may be on this disk, and on others.
+            self.may_hold_uncommitted = true;
+            failed.extend(flight.changes.iter().map(|c| c.ticket));
+        }
+        failed.extend(self.proposals.drain(..).map(|c| c.ticket));
+        self.next_campaign_at = self.next_campaign_at.max(now);
+        out.push(Output::SteppedDown);
+        if !failed.is_empty() {
+            out.push(Output::Failed(failed));
+        }
+    }
+}
--- a/crates/control-plane/consensus/src/core/group.rs
+++ b/crates/control-plane/consensus/src/core/membership.rs
@@ -1,4 +1,5 @@
-//! Who should hold the state and who should sit in the group; who is due; when a centre may end.
+//! Who should be a backup or a voter. Voters change one at a time, through a joint configuration (Raft 6).
+use super::tracker::*;
 use super::*;
 
 impl Core {
@@ -18,37 +19,6 @@
         all
     }
 
-    /// Whether it is up to this centre to stand, now.
-    pub(super) fn should_campaign(&self, now: Ms) -> bool {
-        let record = &self.record;
-        let able = self.disk_healthy
-            && !self.needs_snapshot
-            && self.has_quorum_contact(now)
-            && self.known_leader(now).is_none();
-        if !able || !record.may_lead(&self.id, &self.last_durable_term) || now < self.next_campaign_at {
-            return false;
-        }
-        let there = |id: &Id| {
-            let peer = self.peers.get(id);
-            peer.is_some_and(|p| {
-                now < p.last_heard + 2 * self.spans.heartbeat_interval
-                    && p.status.disk_healthy
-                    && !p.status.draining
-            })
-        };
-        let other =
-            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && there(id));
-        // Who leaves hands over where there is anybody to take it.
-        if self.shutdown_began_at.is_some() && other {
-            return false;
-        }
-        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
-        let place = place.unwrap_or(0);
-        let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
-        // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
-        place == 0 || !earlier || now > self.leader_seen_at + (1 + place as Ms) * self.spans.lease
-    }
-
     /// What the acting primary would have otherwise: another backup, another group.
     pub(super) fn wanted_change(&self, now: Ms) -> Option<Option<MembershipChange>> {
         let Role::Leader(record) = &self.role else { return None };
@@ -128,31 +98,4 @@
         }
         None
     }
-
-    /// It was told to end: hands over what it has first.
-    pub fn begin_shutdown(&mut self, now: Ms) {
-        self.shutdown_began_at.get_or_insert(now);
-    }
-
-    pub fn is_shutting_down(&self) -> bool {
-        self.shutdown_began_at.is_some()
-    }
-
-    /// Whether the process may end: nothing rests on it, all others end as well, or its time is over. Who hears nobody
-    /// waits for them: what it takes along then would be a loss.
-    pub fn may_exit(&self, now: Ms) -> bool {
-        let Some(since) = self.shutdown_began_at else { return false };
-        if now > since + self.spans.shutdown_grace {
-            return true;
-        }
-        let led = self.known_leader(now).is_some();
-        let mut others = self.members.iter().filter(|id| **id != self.id && self.is_usable_backup(now, id));
-        let spare = others.any(|id| !self.record.is_voter(id));
-        let stays = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && spare;
-        // All stop at once: nobody stays to whom anything could be handed.
-        let gone =
-            |id: &Id| self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.draining);
-        let all = self.members.iter().filter(|id| **id != self.id).all(gone);
-        self.role == Role::Follower && (!stays && led || all && self.campaign.is_none())
-    }
 }
--- /dev/null
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -0,0 +1,118 @@
+//! Peers: their status, contact with them, and whom heartbeats go to.
+use super::tracker::*;
+use super::*;
+
+impl Core {
+    /// Where the primary is, if any is heard to act.
+    pub fn known_leader(&self, now: Ms) -> Option<&Id> {
+        let heard = |p: &&Peer| now < p.last_heard + self.spans.lease && p.status.holds_lease;
+        let best = self.peers.values().filter(heard).max_by_key(|p| p.status.record.term.clone());
+        best.map(|p| &p.status.id)
+    }
+
+    /// In touch: a quorum of witnesses has answered calls of this centre that were sent within the span of a lease.
+    pub fn has_quorum_contact(&self, now: Ms) -> bool {
+        let near = |w: &Voter| {
+            if w.id == self.id {
+                return w.incarnation == self.life();
+            }
+            self.peers.get(&w.id).is_some_and(|p| {
+                p.last_contact > 0
+                    && now < p.last_contact + self.spans.lease
+                    && p.status.incarnation == w.incarnation
+            })
+        };
+        self.record.has_quorum(near)
+    }
+
+    /// Heard within the span of a lease.
+    pub fn is_peer_alive(&self, now: Ms, id: &str) -> bool {
+        self.peers.get(id).is_some_and(|p| p.last_heard > 0 && now < p.last_heard + self.spans.lease)
+    }
+
+    /// Near, its disk takes writes, and it stays.
+    pub(super) fn is_usable_backup(&self, now: Ms, id: &str) -> bool {
+        self.is_peer_alive(now, id)
+            && self.peers.get(id).is_some_and(|p| p.status.disk_healthy && !p.status.draining)
+    }
+
+    pub fn told(&self, now: Ms) -> PeerStatus {
+        PeerStatus {
+            id: self.id.clone(),
+            holds_lease: self.holds_leader_lease(now),
+            disk_healthy: self.disk_healthy,
+            draining: self.shutdown_began_at.is_some(),
+            incarnation: self.life(),
+            last_durable_term: self.last_durable_term.clone(),
+            zone: self.zone.clone(),
+            record: self.record.clone(),
+            members: self.members.iter().cloned().collect(),
+        }
+    }
+
+    /// A heartbeat. `asked`: when the call was sent that it answers.
+    pub fn handle_peer_status(
+        &mut self,
+        now: Ms,
+        told: &PeerStatus,
+        asked: Option<Ms>,
+        out: &mut Vec<Output>,
+    ) {
+        if told.id == self.id {
+            return;
+        }
+        let peer = self.peers.entry(told.id.clone()).or_default();
+        peer.last_heard = now;
+        peer.last_contact = peer.last_contact.max(asked.unwrap_or(0));
+        peer.status = told.clone();
+        if told.holds_lease {
+            self.leader_seen_at = now;
+        }
+        self.add_members(now, std::iter::once(&told.id).chain(&told.members), out);
+        self.observe_record(now, &told.record, out);
+    }
+
+    /// Members that this centre had not heard of. They are kept, so that a restart finds somebody.
+    pub fn add_members<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
+        let before = self.members.len();
+        self.members.extend(ids.cloned());
+        if self.members.len() > before {
+            let all: Vec<&Id> = self.members.iter().collect();
+            let own = vec![("members".into(), json(&all))];
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
+        }
+    }
+
+    /// Whom heartbeats go to: the group, who holds the state, the few that the ring names of those that are there, and
+    /// in turn one of those that are not.
+    pub fn heartbeat_targets(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
+        let (near, far): (Vec<Id>, Vec<Id>) = self
+            .members
+            .iter()
+            .filter(|id| **id != self.id)
+            .cloned()
+            .partition(|id| self.is_peer_alive(now, id));
+        let mut all: BTreeSet<Id> = self.record.voter_ids().into_iter().collect();
+        all.extend(std::iter::once(&self.record.leader).chain(&self.record.backups).cloned());
+        all.extend(self.known_leader(now).cloned());
+        let mut ring = near;
+        ring.push(self.id.clone());
+        all.extend(crate::ring_successors(&self.id, &ring, few));
+        let far: Vec<Id> = far.into_iter().filter(|id| !all.contains(id)).collect();
+        if !far.is_empty() {
+            all.extend((0..few.min(far.len())).map(|n| far[(turn * few + n) % far.len()].clone()));
+        }
+        all.remove(&self.id);
+        all.remove("");
+        all
+    }
+
+    pub(super) fn observe_record(&mut self, now: Ms, record: &LeadershipRecord, out: &mut Vec<Output>) {
+        self.highest_term_number = self.highest_term_number.max(record.term.number);
+        if record.term > self.record.term {
+            self.record = record.clone();
+            let own = vec![("record".into(), json(record))];
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
+        }
+    }
+}
--- a/crates/control-plane/consensus/src/core/writing.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -1,4 +1,5 @@
-//! The state: taken from a primary, written to backups.
+//! Replication: writes taken from a leader, changes proposed, appended at the backups and committed.
+use super::tracker::*;
 use super::*;
 
 impl Core {
@@ -20,7 +21,7 @@
         }
         let (same, newer) = (copy.term == self.last_durable_term, copy.term > self.last_durable_term);
         let (takes, why) = match &copy.kind {
-            ReplicaWriteKind::Snapshot { sum: told } if sum(&copy.writes) != *told => {
+            ReplicaWriteKind::Snapshot { sum: told } if snapshot_checksum(&copy.writes) != *told => {
                 (false, "the sum is wrong")
             }
             // One that comes late or twice must not undo the changes since.
--- /dev/null
+++ b/crates/control-plane/consensus/src/core/tracker.rs
@@ -0,0 +1,122 @@
+//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in flight.
+//!
+//! The order of variants and fields is part of the hash of a state; the search of the model depends on it.
+use crate::{
+    Change, Id, KeyValue, LeadershipRecord, LeaseGrants, Ms, OperationId, RequestId, Term, Voter,
+    VoterResponse, VoterState,
+};
+use std::collections::BTreeSet;
+
+/// What waits for an answer of another centre.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) enum PendingCall {
+    Prepare { to: Id, ballot: Term },
+    Accept { to: Id, epoch: Term, asked: Ms },
+    Renew { to: Id, epoch: Term, asked: Ms },
+    SyncBackup { to: Id, epoch: Term, snapshot: bool },
+    Append { to: Id, epoch: Term, seq: u64, again: bool },
+    Release,
+}
+
+/// What waits for the disk.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) enum DiskWrite {
+    /// A witness's yes; `to`: the caller, or the ask of this centre itself.
+    VoterState {
+        to: Result<RequestId, PendingCall>,
+        held: Box<VoterState>,
+        say: Box<VoterResponse>,
+    },
+    /// The floor of a bid.
+    CampaignTerm {
+        ballot: Term,
+    },
+    ReplicaWrite {
+        caller: RequestId,
+        epoch: Term,
+        seq: u64,
+        snapshot: bool,
+    },
+    Append {
+        epoch: Term,
+        seq: u64,
+    },
+    /// All of the state anew, after a write that failed.
+    RewriteState {
+        epoch: Term,
+        seq: u64,
+    },
+    Metadata,
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct PendingWrite {
+    pub(super) token: OperationId,
+    pub(super) since: Ms,
+    pub(super) job: DiskWrite,
+}
+
+/// One atomic write to the disk.
+pub(super) struct WriteBatch {
+    /// Entries of the replicated state; an empty value removes the entry.
+    pub(super) state: Vec<KeyValue>,
+    /// Whether `state` replaces everything that is stored.
+    pub(super) replace: bool,
+    /// Entries of the node itself: term, sequence number, voter state.
+    pub(super) metadata: Vec<KeyValue>,
+}
+
+impl WriteBatch {
+    /// Leaves the replicated state as it is.
+    pub(super) fn metadata(metadata: Vec<KeyValue>) -> WriteBatch {
+        WriteBatch { state: Vec::new(), replace: false, metadata }
+    }
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) enum CampaignPhase {
+    Prepare,
+    SyncBackups,
+    Accept(LeadershipRecord),
+}
+
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct MembershipChange {
+    pub(super) voters: Vec<Voter>,
+    pub(super) outgoing_voters: Vec<Voter>,
+}
+
+/// Standing for an epoch.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct Campaign {
+    pub(super) term: Term,
+    /// The newest record among the answers.
+    pub(super) base_record: LeadershipRecord,
+    /// The group to write, where the acting primary changes it.
+    pub(super) membership_change: Option<MembershipChange>,
+    /// The epoch in which it acts, if it does.
+    pub(super) leading_term: Option<Term>,
+    pub(super) phase: CampaignPhase,
+    pub(super) deadline: Ms,
+    pub(super) contacted: BTreeSet<Id>,
+    pub(super) prepared_by: BTreeSet<Voter>,
+    pub(super) rejected_by: BTreeSet<Id>,
+    pub(super) own_disk_synced: bool,
+    /// What this disk held before, by which a backup may join without a snapshot.
+    pub(super) previous_position: Option<(Term, u64)>,
+    pub(super) candidates: Vec<Id>,
+    pub(super) syncing: BTreeSet<Id>,
+    pub(super) synced: Vec<Id>,
+    pub(super) leases: LeaseGrants,
+}
+
+/// A write under way.
+#[derive(Debug, Clone, PartialEq, Eq, Hash)]
+pub(super) struct InFlightAppend {
+    pub(super) sequence: u64,
+    pub(super) started_at: Ms,
+    pub(super) changes: Vec<Change>,
+    pub(super) writes: Vec<KeyValue>,
+    pub(super) persisted_locally: bool,
+    pub(super) unacknowledged: BTreeSet<Id>,
+}
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -21,15 +21,18 @@
 mod acceptor;
 mod core;
 mod injected_bugs;
+mod messages;
+mod output;
 
-pub use crate::core::{
-    Change, Core, InitialState, KeyValue, OperationId, Output, PeerStatus, ReplicaWrite, ReplicaWriteKind,
-    ReplicaWriteResponse, Request, RequestId, Response, Role, Timeouts, SEQ,
-};
+pub use crate::core::{Core, InitialState, Peer, Role, Timeouts, SEQ};
 pub use acceptor::{Acceptor, LeaseGrants, Rejection, VoterRequest, VoterResponse, VoterState};
 #[cfg(feature = "injected-bugs")]
 pub use injected_bugs::inject;
 pub use injected_bugs::InjectedBug;
+pub use messages::{
+    Change, KeyValue, PeerStatus, ReplicaWrite, ReplicaWriteKind, ReplicaWriteResponse, Request, Response,
+};
+pub use output::{OperationId, Output, RequestId};
 use serde::{Deserialize, Serialize};
 
 #[cfg(test)]
