--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -1,141 +1,205 @@
-//! Calls to other nodes and what their responses lead to.
+//! Calls to other nodes and what their responses lead to. A call without a response within its timeout comes back as
+//! `None`; each call comes back once.
 use super::tracker::*;
 use super::*;
 
+/// A replica that failed a write is the last choice as a backup for so many leases.
+const EXCLUDED_LEASES: Ms = 4;
+
 impl Core {
-    pub(super) fn send_request(&mut self, ask: PendingCall, to: &Id, call: Request, out: &mut Vec<Output>) {
-        let token = self.next_operation_id();
-        self.pending_calls.insert(token, ask);
-        out.push(Output::Send { operation_id: token, to: to.clone(), call, timeout: self.spans.rpc_timeout });
+    /// Sends a request to another node and remembers what its response is for.
+    pub(super) fn send_request(
+        &mut self,
+        pending: PendingCall,
+        to: &Id,
+        request: Request,
+        out: &mut Vec<Output>,
+    ) {
+        let operation_id = self.next_operation_id();
+        self.pending_calls.insert(operation_id, pending);
+        let timeout = self.spans.rpc_timeout;
+        out.push(Output::Send { operation_id, to: to.clone(), call: request, timeout });
     }
 
-    /// What came of a call.
+    /// The result of a call: its response, or `None` after a timeout or a failed connection.
     pub fn handle_response(
         &mut self,
         now: Ms,
-        token: OperationId,
-        say: Option<Response>,
+        operation_id: OperationId,
+        response: Option<Response>,
         out: &mut Vec<Output>,
     ) {
-        if let Some(ask) = self.pending_calls.remove(&token) {
-            self.handle_call_result(now, ask, say, out);
+        if let Some(pending) = self.pending_calls.remove(&operation_id) {
+            self.handle_call_result(now, pending, response, out);
         }
     }
 
     pub(super) fn handle_call_result(
         &mut self,
         now: Ms,
-        ask: PendingCall,
-        say: Option<Response>,
+        pending: PendingCall,
+        response: Option<Response>,
         out: &mut Vec<Output>,
     ) {
-        let witness = match &say {
-            Some(Response::Voter(say)) => Some(say.clone()),
-            _ => None,
+        let (voter_response, replica_response) = match response {
+            Some(Response::Voter(response)) => (Some(response), None),
+            Some(Response::ReplicaWrite(response)) => (None, Some(response)),
+            None => (None, None),
         };
-        let copied = match &say {
-            Some(Response::ReplicaWrite(say)) => Some(say.clone()),
-            _ => None,
-        };
-        if let Some(no) = witness.as_ref().and_then(|w| w.rejection.as_ref()) {
-            self.highest_term_number = self.highest_term_number.max(no.promised.number);
+        if let Some(rejection) = voter_response.as_ref().and_then(|response| response.rejection.as_ref()) {
+            self.highest_term_number = self.highest_term_number.max(rejection.promised.number);
         }
-        let yes = |w: &VoterResponse| w.rejection.is_none();
-        match ask {
+        match pending {
             PendingCall::Prepare { to, ballot } => {
-                let say = witness.unwrap_or_default();
-                match say.record.filter(|_| say.rejection.is_none()) {
-                    Some(record) => self.handle_prepare_granted(
-                        now,
-                        Voter { id: to, incarnation: say.incarnation },
-                        &ballot,
-                        record,
-                        out,
-                    ),
-                    None => self.handle_rejection(now, to, &ballot, say.rejection, out),
-                }
+                self.handle_prepare_result(now, to, &ballot, voter_response.unwrap_or_default(), out);
             }
             PendingCall::Accept { to, epoch, asked } => {
-                let span = self.spans.lease;
-                let Some(say) = witness.clone().filter(yes) else {
-                    return self.handle_rejection(now, to, &epoch, witness.and_then(|w| w.rejection), out);
-                };
-                let Some(bid) = self.campaign.as_mut() else { return };
-                let CampaignPhase::Accept(record) = &bid.phase else { return };
-                if record.term == epoch {
-                    bid.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, span);
-                    self.become_leader_if_chosen(now, out);
-                }
+                self.handle_accept_result(now, to, &epoch, asked, voter_response, out);
             }
             PendingCall::Renew { to, epoch, asked } => {
-                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
-                if let Some(say) = witness.filter(yes).filter(|_| mine) {
-                    let asked = if is_injected(InjectedBug::LeaseFromResponse) { now } else { asked };
-                    self.leases.add(Voter { id: to, incarnation: say.incarnation }, asked, self.spans.lease);
-                }
+                self.handle_renew_result(now, to, &epoch, asked, voter_response);
             }
             PendingCall::SyncBackup { to, epoch, snapshot } => {
-                let Some(bid) = self
-                    .campaign
-                    .as_mut()
-                    .filter(|b| b.term == epoch && b.phase == CampaignPhase::SyncBackups)
-                else {
-                    return;
-                };
-                bid.syncing.remove(&to);
-                match copied {
-                    Some(say) if say.accepted => {
-                        bid.synced.push(to.clone());
-                        // What it says now is newer than its last heartbeat.
-                        if let Some(peer) = self.peers.get_mut(&to) {
-                            peer.status.incarnation = say.incarnation;
-                        }
-                        self.propose_record_if_synced(now, out);
-                    }
-                    Some(_) if !snapshot => self.sync_backup(now, &to, true, out),
-                    _ => {
-                        self.excluded_until.insert(to, now + 4 * self.spans.lease);
-                        self.sync_next_backup(now, out);
-                    }
-                }
+                self.handle_sync_result(now, to, &epoch, snapshot, replica_response, out);
             }
             PendingCall::Append { to, epoch, seq, again } => {
-                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
-                let Some(flight) = self.in_flight.as_mut().filter(|f| mine && f.sequence == seq) else {
-                    return;
-                };
-                match copied {
-                    Some(say) if say.accepted => {
-                        flight.unacknowledged.remove(&to);
-                        self.commit_if_replicated(now, out);
-                    }
-                    // No answer: it may have been lost on its way; the number makes it harmless twice.
-                    None if !again => {
-                        let (puts, kind) = (flight.writes.clone(), ReplicaWriteKind::Append);
-                        let copy = ReplicaWrite {
-                            version: REPLICA_WRITE_VERSION,
-                            term: epoch.clone(),
-                            sequence: seq,
-                            kind,
-                            writes: puts,
-                        };
-                        self.send_request(
-                            PendingCall::Append { to: to.clone(), epoch, seq, again: true },
-                            &to,
-                            Request::ReplicaWrite(copy),
-                            out,
-                        );
-                    }
-                    _ => {
-                        self.excluded_until.insert(to.clone(), now + 4 * self.spans.lease);
-                        self.fail_append(now, &format!("at {to}"), out);
-                    }
-                }
+                self.handle_append_result(now, to, epoch, seq, again, replica_response, out);
             }
             PendingCall::Release => {}
         }
     }
 
+    fn handle_prepare_result(
+        &mut self,
+        now: Ms,
+        to: Id,
+        term: &Term,
+        response: VoterResponse,
+        out: &mut Vec<Output>,
+    ) {
+        match response.record.filter(|_| response.rejection.is_none()) {
+            Some(record) => {
+                let voter = Voter { id: to, incarnation: response.incarnation };
+                self.handle_prepare_granted(now, voter, term, record, out);
+            }
+            None => self.handle_rejection(now, to, term, response.rejection, out),
+        }
+    }
+
+    fn handle_accept_result(
+        &mut self,
+        now: Ms,
+        to: Id,
+        term: &Term,
+        sent_at: Ms,
+        response: Option<VoterResponse>,
+        out: &mut Vec<Output>,
+    ) {
+        let response = match response {
+            Some(response) if response.rejection.is_none() => response,
+            other => {
+                let rejection = other.and_then(|response| response.rejection);
+                return self.handle_rejection(now, to, term, rejection, out);
+            }
+        };
+        let lease = self.spans.lease;
+        let Some(campaign) = self.campaign.as_mut() else { return };
+        let CampaignPhase::Accept(record) = &campaign.phase else { return };
+        if record.term == *term {
+            let voter = Voter { id: to, incarnation: response.incarnation };
+            campaign.leases.add(voter, sent_at, lease);
+            self.become_leader_if_chosen(now, out);
+        }
+    }
+
+    /// The lease is counted from when the request was sent: the voter granted it at that time or later.
+    fn handle_renew_result(
+        &mut self,
+        now: Ms,
+        to: Id,
+        term: &Term,
+        sent_at: Ms,
+        response: Option<VoterResponse>,
+    ) {
+        let Some(response) = response.filter(|response| response.rejection.is_none()) else { return };
+        if self.leads_in(term) {
+            let start = if is_injected(InjectedBug::LeaseFromResponse) { now } else { sent_at };
+            let voter = Voter { id: to, incarnation: response.incarnation };
+            self.leases.add(voter, start, self.spans.lease);
+        }
+    }
+
+    fn handle_sync_result(
+        &mut self,
+        now: Ms,
+        to: Id,
+        term: &Term,
+        snapshot: bool,
+        response: Option<ReplicaWriteResponse>,
+        out: &mut Vec<Output>,
+    ) {
+        let in_sync_phase =
+            |campaign: &&mut Campaign| campaign.term == *term && campaign.phase == CampaignPhase::SyncBackups;
+        let Some(campaign) = self.campaign.as_mut().filter(in_sync_phase) else { return };
+        campaign.syncing.remove(&to);
+        match response {
+            Some(response) if response.accepted => {
+                campaign.synced.push(to.clone());
+                // The response is newer than the peer's last heartbeat.
+                if let Some(peer) = self.peers.get_mut(&to) {
+                    peer.status.incarnation = response.incarnation;
+                }
+                self.propose_record_if_synced(now, out);
+            }
+            Some(_) if !snapshot => self.sync_backup(&to, true, out),
+            _ => {
+                self.exclude_for_a_while(now, to);
+                self.sync_next_backup(now, out);
+            }
+        }
+    }
+
+    #[expect(clippy::too_many_arguments, reason = "the fields of one pending call and its response")]
+    fn handle_append_result(
+        &mut self,
+        now: Ms,
+        to: Id,
+        term: Term,
+        sequence: u64,
+        is_retry: bool,
+        response: Option<ReplicaWriteResponse>,
+        out: &mut Vec<Output>,
+    ) {
+        let leads = self.leads_in(&term);
+        let Some(append) = self.in_flight.as_mut().filter(|append| leads && append.sequence == sequence)
+        else {
+            return;
+        };
+        match response {
+            Some(response) if response.accepted => {
+                append.unacknowledged.remove(&to);
+                self.commit_if_replicated(now, out);
+            }
+            // The request or its response may be lost. One retry is safe: the sequence number makes it idempotent.
+            None if !is_retry => {
+                let writes = append.writes.clone();
+                self.send_append(&to, term, sequence, writes, true, out);
+            }
+            _ => {
+                self.exclude_for_a_while(now, to.clone());
+                self.fail_append(now, &format!("at {to}"), out);
+            }
+        }
+    }
+
+    pub(super) fn leads_in(&self, term: &Term) -> bool {
+        matches!(&self.role, Role::Leader(record) if record.term == *term)
+    }
+
+    fn exclude_for_a_while(&mut self, now: Ms, replica: Id) {
+        self.excluded_until.insert(replica, now + EXCLUDED_LEASES * self.spans.lease);
+    }
+
     pub(super) fn next_operation_id(&mut self) -> OperationId {
         self.last_operation_id += 1;
         self.last_operation_id
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -180,10 +180,10 @@
         let alike = was.is_some_and(|(epoch, _)| {
             self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == epoch)
         });
-        self.sync_backup(now, &to, !alike, out);
+        self.sync_backup(&to, !alike, out);
     }
 
-    pub(super) fn sync_backup(&mut self, _now: Ms, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
+    pub(super) fn sync_backup(&mut self, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
         let Some(bid) = self.campaign.as_mut() else { return };
         bid.syncing.insert(to.clone());
         let epoch = bid.term.clone();
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,19 +1,22 @@
-//! Disk writes under way, their results, and the health of the disk.
+//! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
 use super::tracker::*;
 use super::*;
 
 impl Core {
-    pub(super) fn persist(&mut self, now: Ms, job: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
+    /// Writes a batch; `write` says what its result leads to.
+    pub(super) fn persist(&mut self, now: Ms, write: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
         let token = self.next_operation_id();
-        self.pending_writes.push_back(PendingWrite { token, since: now, job });
+        self.pending_writes.push_back(PendingWrite { token, since: now, job: write });
         let WriteBatch { state, replace, metadata } = batch;
         out.push(Output::Persist { token, state, replace, metadata });
     }
 
-    /// What came of a write.
+    /// The result of a disk write. `ok`: it is synced.
     pub fn handle_write_result(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
-        let Some(at) = self.pending_writes.iter().position(|p| p.token == token) else { return };
-        let Some(PendingWrite { job, .. }) = self.pending_writes.remove(at) else { return };
+        let Some(index) = self.pending_writes.iter().position(|pending| pending.token == token) else {
+            return;
+        };
+        let Some(PendingWrite { job: write, .. }) = self.pending_writes.remove(index) else { return };
         if ok && !self.last_write_succeeded {
             out.push(Output::Log("The disk takes writes again.".into()));
         }
@@ -21,55 +24,15 @@
             out.push(Output::Log("The disk does not take a write.".into()));
         }
         self.last_write_succeeded = ok;
-        match job {
+        match write {
             DiskWrite::VoterState { to, held, say } => {
-                if ok {
-                    self.durable_voter_state = Some(*held);
-                } else if matches!(to, Err(PendingCall::Release)) {
-                    // The first write of all, with the floor: it is made again.
-                    self.needs_snapshot = true;
-                }
-                let no = Rejection { reason: "the disk does not take it".into(), ..Rejection::default() };
-                let say = if ok { *say } else { VoterResponse { rejection: Some(no), record: None, ..*say } };
-                if !matches!(to, Err(PendingCall::Release)) {
-                    self.respond_to_voter_request(now, to, say, out);
-                }
-            }
-            DiskWrite::CampaignTerm { ballot } => {
-                let Some(bid) = self.campaign.as_mut().filter(|b| b.term == ballot) else { return };
-                if !ok || self.needs_snapshot {
-                    return self.abandon_campaign(now, "the disk does not take it", out);
-                }
-                bid.own_disk_synced = true;
-                self.may_hold_uncommitted = false;
-                self.propose_record_if_synced(now, out);
+                self.handle_voter_state_written(now, ok, to, *held, *say, out);
             }
+            DiskWrite::CampaignTerm { ballot } => self.handle_campaign_term_written(now, ok, &ballot, out),
             DiskWrite::ReplicaWrite { caller, epoch, seq, snapshot } => {
-                let current = self.last_durable_term == epoch;
-                // Also of an epoch before: what came after it, without a snapshot, builds upon it.
-                if !ok {
-                    self.needs_snapshot = true;
-                } else if ok && snapshot && current && self.last_sequence == seq {
-                    self.needs_snapshot = false;
-                }
-                let say = ReplicaWriteResponse {
-                    accepted: ok && !self.needs_snapshot && current,
-                    reason: String::new(),
-                    incarnation: self.life(),
-                };
-                out.push(Output::Respond { request_id: caller, response: Response::ReplicaWrite(say) });
-            }
-            DiskWrite::Append { epoch, seq } => {
-                let mine = matches!(&self.role, Role::Leader(r) if r.term == epoch);
-                match self.in_flight.as_mut().filter(|f| mine && f.sequence == seq) {
-                    Some(flight) if ok => {
-                        flight.persisted_locally = true;
-                        self.commit_if_replicated(now, out);
-                    }
-                    Some(_) => self.fail_append(now, "here", out),
-                    None => {}
-                }
+                self.handle_replica_write_written(ok, caller, &epoch, seq, snapshot, out);
             }
+            DiskWrite::Append { epoch, seq } => self.handle_append_written(now, ok, &epoch, seq, out),
             DiskWrite::RewriteState { epoch, seq } => {
                 if ok && self.last_durable_term == epoch && self.last_sequence == seq {
                     self.needs_snapshot = false;
@@ -79,7 +42,93 @@
         }
     }
 
-    /// The epoch in which the disk takes part, and the number of its last change there.
+    fn handle_voter_state_written(
+        &mut self,
+        now: Ms,
+        ok: bool,
+        to: Result<RequestId, PendingCall>,
+        voter_state: VoterState,
+        response: VoterResponse,
+        out: &mut Vec<Output>,
+    ) {
+        // The very first write, of an empty disk, has nobody to answer.
+        let is_first_write = matches!(to, Err(PendingCall::Release));
+        if ok {
+            self.durable_voter_state = Some(voter_state);
+        } else if is_first_write {
+            // It held the term as well: the whole state is written again.
+            self.needs_snapshot = true;
+        }
+        if is_first_write {
+            return;
+        }
+        let rejection = Rejection { reason: "the disk does not take it".into(), ..Rejection::default() };
+        let response = if ok {
+            response
+        } else {
+            VoterResponse { rejection: Some(rejection), record: None, ..response }
+        };
+        self.respond_to_voter_request(now, to, response, out);
+    }
+
+    fn handle_campaign_term_written(&mut self, now: Ms, ok: bool, term: &Term, out: &mut Vec<Output>) {
+        let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.term == *term) else {
+            return;
+        };
+        if !ok || self.needs_snapshot {
+            return self.abandon_campaign(now, "the disk does not take it", out);
+        }
+        campaign.own_disk_synced = true;
+        self.may_hold_uncommitted = false;
+        self.propose_record_if_synced(now, out);
+    }
+
+    /// A backup answers its leader once the write is on the disk.
+    fn handle_replica_write_written(
+        &mut self,
+        ok: bool,
+        request_id: RequestId,
+        term: &Term,
+        sequence: u64,
+        snapshot: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let is_current = self.last_durable_term == *term;
+        // A failed write of an earlier term counts, too: later ones without a snapshot build upon it.
+        if !ok {
+            self.needs_snapshot = true;
+        } else if snapshot && is_current && self.last_sequence == sequence {
+            self.needs_snapshot = false;
+        }
+        let response = ReplicaWriteResponse {
+            accepted: ok && !self.needs_snapshot && is_current,
+            reason: String::new(),
+            incarnation: self.life(),
+        };
+        out.push(Output::Respond { request_id, response: Response::ReplicaWrite(response) });
+    }
+
+    fn handle_append_written(
+        &mut self,
+        now: Ms,
+        ok: bool,
+        term: &Term,
+        sequence: u64,
+        out: &mut Vec<Output>,
+    ) {
+        let leads = self.leads_in(term);
+        let Some(append) = self.in_flight.as_mut().filter(|append| leads && append.sequence == sequence)
+        else {
+            return;
+        };
+        if !ok {
+            return self.fail_append(now, "here", out);
+        }
+        append.persisted_locally = true;
+        self.commit_if_replicated(now, out);
+    }
+
+    /// The term in which this disk takes part, and the sequence number of its last change there.
     pub(super) fn term_metadata(&self) -> Vec<KeyValue> {
         vec![("floor".into(), json(&self.last_durable_term)), (SEQ.into(), json(&self.last_sequence))]
     }
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -120,23 +120,31 @@
             out,
         );
         for to in &record.backups {
-            let (epoch, kind) = (record.term.clone(), ReplicaWriteKind::Append);
-            let copy = ReplicaWrite {
-                version: REPLICA_WRITE_VERSION,
-                term: epoch.clone(),
-                sequence: seq,
-                kind,
-                writes: puts.clone(),
-            };
-            self.send_request(
-                PendingCall::Append { to: to.clone(), epoch, seq, again: false },
-                to,
-                Request::ReplicaWrite(copy),
-                out,
-            );
+            self.send_append(to, record.term.clone(), seq, puts.clone(), false, out);
         }
     }
 
+    /// Sends one change to a backup.
+    pub(super) fn send_append(
+        &mut self,
+        to: &Id,
+        term: Term,
+        sequence: u64,
+        writes: Vec<KeyValue>,
+        is_retry: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let append = ReplicaWrite {
+            version: REPLICA_WRITE_VERSION,
+            term: term.clone(),
+            sequence,
+            kind: ReplicaWriteKind::Append,
+            writes,
+        };
+        let pending = PendingCall::Append { to: to.clone(), epoch: term, seq: sequence, again: is_retry };
+        self.send_request(pending, to, Request::ReplicaWrite(append), out);
+    }
+
     /// The write has taken its time: only who still holds the lease may say that it is done.
     pub(super) fn commit_if_replicated(&mut self, now: Ms, out: &mut Vec<Output>) {
         if !self.in_flight.as_ref().is_some_and(|f| {
