--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -2,7 +2,7 @@
 //!
 //! A primary acts while a quorum grants it the lease, counted from when it asked. A change is written here and at every
 //! backup of the record, then looked at once more (is the lease still held?), then it counts. Taking over, replacing a
-//! backup and changing the group are one way: a *bid* for the next epoch, in the order ballot, own disk, backups' disks,
+//! backup and changing the group are one way: a *campaign* for the next epoch, in the order ballot, own disk, backups' disks,
 //! record. The group changes only by the acting primary, from a record that was chosen: first to a record that names
 //! both groups, then to one that names the new one.
 mod calls;
@@ -216,7 +216,7 @@
         }
     }
 
-    /// Another centre calls.
+    /// A request of another node.
     pub fn handle_request(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
         match call {
             Request::Voter(call) => self.handle_voter_request(now, Ok(caller), call, out),
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A bid that can't have a quorum any more ends at once.
+    /// A campaign that can't have a quorum any more ends at once.
     pub(super) fn handle_rejection(
         &mut self,
         now: Ms,
@@ -84,16 +84,16 @@
         no: Option<Rejection>,
         out: &mut Vec<Output>,
     ) {
-        let Some(bid) = self.campaign.as_mut().filter(|b| b.term == *ballot) else { return };
-        bid.rejected_by.insert(who.clone());
-        let Some(bid) = &self.campaign else { return };
-        let record = match &bid.phase {
+        let Some(campaign) = self.campaign.as_mut().filter(|b| b.term == *ballot) else { return };
+        campaign.rejected_by.insert(who.clone());
+        let Some(campaign) = &self.campaign else { return };
+        let record = match &campaign.phase {
             CampaignPhase::Accept(record) => record,
-            _ => &bid.base_record,
+            _ => &campaign.base_record,
         };
         // Of those that have not answered yet, only who was heard lately is worth waiting for.
         let may = |w: &Voter| {
-            !bid.rejected_by.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id))
+            !campaign.rejected_by.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id))
         };
         if !record.has_quorum(may) {
             let why = no.map_or("no answer".into(), |no| no.reason);
@@ -109,46 +109,46 @@
         record: LeadershipRecord,
         out: &mut Vec<Output>,
     ) {
-        let Some(bid) =
+        let Some(campaign) =
             self.campaign.as_mut().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
         else {
             return;
         };
-        bid.prepared_by.insert(who);
-        if record.term > bid.base_record.term {
-            bid.base_record = record.clone();
+        campaign.prepared_by.insert(who);
+        if record.term > campaign.base_record.term {
+            campaign.base_record = record.clone();
             let more: Vec<Id> =
-                record.voter_ids().into_iter().filter(|id| bid.contacted.insert(id.clone())).collect();
+                record.voter_ids().into_iter().filter(|id| campaign.contacted.insert(id.clone())).collect();
             self.observe_record(now, &record, out);
             for id in more {
                 let ask = PendingCall::Prepare { to: id.clone(), ballot: ballot.clone() };
                 self.call_voter(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
             }
         }
-        let Some(bid) =
+        let Some(campaign) =
             self.campaign.as_ref().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
         else {
             return;
         };
-        if !bid.base_record.has_quorum(|w| bid.prepared_by.contains(w)) {
+        if !campaign.base_record.has_quorum(|w| campaign.prepared_by.contains(w)) {
             return;
         }
-        let other = bid.leading_term.as_ref().is_some_and(|from| *from != bid.base_record.term);
+        let other = campaign.leading_term.as_ref().is_some_and(|from| *from != campaign.base_record.term);
         if other
-            || !bid.base_record.may_lead(&self.id, &self.last_durable_term)
+            || !campaign.base_record.may_lead(&self.id, &self.last_durable_term)
             || self.last_durable_term > *ballot
             || self.needs_snapshot
         {
             return self.abandon_campaign(now, "another stands in the record", out);
         }
         // From here on nothing of an earlier epoch is taken: what goes to the backups is all there is.
-        let base = bid.base_record.clone();
+        let base = campaign.base_record.clone();
         let was = (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
         let able = self.backup_candidates(now, &base);
         (self.last_durable_term, self.last_sequence) = (ballot.clone(), 0);
         let until = now + 2 * self.spans.rpc_timeout;
-        if let Some(bid) = self.campaign.as_mut() {
-            (bid.phase, bid.deadline, bid.previous_position, bid.candidates) =
+        if let Some(campaign) = self.campaign.as_mut() {
+            (campaign.phase, campaign.deadline, campaign.previous_position, campaign.candidates) =
                 (CampaignPhase::SyncBackups, until, was, able);
         }
         let state = if self.may_hold_uncommitted { self.state_entries() } else { Vec::new() };
@@ -166,17 +166,17 @@
     }
 
     pub(super) fn sync_next_backup(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Some(bid) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+        let Some(campaign) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
             return;
         };
-        if bid.candidates.is_empty() {
-            if bid.syncing.len() + bid.synced.len() < self.spans.max_failures {
+        if campaign.candidates.is_empty() {
+            if campaign.syncing.len() + campaign.synced.len() < self.spans.max_failures {
                 self.abandon_campaign(now, "nobody to be the backup", out);
             }
             return;
         }
-        let to = bid.candidates.remove(0);
-        let was = bid.previous_position.clone();
+        let to = campaign.candidates.remove(0);
+        let was = campaign.previous_position.clone();
         let alike = was.is_some_and(|(epoch, _)| {
             self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == epoch)
         });
@@ -184,10 +184,10 @@
     }
 
     pub(super) fn sync_backup(&mut self, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
-        let Some(bid) = self.campaign.as_mut() else { return };
-        bid.syncing.insert(to.clone());
-        let epoch = bid.term.clone();
-        let (kind, puts) = match bid.previous_position.clone().filter(|_| !snapshot) {
+        let Some(campaign) = self.campaign.as_mut() else { return };
+        campaign.syncing.insert(to.clone());
+        let epoch = campaign.term.clone();
+        let (kind, puts) = match campaign.previous_position.clone().filter(|_| !snapshot) {
             Some((epoch, seq)) => (ReplicaWriteKind::Probe { epoch, seq }, Vec::new()),
             None => {
                 let puts = self.state_entries();
@@ -213,26 +213,27 @@
     /// Its own disk and those of enough backups are brought to the epoch: the record may be written.
     pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
         let span = self.spans.lease;
-        let Some(bid) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+        let Some(campaign) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
             return;
         };
-        if !bid.own_disk_synced || bid.synced.len() < self.spans.max_failures {
+        if !campaign.own_disk_synced || campaign.synced.len() < self.spans.max_failures {
             return;
         }
-        let group = bid.membership_change.clone();
+        let group = campaign.membership_change.clone();
         let group = group.unwrap_or(MembershipChange {
-            voters: bid.base_record.voters.clone(),
-            outgoing_voters: bid.base_record.outgoing_voters.clone(),
+            voters: campaign.base_record.voters.clone(),
+            outgoing_voters: campaign.base_record.outgoing_voters.clone(),
         });
         let record = LeadershipRecord {
-            term: bid.term.clone(),
+            term: campaign.term.clone(),
             leader: self.id.clone(),
-            backups: bid.synced.clone(),
+            backups: campaign.synced.clone(),
             voters: group.voters,
             outgoing_voters: group.outgoing_voters,
         };
-        bid.rejected_by.clear();
-        (bid.phase, bid.deadline) = (CampaignPhase::Accept(record.clone()), now + self.spans.rpc_timeout);
+        campaign.rejected_by.clear();
+        (campaign.phase, campaign.deadline) =
+            (CampaignPhase::Accept(record.clone()), now + self.spans.rpc_timeout);
         for id in record.voter_ids() {
             let ask = PendingCall::Accept { to: id.clone(), epoch: record.term.clone(), asked: now };
             self.call_voter(now, &id, ask, VoterRequest::Accept(record.clone(), span), out);
@@ -241,12 +242,13 @@
 
     /// Enough witnesses have written the record: it is chosen, and this centre acts by it.
     pub(super) fn become_leader_if_chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Some(bid) = &self.campaign else { return };
-        let CampaignPhase::Accept(record) = &bid.phase else { return };
-        if !bid.leases.hold(record, now) || self.last_durable_term != record.term {
+        let Some(campaign) = &self.campaign else { return };
+        let CampaignPhase::Accept(record) = &campaign.phase else { return };
+        if !campaign.leases.hold(record, now) || self.last_durable_term != record.term {
             return;
         }
-        let (record, leases, fresh) = (record.clone(), bid.leases.clone(), bid.leading_term.is_none());
+        let (record, leases, fresh) =
+            (record.clone(), campaign.leases.clone(), campaign.leading_term.is_none());
         self.campaign = None;
         self.renewal_sent_at.clear();
         (self.leases, self.next_campaign_at) = (leases, now);
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -29,8 +29,10 @@
             return;
         }
         if now >= self.next_campaign_at {
-            if let Some(group) = self.wanted_change(now) {
-                return self.start_campaign(now, group, out);
+            match self.wanted_change(now) {
+                Some(Reconfiguration::Backups) => return self.start_campaign(now, None, out),
+                Some(Reconfiguration::Voters(change)) => return self.start_campaign(now, Some(change), out),
+                None => {}
             }
         }
         if self.shutdown_began_at.is_some()
@@ -64,10 +66,10 @@
             self.campaign = None;
         }
         let mut failed: Vec<u64> = Vec::new();
-        if let Some(flight) = self.in_flight.take() {
+        if let Some(append) = self.in_flight.take() {
             // It may be on this disk, and on others.
             self.may_hold_uncommitted = true;
-            failed.extend(flight.changes.iter().map(|c| c.ticket));
+            failed.extend(append.changes.iter().map(|c| c.ticket));
         }
         failed.extend(self.proposals.drain(..).map(|c| c.ticket));
         self.next_campaign_at = self.next_campaign_at.max(now);
--- a/crates/control-plane/consensus/src/core/membership.rs
+++ b/crates/control-plane/consensus/src/core/membership.rs
@@ -19,83 +19,101 @@
         all
     }
 
-    /// What the acting primary would have otherwise: another backup, another group.
-    pub(super) fn wanted_change(&self, now: Ms) -> Option<Option<MembershipChange>> {
+    /// What the leader should change by a campaign of its own: first the end of a joint configuration, then a backup
+    /// that failed, then one voter.
+    pub(super) fn wanted_change(&self, now: Ms) -> Option<Reconfiguration> {
         let Role::Leader(record) = &self.role else { return None };
         if !record.outgoing_voters.is_empty() {
-            return Some(Some(MembershipChange {
-                voters: record.voters.clone(),
-                outgoing_voters: Vec::new(),
-            }));
+            let voters = record.voters.clone();
+            return Some(Reconfiguration::Voters(MembershipChange { voters, outgoing_voters: Vec::new() }));
         }
-        let reborn = |id: &Id| {
-            self.peers.get(id).is_some_and(|p| {
-                p.status.last_durable_term < record.term && p.status.record.term >= record.term
-            })
-        };
-        let bad = |id: &Id| !self.is_usable_backup(now, id) || reborn(id);
-        let able =
-            self.backup_candidates(now, record).into_iter().filter(|id| self.is_usable_backup(now, id));
-        let able: Vec<Id> =
-            able.filter(|id| self.excluded_until.get(id).is_none_or(|until| now >= *until)).collect();
-        let lost = record.backups.iter().any(bad) || record.backups.len() < self.spans.max_failures;
-        if lost && able.len() >= self.spans.max_failures {
-            return Some(None);
+        if self.should_replace_backups(now, record) {
+            return Some(Reconfiguration::Backups);
         }
-        // Of who was heard once it is known; the first witnesses have 0.
-        let life = |id: &Id| self.peers.get(id).map(|p| p.status.incarnation);
-        let spare = |id: &&Id| {
-            **id != self.id && !record.is_voter(id) && self.is_usable_backup(now, id) && life(id).is_some()
-        };
-        let mut spares = self.members.iter().filter(spare);
-        let change = |old: &Voter, new: Voter| {
-            let mut witnesses: Vec<Voter> =
-                record.voters.iter().map(|w| if w == old { new.clone() } else { w.clone() }).collect();
-            if is_injected(InjectedBug::TwoVotersAtOnce) {
-                let other = witnesses.iter().position(|w| *w != new && w.id != self.id);
-                other.map(|at| witnesses.remove(at));
-            }
-            Some(Some(MembershipChange { voters: witnesses, outgoing_voters: record.voters.clone() }))
+        self.reincarnated_voter(now, record)
+            .or_else(|| self.voter_replacement(now, record))
+            .or_else(|| self.voter_addition(now, record))
+            .map(Reconfiguration::Voters)
+    }
+
+    /// Whether a backup is missing or failed and enough others can take its place.
+    fn should_replace_backups(&self, now: Ms, record: &LeadershipRecord) -> bool {
+        let lost_its_disk = |id: &Id| {
+            self.peers.get(id).is_some_and(|peer| {
+                peer.status.last_durable_term < record.term && peer.status.record.term >= record.term
+            })
         };
-        for w in &record.voters {
-            let (now_life, near) = if w.id == self.id {
-                (Some(self.life()), true)
+        let has_failed = |id: &Id| !self.is_usable_backup(now, id) || lost_its_disk(id);
+        let is_excluded = |id: &Id| self.excluded_until.get(id).is_some_and(|until| now < *until);
+        let candidates = self.backup_candidates(now, record);
+        let usable =
+            candidates.iter().filter(|id| self.is_usable_backup(now, id) && !is_excluded(id)).count();
+        let wanted = self.spans.max_failures;
+        (record.backups.iter().any(has_failed) || record.backups.len() < wanted) && usable >= wanted
+    }
+
+    /// A voter that came back with another disk: its new incarnation takes the place of the old one.
+    fn reincarnated_voter(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
+        record.voters.iter().find_map(|voter| {
+            let incarnation = if voter.id == self.id {
+                Some(self.life())
             } else {
-                (life(&w.id), self.is_peer_alive(now, &w.id))
+                self.peer_incarnation(&voter.id).filter(|_| self.is_peer_alive(now, &voter.id))
             };
-            if near && now_life.is_some_and(|life| life != w.incarnation) {
-                return change(w, Voter { id: w.id.clone(), incarnation: now_life.unwrap_or_default() });
-            }
-        }
-        for w in record.voters.iter().filter(|w| w.id != self.id) {
-            let seen = self.peers.get(&w.id).map_or(0, |p| p.last_heard).max(self.started_at);
-            let leaves =
-                self.peers.get(&w.id).is_some_and(|p| p.status.draining) && self.is_peer_alive(now, &w.id);
-            if leaves || now > seen + self.spans.replace_after {
-                if let Some(id) = spares.next() {
-                    return change(w, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
-                }
-            }
-        }
-        // Its own place, before it goes.
-        if let (Some(_), Some(own)) = (self.shutdown_began_at, record.voters.iter().find(|w| w.id == self.id))
-        {
-            if let Some(id) = spares.next() {
-                return change(own, Voter { id: id.clone(), incarnation: life(id).unwrap_or_default() });
-            }
-        }
+            let incarnation = incarnation.filter(|incarnation| *incarnation != voter.incarnation)?;
+            Some(self.replace_voter(record, voter, Voter { id: voter.id.clone(), incarnation }))
+        })
+    }
+
+    /// A voter that drains or has been silent for too long, or this node itself while it shuts down, is replaced by a
+    /// spare member.
+    fn voter_replacement(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
+        let spare = self.spare_voters(now, record).into_iter().next()?;
+        let must_go = |voter: &&Voter| {
+            let peer = self.peers.get(&voter.id);
+            let last_heard = peer.map_or(0, |peer| peer.last_heard).max(self.started_at);
+            let is_draining =
+                peer.is_some_and(|peer| peer.status.draining) && self.is_peer_alive(now, &voter.id);
+            is_draining || now > last_heard + self.spans.replace_after
+        };
+        let others = record.voters.iter().filter(|voter| voter.id != self.id);
+        let own = record.voters.iter().find(|voter| voter.id == self.id);
+        let own = own.filter(|_| self.shutdown_began_at.is_some());
+        let outgoing = others.clone().find(must_go).or(own)?;
+        Some(self.replace_voter(record, outgoing, spare))
+    }
+
+    /// One more voter, where there are fewer than `2 * max_failures + 1` and enough spares to reach that number.
+    fn voter_addition(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
         let wanted = 2 * self.spans.max_failures + 1;
-        if record.voters.len() < wanted {
-            let spare: Vec<&Id> = spares.collect();
-            if record.voters.len() + spare.len() >= wanted {
-                let new = Voter { id: spare[0].clone(), incarnation: life(spare[0]).unwrap_or_default() };
-                let witnesses = record.voters.iter().cloned().chain([new]).collect();
-                return Some(Some(MembershipChange {
-                    voters: witnesses,
-                    outgoing_voters: record.voters.clone(),
-                }));
-            }
+        let spares = self.spare_voters(now, record);
+        if record.voters.len() >= wanted || record.voters.len() + spares.len() < wanted {
+            return None;
+        }
+        let voters = record.voters.iter().cloned().chain(spares.into_iter().take(1)).collect();
+        Some(MembershipChange { voters, outgoing_voters: record.voters.clone() })
+    }
+
+    /// Members that are no voters and could be, in the order of their ids.
+    fn spare_voters(&self, now: Ms, record: &LeadershipRecord) -> Vec<Voter> {
+        let is_spare = |id: &&Id| **id != self.id && !record.is_voter(id) && self.is_usable_backup(now, id);
+        let spares = self.members.iter().filter(is_spare);
+        spares
+            .filter_map(|id| Some(Voter { id: id.clone(), incarnation: self.peer_incarnation(id)? }))
+            .collect()
+    }
+
+    fn peer_incarnation(&self, id: &str) -> Option<u64> {
+        self.peers.get(id).map(|peer| peer.status.incarnation)
+    }
+
+    fn replace_voter(&self, record: &LeadershipRecord, old: &Voter, new: Voter) -> MembershipChange {
+        let substitute = |voter: &Voter| if voter == old { new.clone() } else { voter.clone() };
+        let mut voters: Vec<Voter> = record.voters.iter().map(substitute).collect();
+        if is_injected(InjectedBug::TwoVotersAtOnce) {
+            let other = voters.iter().position(|voter| *voter != new && voter.id != self.id);
+            other.map(|index| voters.remove(index));
         }
-        None
+        MembershipChange { voters, outgoing_voters: record.voters.clone() }
     }
 }
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -3,69 +3,82 @@
 use super::*;
 
 impl Core {
-    /// A primary writes to this centre.
+    /// A leader writes to this replica.
     pub(super) fn handle_replica_write(
         &mut self,
         now: Ms,
-        caller: RequestId,
-        copy: ReplicaWrite,
+        request_id: RequestId,
+        write: ReplicaWrite,
         out: &mut Vec<Output>,
     ) {
-        let life = self.life();
-        let mut refuse = |why: &str| {
-            let say = ReplicaWriteResponse { accepted: false, reason: why.into(), incarnation: life };
-            out.push(Output::Respond { request_id: caller, response: Response::ReplicaWrite(say) });
+        if let Some(reason) = self.replica_write_rejection(&write) {
+            let incarnation = self.life();
+            let response = ReplicaWriteResponse { accepted: false, reason: reason.into(), incarnation };
+            return out.push(Output::Respond { request_id, response: Response::ReplicaWrite(response) });
+        }
+        if write.term > self.last_durable_term {
+            self.campaign = None;
+            // Two candidates would cancel each other's campaigns for ever: the sender gets time to finish its own.
+            let rpc_timeout = self.spans.rpc_timeout;
+            self.next_campaign_at = self.next_campaign_at.max(now + rpc_timeout + self.jitter(rpc_timeout));
+            self.step_down(now, out);
+        }
+        let is_snapshot = matches!(write.kind, ReplicaWriteKind::Snapshot { .. });
+        if is_snapshot {
+            self.state.clear();
+            (self.needs_snapshot, self.may_hold_uncommitted) = (true, false);
+        }
+        (self.last_durable_term, self.last_sequence) = (write.term.clone(), write.sequence);
+        // A repeated change is written again: its first write may have failed.
+        self.apply_writes(&write.writes);
+        let metadata = if write.kind == ReplicaWriteKind::Append {
+            vec![(SEQ.into(), json(&self.last_sequence))]
+        } else {
+            self.term_metadata()
         };
-        if copy.version != REPLICA_WRITE_VERSION {
-            return refuse("another version");
+        let pending = DiskWrite::ReplicaWrite {
+            caller: request_id,
+            epoch: write.term,
+            seq: write.sequence,
+            snapshot: is_snapshot,
+        };
+        let batch = WriteBatch { state: write.writes, replace: is_snapshot, metadata };
+        self.persist(now, pending, batch, out);
+    }
+
+    /// Why a write of a leader is not taken; `None` if it is.
+    fn replica_write_rejection(&self, write: &ReplicaWrite) -> Option<&'static str> {
+        if write.version != REPLICA_WRITE_VERSION {
+            return Some("another version");
         }
-        let (same, newer) = (copy.term == self.last_durable_term, copy.term > self.last_durable_term);
-        let (takes, why) = match &copy.kind {
-            ReplicaWriteKind::Snapshot { sum: told } if snapshot_checksum(&copy.writes) != *told => {
+        let same_term = write.term == self.last_durable_term;
+        let newer_term = write.term > self.last_durable_term;
+        let (accepted, reason) = match &write.kind {
+            ReplicaWriteKind::Snapshot { sum } if snapshot_checksum(&write.writes) != *sum => {
                 (false, "the sum is wrong")
             }
-            // One that comes late or twice must not undo the changes since.
+            // A snapshot that comes late or twice must not undo the changes since.
             ReplicaWriteKind::Snapshot { .. } => {
-                let again = same && self.needs_snapshot && copy.sequence >= self.last_sequence;
-                (newer || again || same && is_injected(InjectedBug::StaleSnapshot), "a snapshot of before")
+                let repairs = same_term && self.needs_snapshot && write.sequence >= self.last_sequence;
+                let injected = same_term && is_injected(InjectedBug::StaleSnapshot);
+                (newer_term || repairs || injected, "a snapshot of before")
             }
             ReplicaWriteKind::Probe { epoch, seq } => {
-                let just = !self.needs_snapshot && !self.may_hold_uncommitted && self.in_flight.is_none();
-                let alike = self.last_durable_term == *epoch && self.last_sequence == *seq
+                let is_clean = !self.needs_snapshot && !self.may_hold_uncommitted && self.in_flight.is_none();
+                let matches = self.last_durable_term == *epoch && self.last_sequence == *seq
                     || is_injected(InjectedBug::UnverifiedProbe);
-                (newer && just && alike, "holds something else")
+                (newer_term && is_clean && matches, "holds something else")
             }
             ReplicaWriteKind::Append => {
-                let next = copy.sequence == self.last_sequence + 1 || copy.sequence == self.last_sequence;
-                (same && !self.needs_snapshot && next, "another epoch or a gap")
+                let is_next =
+                    write.sequence == self.last_sequence + 1 || write.sequence == self.last_sequence;
+                (same_term && !self.needs_snapshot && is_next, "another epoch or a gap")
             }
         };
-        if !takes {
-            return refuse(why);
-        }
-        if newer {
-            self.campaign = None;
-            // Two that may stand would drop each other's bids for ever: whose copy was taken is given its time.
-            self.next_campaign_at =
-                self.next_campaign_at.max(now + self.spans.rpc_timeout + self.jitter(self.spans.rpc_timeout));
-            self.step_down(now, out);
-        }
-        let snapshot = matches!(copy.kind, ReplicaWriteKind::Snapshot { .. });
-        if snapshot {
-            self.state.clear();
-            (self.needs_snapshot, self.may_hold_uncommitted) = (true, false);
-        }
-        (self.last_durable_term, self.last_sequence) = (copy.term.clone(), copy.sequence);
-        // The same change again is written again: its first write may have failed.
-        let puts = copy.writes;
-        self.apply_writes(&puts);
-        let alone = copy.kind == ReplicaWriteKind::Append;
-        let own = if alone { vec![(SEQ.into(), json(&self.last_sequence))] } else { self.term_metadata() };
-        let job = DiskWrite::ReplicaWrite { caller, epoch: copy.term, seq: copy.sequence, snapshot };
-        self.persist(now, job, WriteBatch { state: puts, replace: snapshot, metadata: own }, out);
+        (!accepted).then_some(reason)
     }
 
-    /// An empty value is no value.
+    /// Applies writes to the state in memory; an empty value removes the entry.
     pub(super) fn apply_writes(&mut self, puts: &[KeyValue]) {
         for (name, value) in puts {
             if value.is_empty() {
@@ -156,9 +169,9 @@
         if !self.holds_leader_lease(now) {
             return self.fail_append(now, "within the lease", out);
         }
-        let Some(flight) = self.in_flight.take() else { return };
-        self.apply_writes(&flight.writes);
-        out.push(Output::Committed(flight.changes));
+        let Some(append) = self.in_flight.take() else { return };
+        self.apply_writes(&append.writes);
+        out.push(Output::Committed(append.changes));
         self.append_next(now, out);
     }
 
--- a/crates/control-plane/consensus/src/core/tracker.rs
+++ b/crates/control-plane/consensus/src/core/tracker.rs
@@ -1,4 +1,4 @@
-//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in flight.
+//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in append.
 //!
 //! The order of variants and fields is part of the hash of a state; the search of the model depends on it.
 use crate::{
@@ -7,7 +7,7 @@
 };
 use std::collections::BTreeSet;
 
-/// What waits for an answer of another centre.
+/// A call to another node that has no response yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum PendingCall {
     Prepare { to: Id, ballot: Term },
@@ -18,16 +18,16 @@
     Release,
 }
 
-/// What waits for the disk.
+/// What the result of a disk write leads to.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum DiskWrite {
-    /// A witness's yes; `to`: the caller, or the ask of this centre itself.
+    /// A new state of the voter; `to`: the request to answer then, or the call of this node to itself.
     VoterState {
         to: Result<RequestId, PendingCall>,
         held: Box<VoterState>,
         say: Box<VoterResponse>,
     },
-    /// The floor of a bid.
+    /// The term of a campaign, before its record is proposed.
     CampaignTerm {
         ballot: Term,
     },
@@ -110,7 +110,7 @@
     pub(super) leases: LeaseGrants,
 }
 
-/// A write under way.
+/// A change that is not on all disks of the record yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct InFlightAppend {
     pub(super) sequence: u64,
@@ -120,3 +120,10 @@
     pub(super) persisted_locally: bool,
     pub(super) unacknowledged: BTreeSet<Id>,
 }
+
+/// What a leader changes by a campaign for the next term.
+pub(super) enum Reconfiguration {
+    /// The backups; the voters stay.
+    Backups,
+    Voters(MembershipChange),
+}
