--- a/crates/control-plane/consensus/src/acceptor.rs
+++ b/crates/control-plane/consensus/src/acceptor.rs
@@ -1,55 +1,66 @@
-//! One witness: a register with a lease.
+//! The acceptor of Paxos, a register that a quorum changes, with a leader lease (Raft 6.4.1).
 use crate::{Id, LeadershipRecord, Ms, Term, Voter};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Why a witness says no, and the highest ballot it knows, so that the next try is above it.
+/// Why a voter rejects a request, and the highest term it promised, so that the next campaign is above it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rejection {
+    /// The cause, for the log.
     #[serde(rename = "why")]
     pub reason: String,
+    /// The highest term that the voter has promised.
     pub promised: Term,
 }
 
-/// What is on a witness's disk, synced before it answers.
+/// What a voter has on its disk, synced before it responds.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterState {
     /// Drawn when the disk was first written; 0 at the first start of the whole system.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// No proposal below this term is accepted.
     pub promised: Term,
+    /// The newest record that was accepted.
     pub record: LeadershipRecord,
     /// The longest lease that was granted: settings may be others after a restart.
-    #[serde(default)]
-    #[serde(rename = "span")]
+    #[serde(default, rename = "span")]
     pub longest_lease: Ms,
 }
 
+/// A request to a voter. Leases are milliseconds.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum VoterRequest {
+    /// Phase 1 of Paxos: promise this term and return the newest record.
     Prepare(Term),
+    /// Phase 2 of Paxos: accept this record and grant a lease for so long.
     Accept(LeadershipRecord, Ms),
-    /// The primary asks for its lease again.
+    /// The leader renews its lease.
     Renew(LeadershipRecord, Ms),
-    /// The primary has stopped acting and needs its lease no more.
+    /// The leader of this term has stopped and gives its lease back.
     Release(Term),
 }
 
+/// The response of a voter.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct VoterResponse {
+    /// The incarnation of its disk.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// To a prepare: the newest record that it accepted.
     pub record: Option<LeadershipRecord>,
+    /// Why it rejects the request; `None`: granted.
     #[serde(rename = "no")]
     pub rejection: Option<Rejection>,
 }
 
-/// Callers sync `held` before a yes leaves the process.
+/// The acceptor of one node. Callers sync `state` before a response that grants something leaves the process.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
+    /// What has to be on the disk before a response is sent.
     pub state: VoterState,
-    /// Until when nobody else is listened to.
+    /// The lease holder, and until when no other candidate is promised anything.
     lease: Option<(Id, Ms)>,
     /// A process before this one may have granted a lease for so long.
     barred: Ms,
@@ -128,6 +139,7 @@
         *until = (*until).max((asked + span).saturating_sub(span / 50 + 1));
     }
 
+    /// Forgets all grants.
     pub fn clear(&mut self) {
         self.0.clear();
     }
--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -1,10 +1,10 @@
-//! The agreement of one centre, whole: `(now, what came) -> what follows`. Nothing here waits, sends or writes.
+//! The state machine of one node: `(now, input)` in, [`Output`]s out. Nothing here waits, sends or writes.
 //!
-//! A primary acts while a quorum grants it the lease, counted from when it asked. A change is written here and at every
-//! backup of the record, then looked at once more (is the lease still held?), then it counts. Taking over, replacing a
-//! backup and changing the group are one way: a *campaign* for the next epoch, in the order ballot, own disk, backups' disks,
-//! record. The group changes only by the acting primary, from a record that was chosen: first to a record that names
-//! both groups, then to one that names the new one.
+//! A leader serves while a quorum grants it the lease, counted from when it asked. A change is written to its own disk
+//! and to every backup of the record; it is committed if the lease is still held then. Taking over, replacing a backup
+//! and changing the voters are all a campaign for the next term, in the order prepare, own disk, disks of the backups,
+//! accept. Voters are changed by the leader only, from a record that was chosen: first to a joint configuration, then
+//! to the new one (Raft 6).
 mod calls;
 mod election;
 mod lease;
@@ -27,79 +27,100 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracker::{Campaign, DiskWrite, InFlightAppend, PendingCall, PendingWrite, WriteBatch};
 
-/// The number of the last change, as it stands beside the floor. Alone it comes with each change; whatever else a
-/// centre writes about itself is a promise.
+/// The metadata key of the sequence number of the last change. It is written with each change; every other metadata
+/// key is a promise to other nodes.
 pub const SEQ: &str = "seq";
 
-/// Time spans; all follow from the settings.
+/// Timeouts in milliseconds, from the settings, and the number of failures to tolerate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Timeouts {
+    /// How long a voter grants the leader lease.
     pub lease: Ms,
-    /// How often a primary asks for its lease again, and centres hear of each other.
+    /// How often a leader renews its lease and nodes send heartbeats.
     pub heartbeat_interval: Ms,
-    /// How long anything between directors may take.
+    /// How long a call between nodes may take.
     pub rpc_timeout: Ms,
-    /// After so long a silence a witness is replaced, if anybody is there to take its place.
+    /// A voter that is silent for so long is replaced, if there is a spare member.
     pub replace_after: Ms,
-    /// How long a centre that is told to end has to hand over.
+    /// How long a node that shuts down may take to hand over.
     pub shutdown_grace: Ms,
-    /// How many disks may be lost at once: so many backups, and twice as many witnesses and one.
+    /// How many disks may be lost at once: so many backups, and `2 * max_failures + 1` voters.
     pub max_failures: usize,
 }
 
+/// What the node is in the newest term that it takes part in (Raft 5.1).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub enum Role {
+    /// Not the leader.
     #[default]
     Follower,
+    /// The leader by this record, which a quorum accepted. It serves only while it holds the lease.
     Leader(LeadershipRecord),
 }
 
+/// What is known of another node.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// When it was last heard, either way.
+    /// When a request or a response of it last came; 0: never.
     pub last_heard: Ms,
-    /// When a call was sent that it has answered.
+    /// When the newest request was sent that it has answered; 0: none.
     pub last_contact: Ms,
+    /// The newest status that it sent.
     pub status: PeerStatus,
 }
 
-/// What a centre begins with: of its settings, and of its disk.
+/// What a node starts with: its settings, and what its disk holds.
 #[derive(Debug, Clone, Default)]
 pub struct InitialState {
+    /// The id of this node.
     pub me: Id,
+    /// Its zone; empty if unknown.
     pub area: String,
+    /// Timeouts of the settings.
     pub timeouts: Timeouts,
+    /// The members of the settings; at a bootstrap the first voters.
     pub peers: Vec<Id>,
-    /// The whole system starts for the first time, and the folder was empty.
+    /// The whole system starts for the first time, and the disk was empty.
     pub bootstrap: bool,
+    /// The replicated state on the disk.
     pub state: BTreeMap<String, String>,
+    /// The metadata on the disk.
     pub own: BTreeMap<String, String>,
-    /// Drawn by lot: the life of the disk, if it has none yet.
+    /// A random number: the incarnation of the disk if it has none yet, and the seed of the jitter.
     pub new_incarnation: u64,
 }
 
+/// The state machine of one node: inputs with the time go in, [`Output`]s come out.
+///
+/// The order of the fields is part of the derived hash, by which the model search counts states.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Core {
+    /// The id of this node.
     pub id: Id,
+    /// Its zone.
     pub zone: String,
+    /// The timeouts in force; they may change with the settings.
     pub spans: Timeouts,
     acceptor: Acceptor,
-    /// What of the acceptor is on the disk.
+    /// The state of the acceptor that is on the disk; no response shows a newer one.
     durable_voter_state: Option<VoterState>,
-    /// The newest record that was heard of; a hint until a quorum has said so.
+    /// The newest record known: a hint until a quorum has confirmed it.
     pub record: LeadershipRecord,
-    /// The newest epoch in which this disk took part, and the number of its last change there.
+    /// The newest term in which this disk took part, and the sequence number of its last change there.
     last_durable_term: Term,
     last_sequence: u64,
     state: BTreeMap<String, String>,
-    /// The disk may hold a change that was not acknowledged: only a snapshot brings others to this state.
+    /// The disk may hold a change that was not committed: backups need a snapshot to agree with it.
     may_hold_uncommitted: bool,
-    /// Memory and disk may differ: only a snapshot is taken.
+    /// A write failed, so memory and disk may differ: only a snapshot is accepted.
     needs_snapshot: bool,
+    /// Leader or follower.
     pub role: Role,
     leases: LeaseGrants,
     renewal_sent_at: BTreeMap<Id, Ms>,
+    /// The other nodes from which a status came.
     pub peers: BTreeMap<Id, Peer>,
+    /// All nodes that were ever named, this one included.
     pub members: BTreeSet<Id>,
     campaign: Option<Campaign>,
     in_flight: Option<InFlightAppend>,
@@ -108,13 +129,14 @@
     pending_writes: VecDeque<PendingWrite>,
     last_operation_id: OperationId,
     last_write_succeeded: bool,
+    /// The last write succeeded and none has been pending for longer than the RPC timeout.
     pub disk_healthy: bool,
     next_disk_probe: Ms,
-    /// The highest number of a ballot that anybody named.
+    /// The highest term number in any message.
     highest_term_number: u64,
     excluded_until: BTreeMap<Id, Ms>,
     next_campaign_at: Ms,
-    /// When somebody was last known to act.
+    /// When a leader with a lease was last seen.
     leader_seen_at: Ms,
     started_at: Ms,
     shutdown_began_at: Option<Ms>,
@@ -126,6 +148,7 @@
 }
 
 impl Core {
+    /// Starts a node from its settings and its disk; a disk without voter state is written first.
     pub fn start(now: Ms, start: InitialState, out: &mut Vec<Output>) -> Core {
         fn read<T: for<'a> Deserialize<'a>>(own: &BTreeMap<String, String>, name: &str) -> Option<T> {
             own.get(name).and_then(|text| serde_json::from_str(text).ok())
@@ -162,26 +185,7 @@
             start.new_incarnation.max(1)
         });
         if start.bootstrap {
-            let mut seats = start.peers.clone();
-            seats.sort();
-            seats.dedup();
-            let primary = seats.first().unwrap_or(&core.id).clone();
-            let backups = seats.iter().skip(1).take(core.spans.max_failures).cloned().collect();
-            let witnesses = seats.iter().map(|id| Voter::new(id, 0)).collect();
-            let record = LeadershipRecord {
-                term: Term::new(1, ""),
-                leader: primary,
-                backups,
-                voters: witnesses,
-                outgoing_voters: vec![],
-            };
-            if record.is_voter(&core.id) {
-                core.acceptor = Acceptor::bootstrap(record.clone());
-            }
-            if record.is_replica(&core.id) {
-                core.last_durable_term = record.term.clone();
-            }
-            core.record = record;
+            core.bootstrap(&start.peers);
         }
         let held = core.acceptor.state.clone();
         let mut own = core.term_metadata();
@@ -196,14 +200,41 @@
         core
     }
 
+    /// The first start of the whole system: the members of the settings are the voters, the first of them leads.
+    fn bootstrap(&mut self, peers: &[Id]) {
+        let mut seats = peers.to_vec();
+        seats.sort();
+        seats.dedup();
+        let primary = seats.first().unwrap_or(&self.id).clone();
+        let backups = seats.iter().skip(1).take(self.spans.max_failures).cloned().collect();
+        let witnesses = seats.iter().map(|id| Voter::new(id, 0)).collect();
+        let record = LeadershipRecord {
+            term: Term::new(1, ""),
+            leader: primary,
+            backups,
+            voters: witnesses,
+            outgoing_voters: vec![],
+        };
+        if record.is_voter(&self.id) {
+            self.acceptor = Acceptor::bootstrap(record.clone());
+        }
+        if record.is_replica(&self.id) {
+            self.last_durable_term = record.term.clone();
+        }
+        self.record = record;
+    }
+
+    /// The replicated state.
     pub fn held(&self) -> &BTreeMap<String, String> {
         &self.state
     }
 
+    /// The incarnation of this disk.
     pub fn life(&self) -> u64 {
         self.acceptor.state.incarnation
     }
 
+    /// The newest term in which this disk took part.
     pub fn last_durable_term(&self) -> &Term {
         &self.last_durable_term
     }
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Core {
-    /// Whether it is up to this centre to stand, now.
+    /// Whether this node should campaign now.
     pub(super) fn should_campaign(&self, now: Ms) -> bool {
         let record = &self.record;
         let able = self.disk_healthy
@@ -34,7 +34,7 @@
         place == 0 || !earlier || now > self.leader_seen_at + (1 + place as Ms) * self.spans.lease
     }
 
-    /// Stands for the next epoch.
+    /// Campaigns for the next term (Raft 5.2); `group`: the voters to change by it.
     pub(super) fn start_campaign(&mut self, now: Ms, group: Option<MembershipChange>, out: &mut Vec<Output>) {
         let high = [
             self.record.term.number,
@@ -75,7 +75,7 @@
         }
     }
 
-    /// A campaign that can't have a quorum any more ends at once.
+    /// A campaign that can no longer reach a quorum ends at once.
     pub(super) fn handle_rejection(
         &mut self,
         now: Ms,
@@ -91,7 +91,7 @@
             CampaignPhase::Accept(record) => record,
             _ => &campaign.base_record,
         };
-        // Of those that have not answered yet, only who was heard lately is worth waiting for.
+        // Of the voters without a response, only those that are alive are worth waiting for.
         let may = |w: &Voter| {
             !campaign.rejected_by.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id))
         };
@@ -141,7 +141,7 @@
         {
             return self.abandon_campaign(now, "another stands in the record", out);
         }
-        // From here on nothing of an earlier epoch is taken: what goes to the backups is all there is.
+        // From here on nothing of an earlier term is accepted: the state that goes to the backups is final.
         let base = campaign.base_record.clone();
         let was = (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
         let able = self.backup_candidates(now, &base);
@@ -210,7 +210,7 @@
         );
     }
 
-    /// Its own disk and those of enough backups are brought to the epoch: the record may be written.
+    /// Once the own disk and enough backups are at the term of the campaign, its record is proposed.
     pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
         let span = self.spans.lease;
         let Some(campaign) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Enough witnesses have written the record: it is chosen, and this centre acts by it.
+    /// Once a quorum has accepted the record it is chosen, and this node leads by it.
     pub(super) fn become_leader_if_chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Some(campaign) = &self.campaign else { return };
         let CampaignPhase::Accept(record) = &campaign.phase else { return };
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -3,6 +3,7 @@
 use super::*;
 
 impl Core {
+    /// Whether this node is the leader and a quorum of its voters still grants the lease (Raft 6.4.1).
     pub fn holds_leader_lease(&self, now: Ms) -> bool {
         let holds = |record| self.leases.hold(record, now) || is_injected(InjectedBug::NoLease);
         matches!(&self.role, Role::Leader(record) if holds(record))
--- a/crates/control-plane/consensus/src/core/peers.rs
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 impl Core {
-    /// Where the primary is, if any is heard to act.
+    /// The leader, if a peer reported within a lease that it holds the leader lease.
     pub fn known_leader(&self, now: Ms) -> Option<&Id> {
         let heard = |p: &&Peer| now < p.last_heard + self.spans.lease && p.status.holds_lease;
         let best = self.peers.values().filter(heard).max_by_key(|p| p.status.record.term.clone());
@@ -25,17 +25,18 @@
         self.record.has_quorum(near)
     }
 
-    /// Heard within the span of a lease.
+    /// Whether the peer was heard within a lease.
     pub fn is_peer_alive(&self, now: Ms, id: &str) -> bool {
         self.peers.get(id).is_some_and(|p| p.last_heard > 0 && now < p.last_heard + self.spans.lease)
     }
 
-    /// Near, its disk takes writes, and it stays.
+    /// Alive, with a healthy disk, and not draining.
     pub(super) fn is_usable_backup(&self, now: Ms, id: &str) -> bool {
         self.is_peer_alive(now, id)
             && self.peers.get(id).is_some_and(|p| p.status.disk_healthy && !p.status.draining)
     }
 
+    /// The status that this node sends with each heartbeat.
     pub fn told(&self, now: Ms) -> PeerStatus {
         PeerStatus {
             id: self.id.clone(),
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -93,7 +93,7 @@
         self.state.iter().map(|(n, v)| (n.clone(), v.clone())).collect()
     }
 
-    /// A change to be written; its ticket comes back in [`Output::Wrote`] or [`Output::Failed`].
+    /// Proposes a change; its ticket comes back in [`Output::Committed`] or [`Output::Failed`].
     pub fn propose(&mut self, now: Ms, change: Change, out: &mut Vec<Output>) {
         if !self.holds_leader_lease(now) {
             return out.push(Output::Failed(vec![change.ticket]));
@@ -102,7 +102,7 @@
         self.append_next(now, out);
     }
 
-    /// Writes what is queued, all of it at a time, to all disks of the record.
+    /// Writes all proposals as one append to all disks of the record; one append is in flight at a time.
     pub(super) fn append_next(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Leader(record) = &self.role else { return };
         if self.in_flight.is_some()
@@ -158,7 +158,7 @@
         self.send_request(pending, to, Request::ReplicaWrite(append), out);
     }
 
-    /// The write has taken its time: only who still holds the lease may say that it is done.
+    /// Commits the append once it is on all disks. Time has passed: without the lease another node may lead already.
     pub(super) fn commit_if_replicated(&mut self, now: Ms, out: &mut Vec<Output>) {
         if !self.in_flight.as_ref().is_some_and(|f| {
             f.persisted_locally
--- a/crates/control-plane/consensus/src/core/shutdown.rs
+++ b/crates/control-plane/consensus/src/core/shutdown.rs
@@ -2,11 +2,12 @@
 use super::*;
 
 impl Core {
-    /// It was told to end: hands over what it has first.
+    /// Begins a graceful shutdown: what rests on this node is handed over first.
     pub fn begin_shutdown(&mut self, now: Ms) {
         self.shutdown_began_at.get_or_insert(now);
     }
 
+    /// Whether [`Core::begin_shutdown`] was called.
     pub fn is_shutting_down(&self) -> bool {
         self.shutdown_began_at.is_some()
     }
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -1,22 +1,29 @@
-//! Who may act: epochs, leases and the group of witnesses, without I/O. Times are milliseconds of a steady clock, given in.
+//! Consensus of the control plane: leader leases, voters and replication, as a pure state machine without I/O. Times are
+//! milliseconds of a steady clock, given in.
 //!
-//! A small group of witnesses holds one [`LeadershipRecord`] (epoch, primary, backups, and the group itself) as a register that a
-//! quorum changes: a candidate has a ballot promised, reads the newest record, and only who stands in it may write the
-//! next one. What was acknowledged is on the disks of all that the record names, so each of them can go on alone.
-//! Witnesses hold no configuration and no log. The group changes one witness at a time, by a record that both the old
-//! and the new group must accept before the new one stands alone. [`Core`] is the whole of it as one state machine;
+//! A few voters hold one [`LeadershipRecord`] (term, leader, backups, and the voters themselves) as a register that a
+//! quorum changes (Paxos): a candidate has its term promised, reads the newest record, and only a replica named there
+//! may propose the next one. Every acknowledged change is on the disks of all replicas that the record names, so each of
+//! them can lead alone. Voters hold no state and no log. They change one at a time, by a record with a joint
+//! configuration that both sets accept before the new one stands alone (Raft 6). [`Core`] is one node;
 //! `docs/control.md` says what holds and why.
 //!
 //! ```
-//! use coppersail_consensus::{Acceptor, Ballot, Record, Witness};
-//! let group: Vec<Witness> = ["a", "b", "c"].map(|id| Witness::new(id, 0)).into();
-//! let first = Record { epoch: Ballot::new(1, ""), primary: "a".into(), backups: vec!["b".into()], witnesses: group, before: vec![] };
-//! let mut one = Acceptor::first(first.clone());
-//! let ballot = Ballot::new(2, "b");
-//! assert_eq!(one.prepare(0, &ballot), Ok(first.clone()));
-//! let next = Record { epoch: ballot.clone(), primary: "b".into(), backups: vec!["c".into()], ..first };
-//! assert!(one.accept(0, &next, 1000).is_ok());
-//! assert!(one.prepare(10, &Ballot::new(3, "c")).is_err(), "b has a lease of a second");
+//! use coppersail_consensus::{Acceptor, LeadershipRecord, Term, Voter};
+//! let voters: Vec<Voter> = ["a", "b", "c"].map(|id| Voter::new(id, 0)).into();
+//! let first = LeadershipRecord {
+//!     term: Term::new(1, ""),
+//!     leader: "a".into(),
+//!     backups: vec!["b".into()],
+//!     voters,
+//!     outgoing_voters: vec![],
+//! };
+//! let mut acceptor = Acceptor::bootstrap(first.clone());
+//! let term = Term::new(2, "b");
+//! assert_eq!(acceptor.prepare(0, &term), Ok(first.clone()));
+//! let next = LeadershipRecord { term: term.clone(), leader: "b".into(), backups: vec!["c".into()], ..first };
+//! assert!(acceptor.accept(0, &next, 1000).is_ok());
+//! assert!(acceptor.prepare(10, &Term::new(3, "c")).is_err(), "b has a lease of a second");
 //! ```
 mod acceptor;
 mod core;
@@ -38,69 +45,82 @@
 #[cfg(test)]
 mod tests;
 
+/// Milliseconds of a steady clock, as a point in time or a span.
 pub type Ms = u64;
 
-/// Who a director is: where it serves hosts and operators, "ip:port".
+/// The id of a node: the address at which it serves, "ip:port".
 pub type Id = String;
 
-/// Ballots are never the same for two candidates. A record's ballot is its epoch.
+/// A proposal number; no two candidates share one. The term of a record is the proposal number under which it was
+/// accepted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
+    /// The number; it only rises.
     #[serde(rename = "n")]
     pub number: u64,
+    /// The candidate that chose the number.
     #[serde(rename = "by")]
     pub candidate: Id,
 }
 
 impl Term {
+    /// Term `n` of a candidate.
     pub fn new(n: u64, by: &str) -> Term {
         Term { number: n, candidate: by.into() }
     }
 }
 
-/// One disk of one director. A director whose disk was lost is another witness at the same place: it has forgotten
-/// what it promised, and counts for nothing until a group names its new life.
+/// One disk of one node. A node whose disk was lost is another voter with the same id: it has forgotten what it
+/// promised, and does not count until a record names its new incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
+    /// The node.
     pub id: Id,
+    /// Which disk of the node.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
 
 impl Voter {
+    /// The voter of a node with the disk of this incarnation.
     pub fn new(id: &str, life: u64) -> Voter {
         Voter { id: id.into(), incarnation: life }
     }
 }
 
+/// The register that a quorum of voters accepts: who leads in a term, whose disks hold the state, and who votes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeadershipRecord {
+    /// The term; no two records have the same.
     #[serde(rename = "epoch")]
     pub term: Term,
+    /// The leader of the term.
     #[serde(rename = "primary")]
     pub leader: Id,
-    /// Whose disks hold all that was acknowledged, besides the primary's.
+    /// The nodes whose disks hold all acknowledged changes, besides the leader's.
     pub backups: Vec<Id>,
+    /// The voters, or the new ones of a joint configuration.
     #[serde(rename = "witnesses")]
     pub voters: Vec<Voter>,
-    /// While the group changes: the group before, whose majority is needed as well.
+    /// In a joint configuration: the outgoing voters, whose majority is needed as well (Raft 6).
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     #[serde(rename = "before")]
     pub outgoing_voters: Vec<Voter>,
 }
 
 impl LeadershipRecord {
+    /// Whether the node holds all acknowledged changes by this record.
     pub fn is_replica(&self, who: &str) -> bool {
         self.leader == who || self.backups.iter().any(|b| b == who)
     }
 
-    /// Only who holds all that was acknowledged may be the next primary: it stands in the record, and its disk, by
-    /// the epoch it last took part in, is the one that was named and not an empty one put in its place.
+    /// Only a replica that holds all acknowledged changes may be the next leader: it is named in the record, and the last
+    /// term of its disk shows that it is the disk that was named, not an empty one in its place.
     pub fn may_lead(&self, who: &str, floor: &Term) -> bool {
         self.is_replica(who) && *floor >= self.term
     }
 
-    /// Whether these witnesses decide.
+    /// Whether these voters are a quorum: a majority, in a joint configuration of both sets.
     pub fn has_quorum(&self, yes: impl Fn(&Voter) -> bool) -> bool {
         let most = |group: &[Voter]| group.iter().filter(|w| yes(w)).count() > group.len() / 2;
         let new = most(&self.voters)
@@ -109,7 +129,7 @@
         new && (self.outgoing_voters.is_empty() || most(&self.outgoing_voters))
     }
 
-    /// Everybody who is asked, each once.
+    /// The ids of all voters, sorted, each once.
     pub fn voter_ids(&self) -> Vec<Id> {
         let mut all: Vec<Id> =
             self.voters.iter().chain(&self.outgoing_voters).map(|w| w.id.clone()).collect();
@@ -118,17 +138,17 @@
         all
     }
 
+    /// Whether the node is among the voters or the outgoing voters.
     pub fn is_voter(&self, who: &str) -> bool {
         self.voters.iter().chain(&self.outgoing_voters).any(|w| w.id == who)
     }
 }
 
-/// The few that a director's place on a ring names: those that follow it in the order of a hash of their names.
-/// Its heartbeats go to them.
+/// The nodes that follow one on a ring, in the order of a hash of their ids (consistent hashing); heartbeats go to them.
 ///
 /// ```
 /// let all: Vec<String> = (0..9).map(|n| format!("10.0.0.{n}:80")).collect();
-/// let few = coppersail_consensus::watchers(&all[0], &all, 3);
+/// let few = coppersail_consensus::ring_successors(&all[0], &all, 3);
 /// assert_eq!(few.len(), 3);
 /// assert!(!few.contains(&all[0]));
 /// ```
@@ -144,6 +164,7 @@
     (0..ring.len().min(few)).map(|n| ring[(start + n) % ring.len()].1.clone()).collect()
 }
 
+/// The smallest majority of so many.
 pub fn majority(seats: usize) -> usize {
     seats / 2 + 1
 }
--- a/crates/control-plane/consensus/src/messages.rs
+++ b/crates/control-plane/consensus/src/messages.rs
@@ -6,41 +6,58 @@
 /// A name of the control state and its value.
 pub type KeyValue = (String, String);
 
-/// What a primary writes to a backup.
+/// What kind of write a leader sends to a backup (Raft 5.3, 7).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaWriteKind {
     /// All of the state, with a sum over it.
-    Snapshot { sum: u64 },
+    Snapshot {
+        /// The checksum of the writes.
+        sum: u64,
+    },
     /// Nothing, if the backup holds just this number of this epoch.
     #[serde(rename = "Join")]
-    Probe { epoch: Term, seq: u64 },
+    Probe {
+        /// The term that the backup must hold.
+        epoch: Term,
+        /// The sequence number that it must hold.
+        seq: u64,
+    },
     /// The change after `seq - 1`.
     #[default]
     #[serde(rename = "Change")]
     Append,
 }
 
+/// A write of a leader to a backup.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicaWrite {
     /// The form of what follows; another one is refused.
     pub version: u32,
+    /// The sender's term.
     #[serde(rename = "epoch")]
     pub term: Term,
+    /// The sequence number of the change in its term.
     #[serde(rename = "seq")]
     pub sequence: u64,
+    /// Snapshot, probe or append.
     pub kind: ReplicaWriteKind,
+    /// The entries; an empty value removes the entry.
     #[serde(rename = "puts")]
     pub writes: Vec<KeyValue>,
 }
 
+/// A backup's response, given once the write is on its disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicaWriteResponse {
+    /// Whether the write is on the disk.
     #[serde(rename = "ok")]
     pub accepted: bool,
+    /// Why it was rejected.
     #[serde(rename = "why")]
     pub reason: String,
+    /// The incarnation of the disk of the backup.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -54,50 +71,63 @@
     puts.iter().fold(0xcbf2_9ce4_8422_2325, |h, (n, v)| text(text(h, n), v)) >> 12
 }
 
+/// A request between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Request {
+    /// To or from the voter of a node.
     #[serde(rename = "Witness")]
     Voter(VoterRequest),
+    /// To or from a replica.
     #[serde(rename = "Copy")]
     ReplicaWrite(ReplicaWrite),
 }
 
+/// A response between nodes.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Response {
+    /// To or from the voter of a node.
     #[serde(rename = "Witness")]
     Voter(VoterResponse),
+    /// To or from a replica.
     #[serde(rename = "Copy")]
     ReplicaWrite(ReplicaWriteResponse),
 }
 
-/// What a centre says of itself with every heartbeat.
+/// The status that a node sends with every heartbeat.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerStatus {
+    /// Its id.
     pub id: Id,
-    /// It is the primary and holds the lease.
+    /// It is the leader and holds the lease.
     #[serde(rename = "acting")]
     pub holds_lease: bool,
     /// Its disk takes writes.
     #[serde(rename = "fit")]
     pub disk_healthy: bool,
-    /// It was told to end.
+    /// It shuts down.
     #[serde(rename = "leaving")]
     pub draining: bool,
+    /// The incarnation of its disk.
     #[serde(rename = "life")]
     pub incarnation: u64,
+    /// The newest term in which its disk took part.
     #[serde(rename = "floor")]
     pub last_durable_term: Term,
+    /// Its zone.
     #[serde(rename = "area")]
     pub zone: String,
     /// The newest record that it knows.
     pub record: LeadershipRecord,
+    /// All nodes that it knows.
     pub members: Vec<Id>,
 }
 
 /// A change that waits to be written, with the ticket by which its caller is known.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Change {
+    /// The id by which the proposer knows the change.
     pub ticket: u64,
+    /// The entries to write.
     pub writes: Vec<KeyValue>,
 }
--- a/crates/control-plane/consensus/src/tests.rs
+++ b/crates/control-plane/consensus/src/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn a_deposed_primary_is_not_renewed() {
+fn a_deposed_leader_does_not_get_its_lease_renewed() {
     let mut one = Acceptor::bootstrap(genesis());
     let old = record(2, "a", "b");
     one.prepare(0, &old.term).unwrap();
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn a_witness_that_restarts_keeps_an_earlier_lease() {
+fn a_restarted_voter_still_honours_an_earlier_lease() {
     let held = VoterState {
         promised: Term::new(2, "a"),
         record: record(2, "a", "b"),
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn a_primary_that_hands_over_need_not_be_waited_for_and_no_other_lease_goes_with_it() {
+fn a_released_lease_ends_at_once_and_a_release_of_an_older_term_ends_nothing() {
     let mut one = Acceptor::bootstrap(genesis());
     one.accept(0, &record(2, "a", "b"), 100).unwrap();
     one.release(&Term::new(1, ""));
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn a_lost_disk_counts_for_nothing_in_the_group_that_named_the_old_one() {
+fn a_lost_disk_does_not_count_as_the_voter_of_its_old_incarnation() {
     let (old, new) = (genesis(), Voter::new("c", 77));
     assert!(old.has_quorum(|w| w.id == "a" || w.id == "b"));
     assert!(!old.has_quorum(|w| w.id == "a" || *w == new));
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_primary_counts_from_when_it_asked_and_gives_up_a_fiftieth() {
+fn a_lease_counts_from_the_request_less_the_clock_drift() {
     let (mut leases, record) = (LeaseGrants::default(), genesis());
     leases.add(Voter::new("a", 0), 1000, 500);
     assert!(!leases.hold(&record, 1001));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn who_is_told_to_end_and_hears_nobody_waits_for_them() {
+fn an_isolated_node_does_not_exit_before_its_shutdown_grace() {
     let spans = Timeouts {
         lease: 1200,
         heartbeat_interval: 400,
--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -39,7 +39,7 @@
 const SHORT: Step = Step::Short { keep: None, without: Without::Nobody };
 
 #[test]
-fn a_backup_that_joins_before_its_refused_write_came_back_is_not_counted() {
+fn a_backup_whose_earlier_write_fails_after_a_probe_does_not_join() {
     let mut world = begun(Rules { slow: 0b10, ..rules() });
     go(&mut world, &[Step::Submit(0)]);
     network(&mut world);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn two_takeovers_right_after_each_other() {
+fn a_second_leader_lost_right_after_a_failover() {
     let mut world = begun(rules());
     change(&mut world);
     without(&mut world, 0);
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn a_freeze_between_disk_and_answer_is_no_acknowledgement_after_the_lease() {
+fn a_leader_frozen_past_its_lease_does_not_commit() {
     let mut world = begun(Rules { slow: 0b1, ..rules() });
     go(&mut world, &[Step::Submit(0)]);
     network(&mut world);
@@ -147,7 +147,7 @@
 }
 
 #[test]
-fn the_next_backup_is_lost_while_it_is_brought_up() {
+fn the_next_backup_crashes_during_its_snapshot() {
     let mut world = while_a_snapshot_runs();
     go(&mut world, &[Step::Crash(2, 0)]);
     world.rest(100).unwrap();
@@ -159,7 +159,7 @@
 }
 
 #[test]
-fn a_witness_is_back_with_another_disk_while_a_snapshot_runs() {
+fn a_voter_loses_its_disk_during_a_snapshot() {
     let mut world = while_a_snapshot_runs();
     go(&mut world, &[SHORT, Step::Wipe(1)]);
     network(&mut world);
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn a_second_loss_right_after_the_repair_of_the_first() {
+fn a_leader_lost_right_after_an_earlier_loss_was_repaired() {
     let mut world =
         begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 60, ..spans() }, ..rules() });
     change(&mut world);
@@ -194,7 +194,7 @@
 }
 
 #[test]
-fn all_disks_replaced_one_after_the_other_and_then_power_of_all() {
+fn all_disks_lost_in_turn_and_then_a_power_failure_of_all_nodes() {
     let mut world = begun(rules());
     change(&mut world);
     for x in [1, 0, 2, 3] {
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn a_leaver_that_is_killed_before_its_handover_is_over() {
+fn a_draining_leader_killed_before_its_transfer_is_complete() {
     for steps in 0..30 {
         let mut world = begun(rules());
         change(&mut world);
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn a_leaver_hands_over_its_place_and_its_state_and_may_go() {
+fn a_draining_leader_hands_over_its_vote_and_its_state_before_it_exits() {
     let mut world = begun(rules());
     change(&mut world);
     go(&mut world, &[Step::Leave(0)]);
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_member_back_with_an_old_disk_after_it_was_replaced() {
+fn a_replaced_node_back_with_its_old_disk_does_not_lead() {
     let mut world =
         begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 40, ..spans() }, ..rules() });
     change(&mut world);
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -50,6 +50,7 @@
     world
 }
 
+#[expect(clippy::too_many_lines, reason = "a table of the searches")]
 fn case(name: &str) -> World {
     let one = Budget::default();
     let patient = Rules { spans: coppersail_consensus::Timeouts { replace_after: 40, ..spans() }, ..rules() };
@@ -128,6 +129,10 @@
 }
 
 /// One long way by lot: crashes, lost disks one after the other, freezes, clocks that differ by a fiftieth.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a table of random steps; splitting it would hide the order of the draws"
+)]
 fn walk(seed: u64, rules: Rules, steps: usize) -> [usize; 4] {
     let mut lot = fastrand::Rng::with_seed(seed);
     let mut world = World::new(rules);
@@ -229,7 +234,7 @@
 const PACES: [i64; 5] = [0, 10, -10, 7, -4];
 
 #[test]
-fn walks_of_five_of_whom_two_disks_may_be_lost() {
+fn random_faults_with_two_disks_lost_of_five() {
     let spans = coppersail_consensus::Timeouts {
         max_failures: 2,
         replace_after: 300,
@@ -244,7 +249,7 @@
 }
 
 #[test]
-fn walks_of_five_of_whom_one_disk_may_be_lost() {
+fn random_faults_with_one_disk_lost_of_five() {
     let spans = coppersail_consensus::Timeouts { replace_after: 300, shutdown_grace: 1_000_000, ..spans() };
     walks(
         "five, one",
@@ -280,22 +285,22 @@
 }
 
 #[test]
-fn takeovers_and_changes() {
+fn failovers_during_appends() {
     exhaust(&["takeovers", "two changes", "frozen"]);
 }
 
 #[test]
-fn the_group_changes() {
+fn failures_during_membership_changes() {
     exhaust(&["lost disk", "replaced", "old group", "new group", "leaver"]);
 }
 
 #[test]
-fn disks_that_refuse_or_forget() {
+fn disks_that_fail_a_write_or_lose_it_in_a_crash() {
     exhaust(&["disk of the primary", "disk of the backup"]);
 }
 
 #[test]
-fn messages_late_or_twice() {
+fn messages_late_or_duplicated() {
     exhaust(&["new backup", "late copies", "late answers"]);
 }
 
--- a/crates/control-plane/consensus/tests/model/search.rs
+++ b/crates/control-plane/consensus/tests/model/search.rs
@@ -12,22 +12,22 @@
 const WIDE: usize = 60_000;
 
 #[derive(Debug, Default)]
-pub struct Found {
-    pub states: usize,
-    pub steps: usize,
-    pub depth: usize,
-    pub ends: usize,
-    pub slowest: usize,
+pub(crate) struct Found {
+    pub(crate) states: usize,
+    pub(crate) steps: usize,
+    pub(crate) depth: usize,
+    pub(crate) ends: usize,
+    pub(crate) slowest: usize,
     /// The most that any state has seen: epochs in which somebody acted, chosen groups, acknowledged changes.
-    pub epochs: usize,
-    pub groups: usize,
-    pub acked: usize,
-    pub broken: Option<(String, usize, String)>,
-    pub whole: bool,
-    pub seconds: f64,
+    pub(crate) epochs: usize,
+    pub(crate) groups: usize,
+    pub(crate) acked: usize,
+    pub(crate) broken: Option<(String, usize, String)>,
+    pub(crate) whole: bool,
+    pub(crate) seconds: f64,
 }
 
-pub fn tell(path: &Option<Arc<Path>>) -> (usize, String) {
+pub(crate) fn tell(path: &Option<Arc<Path>>) -> (usize, String) {
     let (mut lines, mut at) = (Vec::new(), path.as_ref());
     while let Some(path) = at {
         lines.push(path.story());
@@ -124,7 +124,7 @@
 }
 
 /// `set` is done first in each thread. One state of `every` is played to its good end.
-pub fn search(start: World, limit: usize, every: u64, set: &(dyn Fn() + Sync)) -> Found {
+pub(crate) fn search(start: World, limit: usize, every: u64, set: &(dyn Fn() + Sync)) -> Found {
     let began = Instant::now();
     let all = Search {
         visited: (0..SHARDS).map(|_| Mutex::default()).collect(),
--- a/crates/control-plane/consensus/tests/model/world.rs
+++ b/crates/control-plane/consensus/tests/model/world.rs
@@ -7,48 +7,48 @@
 use std::hash::{Hash, Hasher};
 use std::sync::Arc;
 
-pub const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
+pub(crate) const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 const LATE: u64 = 1 << 63;
 
 /// How many of each may still happen.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
-pub struct Budget {
+pub(crate) struct Budget {
     /// Steps of time that end in a heartbeat and a tick of everybody.
-    pub times: u8,
+    pub(crate) times: u8,
     /// Of them, those to the end of a lease.
-    pub expiries: u8,
-    pub submits: u8,
-    pub crashes: u8,
-    pub wipes: u8,
-    pub gone: u8,
+    pub(crate) expiries: u8,
+    pub(crate) submits: u8,
+    pub(crate) crashes: u8,
+    pub(crate) wipes: u8,
+    pub(crate) gone: u8,
     /// Steps of time without one member's heartbeats.
-    pub cuts: u8,
-    pub refusals: u8,
+    pub(crate) cuts: u8,
+    pub(crate) refusals: u8,
     /// Messages that come late or twice.
-    pub late: u8,
+    pub(crate) late: u8,
     /// Calls that are carried out and their answers lost; calls lost on their way are not counted.
-    pub silences: u8,
+    pub(crate) silences: u8,
     /// One member sleeps over a step of time.
-    pub freezes: u8,
-    pub leaves: u8,
+    pub(crate) freezes: u8,
+    pub(crate) leaves: u8,
 }
 
 /// What the world is like, the same for all states of a search.
 #[derive(Debug, Clone, Copy)]
-pub struct Rules {
-    pub members: usize,
-    pub first: usize,
-    pub spans: Timeouts,
+pub(crate) struct Rules {
+    pub(crate) members: usize,
+    pub(crate) first: usize,
+    pub(crate) spans: Timeouts,
     /// On whose disks each write is a step, may be refused, and is lost or kept at a crash; else it is done at once.
-    pub slow: u8,
+    pub(crate) slow: u8,
     /// An answer comes as soon as it is given, or is lost; else it is under way like a call.
-    pub swift: bool,
+    pub(crate) swift: bool,
     /// The shorter step of time. Where it is less than a call's time, calls live through one.
-    pub short: u64,
+    pub(crate) short: u64,
     /// Who may be struck by faults, as a mask.
-    pub struck: u8,
+    pub(crate) struck: u8,
     /// Clocks run at different pace: parts in a thousand, by member.
-    pub pace: [i64; 5],
+    pub(crate) pace: [i64; 5],
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -60,9 +60,9 @@
 }
 
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Node {
-    pub core: Option<Core>,
-    pub state: BTreeMap<String, String>,
+pub(crate) struct Node {
+    pub(crate) core: Option<Core>,
+    pub(crate) state: BTreeMap<String, String>,
     own: BTreeMap<String, String>,
     writes: VecDeque<Write>,
     /// Calls that wait, and until when.
@@ -70,7 +70,7 @@
     boot: u64,
     /// How many disks it has lost.
     disk: u64,
-    pub gone: bool,
+    pub(crate) gone: bool,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
@@ -80,7 +80,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Message {
+pub(crate) struct Message {
     /// Who called.
     from: usize,
     boot: u64,
@@ -92,21 +92,21 @@
 
 /// What an observer from outside knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Ghost {
+pub(crate) struct Ghost {
     /// By epoch: the record and the disks that ever held it.
     accepted: BTreeMap<Term, (LeadershipRecord, BTreeSet<Voter>)>,
     /// Changes that were acknowledged or could be read, in their order.
-    pub seen: Vec<u64>,
-    pub acked: BTreeSet<u64>,
-    pub top: Term,
+    pub(crate) seen: Vec<u64>,
+    pub(crate) acked: BTreeSet<u64>,
+    pub(crate) top: Term,
     /// In how many epochs somebody acted, and how many groups were chosen.
-    pub epochs: usize,
-    pub groups: usize,
+    pub(crate) epochs: usize,
+    pub(crate) groups: usize,
 }
 
 /// Whose heartbeats are lost while time passes, both ways.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Without {
+pub(crate) enum Without {
     Nobody,
     Unheard(usize),
     /// It sleeps, and does not tick either.
@@ -114,7 +114,7 @@
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub enum Then {
+pub(crate) enum Then {
     Answer,
     /// The answer is lost.
     Silence,
@@ -123,7 +123,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub enum Step {
+pub(crate) enum Step {
     Deliver(usize, Then),
     Confirm(usize),
     Refuse(usize),
@@ -143,18 +143,18 @@
 }
 
 #[derive(Debug)]
-pub struct Path {
+pub(crate) struct Path {
     at: u64,
     step: Step,
     message: Option<Arc<Message>>,
-    pub before: Option<Arc<Path>>,
+    pub(crate) before: Option<Arc<Path>>,
 }
 
 #[derive(Clone)]
-pub struct World {
-    pub now: u64,
-    pub rules: Arc<Rules>,
-    pub nodes: Vec<Arc<Node>>,
+pub(crate) struct World {
+    pub(crate) now: u64,
+    pub(crate) rules: Arc<Rules>,
+    pub(crate) nodes: Vec<Arc<Node>>,
     sums: Vec<u64>,
     net: Vec<(u64, Arc<Message>)>,
     /// Nothing was done since time passed last.
@@ -164,11 +164,11 @@
     /// Answers given in this step are lost.
     mute: bool,
     /// Notes are printed.
-    pub loud: bool,
-    pub budget: Budget,
-    pub submitted: u64,
-    pub ghost: Arc<Ghost>,
-    pub path: Option<Arc<Path>>,
+    pub(crate) loud: bool,
+    pub(crate) budget: Budget,
+    pub(crate) submitted: u64,
+    pub(crate) ghost: Arc<Ghost>,
+    pub(crate) path: Option<Arc<Path>>,
 }
 
 /// Quicker than the standard one, which is made against people who choose their input.
@@ -228,7 +228,7 @@
     100 * (x as u64 + 1) + disk
 }
 
-pub fn spans() -> Timeouts {
+pub(crate) fn spans() -> Timeouts {
     Timeouts {
         lease: 100,
         heartbeat_interval: 30,
@@ -240,7 +240,7 @@
 }
 
 /// More of each than any script needs.
-pub fn everything() -> Budget {
+pub(crate) fn everything() -> Budget {
     let n = 99;
     Budget {
         times: n,
@@ -259,7 +259,7 @@
 }
 
 impl World {
-    pub fn new(rules: Rules) -> World {
+    pub(crate) fn new(rules: Rules) -> World {
         let mut world = World {
             now: 1_000,
             rules: Arc::new(rules),
@@ -282,7 +282,7 @@
     }
 
     /// The time on a member's clock.
-    pub fn clock(&self, x: usize) -> u64 {
+    pub(crate) fn clock(&self, x: usize) -> u64 {
         (self.now as i64 * (1_000 + self.rules.pace[x]) / 1_000) as u64
     }
 
@@ -291,20 +291,20 @@
         Arc::make_mut(&mut self.nodes[x])
     }
 
-    pub fn core(&self, x: usize) -> Option<&Core> {
+    pub(crate) fn core(&self, x: usize) -> Option<&Core> {
         self.nodes[x].core.as_ref()
     }
 
-    pub fn ups(&self) -> Vec<usize> {
+    pub(crate) fn ups(&self) -> Vec<usize> {
         (0..self.nodes.len()).filter(|x| self.nodes[*x].core.is_some()).collect()
     }
 
-    pub fn acting(&self) -> Vec<usize> {
+    pub(crate) fn acting(&self) -> Vec<usize> {
         self.ups().into_iter().filter(|x| self.core(*x).unwrap().holds_leader_lease(self.clock(*x))).collect()
     }
 
     /// Equal for equal states, but for how they were reached.
-    pub fn sum(&mut self) -> u64 {
+    pub(crate) fn sum(&mut self) -> u64 {
         for x in 0..self.nodes.len() {
             if self.sums[x] == 0 {
                 self.sums[x] = sum_of(&*self.nodes[x]) | 1;
@@ -347,7 +347,11 @@
     }
 
     /// Lets a member's core work, and does what follows.
-    pub fn with(&mut self, x: usize, f: impl FnOnce(&mut Core, u64, &mut Vec<Output>)) -> Result<(), String> {
+    pub(crate) fn with(
+        &mut self,
+        x: usize,
+        f: impl FnOnce(&mut Core, u64, &mut Vec<Output>),
+    ) -> Result<(), String> {
         let now = self.clock(x);
         let mut out = Vec::new();
         if let Some(core) = self.node(x).core.as_mut() {
@@ -486,7 +490,7 @@
     }
 
     /// What must hold in every state.
-    pub fn check(&mut self) -> Result<(), String> {
+    pub(crate) fn check(&mut self) -> Result<(), String> {
         let acting = self.acting();
         if acting.len() > 1 {
             return Err(format!("{} and {} both act", NAMES[acting[0]], NAMES[acting[1]]));
@@ -541,7 +545,7 @@
     }
 
     /// Whether what was lost is replaced: somebody acts, and all disks that its record names are those it means.
-    pub fn mended(&self) -> bool {
+    pub(crate) fn mended(&self) -> bool {
         let Some(core) = self.acting().first().and_then(|x| self.core(*x)) else { return false };
         let Role::Leader(record) = &core.role else { return false };
         let node = |id: &String| &self.nodes[NAMES.iter().position(|n| n == id).unwrap()];
@@ -554,7 +558,7 @@
     }
 
     /// To whom a step belongs, where it does.
-    pub fn owner(&self, step: &Step) -> Option<usize> {
+    pub(crate) fn owner(&self, step: &Step) -> Option<usize> {
         match step {
             Step::Deliver(at, _) => {
                 let message = &self.net[*at].1;
@@ -566,13 +570,13 @@
     }
 
     /// Whether the record of who acts has this member.
-    pub fn rests_on(&self, x: usize) -> bool {
+    pub(crate) fn rests_on(&self, x: usize) -> bool {
         let core = self.acting().first().and_then(|x| self.core(*x));
         core.is_some_and(|core| core.record.is_replica(NAMES[x]) || core.record.is_voter(NAMES[x]))
     }
 
     /// What a member has, for a story.
-    pub fn view(&self, x: usize) -> String {
+    pub(crate) fn view(&self, x: usize) -> String {
         let (node, at) = (&self.nodes[x], NAMES[x]);
         let Some(core) = &node.core else { return format!("{at}: down, gone {}, {:?}", node.gone, node.own) };
         let record = &core.record;
@@ -588,7 +592,7 @@
     }
 
     /// How many calls that say this are under way.
-    pub fn under_way(&self, text: &str) -> usize {
+    pub(crate) fn under_way(&self, text: &str) -> usize {
         self.net.iter().filter(|(_, m)| format!("{:?}", m.what).contains(text)).count()
     }
 
@@ -673,7 +677,8 @@
         Ok(())
     }
 
-    pub fn steps(&self) -> Vec<Step> {
+    #[expect(clippy::too_many_lines, reason = "one list of all steps; its order is the order of the search")]
+    pub(crate) fn steps(&self) -> Vec<Step> {
         let (budget, mut all) = (&self.budget, Vec::new());
         let struck = |x: &usize| self.rules.struck >> x & 1 == 1;
         for (at, (sum, message)) in self.net.iter().enumerate() {
@@ -752,7 +757,8 @@
         all
     }
 
-    pub fn step(&mut self, step: &Step, tell: bool) -> Result<(), String> {
+    #[expect(clippy::too_many_lines, reason = "one arm for each step")]
+    pub(crate) fn step(&mut self, step: &Step, tell: bool) -> Result<(), String> {
         if tell {
             let message = match step {
                 Step::Deliver(at, _) | Step::Short { keep: Some(at), .. } => Some(self.net[*at].1.clone()),
@@ -830,7 +836,7 @@
         }
     }
 
-    pub fn submit(&mut self, x: usize) -> Result<(), String> {
+    pub(crate) fn submit(&mut self, x: usize) -> Result<(), String> {
         self.submitted += 1;
         let n = self.submitted;
         let puts = vec![(format!("k{n}"), n.to_string()), ("last".into(), n.to_string())];
@@ -838,7 +844,7 @@
     }
 
     /// Nothing fails: all that is under way comes, in order.
-    pub fn calm(&mut self) -> Result<(), String> {
+    pub(crate) fn calm(&mut self) -> Result<(), String> {
         loop {
             if let Some(x) = self.ups().into_iter().find(|x| !self.nodes[*x].writes.is_empty()) {
                 self.confirm(x, true)?;
@@ -853,7 +859,7 @@
         }
     }
 
-    pub fn rest(&mut self, ticks: usize) -> Result<(), String> {
+    pub(crate) fn rest(&mut self, ticks: usize) -> Result<(), String> {
         for _ in 0..ticks {
             self.pass(5, None, Without::Nobody)?;
             self.calm()?;
@@ -863,7 +869,7 @@
 
     /// The good end: who is not gone is there, and nothing fails any more. Says after how many ticks both changes
     /// could be written.
-    pub fn good_end(&self, most: usize) -> Result<usize, String> {
+    pub(crate) fn good_end(&self, most: usize) -> Result<usize, String> {
         let mut world = self.clone();
         world.budget = Budget::default();
         for x in 0..world.nodes.len() {
@@ -892,7 +898,7 @@
 }
 
 impl Path {
-    pub fn story(&self) -> String {
+    pub(crate) fn story(&self) -> String {
         let at = |x: &usize| NAMES[*x];
         let message = self.message.as_ref().map_or(String::new(), |m| match &m.what {
             What::Call(call) => format!("{} <- {} {}", at(&m.to), at(&m.from), brief(&format!("{call:?}"))),
--- a/crates/control-plane/consensus/tests/wire_format.rs
+++ b/crates/control-plane/consensus/tests/wire_format.rs
@@ -310,6 +310,7 @@
 const SECOND: &str = r#"{"epoch":{"n":2,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"a:1","life":0},{"id":"b:1","life":0},{"id":"c:1","life":0}]}"#;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one recorded exchange from its start to its end")]
 fn what_three_members_write_and_send_from_their_first_start_to_a_snapshot_keeps_its_bytes() {
     let mut three = Three::start();
     three.assert_lines(&[
