--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -193,8 +193,8 @@
         own.push(("witness".into(), json(&held)));
         let job = DiskWrite::VoterState {
             to: Err(PendingCall::Release),
-            held: Box::new(held),
-            say: Box::default(),
+            voter_state: Box::new(held),
+            response: Box::default(),
         };
         core.persist(now, job, WriteBatch::metadata(own), out);
         core
@@ -239,7 +239,7 @@
         &self.last_durable_term
     }
 
-    /// The epoch in which it acts or acted until now.
+    /// The term in which this node is the leader.
     pub fn leader_term(&self) -> Option<u64> {
         match &self.role {
             Role::Leader(record) => Some(record.term.number),
@@ -270,8 +270,10 @@
         }
         if self.needs_snapshot && self.last_write_succeeded && self.pending_writes.is_empty() {
             let own = self.term_metadata();
-            let job =
-                DiskWrite::RewriteState { epoch: self.last_durable_term.clone(), seq: self.last_sequence };
+            let job = DiskWrite::RewriteState {
+                term: self.last_durable_term.clone(),
+                sequence: self.last_sequence,
+            };
             self.persist(
                 now,
                 job,
--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -50,19 +50,19 @@
             self.highest_term_number = self.highest_term_number.max(rejection.promised.number);
         }
         match pending {
-            PendingCall::Prepare { to, ballot } => {
+            PendingCall::Prepare { to, term: ballot } => {
                 self.handle_prepare_result(now, to, &ballot, voter_response.unwrap_or_default(), out);
             }
-            PendingCall::Accept { to, epoch, asked } => {
+            PendingCall::Accept { to, term: epoch, sent_at: asked } => {
                 self.handle_accept_result(now, to, &epoch, asked, voter_response, out);
             }
-            PendingCall::Renew { to, epoch, asked } => {
+            PendingCall::Renew { to, term: epoch, sent_at: asked } => {
                 self.handle_renew_result(now, to, &epoch, asked, voter_response);
             }
-            PendingCall::SyncBackup { to, epoch, snapshot } => {
+            PendingCall::SyncBackup { to, term: epoch, snapshot } => {
                 self.handle_sync_result(now, to, &epoch, snapshot, replica_response, out);
             }
-            PendingCall::Append { to, epoch, seq, again } => {
+            PendingCall::Append { to, term: epoch, sequence: seq, is_retry: again } => {
                 self.handle_append_result(now, to, epoch, seq, again, replica_response, out);
             }
             PendingCall::Release => {}
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -42,7 +42,7 @@
             self.highest_term_number,
             self.last_durable_term.number,
         ];
-        let ballot = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.id);
+        let term = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.id);
         let from = match &self.role {
             Role::Leader(record) => Some(record.term.clone()),
             Role::Follower => None,
@@ -53,7 +53,7 @@
         };
         let ids = base.voter_ids();
         self.campaign = Some(Campaign {
-            term: ballot.clone(),
+            term: term.clone(),
             base_record: base,
             membership_change: group,
             leading_term: from,
@@ -70,8 +70,8 @@
             leases: LeaseGrants::default(),
         });
         for id in ids {
-            let ask = PendingCall::Prepare { to: id.clone(), ballot: ballot.clone() };
-            self.call_voter(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
+            let ask = PendingCall::Prepare { to: id.clone(), term: term.clone() };
+            self.call_voter(now, &id, ask, VoterRequest::Prepare(term.clone()), out);
         }
     }
 
@@ -80,11 +80,11 @@
         &mut self,
         now: Ms,
         who: Id,
-        ballot: &Term,
+        term: &Term,
         no: Option<Rejection>,
         out: &mut Vec<Output>,
     ) {
-        let Some(campaign) = self.campaign.as_mut().filter(|b| b.term == *ballot) else { return };
+        let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.term == *term) else { return };
         campaign.rejected_by.insert(who.clone());
         let Some(campaign) = &self.campaign else { return };
         let record = match &campaign.phase {
@@ -105,12 +105,14 @@
         &mut self,
         now: Ms,
         who: Voter,
-        ballot: &Term,
+        term: &Term,
         record: LeadershipRecord,
         out: &mut Vec<Output>,
     ) {
-        let Some(campaign) =
-            self.campaign.as_mut().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
+        let Some(campaign) = self
+            .campaign
+            .as_mut()
+            .filter(|campaign| campaign.term == *term && campaign.phase == CampaignPhase::Prepare)
         else {
             return;
         };
@@ -121,12 +123,14 @@
                 record.voter_ids().into_iter().filter(|id| campaign.contacted.insert(id.clone())).collect();
             self.observe_record(now, &record, out);
             for id in more {
-                let ask = PendingCall::Prepare { to: id.clone(), ballot: ballot.clone() };
-                self.call_voter(now, &id, ask, VoterRequest::Prepare(ballot.clone()), out);
+                let ask = PendingCall::Prepare { to: id.clone(), term: term.clone() };
+                self.call_voter(now, &id, ask, VoterRequest::Prepare(term.clone()), out);
             }
         }
-        let Some(campaign) =
-            self.campaign.as_ref().filter(|b| b.term == *ballot && b.phase == CampaignPhase::Prepare)
+        let Some(campaign) = self
+            .campaign
+            .as_ref()
+            .filter(|campaign| campaign.term == *term && campaign.phase == CampaignPhase::Prepare)
         else {
             return;
         };
@@ -136,7 +140,7 @@
         let other = campaign.leading_term.as_ref().is_some_and(|from| *from != campaign.base_record.term);
         if other
             || !campaign.base_record.may_lead(&self.id, &self.last_durable_term)
-            || self.last_durable_term > *ballot
+            || self.last_durable_term > *term
             || self.needs_snapshot
         {
             return self.abandon_campaign(now, "another stands in the record", out);
@@ -145,7 +149,7 @@
         let base = campaign.base_record.clone();
         let was = (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
         let able = self.backup_candidates(now, &base);
-        (self.last_durable_term, self.last_sequence) = (ballot.clone(), 0);
+        (self.last_durable_term, self.last_sequence) = (term.clone(), 0);
         let until = now + 2 * self.spans.rpc_timeout;
         if let Some(campaign) = self.campaign.as_mut() {
             (campaign.phase, campaign.deadline, campaign.previous_position, campaign.candidates) =
@@ -155,7 +159,7 @@
         let own = self.term_metadata();
         self.persist(
             now,
-            DiskWrite::CampaignTerm { ballot: ballot.clone() },
+            DiskWrite::CampaignTerm { term: term.clone() },
             WriteBatch { state, replace: self.may_hold_uncommitted, metadata: own },
             out,
         );
@@ -166,7 +170,9 @@
     }
 
     pub(super) fn sync_next_backup(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let Some(campaign) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+        let Some(campaign) =
+            self.campaign.as_mut().filter(|campaign| campaign.phase == CampaignPhase::SyncBackups)
+        else {
             return;
         };
         if campaign.candidates.is_empty() {
@@ -203,7 +209,7 @@
             writes: puts,
         };
         self.send_request(
-            PendingCall::SyncBackup { to: to.clone(), epoch, snapshot },
+            PendingCall::SyncBackup { to: to.clone(), term: epoch, snapshot },
             to,
             Request::ReplicaWrite(copy),
             out,
@@ -213,7 +219,9 @@
     /// Once the own disk and enough backups are at the term of the campaign, its record is proposed.
     pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
         let span = self.spans.lease;
-        let Some(campaign) = self.campaign.as_mut().filter(|b| b.phase == CampaignPhase::SyncBackups) else {
+        let Some(campaign) =
+            self.campaign.as_mut().filter(|campaign| campaign.phase == CampaignPhase::SyncBackups)
+        else {
             return;
         };
         if !campaign.own_disk_synced || campaign.synced.len() < self.spans.max_failures {
@@ -235,7 +243,7 @@
         (campaign.phase, campaign.deadline) =
             (CampaignPhase::Accept(record.clone()), now + self.spans.rpc_timeout);
         for id in record.voter_ids() {
-            let ask = PendingCall::Accept { to: id.clone(), epoch: record.term.clone(), asked: now };
+            let ask = PendingCall::Accept { to: id.clone(), term: record.term.clone(), sent_at: now };
             self.call_voter(now, &id, ask, VoterRequest::Accept(record.clone(), span), out);
         }
     }
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -22,7 +22,7 @@
         for id in record.voter_ids() {
             if now >= self.renewal_sent_at.get(&id).copied().unwrap_or(0) + self.spans.heartbeat_interval {
                 self.renewal_sent_at.insert(id.clone(), now);
-                let ask = PendingCall::Renew { to: id.clone(), epoch: record.term.clone(), asked: now };
+                let ask = PendingCall::Renew { to: id.clone(), term: record.term.clone(), sent_at: now };
                 self.call_voter(now, &id, ask, VoterRequest::Renew(record.clone(), self.spans.lease), out);
             }
         }
--- a/crates/control-plane/consensus/src/core/membership.rs
+++ b/crates/control-plane/consensus/src/core/membership.rs
@@ -4,7 +4,7 @@
 
 impl Core {
     /// Who may be a backup, best first: whose disk takes writes and who stays; of another zone, which may be lost
-    /// whole; named already, as it holds all; a witness.
+    /// as a whole; a replica already, as it holds all; a voter.
     pub(super) fn backup_candidates(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
         let fit = |id: &Id| {
             self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.disk_healthy)
--- a/crates/control-plane/consensus/src/core/peers.rs
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -10,7 +10,7 @@
         best.map(|p| &p.status.id)
     }
 
-    /// In touch: a quorum of witnesses has answered calls of this centre that were sent within the span of a lease.
+    /// Whether a quorum of voters has answered calls that this node sent within a lease (check quorum, Raft 6.2).
     pub fn has_quorum_contact(&self, now: Ms) -> bool {
         let near = |w: &Voter| {
             if w.id == self.id {
@@ -55,25 +55,25 @@
     pub fn handle_peer_status(
         &mut self,
         now: Ms,
-        told: &PeerStatus,
+        status: &PeerStatus,
         asked: Option<Ms>,
         out: &mut Vec<Output>,
     ) {
-        if told.id == self.id {
+        if status.id == self.id {
             return;
         }
-        let peer = self.peers.entry(told.id.clone()).or_default();
+        let peer = self.peers.entry(status.id.clone()).or_default();
         peer.last_heard = now;
         peer.last_contact = peer.last_contact.max(asked.unwrap_or(0));
-        peer.status = told.clone();
-        if told.holds_lease {
+        peer.status = status.clone();
+        if status.holds_lease {
             self.leader_seen_at = now;
         }
-        self.add_members(now, std::iter::once(&told.id).chain(&told.members), out);
-        self.observe_record(now, &told.record, out);
+        self.add_members(now, std::iter::once(&status.id).chain(&status.members), out);
+        self.observe_record(now, &status.record, out);
     }
 
-    /// Members that this centre had not heard of. They are kept, so that a restart finds somebody.
+    /// Adds members that are new. They are stored, so that a restart finds somebody.
     pub fn add_members<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
         let before = self.members.len();
         self.members.extend(ids.cloned());
@@ -84,8 +84,8 @@
         }
     }
 
-    /// Whom heartbeats go to: the group, who holds the state, the few that the ring names of those that are there, and
-    /// in turn one of those that are not.
+    /// Whom heartbeats go to: the voters, the replicas, `few` successors on the ring of live members, and in turn `few`
+    /// of the others.
     pub fn heartbeat_targets(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
         let (near, far): (Vec<Id>, Vec<Id>) = self
             .members
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -6,7 +6,7 @@
     /// Writes a batch; `write` says what its result leads to.
     pub(super) fn persist(&mut self, now: Ms, write: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
         let token = self.next_operation_id();
-        self.pending_writes.push_back(PendingWrite { token, since: now, job: write });
+        self.pending_writes.push_back(PendingWrite { token, since: now, write });
         let WriteBatch { state, replace, metadata } = batch;
         out.push(Output::Persist { token, state, replace, metadata });
     }
@@ -16,7 +16,7 @@
         let Some(index) = self.pending_writes.iter().position(|pending| pending.token == token) else {
             return;
         };
-        let Some(PendingWrite { job: write, .. }) = self.pending_writes.remove(index) else { return };
+        let Some(PendingWrite { write, .. }) = self.pending_writes.remove(index) else { return };
         if ok && !self.last_write_succeeded {
             out.push(Output::Log("The disk takes writes again.".into()));
         }
@@ -25,15 +25,19 @@
         }
         self.last_write_succeeded = ok;
         match write {
-            DiskWrite::VoterState { to, held, say } => {
+            DiskWrite::VoterState { to, voter_state: held, response: say } => {
                 self.handle_voter_state_written(now, ok, to, *held, *say, out);
             }
-            DiskWrite::CampaignTerm { ballot } => self.handle_campaign_term_written(now, ok, &ballot, out),
-            DiskWrite::ReplicaWrite { caller, epoch, seq, snapshot } => {
+            DiskWrite::CampaignTerm { term: ballot } => {
+                self.handle_campaign_term_written(now, ok, &ballot, out)
+            }
+            DiskWrite::ReplicaWrite { request_id: caller, term: epoch, sequence: seq, snapshot } => {
                 self.handle_replica_write_written(ok, caller, &epoch, seq, snapshot, out);
             }
-            DiskWrite::Append { epoch, seq } => self.handle_append_written(now, ok, &epoch, seq, out),
-            DiskWrite::RewriteState { epoch, seq } => {
+            DiskWrite::Append { term: epoch, sequence: seq } => {
+                self.handle_append_written(now, ok, &epoch, seq, out)
+            }
+            DiskWrite::RewriteState { term: epoch, sequence: seq } => {
                 if ok && self.last_durable_term == epoch && self.last_sequence == seq {
                     self.needs_snapshot = false;
                 }
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -37,9 +37,9 @@
             self.term_metadata()
         };
         let pending = DiskWrite::ReplicaWrite {
-            caller: request_id,
-            epoch: write.term,
-            seq: write.sequence,
+            request_id,
+            term: write.term,
+            sequence: write.sequence,
             snapshot: is_snapshot,
         };
         let batch = WriteBatch { state: write.writes, replace: is_snapshot, metadata };
@@ -128,7 +128,7 @@
         let own = vec![(SEQ.into(), json(&seq))];
         self.persist(
             now,
-            DiskWrite::Append { epoch: record.term.clone(), seq },
+            DiskWrite::Append { term: record.term.clone(), sequence: seq },
             WriteBatch { state: puts.clone(), replace: false, metadata: own },
             out,
         );
@@ -154,7 +154,7 @@
             kind: ReplicaWriteKind::Append,
             writes,
         };
-        let pending = PendingCall::Append { to: to.clone(), epoch: term, seq: sequence, again: is_retry };
+        let pending = PendingCall::Append { to: to.clone(), term: term, sequence, is_retry: is_retry };
         self.send_request(pending, to, Request::ReplicaWrite(append), out);
     }
 
--- a/crates/control-plane/consensus/src/core/tracker.rs
+++ b/crates/control-plane/consensus/src/core/tracker.rs
@@ -10,11 +10,11 @@
 /// A call to another node that has no response yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum PendingCall {
-    Prepare { to: Id, ballot: Term },
-    Accept { to: Id, epoch: Term, asked: Ms },
-    Renew { to: Id, epoch: Term, asked: Ms },
-    SyncBackup { to: Id, epoch: Term, snapshot: bool },
-    Append { to: Id, epoch: Term, seq: u64, again: bool },
+    Prepare { to: Id, term: Term },
+    Accept { to: Id, term: Term, sent_at: Ms },
+    Renew { to: Id, term: Term, sent_at: Ms },
+    SyncBackup { to: Id, term: Term, snapshot: bool },
+    Append { to: Id, term: Term, sequence: u64, is_retry: bool },
     Release,
 }
 
@@ -24,27 +24,27 @@
     /// A new state of the voter; `to`: the request to answer then, or the call of this node to itself.
     VoterState {
         to: Result<RequestId, PendingCall>,
-        held: Box<VoterState>,
-        say: Box<VoterResponse>,
+        voter_state: Box<VoterState>,
+        response: Box<VoterResponse>,
     },
     /// The term of a campaign, before its record is proposed.
     CampaignTerm {
-        ballot: Term,
+        term: Term,
     },
     ReplicaWrite {
-        caller: RequestId,
-        epoch: Term,
-        seq: u64,
+        request_id: RequestId,
+        term: Term,
+        sequence: u64,
         snapshot: bool,
     },
     Append {
-        epoch: Term,
-        seq: u64,
+        term: Term,
+        sequence: u64,
     },
     /// All of the state anew, after a write that failed.
     RewriteState {
-        epoch: Term,
-        seq: u64,
+        term: Term,
+        sequence: u64,
     },
     Metadata,
 }
@@ -53,7 +53,7 @@
 pub(super) struct PendingWrite {
     pub(super) token: OperationId,
     pub(super) since: Ms,
-    pub(super) job: DiskWrite,
+    pub(super) write: DiskWrite,
 }
 
 /// One atomic write to the disk.
@@ -86,15 +86,15 @@
     pub(super) outgoing_voters: Vec<Voter>,
 }
 
-/// Standing for an epoch.
+/// A campaign for a term (Raft 5.2).
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Campaign {
     pub(super) term: Term,
-    /// The newest record among the answers.
+    /// The newest record among the responses.
     pub(super) base_record: LeadershipRecord,
-    /// The group to write, where the acting primary changes it.
+    /// The voters to propose, where the leader changes them.
     pub(super) membership_change: Option<MembershipChange>,
-    /// The epoch in which it acts, if it does.
+    /// The term in which the candidate leads already, if it does.
     pub(super) leading_term: Option<Term>,
     pub(super) phase: CampaignPhase,
     pub(super) deadline: Ms,
@@ -102,7 +102,7 @@
     pub(super) prepared_by: BTreeSet<Voter>,
     pub(super) rejected_by: BTreeSet<Id>,
     pub(super) own_disk_synced: bool,
-    /// What this disk held before, by which a backup may join without a snapshot.
+    /// Term and sequence number of this disk before the campaign: a backup that holds the same needs no snapshot.
     pub(super) previous_position: Option<(Term, u64)>,
     pub(super) candidates: Vec<Id>,
     pub(super) syncing: BTreeSet<Id>,
--- a/crates/control-plane/consensus/src/core/voter.rs
+++ b/crates/control-plane/consensus/src/core/voter.rs
@@ -40,7 +40,7 @@
                 let own = vec![("witness".to_string(), json(&held))];
                 return self.persist(
                     now,
-                    DiskWrite::VoterState { to, held: Box::new(held), say: Box::new(say) },
+                    DiskWrite::VoterState { to, voter_state: Box::new(held), response: Box::new(say) },
                     WriteBatch::metadata(own),
                     out,
                 );
