--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -50,20 +50,20 @@
             self.highest_term_number = self.highest_term_number.max(rejection.promised.number);
         }
         match pending {
-            PendingCall::Prepare { to, term: ballot } => {
-                self.handle_prepare_result(now, to, &ballot, voter_response.unwrap_or_default(), out);
+            PendingCall::Prepare { to, term } => {
+                self.handle_prepare_result(now, to, &term, voter_response.unwrap_or_default(), out);
             }
-            PendingCall::Accept { to, term: epoch, sent_at: asked } => {
-                self.handle_accept_result(now, to, &epoch, asked, voter_response, out);
+            PendingCall::Accept { to, term, sent_at } => {
+                self.handle_accept_result(now, to, &term, sent_at, voter_response, out);
             }
-            PendingCall::Renew { to, term: epoch, sent_at: asked } => {
-                self.handle_renew_result(now, to, &epoch, asked, voter_response);
+            PendingCall::Renew { to, term, sent_at } => {
+                self.handle_renew_result(now, to, &term, sent_at, voter_response);
             }
-            PendingCall::SyncBackup { to, term: epoch, snapshot } => {
-                self.handle_sync_result(now, to, &epoch, snapshot, replica_response, out);
+            PendingCall::SyncBackup { to, term, snapshot } => {
+                self.handle_sync_result(now, to, &term, snapshot, replica_response, out);
             }
-            PendingCall::Append { to, term: epoch, sequence: seq, is_retry: again } => {
-                self.handle_append_result(now, to, epoch, seq, again, replica_response, out);
+            PendingCall::Append { to, term, sequence, is_retry } => {
+                self.handle_append_result(now, to, term, sequence, is_retry, replica_response, out);
             }
             PendingCall::Release => {}
         }
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -25,20 +25,16 @@
         }
         self.last_write_succeeded = ok;
         match write {
-            DiskWrite::VoterState { to, voter_state: held, response: say } => {
-                self.handle_voter_state_written(now, ok, to, *held, *say, out);
+            DiskWrite::VoterState { to, voter_state, response } => {
+                self.handle_voter_state_written(now, ok, to, *voter_state, *response, out);
             }
-            DiskWrite::CampaignTerm { term: ballot } => {
-                self.handle_campaign_term_written(now, ok, &ballot, out)
+            DiskWrite::CampaignTerm { term } => self.handle_campaign_term_written(now, ok, &term, out),
+            DiskWrite::ReplicaWrite { request_id, term, sequence, snapshot } => {
+                self.handle_replica_write_written(ok, request_id, &term, sequence, snapshot, out);
             }
-            DiskWrite::ReplicaWrite { request_id: caller, term: epoch, sequence: seq, snapshot } => {
-                self.handle_replica_write_written(ok, caller, &epoch, seq, snapshot, out);
-            }
-            DiskWrite::Append { term: epoch, sequence: seq } => {
-                self.handle_append_written(now, ok, &epoch, seq, out)
-            }
-            DiskWrite::RewriteState { term: epoch, sequence: seq } => {
-                if ok && self.last_durable_term == epoch && self.last_sequence == seq {
+            DiskWrite::Append { term, sequence } => self.handle_append_written(now, ok, &term, sequence, out),
+            DiskWrite::RewriteState { term, sequence } => {
+                if ok && self.last_durable_term == term && self.last_sequence == sequence {
                     self.needs_snapshot = false;
                 }
             }
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -154,7 +154,7 @@
             kind: ReplicaWriteKind::Append,
             writes,
         };
-        let pending = PendingCall::Append { to: to.clone(), term: term, sequence, is_retry: is_retry };
+        let pending = PendingCall::Append { to: to.clone(), term, sequence, is_retry };
         self.send_request(pending, to, Request::ReplicaWrite(append), out);
     }
 
