--- a/crates/control-plane/consensus/tests/wire_format.rs
+++ b/crates/control-plane/consensus/tests/wire_format.rs
@@ -96,11 +96,11 @@
     };
     let puts = || vec![put("config", r#"{"revision":3}"#), put("order/1", "")];
     assert_text(
-        copy(ReplicaWriteKind::Snapshot { sum: 4503599627370495 }, puts()),
+        copy(ReplicaWriteKind::Snapshot { checksum: 4503599627370495 }, puts()),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Snapshot":{"sum":4503599627370495}},"puts":[["config","{\"revision\":3}"],["order/1",""]]}}"#,
     );
     assert_text(
-        copy(ReplicaWriteKind::Probe { epoch: Term::new(6, "b:1"), seq: 3 }, vec![]),
+        copy(ReplicaWriteKind::Probe { term: Term::new(6, "b:1"), sequence: 3 }, vec![]),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Join":{"epoch":{"n":6,"by":"b:1"},"seq":3}},"puts":[]}}"#,
     );
     assert_text(
@@ -210,11 +210,11 @@
     let own: BTreeMap<String, String> = own.iter().map(|(name, value)| put(name, value)).collect();
     let peers = ["a:1", "b:1", "c:1"].map(String::from).into();
     let start = InitialState {
-        me: me.into(),
+        id: me.into(),
         timeouts: SPANS,
         peers,
         bootstrap: first,
-        own,
+        metadata: own,
         new_incarnation: 77,
         ..InitialState::default()
     };
@@ -252,11 +252,11 @@
         while let Some(one) = todo.pop_front() {
             let mut next = Vec::new();
             match one {
-                Output::Persist { token, state, replace: whole, metadata: own } => {
+                Output::Persist { operation_id: token, state, replace: whole, metadata: own } => {
                     puts(&mut self.lines, NAMES[at], (state, whole, own));
                     self.cores[at].handle_write_result(self.now, token, true, &mut next);
                 }
-                Output::Send { operation_id: token, to, call, .. } => {
+                Output::Send { operation_id: token, to, request: call, .. } => {
                     let other = self.cores.iter().position(|core| core.id == to).unwrap();
                     let text = serde_json::to_string(&call).unwrap();
                     self.lines.push(format!("{} to {} {text}", NAMES[at], NAMES[other]));
@@ -285,7 +285,7 @@
         for n in 0..3 {
             let mut out = Vec::new();
             for other in (0..3).filter(|other| *other != n) {
-                let told = self.cores[other].told(self.now);
+                let told = self.cores[other].status(self.now);
                 self.cores[n].handle_peer_status(self.now, &told, Some(self.now), &mut out);
             }
             self.carry(n, out);
@@ -310,6 +310,7 @@
 const SECOND: &str = r#"{"epoch":{"n":2,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"a:1","life":0},{"id":"b:1","life":0},{"id":"c:1","life":0}]}"#;
 
 #[test]
+#[expect(clippy::too_many_lines, reason = "one recorded exchange from its start to its end")]
 fn what_three_members_write_and_send_from_their_first_start_to_a_snapshot_keeps_its_bytes() {
     let mut three = Three::start();
     three.assert_lines(&[
@@ -388,7 +389,7 @@
 
 fn first_write(out: &[Output]) -> (u64, Vec<KeyValue>) {
     let writes = out.iter().find_map(|one| match one {
-        Output::Persist { token, metadata: own, .. } => Some((*token, own.clone())),
+        Output::Persist { operation_id: token, metadata: own, .. } => Some((*token, own.clone())),
         _ => None,
     });
     writes.expect("something is written")
@@ -437,7 +438,7 @@
         members,
         ..PeerStatus::default()
     };
-    assert_eq!(core.told(1), PeerStatus { record: record(), ..told });
+    assert_eq!(core.status(1), PeerStatus { record: record(), ..told });
     // The number of its last change, too: only the next one, or the same again, is taken.
     for (seq, writes) in [(6, false), (5, true)] {
         let copy =
--- a/crates/control-plane/server/src/assignments.rs
+++ b/crates/control-plane/server/src/assignments.rs
@@ -6,7 +6,7 @@
 use crate::timeouts::Timeouts;
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::RequestCounts;
-use coppersail_shard_leases::{pieces_for, slices_for, Candidate, LeaseTable, OwnerChange};
+use coppersail_shard_leases::{initial_range_count, slice_count_for, Candidate, LeaseTable, OwnerChange};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// The bits of a row's number below the term.
@@ -85,7 +85,7 @@
             return self.assign_initially(now, service, candidates, timeouts);
         }
         // At most half of what an endpoint has at first is transferred at a time.
-        let max_transfers = pieces_for(candidates.len()) as usize / candidates.len().max(1) / 2 + 1;
+        let max_transfers = initial_range_count(candidates.len()) as usize / candidates.len().max(1) / 2 + 1;
         let endpoints_known = now >= self.endpoints_known_at;
         self.leases.plan(now, service, candidates, max_transfers, endpoints_known);
         let writes = self.leases.expire(now, service);
@@ -104,7 +104,13 @@
         if !gate.update(now, count, timeouts.heartbeat_interval, timeouts.lease_duration) {
             return None;
         }
-        Some(self.leases.assign_initially(now, service, slices_for(count), pieces_for(count), candidates))
+        Some(self.leases.assign_initially(
+            now,
+            service,
+            slice_count_for(count),
+            initial_range_count(count),
+            candidates,
+        ))
     }
 
     /// Request counts of edges: the leader balances by them, other members keep them for it.
--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -13,7 +13,7 @@
     match store::read_copy(folder) {
         Ok(recovered) => {
             report_lines(&recovered).iter().for_each(|line| println!("{line}"));
-            if recovered.kept == FolderCondition::Whole {
+            if recovered.condition == FolderCondition::Intact {
                 return Ok(ExitCode::SUCCESS);
             }
         }
@@ -24,14 +24,14 @@
 }
 
 fn report_lines(recovered: &RecoveredState) -> Vec<String> {
-    let condition = match recovered.kept {
+    let condition = match recovered.condition {
         FolderCondition::Fresh => "fresh, nothing was ever written",
-        FolderCondition::Whole => "whole",
+        FolderCondition::Intact => "whole",
         FolderCondition::Lost => "lost, nothing of its batches is left",
     };
     let bytes: usize = recovered.state.iter().map(|(key, value)| key.len() + value.len()).sum();
-    let mut lines = vec![format!("kept: {condition}"), format!("batches: {}", recovered.number)];
-    lines.extend(recovered.own.iter().map(|(key, value)| format!("own {key}: {value}")));
+    let mut lines = vec![format!("kept: {condition}"), format!("batches: {}", recovered.batch_number)];
+    lines.extend(recovered.metadata.iter().map(|(key, value)| format!("own {key}: {value}")));
     lines.push(format!("state: {} entries, {bytes} bytes", recovered.state.len()));
     lines.push(format!("configuration: revision {}", config_revision(recovered)));
     lines
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -33,13 +33,13 @@
         let timeouts = Timeouts::new(&settings);
         let mut outputs = Vec::new();
         let initial_state = InitialState {
-            me: settings.admin.clone().unwrap_or_default(),
-            area: settings.area.clone(),
+            id: settings.admin.clone().unwrap_or_default(),
+            zone: settings.area.clone(),
             timeouts: timeouts.core,
             peers: settings.known_peers.clone(),
-            bootstrap: settings.initial_boot && recovered.kept == FolderCondition::Fresh,
+            bootstrap: settings.initial_boot && recovered.condition == FolderCondition::Fresh,
             state: recovered.state,
-            own: recovered.own,
+            metadata: recovered.metadata,
             new_incarnation,
         };
         let core = Core::start(now, initial_state, &mut outputs);
@@ -221,7 +221,7 @@
 
     fn apply_output(&mut self, now: Ms, output: Output, effects: &mut Vec<Effect>) {
         match output {
-            Output::Send { operation_id, to, call, timeout } => effects.push(Effect::SendToPeer {
+            Output::Send { operation_id, to, request: call, timeout } => effects.push(Effect::SendToPeer {
                 token: operation_id,
                 peer: to,
                 call: PeerRequest::Consensus(call),
@@ -231,8 +231,8 @@
                 caller: request_id,
                 response: PeerResponse::Consensus(response),
             }),
-            Output::Persist { token, state, replace, metadata } => {
-                let write = WriteBatch { state, whole: replace, own: metadata };
+            Output::Persist { operation_id: token, state, replace, metadata } => {
+                let write = WriteBatch { state, whole: replace, metadata: metadata };
                 effects.push(Effect::Persist { token, write });
             }
             Output::Log(line) => effects.push(Effect::Log(line)),
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -58,7 +58,7 @@
 
     pub(crate) fn change_timeouts(&mut self, timeouts: Timeouts) {
         self.timeouts = timeouts.keeping_leases_of(&self.timeouts);
-        self.core.spans = self.timeouts.core;
+        self.core.timeouts = self.timeouts.core;
     }
 
     pub(crate) fn holds_leader_lease(&self, now: Ms) -> bool {
@@ -86,7 +86,7 @@
 
     /// The status that goes to a peer with each heartbeat.
     pub(crate) fn status_for(&self, now: Ms, peer: &str) -> MemberStatus {
-        self.members.status_for(peer, self.core.told(now), self.followers.live_edges(now))
+        self.members.status_for(peer, self.core.status(now), self.followers.live_edges(now))
     }
 
     /// Takes the status of another member. `requested_at`: when the poll was sent that it answers, if it is an answer.
--- a/crates/control-plane/server/src/store/contents.rs
+++ b/crates/control-plane/server/src/store/contents.rs
@@ -12,7 +12,7 @@
     /// `state` replaces everything that is stored of the state, as a snapshot does.
     pub whole: bool,
     /// Entries that the node keeps about itself: its register as a voter, its terms, its sequence number.
-    pub own: Vec<KeyValue>,
+    pub metadata: Vec<KeyValue>,
 }
 
 /// How the folder was found when it was opened.
@@ -22,7 +22,7 @@
     #[default]
     Fresh,
     /// Every acknowledged batch is here.
-    Whole,
+    Intact,
     /// It was corrupt or stale and has been emptied, now or earlier, and was not written since. Nothing of it is left.
     Lost,
 }
@@ -33,9 +33,9 @@
     /// The replicated state.
     pub state: BTreeMap<String, String>,
     /// What the node keeps about itself.
-    pub own: BTreeMap<String, String>,
+    pub metadata: BTreeMap<String, String>,
     /// How the folder was found.
-    pub kept: FolderCondition,
+    pub condition: FolderCondition,
     /// The number of the last batch; 0 before the first.
-    pub number: u64,
+    pub batch_number: u64,
 }
--- a/crates/control-plane/server/src/store/database.rs
+++ b/crates/control-plane/server/src/store/database.rs
@@ -88,7 +88,7 @@
         if changes.whole {
             self.remove_other_state(&mut batch, &changes.state)?;
         }
-        for (keyspace, entries) in [(&self.state, &changes.state), (&self.own, &changes.own)] {
+        for (keyspace, entries) in [(&self.state, &changes.state), (&self.own, &changes.metadata)] {
             for (key, value) in entries {
                 batch.insert(keyspace, key.as_bytes(), value.as_bytes());
             }
@@ -141,9 +141,9 @@
     fn read(&mut self) -> Result<RecoveredState, StoreError> {
         Ok(RecoveredState {
             state: entries(&self.keyspaces.state)?,
-            own: entries(&self.keyspaces.own)?,
-            kept: self.condition,
-            number: self.batch_number,
+            metadata: entries(&self.keyspaces.own)?,
+            condition: self.condition,
+            batch_number: self.batch_number,
         })
     }
 
@@ -157,7 +157,8 @@
         // The journal is synced already. A second sync, for the generation, is worth its cost for promises and terms,
         // which are rare and must never be forgotten (Raft 5.2: one vote a term), and for the first batch of all.
         // Changes of the state carry a sequence number of their own: their generation is written without a sync.
-        let changes_more_than_sequence = batch.own.iter().any(|(key, _)| key != coppersail_consensus::SEQ);
+        let changes_more_than_sequence =
+            batch.metadata.iter().any(|(key, _)| key != coppersail_consensus::SEQ);
         let synced = self.generation == 0 || changes_more_than_sequence;
         self.generation_file.write(number, synced)?;
         self.generation = number;
--- a/crates/control-plane/server/src/store/recovery.rs
+++ b/crates/control-plane/server/src/store/recovery.rs
@@ -41,7 +41,7 @@
             generation_file: GenerationFile::open(&self.path)?,
             generation,
             batch_number: batch_number.max(generation),
-            condition: if adopt { FolderCondition::Whole } else { condition(batch_number, generation) },
+            condition: if adopt { FolderCondition::Intact } else { condition(batch_number, generation) },
             directories: DirectorySync::new(&self.path)?,
         };
         database.directories.sync_changed()?;
@@ -87,7 +87,7 @@
     match (batch_number, generation) {
         (0, 0) => FolderCondition::Fresh,
         (0, _) => FolderCondition::Lost,
-        _ => FolderCondition::Whole,
+        _ => FolderCondition::Intact,
     }
 }
 
@@ -100,7 +100,7 @@
     loop {
         match open_and_read(folder) {
             Ok((disk, recovered)) => {
-                if recovered.kept == FolderCondition::Lost && !retries.cleared {
+                if recovered.condition == FolderCondition::Lost && !retries.cleared {
                     (retries.log_warning)("The folder had been written, and nothing of that is left.");
                 }
                 return (disk, recovered);
--- a/crates/control-plane/server/src/store/writer.rs
+++ b/crates/control-plane/server/src/store/writer.rs
@@ -42,7 +42,7 @@
     ) -> io::Result<(DiskWriter, RecoveredState)> {
         let (disk, recovered) = open_with_retries(&mut folder, log_warning);
         let (sender, receiver) = channel();
-        let has_data = recovered.kept == FolderCondition::Whole;
+        let has_data = recovered.condition == FolderCondition::Intact;
         let worker = Worker { folder, disk: Some(disk), has_data };
         let thread =
             std::thread::Builder::new().name("disk-writer".into()).spawn(move || worker.run(&receiver))?;
@@ -101,7 +101,7 @@
     /// was there, and would write on where the rest of it is gone.
     fn reopen(&mut self) -> Option<Box<dyn Disk>> {
         let disk = self.folder.open().ok()?;
-        let is_usable = !self.has_data || disk.condition() == FolderCondition::Whole;
+        let is_usable = !self.has_data || disk.condition() == FolderCondition::Intact;
         is_usable.then_some(disk)
     }
 }
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -35,8 +35,9 @@
     core.wait_until_ready();
     core.kill(0);
     let found = coppersail_control_plane::store::read_copy(&core.data(0)).unwrap();
-    let voter: coppersail_consensus::VoterState = serde_json::from_str(&found.own["witness"]).unwrap();
-    let last_durable_term: coppersail_consensus::Term = serde_json::from_str(&found.own["floor"]).unwrap();
+    let voter: coppersail_consensus::VoterState = serde_json::from_str(&found.metadata["witness"]).unwrap();
+    let last_durable_term: coppersail_consensus::Term =
+        serde_json::from_str(&found.metadata["floor"]).unwrap();
     let nothing = (
         coppersail_consensus::Term::default(),
         coppersail_consensus::Term::default(),
--- a/crates/control-plane/server/tests/common/batches.rs
+++ b/crates/control-plane/server/tests/common/batches.rs
@@ -14,7 +14,7 @@
 
 /// A batch with one entry that the node keeps about itself.
 pub(crate) fn own(name: &str, value: impl ToString) -> WriteBatch {
-    WriteBatch { own: vec![put(name, value)], ..WriteBatch::default() }
+    WriteBatch { metadata: vec![put(name, value)], ..WriteBatch::default() }
 }
 
 /// Writes a batch and waits; whether it is durable.
--- a/crates/control-plane/server/tests/disk_writer.rs
+++ b/crates/control-plane/server/tests/disk_writer.rs
@@ -66,11 +66,11 @@
 
 impl Disk for FakeDisk {
     fn condition(&self) -> FolderCondition {
-        self.script().conditions.pop().unwrap_or(FolderCondition::Whole)
+        self.script().conditions.pop().unwrap_or(FolderCondition::Intact)
     }
 
     fn read(&mut self) -> Result<RecoveredState, StoreError> {
-        Ok(RecoveredState { number: 9, ..RecoveredState::default() })
+        Ok(RecoveredState { batch_number: 9, ..RecoveredState::default() })
     }
 
     fn write(&mut self, batch: &WriteBatch) -> Result<(), StoreError> {
@@ -103,7 +103,7 @@
     let disk = FakeDisk::default();
     disk.script().open_results = (0..120).map(|_| full()).collect();
     let (writer, found, lines) = start(&disk);
-    assert_eq!((found.number, disk.take_calls().len()), (9, 121), "opened once it is available");
+    assert_eq!((found.batch_number, disk.take_calls().len()), (9, 121), "opened once it is available");
     assert_eq!(lines, vec!["The folder can't be opened: no space."; 3], "one for fifty attempts");
     assert!(write(&writer, state(vec![put("a", 1)])));
 }
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -71,7 +71,7 @@
 
 fn condition_and_lines(folder: &Path) -> (FolderCondition, usize) {
     let (_, found, lines) = open(folder);
-    (found.kept, lines.len())
+    (found.condition, lines.len())
 }
 
 /// Writes `changes` of about 100 KB: 45 fill a table of fjall's, 660 a journal.
@@ -86,15 +86,18 @@
 fn populated_folder(name: &str, changes: u32) -> (TempFolder, RecoveredState) {
     let temp = TempFolder::new(name);
     let (writer, found, lines) = open(&temp.0);
-    assert_eq!((found.kept, lines.len()), (FolderCondition::Fresh, 0));
+    assert_eq!((found.condition, lines.len()), (FolderCondition::Fresh, 0));
     assert!(write(&writer, own("seat", "a")));
     fill(&writer, 0..changes);
     assert!(write(&writer, own("floor", 7)));
     assert!(write(&writer, state(vec![put("last", "one")])));
     drop(writer);
     let (_, found, lines) = open(&temp.0);
-    assert_eq!((found.kept, found.number, lines.len()), (FolderCondition::Whole, changes as u64 + 3, 0));
-    assert_eq!((found.state.len(), found.own.len()), (changes as usize + 2, 2));
+    assert_eq!(
+        (found.condition, found.batch_number, lines.len()),
+        (FolderCondition::Intact, changes as u64 + 3, 0)
+    );
+    assert_eq!((found.state.len(), found.metadata.len()), (changes as usize + 2, 2));
     (temp, found)
 }
 
@@ -128,14 +131,14 @@
             }
         }
         let (_, found, lines) = open(&copy.0);
-        match found.kept {
-            FolderCondition::Whole => assert_eq!(found, intact, "{name:?} {cut:?}"),
+        match found.condition {
+            FolderCondition::Intact => assert_eq!(found, intact, "{name:?} {cut:?}"),
             FolderCondition::Lost => {
-                assert!(found.state.is_empty() && found.own.is_empty() && lines.len() == 1)
+                assert!(found.state.is_empty() && found.metadata.is_empty() && lines.len() == 1)
             }
             FolderCondition::Fresh => panic!("{name:?} {cut:?} was taken for a first start"),
         }
-        lost.fetch_add((found.kept == FolderCondition::Lost) as usize, Ordering::Relaxed);
+        lost.fetch_add((found.condition == FolderCondition::Lost) as usize, Ordering::Relaxed);
     };
     // Most of the time is spent waiting for syncs.
     std::thread::scope(|scope| {
@@ -161,28 +164,28 @@
     drop(writer);
     fs::copy(temp.0.join(generation::FILE_NAME), older.0.join(generation::FILE_NAME)).unwrap();
     let (writer, found, lines) = open(&older.0);
-    assert_eq!((found.kept, found.state.len(), found.own.len()), (FolderCondition::Lost, 0, 0));
+    assert_eq!((found.condition, found.state.len(), found.metadata.len()), (FolderCondition::Lost, 0, 0));
     assert!(lines.len() == 1 && lines[0].contains("emptied"), "{lines:?}");
     drop(writer);
     assert_eq!(condition_and_lines(&older.0), (FolderCondition::Lost, 1), "not fresh after it was emptied");
     let (writer, ..) = open(&older.0);
     assert!(write(&writer, own("seat", "a")));
     drop(writer);
-    assert_eq!(condition_and_lines(&older.0), (FolderCondition::Whole, 0));
+    assert_eq!(condition_and_lines(&older.0), (FolderCondition::Intact, 0));
 }
 
 #[test]
 fn a_corrupt_generation_slot_falls_back_to_the_other_slots() {
     let (temp, intact) = populated_folder("slots", 3);
     let text = fs::read(temp.0.join(generation::FILE_NAME)).unwrap();
-    assert_eq!(generation::read(&temp.0).unwrap(), generation::Generation::Number(intact.number));
+    assert_eq!(generation::read(&temp.0).unwrap(), generation::Generation::Number(intact.batch_number));
     for slot in 0..4 {
         let copy = temp.copy("slots-copy");
         let mut corrupt = text.clone();
         corrupt[slot * 4096 + 3] ^= 1;
         fs::write(copy.0.join(generation::FILE_NAME), &corrupt).unwrap();
         assert!(
-            matches!(generation::read(&copy.0).unwrap(), generation::Generation::Number(n) if n >= intact.number - 1)
+            matches!(generation::read(&copy.0).unwrap(), generation::Generation::Number(n) if n >= intact.batch_number - 1)
         );
         assert_eq!(open(&copy.0).1, intact);
     }
@@ -191,12 +194,12 @@
         assert!(write(&open(&temp.0).0, own("floor", floor)));
     }
     let text = fs::read(temp.0.join(generation::FILE_NAME)).unwrap();
-    let last = (intact.number + 2).to_le_bytes();
+    let last = (intact.batch_number + 2).to_le_bytes();
     let slot = (0..4).find(|slot| text[slot * 4096..].starts_with(&last)).unwrap();
     let mut corrupt = text.clone();
     corrupt[slot * 4096] ^= 1;
     fs::write(temp.0.join(generation::FILE_NAME), &corrupt).unwrap();
-    assert_eq!(generation::read(&temp.0).unwrap(), generation::Generation::Number(intact.number + 1));
+    assert_eq!(generation::read(&temp.0).unwrap(), generation::Generation::Number(intact.batch_number + 1));
     let corrupt: Vec<u8> = text.iter().map(|b| b ^ 1).collect();
     fs::write(temp.0.join(generation::FILE_NAME), corrupt).unwrap();
     assert_eq!(generation::read(&temp.0).unwrap(), generation::Generation::Corrupt);
@@ -224,7 +227,7 @@
     assert!(write(&writer, own("floor", 7)));
     drop(writer);
     let intact = open(&temp.0).1;
-    assert_eq!((intact.kept, intact.state.len()), (FolderCondition::Whole, 801));
+    assert_eq!((intact.condition, intact.state.len()), (FolderCondition::Intact, 801));
     let now = files_below(&temp.0).len();
     for path in files_below(&older.0).into_iter().filter(|p| !p.is_dir()) {
         let to = temp.0.join(path.strip_prefix(&older.0).unwrap());
@@ -243,10 +246,13 @@
     let generation_before = fs::read(temp.0.join(generation::FILE_NAME)).unwrap();
     let (writer, ..) = open(&temp.0);
     let entries: Vec<KeyValue> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
-    assert!(write(&writer, WriteBatch { state: entries, whole: true, own: vec![put("floor", 8)] }));
+    assert!(write(&writer, WriteBatch { state: entries, whole: true, metadata: vec![put("floor", 8)] }));
     drop(writer);
     let (_, after, _) = open(&temp.0);
-    assert_eq!((after.state.len(), after.own["floor"].as_str(), &after.own["seat"][..]), (500, "8", "a"));
+    assert_eq!(
+        (after.state.len(), after.metadata["floor"].as_str(), &after.metadata["seat"][..]),
+        (500, "8", "a")
+    );
     // The power goes before the generation says so, and the batch is torn anywhere.
     fs::write(temp.0.join(generation::FILE_NAME), generation_before).unwrap();
     let (text, to) = content_and_length(&temp.0.join("0.jnl"));
@@ -264,7 +270,7 @@
             assert!(
                 found == before || found == after,
                 "{hole:?} of {from}..{to}: {:?} {lines:?}",
-                found.kept
+                found.condition
             );
             (old, new) = (old + (found == before) as u32, new + (found == after) as u32);
         }
@@ -299,8 +305,8 @@
     for _ in 0..2 {
         let (_, found, lines) = open(&temp.0);
         assert_eq!(
-            (found.kept, &found.state["config"][..], &found.own["seat"][..]),
-            (FolderCondition::Whole, "old", "a")
+            (found.condition, &found.state["config"][..], &found.metadata["seat"][..]),
+            (FolderCondition::Intact, "old", "a")
         );
         assert!(lines.is_empty());
     }
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -133,7 +133,7 @@
         let batch = |(seq, state): &(&str, &[KeyValue])| WriteBatch {
             state: state.to_vec(),
             whole: false,
-            own: vec![put("seq", seq)],
+            metadata: vec![put("seq", seq)],
         };
         assert_eq!(std::mem::take(&mut self.writes), expected.iter().map(batch).collect::<Vec<_>>());
     }
@@ -347,19 +347,19 @@
     let (one, two, three) =
         ("0100000000000000f7df88a9", "020000000000000014d80727", "03000000000000008ad8adeb");
     let (writer, found) = open(&folder);
-    assert_eq!((found.kept, found.number), (FolderCondition::Fresh, 0));
+    assert_eq!((found.condition, found.batch_number), (FolderCondition::Fresh, 0));
     assert_eq!(mark(), [zero, none, none, none]);
     let batches = [
-        WriteBatch { state: vec![], whole: false, own: vec![put("floor", "f"), put("seq", "0")] },
+        WriteBatch { state: vec![], whole: false, metadata: vec![put("floor", "f"), put("seq", "0")] },
         WriteBatch {
             state: vec![put("config", "c"), put("order/1", "")],
             whole: false,
-            own: vec![put("seq", "1")],
+            metadata: vec![put("seq", "1")],
         },
         WriteBatch {
             state: vec![put("plan/p", "p")],
             whole: true,
-            own: vec![put("floor", "g"), put("seq", "2")],
+            metadata: vec![put("floor", "g"), put("seq", "2")],
         },
     ];
     // The first and what is a promise are written to the first two by turns, a change of the state to the others.
@@ -372,9 +372,9 @@
     }
     drop(writer);
     let (writer, found) = open(&folder);
-    assert_eq!((found.kept, found.number), (FolderCondition::Whole, 3));
+    assert_eq!((found.condition, found.batch_number), (FolderCondition::Intact, 3));
     assert_eq!(found.state, BTreeMap::from([put("plan/p", "p")]));
-    assert_eq!(found.own, BTreeMap::from([put("floor", "g"), put("seq", "2")]));
+    assert_eq!(found.metadata, BTreeMap::from([put("floor", "g"), put("seq", "2")]));
     drop(writer);
     std::fs::remove_dir_all(&folder).unwrap();
 }
--- a/crates/control-plane/shard-leases/src/lib.rs
+++ b/crates/control-plane/shard-leases/src/lib.rs
@@ -36,6 +36,6 @@
 pub use candidate::Candidate;
 pub use grant::LeaseGrant;
 pub use lease::{Ms, OwnerChange, ReleasedRange};
-pub use sizing::{pieces_for, slices_for, KEY_SPACE};
+pub use sizing::{initial_range_count, slice_count_for, KEY_SPACE};
 pub use stored::Write;
 pub use table::LeaseTable;
--- a/crates/control-plane/shard-leases/src/ranges.rs
+++ b/crates/control-plane/shard-leases/src/ranges.rs
@@ -1,7 +1,7 @@
 //! The ranges of slices that the rebalancer moves: split where neighbours differ, and where a range is busy.
 use crate::grant::grant_bytes;
 use crate::lease::SliceRange;
-use crate::sizing::pieces_for;
+use crate::sizing::initial_range_count;
 use crate::table::ServiceLeases;
 
 /// A range is split when it alone has this share of a mean endpoint's requests. A few of its size can then even out what
@@ -24,7 +24,7 @@
     /// Splits the ranges until the slices of each can move as one, and halves busy ones down to a single slice.
     pub(crate) fn split_ranges(&mut self, endpoint_count: usize) {
         if self.ranges.is_empty() {
-            self.ranges = self.equal_ranges(pieces_for(endpoint_count) as usize);
+            self.ranges = self.equal_ranges(initial_range_count(endpoint_count) as usize);
         }
         let busy_requests = self
             .significant_requests(endpoint_count)
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -37,9 +37,9 @@
         if batch.whole {
             self.state.clear();
         }
-        self.kept = FolderCondition::Whole;
+        self.kept = FolderCondition::Intact;
         self.state.extend(batch.state);
-        self.own.extend(batch.own);
+        self.own.extend(batch.metadata);
     }
 
     /// The process or the power is gone: what was under way lasts up to some point.
@@ -55,7 +55,12 @@
     }
 
     pub fn found(&self) -> RecoveredState {
-        RecoveredState { state: self.state.clone(), own: self.own.clone(), kept: self.kept, number: 0 }
+        RecoveredState {
+            state: self.state.clone(),
+            metadata: self.own.clone(),
+            condition: self.kept,
+            batch_number: 0,
+        }
     }
 
     pub fn troubled(&self, now: Us) -> bool {
