--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -15,18 +15,18 @@
         effects: &mut Vec<Effect>,
     ) {
         match request {
-            AdminRequest::Heartbeat { ident, body } => {
+            AdminRequest::Heartbeat { endpoint_id: ident, body } => {
                 self.handle_heartbeat(now, request_id, &ident, &body, replies)
             }
-            AdminRequest::SignOff { ident } => self.sign_off(now, request_id, &ident, replies),
+            AdminRequest::SignOff { endpoint_id: ident } => self.sign_off(now, request_id, &ident, replies),
             AdminRequest::ReplaceConfig { body } => {
                 self.replace_config(now, request_id, body, replies, effects)
             }
             AdminRequest::ReadConfig => replies.push(Reply::Admin(request_id, self.read_config(now))),
-            AdminRequest::Rollouts { post: false, rest, .. } => {
+            AdminRequest::Rollouts { post: false, path: rest, .. } => {
                 replies.push(Reply::Admin(request_id, self.read_rollouts(now, &rest)))
             }
-            AdminRequest::Rollouts { post: true, rest, body } => {
+            AdminRequest::Rollouts { post: true, path: rest, body } => {
                 self.change_rollout(now, request_id, &rest, &body, replies, effects)
             }
         }
--- a/crates/control-plane/server/src/messages.rs
+++ b/crates/control-plane/server/src/messages.rs
@@ -28,9 +28,9 @@
     /// A request of an edge proxy or another member.
     Peer {
         /// Names the request in [`Effect::RespondToPeer`].
-        caller: RequestId,
+        request_id: RequestId,
         /// The request.
-        call: PeerRequest,
+        request: PeerRequest,
     },
     /// The result of [`Effect::SendToPeer`].
     PeerResponded {
@@ -42,7 +42,7 @@
     /// The result of [`Effect::Persist`]; results come in the order of the writes.
     WriteFinished {
         /// The token of the effect.
-        token: OperationId,
+        operation_id: OperationId,
         /// Whether the batch is on the disk.
         ok: bool,
     },
@@ -57,14 +57,14 @@
     /// `POST /servers/ID/pulse`: a heartbeat of an endpoint.
     Heartbeat {
         /// The id of the endpoint.
-        ident: String,
+        endpoint_id: String,
         /// The body of the request.
         body: String,
     },
     /// `POST /servers/ID/sign-off`: an endpoint ends.
     SignOff {
         /// The id of the endpoint.
-        ident: String,
+        endpoint_id: String,
     },
     /// `POST /settings/replace`: an order for another configuration.
     ReplaceConfig {
@@ -78,7 +78,7 @@
         /// Whether it is a POST; else it is a GET.
         post: bool,
         /// The path after `/rollouts`.
-        rest: String,
+        path: String,
         /// The body of a POST.
         body: String,
     },
@@ -105,7 +105,7 @@
     /// Answer an [`Event::Admin`].
     RespondToAdmin {
         /// The id of the request.
-        caller: RequestId,
+        request_id: RequestId,
         /// The HTTP status.
         status: u16,
         /// JSON; with status 307 the URL to redirect to.
@@ -114,25 +114,25 @@
     /// Answer an [`Event::Peer`].
     RespondToPeer {
         /// The id of the request.
-        caller: RequestId,
+        request_id: RequestId,
         /// The response.
         response: PeerResponse,
     },
     /// Send a request to another member.
     SendToPeer {
         /// Names the operation in [`Event::PeerResponded`].
-        token: OperationId,
+        operation_id: OperationId,
         /// The member's address for endpoints and operators, "ip:port".
         peer: Id,
         /// The request.
-        call: PeerRequest,
+        request: PeerRequest,
         /// In ms.
         timeout: Ms,
     },
     /// Write a batch, synced and atomic, one after the other.
     Persist {
         /// Names the operation in [`Event::WriteFinished`].
-        token: OperationId,
+        operation_id: OperationId,
         /// The batch.
         write: WriteBatch,
     },
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -74,16 +74,16 @@
             Event::Admin { request_id, request } => {
                 self.state.handle_admin_request(now, request_id, request, &mut replies, effects)
             }
-            Event::Peer { caller, call: PeerRequest::Watch(request) } => {
+            Event::Peer { request_id: caller, request: PeerRequest::Watch(request) } => {
                 self.watch(now, caller, &request, &mut replies, &mut outputs)
             }
-            Event::Peer { caller, call: PeerRequest::Consensus(request) } => {
+            Event::Peer { request_id: caller, request: PeerRequest::Consensus(request) } => {
                 self.state.core.handle_request(now, caller, request, &mut outputs)
             }
             Event::PeerResponded { operation_id, response } => {
                 self.take_response(now, operation_id, response, &mut replies, &mut outputs, effects)
             }
-            Event::WriteFinished { token, ok } => {
+            Event::WriteFinished { operation_id: token, ok } => {
                 self.state.core.handle_write_result(now, token, ok, &mut outputs)
             }
             Event::Shutdown => self.begin_shutdown(now, &mut replies, effects),
@@ -222,18 +222,18 @@
     fn apply_output(&mut self, now: Ms, output: Output, effects: &mut Vec<Effect>) {
         match output {
             Output::Send { operation_id, to, request: call, timeout } => effects.push(Effect::SendToPeer {
-                token: operation_id,
+                operation_id: operation_id,
                 peer: to,
-                call: PeerRequest::Consensus(call),
+                request: PeerRequest::Consensus(call),
                 timeout,
             }),
             Output::Respond { request_id, response } => effects.push(Effect::RespondToPeer {
-                caller: request_id,
+                request_id: request_id,
                 response: PeerResponse::Consensus(response),
             }),
             Output::Persist { operation_id: token, state, replace, metadata } => {
                 let write = WriteBatch { state, whole: replace, metadata: metadata };
-                effects.push(Effect::Persist { token, write });
+                effects.push(Effect::Persist { operation_id: token, write });
             }
             Output::Log(line) => effects.push(Effect::Log(line)),
             Output::BecameLeader { newly_elected } => self.state.became_leader(now, newly_elected),
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -87,7 +87,7 @@
     }
 
     fn parse(&self, _method: &Method, id: &str, body: String) -> Result<ParsedRequest, RequestError> {
-        Ok(ParsedRequest::Admin(AdminRequest::Heartbeat { ident: id.into(), body }))
+        Ok(ParsedRequest::Admin(AdminRequest::Heartbeat { endpoint_id: id.into(), body }))
     }
 }
 
@@ -100,7 +100,7 @@
     }
 
     fn parse(&self, _method: &Method, id: &str, _body: String) -> Result<ParsedRequest, RequestError> {
-        Ok(ParsedRequest::Admin(AdminRequest::SignOff { ident: id.into() }))
+        Ok(ParsedRequest::Admin(AdminRequest::SignOff { endpoint_id: id.into() }))
     }
 }
 
@@ -135,7 +135,7 @@
 
     fn parse(&self, method: &Method, rest: &str, body: String) -> Result<ParsedRequest, RequestError> {
         let post = *method == Method::Post;
-        Ok(ParsedRequest::Admin(AdminRequest::Rollouts { post, rest: rest.into(), body }))
+        Ok(ParsedRequest::Admin(AdminRequest::Rollouts { post, path: rest.into(), body }))
     }
 }
 
--- a/crates/control-plane/server/src/responses.rs
+++ b/crates/control-plane/server/src/responses.rs
@@ -138,10 +138,10 @@
     fn from(reply: Reply) -> Effect {
         match reply {
             Reply::Update(caller, update) => {
-                Effect::RespondToPeer { caller, response: PeerResponse::Update(update) }
+                Effect::RespondToPeer { request_id: caller, response: PeerResponse::Update(update) }
             }
             Reply::Admin(caller, Response { status, body }) => {
-                Effect::RespondToAdmin { caller, status, body }
+                Effect::RespondToAdmin { request_id: caller, status, body }
             }
         }
     }
--- a/crates/control-plane/server/src/server.rs
+++ b/crates/control-plane/server/src/server.rs
@@ -144,7 +144,7 @@
         let request_id = lock(&self.pending_requests).insert(request) as RequestId;
         self.submit(match parsed {
             ParsedRequest::Admin(request) => Event::Admin { request_id, request },
-            ParsedRequest::Peer(call) => Event::Peer { caller: request_id, call },
+            ParsedRequest::Peer(call) => Event::Peer { request_id: request_id, request: call },
         });
     }
 
@@ -173,10 +173,10 @@
 
     fn carry_out(self: &Arc<Self>, effect: Effect) {
         match effect {
-            Effect::Persist { token, write } => self.persist(token, write),
-            Effect::RespondToAdmin { caller, status, body } => self.respond(caller, status, body),
-            Effect::RespondToPeer { caller, response } => self.respond_to_peer(caller, &response),
-            Effect::SendToPeer { token, peer, call, timeout } => {
+            Effect::Persist { operation_id: token, write } => self.persist(token, write),
+            Effect::RespondToAdmin { request_id: caller, status, body } => self.respond(caller, status, body),
+            Effect::RespondToPeer { request_id: caller, response } => self.respond_to_peer(caller, &response),
+            Effect::SendToPeer { operation_id: token, peer, request: call, timeout } => {
                 let call = PeerCall { operation: token, peer, request: call, timeout };
                 self.peer_workers.send(call, &self.response_handler());
             }
@@ -187,7 +187,7 @@
 
     fn persist(self: &Arc<Self>, operation: OperationId, batch: WriteBatch) {
         let server = self.clone();
-        let on_complete = move |ok| server.submit(Event::WriteFinished { token: operation, ok });
+        let on_complete = move |ok| server.submit(Event::WriteFinished { operation_id: operation, ok });
         self.disk_writer.write(batch, Box::new(on_complete));
     }
 
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -35,8 +35,10 @@
     fn carry(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist { token, .. } => self.due.push(Event::WriteFinished { token, ok: true }),
-                Effect::SendToPeer { token, peer: to, call, .. } => {
+                Effect::Persist { operation_id: token, .. } => {
+                    self.due.push(Event::WriteFinished { operation_id: token, ok: true })
+                }
+                Effect::SendToPeer { operation_id: token, peer: to, request: call, .. } => {
                     let response = self.answer(&to, &call);
                     self.due.push(Event::PeerResponded { operation_id: token, response });
                 }
@@ -90,7 +92,7 @@
     fn poll(&mut self, from: Option<&str>) -> Update {
         let status = from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
         let watch = WatchRequest { edge: "e".into(), wait_ms: 1, status, ..WatchRequest::default() };
-        self.step(Event::Peer { caller: 1, call: PeerRequest::Watch(Box::new(watch)) });
+        self.step(Event::Peer { request_id: 1, request: PeerRequest::Watch(Box::new(watch)) });
         self.updates.pop().expect("a follower that has nothing is answered at once")
     }
 }
@@ -131,7 +133,7 @@
     };
     let before = harness.poll(None);
     assert_eq!(before.endpoints.len(), 1);
-    harness.step(Event::Peer { caller: 2, call: PeerRequest::Watch(Box::new(watch(&before))) });
+    harness.step(Event::Peer { request_id: 2, request: PeerRequest::Watch(Box::new(watch(&before))) });
     harness.run(1_000);
     assert!(harness.updates.is_empty(), "nothing is new");
     harness.endpoints = None;
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -63,28 +63,29 @@
     fn carry(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist { token, write } => {
+                Effect::Persist { operation_id: token, write } => {
                     if at == 0 && !write.state.is_empty() {
                         self.writes.push(write);
                     }
-                    self.due.push_back((at, Event::WriteFinished { token, ok: true }));
+                    self.due.push_back((at, Event::WriteFinished { operation_id: token, ok: true }));
                 }
-                Effect::SendToPeer { token, peer: to, .. } if self.partitioned => {
+                Effect::SendToPeer { operation_id: token, peer: to, .. } if self.partitioned => {
                     assert!(MEMBERS.contains(&to.as_str()));
                     self.due.push_back((at, Event::PeerResponded { operation_id: token, response: None }));
                 }
-                Effect::SendToPeer { token, peer: to, call, .. } => {
+                Effect::SendToPeer { operation_id: token, peer: to, request: call, .. } => {
                     let other = MEMBERS.iter().position(|member| *member == to).unwrap();
                     self.calls.push((at, token));
                     let caller = self.calls.len() as u64;
-                    self.due.push_back((other, Event::Peer { caller, call: over_the_wire(call) }));
+                    self.due
+                        .push_back((other, Event::Peer { request_id: caller, request: over_the_wire(call) }));
                 }
-                Effect::RespondToPeer { caller, response } => {
+                Effect::RespondToPeer { request_id: caller, response } => {
                     let (asker, token) = self.calls[caller as usize - 1];
                     let response = Some(response_over_the_wire(response)).filter(|_| !self.partitioned);
                     self.due.push_back((asker, Event::PeerResponded { operation_id: token, response }));
                 }
-                Effect::RespondToAdmin { caller, status, body } => {
+                Effect::RespondToAdmin { request_id: caller, status, body } => {
                     assert_eq!(caller, OUTSIDE);
                     self.answers.push((status, body));
                 }
@@ -170,11 +171,11 @@
 }
 
 fn heartbeat(body: &str) -> AdminRequest {
-    AdminRequest::Heartbeat { ident: "i-1".into(), body: body.into() }
+    AdminRequest::Heartbeat { endpoint_id: "i-1".into(), body: body.into() }
 }
 
 fn plan(rest: &str, body: &str) -> AdminRequest {
-    AdminRequest::Rollouts { post: true, rest: rest.into(), body: body.into() }
+    AdminRequest::Rollouts { post: true, path: rest.into(), body: body.into() }
 }
 
 /// Of an endpoint that knows nothing of later fields.
@@ -233,7 +234,7 @@
     for (rest, body, status, text) in table {
         cluster.assert_answer(0, plan(rest, body), status, text);
     }
-    let show = AdminRequest::Rollouts { post: false, rest: String::new(), body: String::new() };
+    let show = AdminRequest::Rollouts { post: false, path: String::new(), body: String::new() };
     let shown = r#"{"rollouts":[{"answers":0,"late_rows":0,"name":"p","new":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"next_in_ms":null,"number":2,"old":{"aside":0,"doubled":0,"failed":0,"good":0,"late":0,"lost":0,"median_ms":null,"offered":0,"p99_ms":null,"wrong":0},"phase":"withdrawn","plan":{"from":{"revision":"v1"},"service":"s","steps":[{"share":0.5}],"to":{"revision":"v2"}},"rows":0,"share":0.0,"step":1,"steps":1,"verdict":"waits: 0 of 200 answers","why":"an operator's order"}]}"#;
     cluster.assert_answer(0, show, 200, shown);
 }
@@ -245,7 +246,7 @@
     cluster.assert_answer(1, heartbeat(SHORT_HEARTBEAT), 200, r#"{"reportTo":"10.2.0.1:8544"}"#);
     cluster.assert_answer(
         0,
-        AdminRequest::SignOff { ident: "i-1".into() },
+        AdminRequest::SignOff { endpoint_id: "i-1".into() },
         200,
         r#"{"reportTo":"10.1.0.1:8544"}"#,
     );
--- a/crates/tools/simulator/src/callers.rs
+++ b/crates/tools/simulator/src/callers.rs
@@ -16,9 +16,9 @@
     pub fn call(&self) -> AdminRequest {
         match self {
             Act::Pulse { ident, body } => {
-                AdminRequest::Heartbeat { ident: ident.to_string(), body: body.to_string() }
+                AdminRequest::Heartbeat { endpoint_id: ident.to_string(), body: body.to_string() }
             }
-            Act::SignOff { ident } => AdminRequest::SignOff { ident: ident.to_string() },
+            Act::SignOff { ident } => AdminRequest::SignOff { endpoint_id: ident.to_string() },
             Act::Replace(body) => AdminRequest::ReplaceConfig { body: body.to_string() },
             Act::Read => AdminRequest::ReadConfig,
         }
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -553,7 +553,7 @@
                 if p.frozen {
                     p.inbox.push(Ev::Told { m, life, token, ok });
                 } else if p.writes.remove(&token) {
-                    self.step(m, Event::WriteFinished { token, ok });
+                    self.step(m, Event::WriteFinished { operation_id: token, ok });
                 }
             }
             Ev::Start { m, ends } => self.start(m, ends),
@@ -651,7 +651,7 @@
         self.step(
             m,
             match ask {
-                Ask::Peer(call) => Event::Peer { caller, call },
+                Ask::Peer(call) => Event::Peer { request_id: caller, request: call },
                 Ask::Admin(act) => Event::Admin { request_id: caller, request: act.call() },
             },
         );
@@ -695,7 +695,9 @@
         let Some(p) = &mut self.machines[m].process else { return };
         let mut held = Ok(());
         for effect in &out {
-            let Effect::RespondToAdmin { caller, status: 200..=299, body } = effect else { continue };
+            let Effect::RespondToAdmin { request_id: caller, status: 200..=299, body } = effect else {
+                continue;
+            };
             let Some(origin) = p.callers.get(caller).copied() else { continue };
             if cut_off {
                 let to = origin.end;
@@ -724,7 +726,7 @@
             let (mut answer, mut call, mut reply, mut write) = (false, false, false, false);
             for effect in &out {
                 answer |= matches!(effect, Effect::RespondToAdmin { status: 200, .. });
-                call |= matches!(effect, Effect::SendToPeer { call: PeerRequest::Consensus(_), .. });
+                call |= matches!(effect, Effect::SendToPeer { request: PeerRequest::Consensus(_), .. });
                 reply |= matches!(effect, Effect::RespondToPeer { response: PeerResponse::Consensus(_), .. });
                 write |= matches!(effect, Effect::Persist { .. });
             }
@@ -759,27 +761,31 @@
             let Some(p) = &mut self.machines[m].process else { return };
             let life = p.life;
             match effect {
-                Effect::RespondToAdmin { caller, status, body } => match p.callers.remove(&caller) {
-                    Some(Origin { end: End::Probe(_), call, .. }) => self.probed(m, call, status, &body),
-                    Some(origin) => self.answer(m, origin, Say::Text(status, body)),
-                    None => self.twice_answered(m, caller),
-                },
-                Effect::RespondToPeer { caller, response: say } => match p.callers.remove(&caller) {
-                    Some(origin) => {
-                        if let (
-                            PeerResponse::Consensus(coppersail_consensus::Response::ReplicaWrite(say)),
-                            End::Machine(from),
-                        ) = (&say, origin.end)
-                        {
-                            if say.accepted && Some(from) == self.primary {
-                                self.backup = Some(m);
+                Effect::RespondToAdmin { request_id: caller, status, body } => {
+                    match p.callers.remove(&caller) {
+                        Some(Origin { end: End::Probe(_), call, .. }) => self.probed(m, call, status, &body),
+                        Some(origin) => self.answer(m, origin, Say::Text(status, body)),
+                        None => self.twice_answered(m, caller),
+                    }
+                }
+                Effect::RespondToPeer { request_id: caller, response: say } => {
+                    match p.callers.remove(&caller) {
+                        Some(origin) => {
+                            if let (
+                                PeerResponse::Consensus(coppersail_consensus::Response::ReplicaWrite(say)),
+                                End::Machine(from),
+                            ) = (&say, origin.end)
+                            {
+                                if say.accepted && Some(from) == self.primary {
+                                    self.backup = Some(m);
+                                }
                             }
+                            self.answer(m, origin, Say::Peer(say));
                         }
-                        self.answer(m, origin, Say::Peer(say));
+                        None => self.twice_answered(m, caller),
                     }
-                    None => self.twice_answered(m, caller),
-                },
-                Effect::SendToPeer { token, peer: to, call, timeout: wait } => {
+                }
+                Effect::SendToPeer { operation_id: token, peer: to, request: call, timeout: wait } => {
                     if !p.calls.insert(token) {
                         let held: Held = Err((rule::NODE, format!("token {token} is used twice")));
                         self.check(held);
@@ -792,7 +798,7 @@
                         self.post(other, origin, Ask::Peer(call));
                     }
                 }
-                Effect::Persist { token, write } => {
+                Effect::Persist { operation_id: token, write } => {
                     if !p.writes.insert(token) {
                         let held: Held = Err((rule::NODE, format!("token {token} is used twice")));
                         self.check(held);
