--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -18,7 +18,7 @@
         let operation_id = self.next_operation_id();
         self.pending_calls.insert(operation_id, pending);
         let timeout = self.timeouts.rpc_timeout;
-        out.push(Output::Send { operation_id, to: to.clone(), request: request, timeout });
+        out.push(Output::Send { operation_id, to: to.clone(), request, timeout });
     }
 
     /// The result of a call: its response, or `None` after a timeout or a failed connection.
