--- a/crates/director/changes/src/book.rs
+++ b/crates/director/changes/src/book.rs
@@ -4,7 +4,7 @@
 use crate::pool::Pool;
 use crate::record::Record;
 use crate::stacks::Stacks;
-use coppersail_operator_config::{checked_edit, Document, Edits, Field, Known, Value};
+use coppersail_operator_config::{check_edit, Document, Edits, Field, Known, Value};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A change whose orders are not settled so long after it was applied goes back whole: far past any call that is
@@ -211,8 +211,9 @@
         if wanted.base > self.newest {
             return Err(Refusal::BaseAhead { base: wanted.base, head: self.newest });
         }
-        let check =
-            |(field, value): (&Field, &Option<Value>)| checked_edit(field, value.as_ref(), Some(known)).err();
+        let check = |(field, value): (&Field, &Option<Value>)| {
+            check_edit(field, value.as_ref(), Some(known)).err().map(|error| error.to_string())
+        };
         let mut faults: Vec<String> = wanted.edits.iter().filter_map(check).collect();
         if wanted.trial.is_some_and(|trial| trial != 0.0 && !(5.0..=3600.0).contains(&trial)) {
             faults.push("trial: expected 0 or seconds from 5 to 3600".to_string());
--- a/crates/director/operator-config/src/lib.rs
+++ b/crates/director/operator-config/src/lib.rs
@@ -1,34 +1,22 @@
-//! The operators' file, without I/O: what may stand in it, every fault of it with its line, and the same settings as
-//! single fields, which is the form in which they are changed, compared and undone.
+//! The operators' file, without I/O: its form, its validation with the line of each fault, and the same configuration
+//! as single fields, which is the form in which it is changed, compared and undone.
+//!
+//! [`sheet`] reads a file; [`Field`] and [`Value`] are one setting each; [`Document`] is all that is set and [`Edits`]
+//! what a change sets. The bounds of a value are in [`Field::fits`]; what depends on the director's settings, for
+//! example the names of zones, is checked against [`Known`].
 
+mod error;
+mod fault;
 mod field;
-mod locate;
-mod sheet;
-mod tree;
+mod json;
+mod line_lookup;
+mod operator_file;
+mod validation;
+mod value;
 
-pub use field::{Again, Document, Edits, Field, GuardMode, Value, FIELDS_MOST};
-pub use locate::line_of;
-pub use sheet::{checked_edit, difference, sheet, Known, KnownRoute, LogForm, Sheet, Start};
-pub use tree::Tree;
-
-use std::fmt;
-
-/// What is wrong with a file, where, and what was expected there.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub file: String,
-    /// From 1; 0: not to be told.
-    pub line: usize,
-    /// Names from the outermost, with dots between them; empty: the whole file.
-    pub field: String,
-    pub expected: String,
-}
-
-impl fmt::Display for Fault {
-    fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Fault { file, line, field, expected } = self;
-        let line = if *line > 0 { format!(":{line}") } else { String::new() };
-        let field = if field.is_empty() { "the file".to_string() } else { format!("field {field}") };
-        write!(out, "{file}{line}: {field}: expected {expected}")
-    }
-}
+pub use error::{EditError, FieldPathError, ValueError};
+pub use fault::Fault;
+pub use field::{difference, Document, Edits, Field, MAX_FIELDS};
+pub use operator_file::{read as sheet, LogForm, OperatorFile as Sheet, StartConfig};
+pub use validation::{check_edit, Known, KnownRoute};
+pub use value::{Again, GuardMode, Value};
--- /dev/null
+++ b/crates/director/operator-config/src/operator_file.rs
@@ -0,0 +1,239 @@
+//! The operators' file as a whole. Reading goes on after a fault, so that one run reports all of them.
+
+use crate::fault::Fault;
+use crate::field::{Document, Field, MAX_FIELDS};
+use crate::json::{JsonValue, DUPLICATE_NAME};
+use crate::line_lookup::line_of;
+use crate::validation::{check_value, Known};
+use crate::value::Value;
+
+/// The version of the file format that this program reads.
+const FORMAT_VERSION: f64 = 1.0;
+/// Limit of a socket's path, bytes; no system allows a longer one.
+const MAX_SOCKET_PATH: usize = 100;
+/// Limit of a file's path, bytes.
+const MAX_FILE_PATH: usize = 4096;
+
+/// What takes effect only at a start of the director.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct StartConfig {
+    /// Path of the socket for operators' commands; `None`: there is none.
+    pub socket: Option<String>,
+    /// Path of the log of changes; `None`: they are kept in memory only.
+    pub history: Option<String>,
+    /// Format of the program's log.
+    pub log: LogForm,
+}
+
+/// Format of the program's log.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum LogForm {
+    /// Lines of plain text.
+    #[default]
+    Text,
+    /// One JSON object a line.
+    Json,
+}
+
+/// The content of a valid file.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct OperatorFile {
+    /// What takes effect only at a start.
+    pub start: StartConfig,
+    /// The fields that may change while the director runs.
+    pub document: Document,
+}
+
+/// Reads a file and validates it, against the director's settings too if `known` is given. `json` is the evaluated
+/// file; `source` is its text, in which lines are looked up. For plain JSON they are the same.
+///
+/// # Errors
+///
+/// All faults of the file, in the order of the file.
+pub fn read(file: &str, source: &str, json: &str, known: Option<&Known>) -> Result<OperatorFile, Vec<Fault>> {
+    let content = OperatorFile::default();
+    let mut reader = Reader { file, source, known, faults: Vec::new(), content };
+    match serde_json::from_str::<JsonValue>(json) {
+        Ok(value) => reader.read_file(&value),
+        Err(error) => reader.report_syntax(&error, source == json),
+    }
+    if reader.content.document.len() > MAX_FIELDS {
+        reader.report(&[], format!("at most {MAX_FIELDS} fields"));
+    }
+    if reader.faults.is_empty() {
+        Ok(reader.content)
+    } else {
+        Err(reader.faults)
+    }
+}
+
+struct Reader<'a> {
+    file: &'a str,
+    source: &'a str,
+    known: Option<&'a Known>,
+    faults: Vec<Fault>,
+    content: OperatorFile,
+}
+
+impl Reader<'_> {
+    fn report(&mut self, path: &[&str], expected: impl Into<String>) {
+        let line = line_of(self.source, path);
+        self.report_at(line, path.join("."), expected.into());
+    }
+
+    fn report_at(&mut self, line: usize, field: String, expected: String) {
+        self.faults.push(Fault { file: self.file.to_string(), line, field, expected });
+    }
+
+    /// Lines of the evaluated file mean something to its author only where it was plain JSON.
+    fn report_syntax(&mut self, error: &serde_json::Error, is_plain_json: bool) {
+        let line = if is_plain_json { error.line() } else { 0 };
+        let text = error.to_string();
+        let text = text.split(" at line ").next().unwrap_or_default();
+        let expected =
+            if text.contains(DUPLICATE_NAME) { text.to_string() } else { format!("JSON ({text})") };
+        self.report_at(line, String::new(), expected);
+    }
+
+    fn read_file(&mut self, file: &JsonValue) {
+        if file.get("form").is_none() {
+            let expected = format!("{FORMAT_VERSION}, the form that this program reads; it is missing");
+            self.report(&["form"], expected);
+        }
+        for (name, value) in self.object(&[], file) {
+            self.read_section(name, value);
+        }
+    }
+
+    fn read_section(&mut self, name: &str, value: &JsonValue) {
+        match name {
+            "form" if *value == JsonValue::Number(FORMAT_VERSION) => {}
+            "form" => self.report(&["form"], format!("{FORMAT_VERSION}, the form that this program reads")),
+            "hosts" => self.read_named("hosts", value, &["weight", "drained", "leaves"]),
+            "zones" => self.read_named("zones", value, &["weight"]),
+            "routes" => self.read_named("routes", value, &["ceiling", "again"]),
+            "apart" => self.read_apart(value),
+            "changes" => self.read_changes(value),
+            "guard" => self.read_guard(value),
+            "control" => self.read_control(value),
+            "log" => self.read_log(value),
+            _ => {
+                self.report(&[name], "one of form, hosts, zones, routes, apart, changes, guard, control, log")
+            }
+        }
+    }
+
+    /// The sections `hosts`, `zones` and `routes`: names, each with its own few fields.
+    fn read_named(&mut self, section: &str, value: &JsonValue, allowed: &[&str]) {
+        for (name, properties) in self.object(&[section], value) {
+            for (property, value) in self.object(&[section, name], properties) {
+                let path = [section, name.as_str(), property.as_str()];
+                match path.join(".").parse() {
+                    Ok(field) if allowed.contains(&property.as_str()) => self.set(&path, field, value),
+                    _ => self.report(&path, format!("one of {}", allowed.join(", "))),
+                }
+            }
+        }
+    }
+
+    fn read_apart(&mut self, value: &JsonValue) {
+        for (slice, hosts) in self.object(&["apart"], value) {
+            let JsonValue::Array(hosts) = hosts else {
+                self.report(&["apart", slice], "a list of hosts");
+                continue;
+            };
+            for host in hosts {
+                self.read_apart_host(slice, host);
+            }
+        }
+    }
+
+    fn read_apart_host(&mut self, slice: &str, host: &JsonValue) {
+        if let JsonValue::Text(host) = host {
+            if let Ok(field) = format!("apart.{slice}.{host}").parse() {
+                return self.set(&["apart", slice, host], field, &JsonValue::Flag(true));
+            }
+        }
+        self.report(&["apart", slice], "a slice's number, with a list of hosts");
+    }
+
+    fn read_changes(&mut self, value: &JsonValue) {
+        for (name, value) in self.object(&["changes"], value) {
+            match name.as_str() {
+                "trial" => self.set(&["changes", name], Field::Trial, value),
+                "judge" => self.set(&["changes", name], Field::Judge, value),
+                "history" => {
+                    self.content.start.history = self.file_path(&["changes", name], value, MAX_FILE_PATH);
+                }
+                _ => self.report(&["changes", name], "one of trial, judge, history"),
+            }
+        }
+    }
+
+    fn read_guard(&mut self, value: &JsonValue) {
+        for (name, value) in self.object(&["guard"], value) {
+            match name.as_str() {
+                "mode" => self.set(&["guard", name], Field::Guard, value),
+                _ => self.report(&["guard", name], "mode"),
+            }
+        }
+    }
+
+    fn read_control(&mut self, value: &JsonValue) {
+        for (name, value) in self.object(&["control"], value) {
+            match name.as_str() {
+                "socket" => {
+                    self.content.start.socket = self.file_path(&["control", name], value, MAX_SOCKET_PATH);
+                }
+                _ => self.report(&["control", name], "socket"),
+            }
+        }
+    }
+
+    fn read_log(&mut self, value: &JsonValue) {
+        match value {
+            JsonValue::Text(format) if format == "text" => self.content.start.log = LogForm::Text,
+            JsonValue::Text(format) if format == "json" => self.content.start.log = LogForm::Json,
+            _ => self.report(&["log"], "text or json"),
+        }
+    }
+
+    /// The members of an object; anything else is reported and read as empty.
+    fn object<'v>(&mut self, path: &[&str], value: &'v JsonValue) -> &'v [(String, JsonValue)] {
+        if let JsonValue::Object(members) = value {
+            return members;
+        }
+        self.report(path, "an object");
+        &[]
+    }
+
+    fn set(&mut self, path: &[&str], field: Field, json: &JsonValue) {
+        let value = match json {
+            JsonValue::Null => return,
+            JsonValue::Flag(flag) => Some(Value::Flag(*flag)),
+            JsonValue::Number(number) => Some(Value::Number(*number)),
+            JsonValue::Text(text) => Value::from_name(text),
+            _ => None,
+        };
+        let Some(value) = value else { return self.report(path, field.expected()) };
+        match check_value(&field, &value, self.known) {
+            Ok(()) => drop(self.content.document.insert(field, value)),
+            Err(expected) => self.report(path, expected),
+        }
+    }
+
+    /// A path of the file system, at most `limit` bytes long.
+    fn file_path(&mut self, path: &[&str], value: &JsonValue, limit: usize) -> Option<String> {
+        match value {
+            JsonValue::Null => None,
+            JsonValue::Text(text) if !text.is_empty() && text.len() <= limit => Some(text.clone()),
+            _ => {
+                self.report(path, format!("a path of at most {limit} bytes"));
+                None
+            }
+        }
+    }
+}
+
+#[cfg(test)]
+mod tests;
--- a/crates/director/operator-config/src/sheet_tests.rs
+++ b/crates/director/operator-config/src/operator_file/tests.rs
@@ -1,4 +1,8 @@
+//! Tests of reading the operators' file, of paths of fields and of differences.
+
 use super::*;
+use crate::field::difference;
+use crate::validation::KnownRoute;
 use proptest::prelude::*;
 use test_case::test_case;
 
@@ -8,7 +12,7 @@
     Known { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: true }
 }
 
-const SOUND: &str = r#"{
+const VALID: &str = r#"{
   "form": 1,
   "hosts": {"s-1.example": {"weight": 0.5}, "s-2": {"drained": true}},
   "zones": {"b": {"weight": 2}},
@@ -20,42 +24,42 @@
 }"#;
 
 #[test]
-fn a_sound_file_becomes_fields() {
-    let sheet = sheet("f", SOUND, SOUND, Some(&known())).unwrap();
+fn a_valid_file_becomes_fields() {
+    let content = read("f", VALID, VALID, Some(&known())).unwrap();
     let fields: Vec<String> =
-        sheet.document.iter().map(|(field, value)| format!("{field}={value}")).collect();
+        content.document.iter().map(|(field, value)| format!("{field}={value}")).collect();
     let expected = "hosts.s-1.example.weight=0.5 hosts.s-2.drained=true zones.b.weight=2 \
         routes.lookup.ceiling=0.9 routes.lookup.again=once routes.order.again=if-never-ran \
         apart.3.s-1.example=true apart.3.s-2=true changes.trial=60 changes.judge=true";
     assert_eq!(fields.join(" "), expected);
     assert_eq!(
-        (sheet.start.socket.as_deref(), sheet.start.history.as_deref()),
+        (content.start.socket.as_deref(), content.start.history.as_deref()),
         (Some("c.sock"), Some("h.log"))
     );
 }
 
-#[test_case("0.5}", "0}", 3, "hosts.s-1.example.weight", "0.01" ; "a weight of none")]
-#[test_case("\"zones\": {\"b\"", "\"zones\": {\"q\"", 4, "zones.q.weight", "one of a, b" ; "a zone that is not")]
-#[test_case("if-never-ran", "once", 5, "routes.order.again", "must not run twice" ; "a mutating route tried again")]
-#[test_case("\"ceiling\": 0.9", "\"ceiling\": 1.2", 5, "routes.lookup.ceiling", "0 to 1" ; "a ceiling past all")]
-#[test_case("\"3\": [", "\"9\": [", 6, "apart.9.s-1.example", "below 8" ; "a slice that is not")]
-#[test_case("\"trial\": 60", "\"trial\": \"long\"", 7, "changes.trial", "5 to 3600" ; "a word for a time")]
-#[test_case("\"log\": \"json\"", "\"logs\": 1", 9, "logs", "one of form" ; "a field that is not")]
-#[test_case("\"form\": 1", "\"form\": 2", 2, "form", "1, the form" ; "a later form")]
-#[test_case("\"zones\": {", "\"hosts\": {", 4, "", "stands twice" ; "a name twice")]
-#[test_case("\n}", "\n", 10, "", "JSON" ; "cut off")]
-fn a_fault_names_file_line_and_field(sound: &str, unsound: &str, line: usize, field: &str, expected: &str) {
-    let text = SOUND.replace(sound, unsound);
-    let faults = sheet("f.json", &text, &text, Some(&known())).unwrap_err();
+#[test_case("0.5}", "0}", 3, "hosts.s-1.example.weight", "0.01" ; "a weight of zero")]
+#[test_case("\"zones\": {\"b\"", "\"zones\": {\"q\"", 4, "zones.q.weight", "one of a, b" ; "an unknown zone")]
+#[test_case("if-never-ran", "once", 5, "routes.order.again", "must not run twice" ; "retries of calls that are not idempotent")]
+#[test_case("\"ceiling\": 0.9", "\"ceiling\": 1.2", 5, "routes.lookup.ceiling", "0 to 1" ; "an admission limit above one")]
+#[test_case("\"3\": [", "\"9\": [", 6, "apart.9.s-1.example", "below 8" ; "an unknown slice")]
+#[test_case("\"trial\": 60", "\"trial\": \"long\"", 7, "changes.trial", "5 to 3600" ; "a string in place of seconds")]
+#[test_case("\"log\": \"json\"", "\"logs\": 1", 9, "logs", "one of form" ; "an unknown section")]
+#[test_case("\"form\": 1", "\"form\": 2", 2, "form", "1, the form" ; "a later format version")]
+#[test_case("\"zones\": {", "\"hosts\": {", 4, "", "stands twice" ; "a duplicate name")]
+#[test_case("\n}", "\n", 10, "", "JSON" ; "a truncated file")]
+fn a_fault_names_file_line_and_field(valid: &str, invalid: &str, line: usize, field: &str, expected: &str) {
+    let text = VALID.replace(valid, invalid);
+    let faults = read("f.json", &text, &text, Some(&known())).unwrap_err();
     let fault = &faults[0];
     assert_eq!((fault.line, fault.field.as_str()), (line, field), "{faults:?}");
     assert!(fault.to_string().starts_with("f.json:") && fault.expected.contains(expected), "{fault}");
 }
 
 #[test]
-fn all_faults_are_told_in_one_run() {
-    let text = SOUND.replace("0.5}", "-1}").replace("60", "1").replace("\"json\"", "7");
-    assert_eq!(sheet("f", &text, &text, None).unwrap_err().len(), 3);
+fn all_faults_are_reported_in_one_run() {
+    let text = VALID.replace("0.5}", "-1}").replace("60", "1").replace("\"json\"", "7");
+    assert_eq!(read("f", &text, &text, None).unwrap_err().len(), 3);
 }
 
 fn field() -> impl Strategy<Value = Field> {
@@ -71,12 +75,12 @@
 
 proptest! {
     #[test]
-    fn a_path_reads_back_as_its_field(field in field()) {
+    fn a_path_parses_to_its_field(field in field()) {
         prop_assert_eq!(field.to_string().parse::<Field>(), Ok(field));
     }
 
     #[test]
-    fn a_difference_makes_the_new_of_the_old(
+    fn a_difference_turns_the_old_document_into_the_new_one(
         old in proptest::collection::btree_map(field(), Just(Value::Flag(true)), 0..6),
         new in proptest::collection::btree_map(field(), Just(Value::Number(2.0)), 0..6),
     ) {
@@ -91,8 +95,8 @@
     }
 
     #[test]
-    fn no_text_at_all_ends_the_reader(text in "[ -~\n]{0,60}") {
-        let _ = sheet("f", &text, &text, None);
+    fn no_text_makes_the_reader_panic(text in "[ -~\n]{0,60}") {
+        let _ = read("f", &text, &text, None);
         let _ = line_of(&text, &["a", "b"]);
     }
 }
--- /dev/null
+++ b/crates/director/operator-config/src/value.rs
@@ -0,0 +1,104 @@
+//! The values of fields.
+
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// What the capacity guard does with a table that is not safe.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum GuardMode {
+    /// Tables are not checked.
+    Off,
+    /// It logs the fault and lets the table pass.
+    Watch,
+    /// It keeps the table from the proxies.
+    On,
+}
+
+impl GuardMode {
+    /// Each mode with its name in files and on the command line.
+    pub const NAMES: [(&'static str, GuardMode); 3] =
+        [("off", GuardMode::Off), ("watch", GuardMode::Watch), ("on", GuardMode::On)];
+}
+
+impl fmt::Display for GuardMode {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write_name(&GuardMode::NAMES, self, formatter)
+    }
+}
+
+/// A route's retry policy: when proxies retry a call at another host. Ordered from the fewest retries to the most.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Again {
+    /// No retry.
+    Never,
+    /// Only where the call cannot have run, for example after a refused connection.
+    IfNeverRan,
+    /// One retry after any failure; the call must be idempotent.
+    Once,
+    /// Two retries after any failure; the call must be idempotent.
+    Twice,
+}
+
+impl Again {
+    /// Each policy with its name in files and on the command line.
+    pub const NAMES: [(&'static str, Again); 4] = [
+        ("never", Again::Never),
+        ("if-never-ran", Again::IfNeverRan),
+        ("once", Again::Once),
+        ("twice", Again::Twice),
+    ];
+}
+
+impl fmt::Display for Again {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write_name(&Again::NAMES, self, formatter)
+    }
+}
+
+/// The value of one field. Untagged in JSON: the order of the variants is the order in which they are tried.
+#[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
+#[serde(untagged)]
+pub enum Value {
+    /// `true` or `false`.
+    Flag(bool),
+    /// A weight, a share, or seconds; the field says which.
+    Number(f64),
+    /// A retry policy.
+    Again(Again),
+    /// A mode of the capacity guard.
+    Guard(GuardMode),
+}
+
+impl Value {
+    /// The value with this name, if a retry policy or guard mode has it.
+    pub(crate) fn from_name(name: &str) -> Option<Value> {
+        let retry_policy = find_name(&Again::NAMES, name).map(Value::Again);
+        retry_policy.or_else(|| find_name(&GuardMode::NAMES, name).map(Value::Guard))
+    }
+}
+
+impl fmt::Display for Value {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Value::Flag(flag) => write!(formatter, "{flag}"),
+            Value::Number(number) => write!(formatter, "{number}"),
+            Value::Again(retry_policy) => write!(formatter, "{retry_policy}"),
+            Value::Guard(mode) => write!(formatter, "{mode}"),
+        }
+    }
+}
+
+fn find_name<T: Copy>(names: &[(&str, T)], wanted: &str) -> Option<T> {
+    names.iter().find(|(name, _)| *name == wanted).map(|(_, value)| *value)
+}
+
+fn write_name<T: PartialEq>(
+    names: &[(&str, T)],
+    wanted: &T,
+    formatter: &mut fmt::Formatter<'_>,
+) -> fmt::Result {
+    let name = names.iter().find(|(_, value)| value == wanted);
+    formatter.write_str(name.map_or("", |(name, _)| name))
+}
--- a/crates/tools/lab/src/scenario.rs
+++ b/crates/tools/lab/src/scenario.rs
@@ -121,7 +121,9 @@
     /// The fields and values, or what is wrong with one.
     pub fn edits(&self) -> Result<coppersail_operator_config::Edits, String> {
         let edit = |(path, value): (&String, &String)| {
-            let field: coppersail_operator_config::Field = path.parse()?;
+            let field: coppersail_operator_config::Field = path
+                .parse()
+                .map_err(|error: coppersail_operator_config::FieldPathError| error.to_string())?;
             let value =
                 field.value(value).map_err(|expected| format!("field {path}: expected {expected}"))?;
             Ok((field, value))
