--- /dev/null
+++ b/crates/director/changes/src/change_log/recovery.rs
@@ -0,0 +1,101 @@
+//! The first start, and recovery from the records of earlier runs.
+
+use super::undo::Undo;
+use super::ChangeLog;
+use crate::act::Act;
+use crate::change::Version;
+use crate::host_pool::Pool;
+use crate::record::Record;
+use crate::record_error::RecordError;
+use crate::stage::{Keep, Stage, Why};
+use coppersail_operator_config::{Document, Edits};
+
+/// The version of what the operators' file holds at the first start; no change has it, so it cannot be undone.
+const FOUNDING_VERSION: Version = Version(0);
+
+impl ChangeLog {
+    /// The first start: the content of the operators' file is in force. Returns the record to be written.
+    pub fn found(document: Document, wall: f64) -> (Self, Record) {
+        let record = Record::Founded { wall, document: document.clone().into_iter().collect() };
+        let mut log = ChangeLog::default();
+        log.set_founding_document(document);
+        (log, record)
+    }
+
+    fn set_founding_document(&mut self, document: Document) {
+        let edits: Edits = document.iter().map(|(field, value)| (field.clone(), Some(*value))).collect();
+        self.histories.claim(FOUNDING_VERSION, &edits);
+        self.histories.enforce(FOUNDING_VERSION, &edits);
+        self.file = document.clone();
+        self.document = document;
+    }
+
+    /// The state as it was when the last of these records was written. [`ChangeLog::resume`] is to be called next.
+    ///
+    /// # Errors
+    ///
+    /// A record contradicts those before it.
+    pub fn recover(records: impl IntoIterator<Item = Record>) -> Result<Self, RecordError> {
+        let mut log = ChangeLog::default();
+        for record in records {
+            log.replay(record)?;
+        }
+        Ok(log)
+    }
+
+    fn replay(&mut self, record: Record) -> Result<(), RecordError> {
+        match record {
+            Record::Founded { document, .. } => self.set_founding_document(document.into_iter().collect()),
+            Record::Accepted { number, .. } if number <= self.newest => {
+                return Err(RecordError::AcceptedTwice(number));
+            }
+            Record::Accepted { number, wall, submission } => self.insert(number, wall, submission),
+            Record::Moved { number, stage, .. } => self.transition(number, stage)?,
+            Record::Undo { number, of, wall, why, lost } => {
+                self.insert_undo(Undo { number, of, wall, why: &why, lost: &lost })?;
+            }
+            Record::Frozen { who, why, .. } => self.frozen = Some((who, why)),
+            Record::Thawed { .. } => self.frozen = None,
+        }
+        Ok(())
+    }
+
+    /// Goes on after [`ChangeLog::recover`]. Staged changes stay staged. Changes on trial are undone: the baseline that
+    /// they are compared with is lost, and they may be why the director stopped.
+    pub fn resume(&mut self, now: f64, wall: f64, pool: &Pool) -> Vec<Act> {
+        let all: Vec<(Version, Stage)> =
+            self.changes.values().map(|change| (change.number, change.stage.clone())).collect();
+        let mut acts = Vec::new();
+        for (number, stage) in all {
+            acts.extend(self.resume_change(now, wall, number, &stage, pool));
+        }
+        acts
+    }
+
+    fn resume_change(
+        &mut self,
+        now: f64,
+        wall: f64,
+        number: Version,
+        stage: &Stage,
+        pool: &Pool,
+    ) -> Vec<Act> {
+        match stage {
+            Stage::Checked => {
+                self.activate(number, now);
+                self.transition_and_record(wall, number, Stage::Staged)
+            }
+            Stage::Staged => {
+                self.activate(number, now);
+                Vec::new()
+            }
+            // The whole document is given to the director at a start, so the undo has taken effect.
+            Stage::Applied if self.is_undo(number) => {
+                self.transition_and_record(wall, number, Stage::Kept(Keep::Undoing))
+            }
+            Stage::Applied | Stage::Trial => self.undo_by_new_change(now, wall, number, Why::Restarted, pool),
+            Stage::Aside { .. } => self.end_set_aside(wall, number, Why::Restarted),
+            Stage::Drafted | Stage::Kept(_) | Stage::Undone(_) | Stage::Dropped(_) => Vec::new(),
+        }
+    }
+}
--- /dev/null
+++ b/crates/director/changes/src/change_log/submission.rs
@@ -0,0 +1,224 @@
+//! Submissions: validation, conflicts, idempotent resubmission, drafts, durability; and freezing, which refuses them.
+
+use super::{ActiveChange, ChangeLog};
+use crate::act::Act;
+use crate::change::{Submission, Version};
+use crate::host_pool::Pool;
+use crate::record::Record;
+use crate::refusal::Refusal;
+use crate::stage::{Keep, Stage, Why};
+use coppersail_operator_config::{check_edit, Edits, Field, Known, Value};
+
+/// Length of a trial where neither the change nor the document sets one, seconds: twice the time within which a loss of
+/// five points is found.
+const DEFAULT_TRIAL: f64 = 60.0;
+/// Limit of the changes under way. Each costs an analysis, and more of them hide each other's effects.
+pub(super) const MAX_ACTIVE: usize = 8;
+/// Limit of the drafts.
+const MAX_DRAFTS: usize = 64;
+
+/// The fields of a submission with their bounds, except its edits.
+fn parameter_faults(submission: &Submission) -> Vec<String> {
+    let mut faults = Vec::new();
+    if submission.trial.is_some_and(|trial| trial != 0.0 && !(5.0..=3600.0).contains(&trial)) {
+        faults.push("trial: expected 0 or seconds from 5 to 3600".to_string());
+    }
+    if !(0.0..=100.0).contains(&submission.expected_loss) {
+        faults.push("expected loss: expected points from 0 to 100".to_string());
+    }
+    faults
+}
+
+impl ChangeLog {
+    /// Accepts a submission, or refuses all of it. A resubmission, by its token, returns the change that it became
+    /// before, and no acts.
+    ///
+    /// # Errors
+    ///
+    /// It is invalid, conflicts with another change, or there are too many.
+    pub fn submit(
+        &mut self,
+        now: f64,
+        wall: f64,
+        submission: Submission,
+        known: &Known,
+        pool: &Pool,
+    ) -> Result<(Version, Vec<Act>), Refusal> {
+        if let Some(number) = self.submitted_before(&submission.token) {
+            return Ok((number, vec![]));
+        }
+        self.validate(&submission, known, pool, None)?;
+        if submission.draft {
+            self.check_draft_limit()?;
+        } else {
+            self.check_active_limit()?;
+        }
+        let number = Version(self.newest.0 + 1);
+        let fields: Vec<String> = submission.edits.keys().map(Field::to_string).collect();
+        let stage = if submission.draft { "drafted" } else { "checked" };
+        let text = format!("{stage}, by {}: {}; sets {}", submission.who, submission.why, fields.join(" "));
+        self.insert(number, wall, submission.clone());
+        if !submission.draft {
+            self.activate(number, now);
+        }
+        let record = Record::Accepted { number, wall, submission };
+        Ok((number, vec![Act::Say { about: Some(number), text }, Act::Write(record)]))
+    }
+
+    /// The change that was submitted with this idempotency token.
+    fn submitted_before(&self, token: &str) -> Option<Version> {
+        self.tokens.get(token).filter(|_| !token.is_empty()).copied()
+    }
+
+    /// What a submission would change: the fields with their values in force and their new ones. Fields that already
+    /// have the value are left out.
+    pub fn preview(&self, edits: &Edits) -> Vec<(Field, Option<Value>, Option<Value>)> {
+        let in_force = |field: &Field| self.document.get(field).copied();
+        let differing = edits.iter().filter(|(field, value)| in_force(field) != **value);
+        differing.map(|(field, value)| (field.clone(), in_force(field), *value)).collect()
+    }
+
+    /// Everything that can refuse a submission but the limits. `except` is the change that it is itself, if it is a
+    /// draft.
+    fn validate(
+        &self,
+        submission: &Submission,
+        known: &Known,
+        pool: &Pool,
+        except: Option<Version>,
+    ) -> Result<(), Refusal> {
+        if let Some((who, why)) = &self.frozen {
+            return Err(Refusal::Frozen { who: who.clone(), why: why.clone() });
+        }
+        if let Some(why) = &self.write_error {
+            return Err(Refusal::History(why.clone()));
+        }
+        if submission.base > self.newest {
+            return Err(Refusal::BaseAhead { base: submission.base, head: self.newest });
+        }
+        let check = |(field, value): (&Field, &Option<Value>)| {
+            check_edit(field, value.as_ref(), Some(known)).err().map(|error| error.to_string())
+        };
+        let mut faults: Vec<String> = submission.edits.iter().filter_map(check).collect();
+        faults.extend(parameter_faults(submission));
+        if !faults.is_empty() {
+            return Err(Refusal::Unsound(faults));
+        }
+        self.check_conflicts(submission.base, &submission.edits, except)?;
+        if self.preview(&submission.edits).is_empty() {
+            return Err(Refusal::Empty);
+        }
+        match pool.worse_shortfall(&self.document, &self.document_with(&submission.edits)) {
+            Some(shortfall) => Err(Refusal::Pool(shortfall.text)),
+            None => Ok(()),
+        }
+    }
+
+    /// Optimistic locking: each field's newest change must be known to the base. It must have ended too, even if the
+    /// base knows it: as long as it may be undone by itself, nothing can be built on it.
+    fn check_conflicts(&self, base: Version, edits: &Edits, except: Option<Version>) -> Result<(), Refusal> {
+        for field in edits.keys() {
+            let newest = self.histories.newest(field).filter(|newest| Some(*newest) != except);
+            let Some(holder) = newest else { continue };
+            let (who, stage) = match self.changes.get(&holder) {
+                Some(change) => (change.submission.who.clone(), &change.stage),
+                // Forgotten, or set by the first file.
+                None => (String::new(), &Stage::Kept(Keep::Judged)),
+            };
+            if holder > base || !stage.ended() {
+                let (field, stage) = (field.clone(), stage.name());
+                return Err(Refusal::Conflict { field, holder, who, stage });
+            }
+        }
+        Ok(())
+    }
+
+    fn check_draft_limit(&self) -> Result<(), Refusal> {
+        let drafts = self.changes.values().filter(|change| change.stage == Stage::Drafted).count();
+        if drafts >= MAX_DRAFTS {
+            return Err(Refusal::Crowded(MAX_DRAFTS));
+        }
+        Ok(())
+    }
+
+    fn check_active_limit(&self) -> Result<(), Refusal> {
+        if self.active.len() + self.staged.len() >= MAX_ACTIVE {
+            return Err(Refusal::Crowded(MAX_ACTIVE));
+        }
+        Ok(())
+    }
+
+    /// The change is under way from now on.
+    pub(super) fn activate(&mut self, number: Version, now: f64) {
+        let default = match self.document.get(&Field::Trial) {
+            Some(Value::Number(trial)) => *trial,
+            _ => DEFAULT_TRIAL,
+        };
+        let own = self.changes.get(&number).and_then(|change| change.submission.trial);
+        self.active.insert(number, ActiveChange::new(now, own.unwrap_or(default)));
+    }
+
+    /// Stages a draft. It is validated again, as its base may be outdated.
+    ///
+    /// # Errors
+    ///
+    /// It is no draft, is no longer valid, or too many changes are under way.
+    pub fn stage_draft(
+        &mut self,
+        now: f64,
+        wall: f64,
+        number: Version,
+        known: &Known,
+        pool: &Pool,
+    ) -> Result<Vec<Act>, Refusal> {
+        let change = self.find(number)?;
+        if change.stage != Stage::Drafted {
+            return Err(Refusal::NotIn { number, stage: change.stage.name(), wanted: "drafted" });
+        }
+        self.check_active_limit()?;
+        self.validate(&change.submission, known, pool, Some(number))?;
+        let mut acts = self.transition_and_record(wall, number, Stage::Checked);
+        self.activate(number, now);
+        acts.extend(self.transition_and_record(wall, number, Stage::Staged));
+        Ok(acts)
+    }
+
+    /// The change is durable: its author may be answered, and it may be applied.
+    pub fn written(&mut self, wall: f64, number: Version) -> Vec<Act> {
+        if self.stage(number) == Some(&Stage::Checked) {
+            return self.transition_and_record(wall, number, Stage::Staged);
+        }
+        Vec::new()
+    }
+
+    /// The log's file has failed: the change, if it was about one, is dropped, and no other is accepted until a restart.
+    /// Changes on trial may still be undone.
+    pub fn unwritten(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<Act> {
+        let mut acts = Vec::new();
+        if self.write_error.is_none() {
+            self.write_error = Some(why.to_string());
+            let text = format!("history: cannot be written, no change is taken before a start: {why}");
+            acts.push(Act::Say { about: None, text });
+        }
+        let Some(number) = number else { return acts };
+        if matches!(self.stage(number), Some(Stage::Checked | Stage::Drafted)) {
+            let why = Why::Unwritten { why: why.to_string() };
+            acts.extend(self.transition_and_record(wall, number, Stage::Dropped(why)));
+        }
+        acts
+    }
+
+    /// Refuses all submissions until [`ChangeLog::thaw`]. Trials go on, and changes may still be undone.
+    pub fn freeze(&mut self, wall: f64, who: String, why: String) -> Vec<Act> {
+        let text = format!("changes frozen by {who}: {why}");
+        self.frozen = Some((who.clone(), why.clone()));
+        vec![Act::Write(Record::Frozen { wall, who, why }), Act::Say { about: None, text }]
+    }
+
+    /// Accepts submissions again.
+    pub fn thaw(&mut self, wall: f64, who: String) -> Vec<Act> {
+        self.frozen = None;
+        let text = format!("changes thawed by {who}");
+        vec![Act::Write(Record::Thawed { wall, who }), Act::Say { about: None, text }]
+    }
+}
--- /dev/null
+++ b/crates/director/changes/src/change_log/tests/mod.rs
@@ -0,0 +1,67 @@
+//! Each test drives a change log through a few calls; those of `recovery` through random ones, by seed.
+
+mod recovery;
+mod set_aside;
+mod submission;
+mod trial;
+mod undo;
+
+use crate::act::{Act, Ready};
+use crate::change::{Submission, Version};
+use crate::change_log::ChangeLog;
+use crate::host_pool::{Pool, PoolHost};
+use crate::stage::{Keep, Stage, Why};
+use coppersail_operator_config::{Edits, Field, Known, KnownRoute};
+
+fn known() -> Known {
+    let routes = vec![KnownRoute { name: "r".into(), repeatable: true }];
+    Known { zones: vec!["z".into()], routes, slices: 4, admits: true }
+}
+
+fn pool(hosts: usize) -> Pool {
+    let host = |k| (format!("h{k}"), PoolHost { ready: true, warm: true, carries: 10.0 });
+    Pool { hosts: (0..hosts).map(host).collect(), calls: 0.0 }
+}
+
+fn edits(fields: &[(&str, &str)]) -> Edits {
+    let edit = |(path, value): &(&str, &str)| {
+        let field: Field = path.parse().unwrap();
+        let value = field.value(value).unwrap();
+        (field, value)
+    };
+    fields.iter().map(edit).collect()
+}
+
+fn submission(base: u64, who: &str, fields: &[(&str, &str)]) -> Submission {
+    Submission {
+        base: Version(base),
+        who: who.into(),
+        why: "test".into(),
+        edits: edits(fields),
+        ..Submission::default()
+    }
+}
+
+const REPORTS_RECEIVED: Ready = Ready { baseline: true, heard: true, calm: false };
+
+/// Submits a change and brings it on trial.
+fn on_trial(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
+    let (number, _) = log.submit(now, 0.0, submitted, &known(), &pool(4)).unwrap();
+    log.written(0.0, number);
+    log.tick(now, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
+    log.settled(now, 0.0, number);
+    assert!(matches!(log.stage(number), Some(Stage::Trial | Stage::Kept(_))));
+    number
+}
+
+/// Submits a change, and has an operator keep it.
+fn kept_change(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
+    let number = on_trial(log, now, submitted);
+    log.confirm(0.0, number, "op".into()).unwrap();
+    number
+}
+
+/// Who undoes a change, and why.
+fn operator() -> (String, String) {
+    ("op".into(), "asked".into())
+}
--- /dev/null
+++ b/crates/director/changes/src/change_log/tests/set_aside.rs
@@ -0,0 +1,99 @@
+//! Changes that are set aside, as a fault of the whole fleet may be the cause of the harm.
+
+use super::*;
+use crate::refusal::Refusal;
+use test_case::test_case;
+
+/// Brings a change on trial, and sets it aside for harm that a fault of the whole fleet may have caused.
+fn set_aside_change(log: &mut ChangeLog, fields: &[(&str, &str)]) -> Version {
+    let number = on_trial(log, 0.0, submission(0, "a", fields));
+    let acts = log.harmful(5.0, 0.0, number, ("found".into(), true), &pool(4));
+    assert!(acts.contains(&Act::SetAside(number)) && log.document().is_empty());
+    assert!(acts.iter().any(|act| matches!(act, Act::Give { document, .. } if document.is_empty())));
+    number
+}
+
+const RECOVERED: Ready = Ready { baseline: true, heard: true, calm: true };
+
+#[test]
+fn a_change_that_is_set_aside_is_retried_after_recovery_and_then_kept_or_undone() {
+    for harm_again in [true, false] {
+        let mut log = ChangeLog::default();
+        let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
+        assert_eq!(
+            log.tick(6.0, 0.0, &pool(4), &|_| RECOVERED),
+            vec![],
+            "its withdrawal has not reached the proxies"
+        );
+        log.settled(7.0, 0.0, number);
+        assert_eq!(log.tick(8.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "service has not recovered");
+        let acts = log.tick(9.0, 0.0, &pool(4), &|_| RECOVERED);
+        assert!(acts.contains(&Act::Resume(number)) && log.document().len() == 1);
+        log.settled(10.0, 0.0, number);
+        if harm_again {
+            log.harmful(12.0, 0.0, number, ("found".into(), true), &pool(4));
+            assert!(
+                matches!(log.stage(number), Some(Stage::Undone(Why::Harm { found })) if found.contains("second"))
+            );
+            assert!(log.document().is_empty());
+        } else {
+            log.tick(71.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
+            assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
+        }
+    }
+}
+
+#[test]
+fn a_change_that_is_set_aside_keeps_its_fields_and_no_other_is_applied_during_its_withdrawal() {
+    let mut log = ChangeLog::default();
+    let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
+    let refused =
+        log.submit(6.0, 0.0, submission(number.0, "b", &[("hosts.h0.weight", "3")]), &known(), &pool(4));
+    assert!(matches!(refused, Err(Refusal::Conflict { stage: "set aside", .. })));
+    let submitted = submission(number.0, "b", &[("hosts.h1.drained", "true")]);
+    let (other, _) = log.submit(6.0, 0.0, submitted, &known(), &pool(4)).unwrap();
+    log.written(0.0, other);
+    assert_eq!(log.tick(6.5, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![]);
+    log.settled(7.0, 0.0, number);
+    log.tick(7.5, 0.0, &pool(4), &|_| RECOVERED);
+    assert_eq!(log.stage(number), Some(&Stage::Applied), "one at a time");
+    assert_eq!(log.stage(other), Some(&Stage::Staged));
+}
+
+#[test]
+fn a_drain_that_would_leave_too_few_hosts_by_now_is_not_retried() {
+    let mut log = ChangeLog::default();
+    let number = set_aside_change(&mut log, &[("hosts.h0.drained", "true"), ("hosts.h1.drained", "true")]);
+    log.settled(7.0, 0.0, number);
+    // The other hosts have left the list meanwhile.
+    let mut left = pool(4);
+    left.hosts.retain(|name, _| name == "h0" || name == "h1");
+    log.tick(9.0, 0.0, &left, &|_| RECOVERED);
+    assert!(matches!(log.stage(number), Some(Stage::Undone(Why::Stale { .. }))));
+    assert!(log.document().is_empty());
+}
+
+#[test_case(false, 306.0, Why::NeverCalm ; "service never recovers")]
+#[test_case(true, 306.0, Why::NeverCalm ; "changes frozen for too long")]
+fn a_change_that_is_set_aside_too_long_is_undone(frozen: bool, at: f64, why: Why) {
+    let mut log = ChangeLog::default();
+    let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
+    log.settled(7.0, 0.0, number);
+    if frozen {
+        log.freeze(0.0, "op".into(), "until Monday".into());
+    }
+    let ready = if frozen { RECOVERED } else { REPORTS_RECEIVED };
+    assert_eq!(log.tick(300.0, 0.0, &pool(4), &|_| ready), vec![]);
+    log.tick(at, 0.0, &pool(4), &|_| ready);
+    assert_eq!(log.stage(number), Some(&Stage::Undone(why)));
+    assert!(log.idle() && log.document().is_empty());
+}
+
+#[test]
+fn an_operator_can_undo_a_change_that_is_set_aside() {
+    let mut log = ChangeLog::default();
+    let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
+    let acts = log.undo(6.0, 0.0, number, operator(), &pool(4)).unwrap();
+    assert!(acts.contains(&Act::Unwatch(number)) && !acts.iter().any(|act| matches!(act, Act::Give { .. })));
+    assert!(matches!(log.stage(number), Some(Stage::Undone(Why::Asked { .. }))));
+}
--- a/crates/director/changes/src/lib.rs
+++ b/crates/director/changes/src/lib.rs
@@ -1,19 +1,28 @@
-//! The life of an operators' change, as decisions on state alone: it reads no clock and does no I/O. What is to be
-//! done comes back as `Act`s; what is to be remembered as `Record`s, from which the same state is made again.
+//! The life of an operators' change, as a pure state machine: it reads no clock and does no I/O. What is to be done is
+//! returned as [`Act`]s; what is to be stored as [`Record`]s, from which the same state is rebuilt.
 //!
-//! A change is drafted, checked, staged, applied, on trial, and in the end kept or undone. Each is numbered, and the
-//! number of the newest one is the version of what is in force. Undoing is a change of its own, made of what is true
-//! when it is made: of each field it gives back what stands below, never a copy from before.
+//! A change is drafted, checked, staged, applied, on trial, and in the end kept or undone ([`Stage`]). Changes are
+//! numbered, and the number of the newest one is the version of the configuration ([`Version`]). An undo is a change of
+//! its own: for each field it restores the value below, as it is at that time, never a copy from before.
 
-mod book;
+mod act;
 mod change;
-mod leaving;
-mod pool;
+mod change_log;
+mod field_history;
+mod host_pool;
+mod planned_shutdown;
 mod record;
-mod stacks;
+mod record_error;
+mod refusal;
+mod stage;
 
-pub use book::{Act, Book, Ready, APPLY_MOST, BASELINE_MOST, LIVE_MOST};
-pub use change::{Change, Keep, Refusal, Stage, Submission, Version, Why};
-pub use leaving::{announced, Leaving, EXPIRES, LEAD};
-pub use pool::{Pool, PoolHost};
+pub use act::{Act, Ready};
+pub use change::{Change, Submission, Version};
+// The service still calls it `Book`.
+pub use change_log::ChangeLog as Book;
+pub use host_pool::{Pool, PoolHost};
+pub use planned_shutdown::{announced, Leaving, EXPIRES, LEAD};
 pub use record::Record;
+pub use record_error::RecordError;
+pub use refusal::Refusal;
+pub use stage::{Keep, Stage, Why};
--- a/crates/director/changes/src/record.rs
+++ b/crates/director/changes/src/record.rs
@@ -1,42 +1,67 @@
-//! What is remembered of changes, in the order in which it happened. From these the same book is made again.
+//! The records of the change log, in the order in which they are written.
 
-use crate::change::{Stage, Submission, Version};
+use crate::change::{Submission, Version};
+use crate::stage::{Stage, Why};
 use coppersail_operator_config::{Field, Value};
 use serde::{Deserialize, Serialize};
 
+/// One record of the change log; [`crate::Book::recover`] rebuilds the same state from them. `wall` is the time of
+/// writing, seconds since 1970.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "kebab-case")]
 pub enum Record {
-    /// What the operators' file held at the very first start.
+    /// The first start.
     Founded {
+        /// Time of writing.
         wall: f64,
+        /// Content of the operators' file.
         document: Vec<(Field, Value)>,
     },
+    /// A submission was accepted.
     Accepted {
+        /// The change's number.
         number: Version,
+        /// Time of writing.
         wall: f64,
+        /// What was submitted.
         submission: Submission,
     },
+    /// A change has moved to another stage.
     Moved {
+        /// The change's number.
         number: Version,
+        /// Time of writing.
         wall: f64,
+        /// Its new stage.
         stage: Stage,
     },
-    /// A new change that undoes another one; `lost` are fields of hosts that left, which are set to nothing.
+    /// A new change undoes another one.
     Undo {
+        /// The new change's number.
         number: Version,
+        /// The change that is undone.
         of: Version,
+        /// Time of writing.
         wall: f64,
-        why: crate::Why,
+        /// Why it is undone.
+        why: Why,
+        /// Fields of hosts that are gone: they are unset instead of restored.
         lost: Vec<Field>,
     },
+    /// Changes were frozen.
     Frozen {
+        /// Time of writing.
         wall: f64,
+        /// The operator.
         who: String,
+        /// The reason that was given.
         why: String,
     },
+    /// Changes are allowed again.
     Thawed {
+        /// Time of writing.
         wall: f64,
+        /// The operator.
         who: String,
     },
 }
--- /dev/null
+++ b/crates/director/changes/src/record_error.rs
@@ -0,0 +1,27 @@
+//! Records that contradict each other.
+
+use crate::change::Version;
+
+/// A record that contradicts the records before it: the log is damaged, or of a program with other rules.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum RecordError {
+    /// A number that is not above all before it.
+    #[error("change {0} accepted twice")]
+    AcceptedTwice(Version),
+    /// A stage of a change that is not in the log.
+    #[error("change {0} that was never accepted")]
+    UnknownChange(Version),
+    /// An undo of a change that is not in the log.
+    #[error("undoing of change {0} that was never accepted")]
+    UnknownUndone(Version),
+    /// A stage that cannot follow, see [`crate::Stage::leads_to`].
+    #[error("change {number} {to} that was {from}")]
+    InvalidTransition {
+        /// The change.
+        number: Version,
+        /// Its stage before.
+        from: &'static str,
+        /// The stage that the record gives it.
+        to: &'static str,
+    },
+}
--- /dev/null
+++ b/crates/director/changes/src/stage.rs
@@ -0,0 +1,144 @@
+//! The stages of a change, and why it ended.
+
+use serde::{Deserialize, Serialize};
+use std::fmt;
+
+/// Why a change was kept.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Keep {
+    /// Its trial showed no harm.
+    Judged,
+    /// An operator ended the trial early.
+    Confirmed {
+        /// The operator.
+        who: String,
+    },
+    /// It was submitted without a trial.
+    Untried,
+    /// It undoes another change; such changes have no trial.
+    Undoing,
+}
+
+/// Why a change was undone or dropped.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Why {
+    /// The analysis found that service dropped because of it.
+    Harm {
+        /// What was found.
+        found: String,
+    },
+    /// An operator undid it.
+    Asked {
+        /// The operator.
+        who: String,
+        /// The reason that was given; may be empty.
+        why: String,
+    },
+    /// The trial ended without enough reports to analyse it.
+    Unjudged,
+    /// Its assignments were not applied by the proxies in time.
+    Unsettled,
+    /// The director stopped during its trial.
+    Restarted,
+    /// It could not be written to the change log.
+    Unwritten {
+        /// The error.
+        why: String,
+    },
+    /// The state on which it was based changed while it was set aside.
+    Stale {
+        /// What it would do now.
+        why: String,
+    },
+    /// It was set aside, and service did not recover enough for a second trial.
+    NeverCalm,
+}
+
+impl fmt::Display for Why {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            Why::Harm { found } => write!(formatter, "service dropped: {found}"),
+            Why::Asked { who, why } if why.is_empty() => write!(formatter, "by {who}"),
+            Why::Asked { who, why } => write!(formatter, "by {who}: {why}"),
+            Why::Unjudged => formatter.write_str("its trial ended without sums enough to judge it"),
+            Why::Unsettled => formatter.write_str("its orders were not settled in time"),
+            Why::Restarted => formatter.write_str("the director ended during its trial"),
+            Why::Unwritten { why } => write!(formatter, "the history could not be written: {why}"),
+            Why::Stale { why } => write!(formatter, "stale: {why}"),
+            Why::NeverCalm => formatter
+                .write_str("it was set aside, and the fleet did not become calm enough to try it again"),
+        }
+    }
+}
+
+/// How far a change has come.
+#[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
+#[serde(rename_all = "kebab-case")]
+pub enum Stage {
+    /// Waits until its author stages it.
+    Drafted,
+    /// Valid and without conflict, but not yet durable.
+    Checked,
+    /// Durable; waits until no other change is being applied.
+    Staged,
+    /// In force in the director; the proxies are being updated.
+    Applied,
+    /// The proxies have it; its effect on service is analysed.
+    Trial,
+    /// Out of force for the time being: service dropped, and no unaffected traffic showed whether the change or a
+    /// fault of the fleet is the cause. It gets a second trial when service has recovered.
+    Aside {
+        /// What was found.
+        found: String,
+    },
+    /// In force for good, until another change replaces it or it is undone.
+    Kept(Keep),
+    /// Out of force; its values were replaced by those below it.
+    Undone(Why),
+    /// Ended before it was applied.
+    Dropped(Why),
+}
+
+impl Stage {
+    /// Whether what it sets is in force.
+    pub fn in_force(&self) -> bool {
+        matches!(self, Stage::Applied | Stage::Trial | Stage::Kept(_))
+    }
+
+    /// Whether nothing more happens to it by itself.
+    pub fn ended(&self) -> bool {
+        matches!(self, Stage::Kept(_) | Stage::Undone(_) | Stage::Dropped(_))
+    }
+
+    /// Whether a change may move from this stage to that one. Other transitions are refused, also in a recovered log.
+    pub fn leads_to(&self, to: &Stage) -> bool {
+        use Stage::*;
+        matches!(
+            (self, to),
+            (Drafted, Checked | Dropped(_))
+                | (Checked, Staged | Dropped(_))
+                | (Staged, Applied | Dropped(_))
+                | (Applied, Trial | Kept(_) | Undone(_) | Aside { .. })
+                | (Trial, Kept(_) | Undone(_) | Aside { .. })
+                | (Aside { .. }, Applied | Undone(_))
+                | (Kept(_), Undone(_))
+        )
+    }
+
+    /// The stage as texts for operators have it.
+    pub fn name(&self) -> &'static str {
+        match self {
+            Stage::Drafted => "drafted",
+            Stage::Checked => "checked",
+            Stage::Staged => "staged",
+            Stage::Applied => "applied",
+            Stage::Trial => "on trial",
+            Stage::Aside { .. } => "set aside",
+            Stage::Kept(_) => "kept",
+            Stage::Undone(_) => "undone",
+            Stage::Dropped(_) => "dropped",
+        }
+    }
+}
--- a/crates/director/operator-config/src/lib.rs
+++ b/crates/director/operator-config/src/lib.rs
@@ -17,6 +17,7 @@
 pub use error::{EditError, FieldPathError, ValueError};
 pub use fault::Fault;
 pub use field::{difference, Document, Edits, Field, MAX_FIELDS};
+// Other packages still use the names `sheet` and `Sheet`.
 pub use operator_file::{read as sheet, LogForm, OperatorFile as Sheet, StartConfig};
 pub use validation::{check_edit, Known, KnownRoute};
 pub use value::{Again, GuardMode, Value};
--- a/crates/director/service/src/reducer/operators.rs
+++ b/crates/director/service/src/reducer/operators.rs
@@ -127,7 +127,7 @@
             return Ok(());
         }
         out.tell(format!("operators: {} records in the history", records.len()));
-        self.book = Book::recover(records)?;
+        self.book = Book::recover(records).map_err(|error| error.to_string())?;
         let (pool, wall) = (self.pool(0.0, around), self.wall);
         let acts = self.book.resume(0.0, wall, &pool);
         self.carry_out(0.0, acts, around, out);
