--- a/crates/director/changes/src/change_log/submission.rs
+++ b/crates/director/changes/src/change_log/submission.rs
@@ -17,7 +17,7 @@
 /// Limit of the drafts.
 const MAX_DRAFTS: usize = 64;
 
-/// The fields of a submission with their bounds, except its edits.
+/// What is out of bounds in a submission's parameters, one text a fault.
 fn parameter_faults(submission: &Submission) -> Vec<String> {
     let mut faults = Vec::new();
     if submission.trial.is_some_and(|trial| trial != 0.0 && !(5.0..=3600.0).contains(&trial)) {
