--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -222,17 +222,15 @@
     fn apply_output(&mut self, now: Ms, output: Output, effects: &mut Vec<Effect>) {
         match output {
             Output::Send { operation_id, to, request: call, timeout } => effects.push(Effect::SendToPeer {
-                operation_id: operation_id,
+                operation_id,
                 peer: to,
                 request: PeerRequest::Consensus(call),
                 timeout,
             }),
-            Output::Respond { request_id, response } => effects.push(Effect::RespondToPeer {
-                request_id: request_id,
-                response: PeerResponse::Consensus(response),
-            }),
+            Output::Respond { request_id, response } => effects
+                .push(Effect::RespondToPeer { request_id, response: PeerResponse::Consensus(response) }),
             Output::Persist { operation_id: token, state, replace, metadata } => {
-                let write = WriteBatch { state, whole: replace, metadata: metadata };
+                let write = WriteBatch { state, whole: replace, metadata };
                 effects.push(Effect::Persist { operation_id: token, write });
             }
             Output::Log(line) => effects.push(Effect::Log(line)),
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -80,7 +80,7 @@
         let rollout_reports = request.rollout_reports.clone();
         link.poll_in_flight = Some(PollInFlight { operation_id, started_at: now, rollout_reports });
         effects.push(Effect::SendToPeer {
-            operation_id: operation_id,
+            operation_id,
             peer: peer.clone(),
             request: PeerRequest::Watch(Box::new(request)),
             timeout: state.timeouts.core.rpc_timeout,
--- a/crates/control-plane/server/src/server.rs
+++ b/crates/control-plane/server/src/server.rs
@@ -144,7 +144,7 @@
         let request_id = lock(&self.pending_requests).insert(request) as RequestId;
         self.submit(match parsed {
             ParsedRequest::Admin(request) => Event::Admin { request_id, request },
-            ParsedRequest::Peer(call) => Event::Peer { request_id: request_id, request: call },
+            ParsedRequest::Peer(call) => Event::Peer { request_id, request: call },
         });
     }
 
