--- a/crates/director/change-analysis/examples/memory.rs
+++ b/crates/director/change-analysis/examples/memory.rs
@@ -1,37 +1,38 @@
-//! Prints what the judge keeps in memory: after a minute of sums, and with trials beside them, counted where it is
-//! given out. `cargo run --release -p coppersail-judge --example memory`
+//! Prints the memory of the change analysis, counted by the allocator: after a minute of reports, and with trials.
+//! `cargo run --release -p coppersail-change-analysis --example memory`
 
 use coppersail::interface::{HostId, RouteId, SliceId};
 use coppersail_change_analysis::{Judge, Touch, TrialId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-struct Counting;
-static HELD: AtomicUsize = AtomicUsize::new(0);
+struct CountingAllocator;
+static ALLOCATED_BYTES: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: it only counts and hands everything on to the system's allocator.
-unsafe impl GlobalAlloc for Counting {
+// SAFETY: it only counts, and leaves every allocation to the system's allocator.
+unsafe impl GlobalAlloc for CountingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        HELD.fetch_add(layout.size(), Ordering::Relaxed);
+        ALLOCATED_BYTES.fetch_add(layout.size(), Ordering::Relaxed);
         System.alloc(layout)
     }
-    unsafe fn dealloc(&self, at: *mut u8, layout: Layout) {
-        HELD.fetch_sub(layout.size(), Ordering::Relaxed);
-        System.dealloc(at, layout)
+    unsafe fn dealloc(&self, pointer: *mut u8, layout: Layout) {
+        ALLOCATED_BYTES.fetch_sub(layout.size(), Ordering::Relaxed);
+        System.dealloc(pointer, layout)
     }
 }
 
 #[global_allocator]
-static COUNTING: Counting = Counting;
+static ALLOCATOR: CountingAllocator = CountingAllocator;
 
 fn main() {
     println!("| | idle | one trial of a fifth | eight trials, a minute later |");
     println!("| --- | --- | --- | --- |");
     for (proxies, hosts, slices) in [(150, 30_u32, 210_u16), (1600, 120, 840)] {
-        let before = HELD.load(Ordering::Relaxed);
-        let held = || (HELD.load(Ordering::Relaxed) - before) as f64 / 1024.0;
-        let (mut judge, mut now) = (Judge::new(1.0, vec![1.0, 3.0], 1.5), 0.0);
-        let mut minute = |judge: &mut Judge| {
+        let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
+        let allocated_kib = || (ALLOCATED_BYTES.load(Ordering::Relaxed) - before) as f64 / 1024.0;
+        let mut judge = Judge::new(1.0, vec![1.0, 3.0], 1.5);
+        let mut now = 0.0;
+        let mut run_minute = |judge: &mut Judge| {
             for _ in 0..60 {
                 for slice in 0..slices {
                     (0..2).for_each(|route| judge.demand(SliceId(slice), RouteId(route), 20, 1));
@@ -46,13 +47,13 @@
             hosts: (0..hosts / 5).map(HostId).collect(),
             ..Touch::default()
         };
-        minute(&mut judge);
-        let idle = held();
+        run_minute(&mut judge);
+        let idle = allocated_kib();
         judge.watch(TrialId(1), touch(), 0.0);
-        let one = held();
+        let one_trial = allocated_kib();
         (2..9).for_each(|id| judge.watch(TrialId(id), touch(), 0.0));
-        minute(&mut judge);
-        let size = format!("{proxies} proxies, {hosts} hosts, {slices} slices");
-        println!("| {size} | {idle:.0} KiB | {one:.0} KiB | {:.0} KiB |", held());
+        run_minute(&mut judge);
+        let fleet = format!("{proxies} proxies, {hosts} hosts, {slices} slices");
+        println!("| {fleet} | {idle:.0} KiB | {one_trial:.0} KiB | {:.0} KiB |", allocated_kib());
     }
 }
--- a/crates/director/change-analysis/src/evidence.rs
+++ b/crates/director/change-analysis/src/evidence.rs
@@ -1,44 +1,65 @@
-//! What speaks for harm, as odds that may be looked at any time: their mean stays at most 1 as long as there is none,
-//! so they pass 1/e with a chance of e at most, however often one looks (Ville's inequality).
+//! The sequential test: evidence of harm as odds that may be evaluated at any time.
+//!
+//! The odds are a mixture of likelihood ratios (Wald's sequential probability ratio test), over how great the harm is
+//! and over the period in which it begins. Without harm their mean stays at most 1, so they exceed 1/p with a
+//! probability of at most p, however often they are evaluated (Ville's inequality).
 
-use crate::view::Seen;
-use crate::Found;
+use crate::comparison::Observation;
 
-/// Losses above the bound that are looked for. Between them odds fall off little.
+/// Loss rates above the bound that the test looks for. Between them the odds fall off little.
 const HARMS: [f64; 5] = [0.02, 0.05, 0.12, 0.25, 0.5];
-/// Harm may begin with any period: half of the chance is given to the first ones, as most harm shows at once, the rest
-/// to those of a usual trial. What comes after these is found as well if it began in one of them.
-const BEGINS: [(usize, f64); 2] = [(10, 0.5), (60, 0.5)];
-/// The most that one period can say, as a logarithm of odds: an outlier alone must not condemn.
-const SAYS_MOST: f64 = 3.0;
+/// The greatest loss rate under harm, below 1 so that logarithms stay finite.
+const MAX_LOSS_RATE: f64 = 0.99;
+/// The most that one observation adds to the logarithm of the odds: an outlier alone must not reject a change.
+const MAX_LOG_ODDS: f64 = 3.0;
 
-#[derive(Clone, Debug, Default)]
-pub(crate) struct Evidence {
-    /// For each harm, the summed odds that it began in one of the periods until now.
-    begun: [f64; HARMS.len()],
+/// A share of the prior probability that is spread evenly over the first periods.
+struct OnsetPrior {
     periods: usize,
-    pub last: Option<Found>,
+    probability: f64,
 }
 
-/// The chance that harm, if there is any, has begun by then.
-fn begin_by(periods: usize) -> f64 {
-    BEGINS.iter().map(|(many, chance)| chance * periods.min(*many) as f64 / *many as f64).sum()
+/// Harm may begin in any period. Half of the probability is given to the first ones, as most harm shows at once, and
+/// the rest to those of a usual trial. Harm that shows later is found as well if it began in one of them.
+const ONSET_PRIORS: [OnsetPrior; 2] =
+    [OnsetPrior { periods: 10, probability: 0.5 }, OnsetPrior { periods: 60, probability: 0.5 }];
+
+/// The prior probability that harm, if there is any, has begun after so many observations.
+fn onset_probability(observations: usize) -> f64 {
+    let share = |prior: &OnsetPrior| {
+        prior.probability * observations.min(prior.periods) as f64 / prior.periods as f64
+    };
+    ONSET_PRIORS.iter().map(share).sum()
+}
+
+/// The evidence of one part of service.
+#[derive(Clone, Debug, Default)]
+pub(crate) struct Evidence {
+    /// For each of [`HARMS`], the summed odds that it began in one of the observations until now.
+    odds_by_harm: [f64; HARMS.len()],
+    observations: usize,
 }
 
 impl Evidence {
-    pub fn add(&mut self, seen: &Seen) {
-        let begins = begin_by(self.periods + 1) - begin_by(self.periods);
-        self.periods += 1;
-        let (lost, kept) = (seen.calls * seen.rate, seen.calls * (1.0 - seen.rate));
-        for (begun, harm) in self.begun.iter_mut().zip(HARMS) {
-            let with = (seen.bound + harm).min(0.99);
-            let says = lost * (with / seen.bound).ln() + kept * ((1.0 - with) / (1.0 - seen.bound)).ln();
-            *begun = (*begun + begins) * (says / seen.noise).min(SAYS_MOST).exp();
+    /// Takes in an observation.
+    pub(crate) fn add(&mut self, observation: &Observation) {
+        let onset = onset_probability(self.observations + 1) - onset_probability(self.observations);
+        self.observations += 1;
+        let lost = observation.calls * observation.loss_rate;
+        let served = observation.calls * (1.0 - observation.loss_rate);
+        let bound = observation.bound;
+        for (odds, harm) in self.odds_by_harm.iter_mut().zip(HARMS) {
+            let harmed = (bound + harm).min(MAX_LOSS_RATE);
+            let log_ratio = lost * (harmed / bound).ln() + served * ((1.0 - harmed) / (1.0 - bound)).ln();
+            // Overdispersed calls carry less information than independent ones.
+            let log_odds = (log_ratio / observation.overdispersion).min(MAX_LOG_ODDS);
+            *odds = (*odds + onset) * log_odds.exp();
         }
     }
 
-    pub fn odds(&self) -> f64 {
-        let later = 1.0 - begin_by(self.periods);
-        self.begun.iter().map(|begun| begun + later).sum::<f64>() / HARMS.len() as f64
+    /// How many times likelier the observations are with harm than without.
+    pub(crate) fn odds(&self) -> f64 {
+        let later_onset = 1.0 - onset_probability(self.observations);
+        self.odds_by_harm.iter().map(|odds| odds + later_onset).sum::<f64>() / HARMS.len() as f64
     }
 }
--- /dev/null
+++ b/crates/director/change-analysis/src/sides.rs
@@ -0,0 +1,114 @@
+//! Assignment of the calls of a period to the touched and the untouched side of a part of service.
+
+use crate::history::{Period, SliceCalls};
+use crate::scope::{Part, Touch};
+use crate::sums::SideSums;
+use coppersail::interface::{HostId, RouteId, SliceId};
+use std::collections::BTreeSet;
+
+/// Effective calls on a side below which a period is combined with the next one: fewer show nothing.
+const MIN_CALLS: f64 = 10.0;
+
+/// How the calls of one part of service are divided between the two sides.
+#[derive(Clone, Debug, PartialEq)]
+pub(crate) struct Sides {
+    part: Part,
+    touch: Touch,
+    /// What other trials touch is on neither side, as it is no measure for this one.
+    excluded_slices: BTreeSet<SliceId>,
+    excluded_routes: BTreeSet<RouteId>,
+    excluded_hosts: BTreeSet<HostId>,
+    importance: Vec<f64>,
+    untouched_unusable: bool,
+}
+
+impl Sides {
+    /// `others`: scopes of the other changes in force; `importance`: weight by route; `untouched_unusable`: the change
+    /// is so wide that what it does not touch is no measure.
+    pub(crate) fn new(
+        part: Part,
+        touch: &Touch,
+        others: &[&Touch],
+        importance: &[f64],
+        untouched_unusable: bool,
+    ) -> Self {
+        Sides {
+            part,
+            touch: touch.clone(),
+            excluded_slices: others.iter().flat_map(|other| other.slices.iter().copied()).collect(),
+            excluded_routes: others.iter().flat_map(|other| other.routes.iter().copied()).collect(),
+            excluded_hosts: others.iter().flat_map(|other| other.hosts.iter().copied()).collect(),
+            importance: importance.to_vec(),
+            untouched_unusable,
+        }
+    }
+
+    pub(crate) fn part(&self) -> Part {
+        self.part
+    }
+
+    pub(crate) fn untouched_unusable(&self) -> bool {
+        self.untouched_unusable
+    }
+
+    /// The sums of a period on both sides.
+    pub(crate) fn split(&self, period: &Period) -> SideSums {
+        match self.part {
+            Part::Hosts => self.split_attempts(period),
+            _ => self.split_calls(period),
+        }
+    }
+
+    fn split_attempts(&self, period: &Period) -> SideSums {
+        let mut sums = SideSums::default();
+        for host in &period.hosts {
+            let side = if self.touch.hosts.contains(&host.host) {
+                &mut sums.touched
+            } else if self.excluded_hosts.contains(&host.host) {
+                continue;
+            } else {
+                &mut sums.untouched
+            };
+            side.add(1.0, f64::from(host.attempts), f64::from(host.lost));
+        }
+        sums
+    }
+
+    fn split_calls(&self, period: &Period) -> SideSums {
+        let mut sums = SideSums::default();
+        for calls in &period.slices {
+            let touched =
+                self.touch.slices.contains(&calls.slice) || self.touch.routes.contains(&calls.route);
+            let Some(weight) = self.weight(calls, touched) else { continue };
+            let side = if touched {
+                &mut sums.touched
+            } else if self.excluded_slices.contains(&calls.slice)
+                || self.excluded_routes.contains(&calls.route)
+            {
+                continue;
+            } else {
+                &mut sums.untouched
+            };
+            side.add(weight, f64::from(calls.calls), f64::from(calls.lost));
+        }
+        sums
+    }
+
+    /// The weight of calls in this part; `None` if they do not belong to it.
+    fn weight(&self, calls: &SliceCalls, touched: bool) -> Option<f64> {
+        match self.part {
+            Part::Route(route) if calls.route == route => Some(1.0),
+            // A route that is touched everywhere is compared with the others.
+            Part::Route(route) if self.touch.routes.contains(&route) && !touched => Some(1.0),
+            Part::Route(_) => None,
+            Part::AllCalls => Some(1.0),
+            Part::AllByImportance | Part::Hosts => Some(self.importance[usize::from(calls.route.0)]),
+        }
+    }
+
+    /// Whether the sums have enough calls to be evaluated by themselves.
+    pub(crate) fn are_sufficient(sums: &SideSums, without_untouched: bool) -> bool {
+        sums.touched.effective_calls() >= MIN_CALLS
+            && (without_untouched || sums.untouched.effective_calls() >= MIN_CALLS)
+    }
+}
