--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -1,5 +1,5 @@
 //! Generated pools, tables and proposals against the oracle: what was accepted and refused rightly. And repairs of small
-//! ones against the best that there is. `cargo run --release -p coppersail-guard --example confusion [CASES] [SMALL]`
+//! ones against the best that there is. `cargo run --release -p coppersail-capacity-guard --example confusion [CASES] [SMALL]`
 
 mod model;
 
--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -6,15 +6,15 @@
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
-pub const ROUTES: usize = 2;
+pub(crate) const ROUTES: usize = 2;
 
 #[derive(Clone, Debug)]
-pub struct Case {
-    pub pool: Pool,
-    pub tables: BTreeMap<SliceId, Table>,
-    pub calls: Vec<Vec<Order>>,
-    pub pending: Vec<Pending>,
-    pub now: f64,
+pub(crate) struct Case {
+    pub(crate) pool: Pool,
+    pub(crate) tables: BTreeMap<SliceId, Table>,
+    pub(crate) calls: Vec<Vec<Order>>,
+    pub(crate) pending: Vec<Pending>,
+    pub(crate) now: f64,
 }
 
 fn pick<T: Copy>(chance: &mut Rng, of: &[T]) -> T {
@@ -22,7 +22,7 @@
 }
 
 impl Case {
-    pub fn drawn(seed: u64, hosts: usize, slices: usize) -> Case {
+    pub(crate) fn drawn(seed: u64, hosts: usize, slices: usize) -> Case {
         let mut chance = Rng::with_seed(seed);
         let c = &mut chance;
         let now = 100.0;
@@ -69,30 +69,55 @@
         Case { pool, tables, calls, pending, now }
     }
 
-    pub fn guard(&self) -> Guard {
+    pub(crate) fn guard(&self) -> Guard {
         Guard::new(self.pool.clone(), &self.tables, ROUTES)
     }
 }
 
 /// What is wrong, by kind and about whom, and by how much.
-pub type Wrongs = BTreeMap<(u8, u32, u16), f64>;
+pub(crate) type Wrongs = BTreeMap<(u8, u32, u16), f64>;
 
 /// Bare slices, cold hosts pushed, warm ones overloaded, piles: each summed.
-pub type Badness = [f64; 4];
+pub(crate) type Badness = [f64; 4];
 
 #[derive(Clone)]
-pub struct World {
-    pub hosts: BTreeMap<HostId, Host>,
-    pub lines: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
+pub(crate) struct World {
+    pub(crate) hosts: BTreeMap<HostId, Host>,
+    pub(crate) lines: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
+}
+
+/// Load of one host: in all routes, if all others in its tables fail, and by route.
+#[derive(Default)]
+struct OracleHostLoad {
+    calls: f64,
+    worst_case: f64,
+    by_route: [f64; ROUTES],
+}
+
+#[derive(Default)]
+struct OracleLoad {
+    hosts: BTreeMap<HostId, OracleHostLoad>,
+    totals: [f64; ROUTES],
+    /// By route, the greatest demand of one slice.
+    largest: [f64; ROUTES],
+    uncovered: BTreeSet<SliceId>,
+}
+
+fn age(host: &Host, at: f64) -> f64 {
+    host.born.map_or(1e9, |born| (at - born).max(0.0))
+}
+
+fn ramp(bounds: &Bounds, host: &Host, at: f64) -> f64 {
+    (bounds.cold_from + (1.0 - bounds.cold_from) * age(host, at) / bounds.ramp_time).clamp(0.01, 1.0)
 }
 
 impl World {
-    pub fn of(case: &Case) -> World {
+    pub(crate) fn of(case: &Case) -> World {
         let lines = case.tables.iter().map(|(slice, table)| (*slice, table.lines.clone())).collect();
         World { hosts: case.pool.hosts.clone(), lines }
     }
 
-    pub fn apply(&mut self, order: &Order) {
+    pub(crate) fn apply(&mut self, order: &Order) {
         match order {
             Order::Line { slice, host, weight } if *weight > 0.0 => {
                 self.lines.entry(*slice).or_default().insert(*host, *weight);
@@ -110,75 +135,95 @@
         self.hosts.get(host).is_some_and(|h| h.state == State::Ready && h.proven && !h.out)
     }
 
-    /// All that is wrong at a time, reckoned from nothing.
-    pub fn wrongs(&self, case: &Case, at: f64) -> Wrongs {
-        let b = &case.pool.bounds;
-        let mut wrongs = Wrongs::new();
-        let mut calls: BTreeMap<HostId, (f64, f64, [f64; ROUTES])> = BTreeMap::new();
-        let (mut totals, mut most) = ([0.0; ROUTES], [0.0_f64; ROUTES]);
+    /// The load of each host and route, computed from the tables alone.
+    fn load(&self, case: &Case) -> OracleLoad {
+        let mut load = OracleLoad::default();
         for (slice, lines) in &self.lines {
             let demand = &case.tables[slice].demand;
-            for route in 0..ROUTES {
-                totals[route] += demand[route];
-                most[route] = most[route].max(demand[route]);
+            for (route, calls) in demand.iter().enumerate() {
+                load.totals[route] += calls;
+                load.largest[route] = load.largest[route].max(*calls);
             }
             let open: Vec<(&HostId, &f64)> = lines.iter().filter(|(host, _)| self.open(host)).collect();
             let sum: f64 = open.iter().map(|(_, weight)| **weight).sum();
             if open.is_empty() {
-                wrongs.insert((0, slice.0.into(), 0), 1.0);
+                load.uncovered.insert(*slice);
             }
             for (host, weight) in open {
-                let entry = calls.entry(*host).or_default();
-                entry.0 += weight / sum * demand.iter().sum::<f64>();
-                entry.1 += demand.iter().sum::<f64>();
-                (0..ROUTES).for_each(|route| entry.2[route] += weight / sum * demand[route]);
+                let entry = load.hosts.entry(*host).or_default();
+                entry.calls += weight / sum * demand.iter().sum::<f64>();
+                entry.worst_case += demand.iter().sum::<f64>();
+                (0..ROUTES).for_each(|route| entry.by_route[route] += weight / sum * demand[route]);
             }
         }
-        let age = |h: &Host| h.born.map_or(1e9, |born| (at - born).max(0.0));
-        let ramp = |h: &Host| (b.cold_from + (1.0 - b.cold_from) * age(h) / b.ramp_time).clamp(0.01, 1.0);
-        let unit = |h: &Host| h.weight * ramp(h);
-        let open = || self.hosts.iter().filter(|(id, _)| self.open(id));
-        let all: f64 = open().map(|(_, h)| unit(h)).sum();
-        for (id, h) in open() {
-            let Some((now, worst, by_route)) = calls.get(id).filter(|c| c.0 > 0.0) else { continue };
+        load
+    }
+
+    /// All that is unsafe at a time, computed from the definitions.
+    pub(crate) fn wrongs(&self, case: &Case, at: f64) -> Wrongs {
+        let load = self.load(case);
+        let mut wrongs: Wrongs =
+            load.uncovered.iter().map(|slice| ((0, u32::from(slice.0), 0), 1.0)).collect();
+        self.host_wrongs(case, at, &load, &mut wrongs);
+        self.zone_wrongs(case, at, &load, &mut wrongs);
+        wrongs
+    }
+
+    fn open_hosts(&self) -> impl Iterator<Item = (&HostId, &Host)> {
+        self.hosts.iter().filter(|(id, _)| self.open(id))
+    }
+
+    fn host_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
+        let (b, totals) = (&case.pool.bounds, &load.totals);
+        let unit = |h: &Host| h.weight * ramp(b, h, at);
+        let all: f64 = self.open_hosts().map(|(_, h)| unit(h)).sum();
+        for (id, h) in self.open_hosts() {
+            let Some(host) = load.hosts.get(id).filter(|host| host.calls > 0.0) else { continue };
             if let Some(carries) = b.carries {
-                let cold = ramp(h) < 1.0;
-                let per_unit = if cold || age(h) < b.ramp_time + 30.0 { carries.low } else { carries.middle };
+                let cold = ramp(b, h, at) < 1.0;
+                let unproved = cold || age(h, at) < b.ramp_time + 30.0;
+                let per_unit = if unproved { carries.low } else { carries.middle };
                 let multiple = if cold { (0.6 * b.fall_multiple).max(1.0) } else { 1.25 };
                 let fair = if cold { 0.0 } else { 2.0 * totals.iter().sum::<f64>() * unit(h) / all };
                 let limit = f64::max(unit(h) * per_unit * multiple, fair);
                 let falls = unit(h) * carries.low * b.fall_multiple;
-                if *now > limit * 1.001 {
-                    wrongs.insert((if cold { 1 } else { 2 }, id.0, 0), now / limit - 1.0);
-                } else if cold && *worst > falls * 1.001 {
-                    wrongs.insert((1, id.0, 0), worst / falls - 1.0);
+                if host.calls > limit * 1.001 {
+                    wrongs.insert((if cold { 1 } else { 2 }, id.0, 0), host.calls / limit - 1.0);
+                } else if cold && host.worst_case > falls * 1.001 {
+                    wrongs.insert((1, id.0, 0), host.worst_case / falls - 1.0);
                 }
             }
-            for route in (0..ROUTES).filter(|route| open().count() >= 4 && totals[*route] >= 1.0) {
-                let bound = 3.0 * unit(h) / all + most[route] / totals[route];
-                if by_route[route] / totals[route] > bound * 1.001 {
-                    wrongs.insert((3, id.0, route as u16), by_route[route] / totals[route] - bound);
+            let is_judged = |route: &usize| self.open_hosts().count() >= 4 && totals[*route] >= 1.0;
+            for route in (0..ROUTES).filter(is_judged) {
+                let bound = 3.0 * unit(h) / all + load.largest[route] / totals[route];
+                if host.by_route[route] / totals[route] > bound * 1.001 {
+                    wrongs.insert((3, id.0, route as u16), host.by_route[route] / totals[route] - bound);
                 }
             }
         }
-        let zones: BTreeSet<ZoneId> = open().map(|(_, h)| h.zone).collect();
-        for zone in zones.iter().filter(|_| zones.len() > 1 && open().count() >= 4) {
-            let within = || open().filter(|(_, h)| h.zone == *zone);
+    }
+
+    fn zone_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
+        let (b, totals) = (&case.pool.bounds, &load.totals);
+        let unit = |h: &Host| h.weight * ramp(b, h, at);
+        let all: f64 = self.open_hosts().map(|(_, h)| unit(h)).sum();
+        let zones: BTreeSet<ZoneId> = self.open_hosts().map(|(_, h)| h.zone).collect();
+        for zone in zones.iter().filter(|_| zones.len() > 1 && self.open_hosts().count() >= 4) {
+            let within = || self.open_hosts().filter(|(_, h)| h.zone == *zone);
             for route in (0..ROUTES).filter(|route| totals[*route] >= 1.0) {
-                let share: f64 =
-                    within().filter_map(|(id, _)| Some(calls.get(id)?.2[route] / totals[route])).sum();
-                let bound =
-                    2.0 * within().map(|(_, h)| unit(h)).sum::<f64>() / all + most[route] / totals[route];
+                let part = |id| Some(load.hosts.get(id)?.by_route[route] / totals[route]);
+                let share: f64 = within().filter_map(|(id, _)| part(id)).sum();
+                let units = within().map(|(_, h)| unit(h)).sum::<f64>();
+                let bound = 2.0 * units / all + load.largest[route] / totals[route];
                 if share > bound * 1.001 {
                     wrongs.insert((4, zone.0.into(), route as u16), share - bound);
                 }
             }
         }
-        wrongs
     }
 
     /// The same at each moment ahead, beginning with now.
-    pub fn ahead(&self, case: &Case) -> Vec<Wrongs> {
+    pub(crate) fn ahead(&self, case: &Case) -> Vec<Wrongs> {
         let mut world = self.clone();
         let mut pending: Vec<&Pending> =
             case.pending.iter().filter(|event| event.at <= case.now + 15.0).collect();
@@ -197,7 +242,7 @@
     }
 }
 
-pub fn badness(moments: &[Wrongs]) -> Badness {
+pub(crate) fn badness(moments: &[Wrongs]) -> Badness {
     let of = |wrongs: &Wrongs| {
         let mut sums = [0.0; 4];
         wrongs.iter().for_each(|((kind, ..), much)| sums[(*kind as usize).min(3)] += much);
@@ -206,7 +251,7 @@
     moments.iter().map(of).fold([0.0; 4], |a, b| if less(&a, &b) { b } else { a })
 }
 
-pub fn less(a: &Badness, b: &Badness) -> bool {
+pub(crate) fn less(a: &Badness, b: &Badness) -> bool {
     let first = a.iter().zip(b).find(|(a, b)| (*a - *b).abs() > 1e-6);
     first.is_some_and(|(a, b)| a < b)
 }
@@ -216,13 +261,13 @@
 }
 
 /// Whether anything is unsafe at any moment that is not so, or not as much, at the same moment before.
-pub fn worsens(before: &[Wrongs], after: &[Wrongs]) -> bool {
+pub(crate) fn worsens(before: &[Wrongs], after: &[Wrongs]) -> bool {
     let worse = |(new, old): (&Wrongs, &Wrongs)| new.iter().any(|(about, much)| !known(old, about, *much));
     after.iter().zip(before).any(worse)
 }
 
 /// Whether the proposal makes anything unsafe that would not be so without it.
-pub fn is_unsafe(case: &Case) -> bool {
+pub(crate) fn is_unsafe(case: &Case) -> bool {
     let mut world = World::of(case);
     let before = world.ahead(case);
     let mut between = Vec::new();
@@ -240,7 +285,7 @@
 }
 
 /// The world with all calls told.
-pub fn told(case: &Case) -> World {
+pub(crate) fn told(case: &Case) -> World {
     let mut world = World::of(case);
     case.calls.iter().flatten().for_each(|order| world.apply(order));
     world
@@ -248,17 +293,17 @@
 
 /// Of all tables of one or two even lines, and the lines as proposed.
 #[allow(dead_code)] // The tests need no best table; it costs too much for them.
-pub struct Best {
+pub(crate) struct Best {
     /// The least bad that there is.
-    pub least: Badness,
+    pub(crate) least: Badness,
     /// The fewest changed tables by which nothing at all is wrong; and by which nothing is worse than without the
     /// proposal, and all together less bad.
-    pub fewest: Option<usize>,
-    pub safe: Option<usize>,
+    pub(crate) fewest: Option<usize>,
+    pub(crate) safe: Option<usize>,
 }
 
 #[allow(dead_code)]
-pub fn best(case: &Case) -> Best {
+pub(crate) fn best(case: &Case) -> Best {
     let (proposed, before) = (told(case), World::of(case).ahead(case));
     let hosts: Vec<HostId> = case.pool.hosts.keys().copied().collect();
     let mut choices: Vec<BTreeMap<HostId, f64>> =
--- a/crates/director/capacity-guard/src/repair/greedy.rs
+++ b/crates/director/capacity-guard/src/repair/greedy.rs
@@ -143,7 +143,7 @@
     /// Gives a slice without an open host one: if no host has room, the one that is overloaded least.
     fn cover(&self, slice: SliceId) -> Option<Move> {
         let table = self.guard.loads.tables().get(&slice)?;
-        let to = self.host_with_room(table, table.calls(), None).or_else(|| self.least_loaded(table))?;
+        let to = self.host_with_headroom(table, table.calls(), None).or_else(|| self.least_loaded(table))?;
         Some(Move { slice, from: None, to, weight: 1.0 })
     }
 
@@ -164,7 +164,7 @@
         contributions.into_iter().find_map(|contribution| {
             let slice = contribution.slice;
             let table = &self.guard.loads.tables()[&slice];
-            let to = self.host_with_room(table, contribution.calls, excess.excluded_zone)?;
+            let to = self.host_with_headroom(table, contribution.calls, excess.excluded_zone)?;
             Some(Move { slice, from: Some(excess.host), to, weight: table.lines[&excess.host] })
         })
     }
@@ -195,28 +195,28 @@
     }
 
     /// The host outside a table that has most room for so many more of its calls; a cold one only if no warm one has any.
-    fn host_with_room(&self, table: &Table, calls: f64, excluded_zone: Option<ZoneId>) -> Option<HostId> {
+    fn host_with_headroom(&self, table: &Table, calls: f64, excluded_zone: Option<ZoneId>) -> Option<HostId> {
         let bounds = &self.guard.pool.bounds;
         let allowed = self.guard.pool.open_hosts().filter(|(id, host)| {
             !table.lines.contains_key(id) && !self.leaving.contains(id) && Some(host.zone) != excluded_zone
         });
         let keyed = allowed.filter_map(|(id, host)| {
-            Some(((host.is_warm(self.now, bounds), self.room(id, host, table, calls)?), id))
+            Some(((host.is_warm(self.now, bounds), self.headroom(id, host, table, calls)?), id))
         });
         keyed.max_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal)).map(|(_, id)| id)
     }
 
     /// What a host could be sent beyond so many more calls of a table; by its load while capacities are unknown. `None`:
     /// it has no room.
-    fn room(&self, id: HostId, host: &Host, table: &Table, calls: f64) -> Option<f64> {
+    fn headroom(&self, id: HostId, host: &Host, table: &Table, calls: f64) -> Option<f64> {
         let bounds = &self.guard.pool.bounds;
         let load = self.guard.loads.host_load(id);
         let present = load.map_or(0.0, |load| load.calls);
         let worst_case = load.map_or(0.0, |load| load.worst_case_calls);
-        let room = host.call_limit(self.now, bounds) - present - calls;
-        let worst_case_room = host.collapse_limit(self.now, bounds) - worst_case - table.calls();
-        let fits = room >= 0.0 && worst_case_room >= 0.0;
-        fits.then_some(if room.is_finite() { room } else { -present })
+        let headroom = host.call_limit(self.now, bounds) - present - calls;
+        let worst_case_headroom = host.collapse_limit(self.now, bounds) - worst_case - table.calls();
+        let fits = headroom >= 0.0 && worst_case_headroom >= 0.0;
+        fits.then_some(if headroom.is_finite() { headroom } else { -present })
     }
 
     /// The host outside a table that would have the least load for its size; one that stays before one that leaves, a warm
--- a/crates/director/capacity-guard/src/repair/linear_program.rs
+++ b/crates/director/capacity-guard/src/repair/linear_program.rs
@@ -166,14 +166,14 @@
         for (host, bound) in self.bounds {
             let fixed = &fixed[host];
             if bound.calls.is_finite() {
-                let room = (BOUND_MARGIN * bound.calls - fixed.calls).max(0.0);
-                constraints.push(constraint!(self.host_load(cells, *host, &|table| table.calls) <= room));
+                let headroom = (BOUND_MARGIN * bound.calls - fixed.calls).max(0.0);
+                constraints.push(constraint!(self.host_load(cells, *host, &|table| table.calls) <= headroom));
             }
             for (route, (bound, fixed)) in bound.by_route.iter().zip(&fixed.by_route).enumerate() {
                 if bound.is_finite() {
-                    let room = (BOUND_MARGIN * bound - fixed).max(0.0);
+                    let headroom = (BOUND_MARGIN * bound - fixed).max(0.0);
                     let load = self.host_load(cells, *host, &|table| table.demand[route]);
-                    constraints.push(constraint!(load <= room));
+                    constraints.push(constraint!(load <= headroom));
                 }
             }
         }
--- a/crates/director/capacity-guard/src/repair/program_tables.rs
+++ b/crates/director/capacity-guard/src/repair/program_tables.rs
@@ -105,14 +105,14 @@
         let in_program = naming.map(|table| table.calls).sum::<f64>();
         let worst_case = guard.loads.host_load(*id).map_or(0.0, |load| load.worst_case_calls);
         let others = worst_case - in_program;
-        let mut room = BOUND_MARGIN * bounds[id].worst_case_calls - others;
+        let mut headroom = BOUND_MARGIN * bounds[id].worst_case_calls - others;
         let allowing = |index: &usize| tables[*index].allowed.contains(id);
         let mut order: Vec<usize> = (0..tables.len()).filter(allowing).collect();
         let key = |index: &usize| (!tables[*index].shares.contains_key(id), tables[*index].calls);
         order.sort_by(|a, b| key(a).partial_cmp(&key(b)).unwrap_or(Ordering::Equal));
         for index in order {
-            if tables[index].calls <= room {
-                room -= tables[index].calls;
+            if tables[index].calls <= headroom {
+                headroom -= tables[index].calls;
             } else {
                 tables[index].allowed.remove(id);
             }
--- a/crates/director/capacity-guard/tests/guard.rs
+++ b/crates/director/capacity-guard/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The hard cases one by one, and a few thousand generated ones against the oracle.
+//! The verdicts of the guard: single cases, and a few thousand generated ones against an oracle.
 
 #[path = "../examples/model/mod.rs"]
 mod model;
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_slice_left_bare_is_refused_with_the_one_line_that_mends_it() {
+fn a_slice_without_an_open_host_is_refused_with_a_repair_of_one_move() {
     let mut guard = guard(6);
     let refused = refused(guard.judge(&[vec![Order::Clear(SliceId(2))]], &[], NOW));
     assert_eq!(refused.reasons[0].reason, Reason::Bare { slice: SliceId(2) });
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn a_table_that_is_bare_now_and_safe_after_a_pending_opening_is_refused_all_the_same() {
+fn a_table_whose_only_host_opens_later_is_refused() {
     let mut guard = guard(6);
     guard.set_host(id(5), Host { state: State::Gone, ..Host::default() });
     let opens = Pending { at: NOW + 2.0, host: id(5), what: Change::Opens };
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn a_host_is_not_given_more_than_it_carries() {
+fn an_overload_of_a_warm_host_is_refused_and_repaired() {
     let mut guard = guard(6);
     let pile: Vec<Order> = (0..6).flat_map(|n| [line(n, 3, 9.0)]).collect();
     let refused = refused(guard.judge(&[pile], &[], NOW));
@@ -95,7 +95,7 @@
 
 #[test_case(1.0, true ; "just started")]
 #[test_case(9.0, false ; "nearly warm")]
-fn a_cold_host_is_not_pushed_over(age: f64, expected: bool) {
+fn an_overload_of_a_cold_host_is_refused(age: f64, expected: bool) {
     let mut guard = guard(6);
     guard.set_host(id(3), Host { born: Some(NOW - age), zone: ZoneId(1), ..Host::default() });
     let calls = [vec![line(0, 3, 1.0), line(5, 3, 1.0)]];
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn what_is_unsafe_only_between_two_calls_is_refused() {
+fn a_state_that_is_unsafe_only_between_two_calls_is_refused() {
     let mut guard = guard(6);
     let swap = [vec![line(0, 0, 0.0), line(0, 1, 0.0)], vec![line(0, 2, 1.0), line(0, 3, 1.0)]];
     let refused = refused(guard.judge(&swap, &[], NOW));
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn a_route_piled_on_two_hosts_is_refused_though_they_could_carry_it() {
+fn a_route_concentrated_on_two_hosts_is_refused_with_capacity_unknown() {
     let mut guard = guard(10);
     guard.bounds_mut().carries = None;
     let pile: Vec<Order> = (0..10)
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn with_all_hosts_young_after_a_crash_the_fleet_is_not_stopped() {
+fn with_all_hosts_cold_after_a_crash_a_slice_without_host_still_gets_one() {
     let mut guard = guard(6);
     (0..6).for_each(|n| guard.set_host(id(n), Host { born: Some(NOW - 0.5), ..Host::default() }));
     // One table bare, and every host too cold to take it: somebody must.
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn one_slice_hotter_than_any_host_stays_where_it_must() {
+fn a_slice_with_more_demand_than_any_capacity_still_gets_hosts() {
     let mut guard = guard(6);
     guard.set_demand(SliceId(0), &[60.0, 0.0]);
     // Half of it each at two warm hosts instead of at none.
@@ -154,7 +154,7 @@
 #[test_case(0.0 ; "none")]
 #[test_case(1e-300 ; "tiny")]
 #[test_case(1e300 ; "huge")]
-fn odd_weights_break_no_sum(weight: f64) {
+fn extreme_weights_leave_sums_intact(weight: f64) {
     let mut guard = guard(6);
     let _ = guard.judge(&[vec![line(0, 0, weight), line(0, 3, weight)]], &[], NOW);
     let _ = guard.judge(&[vec![line(0, 99, weight)]], &[], NOW);
@@ -162,7 +162,7 @@
 }
 
 #[test]
-fn hosts_listed_that_are_not_there_hold_no_slice() {
+fn a_listed_host_that_has_never_answered_covers_no_slice() {
     let mut guard = guard(6);
     guard.set_host(id(7), Host { proven: false, ..Host::default() });
     let calls = [vec![line(0, 7, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn a_deploy_of_nearly_all_hosts_goes_through_in_steps_that_hold() {
+fn a_drain_of_nearly_all_hosts_keeps_utilisation_within_its_limit() {
     let pool = guard(20).pool().clone();
     let hosts = (0..19).map(id).collect();
     let wanted = Drain { hosts, back_after: Some(3.0), most: Some(4), calls: 100.0 };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_fleet_too_full_for_any_step_is_drained_by_force_one_by_one_but_never_empty() {
+fn a_drain_without_spare_capacity_is_forced_one_by_one_and_leaves_the_last_host() {
     let pool = guard(3).pool().clone();
     let wanted = Drain { hosts: (0..3).map(id).collect(), back_after: None, most: None, calls: 29.0 };
     let steps = drain(&pool, &wanted, NOW);
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn sums_that_are_kept_up_stay_those_of_the_tables() {
+fn the_load_index_agrees_with_its_tables_after_many_changes() {
     let mut chance = fastrand::Rng::with_seed(7);
     let mut kept = guard(6);
     for _ in 0..300_000 {
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn a_judgement_leaves_everything_as_it_was() {
+fn a_judgement_leaves_the_guard_unchanged() {
     for seed in 0..500 {
         let case = Case::drawn(seed, 5, 4);
         let mut judged = case.guard();
@@ -254,7 +254,7 @@
 }
 
 #[test]
-fn what_hosts_carry_is_learnt_from_what_they_did() {
+fn capacity_is_estimated_from_utilisation_and_waiting_calls() {
     let estimate = |observations: &[HostObservation]| {
         let mut capacity = CapacityEstimator::default();
         (0..5).for_each(|n| {
@@ -288,7 +288,7 @@
 }
 
 #[test]
-fn a_slice_of_which_nothing_was_heard_counts_as_the_average() {
+fn a_slice_without_reports_counts_with_the_average_demand() {
     let mut demand = DemandEstimator::new(2);
     let slices = || [0, 1, 2].map(SliceId).into_iter();
     assert_eq!(demand.demand(slices())[&SliceId(2)], [1.0, 0.0], "with nothing heard at all each alike");
@@ -298,7 +298,7 @@
 }
 
 #[test]
-fn a_zone_cut_while_another_drains_is_judged_with_both() {
+fn a_withdrawn_zone_and_a_pending_drain_are_judged_together() {
     let mut guard = guard(6);
     // Zone 1 is cut: its hosts are shut out. Of zone 0 one leaves in three seconds.
     [1, 3, 5]
@@ -314,7 +314,7 @@
 }
 
 #[test]
-fn a_host_that_drained_and_returned_between_two_reports_counts_as_it_is() {
+fn a_host_that_drained_and_returned_counts_by_its_present_state() {
     let mut guard = guard(6);
     let all = [vec![line(0, 3, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
     guard.set_host(id(3), Host { state: State::Draining, ..Host::default() });
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn several_directors_judge_their_own_slices_by_their_part() {
+fn several_directors_judge_their_own_slices_by_their_share_of_the_capacity() {
     // Two directors with half of the slices each: what each has seen a host carry for it is half as well.
     let halves = [0, 1].map(|half| {
         let whole = guard(6);
--- a/crates/director/capacity-guard/tests/guarded.rs
+++ b/crates/director/capacity-guard/tests/guarded.rs
@@ -1,5 +1,5 @@
-//! The decision module with the guard behind it, on fleets of chance: no circle of refusals, no slice left bare, nothing
-//! lost of what both know of the tables.
+//! The decision module with the guard behind it, on random fleets: refusals are bounded, no slice is without a host, and
+//! the guard's tables are those of the proxies.
 
 use coppersail::interface::*;
 use coppersail_capacity_guard::{Change, Guarded, Mode, Pending};
@@ -83,67 +83,70 @@
     }
 }
 
-/// A minute of a fleet in which hosts drain, come back cold, are hot, and say odd things of their load.
-fn minute(seed: u64, mode: Mode) -> (Guarded, Proxies, Vec<u32>) {
-    let mut chance = Rng::with_seed(seed);
-    let (mut guarded, mut proxies) = (Guarded::new(settings(), seed, mode), Proxies::default());
-    let hosts = 6_u32;
-    let mut open: Vec<u32> = (0..hosts).collect();
-    let listed = open.iter().map(|host| listing(*host, HostState::Ready, None)).collect();
-    let mut first = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
-    first.extend((0..4).map(|n| Input::Joined {
+/// The first inputs: six hosts, four proxies, and 24 slices on one host each.
+fn first_inputs(hosts: u32, proxies: &mut Proxies) -> Vec<Input> {
+    let listed = (0..hosts).map(|host| listing(host, HostState::Ready, None)).collect();
+    let mut inputs = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
+    inputs.extend((0..4).map(|n| Input::Joined {
         proxy: ProxyId(n),
         zone: ZoneId(0),
         calls_per_s: 9.0,
         fresh: false,
     }));
     for slice in (0..24).map(SliceId) {
-        first.extend([
-            Input::Given(slice),
-            Input::StoredLine { slice, host: HostId(slice.0 as u32 % hosts), weight: 1.0 },
-        ]);
-        proxies.tables.insert(slice, [(HostId(slice.0 as u32 % hosts), 1.0)].into());
+        let host = HostId(slice.0 as u32 % hosts);
+        inputs.extend([Input::Given(slice), Input::StoredLine { slice, host, weight: 1.0 }]);
+        proxies.tables.insert(slice, [(host, 1.0)].into());
+    }
+    inputs
+}
+
+/// One second's reports of all slices, of which one is hot, and of all hosts, whose loads are random.
+fn reports(hosts: u32, chance: &mut Rng) -> Vec<Input> {
+    let mut inputs = Vec::new();
+    for slice in (0..24).map(SliceId) {
+        let calls = if slice.0 == 3 { 200 } else { 2 + chance.u64(0..9) };
+        inputs.push(Input::Demand { slice, route: RouteId(slice.0 % 2), calls, dropped: 0, span: 1.0 });
+    }
+    for host in (0..hosts).map(HostId) {
+        let load = Load { waiting: Some(chance.f64() * 4.0), ..Load::default() };
+        let tries = 5 + chance.u64(0..40);
+        let (zone, span, dropped, rt) = (ZoneId(0), 1.0, 0, 0.1);
+        inputs.push(Input::Tries { host, zone, span, tries, dropped, rt, load });
+        inputs.push(Input::Probed { host, outcome: Outcome::Answered, took: 0.01, load });
+    }
+    inputs
+}
+
+/// A random host drains, or comes back cold if it had drained.
+fn list_change(hosts: u32, tick: u64, open: &mut Vec<u32>, chance: &mut Rng) -> Option<Input> {
+    let host = chance.u32(0..hosts);
+    let back = !open.contains(&host);
+    let leaves = !back && open.len() > 2;
+    if !back && !leaves {
+        return None;
     }
-    let mut inputs = first;
+    let state = if back { HostState::Ready } else { HostState::Draining };
+    open.retain(|open| *open != host);
+    open.extend(back.then_some(host));
+    let entries = vec![listing(host, state, back.then_some(tick as f64 / 10.0))];
+    Some(Input::Hosts { scope: ListScope::Changes, version: 2 + tick, entries })
+}
+
+/// A minute of a fleet in which hosts drain and come back cold, a slice is hot, and reported loads are random.
+fn minute(seed: u64, mode: Mode) -> (Guarded, Proxies, Vec<u32>) {
+    let mut chance = Rng::with_seed(seed);
+    let (mut guarded, mut proxies) = (Guarded::new(settings(), seed, mode), Proxies::default());
+    let hosts = 6_u32;
+    let mut open: Vec<u32> = (0..hosts).collect();
+    let mut inputs = first_inputs(hosts, &mut proxies);
     for tick in 0..600_u64 {
         let now = tick as f64 / 10.0;
         if tick % 10 == 0 {
-            for slice in (0..24).map(SliceId) {
-                let calls = if slice.0 == 3 { 200 } else { 2 + chance.u64(0..9) };
-                inputs.push(Input::Demand {
-                    slice,
-                    route: RouteId(slice.0 % 2),
-                    calls,
-                    dropped: 0,
-                    span: 1.0,
-                });
-            }
-            for host in (0..hosts).map(HostId) {
-                let load = Load { waiting: Some(chance.f64() * 4.0), ..Load::default() };
-                let tries = 5 + chance.u64(0..40);
-                inputs.push(Input::Tries {
-                    host,
-                    zone: ZoneId(0),
-                    span: 1.0,
-                    tries,
-                    dropped: 0,
-                    rt: 0.1,
-                    load,
-                });
-                inputs.push(Input::Probed { host, outcome: Outcome::Answered, took: 0.01, load });
-            }
+            inputs.extend(reports(hosts, &mut chance));
         }
         if tick % 37 == 36 {
-            let host = chance.u32(0..hosts);
-            let back = !open.contains(&host);
-            let leaves = !back && open.len() > 2;
-            if back || leaves {
-                let state = if back { HostState::Ready } else { HostState::Draining };
-                open.retain(|open| *open != host);
-                open.extend(back.then_some(host));
-                let entries = vec![listing(host, state, back.then_some(now))];
-                inputs.push(Input::Hosts { scope: ListScope::Changes, version: 2 + tick, entries });
-            }
+            inputs.extend(list_change(hosts, tick, &mut open, &mut chance));
         }
         let orders = guarded.handle(now, &inputs);
         proxies.take(&orders);
@@ -161,7 +164,7 @@
 }
 
 #[test]
-fn refusals_never_go_round_in_a_circle_and_no_slice_is_left_bare() {
+fn refusals_are_bounded_and_no_slice_is_without_an_open_host() {
     for seed in 0..60 {
         let (guarded, proxies, open) = minute(seed, Mode::On);
         let counts = guarded.counts;
@@ -181,7 +184,7 @@
 }
 
 #[test]
-fn watching_changes_nothing() {
+fn in_watch_mode_all_orders_are_sent_as_without_a_guard() {
     for seed in 0..10 {
         let watched = minute(seed, Mode::Watch);
         let alone = minute(seed, Mode::Off);
@@ -193,7 +196,7 @@
 /// Operators keep a slice away from all hosts but the one that is announced to leave: with the announcement in mind it
 /// stays where it is, without it goes there.
 #[test]
-fn what_is_announced_is_looked_ahead_to_in_a_running_director() {
+fn an_announced_leave_is_considered_by_a_running_director() {
     for announced in [true, false] {
         let mut guarded = Guarded::new(settings(), 1, Mode::On);
         let mut proxies = Proxies::default();
@@ -231,7 +234,7 @@
 }
 
 #[test]
-fn a_slice_given_anew_counts_with_what_is_asked_of_it_at_once() {
+fn a_slice_that_is_assigned_again_has_its_demand_at_once() {
     let mut guarded = Guarded::new(settings(), 1, Mode::On);
     let listed = (0..4).map(|host| listing(host, HostState::Ready, None)).collect();
     let mut first = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
