--- a/crates/director/capacity-guard/benches/guard.rs
+++ b/crates/director/capacity-guard/benches/judgement_cost.rs
@@ -1,5 +1,5 @@
-//! What judging costs: one changed line and a batch of a hundred by size of the fleet, and keeping the index against
-//! reckoning everything anew.
+//! Cost of a judgement: one changed weight and a batch of a hundred, by size of the fleet; and of the load index against
+//! computing all loads anew.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
 use coppersail_capacity_guard::{Bounds, Estimate, Guard, Host, LoadIndex, Pool, Table};
@@ -22,33 +22,37 @@
     Order::Line { slice: SliceId(slice), host: HostId(host), weight: 0.5 }
 }
 
-fn costs(bench: &mut Criterion) {
+fn judgement_cost(criterion: &mut Criterion) {
     for (proxies, hosts, slices) in [(150, 30, 210), (1600, 120, 840), (10_000, 2000, 14_000)] {
         let (pool, tables) = fleet(hosts, slices);
         let mut guard = Guard::new(pool.clone(), &tables, 2);
         let one = [vec![line(5, 9)]];
-        bench.bench_function(&format!("one line, {proxies} proxies, {hosts} hosts"), |run| {
-            run.iter(|| guard.judge(&one, &[], 100.0));
+        criterion.bench_function(&format!("one line, {proxies} proxies, {hosts} hosts"), |bencher| {
+            bencher.iter(|| guard.judge(&one, &[], 100.0));
         });
         let batch = [(0..100).map(|n| line(n, (u32::from(n) + 3) % hosts)).collect::<Vec<Order>>()];
-        bench.bench_function(&format!("a batch of 100, {proxies} proxies, {hosts} hosts"), |run| {
-            run.iter(|| guard.judge(&batch, &[], 100.0));
+        criterion.bench_function(&format!("a batch of 100, {proxies} proxies, {hosts} hosts"), |bencher| {
+            bencher.iter(|| guard.judge(&batch, &[], 100.0));
         });
     }
     for lines in [100_u32, 1000, 10_000, 100_000] {
         let (pool, tables) = fleet((lines / 14).max(8), (lines / 2) as u16);
         let mut loads = LoadIndex::from_tables(&pool, &tables, 2);
-        bench.bench_function(&format!("a line kept up, {lines} lines"), |run| {
-            run.iter(|| {
+        criterion.bench_function(&format!("a line kept up, {lines} lines"), |bencher| {
+            bencher.iter(|| {
                 loads.set_weight(SliceId(5), HostId(3), 0.5);
                 loads.set_weight(SliceId(5), HostId(3), 0.0);
             });
         });
-        bench.bench_function(&format!("all reckoned anew, {lines} lines"), |run| {
-            run.iter_batched(|| (), |()| LoadIndex::from_tables(&pool, &tables, 2), BatchSize::LargeInput);
+        criterion.bench_function(&format!("all reckoned anew, {lines} lines"), |bencher| {
+            bencher.iter_batched(
+                || (),
+                |()| LoadIndex::from_tables(&pool, &tables, 2),
+                BatchSize::LargeInput,
+            );
         });
     }
 }
 
-criterion_group!(guard, costs);
-criterion_main!(guard);
+criterion_group!(benches, judgement_cost);
+criterion_main!(benches);
--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -12,7 +12,7 @@
 fn main() {
     let mut args = std::env::args().skip(1).map(|many| many.parse::<u64>().unwrap_or(0));
     let (cases, small) = (args.next().unwrap_or(100_000), args.next().unwrap_or(5_000));
-    let mut table = [[0_u64; 3]; 2];
+    let mut verdicts = [[0_u64; 3]; 2];
     for seed in 0..cases {
         let case = Case::drawn(seed, 2 + (seed % 7) as usize, 1 + (seed % 9) as usize);
         let verdict = case.guard().judge(&case.calls, &case.pending, case.now);
@@ -21,46 +21,46 @@
             Verdict::Least(_) => 1,
             Verdict::Refused(_) => 2,
         };
-        table[is_unsafe(&case) as usize][given] += 1;
+        verdicts[is_unsafe(&case) as usize][given] += 1;
     }
     println!("{cases} cases, 2 to 8 hosts, 1 to 9 slices\n");
     println!("| by the oracle | accepted | let through as less bad than what stands | refused |");
     println!("| --- | --- | --- | --- |");
-    for (name, row) in [("safe", table[0]), ("unsafe", table[1])] {
+    for (name, row) in [("safe", verdicts[0]), ("unsafe", verdicts[1])] {
         println!("| {name} | {} | {} | {} |", row[0], row[1], row[2]);
     }
-    let mut found = Found::default();
+    let mut statistics = RepairStatistics::default();
     for seed in 0..small {
-        found.add(&Case::drawn(1_000_000 + seed, 4, 3));
+        statistics.add(&Case::drawn(1_000_000 + seed, 4, 3));
     }
     println!("\n{small} cases of 4 hosts and 3 slices, against all tables of one or two even lines\n");
-    found.print();
+    statistics.print();
     println!("\nTime to answer what is unsafe, by size of the proposal's fleet (warm hosts, one filled past its bound)\n");
     println!("| hosts | slices | p50 | p99 | most | repaired whole |");
     println!("| --- | --- | --- | --- | --- | --- |");
     for (hosts, slices) in [(8, 40), (30, 210), (120, 840), (500, 3500), (2000, 14_000)] {
-        sized(hosts, slices, if small == 0 { 5 } else { 200 });
+        measure_fleet(hosts, slices, if small == 0 { 5 } else { 200 });
     }
 }
 
 /// What became of small cases, beside the best that there is.
 #[derive(Default)]
-struct Found {
+struct RepairStatistics {
     least: u64,
     /// Of these: a slice was without a host, and is not any more; else there is a safe table.
-    covered: u64,
-    least_safe: u64,
+    covers_slice: u64,
+    least_with_safe_table: u64,
     refused: u64,
     /// A table exists by which nothing is wrong, and one that is safe to tell; and such were found.
-    possible: u64,
-    whole: u64,
-    possible_safe: u64,
+    complete_exists: u64,
+    complete: u64,
+    safe_exists: u64,
     safe: u64,
     over: [u64; 8],
     times: Vec<f64>,
 }
 
-impl Found {
+impl RepairStatistics {
     fn add(&mut self, case: &Case) {
         let mut guard = case.guard();
         let begun = Instant::now();
@@ -74,14 +74,14 @@
             Verdict::Least(_) => {
                 self.least += 1;
                 let bare = |world: World| badness(&world.ahead(case))[0];
-                let covered = bare(told(case)) < bare(World::of(case));
-                self.covered += u64::from(covered);
-                self.least_safe += u64::from(!covered && best.safe.is_some());
+                let covers_slice = bare(told(case)) < bare(World::of(case));
+                self.covers_slice += u64::from(covers_slice);
+                self.least_with_safe_table += u64::from(!covers_slice && best.safe.is_some());
             }
             Verdict::Refused(refusal) => {
                 self.refused += 1;
-                self.possible += u64::from(best.fewest.is_some());
-                self.possible_safe += u64::from(best.safe.is_some());
+                self.complete_exists += u64::from(best.fewest.is_some());
+                self.safe_exists += u64::from(best.safe.is_some());
                 let Some(repair) = refusal.repair else { return };
                 let (before, mut world) = (World::of(case).ahead(case), told(case));
                 repair.orders().iter().for_each(|order| world.apply(order));
@@ -93,7 +93,7 @@
                 );
                 self.safe += u64::from(refusal.repair_is_safe);
                 if badness(&after) == [0.0; 4] {
-                    self.whole += 1;
+                    self.complete += 1;
                     let changed: BTreeSet<SliceId> = repair.moves.iter().map(|made| made.slice).collect();
                     let over = changed.len().saturating_sub(best.fewest.unwrap_or(changed.len()));
                     self.over[over.min(7)] += 1;
@@ -104,10 +104,20 @@
     }
 
     fn print(&mut self) {
-        let Found { least, covered, least_safe, refused, possible, whole, possible_safe, safe, over, times } =
-            self;
-        println!("let through as less bad than what stands: {least}; {covered} as they give a bare slice a host; of the others a safe table exists: {least_safe}");
-        println!("refused: {refused}; a table with nothing wrong exists: {possible}, found: {whole}; a safe one better than what stands exists: {possible_safe}, found: {safe}");
+        let RepairStatistics {
+            least,
+            covers_slice,
+            least_with_safe_table,
+            refused,
+            complete_exists,
+            complete,
+            safe_exists,
+            safe,
+            over,
+            times,
+        } = self;
+        println!("let through as less bad than what stands: {least}; {covers_slice} as they give a bare slice a host; of the others a safe table exists: {least_with_safe_table}");
+        println!("refused: {refused}; a table with nothing wrong exists: {complete_exists}, found: {complete}; a safe one better than what stands exists: {safe_exists}, found: {safe}");
         println!("tables changed over the fewest, by 0, 1, 2...: {over:?}");
         times.sort_by(f64::total_cmp);
         let at = |part: usize| times.get(times.len() * part / 100).copied().unwrap_or(0.0);
@@ -116,8 +126,8 @@
 }
 
 /// A proposal that piles some of a fleet's slices on one host: how long the answer with its repair takes.
-fn sized(hosts: u32, slices: u16, times: u64) {
-    let mut chance = fastrand::Rng::with_seed(1);
+fn measure_fleet(hosts: u32, slices: u16, times: u64) {
+    let mut rng = fastrand::Rng::with_seed(1);
     let carries = Some(Estimate { low: 80.0, middle: 100.0 });
     let bounds = Bounds { cold_from: 0.2, ramp_time: 10.0, fall_multiple: 2.5, carries };
     let host = |n| (HostId(n), Host { zone: ZoneId((n % 3) as u16), ..Host::default() });
@@ -129,12 +139,12 @@
     };
     let pool = Pool { hosts: (0..hosts).map(host).collect(), bounds };
     let mut guard = Guard::new(pool, &(0..slices).map(table).collect(), 2);
-    let (mut took, mut unsafe_ones, mut whole) = (Vec::new(), 0, 0);
+    let (mut took, mut unsafe_ones, mut complete) = (Vec::new(), 0, 0);
     for _ in 0..times {
-        let to = HostId(chance.u32(0..hosts));
+        let to = HostId(rng.u32(0..hosts));
         // Up to three times what it carries is piled on it, by tables that then name it alone.
-        let many = (chance.f64() * 3.0 * 100.0 / each) as usize + 4;
-        let piled: BTreeSet<u16> = (0..many).map(|_| chance.u16(0..slices)).collect();
+        let many = (rng.f64() * 3.0 * 100.0 / each) as usize + 4;
+        let piled: BTreeSet<u16> = (0..many).map(|_| rng.u16(0..slices)).collect();
         let lines = piled.iter().flat_map(|slice| {
             let slice = SliceId(*slice);
             [Order::Clear(slice), Order::Line { slice, host: to, weight: 1.0 }]
@@ -148,12 +158,12 @@
             Verdict::Accepted => continue,
         };
         unsafe_ones += 1;
-        whole += u64::from(repair.is_some_and(|repair| repair.left == Default::default()));
+        complete += u64::from(repair.is_some_and(|repair| repair.left == Default::default()));
     }
     took.sort_by(f64::total_cmp);
     let at = |part: usize| took[(took.len() * part / 100).min(took.len() - 1)];
     println!(
-        "| {hosts} | {slices} | {:.2} ms | {:.2} ms | {:.2} ms | {whole} of {unsafe_ones} |",
+        "| {hosts} | {slices} | {:.2} ms | {:.2} ms | {:.2} ms | {complete} of {unsafe_ones} |",
         at(50),
         at(99),
         at(100)
