--- a/crates/director/capacity-guard/tests/guard.rs
+++ b/crates/director/capacity-guard/tests/guard.rs
@@ -1,4 +1,4 @@
-//! The hard cases one by one, and a few thousand generated ones against the oracle.
+//! The verdicts of the guard: single cases, and a few thousand generated ones against an oracle.
 
 #[path = "../examples/model/mod.rs"]
 mod model;
@@ -47,12 +47,12 @@
 }
 
 #[test]
-fn a_slice_left_bare_is_refused_with_the_one_line_that_mends_it() {
+fn a_slice_without_an_open_host_is_refused_with_a_repair_of_one_move() {
     let mut guard = guard(6);
     let refused = refused(guard.judge(&[vec![Order::Clear(SliceId(2))]], &[], NOW));
     assert_eq!(refused.reasons[0].reason, Reason::Bare { slice: SliceId(2) });
     let repair = refused.repair.unwrap();
-    assert_eq!((repair.moves.len(), repair.left), (1, Danger::default()));
+    assert_eq!((repair.moves.len(), repair.left), (1, Severity::default()));
 }
 
 #[test_case(2.0, true ; "when the drain is complete in two seconds")]
@@ -72,17 +72,17 @@
 }
 
 #[test]
-fn a_table_that_is_bare_now_and_safe_after_a_pending_opening_is_refused_all_the_same() {
+fn a_table_whose_only_host_opens_later_is_refused() {
     let mut guard = guard(6);
-    guard.host(id(5), Host { state: State::Gone, ..Host::default() });
+    guard.set_host(id(5), Host { state: State::Gone, ..Host::default() });
     let opens = Pending { at: NOW + 2.0, host: id(5), what: Change::Opens };
     let calls = [vec![line(0, 5, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
     let refused = refused(guard.judge(&calls, &[opens], NOW));
-    assert_eq!(refused.reasons[0].when, Moment::Told);
+    assert_eq!(refused.reasons[0].when, Moment::AfterProposal);
 }
 
 #[test]
-fn a_host_is_not_given_more_than_it_carries() {
+fn an_overload_of_a_warm_host_is_refused_and_repaired() {
     let mut guard = guard(6);
     let pile: Vec<Order> = (0..6).flat_map(|n| [line(n, 3, 9.0)]).collect();
     let refused = refused(guard.judge(&[pile], &[], NOW));
@@ -90,33 +90,33 @@
         .reasons
         .iter()
         .any(|found| matches!(found.reason, Reason::Over { host, .. } if host == id(3))));
-    assert!(refused.repair.is_some_and(|repair| repair.left == Danger::default()));
+    assert!(refused.repair.is_some_and(|repair| repair.left == Severity::default()));
 }
 
 #[test_case(1.0, true ; "just started")]
 #[test_case(9.0, false ; "nearly warm")]
-fn a_cold_host_is_not_pushed_over(age: f64, expected: bool) {
+fn an_overload_of_a_cold_host_is_refused(age: f64, expected: bool) {
     let mut guard = guard(6);
-    guard.host(id(3), Host { born: Some(NOW - age), zone: ZoneId(1), ..Host::default() });
+    guard.set_host(id(3), Host { born: Some(NOW - age), zone: ZoneId(1), ..Host::default() });
     let calls = [vec![line(0, 3, 1.0), line(5, 3, 1.0)]];
     let verdict = guard.judge(&calls, &[], NOW);
     assert_eq!(!verdict.passes(), expected, "{verdict:?}");
 }
 
 #[test]
-fn what_is_unsafe_only_between_two_calls_is_refused() {
+fn a_state_that_is_unsafe_only_between_two_calls_is_refused() {
     let mut guard = guard(6);
     let swap = [vec![line(0, 0, 0.0), line(0, 1, 0.0)], vec![line(0, 2, 1.0), line(0, 3, 1.0)]];
     let refused = refused(guard.judge(&swap, &[], NOW));
-    assert_eq!(refused.reasons[0].when, Moment::Between(0));
+    assert_eq!(refused.reasons[0].when, Moment::BetweenCalls(0));
     let [old, new] = swap;
     assert_eq!(guard.judge(&[new, old], &[], NOW), Verdict::Accepted, "new lines before old ones go");
 }
 
 #[test]
-fn a_route_piled_on_two_hosts_is_refused_though_they_could_carry_it() {
+fn a_route_concentrated_on_two_hosts_is_refused_with_capacity_unknown() {
     let mut guard = guard(10);
-    guard.bounds().carries = None;
+    guard.bounds_mut().carries = None;
     let pile: Vec<Order> = (0..10)
         .flat_map(|n| {
             let off = [n, (n + 1) % 10].map(|host| line(n, host.into(), 0.0));
@@ -130,23 +130,23 @@
 }
 
 #[test]
-fn with_all_hosts_young_after_a_crash_the_fleet_is_not_stopped() {
+fn with_all_hosts_cold_after_a_crash_a_slice_without_host_still_gets_one() {
     let mut guard = guard(6);
-    (0..6).for_each(|n| guard.host(id(n), Host { born: Some(NOW - 0.5), ..Host::default() }));
+    (0..6).for_each(|n| guard.set_host(id(n), Host { born: Some(NOW - 0.5), ..Host::default() }));
     // One table bare, and every host too cold to take it: somebody must.
-    guard.line(SliceId(0), id(0), 0.0);
-    guard.line(SliceId(0), id(1), 0.0);
+    guard.set_weight(SliceId(0), id(0), 0.0);
+    guard.set_weight(SliceId(0), id(1), 0.0);
     let verdict = guard.judge(&[vec![line(0, 4, 1.0)]], &[], NOW);
     assert!(verdict.passes(), "{verdict:?}");
 }
 
 #[test]
-fn one_slice_hotter_than_any_host_stays_where_it_must() {
+fn a_slice_with_more_demand_than_any_capacity_still_gets_hosts() {
     let mut guard = guard(6);
-    guard.demand(SliceId(0), &[60.0, 0.0]);
+    guard.set_demand(SliceId(0), &[60.0, 0.0]);
     // Half of it each at two warm hosts instead of at none.
-    guard.line(SliceId(0), id(0), 0.0);
-    guard.line(SliceId(0), id(1), 0.0);
+    guard.set_weight(SliceId(0), id(0), 0.0);
+    guard.set_weight(SliceId(0), id(1), 0.0);
     let verdict = guard.judge(&[vec![line(0, 0, 1.0), line(0, 1, 1.0)]], &[], NOW);
     assert!(verdict.passes(), "{verdict:?}");
 }
@@ -154,7 +154,7 @@
 #[test_case(0.0 ; "none")]
 #[test_case(1e-300 ; "tiny")]
 #[test_case(1e300 ; "huge")]
-fn odd_weights_break_no_sum(weight: f64) {
+fn extreme_weights_leave_sums_intact(weight: f64) {
     let mut guard = guard(6);
     let _ = guard.judge(&[vec![line(0, 0, weight), line(0, 3, weight)]], &[], NOW);
     let _ = guard.judge(&[vec![line(0, 99, weight)]], &[], NOW);
@@ -162,15 +162,15 @@
 }
 
 #[test]
-fn hosts_listed_that_are_not_there_hold_no_slice() {
+fn a_listed_host_that_has_never_answered_covers_no_slice() {
     let mut guard = guard(6);
-    guard.host(id(7), Host { proven: false, ..Host::default() });
+    guard.set_host(id(7), Host { proven: false, ..Host::default() });
     let calls = [vec![line(0, 7, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
     assert!(!guard.judge(&calls, &[], NOW).passes(), "a stranger has answered nobody yet");
 }
 
 #[test]
-fn a_deploy_of_nearly_all_hosts_goes_through_in_steps_that_hold() {
+fn a_drain_of_nearly_all_hosts_keeps_utilisation_within_its_limit() {
     let pool = guard(20).pool().clone();
     let hosts = (0..19).map(id).collect();
     let wanted = Drain { hosts, back_after: Some(3.0), most: Some(4), calls: 100.0 };
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_fleet_too_full_for_any_step_is_drained_by_force_one_by_one_but_never_empty() {
+fn a_drain_without_spare_capacity_is_forced_one_by_one_and_leaves_the_last_host() {
     let pool = guard(3).pool().clone();
     let wanted = Drain { hosts: (0..3).map(id).collect(), back_after: None, most: None, calls: 29.0 };
     let steps = drain(&pool, &wanted, NOW);
@@ -211,29 +211,29 @@
     }
 }
 
-fn abouts(found: &Refused) -> Vec<(u8, u32, u16)> {
-    found.reasons.iter().map(|found| found.reason.about()).collect()
+fn subjects(found: &Refused) -> Vec<Subject> {
+    found.reasons.iter().map(|found| found.reason.subject()).collect()
 }
 
 #[test]
-fn sums_that_are_kept_up_stay_those_of_the_tables() {
+fn the_load_index_agrees_with_its_tables_after_many_changes() {
     let mut chance = fastrand::Rng::with_seed(7);
     let mut kept = guard(6);
     for _ in 0..300_000 {
         let (slice, host) = (SliceId(chance.u16(0..6)), id(chance.u32(0..6)));
-        kept.line(slice, host, [0.0, 0.1, 1.0, 7.3][chance.usize(0..4)]);
-        kept.demand(slice, &[chance.f64() * 9.0, chance.f64()]);
+        kept.set_weight(slice, host, [0.0, 0.1, 1.0, 7.3][chance.usize(0..4)]);
+        kept.set_demand(slice, &[chance.f64() * 9.0, chance.f64()]);
     }
-    let fresh = Loads::of(kept.pool(), kept.loads().tables(), 2);
+    let fresh = LoadIndex::from_tables(kept.pool(), kept.loads().tables(), 2);
     for host in (0..6).map(id) {
-        let calls = |loads: &Loads| loads.brought(host).map_or(0.0, |brought| brought.calls);
+        let calls = |loads: &LoadIndex| loads.host_load(host).map_or(0.0, |load| load.calls);
         assert!((calls(kept.loads()) - calls(&fresh)).abs() < 1e-6, "{host:?}");
     }
-    assert_eq!(kept.loads().bare(), fresh.bare());
+    assert_eq!(kept.loads().uncovered(), fresh.uncovered());
 }
 
 #[test]
-fn a_judgement_leaves_everything_as_it_was() {
+fn a_judgement_leaves_the_guard_unchanged() {
     for seed in 0..500 {
         let case = Case::drawn(seed, 5, 4);
         let mut judged = case.guard();
@@ -241,8 +241,10 @@
         let again = judged.judge(&case.calls, &case.pending, case.now);
         let kinds = |verdict: &Verdict| match verdict {
             Verdict::Accepted => (0, vec![], 0),
-            Verdict::Least(found) => (1, abouts(found), found.repair.as_ref().map_or(0, |r| r.moves.len())),
-            Verdict::Refused(found) => (2, abouts(found), found.repair.as_ref().map_or(0, |r| r.moves.len())),
+            Verdict::Least(found) => (1, subjects(found), found.repair.as_ref().map_or(0, |r| r.moves.len())),
+            Verdict::Refused(found) => {
+                (2, subjects(found), found.repair.as_ref().map_or(0, |r| r.moves.len()))
+            }
         };
         assert_eq!(kinds(&again), kinds(&first), "seed {seed}");
         assert_eq!(judged.pool(), case.guard().pool(), "seed {seed}");
@@ -252,42 +254,56 @@
 }
 
 #[test]
-fn what_hosts_carry_is_learnt_from_what_they_did() {
-    let heard = |spans: &[Span]| {
-        let mut carrying = Carrying::default();
+fn capacity_is_estimated_from_utilisation_and_waiting_calls() {
+    let estimate = |observations: &[HostObservation]| {
+        let mut capacity = CapacityEstimator::default();
         (0..5).for_each(|n| {
-            spans.iter().for_each(|span| carrying.heard(id(n), NOW, Span { unit: 1.0, ..*span }))
+            observations.iter().for_each(|observation| {
+                capacity.observe(id(n), NOW, HostObservation { unit: 1.0, ..*observation })
+            })
         });
-        carrying.estimate()
+        capacity.estimate()
+    };
+    let observation = |answered, failed, utilisation, waiting| HostObservation {
+        answered,
+        failed,
+        utilisation,
+        waiting,
+        unit: 1.0,
     };
-    let span = |answered, failed, busy, waiting| Span { answered, failed, busy, waiting, unit: 1.0 };
     let both = |low, middle| Some(Estimate { low, middle });
-    assert_eq!(heard(&[]), None);
-    assert_eq!(heard(&[span(5.0, 0.0, Some(0.5), None), span(0.1, 0.0, Some(0.01), None)]), both(10.0, 10.0));
+    assert_eq!(estimate(&[]), None);
+    assert_eq!(
+        estimate(&[observation(5.0, 0.0, Some(0.5), None), observation(0.1, 0.0, Some(0.01), None)]),
+        both(10.0, 10.0)
+    );
     assert_eq!(
-        heard(&[span(5.0, 0.0, None, Some(0.0)), span(50.0, 40.0, None, None)]),
+        estimate(&[observation(5.0, 0.0, None, Some(0.0)), observation(50.0, 40.0, None, None)]),
         both(5.0, f64::INFINITY)
     );
-    assert_eq!(heard(&[span(5.0, 0.0, None, Some(3.0)), span(9.0, 0.0, None, Some(4.0))]), both(9.0, 9.0));
+    assert_eq!(
+        estimate(&[observation(5.0, 0.0, None, Some(3.0)), observation(9.0, 0.0, None, Some(4.0))]),
+        both(9.0, 9.0)
+    );
 }
 
 #[test]
-fn a_slice_of_which_nothing_was_heard_counts_as_the_average() {
-    let mut asked = Asked::new(2);
+fn a_slice_without_reports_counts_with_the_average_demand() {
+    let mut demand = DemandEstimator::new(2);
     let slices = || [0, 1, 2].map(SliceId).into_iter();
-    assert_eq!(asked.demand(slices())[&SliceId(2)], [1.0, 0.0], "with nothing heard at all each alike");
-    asked.heard(NOW, SliceId(0), coppersail::interface::RouteId(0), 10.0, 1.0);
-    asked.heard(NOW, SliceId(1), coppersail::interface::RouteId(0), 2.0, 1.0);
-    assert_eq!(asked.demand(slices())[&SliceId(2)], [6.0, 0.0]);
+    assert_eq!(demand.demand(slices())[&SliceId(2)], [1.0, 0.0], "with nothing heard at all each alike");
+    demand.report(NOW, SliceId(0), coppersail::interface::RouteId(0), 10.0, 1.0);
+    demand.report(NOW, SliceId(1), coppersail::interface::RouteId(0), 2.0, 1.0);
+    assert_eq!(demand.demand(slices())[&SliceId(2)], [6.0, 0.0]);
 }
 
 #[test]
-fn a_zone_cut_while_another_drains_is_judged_with_both() {
+fn a_withdrawn_zone_and_a_pending_drain_are_judged_together() {
     let mut guard = guard(6);
     // Zone 1 is cut: its hosts are shut out. Of zone 0 one leaves in three seconds.
     [1, 3, 5]
         .into_iter()
-        .for_each(|n| guard.host(id(n), Host { zone: ZoneId(1), out: true, ..Host::default() }));
+        .for_each(|n| guard.set_host(id(n), Host { zone: ZoneId(1), out: true, ..Host::default() }));
     let only = vec![line(0, 2, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)];
     assert!(guard.judge(std::slice::from_ref(&only), &[], NOW).passes(), "host 2 is open");
     let refused = refused(guard.judge(&[only], &[leaves(2, NOW + 3.0)], NOW));
@@ -298,25 +314,25 @@
 }
 
 #[test]
-fn a_host_that_drained_and_returned_between_two_reports_counts_as_it_is() {
+fn a_host_that_drained_and_returned_counts_by_its_present_state() {
     let mut guard = guard(6);
     let all = [vec![line(0, 3, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
-    guard.host(id(3), Host { state: State::Draining, ..Host::default() });
+    guard.set_host(id(3), Host { state: State::Draining, ..Host::default() });
     assert!(!guard.judge(&all, &[], NOW).passes());
-    guard.host(id(3), Host { born: Some(NOW - 0.2), ..Host::default() });
+    guard.set_host(id(3), Host { born: Some(NOW - 0.2), ..Host::default() });
     assert!(
         !guard.judge(&[vec![line(0, 3, 9.0), line(1, 3, 9.0), line(2, 3, 9.0)]], &[], NOW).passes(),
         "cold"
     );
-    guard.host(id(3), Host::default());
+    guard.set_host(id(3), Host::default());
     assert_eq!(guard.judge(&all, &[], NOW), Verdict::Accepted);
 }
 
 #[test]
 fn with_demand_unknown_tables_are_judged_by_shares_alone() {
     let mut guard = guard(10);
-    (0..10).for_each(|n| guard.demand(SliceId(n), &[1.0, 0.0]));
-    guard.bounds().carries = None;
+    (0..10).for_each(|n| guard.set_demand(SliceId(n), &[1.0, 0.0]));
+    guard.bounds_mut().carries = None;
     assert_eq!(guard.judge(&[vec![line(0, 5, 1.0)]], &[], NOW), Verdict::Accepted);
     let bare = guard.judge(&[vec![Order::Clear(SliceId(0))]], &[], NOW);
     assert!(!bare.passes());
@@ -325,7 +341,7 @@
 }
 
 #[test]
-fn several_directors_judge_their_own_slices_by_their_part() {
+fn several_directors_judge_their_own_slices_by_their_share_of_the_capacity() {
     // Two directors with half of the slices each: what each has seen a host carry for it is half as well.
     let halves = [0, 1].map(|half| {
         let whole = guard(6);
