--- /dev/null
+++ b/crates/tools/simulator/src/endpoint.rs
@@ -0,0 +1,158 @@
+//! State of a simulated endpoint (the operators' pages: host): heartbeats, shard leases, graceful shutdown.
+
+use crate::admin_client::{AdminCall, MachineSelector};
+use crate::settings::{zone_name, DRAIN_MS, HEARTBEAT_MS};
+use crate::time::{local_clock, Micros, MICROS_PER_MILLI};
+use coppersail_stub_backend::{Beat, Keys};
+use std::time::Duration;
+
+/// The service with shard leases.
+pub(crate) const SHARDED_SERVICE: &str = "shelf";
+/// The service without.
+pub(crate) const PLAIN_SERVICE: &str = "desk";
+
+/// How long most endpoints go on serving after the edges know that they drain, and how long some do.
+pub(crate) const SHORT_LINGER: Micros = 500_000;
+pub(crate) const LONG_LINGER: Micros = 6_000_000;
+/// How long an endpoint that drains waits for an acknowledgement.
+const DRAIN_TIMEOUT: Micros = 5_000_000;
+/// Time to the next heartbeat while a release of leases is to be reported.
+const UNREPORTED_RELEASE_DELAY: Micros = 50_000;
+/// Time to the next heartbeat when a drain is to be reported.
+const UNREPORTED_DRAIN_DELAY: Micros = 1000;
+
+/// A request in flight.
+pub(crate) struct SentRequest {
+    pub(crate) request_id: u64,
+    pub(crate) sent_at: Micros,
+    /// It reports that the endpoint drains.
+    pub(crate) draining: bool,
+    pub(crate) sign_off: bool,
+    pub(crate) redirects: u8,
+    pub(crate) call: AdminCall,
+}
+
+#[derive(Default)]
+pub(crate) struct Endpoint {
+    /// Names the incarnation too.
+    pub(crate) id: String,
+    pub(crate) zone: usize,
+    pub(crate) sharded: bool,
+    pub(crate) up: bool,
+    pub(crate) incarnation: u32,
+    pub(crate) started_at: Micros,
+    pub(crate) clock_rate: f64,
+    pub(crate) keys: Keys,
+    /// Counts the wake-ups that were scheduled: only the last one is valid.
+    pub(crate) wake: u32,
+    pub(crate) heartbeats: u64,
+    pub(crate) selector: MachineSelector,
+    pub(crate) in_flight: Option<SentRequest>,
+    pub(crate) draining_since: Option<Micros>,
+    pub(crate) drain_acknowledged_at: Option<Micros>,
+    /// How long it goes on serving after the edges know that it drains.
+    pub(crate) linger: Micros,
+    /// Counts the clients' requests on keys.
+    pub(crate) works: usize,
+}
+
+impl Endpoint {
+    pub(crate) fn new(zone: usize, sharded: bool) -> Endpoint {
+        Endpoint { zone, sharded, clock_rate: 1.0, ..Endpoint::default() }
+    }
+
+    /// Starts the next incarnation of the endpoint with this index.
+    pub(crate) fn start(
+        &mut self,
+        index: usize,
+        now: Micros,
+        clock_rate: f64,
+        position: usize,
+        linger: Micros,
+    ) {
+        let incarnation = self.incarnation + 1;
+        *self = Endpoint {
+            id: format!("i-{index}-{incarnation}"),
+            zone: self.zone,
+            sharded: self.sharded,
+            up: true,
+            incarnation,
+            started_at: now,
+            clock_rate,
+            wake: self.wake,
+            selector: MachineSelector::starting_at(position),
+            linger,
+            works: self.works,
+            ..Endpoint::default()
+        };
+    }
+
+    pub(crate) fn service(&self) -> &'static str {
+        if self.sharded {
+            SHARDED_SERVICE
+        } else {
+            PLAIN_SERVICE
+        }
+    }
+
+    /// What its clock shows at true time `at`.
+    pub(crate) fn clock(&self, at: Micros) -> Duration {
+        local_clock(at, self.started_at, self.clock_rate)
+    }
+
+    /// The leases (first key, last key, token) that it holds by its own clock.
+    pub(crate) fn leases(&self, now: Micros) -> Vec<(u32, u32, u64)> {
+        self.keys.clone().told(self.clock(now)).0
+    }
+
+    /// Whether a drain is complete, or was not acknowledged in time.
+    pub(crate) fn is_drain_over(&self, now: Micros) -> bool {
+        match (self.drain_acknowledged_at, self.draining_since) {
+            (Some(acknowledged_at), _) => now >= self.drain_ends_at(acknowledged_at),
+            (None, Some(since)) => now >= since + DRAIN_TIMEOUT,
+            _ => false,
+        }
+    }
+
+    fn drain_ends_at(&self, acknowledged_at: Micros) -> Micros {
+        acknowledged_at + DRAIN_MS * MICROS_PER_MILLI + self.linger
+    }
+
+    /// The next heartbeat.
+    pub(crate) fn heartbeat(&mut self, index: usize, now: Micros) -> AdminCall {
+        self.heartbeats += 1;
+        let clock = self.clock(now);
+        let (held, released) = self.keys.told(clock);
+        let beat = Beat {
+            backend: self.service().into(),
+            address: format!("10.{}.2.{index}:8080", self.zone + 1),
+            area: zone_name(self.zone),
+            revision: "v1".into(),
+            capacity: 4,
+            stage: if self.draining_since.is_some() { "emptying" } else { "ready" }.into(),
+            warm_left: "0ms".into(),
+            call_count: self.heartbeats,
+            held: self.sharded.then_some(held),
+            released: self.sharded.then_some(released),
+        };
+        let body = serde_json::to_string(&beat).expect("a heartbeat is serializable");
+        AdminCall::Heartbeat { endpoint_id: self.id.as_str().into(), body: body.into() }
+    }
+
+    /// Time to the next heartbeat after one that reported `reported_drain` was answered.
+    pub(crate) fn next_heartbeat_delay(&self, now: Micros, reported_drain: bool) -> Micros {
+        let interval = HEARTBEAT_MS * MICROS_PER_MILLI;
+        let delay = match (self.draining_since, self.drain_acknowledged_at) {
+            (Some(_), _) if !reported_drain => UNREPORTED_DRAIN_DELAY,
+            (Some(_), Some(acknowledged_at)) => {
+                self.drain_ends_at(acknowledged_at).saturating_sub(now).min(interval)
+            }
+            _ => interval,
+        };
+        if self.keys.unsettled() {
+            delay.min(UNREPORTED_RELEASE_DELAY)
+        } else {
+            delay
+        }
+    }
+}
--- a/crates/tools/simulator/src/lib.rs
+++ b/crates/tools/simulator/src/lib.rs
@@ -1,51 +1,56 @@
-//! Days of trouble for the control plane: the very nodes of centres under simulated time, links, disks and processes,
-//! with hosts, edges and operators around them, judged from outside. A day is decided by its seed: no threads, no real
-//! time, no I/O.
+//! Deterministic simulator of the control plane.
 //!
-//! What is played: links by pair (delay, jitter, cuts of one way or both, calls doubled, late, reset, answers lost, bytes
-//! held up by a cut that come after it), disks (slow, hanging, full, lost whole, writes under way at a loss of power there
-//! up to some point), processes (kill, power, freeze, SIGTERM, SIGHUP, each at a chosen moment such as between a sync and
-//! its answer), machines replaced, moved, returning, all at once; steady clocks up to 2% apart. On most days no more is
-//! lost at once than `survive` says, and calm times must be served; on wild days any number is, but no disk.
+//! It runs the very nodes of the control plane ([`coppersail_control_plane::node::Node`]) on simulated time, links, disks
+//! and processes, with endpoints, edges and operators around them, and checks invariants from what these callers observe.
+//! A seed decides a run: there are no threads, no real time and no I/O.
 //!
-//! What isn't: bytes of HTTP and JSON, time that the code itself takes, a store that is torn or gone back (it is found as
-//! a lost disk), rollouts, sessions, clients' requests, zones or regions lost whole, clocks that jump.
+//! Simulated: links by pair (delay, jitter, partitions of one or both directions, requests that are duplicated, late or
+//! reset, lost responses, bytes that a partition held back and that arrive after it); disks (slow, hanging, full, lost;
+//! at a loss of power a prefix of the pending writes survives); processes (kill, power loss, freeze, SIGTERM, SIGHUP, each
+//! at a chosen moment such as between a sync and its response); machines that are replaced, moved, returned, or failing
+//! all at once; steady clocks up to 2% apart. In most runs no more is lost at once than `survive` allows, and the control
+//! plane must then be available in stable periods. In the other runs any number is lost, but no disk.
+//!
+//! Not simulated: bytes of HTTP and JSON, the time that the code itself takes, a store that is torn or was set back (it
+//! counts as a lost disk), rollouts, sessions, clients' requests, zones or regions lost as a whole, clocks that jump.
 //!
 //! ```
-//! let day = coppersail_simulator::Day { length: 8_000, ..coppersail_simulator::Day::default() };
-//! let (one, other) = (coppersail_simulator::play(&day, false), coppersail_simulator::play(&day, false));
-//! assert_eq!(one.tally.steps, other.tally.steps);
+//! use coppersail_simulator::{simulate, Scenario};
+//! let scenario = Scenario { duration: 8_000, ..Scenario::default() };
+//! let (first, second) = (simulate(&scenario, false), simulate(&scenario, false));
+//! assert_eq!(first.statistics.steps, second.statistics.steps);
 //! ```
-mod callers;
-pub mod checks;
+
+mod admin_client;
+mod disk;
 mod edge;
-mod host;
+mod endpoint;
+mod event;
+mod event_queue;
+pub mod fault;
+mod generator;
+pub mod invariants;
 mod machine;
+mod network;
+mod observed_leadership;
 mod operator;
-pub mod script;
+mod outcome;
+mod participant;
+mod process;
+mod scenario;
+mod settings;
 mod shrink;
-mod tally;
+mod simulation;
+mod statistics;
+mod time;
 mod world;
 
-pub use checks::Broken;
-pub use script::{Day, Fault, Moment, Seeds, Way, What, Who};
+pub use fault::{Fault, FaultKind, FaultTarget, KnownPeers, PartitionDirection, Trigger};
+pub use invariants::Violation;
+pub use outcome::Outcome;
+pub use scenario::Scenario;
+pub use settings::STABILIZATION_MS;
 pub use shrink::shrink;
-pub use tally::Tally;
-use world::World;
-pub use world::{play, Outcome};
-
-/// True time in microseconds from the day's start.
-pub type Us = u64;
-pub type Ms = u64;
-
-pub(crate) const BEAT: Ms = 1300;
-pub(crate) const EMPTY: Ms = 2500;
-pub(crate) const SYNC: Ms = 4000;
-pub(crate) const LEEWAY: Ms = 6000;
-pub(crate) const CONFIRM: Ms = 5000;
-pub(crate) const APPLY: Ms = 2500;
-pub(crate) const KEEP_MAX: Ms = 10_000;
-/// `peerDelay`: by how much the list of machines lags.
-pub(crate) const LISTED: Ms = 3000;
-/// Beyond `inContact`: how long calm times must have lasted before somebody must act.
-pub const SETTLE: Ms = 2000;
+pub use simulation::simulate;
+pub use statistics::{FaultCount, Statistics, ViolationCount};
+pub use time::{Micros, Millis};
--- a/crates/tools/simulator/src/machine.rs
+++ b/crates/tools/simulator/src/machine.rs
@@ -1,198 +1,113 @@
-//! A machine of the core: its disk, and the process on it with its own clock.
-use crate::script::{Moment, What};
-use crate::world::{Ev, Origin};
-use crate::{Ms, Us};
-use coppersail_consensus::{OperationId, RequestId};
-use coppersail_control_plane::node::{Effect, Node};
-use coppersail_control_plane::store::{FolderCondition, RecoveredState, WriteBatch};
-use fastrand::Rng;
-use serde_json::json;
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
-use std::sync::Arc;
+//! A control-plane machine: its address, its power, its disk and the process on it.
 
-/// What is on a disk outlives processes and losses of power; what waits is there or not, by lot.
-#[derive(Default)]
-pub struct Disk {
-    pub state: BTreeMap<String, String>,
-    pub own: BTreeMap<String, String>,
-    pub kept: FolderCondition,
-    /// Writes under way, in order, with the time at which each is done.
-    pub under_way: VecDeque<(OperationId, WriteBatch, bool)>,
-    pub busy: Us,
-    pub slow_until: Us,
-    pub hangs_until: Us,
-    pub full_until: Us,
-}
-
-impl Disk {
-    /// When a write that is asked for now is done, and whether it is taken.
-    pub fn ask(&mut self, now: Us, luck: &mut Rng) -> (Us, bool) {
-        let from = now.max(self.busy).max(self.hangs_until);
-        let takes = if now < self.slow_until { luck.u64(150_000..250_000) } else { luck.u64(1000..5000) };
-        self.busy = from + takes;
-        (self.busy, now >= self.full_until)
-    }
-
-    pub fn put(&mut self, batch: WriteBatch) {
-        if batch.whole {
-            self.state.clear();
-        }
-        self.kept = FolderCondition::Whole;
-        self.state.extend(batch.state);
-        self.own.extend(batch.own);
-    }
-
-    /// The process or the power is gone: what was under way lasts up to some point.
-    pub fn stop(&mut self, luck: &mut Rng) {
-        let many = luck.usize(0..=self.under_way.len());
-        let all = std::mem::take(&mut self.under_way);
-        for (_, batch, takes) in all.into_iter().take(many) {
-            if takes {
-                self.put(batch);
-            }
-        }
-        self.busy = 0;
-    }
-
-    pub fn found(&self) -> RecoveredState {
-        RecoveredState { state: self.state.clone(), own: self.own.clone(), kept: self.kept, number: 0 }
-    }
-
-    pub fn troubled(&self, now: Us) -> bool {
-        now < self.slow_until || now < self.hangs_until || now < self.full_until
-    }
-}
+use crate::disk::Disk;
+use crate::process::Process;
+use crate::settings;
+use crate::time::Micros;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Power {
+pub(crate) enum Power {
     On,
     Off,
-    /// For good.
-    Gone,
+    /// The machine was removed for good.
+    Removed,
 }
 
-pub struct Process {
-    pub node: Node,
-    pub life: u32,
-    pub start: Us,
-    pub pace: f64,
-    pub frozen: bool,
-    /// What came while it was frozen.
-    pub inbox: Vec<Ev>,
-    /// What it had ready when it was frozen.
-    pub ready: Vec<Effect>,
-    /// What comes at its next such moment.
-    pub trap: Option<(Moment, What, u64)>,
-    /// Calls of its own under way.
-    pub calls: BTreeSet<OperationId>,
-    pub writes: BTreeSet<OperationId>,
-    pub callers: BTreeMap<RequestId, Origin>,
-    pub leaving: bool,
+pub(crate) struct Machine {
+    pub(crate) ip: String,
+    pub(crate) zone: usize,
+    /// Its slot of the control plane; none if it was replaced.
+    pub(crate) slot: Option<usize>,
+    pub(crate) power: Power,
+    pub(crate) disk: Disk,
+    pub(crate) process: Option<Process>,
+    /// How many processes were started.
+    pub(crate) incarnations: u32,
+    /// How often a process was stopped: a scheduled start is void if it has changed.
+    pub(crate) stop_count: u32,
+    /// `knownPeers` of the next process.
+    pub(crate) known_peers: Vec<String>,
+    /// `initialBoot` of the next process.
+    pub(crate) initial_boot: bool,
+    /// How many partitions it is in.
+    pub(crate) partitions: u32,
+    pub(crate) slow_until: Micros,
+    /// Largest additional delay of a message while it is slow.
+    pub(crate) max_extra_delay: Micros,
+    pub(crate) noisy_until: Micros,
+    /// When a fault of it last ended.
+    pub(crate) recovered_at: Micros,
+    /// Since when it can exchange messages with no other machine.
+    pub(crate) isolated_since: Option<Micros>,
+    /// When it was added to the platform's list.
+    pub(crate) listed_at: Micros,
+    /// When it was removed from the platform's list.
+    pub(crate) unlisted_at: Option<Micros>,
+    /// After SIGTERM: it is removed for good when its process has ended.
+    pub(crate) removed_after_exit: bool,
+    /// After SIGTERM: time from the end of the process to the next start.
+    pub(crate) downtime_after_exit: Micros,
 }
 
-impl Process {
-    pub fn now(&self, t: Us) -> Ms {
-        1 + ((t - self.start) as f64 * self.pace / 1000.0) as Ms
-    }
-
-    /// How long a span of its own clock is in true time.
-    pub fn span(&self, ms: Ms) -> Us {
-        (ms as f64 * 1000.0 / self.pace) as Us
-    }
-}
-
-pub struct Machine {
-    pub ip: String,
-    pub zone: usize,
-    /// Its place in the core, or none for one that was replaced.
-    pub place: Option<usize>,
-    pub power: Power,
-    pub disk: Disk,
-    pub process: Option<Process>,
-    pub lives: u32,
-    /// Counts its ends, so that only the last start that was ordered comes.
-    pub ends: u32,
-    pub seeds: Vec<String>,
-    pub first: bool,
-    pub cuts: u32,
-    pub slow: (Us, Us),
-    pub noisy_until: Us,
-    /// When trouble on it last began or ended.
-    pub touched: Us,
-    /// When trouble on it last ended.
-    pub back: Us,
-    /// Since when no other machine and it hear each other.
-    pub alone_since: Option<Us>,
-    /// Since when the platform's list has had it.
-    pub listed: Us,
-    pub unlisted: Option<Us>,
-    /// It goes for good when its process ends.
-    pub goes: bool,
-    /// How long it is down after SIGTERM has ended it.
-    pub down_after: Us,
-}
-
-pub const PORT: u16 = 8544;
-
 impl Machine {
-    pub fn new(ip: String, zone: usize, place: usize) -> Machine {
+    pub(crate) fn new(ip: String, zone: usize, slot: usize) -> Machine {
         Machine {
             ip,
             zone,
-            place: Some(place),
+            slot: Some(slot),
             power: Power::On,
             disk: Disk::default(),
             process: None,
-            lives: 0,
-            ends: 0,
-            seeds: Vec::new(),
-            first: false,
-            cuts: 0,
-            slow: (0, 0),
+            incarnations: 0,
+            stop_count: 0,
+            known_peers: Vec::new(),
+            initial_boot: false,
+            partitions: 0,
+            slow_until: 0,
+            max_extra_delay: 0,
             noisy_until: 0,
-            touched: 0,
-            back: 0,
-            alone_since: None,
-            listed: 0,
-            unlisted: None,
-            goes: false,
-            down_after: 0,
+            recovered_at: 0,
+            isolated_since: None,
+            listed_at: 0,
+            unlisted_at: None,
+            removed_after_exit: false,
+            downtime_after_exit: 0,
         }
     }
 
-    pub fn admin(&self) -> String {
-        format!("{}:{PORT}", self.ip)
+    pub(crate) fn admin_address(&self) -> String {
+        settings::admin_address(&self.ip)
     }
 
-    pub fn runs(&self) -> bool {
-        self.process.as_ref().is_some_and(|p| !p.frozen)
+    /// Whether it has a process that is not frozen.
+    pub(crate) fn is_running(&self) -> bool {
+        self.process.as_ref().is_some_and(|process| !process.frozen)
     }
 
-    /// In trouble now.
-    pub fn troubled(&self, now: Us) -> bool {
-        self.process.as_ref().is_none_or(|p| p.frozen || p.leaving)
-            || self.cuts > 0
-            || now < self.slow.0
-            || now < self.noisy_until
-            || self.disk.troubled(now)
+    pub(crate) fn is_shutting_down(&self) -> bool {
+        self.process.as_ref().is_some_and(|process| process.shutting_down)
     }
 
-    pub fn boot(&self, contact: Ms, survive: usize) -> coppersail_config::ProcessSettings {
-        let text = json!({
-            "self": {"ipAddress": self.ip, "area": format!("zone-{}", self.zone), "countsAsLoss": true,
-                "initialBoot": self.first, "dataFolder": "/data"},
-            "network": {"binds": {"admin": self.admin()}, "sparePorts": [7540, 7555], "knownPeers": self.seeds},
-            "provider": {"heartbeat": format!("{}ms", crate::BEAT)},
-            "terms": {"survive": {"boxes": survive, "zones": 0, "areas": 0}, "timeLimits": {
-                "peerDelay": format!("{}ms", crate::LISTED), "inContact": format!("{contact}ms"),
-                "confirm": format!("{}ms", crate::CONFIRM), "sync_time": format!("{}ms", crate::SYNC),
-                "empty": format!("{}ms", crate::EMPTY), "leeway": format!("{}ms", crate::LEEWAY),
-                "apply": format!("{}ms", crate::APPLY), "keepMax": format!("{}ms", crate::KEEP_MAX)}}
-        });
-        coppersail_config::ProcessSettings::from_json(&text.to_string())
-            .expect("settings of the simulator's own")
+    pub(crate) fn has_slow_or_noisy_links(&self, now: Micros) -> bool {
+        now < self.slow_until || now < self.noisy_until
+    }
+
+    /// Whether any fault is active on it.
+    pub(crate) fn is_impaired(&self, now: Micros) -> bool {
+        self.process.as_ref().is_none_or(|process| process.frozen || process.shutting_down)
+            || self.partitions > 0
+            || self.has_slow_or_noisy_links(now)
+            || self.disk.is_impaired(now)
     }
-}
 
-/// Shared by a message that comes twice.
-pub type Body = Arc<str>;
+    /// Whether the platform's list of machines had it at `at`.
+    pub(crate) fn was_listed(&self, at: Micros) -> bool {
+        self.listed_at <= at && self.unlisted_at.is_none_or(|unlisted_at| unlisted_at > at)
+    }
+
+    /// It is removed for good; the platform's list drops it.
+    pub(crate) fn remove(&mut self, now: Micros) {
+        self.power = Power::Removed;
+        self.unlisted_at = Some(now);
+    }
+}
--- a/crates/tools/simulator/src/main.rs
+++ b/crates/tools/simulator/src/main.rs
@@ -1,10 +1,11 @@
-//! Plays days of trouble by seed.
-use coppersail_simulator::{play, shrink, Day, Tally};
+//! Command line of the simulator: one run with its trace, or many runs and a table of them. It calls a run a day.
+
+use coppersail_simulator::{shrink, simulate, Scenario, Statistics};
 use eyre::{bail, eyre, Result};
 use lexopt::prelude::*;
 use std::process::ExitCode;
 use std::sync::atomic::{AtomicU64, Ordering};
-use std::sync::Mutex;
+use std::sync::{Mutex, PoisonError};
 
 const USAGE: &str = "\
 coppersail-simulator: days of trouble for the control plane, in simulated time, decided by their seed
@@ -15,93 +16,111 @@
   --threads T    days played side by side, 6 at most (1)
   --whole        with --seed: the day as it is, not shrunk
 ";
-const THREADS: usize = 6;
+const MAX_THREADS: usize = 6;
 
-struct Options {
-    seed: Option<u64>,
-    days: Option<u64>,
-    from: u64,
-    threads: usize,
-    whole: bool,
+enum Command {
+    Help,
+    OneRun {
+        seed: u64,
+        /// Do not shrink a failing run.
+        whole: bool,
+    },
+    ManyRuns {
+        count: u64,
+        first_seed: u64,
+        threads: usize,
+    },
 }
 
-fn options() -> Result<Option<Options>> {
-    let mut options = Options { seed: None, days: None, from: 1, threads: 1, whole: false };
+fn parse_arguments() -> Result<Command> {
+    let (mut seed, mut count, mut first_seed, mut threads, mut whole) = (None, None, 1_u64, 1, false);
     let mut parser = lexopt::Parser::from_env();
-    while let Some(arg) = parser.next()? {
-        match arg {
-            Long("seed") => options.seed = Some(parser.value()?.parse()?),
-            Long("days") => options.days = Some(parser.value()?.parse()?),
-            Long("from") => options.from = parser.value()?.parse()?,
-            Long("threads") => options.threads = parser.value()?.parse()?,
-            Long("whole") => options.whole = true,
-            Long("help") | Short('h') => return Ok(None),
+    while let Some(argument) = parser.next()? {
+        match argument {
+            Long("seed") => seed = Some(parser.value()?.parse()?),
+            Long("days") => count = Some(parser.value()?.parse()?),
+            Long("from") => first_seed = parser.value()?.parse()?,
+            Long("threads") => threads = parser.value()?.parse()?,
+            Long("whole") => whole = true,
+            Long("help") | Short('h') => return Ok(Command::Help),
             other => return Err(other.unexpected().into()),
         }
     }
-    if options.seed.is_some() == options.days.is_some() {
-        bail!("expected either --seed N or --days N");
-    }
-    if options.days == Some(0) {
+    if count == Some(0) && seed.is_none() {
         bail!("--days is 0, expected a number above 0");
     }
-    if options.days.is_some_and(|days| options.from.checked_add(days).is_none()) {
-        bail!("--from is {}, expected a number that leaves room for all days", options.from);
+    if seed.is_none() && count.is_some_and(|count| first_seed.checked_add(count).is_none()) {
+        bail!("--from is {first_seed}, expected a number that leaves room for all days");
     }
-    if !(1..=THREADS).contains(&options.threads) {
-        bail!("--threads is {}, expected 1 to {THREADS}", options.threads);
+    let command = match (seed, count) {
+        (Some(seed), None) => Command::OneRun { seed, whole },
+        (None, Some(count)) => Command::ManyRuns { count, first_seed, threads },
+        _ => bail!("expected either --seed N or --days N"),
+    };
+    if !(1..=MAX_THREADS).contains(&threads) {
+        bail!("--threads is {threads}, expected 1 to {MAX_THREADS}");
     }
-    Ok(Some(options))
+    Ok(command)
 }
 
-fn one(seed: u64, whole: bool) -> ExitCode {
-    let mut day = Day::by_seed(seed);
-    let mut outcome = play(&day, true);
-    if let Some(broken) = outcome.broken.as_ref().filter(|_| !whole) {
-        day = shrink(&day, broken.rule);
-        outcome = play(&day, true);
+/// Simulates one run and prints its trace; a failing one is shrunk first. Exit status 1: it violates an invariant.
+fn simulate_one(seed: u64, whole: bool) -> ExitCode {
+    let mut scenario = Scenario::from_seed(seed);
+    let mut outcome = simulate(&scenario, true);
+    if let Some(violation) = outcome.violation.as_ref().filter(|_| !whole) {
+        scenario = shrink(&scenario, violation.rule);
+        outcome = simulate(&scenario, true);
+    }
+    let Scenario { machines, zones, max_failures, quorum_contact, endpoints, edges, .. } = scenario;
+    println!(
+        "seed {seed}: {machines} machines in {zones} zones, survive {max_failures}, inContact {quorum_contact} ms"
+    );
+    let losses = if scenario.beyond_tolerance { ", any number lost" } else { "" };
+    println!("{endpoints} hosts, {edges} edges{losses}");
+    for line in &outcome.trace {
+        println!("{line}");
     }
-    let Day { machines, zones, survive, contact, hosts, edges, wild, .. } = day;
-    println!("seed {seed}: {machines} machines in {zones} zones, survive {survive}, inContact {contact} ms");
-    println!("{hosts} hosts, {edges} edges{}", if wild { ", any number lost" } else { "" });
-    outcome.story.iter().for_each(|line| println!("{line}"));
-    match &outcome.broken {
-        Some(broken) => println!("{} faults break a rule: {}", day.faults.len(), broken.rule),
+    match &outcome.violation {
+        Some(violation) => println!("{} faults break a rule: {}", scenario.faults.len(), violation.rule),
         None => println!("no rule is broken"),
     }
-    ExitCode::from(u8::from(outcome.broken.is_some()))
+    ExitCode::from(u8::from(outcome.violation.is_some()))
 }
 
-fn many(days: u64, from: u64, threads: usize) -> Result<ExitCode> {
-    let (next, sum) = (AtomicU64::new(from), Mutex::new(Tally::default()));
+/// Simulates many runs and prints the table of them. Exit status 1: some violate an invariant.
+fn simulate_many(count: u64, first_seed: u64, threads: usize) -> Result<ExitCode> {
+    let (next_seed, sum) = (AtomicU64::new(first_seed), Mutex::new(Statistics::default()));
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
-                let seed = next.fetch_add(1, Ordering::Relaxed);
-                if seed >= from + days {
+                let seed = next_seed.fetch_add(1, Ordering::Relaxed);
+                if seed >= first_seed + count {
                     break;
                 }
-                let tally = play(&Day::by_seed(seed), false).tally;
-                sum.lock().unwrap_or_else(|e| e.into_inner()).add(tally);
+                let statistics = simulate(&Scenario::from_seed(seed), false).statistics;
+                sum.lock().unwrap_or_else(PoisonError::into_inner).add(statistics);
             });
         }
     });
-    let sum = sum.into_inner().map_err(|e| eyre!("{e}"))?;
+    let sum = sum.into_inner().map_err(|error| eyre!("{error}"))?;
     print!("{sum}");
-    Ok(ExitCode::from(u8::from(!sum.broken.is_empty())))
+    Ok(ExitCode::from(u8::from(!sum.violations.is_empty())))
 }
 
-fn main() -> ExitCode {
-    let done = options().and_then(|options| match options {
-        None => {
+fn run() -> Result<ExitCode> {
+    match parse_arguments()? {
+        Command::Help => {
             print!("{USAGE}");
             Ok(ExitCode::SUCCESS)
         }
-        Some(Options { seed: Some(seed), whole, .. }) => Ok(one(seed, whole)),
-        Some(Options { days, from, threads, .. }) => many(days.unwrap_or(1), from, threads),
-    });
-    done.unwrap_or_else(|fault| {
-        eprintln!("coppersail-simulator: {fault}");
+        Command::OneRun { seed, whole } => Ok(simulate_one(seed, whole)),
+        Command::ManyRuns { count, first_seed, threads } => simulate_many(count, first_seed, threads),
+    }
+}
+
+fn main() -> ExitCode {
+    run().unwrap_or_else(|error| {
+        eprintln!("coppersail-simulator: {error}");
         ExitCode::from(2)
     })
 }
--- a/crates/tools/simulator/tests/scenarios.rs
+++ b/crates/tools/simulator/tests/scenarios.rs
@@ -1,302 +1,363 @@
-//! The hard cases by name: scripts of faults at fixed times, judged by all rules.
-use coppersail_simulator::{play, Day, Fault, Moment, Ms, Seeds, Way, What, Who};
+//! Hard cases by name: faults at fixed times, under which all invariants must hold.
 
-const PLACES: [Who; 3] = [Who::Place(0), Who::Place(1), Who::Place(2)];
-const SOMEBODY: [Who; 3] = [Who::Primary, Who::Backup, Who::Witness];
+use coppersail_simulator::{
+    simulate, Fault, FaultKind, FaultTarget, KnownPeers, Millis, PartitionDirection, Scenario, Trigger,
+};
 
-fn at(at: Ms, who: Who, what: What) -> Fault {
-    Fault::new(at, who, what)
+const FIRST_SLOTS: [FaultTarget; 3] = [FaultTarget::Slot(0), FaultTarget::Slot(1), FaultTarget::Slot(2)];
+const ROLES: [FaultTarget; 3] = [FaultTarget::Leader, FaultTarget::Backup, FaultTarget::Voter];
+
+fn at(at: Millis, target: FaultTarget, kind: FaultKind) -> Fault {
+    Fault::new(at, target, kind)
 }
 
-/// The day keeps all rules; each of its faults that is of the core has come.
-fn keeps(day: &Day) {
-    let outcome = play(day, true);
-    let left: Vec<_> = outcome.tally.faults.iter().filter(|(_, (_, left))| *left > 0).collect();
-    assert_eq!(outcome.broken, None, "{}\n{:#?}", outcome.story.join("\n"), day.faults);
-    assert!(left.is_empty(), "these did not come: {left:?}\n{}", outcome.story.join("\n"));
+/// All invariants hold, and no fault is skipped.
+fn assert_holds(scenario: &Scenario) {
+    let outcome = simulate(scenario, true);
+    let trace = outcome.trace.join("\n");
+    let skipped: Vec<_> = outcome.statistics.faults.iter().filter(|(_, count)| count.skipped > 0).collect();
+    assert_eq!(outcome.violation, None, "{trace}\n{:#?}", scenario.faults);
+    assert!(skipped.is_empty(), "these were skipped: {skipped:?}\n{trace}");
 }
 
-fn day(seed: u64, machines: usize, faults: Vec<Fault>) -> Day {
-    let length = faults.iter().map(|f| f.at).max().unwrap_or(0) + 8000;
-    Day { seed, machines, length, faults, ..Day::default() }
+fn scenario(seed: u64, machines: usize, faults: Vec<Fault>) -> Scenario {
+    let duration = faults.iter().map(|fault| fault.at).max().unwrap_or(0) + 8000;
+    Scenario { seed, machines, duration, faults, ..Scenario::default() }
 }
 
-/// An order to each of the first three machines, and a host that leaves, every two seconds.
-fn life(from: Ms, to: Ms) -> Vec<Fault> {
+/// An order to each of the first three machines, and an endpoint that drains, every two seconds.
+fn regular_load(from: Millis, to: Millis) -> Vec<Fault> {
     let steps = (from..to).step_by(2000).enumerate();
-    let all = steps.flat_map(|(n, t)| {
-        let orders =
-            PLACES.into_iter().enumerate().map(move |(p, who)| at(t + 50 * p as Ms, who, What::Order));
-        orders.chain([at(t + 500, Who::Place(0), What::HostLeaves(n))])
+    let all = steps.flat_map(|(n, time)| {
+        let orders = FIRST_SLOTS
+            .into_iter()
+            .enumerate()
+            .map(move |(slot, target)| at(time + 50 * slot as Millis, target, FaultKind::Order));
+        orders.chain([at(time + 500, FaultTarget::Slot(0), FaultKind::EndpointDrain(n))])
     });
     all.collect()
 }
 
-fn cut(way: Way, ms: Ms) -> What {
-    What::Cut { with: Vec::new(), way, ms, clients: false }
+fn partition(direction: PartitionDirection, duration: Millis) -> FaultKind {
+    FaultKind::Partition { with: Vec::new(), direction, duration, include_clients: false }
 }
 
-fn twenty_seconds(way: Way) {
-    for (seed, who) in SOMEBODY.into_iter().enumerate() {
-        let mut faults = life(9000, 32_000);
-        faults.push(at(10_000, who, cut(way, 20_000)));
-        keeps(&day(seed as u64 + 1, 3 + seed, faults));
+fn partition_for_twenty_seconds(direction: PartitionDirection) {
+    for (seed, target) in ROLES.into_iter().enumerate() {
+        let mut faults = regular_load(9000, 32_000);
+        faults.push(at(10_000, target, partition(direction, 20_000)));
+        assert_holds(&scenario(seed as u64 + 1, 3 + seed, faults));
     }
 }
 
 #[test]
-fn twenty_seconds_cut_off_both_ways() {
-    twenty_seconds(Way::Both);
+fn a_two_way_partition_of_twenty_seconds() {
+    partition_for_twenty_seconds(PartitionDirection::Both);
 }
 
 #[test]
-fn twenty_seconds_heard_by_nobody() {
-    twenty_seconds(Way::Sends);
+fn a_partition_of_all_that_a_machine_sends_for_twenty_seconds() {
+    partition_for_twenty_seconds(PartitionDirection::Outbound);
 }
 
 #[test]
-fn twenty_seconds_hearing_nobody() {
-    twenty_seconds(Way::Hears);
+fn a_partition_of_all_that_a_machine_receives_for_twenty_seconds() {
+    partition_for_twenty_seconds(PartitionDirection::Inbound);
 }
 
 #[test]
-fn cut_then_the_others_restarted_then_told_of_the_cut_ones() {
+fn a_partition_then_the_others_restarted_with_the_partitioned_ones_as_known_peers() {
     for (seed, machines) in [(1, 3), (2, 5)] {
-        let cut_off = if machines == 3 { vec![0] } else { vec![0, 1] };
-        let others = cut_off.len()..machines;
-        let with = cut_off[1..].iter().map(|p| Who::Place(*p)).collect();
-        let what = What::Cut { with, way: Way::Both, ms: 20_000, clients: true };
-        let mut faults = life(9000, 32_000);
-        faults.push(at(10_000, Who::Place(0), what));
-        faults.extend(others.clone().map(|p| at(14_000, Who::Place(p), What::Kill { down: 500 })));
-        let seeds = || Seeds::Of(cut_off.clone());
-        faults.extend(others.clone().map(|p| at(18_000, Who::Place(p), What::Hup { seeds: seeds() })));
+        let partitioned = if machines == 3 { vec![0] } else { vec![0, 1] };
+        let others = partitioned.len()..machines;
+        let with = partitioned[1..].iter().map(|p| FaultTarget::Slot(*p)).collect();
+        let kind = FaultKind::Partition {
+            with,
+            direction: PartitionDirection::Both,
+            duration: 20_000,
+            include_clients: true,
+        };
+        let mut faults = regular_load(9000, 32_000);
+        faults.push(at(10_000, FaultTarget::Slot(0), kind));
+        faults.extend(
+            others.clone().map(|p| at(14_000, FaultTarget::Slot(p), FaultKind::Kill { downtime: 500 })),
+        );
+        let known_peers = || KnownPeers::Slots(partitioned.clone());
         faults.extend(
-            others.clone().map(|p| at(22_000, Who::Place(p), What::Reseed { down: 500, seeds: seeds() })),
+            others
+                .clone()
+                .map(|p| at(18_000, FaultTarget::Slot(p), FaultKind::Reload { known_peers: known_peers() })),
         );
-        keeps(&Day { forced: true, survive: cut_off.len(), ..day(seed, machines, faults) });
+        faults.extend(others.clone().map(|p| {
+            at(
+                22_000,
+                FaultTarget::Slot(p),
+                FaultKind::RestartWithPeers { downtime: 500, known_peers: known_peers() },
+            )
+        }));
+        assert_holds(&Scenario {
+            forced: true,
+            max_failures: partitioned.len(),
+            ..scenario(seed, machines, faults)
+        });
     }
 }
 
 #[test]
-fn two_takeovers_in_a_second() {
+fn two_leaders_lost_within_a_second() {
     for seed in 1..=2 {
-        // The second meets whoever took over from the first, within a second after it began to act.
-        let mut faults = life(9000, 16_000);
-        faults.push(at(10_000, Who::Primary, What::Kill { down: 9000 }));
-        faults.push(at(11_600 + 400 * seed, Who::Primary, What::Power { down: 9000 }));
+        // The second hits the successor of the first, within a second after its election.
+        let mut faults = regular_load(9000, 16_000);
+        faults.push(at(10_000, FaultTarget::Leader, FaultKind::Kill { downtime: 9000 }));
+        faults.push(at(11_600 + 400 * seed, FaultTarget::Leader, FaultKind::PowerLoss { downtime: 9000 }));
         let machines = 5;
-        keeps(&Day { forced: true, survive: 2, ..day(seed, machines, faults) });
+        assert_holds(&Scenario { forced: true, max_failures: 2, ..scenario(seed, machines, faults) });
     }
 }
 
 #[test]
-fn a_freeze_between_the_sync_and_the_answer() {
-    for (seed, ms) in [(1, 700), (2, 2500), (3, 9000)] {
-        let mut faults = life(9000, 24_000);
-        faults.push(at(10_000, Who::Primary, What::Freeze { ms }).when(Moment::Answer));
-        faults.extend((0..10).map(|n| at(10_300 + 400 * n, Who::Place(n as usize % 3), What::Again)));
-        keeps(&day(seed, 3, faults));
+fn a_freeze_between_the_sync_and_the_response() {
+    for (seed, duration) in [(1, 700), (2, 2500), (3, 9000)] {
+        let mut faults = regular_load(9000, 24_000);
+        faults.push(
+            at(10_000, FaultTarget::Leader, FaultKind::Freeze { duration }).on(Trigger::BeforeOkResponse),
+        );
+        faults.extend(
+            (0..10).map(|n| at(10_300 + 400 * n, FaultTarget::Slot(n as usize % 3), FaultKind::ResendOrder)),
+        );
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn a_freeze_between_asking_for_the_lease_and_the_answer() {
+fn a_freeze_between_the_lease_request_and_the_response() {
     for seed in 1..=8 {
-        let mut faults = life(9000, 15_000);
-        // The witnesses' answers are there when it goes on, and nothing of its successor.
-        faults.push(at(10_000, Who::Primary, What::Freeze { ms: 2500 }).when(Moment::Call));
-        faults.push(at(10_450, Who::Primary, cut(Way::Both, 5000)));
-        keeps(&day(seed, 3, faults));
+        let mut faults = regular_load(9000, 15_000);
+        // The voters' responses have arrived when it resumes, and nothing of its successor.
+        faults.push(
+            at(10_000, FaultTarget::Leader, FaultKind::Freeze { duration: 2500 })
+                .on(Trigger::AfterPeerRequest),
+        );
+        faults.push(at(10_450, FaultTarget::Leader, partition(PartitionDirection::Both, 5000)));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn both_of_the_two_cut_from_the_witnesses_but_not_from_each_other() {
+fn leader_and_backup_partitioned_from_the_other_voters() {
     for seed in 1..=2 {
-        let what = What::Cut { with: vec![Who::Backup], way: Way::Both, ms: 20_000, clients: false };
-        let mut faults = life(9000, 32_000);
-        faults.push(at(10_000, Who::Primary, what));
-        keeps(&Day { survive: 2, ..day(seed, 5, faults) });
+        let kind = FaultKind::Partition {
+            with: vec![FaultTarget::Backup],
+            direction: PartitionDirection::Both,
+            duration: 20_000,
+            include_clients: false,
+        };
+        let mut faults = regular_load(9000, 32_000);
+        faults.push(at(10_000, FaultTarget::Leader, kind));
+        assert_holds(&Scenario { max_failures: 2, ..scenario(seed, 5, faults) });
     }
 }
 
 #[test]
-fn the_backup_lost_while_the_next_is_brought_up() {
+fn the_backup_lost_while_the_next_one_catches_up() {
     for seed in 1..=2 {
-        let mut faults = life(9000, 24_000);
-        faults.push(at(10_000, Who::Backup, What::Power { down: 12_000 }));
-        faults.push(at(11_250 + 50 * seed, Who::Backup, What::LoseDisk { down: 3000 }));
-        keeps(&Day { forced: true, survive: 2, ..day(seed, 5, faults) });
+        let mut faults = regular_load(9000, 24_000);
+        faults.push(at(10_000, FaultTarget::Backup, FaultKind::PowerLoss { downtime: 12_000 }));
+        faults.push(at(11_250 + 50 * seed, FaultTarget::Backup, FaultKind::DiskLoss { downtime: 3000 }));
+        assert_holds(&Scenario { forced: true, max_failures: 2, ..scenario(seed, 5, faults) });
     }
 }
 
 #[test]
-fn the_primarys_disk_full_while_the_next_backup_is_brought_up() {
+fn the_leaders_disk_full_while_the_next_backup_catches_up() {
     for seed in 1..=2 {
-        let mut faults = life(9000, 24_000);
-        faults.push(at(10_000, Who::Backup, What::Power { down: 12_000 }));
-        faults.push(at(11_100 + 100 * seed, Who::Primary, What::DiskFull { ms: 8000 }));
-        keeps(&Day { survive: 2, ..day(seed, 5, faults) });
+        let mut faults = regular_load(9000, 24_000);
+        faults.push(at(10_000, FaultTarget::Backup, FaultKind::PowerLoss { downtime: 12_000 }));
+        faults.push(at(11_100 + 100 * seed, FaultTarget::Leader, FaultKind::DiskFull { duration: 8000 }));
+        assert_holds(&Scenario { max_failures: 2, ..scenario(seed, 5, faults) });
     }
 }
 
-fn replace(term: bool, gap: Ms) -> What {
-    What::Replace { term, gap, seeds: Seeds::Running, reuse: false }
+fn replace(graceful: bool, gap: Millis) -> FaultKind {
+    FaultKind::Replace { graceful, gap, known_peers: KnownPeers::Running, reuse_address: false }
 }
 
 #[test]
-fn a_witness_replaced_while_its_successors_snapshot_runs() {
+fn a_voter_replaced_while_the_snapshot_for_its_successor_is_sent() {
     for seed in 1..=3 {
-        let mut faults = vec![at(8000, Who::Place(0), What::Storm(300))];
-        faults.extend(life(9000, 24_000));
-        faults.push(at(12_000, Who::Place(seed as usize % 3), replace(false, 500)));
-        faults.push(at(12_600 + 100 * seed, Who::Place(seed as usize % 3), replace(false, 500)));
-        keeps(&day(seed, 3, faults));
+        let mut faults = vec![at(8000, FaultTarget::Slot(0), FaultKind::OrderBurst(300))];
+        faults.extend(regular_load(9000, 24_000));
+        faults.push(at(12_000, FaultTarget::Slot(seed as usize % 3), replace(false, 500)));
+        faults.push(at(12_600 + 100 * seed, FaultTarget::Slot(seed as usize % 3), replace(false, 500)));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn the_leavers_kill_before_its_handover_is_over() {
+fn a_kill_before_the_leadership_transfer_of_a_shutdown_is_complete() {
     for (seed, late) in [1, 10, 60, 300].into_iter().enumerate() {
-        for (n, who) in [Who::Primary, Who::Place(1)].into_iter().enumerate() {
-            let mut faults = life(9000, 20_000);
-            faults.push(at(10_000, who, What::Term { down: 3000 }));
-            let mut day = day(seed as u64 * 2 + n as u64, 3, faults);
-            // Who has left by then can't be killed.
-            day.faults.push(at(10_000 + late, who, What::Kill { down: 4000 }));
-            let outcome = play(&day, true);
-            assert_eq!(outcome.broken, None, "{}", outcome.story.join("\n"));
+        for (n, target) in [FaultTarget::Leader, FaultTarget::Slot(1)].into_iter().enumerate() {
+            let mut faults = regular_load(9000, 20_000);
+            faults.push(at(10_000, target, FaultKind::Terminate { downtime: 3000 }));
+            let mut scenario = scenario(seed as u64 * 2 + n as u64, 3, faults);
+            // A machine that has ended by then can't be killed: the fault may be skipped.
+            scenario.faults.push(at(10_000 + late, target, FaultKind::Kill { downtime: 4000 }));
+            let outcome = simulate(&scenario, true);
+            assert_eq!(outcome.violation, None, "{}", outcome.trace.join("\n"));
         }
     }
 }
 
 #[test]
-fn a_second_loss_a_second_after_sync_time() {
+fn a_second_loss_one_second_after_sync_time() {
     for seed in 1..=3 {
-        let mut faults = life(9000, 40_000);
-        faults.push(at(10_000, Who::Primary, replace(seed == 2, 500)));
-        faults.push(at(15_600, Who::Primary, What::LoseDisk { down: 500 }));
-        faults.push(at(21_200, Who::Backup, What::LoseDisk { down: 500 }));
-        faults.push(at(26_800, Who::Witness, replace(false, 500)));
-        faults.push(at(32_400, Who::Primary, What::Power { down: 500 }));
-        let closing = Some(What::DiskAndPowerAll { down: 500 });
-        keeps(&Day { closing, ..day(seed, 3, faults) });
+        let mut faults = regular_load(9000, 40_000);
+        faults.push(at(10_000, FaultTarget::Leader, replace(seed == 2, 500)));
+        faults.push(at(15_600, FaultTarget::Leader, FaultKind::DiskLoss { downtime: 500 }));
+        faults.push(at(21_200, FaultTarget::Backup, FaultKind::DiskLoss { downtime: 500 }));
+        faults.push(at(26_800, FaultTarget::Voter, replace(false, 500)));
+        faults.push(at(32_400, FaultTarget::Leader, FaultKind::PowerLoss { downtime: 500 }));
+        let final_fault = Some(FaultKind::DiskAndPowerLossAll { downtime: 500 });
+        assert_holds(&Scenario { final_fault, ..scenario(seed, 3, faults) });
     }
 }
 
 #[test]
-fn a_second_loss_just_after_sync_time_where_the_first_took_the_primary() {
-    // Takeovers that are quick, and slow: both must leave time to mend the group.
+fn a_second_loss_just_after_sync_time_where_the_first_was_the_leader() {
+    // Quick and slow elections: both must leave time to restore the membership.
     for n in [6, 12, 17, 18, 19] {
-        let mut faults = life(9000, 26_000);
-        faults.push(at(10_000 + 40 * n, Who::Place(0), replace(false, 236)));
-        faults.push(at(14_300 + 40 * n, Who::Primary, What::Kill { down: 15_000 }));
-        keeps(&Day { length: 29_000, ..day(n, 4, faults) });
+        let mut faults = regular_load(9000, 26_000);
+        faults.push(at(10_000 + 40 * n, FaultTarget::Slot(0), replace(false, 236)));
+        faults.push(at(14_300 + 40 * n, FaultTarget::Leader, FaultKind::Kill { downtime: 15_000 }));
+        assert_holds(&Scenario { duration: 29_000, ..scenario(n, 4, faults) });
     }
 }
 
 #[test]
-fn a_first_witness_that_left_takes_a_place_again() {
+fn a_founding_voter_that_was_removed_becomes_a_voter_again() {
     for seed in 1..=2 {
-        let mut faults = life(9000, 44_000);
-        faults.push(at(10_000, Who::Place(3), replace(false, 1100)));
-        faults.push(at(10_600, Who::Place(2), What::Term { down: 4800 }));
-        faults.push(at(35_000, Who::Place(0), What::LoseDisk { down: 15_000 }));
-        faults.push(at(35_600, Who::Place(4), What::Kill { down: 15_000 }));
-        keeps(&Day { survive: 2, length: 52_000, ..day(seed, 5, faults) });
+        let mut faults = regular_load(9000, 44_000);
+        faults.push(at(10_000, FaultTarget::Slot(3), replace(false, 1100)));
+        faults.push(at(10_600, FaultTarget::Slot(2), FaultKind::Terminate { downtime: 4800 }));
+        faults.push(at(35_000, FaultTarget::Slot(0), FaultKind::DiskLoss { downtime: 15_000 }));
+        faults.push(at(35_600, FaultTarget::Slot(4), FaultKind::Kill { downtime: 15_000 }));
+        assert_holds(&Scenario { max_failures: 2, duration: 52_000, ..scenario(seed, 5, faults) });
     }
 }
 
 #[test]
-fn all_members_replaced_one_after_the_other_then_the_power_of_all() {
-    for (seed, term) in [(1, false), (2, true)] {
-        let mut faults = life(9000, 34_000);
-        let places = (0..3).map(|p| at(10_000 + 8000 * p, Who::Place(p as usize), replace(term, 500)));
+fn all_members_replaced_in_turn_then_all_lose_power() {
+    for (seed, graceful) in [(1, false), (2, true)] {
+        let mut faults = regular_load(9000, 34_000);
+        let places =
+            (0..3).map(|p| at(10_000 + 8000 * p, FaultTarget::Slot(p as usize), replace(graceful, 500)));
         faults.extend(places);
-        keeps(&Day { closing: Some(What::PowerAll { down: 500 }), ..day(seed, 3, faults) });
+        assert_holds(&Scenario {
+            final_fault: Some(FaultKind::PowerLossAll { downtime: 500 }),
+            ..scenario(seed, 3, faults)
+        });
     }
 }
 
 #[test]
-fn a_member_that_comes_back_after_three_hundred_changes() {
-    for (seed, who) in SOMEBODY.into_iter().enumerate() {
-        let mut faults = life(9000, 40_000);
-        faults.push(at(10_000, who, What::Power { down: 25_000 }));
-        faults.push(at(14_000, Who::Place(0), What::Storm(300)));
-        // Once it is back for `sync_time`, the others go.
-        faults.push(at(40_500, Who::Primary, What::Power { down: 500 }));
-        keeps(&day(seed as u64, 3, faults));
+fn a_member_that_returns_three_hundred_changes_behind() {
+    for (seed, target) in ROLES.into_iter().enumerate() {
+        let mut faults = regular_load(9000, 40_000);
+        faults.push(at(10_000, target, FaultKind::PowerLoss { downtime: 25_000 }));
+        faults.push(at(14_000, FaultTarget::Slot(0), FaultKind::OrderBurst(300)));
+        // Once it is back for `sync_time`, another one may fail.
+        faults.push(at(40_500, FaultTarget::Leader, FaultKind::PowerLoss { downtime: 500 }));
+        assert_holds(&scenario(seed as u64, 3, faults));
     }
 }
 
 #[test]
-fn a_member_that_comes_back_after_being_replaced_with_its_old_disk() {
+fn a_replaced_member_that_returns_with_its_old_disk() {
     for seed in 1..=3 {
-        let mut faults = life(9000, 40_000);
-        faults.push(at(10_000, Who::Place(seed as usize - 1), replace(false, 500)));
-        faults.push(at(12_000, Who::Place(0), What::Storm(100)));
-        faults.push(at(20_000, Who::Place(0), What::Return));
-        faults.push(at(30_000, Who::Primary, What::Power { down: 500 }));
-        keeps(&day(seed, 3, faults));
+        let mut faults = regular_load(9000, 40_000);
+        faults.push(at(10_000, FaultTarget::Slot(seed as usize - 1), replace(false, 500)));
+        faults.push(at(12_000, FaultTarget::Slot(0), FaultKind::OrderBurst(100)));
+        faults.push(at(20_000, FaultTarget::Slot(0), FaultKind::ReturnReplaced));
+        faults.push(at(30_000, FaultTarget::Leader, FaultKind::PowerLoss { downtime: 500 }));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn a_member_that_comes_at_anothers_address_and_one_whose_disk_moves() {
+fn a_member_at_a_reused_address_and_one_whose_disk_moves() {
     for seed in 1..=2 {
-        let mut faults = life(9000, 40_000);
-        faults.push(at(10_000, Who::Place(0), replace(false, 500)));
-        let reuse = What::Replace { term: false, gap: 500, seeds: Seeds::Running, reuse: true };
-        faults.push(at(18_000, Who::Place(1), reuse));
-        faults.push(at(26_000, Who::Primary, What::Move { down: 500 }));
-        keeps(&day(seed, 3, faults));
+        let mut faults = regular_load(9000, 40_000);
+        faults.push(at(10_000, FaultTarget::Slot(0), replace(false, 500)));
+        let reuse = FaultKind::Replace {
+            graceful: false,
+            gap: 500,
+            known_peers: KnownPeers::Running,
+            reuse_address: true,
+        };
+        faults.push(at(18_000, FaultTarget::Slot(1), reuse));
+        faults.push(at(26_000, FaultTarget::Leader, FaultKind::MoveDisk { downtime: 500 }));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn an_order_sent_again_at_the_new_primary_before_and_after_its_takeover() {
+fn an_order_resent_to_the_new_leader_before_and_after_its_election() {
     for seed in 1..=3 {
-        let mut faults = vec![at(9999 - seed, Who::Primary, What::Order)];
-        faults.push(at(10_000, Who::Primary, What::Kill { down: 6000 }));
-        faults.extend((0..24).map(|n| at(10_100 + 130 * n, PLACES[n as usize % 3], What::Again)));
-        keeps(&day(seed, 3, faults));
+        let mut faults = vec![at(9999 - seed, FaultTarget::Leader, FaultKind::Order)];
+        faults.push(at(10_000, FaultTarget::Leader, FaultKind::Kill { downtime: 6000 }));
+        faults.extend(
+            (0..24).map(|n| at(10_100 + 130 * n, FIRST_SLOTS[n as usize % 3], FaultKind::ResendOrder)),
+        );
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn eight_orders_under_way_two_of_one_number() {
+fn eight_orders_in_flight_two_of_one_number() {
     for seed in 1..=4 {
         let mut faults = Vec::new();
-        for t in [9000, 12_000, 15_000, 20_000, 22_000] {
-            faults.extend([at(t, Who::Primary, What::Race), at(t + 1, Who::Primary, What::Storm(12))]);
+        for time in [9000, 12_000, 15_000, 20_000, 22_000] {
+            faults.extend([
+                at(time, FaultTarget::Leader, FaultKind::ConflictingOrders),
+                at(time + 1, FaultTarget::Leader, FaultKind::OrderBurst(12)),
+            ]);
         }
-        faults.push(at(9000 + seed, Who::Primary, What::Noise { ms: 2000 }));
-        faults.push(at(15_001 + seed, Who::Primary, What::Power { down: 1000 }));
-        keeps(&day(seed, 3, faults));
+        faults.push(at(9000 + seed, FaultTarget::Leader, FaultKind::NoisyLinks { duration: 2000 }));
+        faults.push(at(15_001 + seed, FaultTarget::Leader, FaultKind::PowerLoss { downtime: 1000 }));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn sighup_in_the_middle_of_a_takeover() {
+fn sighup_in_the_middle_of_an_election() {
     for seed in 1..=2 {
-        let mut faults = life(9000, 16_000);
-        faults.push(at(10_000, Who::Place(0), What::Kill { down: 4000 }));
-        for (n, who) in [Who::Place(1), Who::Place(2)].into_iter().cycle().take(12).enumerate() {
-            faults.push(at(10_400 + 120 * n as Ms, who, What::Hup { seeds: Seeds::Newest }));
+        let mut faults = regular_load(9000, 16_000);
+        faults.push(at(10_000, FaultTarget::Slot(0), FaultKind::Kill { downtime: 4000 }));
+        for (n, target) in
+            [FaultTarget::Slot(1), FaultTarget::Slot(2)].into_iter().cycle().take(12).enumerate()
+        {
+            faults.push(at(
+                10_400 + 120 * n as Millis,
+                target,
+                FaultKind::Reload { known_peers: KnownPeers::Newest },
+            ));
         }
-        keeps(&day(seed, 3, faults));
+        assert_holds(&scenario(seed, 3, faults));
     }
 }
 
 #[test]
-fn closing_faults_right_after_an_acknowledgement() {
-    let closings =
-        [What::KillAll { down: 300 }, What::PowerAll { down: 1500 }, What::DiskAndPowerAll { down: 1500 }];
-    for (n, closing) in closings.into_iter().enumerate() {
+fn a_fault_of_all_machines_right_after_an_acknowledgement() {
+    let final_faults = [
+        FaultKind::KillAll { downtime: 300 },
+        FaultKind::PowerLossAll { downtime: 1500 },
+        FaultKind::DiskAndPowerLossAll { downtime: 1500 },
+    ];
+    for (n, final_fault) in final_faults.into_iter().enumerate() {
         for seed in 1..=2 {
-            let day = Day { length: 9000, closing: Some(closing.clone()), ..Day::default() };
-            keeps(&Day { seed: seed + 10 * n as u64, machines: 3 + n, ..day });
+            let scenario =
+                Scenario { duration: 9000, final_fault: Some(final_fault.clone()), ..Scenario::default() };
+            assert_holds(&Scenario { seed: seed + 10 * n as u64, machines: 3 + n, ..scenario });
         }
     }
 }
