--- a/crates/tools/simulator/src/endpoint.rs
+++ b/crates/tools/simulator/src/endpoint.rs
@@ -53,7 +53,7 @@
     /// How long it goes on serving after the edges know that it drains.
     pub(crate) linger: Micros,
     /// Counts the clients' requests on keys.
-    pub(crate) works: usize,
+    pub(crate) work_count: usize,
 }
 
 impl Endpoint {
@@ -82,7 +82,7 @@
             wake: self.wake,
             selector: MachineSelector::starting_at(position),
             linger,
-            works: self.works,
+            work_count: self.work_count,
             ..Endpoint::default()
         };
     }
@@ -123,7 +123,7 @@
         self.heartbeats += 1;
         let clock = self.clock(now);
         let (held, released) = self.keys.told(clock);
-        let beat = Beat {
+        let heartbeat = Beat {
             backend: self.service().into(),
             address: format!("10.{}.2.{index}:8080", self.zone + 1),
             area: zone_name(self.zone),
@@ -135,7 +135,7 @@
             held: self.sharded.then_some(held),
             released: self.sharded.then_some(released),
         };
-        let body = serde_json::to_string(&beat).expect("a heartbeat is serializable");
+        let body = serde_json::to_string(&heartbeat).expect("a heartbeat is serializable");
         AdminCall::Heartbeat { endpoint_id: self.id.as_str().into(), body: body.into() }
     }
 
--- a/crates/tools/simulator/src/fault/text.rs
+++ b/crates/tools/simulator/src/fault/text.rs
@@ -52,9 +52,9 @@
 }
 
 /// `[Primary, Place(1)]`
-struct TargetList<'a>(&'a [FaultTarget]);
+struct Targets<'a>(&'a [FaultTarget]);
 
-impl fmt::Display for TargetList<'_> {
+impl fmt::Display for Targets<'_> {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let targets: Vec<String> = self.0.iter().map(FaultTarget::to_string).collect();
         write!(f, "[{}]", targets.join(", "))
@@ -81,14 +81,14 @@
             MoveDisk { downtime } => write!(f, "Move {{ down: {downtime} }}"),
             ReturnReplaced => f.write_str("Return"),
             Partition { with, direction, duration, include_clients } => {
-                let with = TargetList(with);
+                let with = Targets(with);
                 write!(
                     f,
                     "Cut {{ with: {with}, way: {direction}, ms: {duration}, clients: {include_clients} }}"
                 )
             }
             PartitionFrom { from, direction, duration } => {
-                write!(f, "CutFrom {{ from: {}, way: {direction}, ms: {duration} }}", TargetList(from))
+                write!(f, "CutFrom {{ from: {}, way: {direction}, ms: {duration} }}", Targets(from))
             }
             SlowLinks { max_extra_delay, duration } => {
                 write!(f, "Slow {{ extra: {max_extra_delay}, ms: {duration} }}")
--- a/crates/tools/simulator/src/generator.rs
+++ b/crates/tools/simulator/src/generator.rs
@@ -6,7 +6,7 @@
 use fastrand::Rng;
 
 /// Least time between two faults.
-const MIN_PAUSE_MS: Millis = 10;
+const MIN_FAULT_INTERVAL_MS: Millis = 10;
 
 fn between(rng: &mut Rng, low: Millis, high: Millis) -> Millis {
     rng.u64(low..=high)
@@ -178,9 +178,9 @@
             beyond_tolerance: rng.u8(0..4) == 0,
             ..Scenario::default()
         };
-        // With the longest pause all machines recover between two faults; with the shortest the next fault is injected as
+        // At the longest interval all machines recover between two faults; at the shortest the next one is injected as
         // soon as the tolerance allows it.
-        let mean_pause = [700, 2500, 9000][rng.usize(0..3)];
+        let mean_interval = [700, 2500, 9000][rng.usize(0..3)];
         let mut at = between(rng, 4500, 9000);
         while at < scenario.duration {
             let target = random_target(rng, machines);
@@ -188,7 +188,7 @@
             let random_value = rng.u64(..);
             let trigger = random_trigger(rng);
             scenario.faults.push(Fault { at, target, kind, trigger, random_value });
-            at += MIN_PAUSE_MS + (-(rng.f64().max(1e-9).ln()) * mean_pause as f64) as Millis;
+            at += MIN_FAULT_INTERVAL_MS + (-(rng.f64().max(1e-9).ln()) * mean_interval as f64) as Millis;
         }
         scenario.final_fault = random_final_fault(rng);
         scenario
--- a/crates/tools/simulator/src/invariants/order_history.rs
+++ b/crates/tools/simulator/src/invariants/order_history.rs
@@ -38,7 +38,7 @@
     by_body: BTreeMap<String, usize>,
     by_number: BTreeMap<u64, Vec<usize>>,
     /// The highest number that a caller knows to have been in force.
-    floor: u64,
+    min_number: u64,
     /// By ascending time and number.
     acknowledgements: Vec<Acknowledgement>,
 }
@@ -68,8 +68,8 @@
     }
 
     /// The lowest number that a read which starts now may return.
-    pub fn floor(&self) -> u64 {
-        self.floor
+    pub fn min_number(&self) -> u64 {
+        self.min_number
     }
 
     /// The highest number that was submitted; 0 if there is none.
@@ -104,17 +104,20 @@
     }
 
     /// Another order of the same number that was in force.
-    fn effective_rival(&self, index: usize) -> Option<usize> {
-        let rivals = &self.by_number[&self.orders[index].number];
-        rivals.iter().copied().find(|rival| *rival != index && self.orders[*rival].effective)
+    fn effective_conflict(&self, index: usize) -> Option<usize> {
+        let same_number = &self.by_number[&self.orders[index].number];
+        same_number
+            .iter()
+            .copied()
+            .find(|conflicting| *conflicting != index && self.orders[*conflicting].effective)
     }
 
-    fn mark_effective(&mut self, now: Micros, index: usize) -> CheckResult {
+    fn record_effective(&mut self, now: Micros, index: usize) -> CheckResult {
         let number = self.orders[index].number;
-        if let Some(rival) = self.effective_rival(index) {
+        if let Some(conflicting) = self.effective_conflict(index) {
             return Err(CheckError::new(
                 rule::TWO_CONTENTS,
-                format!("r{number}: order {index} and order {rival} are both taken under one number"),
+                format!("r{number}: order {index} and order {conflicting} are both taken under one number"),
             ));
         }
         if let Some(at) = self.orders[index].rejected_at {
@@ -154,15 +157,15 @@
                 format!("order {index}, r{number}, is acknowledged"),
             ));
         }
-        if let Some(rival) = self.effective_rival(index) {
+        if let Some(conflicting) = self.effective_conflict(index) {
             return Err(CheckError::new(
                 rule::TWO_CONTENTS,
-                format!("r{number}: order {index} is acknowledged, and order {rival} was taken"),
+                format!("r{number}: order {index} is acknowledged, and order {conflicting} was taken"),
             ));
         }
         // An order may be acknowledged without ever being in force, if a higher number is already in force.
         if !self.higher_may_be_effective(number) {
-            self.mark_effective(now, index)?;
+            self.record_effective(now, index)?;
         }
         let order = &mut self.orders[index];
         order.acknowledged_at.get_or_insert(now);
@@ -170,7 +173,7 @@
         if self.acknowledgements.last().is_none_or(|last| last.number < number) {
             self.acknowledgements.push(Acknowledgement { at: now, number });
         }
-        self.floor = self.floor.max(number);
+        self.min_number = self.min_number.max(number);
         Ok(())
     }
 
@@ -182,9 +185,10 @@
                 format!("order {index}, r{number}, is refused with {status} after it was in force"),
             ));
         }
-        let has_rival =
-            self.by_number[&number].iter().any(|rival| *rival != index && self.orders[*rival].valid);
-        if status != 409 || !has_rival {
+        let has_conflict = self.by_number[&number]
+            .iter()
+            .any(|conflicting| *conflicting != index && self.orders[*conflicting].valid);
+        if status != 409 || !has_conflict {
             return Err(CheckError::new(
                 rule::REJECTED_WITHOUT_CAUSE,
                 format!("order {index}, r{number}, is refused with {status}"),
@@ -194,21 +198,21 @@
         Ok(())
     }
 
-    /// A read that started when [`floor`](Self::floor) was `floor` was answered. Returns the number that was read, if any.
+    /// A read that started when [`min_number`](Self::min_number) was `min_number` was answered. Returns the number that was read, if any.
     ///
     /// # Errors
     /// The invariant that the answer violates.
     pub fn record_read(
         &mut self,
-        floor: u64,
+        min_number: u64,
         now: Micros,
         status: u16,
         body: &str,
     ) -> CheckResult<Option<u64>> {
         match status {
             200 => {}
-            404 if floor > 0 => {
-                return Err(CheckError::new(rule::READ, format!("404 is read after r{floor}")));
+            404 if min_number > 0 => {
+                return Err(CheckError::new(rule::READ, format!("404 is read after r{min_number}")));
             }
             _ => return Ok(None),
         }
@@ -225,11 +229,11 @@
                 format!("order {index}, r{number}, is invalid and in force"),
             ));
         }
-        if number < floor {
-            return Err(CheckError::new(rule::READ, format!("r{number} is read after r{floor}")));
+        if number < min_number {
+            return Err(CheckError::new(rule::READ, format!("r{number} is read after r{min_number}")));
         }
-        self.mark_effective(now, index)?;
-        self.floor = self.floor.max(number);
+        self.record_effective(now, index)?;
+        self.min_number = self.min_number.max(number);
         Ok(Some(number))
     }
 
@@ -251,10 +255,10 @@
                 format!("order {index}, r{number}, is refused and told to an edge"),
             ));
         }
-        match self.effective_rival(index) {
-            Some(rival) => Err(CheckError::new(
+        match self.effective_conflict(index) {
+            Some(conflicting) => Err(CheckError::new(
                 rule::TWO_CONTENTS,
-                format!("r{number}: an edge is told order {index}, and order {rival} was taken"),
+                format!("r{number}: an edge is told order {index}, and order {conflicting} was taken"),
             )),
             None => Ok(index),
         }
--- a/crates/tools/simulator/src/network.rs
+++ b/crates/tools/simulator/src/network.rs
@@ -28,7 +28,7 @@
 }
 
 /// A message that a partition holds back: it is delivered afterwards, or lost.
-pub(crate) struct HeldMessage {
+pub(crate) struct BufferedMessage {
     pub(crate) sent_at: Micros,
     pub(crate) from: ParticipantSet,
     pub(crate) to: ParticipantSet,
@@ -47,7 +47,7 @@
     zone_delays: Vec<Vec<Micros>>,
     partitions: Vec<Partition>,
     members: Vec<PartitionMembers>,
-    held_messages: Vec<HeldMessage>,
+    buffered_messages: Vec<BufferedMessage>,
     last_partition_id: u32,
 }
 
@@ -64,7 +64,7 @@
             zone_delays,
             partitions: Vec::new(),
             members: Vec::new(),
-            held_messages: Vec::new(),
+            buffered_messages: Vec::new(),
             last_partition_id: 0,
         }
     }
@@ -79,7 +79,7 @@
     }
 
     /// Whether a partition drops messages in one direction at least.
-    pub(crate) fn is_partitioned_either_way(&self, one: ParticipantSet, other: ParticipantSet) -> bool {
+    pub(crate) fn is_partitioned_in_any_direction(&self, one: ParticipantSet, other: ParticipantSet) -> bool {
         self.is_partitioned(one, other) || self.is_partitioned(other, one)
     }
 
@@ -110,11 +110,11 @@
         self.members.iter().map(|members| members.id).collect()
     }
 
-    pub(crate) fn hold(&mut self, message: HeldMessage) {
-        self.held_messages.push(message);
+    pub(crate) fn buffer(&mut self, message: BufferedMessage) {
+        self.buffered_messages.push(message);
     }
 
-    pub(crate) fn take_held_messages(&mut self) -> Vec<HeldMessage> {
-        std::mem::take(&mut self.held_messages)
+    pub(crate) fn take_buffered_messages(&mut self) -> Vec<BufferedMessage> {
+        std::mem::take(&mut self.buffered_messages)
     }
 }
--- a/crates/tools/simulator/src/operator.rs
+++ b/crates/tools/simulator/src/operator.rs
@@ -20,7 +20,7 @@
     /// The request of the current attempt; 0 between two attempts. The lowest bit is the operator.
     pub(crate) request_id: u64,
     /// The lowest number that a read of the current attempt may return.
-    pub(crate) floor: u64,
+    pub(crate) min_number: u64,
     /// Redirects that the current attempt has followed.
     pub(crate) redirects: u8,
     /// Attempts that were answered with an uncommon 4xx.
--- a/crates/tools/simulator/src/process.rs
+++ b/crates/tools/simulator/src/process.rs
@@ -32,7 +32,7 @@
     /// Own writes that were not reported yet.
     pub(crate) writes: BTreeSet<OperationId>,
     /// Who waits for a response of this process.
-    pub(crate) waiting_callers: BTreeMap<RequestId, Origin>,
+    pub(crate) pending_callers: BTreeMap<RequestId, Origin>,
     /// It has got SIGTERM.
     pub(crate) shutting_down: bool,
 }
@@ -50,7 +50,7 @@
             armed_fault: None,
             peer_requests: BTreeSet::new(),
             writes: BTreeSet::new(),
-            waiting_callers: BTreeMap::new(),
+            pending_callers: BTreeMap::new(),
             shutting_down: false,
         }
     }
@@ -61,7 +61,7 @@
     }
 
     /// How long a span of its clock takes in true time.
-    pub(crate) fn true_span(&self, span: Millis) -> Micros {
+    pub(crate) fn to_true_time(&self, span: Millis) -> Micros {
         (span as f64 * MICROS_PER_MILLI as f64 / self.clock_rate) as Micros
     }
 }
--- a/crates/tools/simulator/src/statistics.rs
+++ b/crates/tools/simulator/src/statistics.rs
@@ -132,11 +132,11 @@
     }
 }
 
-fn median_and_worst(spans: &[Millis]) -> (Millis, Millis) {
-    let mut spans = spans.to_vec();
-    spans.sort_unstable();
-    let median = spans.get(spans.len() / 2).copied().unwrap_or(0);
-    (median, spans.last().copied().unwrap_or(0))
+fn median_and_worst(durations: &[Millis]) -> (Millis, Millis) {
+    let mut durations = durations.to_vec();
+    durations.sort_unstable();
+    let median = durations.get(durations.len() / 2).copied().unwrap_or(0);
+    (median, durations.last().copied().unwrap_or(0))
 }
 
 impl fmt::Display for Statistics {
--- a/crates/tools/simulator/src/world/availability.rs
+++ b/crates/tools/simulator/src/world/availability.rs
@@ -28,7 +28,7 @@
     }
 
     /// Whether the machines have been connected for `inContact`, so that edges and endpoints must be up to date.
-    pub(super) fn is_settled(&self) -> bool {
+    pub(super) fn is_stable(&self) -> bool {
         let contact = self.quorum_contact();
         // Twice as long after a final fault.
         let final_phase = self.final_phase.deadline < Micros::MAX;
--- a/crates/tools/simulator/src/world/dispatch.rs
+++ b/crates/tools/simulator/src/world/dispatch.rs
@@ -76,7 +76,7 @@
             process.deferred_events.push(SimEvent::RequestArrives { machine_id, origin, request });
             return;
         }
-        process.waiting_callers.insert(request_id, origin);
+        process.pending_callers.insert(request_id, origin);
         let event = match request {
             Request::Peer(call) => Event::Peer { caller: request_id, call },
             Request::Admin(call) => Event::Admin { request_id, request: call.to_request() },
--- a/crates/tools/simulator/src/world/edges.rs
+++ b/crates/tools/simulator/src/world/edges.rs
@@ -25,7 +25,7 @@
 const DRAIN_CHECK_TIME: Micros = 30_000_000;
 /// Which slice is busy changes with this period.
 const BUSY_PERIOD: Micros = 20_000_000;
-const BUSY_STRIDE: u32 = 37;
+const BUSY_STEP: u32 = 37;
 const BUSY_REQUESTS: u32 = 20;
 
 impl World<'_> {
@@ -100,7 +100,7 @@
         if slice_count == 0 || !edge.watch_request.request_counts.is_empty() {
             return;
         }
-        let busy = (self.now / BUSY_PERIOD) as u32 * BUSY_STRIDE % slice_count;
+        let busy = (self.now / BUSY_PERIOD) as u32 * BUSY_STEP % slice_count;
         let mut counts: Vec<(u32, u32)> = (0..4).map(|_| (self.rng.u32(0..slice_count), 1)).collect();
         counts.push((busy, BUSY_REQUESTS));
         counts.sort_unstable();
@@ -168,7 +168,7 @@
     pub(super) fn check_edges(&mut self) {
         let now = self.now;
         self.acknowledged_drains.retain(|drain| now < drain.at + DRAIN_CHECK_TIME);
-        if !self.is_settled() {
+        if !self.is_stable() {
             return;
         }
         for edge in &mut self.edges {
--- a/crates/tools/simulator/src/world/effects.rs
+++ b/crates/tools/simulator/src/world/effects.rs
@@ -32,7 +32,7 @@
         let Some(process) = &machine.process else { return Ok(()) };
         for effect in effects {
             let Effect::RespondToAdmin { caller, status: 200..=299, body } = effect else { continue };
-            let Some(origin) = process.waiting_callers.get(caller).copied() else { continue };
+            let Some(origin) = process.pending_callers.get(caller).copied() else { continue };
             let participant = origin.participant;
             if isolated {
                 let detail = format!("{} answers {participant} with 2xx", machine.ip);
@@ -88,19 +88,19 @@
     }
 
     /// Who waits for the response to a request; a node responds once.
-    fn take_waiting_caller(&mut self, machine_id: MachineId, request_id: RequestId) -> Option<Origin> {
+    fn remove_pending_caller(&mut self, machine_id: MachineId, request_id: RequestId) -> Option<Origin> {
         let machine = &mut self.machines[machine_id];
-        let waiting =
-            machine.process.as_mut().and_then(|process| process.waiting_callers.remove(&request_id));
-        if waiting.is_none() {
+        let pending =
+            machine.process.as_mut().and_then(|process| process.pending_callers.remove(&request_id));
+        if pending.is_none() {
             let detail = format!("{} answers caller {request_id}, who does not wait", machine.ip);
             self.record_violation(rule::NODE_PROTOCOL, detail);
         }
-        waiting
+        pending
     }
 
     fn respond_to_admin(&mut self, machine_id: MachineId, request_id: RequestId, status: u16, body: String) {
-        let Some(origin) = self.take_waiting_caller(machine_id, request_id) else { return };
+        let Some(origin) = self.remove_pending_caller(machine_id, request_id) else { return };
         if let Participant::Probe(_) = origin.participant {
             self.handle_probe_response(machine_id, origin.request_id, status, &body);
         } else {
@@ -109,7 +109,7 @@
     }
 
     fn respond_to_peer(&mut self, machine_id: MachineId, request_id: RequestId, response: PeerResponse) {
-        let Some(origin) = self.take_waiting_caller(machine_id, request_id) else { return };
+        let Some(origin) = self.remove_pending_caller(machine_id, request_id) else { return };
         if let (
             PeerResponse::Consensus(coppersail_consensus::Response::ReplicaWrite(write)),
             Participant::Machine(from),
@@ -134,7 +134,7 @@
         check_new_token(process.peer_requests.insert(token), token)?;
         let participant = Participant::Machine(machine_id);
         let origin = Origin { participant, incarnation: process.incarnation, request_id: token };
-        let timeout = process.true_span(timeout);
+        let timeout = process.to_true_time(timeout);
         self.schedule_after(timeout, SimEvent::PeerRequestTimeout { origin });
         if let Some(receiver) = self.machine_at(peer) {
             self.send_request(receiver, origin, Request::Peer(call));
--- a/crates/tools/simulator/src/world/endpoints.rs
+++ b/crates/tools/simulator/src/world/endpoints.rs
@@ -157,7 +157,7 @@
         endpoint.drain_acknowledged_at = Some(at);
         let endpoint_id = endpoint.id.clone();
         self.statistics.drains += 1;
-        if self.is_settled() {
+        if self.is_stable() {
             self.acknowledged_drains.push(AcknowledgedDrain { endpoint_id, at });
         }
     }
@@ -190,7 +190,7 @@
         Ok(())
     }
 
-    /// After one grant in four a client's request works on a key for a while.
+    /// After one grant in four a client's request occupies a key for a while.
     fn start_endpoint_work(&mut self, endpoint_id: usize) {
         if self.rng.u8(0..4) > 0 {
             return;
@@ -198,8 +198,8 @@
         let key = self.rng.u32(0..65536);
         let work_time = self.rng.u64(WORK_TIME);
         let endpoint = &mut self.endpoints[endpoint_id];
-        endpoint.works += 1;
-        let (work_id, incarnation) = (endpoint.works, endpoint.incarnation);
+        endpoint.work_count += 1;
+        let (work_id, incarnation) = (endpoint.work_count, endpoint.incarnation);
         let now = endpoint.clock(self.now);
         if endpoint.keys.start(now, work_id, key) {
             self.schedule_after(work_time, SimEvent::EndpointWorkDone { endpoint_id, incarnation, work_id });
--- a/crates/tools/simulator/src/world/final_phase.rs
+++ b/crates/tools/simulator/src/world/final_phase.rs
@@ -18,28 +18,29 @@
 /// How often a final read follows a redirect.
 const MAX_REDIRECTS: u64 = 2;
 
-/// What a final read carries in its request id: the redirects so far in the lowest byte, the floor above.
+/// What a final read carries in its request id: the redirects so far in the lowest byte, the min_number above.
 #[derive(Clone, Copy)]
 struct FinalReadId {
-    floor: u64,
+    min_number: u64,
     redirects: u64,
 }
 
 impl FinalReadId {
     fn encode(self) -> u64 {
-        self.floor << 8 | self.redirects
+        self.min_number << 8 | self.redirects
     }
 
     fn decode(request_id: u64) -> FinalReadId {
-        FinalReadId { floor: request_id >> 8, redirects: request_id & 255 }
+        FinalReadId { min_number: request_id >> 8, redirects: request_id & 255 }
     }
 }
 
 impl World<'_> {
     /// All faults end, but for machines that are being replaced: those get their time.
     pub(super) fn heal_all(&mut self) {
-        let is_leaving = |machine: &Machine| machine.power == Power::Removed || machine.is_shutting_down();
-        if self.slots.iter().any(|machine_id| is_leaving(&self.machines[*machine_id])) {
+        let is_being_replaced =
+            |machine: &Machine| machine.power == Power::Removed || machine.is_shutting_down();
+        if self.slots.iter().any(|machine_id| is_being_replaced(&self.machines[*machine_id])) {
             return self.schedule_after(HEAL_RETRY_INTERVAL, SimEvent::HealAll);
         }
         self.record_trace(ALL_MACHINES, || "all trouble is over".into());
@@ -51,8 +52,8 @@
         }
         self.disturbed_at = self.now;
         if self.final_phase.fault.is_some() {
-            let pause = SYNC_MS + self.scenario.quorum_contact + STABILIZATION_MS;
-            self.final_phase.fault_not_before = self.now + pause * MICROS_PER_MILLI;
+            let delay = SYNC_MS + self.scenario.quorum_contact + STABILIZATION_MS;
+            self.final_phase.fault_not_before = self.now + delay * MICROS_PER_MILLI;
         } else {
             self.begin_final_reads();
         }
@@ -126,7 +127,7 @@
     }
 
     fn send_final_read(&mut self, machine_id: MachineId, receiver: MachineId, redirects: u64) {
-        let id = FinalReadId { floor: self.order_history.floor(), redirects };
+        let id = FinalReadId { min_number: self.order_history.min_number(), redirects };
         let participant = Participant::FinalReader(machine_id);
         let origin = Origin { participant, incarnation: 0, request_id: id.encode() };
         self.send_request(receiver, origin, Request::Admin(AdminCall::ReadConfig));
@@ -137,16 +138,16 @@
         if !self.final_phase.is_unread(machine_id) {
             return;
         }
-        let FinalReadId { floor, redirects } = FinalReadId::decode(request_id);
+        let FinalReadId { min_number, redirects } = FinalReadId::decode(request_id);
         if status == 307 && redirects < MAX_REDIRECTS {
             if let Some(receiver) = self.redirect_target(&body) {
                 self.send_final_read(machine_id, receiver, redirects + 1);
             }
             return;
         }
-        let result = self.order_history.record_read(floor, self.now, status, &body);
+        let result = self.order_history.record_read(min_number, self.now, status, &body);
         self.record_check(result);
-        if status == 200 || status == 404 && floor == 0 {
+        if status == 200 || status == 404 && min_number == 0 {
             self.record_final_read(machine_id);
         }
     }
--- a/crates/tools/simulator/src/world/links.rs
+++ b/crates/tools/simulator/src/world/links.rs
@@ -3,7 +3,7 @@
 use super::World;
 use crate::event::{Request, Response, SimEvent};
 use crate::machine::Power;
-use crate::network::{machine_set, HeldMessage, ParticipantSet, CLIENTS};
+use crate::network::{machine_set, BufferedMessage, ParticipantSet, CLIENTS};
 use crate::participant::{MachineId, Origin, Participant};
 use crate::time::{Micros, MICROS_PER_MILLI};
 
@@ -63,7 +63,7 @@
     /// Whether a connection to a machine can be established now.
     pub(super) fn can_connect(&self, from: Participant, machine_id: MachineId) -> bool {
         let (from_set, to_set) = (self.location_of(from).set, machine_set(machine_id));
-        !self.network.is_partitioned_either_way(from_set, to_set)
+        !self.network.is_partitioned_in_any_direction(from_set, to_set)
             && !self.is_partitioned_edge(from)
             && self.machines[machine_id].power == Power::On
     }
@@ -92,7 +92,7 @@
         {
             if self.network.rng.bool() {
                 let sent_at = self.now;
-                self.network.hold(HeldMessage { sent_at, from: from_set, to: to_set, event });
+                self.network.buffer(BufferedMessage { sent_at, from: from_set, to: to_set, event });
             }
             return;
         }
--- a/crates/tools/simulator/src/world/machine_faults.rs
+++ b/crates/tools/simulator/src/world/machine_faults.rs
@@ -135,10 +135,10 @@
         let free_ip = self.machines.iter().find(has_free_ip).map(|machine| machine.ip.clone());
         let known_peers = self.known_peers(known_peers, random_value, Some(replaced));
         let machine_id = self.add_machine(slot, free_ip.filter(|_| reuse_address));
-        let peer_list = known_peers.join(", ");
+        let addresses = known_peers.join(", ");
         self.machines[machine_id].known_peers = known_peers;
         self.update_isolation();
-        self.trace_machine(machine_id, || format!("comes new and empty, told of {peer_list}"));
+        self.trace_machine(machine_id, || format!("comes new and empty, told of {addresses}"));
         self.start_process(machine_id, 0);
     }
 
--- a/crates/tools/simulator/src/world/operators.rs
+++ b/crates/tools/simulator/src/world/operators.rs
@@ -101,7 +101,7 @@
             order,
             started_at: self.now,
             request_id: 0,
-            floor: 0,
+            min_number: 0,
             redirects: 0,
             rejections: 0,
             selector,
@@ -130,9 +130,9 @@
     pub(super) fn submit_conflicting_orders(&mut self) {
         let order = self.new_order(0);
         let number = self.order_history.orders()[order].number;
-        let rival = self.add_order(number, true);
+        let conflicting = self.add_order(number, true);
         self.submit_order(0, order, None);
-        self.submit_order(1, rival, None);
+        self.submit_order(1, conflicting, None);
     }
 
     pub(super) fn submit_older_order(&mut self, random_value: u64) {
@@ -204,7 +204,7 @@
         let request_id = self.operator_request_id(operator_id);
         let pending = &mut self.operators[operator_id].calls[index];
         pending.request_id = request_id;
-        pending.floor = self.order_history.floor();
+        pending.min_number = self.order_history.min_number();
         let (call_id, call) = (pending.id, pending.call.clone());
         let participant = Participant::Operator(operator_id);
         let origin = Origin { participant, incarnation: 0, request_id };
@@ -250,8 +250,8 @@
     }
 
     fn handle_read_response(&mut self, operator_id: usize, index: usize, status: u16, body: &str) {
-        let floor = self.operators[operator_id].calls[index].floor;
-        let result = self.order_history.record_read(floor, self.now, status, body);
+        let min_number = self.operators[operator_id].calls[index].min_number;
+        let result = self.order_history.record_read(min_number, self.now, status, body);
         self.record_check(result);
         self.statistics.reads += 1;
         if status == 200 {
--- a/crates/tools/simulator/src/world/partitions.rs
+++ b/crates/tools/simulator/src/world/partitions.rs
@@ -9,7 +9,7 @@
 use crate::time::{Micros, MICROS_PER_MILLI};
 
 /// A message that a partition holds back for longer is lost.
-const MAX_HOLD_TIME: Micros = 15_000 * MICROS_PER_MILLI;
+const MAX_BUFFER_TIME: Micros = 15_000 * MICROS_PER_MILLI;
 /// After a partition, messages that it held back arrive within this time.
 const RELEASE_SPREAD: Micros = 1000 * MICROS_PER_MILLI;
 
@@ -75,17 +75,17 @@
             self.trace_machine(machine_id, || "is joined again".into());
         }
         self.update_isolation();
-        self.release_held_messages();
+        self.release_buffered_messages();
     }
 
     /// Messages that no partition holds back any longer are delivered, or lost.
-    fn release_held_messages(&mut self) {
-        for message in self.network.take_held_messages() {
-            if self.now > message.sent_at + MAX_HOLD_TIME {
+    fn release_buffered_messages(&mut self) {
+        for message in self.network.take_buffered_messages() {
+            if self.now > message.sent_at + MAX_BUFFER_TIME {
                 continue;
             }
             if self.network.is_partitioned(message.from, message.to) {
-                self.network.hold(message);
+                self.network.buffer(message);
             } else {
                 let delay = self.network.rng.u64(0..RELEASE_SPREAD);
                 self.schedule_after(delay, message.event);
@@ -100,7 +100,7 @@
             let reaches_any = (0..self.machines.len()).any(|other| {
                 other != machine_id
                     && self.machines[other].power != Power::Removed
-                    && !self.network.is_partitioned_either_way(set, machine_set(other))
+                    && !self.network.is_partitioned_in_any_direction(set, machine_set(other))
             });
             let machine = &mut self.machines[machine_id];
             machine.isolated_since =
--- a/crates/tools/simulator/src/world/probes.rs
+++ b/crates/tools/simulator/src/world/probes.rs
@@ -27,7 +27,7 @@
                 let origin = Origin {
                     participant: Participant::Probe(machine_id),
                     incarnation: machine.incarnations,
-                    request_id: self.order_history.floor(),
+                    request_id: self.order_history.min_number(),
                 };
                 self.handle_request(machine_id, origin, Request::Admin(AdminCall::ReadConfig));
             }
@@ -41,15 +41,15 @@
         self.schedule_after(delay, SimEvent::Probe);
     }
 
-    /// The reader beside a node has its response. `floor` is the lowest number that it may read.
+    /// The reader beside a node has its response. `min_number` is the lowest number that it may read.
     pub(super) fn handle_probe_response(
         &mut self,
         machine_id: MachineId,
-        floor: u64,
+        min_number: u64,
         status: u16,
         body: &str,
     ) {
-        let result = self.order_history.record_read(floor, self.now, status, body);
+        let result = self.order_history.record_read(min_number, self.now, status, body);
         if result.is_err() {
             self.trace_machine(machine_id, || format!("answers a read at its side with {status}"));
         }
--- a/crates/tools/simulator/src/world/processes.rs
+++ b/crates/tools/simulator/src/world/processes.rs
@@ -101,7 +101,7 @@
             SimEvent::RequestArrives { origin, .. } => Some(origin),
             _ => None,
         });
-        let origins: Vec<Origin> = process.waiting_callers.into_values().chain(deferred).collect();
+        let origins: Vec<Origin> = process.pending_callers.into_values().chain(deferred).collect();
         for origin in origins {
             self.reset_connection(machine_id, origin);
         }
--- a/crates/tools/simulator/tests/invariants.rs
+++ b/crates/tools/simulator/tests/invariants.rs
@@ -15,16 +15,20 @@
 fn a_stale_read_is_a_violation() {
     let mut history = history_of(&[3, 5, 9]);
     history.record_answer(10, 0, 200).unwrap();
-    let floor = history.floor();
-    assert_eq!(history.record_read(floor, 11, 200, "content 1").unwrap(), Some(5), "sent, perhaps in force");
+    let min_number = history.min_number();
     assert_eq!(
-        history.record_read(floor, 12, 200, "content 0").unwrap(),
+        history.record_read(min_number, 11, 200, "content 1").unwrap(),
+        Some(5),
+        "sent, perhaps in force"
+    );
+    assert_eq!(
+        history.record_read(min_number, 12, 200, "content 0").unwrap(),
         Some(3),
         "begun before that read's end"
     );
-    assert_eq!(history.record_read(history.floor(), 13, 200, "content 0").unwrap_err().rule, rule::READ);
-    assert_eq!(history.record_read(history.floor(), 13, 404, "").unwrap_err().rule, rule::READ);
-    assert_eq!(history.record_read(history.floor(), 13, 503, "").unwrap(), None);
+    assert_eq!(history.record_read(history.min_number(), 13, 200, "content 0").unwrap_err().rule, rule::READ);
+    assert_eq!(history.record_read(history.min_number(), 13, 404, "").unwrap_err().rule, rule::READ);
+    assert_eq!(history.record_read(history.min_number(), 13, 503, "").unwrap(), None);
 }
 
 #[test]
@@ -75,7 +79,7 @@
 }
 
 #[test]
-fn a_rejection_of_a_valid_order_without_rival_is_a_violation() {
+fn a_rejection_of_a_valid_order_without_conflict_is_a_violation() {
     let mut history = history_of(&[5]);
     assert_eq!(history.record_answer(1, 0, 409).unwrap_err().rule, rule::REJECTED_WITHOUT_CAUSE);
     let mut history = history_of(&[5, 5]);
