--- a/crates/tools/cli/src/commands/announce.rs
+++ b/crates/tools/cli/src/commands/announce.rs
@@ -1,7 +1,7 @@
 //! `announce`: a change that says when hosts will leave.
 
+use super::error::CommandError;
 use super::session::Session;
-use super::CommandError;
 use crate::edits::parse_field;
 use coppersail_changes::{Submission, EXPIRES};
 use coppersail_operator_config::{Edits, Field, Value};
--- a/crates/tools/cli/src/commands/change.rs
+++ b/crates/tools/cli/src/commands/change.rs
@@ -1,7 +1,7 @@
 //! `change`: submitting, looking at and ending changes.
 
+use super::error::CommandError;
 use super::session::Session;
-use super::CommandError;
 use crate::arguments::{ChangeCommand, EditArguments};
 use crate::edits::parse_edits;
 use crate::output::print;
--- a/crates/tools/cli/src/commands/drain.rs
+++ b/crates/tools/cli/src/commands/drain.rs
@@ -1,9 +1,9 @@
 //! `plan drain`: how many hosts at a time, in which order, and how long to wait between them.
 
 use super::announce::Departure;
-use super::CommandError;
+use super::error::CommandError;
 use crate::fleet_files::Fleet;
-use crate::host_names::{Names, UnknownHost};
+use crate::names::{Names, UnknownHost};
 use crate::output::print;
 use coppersail::interface::HostId;
 use coppersail_capacity_guard::{drain, Drain, Pool, Step, Table};
--- a/crates/tools/cli/src/commands/guard.rs
+++ b/crates/tools/cli/src/commands/guard.rs
@@ -1,8 +1,8 @@
 //! `guard`: tables judged from files, as a director's guard judges them.
 
-use super::CommandError;
+use super::error::CommandError;
 use crate::fleet_files::{read_orders, read_pending, Fleet, FleetFileError};
-use crate::host_names::Names;
+use crate::names::Names;
 use crate::output::print;
 use coppersail::interface::{HostId, Order, SliceId};
 use coppersail_capacity_guard::{Danger, Guard, Pool, Refused, Table, Verdict};
--- a/crates/tools/cli/src/fleet_files.rs
+++ b/crates/tools/cli/src/fleet_files.rs
@@ -1,7 +1,7 @@
 //! The files of a fleet that the guard judges without a director: pool, tables, orders and pending events. Their forms are
 //! in `docs/guard.md`; times in them are seconds from now, so that they need no clock.
 
-use crate::host_names::{intern, Names, UnknownHost};
+use crate::names::{intern, Names, UnknownHost};
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
 use coppersail_capacity_guard::{Bounds, Change, Estimate, Host, Pending, Pool, State, Table};
 use serde::de::DeserializeOwned;
--- a/crates/tools/cli/src/main.rs
+++ b/crates/tools/cli/src/main.rs
@@ -7,7 +7,8 @@
 mod edits;
 mod fleet_files;
 mod format;
-mod host_names;
+
+mod names;
 mod output;
 
 use clap::Parser;
