--- a/crates/tools/cli/src/fleet_files.rs
+++ b/crates/tools/cli/src/fleet_files.rs
@@ -1,5 +1,7 @@
 //! The files of a fleet that the guard judges without a director: pool, tables, orders and pending events. Their forms are
 //! in `docs/guard.md`; times in them are seconds from now, so that they need no clock.
+//!
+//! serde prints the names of the types `...File` where a value of another type stands, so they are text that operators see.
 
 use crate::names::{intern, Names, UnknownHost};
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
@@ -41,6 +43,7 @@
     cold_from: f64,
     ramp_time: f64,
     fall_multiple: f64,
+    /// Calls a second that a host of weight 1 carries; absent: not known.
     carries: Option<EstimateFile>,
 }
 
@@ -63,6 +66,7 @@
     state: StateFile,
     #[serde(default = "default_proven")]
     proven: bool,
+    /// Proxies were ordered to keep away from it.
     #[serde(default)]
     out: bool,
 }
@@ -81,6 +85,7 @@
 struct TableFile {
     /// Calls a second by route.
     demand: BTreeMap<String, f64>,
+    /// Weights by host.
     lines: BTreeMap<String, f64>,
 }
 
@@ -105,7 +110,8 @@
     /// Seconds from now.
     at: f64,
     host: String,
-    what: ChangeFile,
+    #[serde(rename = "what")]
+    event: ChangeFile,
 }
 
 fn default_weight() -> f64 {
@@ -221,9 +227,9 @@
 }
 
 fn build_pending(file: &PendingFile, names: &Names) -> Result<Pending, UnknownHost> {
-    let what = match file.what {
+    let event = match file.event {
         ChangeFile::Leaves => Change::Leaves,
         ChangeFile::Opens => Change::Opens,
     };
-    Ok(Pending { at: file.at, host: names.host_id(&file.host)?, what })
+    Ok(Pending { at: file.at, host: names.host_id(&file.host)?, what: event })
 }
--- a/crates/tools/cli/tests/cli.rs
+++ b/crates/tools/cli/tests/cli.rs
@@ -232,6 +232,22 @@
     assert!(code == 1 && out.contains("slice 0: no open host, at 3.0 s"), "{out}");
 }
 
+#[test_case("pool", r#"{"bounds":{},"hosts":{}}"#, "pool.json:1: missing field `cold_from`" ; "a bound is missing")]
+#[test_case("pool", r#"{"bounds":5}"#, "invalid type: integer `5`, expected struct BoundsFile" ; "bounds of another type")]
+#[test_case("tables", r#"{"0":true}"#, "invalid type: boolean `true`, expected struct TableFile" ; "a table of another type")]
+#[test_case("pending", "[5]", "invalid type: integer `5`, expected struct PendingFile" ; "an event of another type")]
+#[test_case("pending", r#"[{"at":3,"host":"a-1"}]"#, "pending.json:1: missing field `what`" ; "an event without its kind")]
+fn invalid_fleet_files_are_reported_by_line(name: &str, text: &str, expected: &str) {
+    let folder = TempFolder::new(&format!("form-{name}-{}", text.len()));
+    let file = |form: &str, valid: &str| {
+        folder.file(&format!("{form}.json"), if form == name { text } else { valid })
+    };
+    let (pool, tables, pending) = (file("pool", POOL), file("tables", TABLES), file("pending", "[]"));
+    let guard = ["guard", "--pool", &pool, "--tables", &tables, "--pending", &pending];
+    let (code, out, err) = status_and_output(&coppersail(&guard));
+    assert!(code == 2 && out.is_empty() && err.contains(expected), "{code}: {out}{err}");
+}
+
 #[test]
 fn a_drain_is_planned_in_steps_and_rejected_if_nobody_would_serve() {
     let folder = TempFolder::new("plan");
