--- a/crates/tools/lab/src/build.rs
+++ b/crates/tools/lab/src/build.rs
@@ -43,18 +43,41 @@
     configured: bool,
 }
 
+/// A build that cannot be started.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// The program cannot be run.
+    #[error("{}: {source}", program.display())]
+    Spawn {
+        /// The program's path.
+        program: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The process has no standard input or output.
+    #[error("{}: no pipes", program.display())]
+    NoPipes {
+        /// The program's path.
+        program: PathBuf,
+    },
+}
+
 fn ns(seconds: f64) -> u64 {
     (seconds.max(0.0) * 1e9).round() as u64
 }
 
 impl Build {
-    pub fn start(program: &Path, platform: Platform, seed: u64) -> Result<Build, String> {
+    /// Starts the program, with pipes as its standard input and output.
+    ///
+    /// # Errors
+    /// [`StartError`]: the program cannot be run.
+    pub fn start(program: &Path, platform: Platform, seed: u64) -> Result<Build, StartError> {
         let mut command = Command::new(program);
         command.stdin(Stdio::piped()).stdout(Stdio::piped()).stderr(Stdio::null());
-        let failed = |wrong: &dyn std::fmt::Display| format!("{}: {wrong}", program.display());
-        let mut child = command.spawn().map_err(|wrong| failed(&wrong))?;
+        let mut child =
+            command.spawn().map_err(|source| StartError::Spawn { program: program.to_path_buf(), source })?;
         let (Some(stdin), Some(stdout)) = (child.stdin.take(), child.stdout.take()) else {
-            return Err(failed(&"no pipes"));
+            return Err(StartError::NoPipes { program: program.to_path_buf() });
         };
         Ok(Build { platform, seed, child, stdin, stdout: BufReader::new(stdout), configured: false })
     }
--- a/crates/tools/lab/src/experiment.rs
+++ b/crates/tools/lab/src/experiment.rs
@@ -77,10 +77,24 @@
     (Outcome::of(&world, kind, seed), world)
 }
 
+/// A grid whose results are not all there.
+#[derive(Debug, thiserror::Error)]
+pub enum GridError {
+    /// The results' file cannot be opened or written; what it held before stands.
+    #[error("results: {0}")]
+    Results(#[source] std::io::Error),
+    /// A play panicked.
+    #[error("a play ended in a crash")]
+    Panicked,
+}
+
 type Key = (String, Kind, u64);
 
 /// Plays what is not in the file yet, on so many threads, and adds each as it ends; so one that was killed goes on where
 /// it was. Gives all of them in the order of the grid.
+///
+/// # Errors
+/// [`GridError`]: the file cannot be written, or a play panicked.
 pub fn grid(
     scenarios: &[Scenario],
     kinds: &[Kind],
@@ -88,7 +102,7 @@
     threads: usize,
     file: Option<&Path>,
     progress: &(dyn Fn(usize, usize) + Sync),
-) -> Result<Vec<Outcome>, String> {
+) -> Result<Vec<Outcome>, GridError> {
     let mut known: BTreeMap<Key, Outcome> = BTreeMap::new();
     // A device could be read without end.
     if let Some(text) = file.filter(|file| file.is_file()).and_then(|file| std::fs::read_to_string(file).ok())
@@ -113,7 +127,7 @@
         out.write_all(b"\n")?;
         Ok::<_, std::io::Error>(out)
     };
-    let out = file.map(open).transpose().map_err(|wrong| format!("results: {wrong}"))?;
+    let out = file.map(open).transpose().map_err(GridError::Results)?;
     let (out, next, done) = (Mutex::new((out, Vec::new(), None)), AtomicUsize::new(0), AtomicUsize::new(0));
     std::thread::scope(|scope| {
         for _ in 0..threads.max(1).min(left.len().max(1)) {
@@ -124,7 +138,7 @@
                 let line = serde_json::to_string(&outcome).unwrap_or_default() + "\n";
                 if let Some(Err(wrong)) = kept.0.as_mut().map(|file| file.write_all(line.as_bytes())) {
                     // What could not be kept is told; what was kept before stands.
-                    kept.2 = Some(format!("results: {wrong}"));
+                    kept.2 = Some(GridError::Results(wrong));
                     return;
                 }
                 kept.1.push(outcome);
@@ -132,7 +146,7 @@
             });
         }
     });
-    let (_, played, wrong) = out.into_inner().map_err(|_| "a play ended in a crash".to_string())?;
+    let (_, played, wrong) = out.into_inner().map_err(|_| GridError::Panicked)?;
     if let Some(wrong) = wrong {
         return Err(wrong);
     }
--- a/crates/tools/lab/src/kept.rs
+++ b/crates/tools/lab/src/kept.rs
@@ -8,7 +8,17 @@
 use std::io;
 use std::path::{Path, PathBuf};
 
-type Drawn = Result<(), Box<dyn std::error::Error>>;
+type Drawn = Result<(), Box<dyn std::error::Error + Send + Sync>>;
+
+/// Results that cannot be kept.
+#[derive(Debug, thiserror::Error)]
+#[error("{}: results cannot be kept: {source}", folder.display())]
+pub struct KeepError {
+    /// The folder in which they should have been.
+    pub folder: PathBuf,
+    /// What could not be written or drawn.
+    pub source: Box<dyn std::error::Error + Send + Sync>,
+}
 
 fn chart(path: &Path, title: &str, unit: &str, series: &[(&str, Vec<f64>)]) -> Drawn {
     let root = SVGBackend::new(path, (900, 300)).into_drawing_area();
@@ -105,7 +115,7 @@
         .fold(0xcbf2_9ce4_8422_2325, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(0x0100_0000_01b3))
 }
 
-fn write_all(folder: &Path, world: &World, outcome: &Outcome) -> Result<(), Box<dyn std::error::Error>> {
+fn write_all(folder: &Path, world: &World, outcome: &Outcome) -> Drawn {
     let scenario = serde_json::to_string_pretty(&world.scenario)?;
     let manifest = serde_json::json!({
         "version": env!("CARGO_PKG_VERSION"),
@@ -161,17 +171,19 @@
 }
 
 /// Keeps a play. What stood there before goes only when all of the new one is there.
-pub fn keep(folder: &Path, world: &World, outcome: &Outcome) -> Result<(), String> {
+///
+/// # Errors
+/// [`KeepError`]: a file or folder cannot be written; no half of the new folder is left.
+pub fn keep(folder: &Path, world: &World, outcome: &Outcome) -> Result<(), KeepError> {
     let name = folder.file_name().map(|name| name.to_string_lossy().into_owned()).unwrap_or_default();
     let fresh: PathBuf = folder.with_file_name(format!("{name}.new"));
-    let failed =
-        |wrong: &dyn std::fmt::Display| format!("{}: results cannot be kept: {wrong}", folder.display());
+    let failed = |source| KeepError { folder: folder.to_path_buf(), source };
     let _ = fs::remove_dir_all(&fresh);
-    fs::create_dir_all(&fresh).map_err(|wrong| failed(&wrong))?;
-    if let Err(wrong) = write_all(&fresh, world, outcome) {
+    fs::create_dir_all(&fresh).map_err(|error| failed(error.into()))?;
+    if let Err(error) = write_all(&fresh, world, outcome) {
         let _ = fs::remove_dir_all(&fresh);
-        return Err(failed(&wrong));
+        return Err(failed(error));
     }
     let _ = fs::remove_dir_all(folder);
-    fs::rename(&fresh, folder).map_err(|wrong| failed(&wrong))
+    fs::rename(&fresh, folder).map_err(|error| failed(error.into()))
 }
--- a/crates/tools/lab/src/live.rs
+++ b/crates/tools/lab/src/live.rs
@@ -51,10 +51,40 @@
     shared.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
-fn listener() -> Result<(TcpListener, SocketAddr), String> {
-    let bound = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(|wrong| format!("listen: {wrong}"))?;
-    bound.set_nonblocking(true).map_err(|wrong| format!("listen: {wrong}"))?;
-    let at = bound.local_addr().map_err(|wrong| format!("listen: {wrong}"))?;
+/// A director's binary that cannot be started, or does not answer.
+#[derive(Debug, thiserror::Error)]
+pub enum StartError {
+    /// No port on loopback.
+    #[error("listen: {0}")]
+    Listen(#[source] std::io::Error),
+    /// The configuration cannot be written.
+    #[error("{}: {source}", folder.display())]
+    Folder {
+        /// The folder of the configuration and the log.
+        folder: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The binary cannot be run.
+    #[error("{}: {source}", program.display())]
+    Spawn {
+        /// The binary's path.
+        program: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// The director listened on its port at no time in the first seconds.
+    #[error("{}: it takes no connection", program.display())]
+    NoConnection {
+        /// The binary's path.
+        program: PathBuf,
+    },
+}
+
+fn listener() -> Result<(TcpListener, SocketAddr), StartError> {
+    let bound = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).map_err(StartError::Listen)?;
+    bound.set_nonblocking(true).map_err(StartError::Listen)?;
+    let at = bound.local_addr().map_err(StartError::Listen)?;
     Ok((bound, at))
 }
 
@@ -149,7 +179,15 @@
 
 impl Live {
     /// Starts the binary with the list and the tables as the first inputs tell them.
-    pub fn start(program: &Path, platform: Platform, seed: u64, inputs: &[Input]) -> Result<Live, String> {
+    ///
+    /// # Errors
+    /// [`StartError`]; a process that was started is ended.
+    pub fn start(
+        program: &Path,
+        platform: Platform,
+        seed: u64,
+        inputs: &[Input],
+    ) -> Result<Live, StartError> {
         let (sender, orders) = channel();
         let over = Arc::new(AtomicBool::new(false));
         let (relay_socket, relay_at) = listener()?;
@@ -192,7 +230,7 @@
         let folder = std::env::temp_dir().join(format!("coppersail-live-{}-{number}", std::process::id()));
         let file = folder.join("config.json");
         let kept = std::fs::create_dir_all(&folder).and_then(|()| std::fs::write(&file, config));
-        kept.map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+        kept.map_err(|source| StartError::Folder { folder: folder.clone(), source })?;
         let shared = Arc::new(Mutex::new(shared));
         serve(relay_socket, &shared, &over, relay);
         serve(discovery_socket, &shared, &over, watch);
@@ -215,7 +253,8 @@
         let log = std::fs::File::create(folder.join("log")).map_or(Stdio::null(), Stdio::from);
         let mut command = Command::new(program);
         command.env("EDGE_CONFIG", &file).env_remove("EDGE_OPERATOR").stderr(log).stdin(Stdio::null());
-        let child = command.spawn().map_err(|wrong| format!("{}: {wrong}", program.display()))?;
+        let child =
+            command.spawn().map_err(|source| StartError::Spawn { program: program.to_path_buf(), source })?;
         let mut live = Live { shared, over, orders, child, listen, collectors: BTreeMap::new(), folder };
         // It listens at once; a start takes some hundredths of a second on a busy machine.
         for _ in 0..500 {
@@ -225,7 +264,7 @@
             }
             std::thread::sleep(Duration::from_millis(10));
         }
-        Err(format!("{}: it takes no connection", program.display()))
+        Err(StartError::NoConnection { program: program.to_path_buf() })
     }
 
     fn join(&mut self, zone: ZoneId) {
--- a/crates/tools/lab/src/main.rs
+++ b/crates/tools/lab/src/main.rs
@@ -136,9 +136,43 @@
     },
 }
 
+/// What was given to a command and cannot be used.
+#[derive(Debug, thiserror::Error)]
+enum InputError {
+    /// A file or folder cannot be read or written.
+    #[error("{}: {source}", path.display())]
+    File {
+        /// The file or folder.
+        path: PathBuf,
+        /// Why not.
+        source: std::io::Error,
+    },
+    /// Not one time for each log.
+    #[error("--began: expected {files} times, one for each file")]
+    Began {
+        /// How many logs there are.
+        files: usize,
+    },
+    /// A line of a file of scores.
+    #[error("{}:{line}: expected a name and a figure", path.display())]
+    Score {
+        /// The file.
+        path: PathBuf,
+        /// The line, from 1.
+        line: usize,
+    },
+}
+
+impl InputError {
+    /// Names the file of an I/O error.
+    fn file(path: &Path) -> impl FnOnce(std::io::Error) -> InputError + '_ {
+        move |source| InputError::File { path: path.to_path_buf(), source }
+    }
+}
+
 /// Files of a folder, by name.
-fn files(folder: &Path) -> Result<Vec<PathBuf>, String> {
-    let entries = std::fs::read_dir(folder).map_err(|wrong| format!("{}: {wrong}", folder.display()))?;
+fn files(folder: &Path) -> Result<Vec<PathBuf>, InputError> {
+    let entries = std::fs::read_dir(folder).map_err(InputError::file(folder))?;
     let mut found: Vec<PathBuf> = entries
         .filter_map(|entry| Some(entry.ok()?.path()))
         .filter(|path| path.extension().is_some_and(|ending| ending == "jsonnet" || ending == "json"))
@@ -152,13 +186,16 @@
 }
 
 /// All lines of the logs in order, how many have no time, and whose they are.
-fn side_by_side(files: &[PathBuf], began: &[f64]) -> Result<(Vec<logs::Entry>, usize, Vec<String>), String> {
+fn side_by_side(
+    files: &[PathBuf],
+    began: &[f64],
+) -> Result<(Vec<logs::Entry>, usize, Vec<String>), InputError> {
     if !began.is_empty() && began.len() != files.len() {
-        return Err(format!("--began: expected {} times, one for each file", files.len()));
+        return Err(InputError::Began { files: files.len() });
     }
     let (mut all, mut odd, mut names) = (Vec::new(), 0, Vec::new());
     for (who, path) in files.iter().enumerate() {
-        let bytes = std::fs::read(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        let bytes = std::fs::read(path).map_err(InputError::file(path))?;
         let later = began.get(who).copied().unwrap_or(0.0);
         let (entries, without) = logs::read(who, &String::from_utf8_lossy(&bytes), later);
         all.push(entries);
@@ -171,7 +208,7 @@
 }
 
 /// True: all checks hold.
-fn run(cli: Cli) -> Result<bool, String> {
+fn run(cli: Cli) -> eyre::Result<bool> {
     match cli.command {
         Command::Run { scenario, policy, seed, out } => {
             let (scenario, kind) = (Scenario::read(&scenario)?, Kind::named(&policy)?);
@@ -245,13 +282,13 @@
                 return Ok(true);
             }
             let small = shrunk(&scenario, &fails);
-            println!("{}", serde_json::to_string_pretty(&small).map_err(|wrong| wrong.to_string())?);
+            println!("{}", serde_json::to_string_pretty(&small)?);
             Ok(false)
         }
         Command::Hunt { scenario, policy, plays, seed, rules } => {
             let (scenario, kind) = (Scenario::read(&scenario)?, Kind::named(&policy)?);
             let (worst, score) = hunt(&scenario, kind, plays, seed, rules);
-            println!("{}", serde_json::to_string_pretty(&worst).map_err(|wrong| wrong.to_string())?);
+            println!("{}", serde_json::to_string_pretty(&worst)?);
             eprintln!(
                 "{}: {score:.3}",
                 if rules { "breaks of rules" } else { "service behind the true state" }
@@ -268,18 +305,16 @@
             Ok(all.len() == scenarios.len() && all.iter().all(|agreement| agreement.holds()))
         }
         Command::Rank { results, scores } => {
-            let read = |path: &Path| {
-                std::fs::read_to_string(path).map_err(|wrong| format!("{}: {wrong}", path.display()))
-            };
+            let read = |path: &Path| std::fs::read_to_string(path).map_err(InputError::file(path));
             let outcomes: Vec<Outcome> =
                 read(&results)?.lines().filter_map(|line| serde_json::from_str(line).ok()).collect();
             let figures = read(&scores)?;
             let score = |(at, line): (usize, &str)| {
-                let fault = || format!("{}:{}: expected a name and a figure", scores.display(), at + 1);
+                let fault = || InputError::Score { path: scores.clone(), line: at + 1 };
                 let (name, figure) = line.split_once(' ').ok_or_else(fault)?;
                 Ok((name.to_string(), figure.trim().parse().map_err(|_| fault())?))
             };
-            let known: Result<_, String> = figures.lines().enumerate().map(score).collect();
+            let known: Result<_, InputError> = figures.lines().enumerate().map(score).collect();
             println!("{}", ranked(&outcomes, &known?));
             Ok(true)
         }
@@ -308,9 +343,8 @@
             Ok(true)
         }
         Command::Report { folder } => {
-            let failed = |wrong: std::io::Error| format!("{}: {wrong}", folder.display());
-            let page = kept::page(&folder).map_err(failed)?;
-            std::fs::write(folder.join("report.html"), page).map_err(failed)?;
+            let page = kept::page(&folder).map_err(InputError::file(&folder))?;
+            std::fs::write(folder.join("report.html"), page).map_err(InputError::file(&folder))?;
             println!("{}", folder.join("report.html").display());
             Ok(true)
         }
--- a/crates/tools/lab/src/platform.rs
+++ b/crates/tools/lab/src/platform.rs
@@ -150,10 +150,14 @@
         })
     }
 
-    /// The orders of a call, `txn ...`, or what of it is none.
-    pub fn orders(&self, call: &str) -> Result<Vec<Order>, String> {
-        let texts = call.strip_prefix("txn ").ok_or(format!("no call: {call}"))?;
-        texts.split(';').map(|text| self.order(text).ok_or(format!("no order: {text}"))).collect()
+    /// The orders of a call, `txn ...`.
+    ///
+    /// # Errors
+    /// [`CallError`]: the line is no call, or a part of it is no order.
+    pub fn orders(&self, call: &str) -> Result<Vec<Order>, CallError> {
+        let texts = call.strip_prefix("txn ").ok_or_else(|| CallError::NotACall(call.to_string()))?;
+        let order = |text: &str| self.order(text).ok_or_else(|| CallError::NotAnOrder(text.to_string()));
+        texts.split(';').map(order).collect()
     }
 
     fn order(&self, text: &str) -> Option<Order> {
@@ -188,6 +192,17 @@
     }
 }
 
+/// A line to the relay that carries no orders, with what was found.
+#[derive(Debug, thiserror::Error)]
+pub enum CallError {
+    /// The line does not begin with `txn `.
+    #[error("no call: {0}")]
+    NotACall(String),
+    /// A part between semicolons is no order, or names a route that there is not.
+    #[error("no order: {0}")]
+    NotAnOrder(String),
+}
+
 /// What stands at the relay, for whoever asks for news.
 #[derive(Default)]
 pub struct Standing {
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -51,6 +51,14 @@
     TrueState,
 }
 
+/// A name that no policy has.
+#[derive(Debug, thiserror::Error)]
+#[error("policy {name}: expected one of {}", Kind::ALL.map(|(known, _)| known).join(", "))]
+pub struct UnknownPolicy {
+    /// The name that was given.
+    pub name: String,
+}
+
 impl Kind {
     pub const ALL: [(&'static str, Kind); 9] = [
         ("module", Kind::Module),
@@ -64,13 +72,16 @@
         ("true-state", Kind::TrueState),
     ];
 
-    pub fn named(name: &str) -> Result<Kind, String> {
+    /// The policy of that name; `build:PATH` is the build at that path.
+    ///
+    /// # Errors
+    /// [`UnknownPolicy`]: no policy has the name.
+    pub fn named(name: &str) -> Result<Kind, UnknownPolicy> {
         if let Some(path) = name.strip_prefix("build:") {
             return Ok(Kind::Build(build::number(std::path::Path::new(path))));
         }
-        let names: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
         let found = Kind::ALL.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
-        found.ok_or(format!("policy {name}: expected one of {}", names.join(", ")))
+        found.ok_or_else(|| UnknownPolicy { name: name.to_string() })
     }
 
     pub fn name(self) -> String {
@@ -93,8 +104,8 @@
 }
 
 impl TryFrom<String> for Kind {
-    type Error = String;
-    fn try_from(name: String) -> Result<Kind, String> {
+    type Error = UnknownPolicy;
+    fn try_from(name: String) -> Result<Kind, UnknownPolicy> {
         Kind::named(&name)
     }
 }
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -54,6 +54,23 @@
     asked: u64,
 }
 
+/// A configuration of the lab's that the director refuses: a fault of the lab.
+#[derive(Debug, thiserror::Error)]
+enum BeginError {
+    /// By the configuration's codec.
+    #[error("{0}")]
+    Config(coppersail_protocol::Fault),
+    /// By the director's reducer.
+    #[error("{0}")]
+    Reducer(#[source] Box<dyn std::error::Error + Send + Sync>),
+}
+
+impl BeginError {
+    fn reducer(source: impl Into<Box<dyn std::error::Error + Send + Sync>>) -> Self {
+        BeginError::Reducer(source.into())
+    }
+}
+
 impl Reduced {
     pub fn new(platform: Platform, seed: u64, operated: bool) -> Self {
         Reduced { platform, seed, operated, run: None, waiting: Vec::new(), told: Vec::new(), head: 0 }
@@ -72,7 +89,7 @@
         self.told.push((now, text.to_string()));
     }
 
-    fn begin(&mut self, now: f64, inputs: &[Input]) -> Result<Run, String> {
+    fn begin(&mut self, now: f64, inputs: &[Input]) -> Result<Run, BeginError> {
         let (mut standing, mut list, mut version) = (Standing::default(), BTreeMap::new(), 0);
         for input in inputs {
             standing.hear(input);
@@ -85,11 +102,11 @@
         let known = self.platform.list(version, true, &entries, &|host| loopback(PORT + host.0 as u16));
         let places = Places { listen: loopback(1), discovery: loopback(2), relay: loopback(3) };
         let text = self.platform.config("lab", self.seed, &places, &known);
-        let config = Config::parse(text.as_bytes()).map_err(|fault| fault.to_string())?;
+        let config = Config::parse(text.as_bytes()).map_err(BeginError::Config)?;
         let wall_ns = self.platform.began_ms * 1_000_000;
-        let mut reducer = Reducer::new(&config, wall_ns)?;
+        let mut reducer = Reducer::new(&config, wall_ns).map_err(BeginError::reducer)?;
         if self.operated {
-            reducer.operate(&config, wall_ns, &Sheet::default(), None)?;
+            reducer.operate(&config, wall_ns, &Sheet::default(), None).map_err(BeginError::reducer)?;
         }
         Ok(Run {
             reducer,
--- a/crates/tools/lab/src/scenario.rs
+++ b/crates/tools/lab/src/scenario.rs
@@ -1,6 +1,9 @@
 //! What is played: a fleet, a load, troubles in time, and what must hold. Files are Jsonnet or JSON. Absent fields have
 //! the defaults below, which are ours: a small fleet at half of its capacity.
 
+mod errors;
+
+pub use errors::{EditError, InvalidScenario, ReadError};
 use serde::{Deserialize, Serialize};
 
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
@@ -118,12 +121,18 @@
 }
 
 impl Change {
-    /// The fields and values, or what is wrong with one.
-    pub fn edits(&self) -> Result<coppersail_operator_config::Edits, String> {
+    /// The fields with their values.
+    ///
+    /// # Errors
+    /// [`EditError`]: a field is unknown, or does not take its value.
+    pub fn edits(&self) -> Result<coppersail_operator_config::Edits, EditError> {
         let edit = |(path, value): (&String, &String)| {
-            let field: coppersail_operator_config::Field = path.parse()?;
-            let value =
-                field.value(value).map_err(|expected| format!("field {path}: expected {expected}"))?;
+            let field: coppersail_operator_config::Field =
+                path.parse().map_err(|unknown| EditError::Field(Box::from(unknown)))?;
+            let value = field.value(value).map_err(|expected| EditError::Value {
+                path: path.clone(),
+                expected: expected.to_string(),
+            })?;
             Ok((field, value))
         };
         self.set.iter().map(edit).collect()
@@ -302,50 +311,57 @@
 }
 
 impl Scenario {
-    /// Reads a scenario, or tells what is wrong with it, in one line.
-    pub fn read(path: &std::path::Path) -> Result<Scenario, String> {
+    /// Reads and checks a scenario: JSON if the file's name ends so, else Jsonnet.
+    ///
+    /// # Errors
+    /// [`ReadError`], in one line.
+    pub fn read(path: &std::path::Path) -> Result<Scenario, ReadError> {
         let json = match path.extension().is_some_and(|ending| ending == "json") {
-            true => std::fs::read_to_string(path).map_err(|wrong| format!("{}: {wrong}", path.display()))?,
-            false => coppersail_jsonnet::evaluate(path).map_err(|error| error.to_string())?,
+            true => std::fs::read_to_string(path)
+                .map_err(|source| ReadError::Unreadable { path: path.to_path_buf(), source })?,
+            false => coppersail_jsonnet::evaluate(path)?,
         };
-        let mut scenario: Scenario =
-            serde_json::from_str(&json).map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        let mut scenario: Scenario = serde_json::from_str(&json)
+            .map_err(|source| ReadError::Syntax { path: path.to_path_buf(), source })?;
         if scenario.name == "unnamed" {
             scenario.name =
                 path.file_stem().map_or(String::new(), |stem| stem.to_string_lossy().into_owned());
         }
-        scenario.check().map_err(|wrong| format!("{}: {wrong}", path.display()))?;
+        scenario.check().map_err(|source| ReadError::Invalid { path: path.to_path_buf(), source })?;
         Ok(scenario)
     }
 
-    /// What could never be played, or never end.
-    pub fn check(&self) -> Result<(), String> {
+    /// Refuses what could never be played, or would never end.
+    ///
+    /// # Errors
+    /// [`InvalidScenario`]: the first field that is out of range.
+    pub fn check(&self) -> Result<(), InvalidScenario> {
         let Fleet { zones, hosts, directors, proxies, slices, cores, .. } = self.fleet;
-        let must = |holds: bool, what: &str| if holds { Ok(()) } else { Err(what.to_string()) };
+        let must = |holds: bool, field: &'static str, expected: &'static str| match holds {
+            true => Ok(()),
+            false => Err(InvalidScenario::Field { field, expected }),
+        };
         must(
             zones > 0 && hosts > 0 && directors > 0 && proxies > 0 && slices > 0 && cores > 0,
-            "fleet: expected some of each",
+            "fleet",
+            "some of each",
         )?;
-        must(self.seconds > 0.0 && self.seconds <= 1e6, "seconds: expected more than 0 and up to 1000000")?;
-        must(!self.load.routes.is_empty(), "load.routes: expected one at least")?;
+        must(self.seconds > 0.0 && self.seconds <= 1e6, "seconds", "more than 0 and up to 1000000")?;
+        must(!self.load.routes.is_empty(), "load.routes", "one at least")?;
         must(
             self.load.routes.iter().all(|r| r.work > 0.0 && r.slo > 0.0 && r.limit >= r.slo),
-            "load.routes: expected work and slo above 0, limit not below slo",
-        )?;
-        must(
-            self.load.fill > 0.0 && self.load.fill <= 10.0,
-            "load.fill: expected a share above 0 and up to 10",
+            "load.routes",
+            "work and slo above 0, limit not below slo",
         )?;
+        must(self.load.fill > 0.0 && self.load.fill <= 10.0, "load.fill", "a share above 0 and up to 10")?;
         must(
             self.reports.interval > 0.0 && self.channel.lines_per_s > 0.0,
-            "reports.interval, channel.lines_per_s: expected more than 0",
-        )?;
-        must(
-            self.faults.iter().all(|f| f.at >= 0.0 && f.lasts >= 0.0),
-            "faults: expected times of 0 or more",
+            "reports.interval, channel.lines_per_s",
+            "more than 0",
         )?;
+        must(self.faults.iter().all(|f| f.at >= 0.0 && f.lasts >= 0.0), "faults", "times of 0 or more")?;
         for change in &self.changes {
-            change.edits().map_err(|wrong| format!("changes: {wrong}"))?;
+            change.edits().map_err(InvalidScenario::Change)?;
         }
         for fault in &self.faults {
             let known = match fault.what {
@@ -354,7 +370,7 @@
                 What::Cost { route, .. } => route < self.load.routes.len(),
                 _ => true,
             };
-            must(known, "faults: expected zones, directors and routes that there are")?;
+            must(known, "faults", "zones, directors and routes that there are")?;
         }
         Ok(())
     }
--- a/crates/tools/lab/src/watch.rs
+++ b/crates/tools/lab/src/watch.rs
@@ -95,14 +95,28 @@
     frame.render_widget(Paragraph::new(said).block(Block::bordered().title(" what goes on ")), wrong);
 }
 
-/// Plays it before somebody's eyes, until its end or until it is ended.
-pub fn watch(scenario: &Scenario, kind: Kind, seed: u64, speed: f64) -> Result<(), String> {
+/// A play that cannot be shown.
+#[derive(Debug, thiserror::Error)]
+pub enum WatchError {
+    /// The binary's real time cannot be paused or hurried.
+    #[error("policy live: expected one that is played in simulated time")]
+    RealTime,
+    /// The terminal cannot be drawn on or read from.
+    #[error("a terminal: {0}")]
+    Terminal(#[source] std::io::Error),
+}
+
+/// Shows a play in the terminal, at `speed` simulated seconds a second, until the user ends it.
+///
+/// # Errors
+/// [`WatchError`]: the policy plays in real time only, or there is no terminal.
+pub fn watch(scenario: &Scenario, kind: Kind, seed: u64, speed: f64) -> Result<(), WatchError> {
     if kind == Kind::Live {
-        return Err("policy live: expected one that is played in simulated time".to_string());
+        return Err(WatchError::RealTime);
     }
     let mut world = World::new(scenario, kind, seed);
     let mut pace = Pace { speed, paused: false };
-    let mut terminal = ratatui::try_init().map_err(|wrong| format!("a terminal: {wrong}"))?;
+    let mut terminal = ratatui::try_init().map_err(WatchError::Terminal)?;
     let played = (|| -> std::io::Result<()> {
         let (mut clock, mut drawn) = (Instant::now(), None::<Instant>);
         let (mut due, mut over) = (0.0, false);
@@ -137,7 +151,7 @@
         }
     })();
     ratatui::restore();
-    played.map_err(|wrong| format!("a terminal: {wrong}"))
+    played.map_err(WatchError::Terminal)
 }
 
 #[cfg(test)]
--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -51,7 +51,7 @@
 fn a_scenario_that_cannot_be_played_is_told(text: &str, expected: &str) {
     let file = folder(&format!("unsound-{}", text.len())).join("scenario.json");
     std::fs::write(&file, text).unwrap();
-    let wrong = Scenario::read(&file).unwrap_err();
+    let wrong = Scenario::read(&file).unwrap_err().to_string();
     assert!(wrong.contains(expected) && wrong.contains(&file.display().to_string()), "{wrong}");
 }
 
@@ -84,7 +84,8 @@
 fn results_that_cannot_be_written_are_told_and_what_stood_stands() {
     let file = Path::new("/dev/full");
     if file.exists() {
-        let wrong = grid(&[short("a")], &[Kind::Even], 1..3, 1, Some(file), &|_, _| {}).unwrap_err();
+        let wrong = grid(&[short("a")], &[Kind::Even], 1..3, 1, Some(file), &|_, _| {});
+        let wrong = wrong.unwrap_err().to_string();
         assert!(wrong.starts_with("results:"), "{wrong}");
     }
     let here = folder("kept").join("play");
