--- a/crates/tools/lab/src/lib.rs
+++ b/crates/tools/lab/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod scenario;
 pub mod stats;
 pub mod trials;
+pub mod truth;
 pub mod watch;
 pub mod world;
 
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -11,25 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A host as it really is.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct TrueHost {
-    pub answers: bool,
-    /// Work a second that it does now.
-    pub does: f64,
-    /// Calls in its hands.
-    pub holds: f64,
-}
-
-/// What no director can see.
-#[derive(Clone, Debug, Default)]
-pub struct Truth {
-    pub hosts: Vec<TrueHost>,
-    /// Calls a second of each slice, lately.
-    pub slices: Vec<f64>,
-    /// The relay takes no call.
-    pub store_down: bool,
-}
+pub use crate::truth::{TrueHost, Truth};
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(try_from = "String", into = "String")]
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -2,7 +2,7 @@
 //! what it sends is read as the relay reads it. So a play goes through all of the daemon but its I/O.
 
 use crate::platform::{Places, Platform, Standing};
-use crate::policy::Truth;
+use crate::truth::Truth;
 use coppersail::interface::*;
 use coppersail_admin_socket::{Answer, Request};
 use coppersail_changes::{Submission, Version};
