--- a/crates/tools/lab/src/measure.rs
+++ b/crates/tools/lab/src/measure.rs
@@ -2,38 +2,59 @@
 
 use hdrhistogram::Histogram;
 
-/// One second, by when calls arrived; weighed by importance where it says so.
+/// Latencies are recorded up to ten minutes.
+const MAX_LATENCY_MS: u64 = 600_000;
+/// The window of [`Measured::worst`].
+const WINDOW_SECONDS: usize = 10;
+
+/// Sums over the calls that arrived within one second of simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
+    /// Importance of the calls that arrived.
     pub asked: f64,
+    /// Importance of those that were answered within their latency target.
     pub served: f64,
+    /// Calls that arrived.
     pub calls: u32,
+    /// Calls that were answered, also late.
     pub answered: u32,
+    /// Calls that were answered after their latency target.
     pub late: u32,
+    /// Calls that admission control rejected.
     pub throttled: u32,
+    /// Calls that failed.
     pub dropped: u32,
+    /// Attempts at hosts.
     pub tries: u32,
-    /// Lines written to proxies, and the longest queue at a host, sampled.
+    /// Table lines written to proxies, summed over the proxies.
     pub lines: f64,
+    /// The longest queue at a host, sampled once.
     pub queue: u32,
+    /// Hosts that are ready and answer, sampled once.
     pub open_hosts: u32,
 }
 
+/// What one play measures.
 pub struct Measured {
+    /// By second of arrival; the last one also counts what is later.
     pub seconds: Vec<Second>,
-    /// Milliseconds from a client's first try to its answer, by route.
+    /// Milliseconds from a client's first attempt to its answer, by route.
     pub latency: Vec<Histogram<u64>>,
+    /// Importance that arrived, and that was answered within the latency target, by route.
     pub by_route: Vec<(f64, f64)>,
-    /// Calls that wait or run at each host, each second.
+    /// Calls that wait or run at each host, sampled each second.
     pub heat: Vec<Vec<u16>>,
+    /// Events that were processed.
     pub events: u64,
+    /// Health checks that hosts received.
     pub probes: u64,
 }
 
 impl Measured {
+    /// Nothing measured yet, for a play of so many seconds.
     pub fn new(seconds: f64, routes: usize) -> Self {
         let histogram = || {
-            Histogram::new_with_bounds(1, 600_000, 2)
+            Histogram::new_with_bounds(1, MAX_LATENCY_MS, 2)
                 .unwrap_or_else(|_| Histogram::new(2).expect("two digits"))
         };
         Measured {
@@ -46,31 +67,36 @@
         }
     }
 
+    /// The second of a time, which may be before the beginning or after the end.
     pub fn at(&mut self, now: f64) -> &mut Second {
         let last = self.seconds.len() - 1;
         &mut self.seconds[(now.max(0.0) as usize).min(last)]
     }
 
-    /// Importance served in time over importance asked for.
+    /// Service: importance answered within the latency target over importance that arrived; 1 if none did.
     pub fn service(&self) -> f64 {
         share(&self.seconds)
     }
 
-    /// The same of the worst ten seconds.
+    /// Service in the worst ten seconds in a row.
     pub fn worst(&self) -> f64 {
-        let tens =
-            self.seconds.windows(10.min(self.seconds.len())).filter(|ten| ten.iter().any(|s| s.asked > 0.0));
-        tens.map(share).fold(1.0, f64::min)
+        let windows = self
+            .seconds
+            .windows(WINDOW_SECONDS.min(self.seconds.len()))
+            .filter(|window| window.iter().any(|s| s.asked > 0.0));
+        windows.map(share).fold(1.0, f64::min)
     }
 
+    /// Service of the worst route.
     pub fn worst_route(&self) -> f64 {
         let routes = self.by_route.iter().filter(|(asked, _)| *asked > 0.0);
         routes.map(|(asked, served)| served / asked).fold(1.0, f64::min)
     }
 }
 
+/// Importance served over importance that arrived.
 fn share(seconds: &[Second]) -> f64 {
-    let sum = |part: fn(&Second) -> f64| seconds.iter().map(part).sum::<f64>();
+    let sum = |column: fn(&Second) -> f64| seconds.iter().map(column).sum::<f64>();
     let asked = sum(|second| second.asked);
     if asked > 0.0 {
         sum(|second| second.served) / asked
--- a/crates/tools/lab/src/rules.rs
+++ b/crates/tools/lab/src/rules.rs
@@ -2,12 +2,18 @@
 
 use std::fmt;
 
+/// One of the operators' rules; the number is theirs.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
+    /// 1: a proxy that has joined always has a host to send to.
     NoHost,
+    /// 2: a call takes effect at most once.
     Twice,
+    /// 3: after the grace period a drained host gets no attempt.
     Drained,
+    /// 4: a host in slow start is not overloaded until it fails.
     PushedOver,
+    /// 5: the channel's queue stays within its bound.
     Queue,
 }
 
@@ -23,31 +29,39 @@
     }
 }
 
+/// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Broken {
+    /// The rule.
     pub rule: Rule,
+    /// Simulated time in seconds.
     pub at: f64,
+    /// The host, slice or queue, in words.
     pub what: String,
 }
 
-/// The first breaks of each rule, and how many there were.
+/// The violations of a play.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
+    /// The first ones, in order of time.
     pub broken: Vec<Broken>,
+    /// How many there were, with those that are not described.
     pub many: u64,
 }
 
-/// Breaks that are described; the rest is counted.
-const DESCRIBED: usize = 20;
+/// How many violations are described; further ones are only counted.
+const MAX_DESCRIBED: usize = 20;
 
 impl Rules {
+    /// Records a violation; `what` is called only if it is described.
     pub fn broke(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
         self.many += 1;
-        if self.broken.len() < DESCRIBED {
+        if self.broken.len() < MAX_DESCRIBED {
             self.broken.push(Broken { rule, at, what: what() });
         }
     }
 
+    /// No rule was violated.
     pub fn kept(&self) -> bool {
         self.many == 0
     }
