--- a/crates/tools/lab/src/commands/side_by_side.rs
+++ b/crates/tools/lab/src/commands/side_by_side.rs
@@ -20,7 +20,7 @@
     fn apply(&self, entries: Vec<logs::Entry>) -> Vec<logs::Entry> {
         let times = self.from..=self.to;
         let entries: Vec<logs::Entry> =
-            entries.into_iter().filter(|entry| times.contains(&entry.at)).collect();
+            entries.into_iter().filter(|entry| times.contains(&entry.time_s)).collect();
         match &self.about {
             Some(word) => logs::around(&entries, word, self.near),
             None => entries,
@@ -44,7 +44,7 @@
     let entries = filter.apply(merged.entries);
     if lines || filter.about.is_some() {
         for entry in &entries {
-            println!("{:9.3} {} {}", entry.at, merged.names[entry.who], entry.text);
+            println!("{:9.3} {} {}", entry.time_s, merged.names[entry.log], entry.text);
         }
     } else {
         print!("{}", logs::table(&entries, &merged.names));
@@ -64,9 +64,9 @@
     for (number, path) in files.iter().enumerate() {
         let bytes = std::fs::read(path).map_err(InputError::file(path))?;
         let offset_s = began.get(number).copied().unwrap_or(0.0);
-        let (entries, odd) = logs::read(number, &String::from_utf8_lossy(&bytes), offset_s);
+        let (entries, skipped) = logs::read(number, &String::from_utf8_lossy(&bytes), offset_s);
         all.push(entries);
-        without_time += odd;
+        without_time += skipped;
         let stem = path.file_stem();
         names.push(stem.map_or_else(|| number.to_string(), |name| name.to_string_lossy().into_owned()));
     }
--- a/crates/tools/lab/src/logs.rs
+++ b/crates/tools/lab/src/logs.rs
@@ -1,5 +1,5 @@
-//! Logs of several directors laid side by side: merged by time, and counted by kind, so that what is fine in one director
-//! and harmful in all of them shows. Pure: texts in, texts out.
+//! Merges the logs of several directors by time and counts their lines by kind, so that something harmless in one director
+//! but harmful in all at once is visible. Pure: text in, text out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -7,48 +7,53 @@
 /// A line of a director's log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// Seconds, on the clock that all the logs share.
-    pub at: f64,
-    /// Whose, by its place among the logs.
-    pub who: usize,
+    /// Time in seconds, on the clock that all logs share.
+    pub time_s: f64,
+    /// The index of the log.
+    pub log: usize,
+    /// The line without its time.
     pub text: String,
 }
 
-/// Reads a log whose times are `later` seconds behind the shared clock. A line begins with its time; where another has put
-/// its own clock before it, that one counts and the director's is passed over. Also says how many lines have no time.
-pub fn read(who: usize, text: &str, later: f64) -> (Vec<Entry>, usize) {
-    let (mut entries, mut odd) = (Vec::new(), 0);
+/// Parses the log with index `log`, whose clock began at `offset_s` seconds of the shared clock. A line begins with its time;
+/// if a bench has put its own time before it, that one counts and the director's is skipped. Returns the entries, and how
+/// many lines have no time.
+pub fn read(log: usize, text: &str, offset_s: f64) -> (Vec<Entry>, usize) {
+    let (mut entries, mut without_time) = (Vec::new(), 0);
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         let (first, rest) = line.split_once(' ').unwrap_or((line, ""));
-        let Some(at) = seconds(first) else {
-            odd += 1;
+        let Some(time_s) = parse_time(first) else {
+            without_time += 1;
             continue;
         };
-        let behind = rest.split_once(' ').filter(|(own, _)| seconds(own).is_some());
-        let text = behind.map_or(rest, |(_, text)| text).to_string();
-        entries.push(Entry { at: at + later, who, text });
+        let second_time = rest.split_once(' ').filter(|(own, _)| parse_time(own).is_some());
+        let text = second_time.map_or(rest, |(_, text)| text).to_string();
+        entries.push(Entry { time_s: time_s + offset_s, log, text });
     }
-    (entries, odd)
+    (entries, without_time)
 }
 
-/// A time as logs have it: digits with a point. A bare number is a word of the text.
-fn seconds(word: &str) -> Option<f64> {
-    word.contains('.').then(|| word.parse().ok()).flatten().filter(|at: &f64| at.is_finite() && *at >= 0.0)
+/// A time as logs write it, with a decimal point; a number without one belongs to the text.
+fn parse_time(word: &str) -> Option<f64> {
+    word.contains('.')
+        .then(|| word.parse().ok())
+        .flatten()
+        .filter(|time: &f64| time.is_finite() && *time >= 0.0)
 }
 
-/// All in the order of time; what stands at one time stays in the order of the logs.
+/// All entries in order of time; entries of one time in the order of the logs.
 pub fn merged(logs: Vec<Vec<Entry>>) -> Vec<Entry> {
     let mut all: Vec<Entry> = logs.into_iter().flatten().collect();
-    all.sort_by(|a, b| a.at.total_cmp(&b.at).then(a.who.cmp(&b.who)));
+    all.sort_by(|a, b| a.time_s.total_cmp(&b.time_s).then(a.log.cmp(&b.log)));
     all
 }
 
-/// The line without what differs from one to the next: every word with a digit.
+/// The kind of a line: its text with `#` for every word that has a digit.
 pub fn kind(text: &str) -> String {
     let mut words: Vec<&str> = Vec::new();
     for word in text.split_whitespace() {
         let word = if word.chars().any(|c| c.is_ascii_digit()) { "#" } else { word };
-        // A list of names is one of them, however long.
+        // A list of names counts as one, however long.
         if !(word == "#" && words.last() == Some(&"#")) {
             words.push(word);
         }
@@ -56,52 +61,70 @@
     words.join(" ")
 }
 
-/// What there is of a kind.
+/// The second in which most directors logged a kind of line.
+#[derive(Debug, Default, PartialEq)]
+pub struct Peak {
+    /// The second.
+    pub second: i64,
+    /// How many directors logged it then.
+    pub directors: usize,
+    /// How many lines they logged then.
+    pub lines: usize,
+}
+
+/// How often, when and where a kind of line was logged.
 #[derive(Debug, Default, PartialEq)]
 pub struct Count {
-    pub by: BTreeMap<usize, usize>,
+    /// Lines by the index of the log.
+    pub lines_by_log: BTreeMap<usize, usize>,
+    /// Time of the first line, in seconds.
     pub first: f64,
+    /// Time of the last line, in seconds.
     pub last: f64,
-    /// The second in which most directors did it, how many they were, and how often.
-    pub peak: (i64, usize, usize),
+    /// When most directors logged it at once.
+    pub peak: Peak,
 }
 
+/// Counts the entries, which are in order of time, by kind.
 pub fn counts(entries: &[Entry]) -> BTreeMap<String, Count> {
     let mut counts: BTreeMap<String, Count> = BTreeMap::new();
     let mut seconds: BTreeMap<(String, i64), (BTreeSet<usize>, usize)> = BTreeMap::new();
     for entry in entries {
         let kind = kind(&entry.text);
-        let second = seconds.entry((kind.clone(), entry.at.floor() as i64)).or_default();
-        second.0.insert(entry.who);
+        let second = seconds.entry((kind.clone(), entry.time_s.floor() as i64)).or_default();
+        second.0.insert(entry.log);
         second.1 += 1;
-        let count = counts.entry(kind).or_insert_with(|| Count { first: entry.at, ..Count::default() });
-        *count.by.entry(entry.who).or_default() += 1;
-        count.last = entry.at;
+        let count = counts.entry(kind).or_insert_with(|| Count { first: entry.time_s, ..Count::default() });
+        *count.lines_by_log.entry(entry.log).or_default() += 1;
+        count.last = entry.time_s;
     }
-    for ((kind, second), (who, many)) in seconds {
+    for ((kind, second), (logs, lines)) in seconds {
         let Some(count) = counts.get_mut(&kind) else { continue };
-        if (who.len(), many) > (count.peak.1, count.peak.2) {
-            count.peak = (second, who.len(), many);
+        if (logs.len(), lines) > (count.peak.directors, count.peak.lines) {
+            count.peak = Peak { second, directors: logs.len(), lines };
         }
     }
     counts
 }
 
-/// The kinds, those that most directors did at once first: a row each.
+/// A Markdown table with a row for each kind; kinds that most directors logged at once come first.
 pub fn table(entries: &[Entry], names: &[String]) -> String {
     let mut rows: Vec<(String, Count)> = counts(entries).into_iter().collect();
-    rows.sort_by_key(|(_, count)| std::cmp::Reverse((count.peak.1, count.by.values().sum::<usize>())));
+    rows.sort_by_key(|(_, count)| {
+        std::cmp::Reverse((count.peak.directors, count.lines_by_log.values().sum::<usize>()))
+    });
     let mut text = format!("| what | all | {} | first, last | directors at once |\n", names.join(" | "));
     let _ = writeln!(text, "| --- | --- |{} --- | --- |", " --- |".repeat(names.len()));
     for (kind, count) in rows {
-        let by: Vec<String> =
-            (0..names.len()).map(|who| count.by.get(&who).copied().unwrap_or(0).to_string()).collect();
-        let (second, at_once, many) = count.peak;
+        let by_log: Vec<String> = (0..names.len())
+            .map(|log| count.lines_by_log.get(&log).copied().unwrap_or(0).to_string())
+            .collect();
+        let Peak { second, directors, lines } = count.peak;
         let _ = writeln!(
             text,
-            "| {kind} | {} | {} | {:.2} s, {:.2} s | {at_once}, {many} lines in second {second} |",
-            count.by.values().sum::<usize>(),
-            by.join(" | "),
+            "| {kind} | {} | {} | {:.2} s, {:.2} s | {directors}, {lines} lines in second {second} |",
+            count.lines_by_log.values().sum::<usize>(),
+            by_log.join(" | "),
             count.first,
             count.last
         );
@@ -109,13 +132,13 @@
     text
 }
 
-/// The lines that name a word, and all within so many seconds of one of them.
+/// The entries that contain `word`, and all within `seconds` of one of them.
 pub fn around(entries: &[Entry], word: &str, seconds: f64) -> Vec<Entry> {
     let times: Vec<f64> =
-        entries.iter().filter(|entry| entry.text.contains(word)).map(|entry| entry.at).collect();
+        entries.iter().filter(|entry| entry.text.contains(word)).map(|entry| entry.time_s).collect();
     let near = |entry: &&Entry| {
-        let next = times.partition_point(|at| *at < entry.at - seconds);
-        times.get(next).is_some_and(|at| *at <= entry.at + seconds)
+        let next = times.partition_point(|time| *time < entry.time_s - seconds);
+        times.get(next).is_some_and(|time| *time <= entry.time_s + seconds)
     };
     entries.iter().filter(near).cloned().collect()
 }
--- a/crates/tools/lab/src/logs/tests.rs
+++ b/crates/tools/lab/src/logs/tests.rs
@@ -9,7 +9,7 @@
 #[test_case("NaN INFO x", None ; "no number")]
 fn lines(line: &str, expected: Option<(f64, &str)>) {
     let (entries, odd) = read(3, line, 0.0);
-    let expected = expected.map(|(at, text)| Entry { at, who: 3, text: text.to_string() });
+    let expected = expected.map(|(time_s, text)| Entry { time_s, log: 3, text: text.to_string() });
     assert_eq!((entries.first().cloned(), odd), (expected.clone(), expected.is_none() as usize));
 }
 
@@ -33,7 +33,7 @@
     let logs = vec![read(0, &format!("{often}{together}"), 0.0).0, read(1, together, 0.2).0];
     let entries = merged(logs);
     let count = &counts(&entries)["INFO together #"];
-    assert_eq!((count.by.len(), count.peak), (2, (7, 2, 2)));
+    assert_eq!((count.lines_by_log.len(), &count.peak), (2, &Peak { second: 7, directors: 2, lines: 2 }));
     let table = table(&entries, &["n0".to_string(), "n1".to_string()]);
     assert!(
         table.lines().nth(2).unwrap().starts_with("| INFO together # | 2 | 1 | 1 | 7.50 s, 7.70 s |"),
@@ -44,6 +44,6 @@
 #[test]
 fn what_is_near_a_word_is_shown() {
     let entries = read(0, "1.0 a\n2.0 b s-7\n2.4 c\n9.0 d\n9.3 s-7", 0.0).0;
-    let shown: Vec<f64> = around(&entries, "s-7", 0.5).iter().map(|entry| entry.at).collect();
+    let shown: Vec<f64> = around(&entries, "s-7", 0.5).iter().map(|entry| entry.time_s).collect();
     assert_eq!(shown, [2.0, 2.4, 9.0, 9.3]);
 }
