--- a/crates/tools/cli/src/commands/guard.rs
+++ b/crates/tools/cli/src/commands/guard.rs
@@ -5,7 +5,7 @@
 use crate::names::Names;
 use crate::output::print;
 use coppersail::interface::{HostId, Order, SliceId};
-use coppersail_capacity_guard::{Danger, Guard, Pool, Refused, Table, Verdict};
+use coppersail_capacity_guard::{Guard, Pool, Refused, Severity, Table, Verdict};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -92,7 +92,7 @@
                 .map(|danger| format!("{}, {}", names.describe_reason(&danger.reason), danger.when))
                 .collect(),
             repair: repair.map_or(vec![], |repair| repair.orders().iter().map(describe_order).collect()),
-            repair_complete: repair.is_some_and(|repair| repair.left == Danger::default()),
+            repair_complete: repair.is_some_and(|repair| repair.left == Severity::default()),
         }
     }
 
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -11,25 +11,7 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A host as it really is.
-#[derive(Clone, Copy, Debug, Default)]
-pub struct TrueHost {
-    pub answers: bool,
-    /// Work a second that it does now.
-    pub does: f64,
-    /// Calls in its hands.
-    pub holds: f64,
-}
-
-/// What no director can see.
-#[derive(Clone, Debug, Default)]
-pub struct Truth {
-    pub hosts: Vec<TrueHost>,
-    /// Calls a second of each slice, lately.
-    pub slices: Vec<f64>,
-    /// The relay takes no call.
-    pub store_down: bool,
-}
+pub use crate::truth::{TrueHost, Truth};
 
 #[derive(Clone, Copy, Debug, Default, Deserialize, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(try_from = "String", into = "String")]
@@ -51,6 +33,14 @@
     TrueState,
 }
 
+/// A name that no policy has.
+#[derive(Debug, thiserror::Error)]
+#[error("policy {name}: expected one of {}", Kind::ALL.map(|(known, _)| known).join(", "))]
+pub struct UnknownPolicy {
+    /// The name that was given.
+    pub name: String,
+}
+
 impl Kind {
     pub const ALL: [(&'static str, Kind); 9] = [
         ("module", Kind::Module),
@@ -64,13 +54,16 @@
         ("true-state", Kind::TrueState),
     ];
 
-    pub fn named(name: &str) -> Result<Kind, String> {
+    /// The policy of that name; `build:PATH` is the build at that path.
+    ///
+    /// # Errors
+    /// [`UnknownPolicy`]: no policy has the name.
+    pub fn named(name: &str) -> Result<Kind, UnknownPolicy> {
         if let Some(path) = name.strip_prefix("build:") {
             return Ok(Kind::Build(build::number(std::path::Path::new(path))));
         }
-        let names: Vec<&str> = Kind::ALL.iter().map(|(name, _)| *name).collect();
         let found = Kind::ALL.iter().find(|(known, _)| *known == name).map(|(_, kind)| *kind);
-        found.ok_or(format!("policy {name}: expected one of {}", names.join(", ")))
+        found.ok_or_else(|| UnknownPolicy { name: name.to_string() })
     }
 
     pub fn name(self) -> String {
@@ -93,8 +86,8 @@
 }
 
 impl TryFrom<String> for Kind {
-    type Error = String;
-    fn try_from(name: String) -> Result<Kind, String> {
+    type Error = UnknownPolicy;
+    fn try_from(name: String) -> Result<Kind, UnknownPolicy> {
         Kind::named(&name)
     }
 }
