--- a/crates/control-plane/consensus/src/acceptor.rs
+++ b/crates/control-plane/consensus/src/acceptor.rs
@@ -3,6 +3,9 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
+/// A leader counts on a lease for less than its length by this part, for clock drift between leader and voter.
+const CLOCK_DRIFT_DIVISOR: Ms = 50;
+
 /// Why a voter rejects a request, and the highest term it promised, so that the next campaign is above it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Rejection {
@@ -62,81 +65,82 @@
     pub state: VoterState,
     /// The lease holder, and until when no other candidate is promised anything.
     lease: Option<(Id, Ms)>,
-    /// A process before this one may have granted a lease for so long.
-    barred: Ms,
+    /// Until when a lease that an earlier process granted may still run.
+    barred_until: Ms,
 }
 
 impl Acceptor {
-    /// At the first start of the whole system: nothing was promised to anybody.
+    /// At the first start of the whole system: no term was promised yet.
     pub fn bootstrap(record: LeadershipRecord) -> Acceptor {
-        let held = VoterState { promised: record.term.clone(), record, ..VoterState::default() };
-        Acceptor { state: held, ..Acceptor::default() }
+        let state = VoterState { promised: record.term.clone(), record, ..VoterState::default() };
+        Acceptor { state, ..Acceptor::default() }
     }
 
-    /// With an empty disk: in no group yet.
-    pub fn with_empty_disk(life: u64) -> Acceptor {
-        Acceptor { state: VoterState { incarnation: life, ..VoterState::default() }, ..Acceptor::default() }
+    /// With an empty disk: not a voter of any record yet.
+    pub fn with_empty_disk(incarnation: u64) -> Acceptor {
+        Acceptor { state: VoterState { incarnation, ..VoterState::default() }, ..Acceptor::default() }
     }
 
-    /// After a restart: whatever lease was granted before may run on from now.
-    pub fn restart(now: Ms, held: VoterState, span: Ms) -> Acceptor {
-        let barred = now + span.max(held.longest_lease);
-        Acceptor { state: held, barred, ..Acceptor::default() }
+    /// After a restart: a lease that was granted before may still run, at most for its full length from now.
+    pub fn restart(now: Ms, state: VoterState, lease: Ms) -> Acceptor {
+        let barred_until = now + lease.max(state.longest_lease);
+        Acceptor { state, barred_until, ..Acceptor::default() }
     }
 
-    fn no<T>(&self, why: &str) -> Result<T, Rejection> {
-        Err(Rejection { reason: why.into(), promised: self.state.promised.clone() })
+    fn reject<T>(&self, reason: &str) -> Result<T, Rejection> {
+        Err(Rejection { reason: reason.into(), promised: self.state.promised.clone() })
     }
 
-    /// A candidate asks for a ballot. The record that it gets is the newest that this witness has accepted.
-    pub fn prepare(&mut self, now: Ms, ballot: &Term) -> Result<LeadershipRecord, Rejection> {
-        if *ballot <= self.state.promised {
-            return self.no("promised more");
+    /// Phase 1 of Paxos: promises the term of a candidate, and returns the newest record that this voter has accepted.
+    pub fn prepare(&mut self, now: Ms, term: &Term) -> Result<LeadershipRecord, Rejection> {
+        if *term <= self.state.promised {
+            return self.reject("promised more");
         }
-        if self.lease.as_ref().is_some_and(|(who, until)| *who != ballot.candidate && now < *until) {
-            return self.no("another has the lease");
+        if self.lease.as_ref().is_some_and(|(who, until)| *who != term.candidate && now < *until) {
+            return self.reject("another has the lease");
         }
-        // Only the primary of the record can have had a lease of an earlier process here.
-        if now < self.barred && self.state.record.leader != ballot.candidate {
-            return self.no("just started");
+        // Only the leader of the record can have had a lease that an earlier process granted.
+        if now < self.barred_until && self.state.record.leader != term.candidate {
+            return self.reject("just started");
         }
-        self.state.promised = ballot.clone();
+        self.state.promised = term.clone();
         Ok(self.state.record.clone())
     }
 
-    /// A candidate that a quorum promised its ballot writes the record; it gets the lease for `span` with that.
-    pub fn accept(&mut self, now: Ms, record: &LeadershipRecord, span: Ms) -> Result<(), Rejection> {
+    /// Phase 2 of Paxos: accepts the record of a candidate that a quorum promised its term, and grants it the lease for
+    /// `lease` ms.
+    pub fn accept(&mut self, now: Ms, record: &LeadershipRecord, lease: Ms) -> Result<(), Rejection> {
         if record.term < self.state.promised {
-            return self.no("promised more");
+            return self.reject("promised more");
         }
         if record.term == self.state.record.term && *record != self.state.record {
-            return self.no("another record of that epoch");
+            return self.reject("another record of that epoch");
         }
         self.state.promised = record.term.clone();
         self.state.record = record.clone();
-        self.state.longest_lease = self.state.longest_lease.max(span);
-        self.lease = Some((record.leader.clone(), now + span));
+        self.state.longest_lease = self.state.longest_lease.max(lease);
+        self.lease = Some((record.leader.clone(), now + lease));
         Ok(())
     }
 
-    /// The primary has stopped: whoever may take over need not wait.
-    pub fn release(&mut self, epoch: &Term) {
-        if self.state.record.term == *epoch {
+    /// The leader of the term has stopped: the next candidate need not wait for the end of its lease.
+    pub fn release(&mut self, term: &Term) {
+        if self.state.record.term == *term {
             self.lease = None;
-            self.barred = 0;
+            self.barred_until = 0;
         }
     }
 }
 
-/// The leases that a primary counts on: by witness, until when, counted from when it asked.
+/// The grants of the leader lease by voter: until when, counted from when the leader sent the request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LeaseGrants(BTreeMap<Voter, Ms>);
 
 impl LeaseGrants {
-    /// A fiftieth is given up for clocks that differ in pace, and a millisecond for rounding.
-    pub fn add(&mut self, witness: Voter, asked: Ms, span: Ms) {
-        let until = self.0.entry(witness).or_default();
-        *until = (*until).max((asked + span).saturating_sub(span / 50 + 1));
+    /// Adds a grant. A fiftieth is subtracted for clock drift between leader and voter, and a millisecond for rounding.
+    pub fn add(&mut self, voter: Voter, sent_at: Ms, lease: Ms) {
+        let until = self.0.entry(voter).or_default();
+        *until = (*until).max((sent_at + lease).saturating_sub(lease / CLOCK_DRIFT_DIVISOR + 1));
     }
 
     /// Forgets all grants.
@@ -144,8 +148,8 @@
         self.0.clear();
     }
 
-    /// Whether a quorum of the record's group still grants it.
+    /// Whether a quorum of the record's voters still grants the lease.
     pub fn hold(&self, record: &LeadershipRecord, now: Ms) -> bool {
-        record.has_quorum(|w| self.0.get(w).is_some_and(|until| *until > now))
+        record.has_quorum(|voter| self.0.get(voter).is_some_and(|until| *until > now))
     }
 }
--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -1,10 +1,10 @@
 //! The state machine of one node: `(now, input)` in, [`Output`]s out. Nothing here waits, sends or writes.
 //!
-//! A leader serves while a quorum grants it the lease, counted from when it asked. A change is written to its own disk
-//! and to every backup of the record; it is committed if the lease is still held then. Taking over, replacing a backup
-//! and changing the voters are all a campaign for the next term, in the order prepare, own disk, disks of the backups,
-//! accept. Voters are changed by the leader only, from a record that was chosen: first to a joint configuration, then
-//! to the new one (Raft 6).
+//! A leader serves while a quorum grants it the lease, counted from when it sent the request. A change is written to its
+//! own disk and to every backup of the record; it is committed if the lease is still held then. Failover, replacing a
+//! backup and changing the voters are all a campaign for the next term, in the order prepare, own disk, disks of the
+//! backups, accept. Voters are changed by the leader only, from a record that was chosen: first to a joint
+//! configuration, then to the new one (Raft 6).
 mod calls;
 mod election;
 mod lease;
@@ -17,11 +17,9 @@
 mod voter;
 
 use crate::injected_bugs::{is_injected, InjectedBug};
-use crate::messages::{snapshot_checksum, REPLICA_WRITE_VERSION};
 use crate::{
-    Acceptor, Change, Id, KeyValue, LeadershipRecord, LeaseGrants, Ms, OperationId, Output, PeerStatus,
-    Rejection, ReplicaWrite, ReplicaWriteKind, ReplicaWriteResponse, Request, RequestId, Response, Term,
-    Voter, VoterRequest, VoterResponse, VoterState,
+    Acceptor, Change, Id, LeadershipRecord, LeaseGrants, Ms, OperationId, Output, PeerStatus, Request,
+    RequestId, Term, Voter, VoterState,
 };
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -150,8 +148,8 @@
 impl Core {
     /// Starts a node from its settings and its disk; a disk without voter state is written first.
     pub fn start(now: Ms, start: InitialState, out: &mut Vec<Output>) -> Core {
-        fn read<T: for<'a> Deserialize<'a>>(own: &BTreeMap<String, String>, name: &str) -> Option<T> {
-            own.get(name).and_then(|text| serde_json::from_str(text).ok())
+        fn read<T: for<'a> Deserialize<'a>>(metadata: &BTreeMap<String, String>, name: &str) -> Option<T> {
+            metadata.get(name).and_then(|text| serde_json::from_str(text).ok())
         }
         let mut core = Core {
             id: start.id.clone(),
@@ -171,12 +169,12 @@
         core.record = read(&start.metadata, "record").unwrap_or_default();
         core.last_durable_term = read(&start.metadata, "floor").unwrap_or_default();
         core.last_sequence = read(&start.metadata, SEQ).unwrap_or_default();
-        if let Some(held) = read::<VoterState>(&start.metadata, "witness") {
-            if held.record.term > core.record.term {
-                core.record = held.record.clone();
+        if let Some(voter_state) = read::<VoterState>(&start.metadata, "witness") {
+            if voter_state.record.term > core.record.term {
+                core.record = voter_state.record.clone();
             }
-            core.durable_voter_state = Some(held.clone());
-            core.acceptor = Acceptor::restart(now, held, core.timeouts.lease);
+            core.durable_voter_state = Some(voter_state.clone());
+            core.acceptor = Acceptor::restart(now, voter_state, core.timeouts.lease);
             return core;
         }
         core.acceptor = Acceptor::with_empty_disk(if is_injected(InjectedBug::LostDiskVotes) {
@@ -187,34 +185,29 @@
         if start.bootstrap {
             core.bootstrap(&start.peers);
         }
-        let held = core.acceptor.state.clone();
-        let mut own = core.term_metadata();
-        own.push(("record".into(), json(&core.record)));
-        own.push(("witness".into(), json(&held)));
-        let job = DiskWrite::VoterState {
+        let voter_state = core.acceptor.state.clone();
+        let mut metadata = core.term_metadata();
+        metadata.push(("record".into(), json(&core.record)));
+        metadata.push(("witness".into(), json(&voter_state)));
+        let write = DiskWrite::VoterState {
             to: Err(PendingCall::Release),
-            voter_state: Box::new(held),
+            voter_state: Box::new(voter_state),
             response: Box::default(),
         };
-        core.persist(now, job, WriteBatch::metadata(own), out);
+        core.persist(now, write, WriteBatch::metadata(metadata), out);
         core
     }
 
     /// The first start of the whole system: the members of the settings are the voters, the first of them leads.
     fn bootstrap(&mut self, peers: &[Id]) {
-        let mut seats = peers.to_vec();
-        seats.sort();
-        seats.dedup();
-        let primary = seats.first().unwrap_or(&self.id).clone();
-        let backups = seats.iter().skip(1).take(self.timeouts.max_failures).cloned().collect();
-        let witnesses = seats.iter().map(|id| Voter::new(id, 0)).collect();
-        let record = LeadershipRecord {
-            term: Term::new(1, ""),
-            leader: primary,
-            backups,
-            voters: witnesses,
-            outgoing_voters: vec![],
-        };
+        let mut voter_ids = peers.to_vec();
+        voter_ids.sort();
+        voter_ids.dedup();
+        let leader = voter_ids.first().unwrap_or(&self.id).clone();
+        let backups = voter_ids.iter().skip(1).take(self.timeouts.max_failures).cloned().collect();
+        let voters = voter_ids.iter().map(|id| Voter::new(id, 0)).collect();
+        let record =
+            LeadershipRecord { term: Term::new(1, ""), leader, backups, voters, outgoing_voters: vec![] };
         if record.is_voter(&self.id) {
             self.acceptor = Acceptor::bootstrap(record.clone());
         }
@@ -248,17 +241,26 @@
     }
 
     /// A request of another node.
-    pub fn handle_request(&mut self, now: Ms, caller: RequestId, call: Request, out: &mut Vec<Output>) {
-        match call {
-            Request::Voter(call) => self.handle_voter_request(now, Ok(caller), call, out),
-            Request::ReplicaWrite(copy) => self.handle_replica_write(now, caller, copy, out),
+    pub fn handle_request(
+        &mut self,
+        now: Ms,
+        request_id: RequestId,
+        request: Request,
+        out: &mut Vec<Output>,
+    ) {
+        match request {
+            Request::Voter(request) => self.handle_voter_request(now, Ok(request_id), request, out),
+            Request::ReplicaWrite(write) => self.handle_replica_write(now, request_id, write, out),
         }
     }
 
-    /// Twenty times a second.
+    /// Periodic work, about twenty times a second: disk probe, timeouts, lease renewal, campaigns.
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let stuck = self.pending_writes.front().is_some_and(|p| now > p.since + self.timeouts.rpc_timeout);
-        self.disk_healthy = self.last_write_succeeded && !stuck;
+        let is_stuck = self
+            .pending_writes
+            .front()
+            .is_some_and(|write| now > write.started_at + self.timeouts.rpc_timeout);
+        self.disk_healthy = self.last_write_succeeded && !is_stuck;
         if !self.last_write_succeeded && self.pending_writes.is_empty() && now >= self.next_disk_probe {
             self.next_disk_probe = now + self.timeouts.heartbeat_interval;
             self.persist(
@@ -269,23 +271,27 @@
             );
         }
         if self.needs_snapshot && self.last_write_succeeded && self.pending_writes.is_empty() {
-            let own = self.term_metadata();
-            let job = DiskWrite::RewriteState {
+            let metadata = self.term_metadata();
+            let write = DiskWrite::RewriteState {
                 term: self.last_durable_term.clone(),
                 sequence: self.last_sequence,
             };
             self.persist(
                 now,
-                job,
-                WriteBatch { state: self.state_entries(), replace: true, metadata: own },
+                write,
+                WriteBatch { state: self.state_entries(), replace: true, metadata },
                 out,
             );
         }
         self.excluded_until.retain(|_, until| now < *until);
-        if self.campaign.as_ref().is_some_and(|b| now > b.deadline) {
+        if self.campaign.as_ref().is_some_and(|campaign| now > campaign.deadline) {
             self.abandon_campaign(now, "no answer from enough", out);
         }
-        if self.in_flight.as_ref().is_some_and(|f| now > f.started_at + 3 * self.timeouts.rpc_timeout) {
+        if self
+            .in_flight
+            .as_ref()
+            .is_some_and(|append| now > append.started_at + 3 * self.timeouts.rpc_timeout)
+        {
             self.fail_append(now, "in time", out);
         }
         if matches!(self.role, Role::Leader(_)) {
--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -1,7 +1,11 @@
 //! Calls to other nodes and what their responses lead to. A call without a response within its timeout comes back as
 //! `None`; each call comes back once.
-use super::tracker::*;
-use super::*;
+use super::tracker::{Campaign, CampaignPhase, PendingCall};
+use super::{Core, Role};
+use crate::injected_bugs::{is_injected, InjectedBug};
+use crate::{
+    Id, Ms, OperationId, Output, ReplicaWriteResponse, Request, Response, Term, Voter, VoterResponse,
+};
 
 /// A replica that failed a write is the last choice as a backup for so many leases.
 const EXCLUDED_LEASES: Ms = 4;
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -1,19 +1,26 @@
 //! A campaign for the next term: prepare at a quorum, own disk, backups synced, record accepted.
-use super::tracker::*;
-use super::*;
+use super::tracker::{Campaign, CampaignPhase, DiskWrite, MembershipChange, PendingCall, WriteBatch};
+use super::{Core, Role};
+use crate::messages::{snapshot_checksum, REPLICA_WRITE_VERSION};
+use crate::{
+    Id, LeadershipRecord, LeaseGrants, Ms, Output, Rejection, ReplicaWrite, ReplicaWriteKind, Request, Term,
+    Voter, VoterRequest,
+};
+use std::collections::BTreeSet;
 
 impl Core {
     /// Whether this node should campaign now.
     pub(super) fn should_campaign(&self, now: Ms) -> bool {
         let record = &self.record;
-        let able = self.disk_healthy
+        let is_electable = self.disk_healthy
             && !self.needs_snapshot
             && self.has_quorum_contact(now)
             && self.known_leader(now).is_none();
-        if !able || !record.may_lead(&self.id, &self.last_durable_term) || now < self.next_campaign_at {
+        if !is_electable || !record.may_lead(&self.id, &self.last_durable_term) || now < self.next_campaign_at
+        {
             return false;
         }
-        let there = |id: &Id| {
+        let is_ready = |id: &Id| {
             let peer = self.peers.get(id);
             peer.is_some_and(|p| {
                 now < p.last_heard + 2 * self.timeouts.heartbeat_interval
@@ -21,42 +28,49 @@
                     && !p.status.draining
             })
         };
-        let other =
-            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && there(id));
-        // Who leaves hands over where there is anybody to take it.
-        if self.shutdown_began_at.is_some() && other {
+        let another_is_ready =
+            std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && is_ready(id));
+        // A node that shuts down leaves the campaign to another replica, if one is ready.
+        if self.shutdown_began_at.is_some() && another_is_ready {
             return false;
         }
-        let place = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
-        let place = place.unwrap_or(0);
-        let earlier = std::iter::once(&record.leader).chain(&record.backups).take(place).any(there);
-        // Who comes first in the record does so where it is there: its leases are its own, it need not wait.
-        place == 0 || !earlier || now > self.leader_seen_at + (1 + place as Ms) * self.timeouts.lease
+        let rank = std::iter::once(&record.leader).chain(&record.backups).position(|id| *id == self.id);
+        let rank = rank.unwrap_or(0);
+        let earlier_is_ready =
+            std::iter::once(&record.leader).chain(&record.backups).take(rank).any(is_ready);
+        // The first ready replica in the order of the record need not wait: the lease may be its own. Later ones wait
+        // for one lease more each, so that candidates do not collide.
+        rank == 0 || !earlier_is_ready || now > self.leader_seen_at + (1 + rank as Ms) * self.timeouts.lease
     }
 
-    /// Campaigns for the next term (Raft 5.2); `group`: the voters to change by it.
-    pub(super) fn start_campaign(&mut self, now: Ms, group: Option<MembershipChange>, out: &mut Vec<Output>) {
-        let high = [
+    /// Campaigns for the next term (Raft 5.2); `membership_change`: the voters to change by it.
+    pub(super) fn start_campaign(
+        &mut self,
+        now: Ms,
+        membership_change: Option<MembershipChange>,
+        out: &mut Vec<Output>,
+    ) {
+        let known_terms = [
             self.record.term.number,
             self.acceptor.state.promised.number,
             self.highest_term_number,
             self.last_durable_term.number,
         ];
-        let term = Term::new(high.into_iter().max().unwrap_or(0) + 1, &self.id);
-        let from = match &self.role {
+        let term = Term::new(known_terms.into_iter().max().unwrap_or(0) + 1, &self.id);
+        let leading_term = match &self.role {
             Role::Leader(record) => Some(record.term.clone()),
             Role::Follower => None,
         };
-        let base = match &self.role {
+        let base_record = match &self.role {
             Role::Leader(record) => record.clone(),
             Role::Follower => self.record.clone(),
         };
-        let ids = base.voter_ids();
+        let ids = base_record.voter_ids();
         self.campaign = Some(Campaign {
             term: term.clone(),
-            base_record: base,
-            membership_change: group,
-            leading_term: from,
+            base_record,
+            membership_change,
+            leading_term,
             phase: CampaignPhase::Prepare,
             deadline: now + self.timeouts.rpc_timeout,
             contacted: ids.iter().cloned().collect(),
@@ -70,8 +84,8 @@
             leases: LeaseGrants::default(),
         });
         for id in ids {
-            let ask = PendingCall::Prepare { to: id.clone(), term: term.clone() };
-            self.call_voter(now, &id, ask, VoterRequest::Prepare(term.clone()), out);
+            let pending = PendingCall::Prepare { to: id.clone(), term: term.clone() };
+            self.call_voter(now, &id, pending, VoterRequest::Prepare(term.clone()), out);
         }
     }
 
@@ -79,32 +93,33 @@
     pub(super) fn handle_rejection(
         &mut self,
         now: Ms,
-        who: Id,
+        voter_id: Id,
         term: &Term,
-        no: Option<Rejection>,
+        rejection: Option<Rejection>,
         out: &mut Vec<Output>,
     ) {
         let Some(campaign) = self.campaign.as_mut().filter(|campaign| campaign.term == *term) else { return };
-        campaign.rejected_by.insert(who.clone());
+        campaign.rejected_by.insert(voter_id.clone());
         let Some(campaign) = &self.campaign else { return };
         let record = match &campaign.phase {
             CampaignPhase::Accept(record) => record,
             _ => &campaign.base_record,
         };
         // Of the voters without a response, only those that are alive are worth waiting for.
-        let may = |w: &Voter| {
-            !campaign.rejected_by.contains(&w.id) && (w.id == self.id || self.is_peer_alive(now, &w.id))
+        let may_still_accept = |voter: &Voter| {
+            !campaign.rejected_by.contains(&voter.id)
+                && (voter.id == self.id || self.is_peer_alive(now, &voter.id))
         };
-        if !record.has_quorum(may) {
-            let why = no.map_or("no answer".into(), |no| no.reason);
-            self.abandon_campaign(now, &format!("{who}: {why}"), out);
+        if !record.has_quorum(may_still_accept) {
+            let reason = rejection.map_or("no answer".into(), |rejection| rejection.reason);
+            self.abandon_campaign(now, &format!("{voter_id}: {reason}"), out);
         }
     }
 
     pub(super) fn handle_prepare_granted(
         &mut self,
         now: Ms,
-        who: Voter,
+        voter: Voter,
         term: &Term,
         record: LeadershipRecord,
         out: &mut Vec<Output>,
@@ -116,15 +131,15 @@
         else {
             return;
         };
-        campaign.prepared_by.insert(who);
+        campaign.prepared_by.insert(voter);
         if record.term > campaign.base_record.term {
             campaign.base_record = record.clone();
-            let more: Vec<Id> =
+            let new_voters: Vec<Id> =
                 record.voter_ids().into_iter().filter(|id| campaign.contacted.insert(id.clone())).collect();
             self.observe_record(now, &record, out);
-            for id in more {
-                let ask = PendingCall::Prepare { to: id.clone(), term: term.clone() };
-                self.call_voter(now, &id, ask, VoterRequest::Prepare(term.clone()), out);
+            for id in new_voters {
+                let pending = PendingCall::Prepare { to: id.clone(), term: term.clone() };
+                self.call_voter(now, &id, pending, VoterRequest::Prepare(term.clone()), out);
             }
         }
         let Some(campaign) = self
@@ -134,33 +149,43 @@
         else {
             return;
         };
-        if !campaign.base_record.has_quorum(|w| campaign.prepared_by.contains(w)) {
+        if !campaign.base_record.has_quorum(|voter| campaign.prepared_by.contains(voter)) {
             return;
         }
-        let other = campaign.leading_term.as_ref().is_some_and(|from| *from != campaign.base_record.term);
-        if other
+        let was_superseded = campaign
+            .leading_term
+            .as_ref()
+            .is_some_and(|leading_term| *leading_term != campaign.base_record.term);
+        if was_superseded
             || !campaign.base_record.may_lead(&self.id, &self.last_durable_term)
             || self.last_durable_term > *term
             || self.needs_snapshot
         {
             return self.abandon_campaign(now, "another stands in the record", out);
         }
+        self.start_sync_phase(now, term, out);
+    }
+
+    /// The sync step of a campaign: the own disk and the backups take the term of the campaign.
+    fn start_sync_phase(&mut self, now: Ms, term: &Term, out: &mut Vec<Output>) {
+        let Some(campaign) = &self.campaign else { return };
         // From here on nothing of an earlier term is accepted: the state that goes to the backups is final.
-        let base = campaign.base_record.clone();
-        let was = (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
-        let able = self.backup_candidates(now, &base);
+        let base_record = campaign.base_record.clone();
+        let position =
+            (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
+        let candidates = self.backup_candidates(now, &base_record);
         (self.last_durable_term, self.last_sequence) = (term.clone(), 0);
-        let until = now + 2 * self.timeouts.rpc_timeout;
+        let deadline = now + 2 * self.timeouts.rpc_timeout;
         if let Some(campaign) = self.campaign.as_mut() {
             (campaign.phase, campaign.deadline, campaign.previous_position, campaign.candidates) =
-                (CampaignPhase::SyncBackups, until, was, able);
+                (CampaignPhase::SyncBackups, deadline, position, candidates);
         }
         let state = if self.may_hold_uncommitted { self.state_entries() } else { Vec::new() };
-        let own = self.term_metadata();
+        let metadata = self.term_metadata();
         self.persist(
             now,
             DiskWrite::CampaignTerm { term: term.clone() },
-            WriteBatch { state, replace: self.may_hold_uncommitted, metadata: own },
+            WriteBatch { state, replace: self.may_hold_uncommitted, metadata },
             out,
         );
         for _ in 0..self.timeouts.max_failures {
@@ -182,43 +207,37 @@
             return;
         }
         let to = campaign.candidates.remove(0);
-        let was = campaign.previous_position.clone();
-        let alike = was.is_some_and(|(epoch, _)| {
-            self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == epoch)
-        });
-        self.sync_backup(&to, !alike, out);
+        let position = campaign.previous_position.clone();
+        let holds_same = position
+            .is_some_and(|(term, _)| self.peers.get(&to).is_some_and(|p| p.status.last_durable_term == term));
+        self.sync_backup(&to, !holds_same, out);
     }
 
     pub(super) fn sync_backup(&mut self, to: &Id, snapshot: bool, out: &mut Vec<Output>) {
         let Some(campaign) = self.campaign.as_mut() else { return };
         campaign.syncing.insert(to.clone());
-        let epoch = campaign.term.clone();
-        let (kind, puts) = match campaign.previous_position.clone().filter(|_| !snapshot) {
-            Some((epoch, seq)) => (ReplicaWriteKind::Probe { term: epoch, sequence: seq }, Vec::new()),
+        let term = campaign.term.clone();
+        let (kind, writes) = match campaign.previous_position.clone().filter(|_| !snapshot) {
+            Some((term, sequence)) => (ReplicaWriteKind::Probe { term, sequence }, Vec::new()),
             None => {
-                let puts = self.state_entries();
-                (ReplicaWriteKind::Snapshot { checksum: snapshot_checksum(&puts) }, puts)
+                let writes = self.state_entries();
+                (ReplicaWriteKind::Snapshot { checksum: snapshot_checksum(&writes) }, writes)
             }
         };
         let snapshot = matches!(kind, ReplicaWriteKind::Snapshot { .. });
-        let copy = ReplicaWrite {
-            version: REPLICA_WRITE_VERSION,
-            term: epoch.clone(),
-            sequence: 0,
-            kind,
-            writes: puts,
-        };
+        let write =
+            ReplicaWrite { version: REPLICA_WRITE_VERSION, term: term.clone(), sequence: 0, kind, writes };
         self.send_request(
-            PendingCall::SyncBackup { to: to.clone(), term: epoch, snapshot },
+            PendingCall::SyncBackup { to: to.clone(), term, snapshot },
             to,
-            Request::ReplicaWrite(copy),
+            Request::ReplicaWrite(write),
             out,
         );
     }
 
     /// Once the own disk and enough backups are at the term of the campaign, its record is proposed.
     pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
-        let span = self.timeouts.lease;
+        let lease = self.timeouts.lease;
         let Some(campaign) =
             self.campaign.as_mut().filter(|campaign| campaign.phase == CampaignPhase::SyncBackups)
         else {
@@ -227,8 +246,8 @@
         if !campaign.own_disk_synced || campaign.synced.len() < self.timeouts.max_failures {
             return;
         }
-        let group = campaign.membership_change.clone();
-        let group = group.unwrap_or(MembershipChange {
+        let change = campaign.membership_change.clone();
+        let change = change.unwrap_or(MembershipChange {
             voters: campaign.base_record.voters.clone(),
             outgoing_voters: campaign.base_record.outgoing_voters.clone(),
         });
@@ -236,15 +255,15 @@
             term: campaign.term.clone(),
             leader: self.id.clone(),
             backups: campaign.synced.clone(),
-            voters: group.voters,
-            outgoing_voters: group.outgoing_voters,
+            voters: change.voters,
+            outgoing_voters: change.outgoing_voters,
         };
         campaign.rejected_by.clear();
         (campaign.phase, campaign.deadline) =
             (CampaignPhase::Accept(record.clone()), now + self.timeouts.rpc_timeout);
         for id in record.voter_ids() {
-            let ask = PendingCall::Accept { to: id.clone(), term: record.term.clone(), sent_at: now };
-            self.call_voter(now, &id, ask, VoterRequest::Accept(record.clone(), span), out);
+            let pending = PendingCall::Accept { to: id.clone(), term: record.term.clone(), sent_at: now };
+            self.call_voter(now, &id, pending, VoterRequest::Accept(record.clone(), lease), out);
         }
     }
 
@@ -255,23 +274,26 @@
         if !campaign.leases.hold(record, now) || self.last_durable_term != record.term {
             return;
         }
-        let (record, leases, fresh) =
+        let (record, leases, newly_elected) =
             (record.clone(), campaign.leases.clone(), campaign.leading_term.is_none());
         self.campaign = None;
         self.renewal_sent_at.clear();
         (self.leases, self.next_campaign_at) = (leases, now);
-        let joint = if record.outgoing_voters.is_empty() { "" } else { ", the group changes" };
-        let names = record.backups.join(", ");
-        out.push(Output::Log(format!("Acts in epoch {} with backup {names}{joint}.", record.term.number)));
+        let joint_note = if record.outgoing_voters.is_empty() { "" } else { ", the group changes" };
+        let backups = record.backups.join(", ");
+        out.push(Output::Log(format!(
+            "Acts in epoch {} with backup {backups}{joint_note}.",
+            record.term.number
+        )));
         self.observe_record(now, &record, out);
         self.role = Role::Leader(record);
-        out.push(Output::BecameLeader { newly_elected: fresh });
+        out.push(Output::BecameLeader { newly_elected });
         self.append_next(now, out);
     }
 
-    pub(super) fn abandon_campaign(&mut self, now: Ms, why: &str, out: &mut Vec<Output>) {
+    pub(super) fn abandon_campaign(&mut self, now: Ms, reason: &str, out: &mut Vec<Output>) {
         self.campaign = None;
-        out.push(Output::Log(format!("Could not take the next epoch: {why}.")));
+        out.push(Output::Log(format!("Could not take the next epoch: {reason}.")));
         self.step_down(now, out);
         self.next_campaign_at = now + self.jitter(self.timeouts.heartbeat_interval / 2);
     }
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -1,6 +1,8 @@
 //! The leader lease (Raft 6.4.1): renewal, loss, release at a leadership transfer.
-use super::tracker::*;
-use super::*;
+use super::tracker::{PendingCall, Reconfiguration};
+use super::{Core, Role};
+use crate::injected_bugs::{is_injected, InjectedBug};
+use crate::{Ms, Output, VoterRequest};
 
 impl Core {
     /// Whether this node is the leader and a quorum of its voters still grants the lease (Raft 6.4.1).
@@ -22,8 +24,14 @@
         for id in record.voter_ids() {
             if now >= self.renewal_sent_at.get(&id).copied().unwrap_or(0) + self.timeouts.heartbeat_interval {
                 self.renewal_sent_at.insert(id.clone(), now);
-                let ask = PendingCall::Renew { to: id.clone(), term: record.term.clone(), sent_at: now };
-                self.call_voter(now, &id, ask, VoterRequest::Renew(record.clone(), self.timeouts.lease), out);
+                let pending = PendingCall::Renew { to: id.clone(), term: record.term.clone(), sent_at: now };
+                self.call_voter(
+                    now,
+                    &id,
+                    pending,
+                    VoterRequest::Renew(record.clone(), self.timeouts.lease),
+                    out,
+                );
             }
         }
         if self.in_flight.is_some() || !matches!(self.role, Role::Leader(_)) {
@@ -63,16 +71,16 @@
         self.role = Role::Follower;
         self.leases.clear();
         self.renewal_sent_at.clear();
-        if self.campaign.as_ref().is_some_and(|b| b.leading_term.is_some()) {
+        if self.campaign.as_ref().is_some_and(|campaign| campaign.leading_term.is_some()) {
             self.campaign = None;
         }
         let mut failed: Vec<u64> = Vec::new();
         if let Some(append) = self.in_flight.take() {
             // It may be on this disk, and on others.
             self.may_hold_uncommitted = true;
-            failed.extend(append.changes.iter().map(|c| c.ticket));
+            failed.extend(append.changes.iter().map(|change| change.ticket));
         }
-        failed.extend(self.proposals.drain(..).map(|c| c.ticket));
+        failed.extend(self.proposals.drain(..).map(|change| change.ticket));
         self.next_campaign_at = self.next_campaign_at.max(now);
         out.push(Output::SteppedDown);
         if !failed.is_empty() {
--- a/crates/control-plane/consensus/src/core/membership.rs
+++ b/crates/control-plane/consensus/src/core/membership.rs
@@ -1,22 +1,32 @@
 //! Who should be a backup or a voter. Voters change one at a time, through a joint configuration (Raft 6).
-use super::tracker::*;
-use super::*;
+use super::tracker::{MembershipChange, Reconfiguration};
+use super::{Core, Role};
+use crate::injected_bugs::{is_injected, InjectedBug};
+use crate::{Id, LeadershipRecord, Ms, Voter};
 
 impl Core {
-    /// Who may be a backup, best first: whose disk takes writes and who stays; of another zone, which may be lost
-    /// as a whole; a replica already, as it holds all; a voter.
-    pub(super) fn backup_candidates(&self, now: Ms, base: &LeadershipRecord) -> Vec<Id> {
-        let fit = |id: &Id| {
+    /// The live members with a healthy disk, best backup first: not draining; not excluded after a failed write; in
+    /// another zone than this node, as a zone may fail as a whole; a replica already, as it needs no snapshot; a voter.
+    pub(super) fn backup_candidates(&self, now: Ms, base_record: &LeadershipRecord) -> Vec<Id> {
+        let has_healthy_disk = |id: &Id| {
             self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.disk_healthy)
         };
-        let mut all: Vec<Id> = self.members.iter().filter(|id| **id != self.id && fit(id)).cloned().collect();
-        let beside = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.zone == self.zone);
-        let leaves = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.draining);
-        let shun = |id: &Id| self.excluded_until.get(id).is_some_and(|until| now < *until);
-        all.sort_by_key(|id| {
-            (leaves(id), shun(id), beside(id), !base.is_replica(id), !base.is_voter(id), id.clone())
+        let mut candidates: Vec<Id> =
+            self.members.iter().filter(|id| **id != self.id && has_healthy_disk(id)).cloned().collect();
+        let shares_zone = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.zone == self.zone);
+        let is_draining = |id: &Id| self.peers.get(id).is_some_and(|p| p.status.draining);
+        let is_excluded = |id: &Id| self.excluded_until.get(id).is_some_and(|until| now < *until);
+        candidates.sort_by_key(|id| {
+            (
+                is_draining(id),
+                is_excluded(id),
+                shares_zone(id),
+                !base_record.is_replica(id),
+                !base_record.is_voter(id),
+                id.clone(),
+            )
         });
-        all
+        candidates
     }
 
     /// What the leader should change by a campaign of its own: first the end of a joint configuration, then a backup
--- a/crates/control-plane/consensus/src/core/peers.rs
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -1,28 +1,30 @@
 //! Peers: their status, contact with them, and whom heartbeats go to.
-use super::tracker::*;
-use super::*;
+use super::tracker::{DiskWrite, WriteBatch};
+use super::{json, Core, Peer};
+use crate::{Id, LeadershipRecord, Ms, Output, PeerStatus, Voter};
+use std::collections::BTreeSet;
 
 impl Core {
     /// The leader, if a peer reported within a lease that it holds the leader lease.
     pub fn known_leader(&self, now: Ms) -> Option<&Id> {
-        let heard = |p: &&Peer| now < p.last_heard + self.timeouts.lease && p.status.holds_lease;
-        let best = self.peers.values().filter(heard).max_by_key(|p| p.status.record.term.clone());
-        best.map(|p| &p.status.id)
+        let holds_lease = |p: &&Peer| now < p.last_heard + self.timeouts.lease && p.status.holds_lease;
+        let leader = self.peers.values().filter(holds_lease).max_by_key(|p| p.status.record.term.clone());
+        leader.map(|p| &p.status.id)
     }
 
     /// Whether a quorum of voters has answered calls that this node sent within a lease (check quorum, Raft 6.2).
     pub fn has_quorum_contact(&self, now: Ms) -> bool {
-        let near = |w: &Voter| {
-            if w.id == self.id {
-                return w.incarnation == self.incarnation();
+        let is_in_contact = |voter: &Voter| {
+            if voter.id == self.id {
+                return voter.incarnation == self.incarnation();
             }
-            self.peers.get(&w.id).is_some_and(|p| {
+            self.peers.get(&voter.id).is_some_and(|p| {
                 p.last_contact > 0
                     && now < p.last_contact + self.timeouts.lease
-                    && p.status.incarnation == w.incarnation
+                    && p.status.incarnation == voter.incarnation
             })
         };
-        self.record.has_quorum(near)
+        self.record.has_quorum(is_in_contact)
     }
 
     /// Whether the peer was heard within a lease.
@@ -51,12 +53,12 @@
         }
     }
 
-    /// A heartbeat. `asked`: when the call was sent that it answers.
+    /// A heartbeat, or the response to one of this node's: `sent_at` is then when the request was sent.
     pub fn handle_peer_status(
         &mut self,
         now: Ms,
         status: &PeerStatus,
-        asked: Option<Ms>,
+        sent_at: Option<Ms>,
         out: &mut Vec<Output>,
     ) {
         if status.id == self.id {
@@ -64,7 +66,7 @@
         }
         let peer = self.peers.entry(status.id.clone()).or_default();
         peer.last_heard = now;
-        peer.last_contact = peer.last_contact.max(asked.unwrap_or(0));
+        peer.last_contact = peer.last_contact.max(sent_at.unwrap_or(0));
         peer.status = status.clone();
         if status.holds_lease {
             self.leader_seen_at = now;
@@ -73,21 +75,21 @@
         self.observe_record(now, &status.record, out);
     }
 
-    /// Adds members that are new. They are stored, so that a restart finds somebody.
+    /// Adds members that are new. They are stored, so that a restarted node has peers to contact.
     pub fn add_members<'a>(&mut self, now: Ms, ids: impl Iterator<Item = &'a Id>, out: &mut Vec<Output>) {
         let before = self.members.len();
         self.members.extend(ids.cloned());
         if self.members.len() > before {
             let all: Vec<&Id> = self.members.iter().collect();
-            let own = vec![("members".into(), json(&all))];
-            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
+            let metadata = vec![("members".into(), json(&all))];
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(metadata), out);
         }
     }
 
     /// Whom heartbeats go to: the voters, the replicas, `few` successors on the ring of live members, and in turn `few`
     /// of the others.
     pub fn heartbeat_targets(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
-        let (near, far): (Vec<Id>, Vec<Id>) = self
+        let (alive, silent): (Vec<Id>, Vec<Id>) = self
             .members
             .iter()
             .filter(|id| **id != self.id)
@@ -96,12 +98,12 @@
         let mut all: BTreeSet<Id> = self.record.voter_ids().into_iter().collect();
         all.extend(std::iter::once(&self.record.leader).chain(&self.record.backups).cloned());
         all.extend(self.known_leader(now).cloned());
-        let mut ring = near;
+        let mut ring = alive;
         ring.push(self.id.clone());
         all.extend(crate::ring_successors(&self.id, &ring, few));
-        let far: Vec<Id> = far.into_iter().filter(|id| !all.contains(id)).collect();
-        if !far.is_empty() {
-            all.extend((0..few.min(far.len())).map(|n| far[(turn * few + n) % far.len()].clone()));
+        let silent: Vec<Id> = silent.into_iter().filter(|id| !all.contains(id)).collect();
+        if !silent.is_empty() {
+            all.extend((0..few.min(silent.len())).map(|n| silent[(turn * few + n) % silent.len()].clone()));
         }
         all.remove(&self.id);
         all.remove("");
@@ -112,8 +114,8 @@
         self.highest_term_number = self.highest_term_number.max(record.term.number);
         if record.term > self.record.term {
             self.record = record.clone();
-            let own = vec![("record".into(), json(record))];
-            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(own), out);
+            let metadata = vec![("record".into(), json(record))];
+            self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(metadata), out);
         }
     }
 }
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,19 +1,30 @@
 //! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
-use super::tracker::*;
-use super::*;
+use super::tracker::{DiskWrite, PendingCall, PendingWrite, WriteBatch};
+use super::{json, Core, SEQ};
+use crate::{
+    KeyValue, Ms, OperationId, Output, Rejection, ReplicaWriteResponse, RequestId, Response, Term,
+    VoterResponse, VoterState,
+};
 
 impl Core {
     /// Writes a batch; `write` says what its result leads to.
     pub(super) fn persist(&mut self, now: Ms, write: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
-        let token = self.next_operation_id();
-        self.pending_writes.push_back(PendingWrite { token, since: now, write });
+        let operation_id = self.next_operation_id();
+        self.pending_writes.push_back(PendingWrite { operation_id, started_at: now, write });
         let WriteBatch { state, replace, metadata } = batch;
-        out.push(Output::Persist { operation_id: token, state, replace, metadata });
+        out.push(Output::Persist { operation_id, state, replace, metadata });
     }
 
     /// The result of a disk write. `ok`: it is synced.
-    pub fn handle_write_result(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
-        let Some(index) = self.pending_writes.iter().position(|pending| pending.token == token) else {
+    pub fn handle_write_result(
+        &mut self,
+        now: Ms,
+        operation_id: OperationId,
+        ok: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(index) = self.pending_writes.iter().position(|pending| pending.operation_id == operation_id)
+        else {
             return;
         };
         let Some(PendingWrite { write, .. }) = self.pending_writes.remove(index) else { return };
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -1,6 +1,12 @@
-//! Replication: writes taken from a leader, changes proposed, appended at the backups and committed.
-use super::tracker::*;
-use super::*;
+//! Replication: writes accepted from a leader; changes proposed, appended at the backups and committed.
+use super::tracker::{DiskWrite, InFlightAppend, PendingCall, WriteBatch};
+use super::{json, Core, Role, SEQ};
+use crate::injected_bugs::{is_injected, InjectedBug};
+use crate::messages::{snapshot_checksum, REPLICA_WRITE_VERSION};
+use crate::{
+    Change, Id, KeyValue, Ms, Output, ReplicaWrite, ReplicaWriteKind, ReplicaWriteResponse, Request,
+    RequestId, Response, Term,
+};
 
 impl Core {
     /// A leader writes to this replica.
@@ -46,7 +52,7 @@
         self.persist(now, pending, batch, out);
     }
 
-    /// Why a write of a leader is not taken; `None` if it is.
+    /// Why a write of a leader is rejected; `None` if it is accepted.
     fn replica_write_rejection(&self, write: &ReplicaWrite) -> Option<&'static str> {
         if write.version != REPLICA_WRITE_VERSION {
             return Some("another version");
@@ -54,7 +60,7 @@
         let same_term = write.term == self.last_durable_term;
         let newer_term = write.term > self.last_durable_term;
         let (accepted, reason) = match &write.kind {
-            ReplicaWriteKind::Snapshot { checksum: sum } if snapshot_checksum(&write.writes) != *sum => {
+            ReplicaWriteKind::Snapshot { checksum } if snapshot_checksum(&write.writes) != *checksum => {
                 (false, "the sum is wrong")
             }
             // A snapshot that comes late or twice must not undo the changes since.
@@ -63,9 +69,9 @@
                 let injected = same_term && is_injected(InjectedBug::StaleSnapshot);
                 (newer_term || repairs || injected, "a snapshot of before")
             }
-            ReplicaWriteKind::Probe { term: epoch, sequence: seq } => {
+            ReplicaWriteKind::Probe { term, sequence } => {
                 let is_clean = !self.needs_snapshot && !self.may_hold_uncommitted && self.in_flight.is_none();
-                let matches = self.last_durable_term == *epoch && self.last_sequence == *seq
+                let matches = self.last_durable_term == *term && self.last_sequence == *sequence
                     || is_injected(InjectedBug::UnverifiedProbe);
                 (newer_term && is_clean && matches, "holds something else")
             }
@@ -79,8 +85,8 @@
     }
 
     /// Applies writes to the state in memory; an empty value removes the entry.
-    pub(super) fn apply_writes(&mut self, puts: &[KeyValue]) {
-        for (name, value) in puts {
+    pub(super) fn apply_writes(&mut self, writes: &[KeyValue]) {
+        for (name, value) in writes {
             if value.is_empty() {
                 self.state.remove(name);
             } else {
@@ -102,7 +108,7 @@
         self.append_next(now, out);
     }
 
-    /// Writes all proposals as one append to all disks of the record; one append is in flight at a time.
+    /// Writes all proposals as one batch to all disks of the record; one append is in flight at a time.
     pub(super) fn append_next(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Leader(record) = &self.role else { return };
         if self.in_flight.is_some()
@@ -114,26 +120,27 @@
         }
         let record = record.clone();
         let changes: Vec<Change> = self.proposals.drain(..).collect();
-        let puts: Vec<KeyValue> = changes.iter().flat_map(|c| c.writes.clone()).collect();
+        let writes: Vec<KeyValue> = changes.iter().flat_map(|change| change.writes.clone()).collect();
         self.last_sequence += 1;
-        let (seq, away) = (self.last_sequence, record.backups.iter().cloned().collect());
+        let sequence = self.last_sequence;
+        let unacknowledged = record.backups.iter().cloned().collect();
         self.in_flight = Some(InFlightAppend {
-            sequence: seq,
+            sequence,
             started_at: now,
             changes,
-            writes: puts.clone(),
+            writes: writes.clone(),
             persisted_locally: false,
-            unacknowledged: away,
+            unacknowledged,
         });
-        let own = vec![(SEQ.into(), json(&seq))];
+        let metadata = vec![(SEQ.into(), json(&sequence))];
         self.persist(
             now,
-            DiskWrite::Append { term: record.term.clone(), sequence: seq },
-            WriteBatch { state: puts.clone(), replace: false, metadata: own },
+            DiskWrite::Append { term: record.term.clone(), sequence },
+            WriteBatch { state: writes.clone(), replace: false, metadata },
             out,
         );
-        for to in &record.backups {
-            self.send_append(to, record.term.clone(), seq, puts.clone(), false, out);
+        for backup in &record.backups {
+            self.send_append(backup, record.term.clone(), sequence, writes.clone(), false, out);
         }
     }
 
@@ -160,9 +167,9 @@
 
     /// Commits the append once it is on all disks. Time has passed: without the lease another node may lead already.
     pub(super) fn commit_if_replicated(&mut self, now: Ms, out: &mut Vec<Output>) {
-        if !self.in_flight.as_ref().is_some_and(|f| {
-            f.persisted_locally
-                && (f.unacknowledged.is_empty() || is_injected(InjectedBug::CommitWithoutBackup))
+        if !self.in_flight.as_ref().is_some_and(|append| {
+            append.persisted_locally
+                && (append.unacknowledged.is_empty() || is_injected(InjectedBug::CommitWithoutBackup))
         }) {
             return;
         }
@@ -175,8 +182,8 @@
         self.append_next(now, out);
     }
 
-    pub(super) fn fail_append(&mut self, now: Ms, whence: &str, out: &mut Vec<Output>) {
-        out.push(Output::Log(format!("A change is not written {whence}: steps down.")));
+    pub(super) fn fail_append(&mut self, now: Ms, failure: &str, out: &mut Vec<Output>) {
+        out.push(Output::Log(format!("A change is not written {failure}: steps down.")));
         self.step_down(now, out);
     }
 }
--- a/crates/control-plane/consensus/src/core/shutdown.rs
+++ b/crates/control-plane/consensus/src/core/shutdown.rs
@@ -1,8 +1,9 @@
 //! Graceful shutdown: what a node hands over before it exits (leadership transfer, Raft 3.10).
-use super::*;
+use super::{Core, Role};
+use crate::{Id, Ms};
 
 impl Core {
-    /// Begins a graceful shutdown: what rests on this node is handed over first.
+    /// Begins a graceful shutdown: the roles of this node are handed over first.
     pub fn begin_shutdown(&mut self, now: Ms) {
         self.shutdown_began_at.get_or_insert(now);
     }
@@ -12,21 +13,22 @@
         self.shutdown_began_at.is_some()
     }
 
-    /// Whether the process may end: nothing rests on it, all others end as well, or its time is over. Who hears nobody
-    /// waits for them: what it takes along then would be a loss.
+    /// Whether the process may end: a leader is known and this node is neither a replica nor a replaceable voter, or all
+    /// others drain as well, or the grace period is over. An isolated node waits out the grace period: a role that
+    /// nobody has taken over would be lost with it.
     pub fn may_exit(&self, now: Ms) -> bool {
-        let Some(since) = self.shutdown_began_at else { return false };
-        if now > since + self.timeouts.shutdown_grace {
+        let Some(began_at) = self.shutdown_began_at else { return false };
+        if now > began_at + self.timeouts.shutdown_grace {
             return true;
         }
-        let led = self.known_leader(now).is_some();
+        let has_leader = self.known_leader(now).is_some();
         let mut others = self.members.iter().filter(|id| **id != self.id && self.is_usable_backup(now, id));
-        let spare = others.any(|id| !self.record.is_voter(id));
-        let stays = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && spare;
-        // All stop at once: nobody stays to whom anything could be handed.
-        let gone =
+        let has_spare = others.any(|id| !self.record.is_voter(id));
+        let is_needed = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && has_spare;
+        // The whole system shuts down: there is nobody to hand a role over to.
+        let is_draining =
             |id: &Id| self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.draining);
-        let all = self.members.iter().filter(|id| **id != self.id).all(gone);
-        self.role == Role::Follower && (!stays && led || all && self.campaign.is_none())
+        let all_draining = self.members.iter().filter(|id| **id != self.id).all(is_draining);
+        self.role == Role::Follower && (!is_needed && has_leader || all_draining && self.campaign.is_none())
     }
 }
--- a/crates/control-plane/consensus/src/core/tracker.rs
+++ b/crates/control-plane/consensus/src/core/tracker.rs
@@ -1,4 +1,4 @@
-//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in append.
+//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in flight.
 //!
 //! The order of variants and fields is part of the hash of a state; the search of the model depends on it.
 use crate::{
@@ -51,8 +51,8 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingWrite {
-    pub(super) token: OperationId,
-    pub(super) since: Ms,
+    pub(super) operation_id: OperationId,
+    pub(super) started_at: Ms,
     pub(super) write: DiskWrite,
 }
 
--- a/crates/control-plane/consensus/src/core/voter.rs
+++ b/crates/control-plane/consensus/src/core/voter.rs
@@ -1,64 +1,70 @@
 //! The voter of this node: requests to its acceptor, answered only after the disk has its new state (Paxos).
-use super::tracker::*;
-use super::*;
+use super::tracker::{DiskWrite, PendingCall, WriteBatch};
+use super::{json, Core, Role};
+use crate::{Id, Ms, Output, Request, RequestId, Response, VoterRequest, VoterResponse};
 
 impl Core {
-    /// What changes the acceptor is on the disk before it is answered.
+    /// Handles a request to the acceptor; a change of its state is on the disk before the response.
     pub(super) fn handle_voter_request(
         &mut self,
         now: Ms,
         to: Result<RequestId, PendingCall>,
-        call: VoterRequest,
+        request: VoterRequest,
         out: &mut Vec<Output>,
     ) {
-        let outcome = match &call {
-            VoterRequest::Prepare(ballot) => self.acceptor.prepare(now, ballot).map(Some),
-            VoterRequest::Accept(record, span) | VoterRequest::Renew(record, span) => {
-                self.acceptor.accept(now, record, *span).map(|()| None)
+        let outcome = match &request {
+            VoterRequest::Prepare(term) => self.acceptor.prepare(now, term).map(Some),
+            VoterRequest::Accept(record, lease) | VoterRequest::Renew(record, lease) => {
+                self.acceptor.accept(now, record, *lease).map(|()| None)
             }
-            VoterRequest::Release(epoch) => {
-                self.acceptor.release(epoch);
+            VoterRequest::Release(term) => {
+                self.acceptor.release(term);
                 Ok(None)
             }
         };
-        let life = self.incarnation();
-        let say = match outcome {
-            Ok(record) => VoterResponse { incarnation: life, record, rejection: None },
-            Err(no) => VoterResponse { incarnation: life, record: None, rejection: Some(no) },
+        let incarnation = self.incarnation();
+        let response = match outcome {
+            Ok(record) => VoterResponse { incarnation, record, rejection: None },
+            Err(rejection) => VoterResponse { incarnation, record: None, rejection: Some(rejection) },
         };
-        if say.rejection.is_none() {
-            if let VoterRequest::Accept(record, _) | VoterRequest::Renew(record, _) = &call {
-                let older = matches!(&self.role, Role::Leader(r) if r.term < record.term);
-                if older && record.leader != self.id {
+        if response.rejection.is_none() {
+            if let VoterRequest::Accept(record, _) | VoterRequest::Renew(record, _) = &request {
+                let is_superseded = matches!(&self.role, Role::Leader(r) if r.term < record.term);
+                if is_superseded && record.leader != self.id {
                     self.step_down(now, out);
                 }
                 self.observe_record(now, record, out);
             }
-            // A write that failed or waits still: what is answered must be on the disk all the same.
+            // Also if nothing changed now: an earlier write may have failed or may still be pending, and a response must
+            // not show a state that is not on the disk.
             if self.durable_voter_state.as_ref() != Some(&self.acceptor.state) {
-                let held = self.acceptor.state.clone();
-                let own = vec![("witness".to_string(), json(&held))];
+                let voter_state = self.acceptor.state.clone();
+                let metadata = vec![("witness".to_string(), json(&voter_state))];
                 return self.persist(
                     now,
-                    DiskWrite::VoterState { to, voter_state: Box::new(held), response: Box::new(say) },
-                    WriteBatch::metadata(own),
+                    DiskWrite::VoterState {
+                        to,
+                        voter_state: Box::new(voter_state),
+                        response: Box::new(response),
+                    },
+                    WriteBatch::metadata(metadata),
                     out,
                 );
             }
         }
-        self.respond_to_voter_request(now, to, say, out);
+        self.respond_to_voter_request(now, to, response, out);
     }
 
     pub(super) fn respond_to_voter_request(
         &mut self,
         now: Ms,
         to: Result<RequestId, PendingCall>,
-        say: VoterResponse,
+        response: VoterResponse,
         out: &mut Vec<Output>,
     ) {
         match to {
-            Ok(caller) => out.push(Output::Respond { request_id: caller, response: Response::Voter(say) }),
-            Err(ask) => self.handle_call_result(now, ask, Some(Response::Voter(say)), out),
+            Ok(request_id) => out.push(Output::Respond { request_id, response: Response::Voter(response) }),
+            Err(pending) => self.handle_call_result(now, pending, Some(Response::Voter(response)), out),
         }
     }
 
@@ -66,14 +72,14 @@
         &mut self,
         now: Ms,
         to: &Id,
-        ask: PendingCall,
-        call: VoterRequest,
+        pending: PendingCall,
+        request: VoterRequest,
         out: &mut Vec<Output>,
     ) {
         if *to == self.id {
-            self.handle_voter_request(now, Err(ask), call, out);
+            self.handle_voter_request(now, Err(pending), request, out);
         } else {
-            self.send_request(ask, to, Request::Voter(call), out);
+            self.send_request(pending, to, Request::Voter(request), out);
         }
     }
 }
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -64,9 +64,9 @@
 }
 
 impl Term {
-    /// Term `n` of a candidate.
-    pub fn new(n: u64, by: &str) -> Term {
-        Term { number: n, candidate: by.into() }
+    /// Term `number` of a candidate.
+    pub fn new(number: u64, candidate: &str) -> Term {
+        Term { number, candidate: candidate.into() }
     }
 }
 
@@ -83,8 +83,8 @@
 
 impl Voter {
     /// The voter of a node with the disk of this incarnation.
-    pub fn new(id: &str, life: u64) -> Voter {
-        Voter { id: id.into(), incarnation: life }
+    pub fn new(id: &str, incarnation: u64) -> Voter {
+        Voter { id: id.into(), incarnation }
     }
 }
 
@@ -110,37 +110,38 @@
 
 impl LeadershipRecord {
     /// Whether the node holds all acknowledged changes by this record.
-    pub fn is_replica(&self, who: &str) -> bool {
-        self.leader == who || self.backups.iter().any(|b| b == who)
+    pub fn is_replica(&self, id: &str) -> bool {
+        self.leader == id || self.backups.iter().any(|backup| backup == id)
     }
 
     /// Only a replica that holds all acknowledged changes may be the next leader: it is named in the record, and the last
     /// term of its disk shows that it is the disk that was named, not an empty one in its place.
-    pub fn may_lead(&self, who: &str, floor: &Term) -> bool {
-        self.is_replica(who) && *floor >= self.term
+    pub fn may_lead(&self, id: &str, last_durable_term: &Term) -> bool {
+        self.is_replica(id) && *last_durable_term >= self.term
     }
 
     /// Whether these voters are a quorum: a majority, in a joint configuration of both sets.
-    pub fn has_quorum(&self, yes: impl Fn(&Voter) -> bool) -> bool {
-        let most = |group: &[Voter]| group.iter().filter(|w| yes(w)).count() > group.len() / 2;
-        let new = most(&self.voters)
+    pub fn has_quorum(&self, accepts: impl Fn(&Voter) -> bool) -> bool {
+        let has_majority =
+            |voters: &[Voter]| voters.iter().filter(|voter| accepts(voter)).count() > voters.len() / 2;
+        let new_majority = has_majority(&self.voters)
             || injected_bugs::is_injected(InjectedBug::OutgoingMajorityOnly)
                 && !self.outgoing_voters.is_empty();
-        new && (self.outgoing_voters.is_empty() || most(&self.outgoing_voters))
+        new_majority && (self.outgoing_voters.is_empty() || has_majority(&self.outgoing_voters))
     }
 
     /// The ids of all voters, sorted, each once.
     pub fn voter_ids(&self) -> Vec<Id> {
         let mut all: Vec<Id> =
-            self.voters.iter().chain(&self.outgoing_voters).map(|w| w.id.clone()).collect();
+            self.voters.iter().chain(&self.outgoing_voters).map(|voter| voter.id.clone()).collect();
         all.sort();
         all.dedup();
         all
     }
 
     /// Whether the node is among the voters or the outgoing voters.
-    pub fn is_voter(&self, who: &str) -> bool {
-        self.voters.iter().chain(&self.outgoing_voters).any(|w| w.id == who)
+    pub fn is_voter(&self, id: &str) -> bool {
+        self.voters.iter().chain(&self.outgoing_voters).any(|voter| voter.id == id)
     }
 }
 
@@ -152,19 +153,19 @@
 /// assert_eq!(few.len(), 3);
 /// assert!(!few.contains(&all[0]));
 /// ```
-pub fn ring_successors(me: &str, all: &[Id], few: usize) -> Vec<Id> {
-    let place = |id: &str| {
+pub fn ring_successors(me: &str, all: &[Id], count: usize) -> Vec<Id> {
+    let position = |id: &str| {
         id.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ b as u64).wrapping_mul(0x100_0000_01b3))
     };
-    let mut ring: Vec<(u64, &Id)> = all.iter().filter(|id| *id != me).map(|id| (place(id), id)).collect();
+    let mut ring: Vec<(u64, &Id)> = all.iter().filter(|id| *id != me).map(|id| (position(id), id)).collect();
     ring.sort_unstable();
     ring.dedup();
-    let mine = place(me);
-    let start = ring.partition_point(|(p, _)| *p < mine);
-    (0..ring.len().min(few)).map(|n| ring[(start + n) % ring.len()].1.clone()).collect()
+    let own_position = position(me);
+    let start = ring.partition_point(|(p, _)| *p < own_position);
+    (0..ring.len().min(count)).map(|n| ring[(start + n) % ring.len()].1.clone()).collect()
 }
 
-/// The smallest majority of so many.
-pub fn majority(seats: usize) -> usize {
-    seats / 2 + 1
+/// The smallest majority of so many voters.
+pub fn majority(voters: usize) -> usize {
+    voters / 2 + 1
 }
--- a/crates/control-plane/consensus/src/messages.rs
+++ b/crates/control-plane/consensus/src/messages.rs
@@ -9,13 +9,13 @@
 /// What kind of write a leader sends to a backup (Raft 5.3, 7).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaWriteKind {
-    /// All of the state, with a sum over it.
+    /// All of the state, with a checksum.
     Snapshot {
         /// The checksum of the writes.
         #[serde(rename = "sum")]
         checksum: u64,
     },
-    /// Nothing, if the backup holds just this number of this epoch.
+    /// No writes; accepted only by a backup that holds exactly this sequence number of this term.
     #[serde(rename = "Join")]
     Probe {
         /// The term that the backup must hold.
@@ -25,7 +25,7 @@
         #[serde(rename = "seq")]
         sequence: u64,
     },
-    /// The change after `seq - 1`.
+    /// The change after sequence number `sequence - 1`.
     #[default]
     #[serde(rename = "Change")]
     Append,
@@ -67,11 +67,11 @@
 
 pub(crate) const REPLICA_WRITE_VERSION: u32 = 1;
 
-/// The sum of a snapshot: what is taken is what was sent, whole.
-pub(crate) fn snapshot_checksum(puts: &[KeyValue]) -> u64 {
+/// The checksum of a snapshot, so that a truncated or altered one is rejected (FNV-1a).
+pub(crate) fn snapshot_checksum(writes: &[KeyValue]) -> u64 {
     let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
     let text = |h: u64, t: &str| mix(t.bytes().fold(h, mix), 0xff);
-    puts.iter().fold(0xcbf2_9ce4_8422_2325, |h, (n, v)| text(text(h, n), v)) >> 12
+    writes.iter().fold(0xcbf2_9ce4_8422_2325, |h, (n, v)| text(text(h, n), v)) >> 12
 }
 
 /// A request between nodes.
