--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -1,146 +1,160 @@
-//! Hard cases of the control side, played step by step on the very core.
-#[path = "model/world.rs"]
+//! Failure scenarios, scripted step by step on the very core.
+#[path = "model/cluster.rs"]
 #[allow(dead_code)]
-mod world;
+mod cluster;
 
-use world::{everything, spans, Rules, Step, Then, Without, World};
+use cluster::{timeouts, Cluster, Delivery, FaultBudget, Isolation, ModelConfig, Step};
+use coppersail_consensus::{LeadershipRecord, Role, Timeouts};
 
-fn rules() -> Rules {
-    Rules { members: 4, first: 3, spans: spans(), slow: 0, swift: true, short: 8, struck: 0xff, pace: [0; 5] }
+fn config() -> ModelConfig {
+    ModelConfig {
+        node_count: 4,
+        initial_voters: 3,
+        timeouts: timeouts(),
+        async_disks: 0,
+        instant_responses: true,
+        time_step: 8,
+        fault_targets: 0xff,
+        clock_drift: [0; 5],
+    }
 }
 
-fn begun(rules: Rules) -> World {
-    let mut world = World::new(rules);
-    world.calm().unwrap();
-    world.rest(60).unwrap();
-    assert_eq!(world.acting(), [0]);
-    world.budget = everything();
-    world
+fn started_cluster(config: ModelConfig) -> Cluster {
+    let mut cluster = Cluster::started(config);
+    cluster.budget = FaultBudget::unlimited();
+    cluster
 }
 
-fn go(world: &mut World, steps: &[Step]) {
+fn apply_all(cluster: &mut Cluster, steps: &[Step]) {
     for step in steps {
-        world.step(step, true).unwrap_or_else(|why| panic!("{why} at {step:?}"));
+        cluster.apply(step).unwrap_or_else(|why| panic!("{why} at {step:?}"));
     }
 }
 
 /// Delivers all that is under way, and leaves the disks alone.
-fn network(world: &mut World) {
+fn deliver_all(cluster: &mut Cluster) {
     for _ in 0..200 {
-        let Some(step) = world.steps().into_iter().find(|s| matches!(s, Step::Deliver(_, Then::Answer)))
+        let Some(step) =
+            cluster.enabled_steps().into_iter().find(|s| matches!(s, Step::Deliver(_, Delivery::Normal)))
         else {
             return;
         };
-        go(world, &[step]);
+        apply_all(cluster, &[step]);
     }
     panic!("messages without end");
 }
 
-const SHORT: Step = Step::Short { keep: None, without: Without::Nobody };
+const ADVANCE: Step = Step::Advance { delayed: None, isolation: Isolation::None };
 
 #[test]
 fn a_backup_whose_earlier_write_fails_after_a_probe_does_not_join() {
-    let mut world = begun(Rules { slow: 0b10, ..rules() });
-    go(&mut world, &[Step::Submit(0)]);
-    network(&mut world);
-    go(&mut world, &[Step::Crash(0, 0), SHORT, Step::Restart(0), SHORT]);
-    network(&mut world);
+    let mut cluster = started_cluster(ModelConfig { async_disks: 0b10, ..config() });
+    apply_all(&mut cluster, &[Step::Propose(0)]);
+    deliver_all(&mut cluster);
+    apply_all(&mut cluster, &[Step::Crash(0, 0), ADVANCE, Step::Restart(0), ADVANCE]);
+    deliver_all(&mut cluster);
     // b has taken the change and the join; the first of the two writes fails.
-    go(&mut world, &[Step::Refuse(1)]);
-    while world.steps().contains(&Step::Confirm(1)) {
-        go(&mut world, &[Step::Confirm(1)]);
+    apply_all(&mut cluster, &[Step::FailWrite(1)]);
+    while cluster.enabled_steps().contains(&Step::CompleteWrite(1)) {
+        apply_all(&mut cluster, &[Step::CompleteWrite(1)]);
     }
-    network(&mut world);
-    assert_eq!(world.nodes[1].state.get("k1"), None);
-    world.rest(100).unwrap();
-    assert_eq!((world.acting(), world.ghost.seen.clone()), (vec![0], vec![1]));
+    deliver_all(&mut cluster);
+    assert_eq!(cluster.nodes[1].state.get("k1"), None);
+    cluster.run_without_faults(100).unwrap();
+    assert_eq!((cluster.lease_holders(), cluster.reference.committed.clone()), (vec![0], vec![1]));
 }
 
 /// Time passes without x until somebody else acts; says after how many steps.
-fn without(world: &mut World, x: usize) -> usize {
+fn fail_over_from(cluster: &mut Cluster, x: usize) -> usize {
     for n in 0..200 {
-        go(world, &[Step::Short { keep: None, without: Without::Asleep(x) }]);
-        while let Some(step) = world.steps().into_iter().find(|s| {
-            matches!(s, Step::Deliver(_, Then::Answer) | Step::Confirm(_)) && world.owner(s) != Some(x)
+        apply_all(cluster, &[Step::Advance { delayed: None, isolation: Isolation::Paused(x) }]);
+        while let Some(step) = cluster.enabled_steps().into_iter().find(|s| {
+            matches!(s, Step::Deliver(_, Delivery::Normal) | Step::CompleteWrite(_))
+                && cluster.node_of(s) != Some(x)
         }) {
-            go(world, &[step]);
+            apply_all(cluster, &[step]);
         }
-        if world.acting().iter().any(|y| *y != x) {
+        if cluster.lease_holders().iter().any(|y| *y != x) {
             return n;
         }
     }
     panic!("nobody takes over from {x}");
 }
 
-fn change(world: &mut World) {
-    let x = world.acting()[0];
-    world.submit(x).unwrap();
-    world.calm().unwrap();
-    assert!(world.ghost.acked.contains(&world.submitted), "change {} is not written", world.submitted);
+fn commit_change(cluster: &mut Cluster) {
+    let x = cluster.lease_holders()[0];
+    cluster.propose(x).unwrap();
+    cluster.run_to_quiescence().unwrap();
+    assert!(
+        cluster.reference.acknowledged.contains(&cluster.last_proposal),
+        "change {} is not written",
+        cluster.last_proposal
+    );
 }
 
-fn record(world: &World) -> coppersail_consensus::LeadershipRecord {
-    let x = world.acting()[0];
-    match &world.core(x).unwrap().role {
-        coppersail_consensus::Role::Leader(record) => record.clone(),
-        coppersail_consensus::Role::Follower => panic!("acts without a record"),
+fn leader_record(cluster: &Cluster) -> LeadershipRecord {
+    let x = cluster.lease_holders()[0];
+    match &cluster.core(x).unwrap().role {
+        Role::Leader(record) => record.clone(),
+        Role::Follower => panic!("acts without a record"),
     }
 }
 
-fn sits(world: &World, id: &str) -> bool {
-    record(world).voters.iter().any(|w| w.id == id)
+fn is_voter(cluster: &Cluster, id: &str) -> bool {
+    leader_record(cluster).voters.iter().any(|w| w.id == id)
 }
 
 #[test]
 fn a_second_leader_lost_right_after_a_failover() {
-    let mut world = begun(rules());
-    change(&mut world);
-    without(&mut world, 0);
-    let next = world.acting()[0];
-    change(&mut world);
+    let mut cluster = started_cluster(config());
+    commit_change(&mut cluster);
+    fail_over_from(&mut cluster, 0);
+    let next = cluster.lease_holders()[0];
+    commit_change(&mut cluster);
     // a is back, and the second one falls silent at once.
-    go(&mut world, &[SHORT]);
-    network(&mut world);
-    without(&mut world, next);
-    change(&mut world);
-    assert_eq!(world.ghost.seen, [1, 2, 3]);
-    assert!(world.ghost.epochs >= 3, "{}", world.ghost.epochs);
+    apply_all(&mut cluster, &[ADVANCE]);
+    deliver_all(&mut cluster);
+    fail_over_from(&mut cluster, next);
+    commit_change(&mut cluster);
+    assert_eq!(cluster.reference.committed, [1, 2, 3]);
+    assert!(cluster.reference.terms >= 3, "{}", cluster.reference.terms);
 }
 
 #[test]
 fn a_leader_frozen_past_its_lease_does_not_commit() {
-    let mut world = begun(Rules { slow: 0b1, ..rules() });
-    go(&mut world, &[Step::Submit(0)]);
-    network(&mut world);
+    let mut cluster = started_cluster(ModelConfig { async_disks: 0b1, ..config() });
+    apply_all(&mut cluster, &[Step::Propose(0)]);
+    deliver_all(&mut cluster);
     // The backup has it and its answer is here; the own disk's answer waits while a sleeps and b takes over.
-    without(&mut world, 0);
-    assert_eq!(world.acting(), [1]);
-    go(&mut world, &[Step::Confirm(0)]);
-    assert!(world.ghost.acked.is_empty(), "b knows nothing of an acknowledgement");
+    fail_over_from(&mut cluster, 0);
+    assert_eq!(cluster.lease_holders(), [1]);
+    apply_all(&mut cluster, &[Step::CompleteWrite(0)]);
+    assert!(cluster.reference.acknowledged.is_empty(), "b knows nothing of an acknowledgement");
     assert_eq!(
-        (world.ghost.seen.clone(), world.acting()),
+        (cluster.reference.committed.clone(), cluster.lease_holders()),
         (vec![1], vec![1]),
         "what b held is in force all the same"
     );
-    world.rest(50).unwrap();
-    change(&mut world);
+    cluster.run_without_faults(50).unwrap();
+    commit_change(&mut cluster);
 }
 
 /// b is down, and a sends a snapshot to the one that is to be its next backup.
-fn while_a_snapshot_runs() -> World {
-    let mut world = begun(rules());
-    change(&mut world);
-    go(&mut world, &[Step::Crash(1, 0)]);
+fn during_a_snapshot() -> Cluster {
+    let mut cluster = started_cluster(config());
+    commit_change(&mut cluster);
+    apply_all(&mut cluster, &[Step::Crash(1, 0)]);
     for _ in 0..100 {
-        go(&mut world, &[SHORT]);
-        let next =
-            |world: &World| world.steps().into_iter().find(|s| matches!(s, Step::Deliver(_, Then::Answer)));
-        while world.under_way("Snapshot") == 0 {
-            let Some(step) = next(&world) else { break };
-            go(&mut world, &[step]);
+        apply_all(&mut cluster, &[ADVANCE]);
+        let next = |cluster: &Cluster| {
+            cluster.enabled_steps().into_iter().find(|s| matches!(s, Step::Deliver(_, Delivery::Normal)))
+        };
+        while cluster.messages_containing("Snapshot") == 0 {
+            let Some(step) = next(&cluster) else { break };
+            apply_all(&mut cluster, &[step]);
         }
-        if world.under_way("Snapshot") > 0 {
-            return world;
+        if cluster.messages_containing("Snapshot") > 0 {
+            return cluster;
         }
     }
     panic!("no snapshot is sent");
@@ -148,129 +162,132 @@
 
 #[test]
 fn the_next_backup_crashes_during_its_snapshot() {
-    let mut world = while_a_snapshot_runs();
-    go(&mut world, &[Step::Crash(2, 0)]);
-    world.rest(100).unwrap();
-    assert!(world.acting().is_empty(), "a is no majority of a, b, c");
-    go(&mut world, &[SHORT, Step::Restart(2)]);
-    world.rest(100).unwrap();
-    change(&mut world);
-    assert_eq!(world.ghost.seen, [1, 2]);
+    let mut cluster = during_a_snapshot();
+    apply_all(&mut cluster, &[Step::Crash(2, 0)]);
+    cluster.run_without_faults(100).unwrap();
+    assert!(cluster.lease_holders().is_empty(), "a is no majority of a, b, c");
+    apply_all(&mut cluster, &[ADVANCE, Step::Restart(2)]);
+    cluster.run_without_faults(100).unwrap();
+    commit_change(&mut cluster);
+    assert_eq!(cluster.reference.committed, [1, 2]);
 }
 
 #[test]
 fn a_voter_loses_its_disk_during_a_snapshot() {
-    let mut world = while_a_snapshot_runs();
-    go(&mut world, &[SHORT, Step::Wipe(1)]);
-    network(&mut world);
-    assert_eq!(world.nodes[1].state.get("k1"), None);
-    world.rest(100).unwrap();
-    change(&mut world);
-    let record = record(&world);
+    let mut cluster = during_a_snapshot();
+    apply_all(&mut cluster, &[ADVANCE, Step::RestartWithEmptyDisk(1)]);
+    deliver_all(&mut cluster);
+    assert_eq!(cluster.nodes[1].state.get("k1"), None);
+    cluster.run_without_faults(100).unwrap();
+    commit_change(&mut cluster);
+    let record = leader_record(&cluster);
     assert!(record.outgoing_voters.is_empty());
     assert!(record.voters.iter().any(|w| w.id == "b" && w.incarnation > 0), "its new life sits: {record:?}");
-    assert_eq!(world.ghost.seen, [1, 2]);
+    assert_eq!(cluster.reference.committed, [1, 2]);
 }
 
 #[test]
 fn a_leader_lost_right_after_an_earlier_loss_was_repaired() {
-    let mut world =
-        begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 60, ..spans() }, ..rules() });
-    change(&mut world);
-    go(&mut world, &[Step::Gone(0)]);
+    let mut cluster =
+        started_cluster(ModelConfig { timeouts: Timeouts { replace_after: 60, ..timeouts() }, ..config() });
+    commit_change(&mut cluster);
+    apply_all(&mut cluster, &[Step::Remove(0)]);
     let mut ticks = 0;
-    while !world.mended() || sits(&world, "a") {
-        world.rest(1).unwrap();
+    while !cluster.is_repaired() || is_voter(&cluster, "a") {
+        cluster.run_without_faults(1).unwrap();
         ticks += 1;
         assert!(ticks < 200, "not repaired");
     }
-    change(&mut world);
-    // Of the three that are left the primary goes as well; the two others are a majority.
-    let primary = world.acting()[0];
-    go(&mut world, &[Step::Gone(primary)]);
-    world.rest(100).unwrap();
-    change(&mut world);
-    assert_eq!(world.ghost.seen, [1, 2, 3]);
+    commit_change(&mut cluster);
+    // Of the three that are left the leader goes as well; the two others are a majority.
+    let leader = cluster.lease_holders()[0];
+    apply_all(&mut cluster, &[Step::Remove(leader)]);
+    cluster.run_without_faults(100).unwrap();
+    commit_change(&mut cluster);
+    assert_eq!(cluster.reference.committed, [1, 2, 3]);
 }
 
 #[test]
 fn all_disks_lost_in_turn_and_then_a_power_failure_of_all_nodes() {
-    let mut world = begun(rules());
-    change(&mut world);
+    let mut cluster = started_cluster(config());
+    commit_change(&mut cluster);
     for x in [1, 0, 2, 3] {
-        go(&mut world, &[Step::Crash(x, 0), SHORT, Step::Wipe(x)]);
+        apply_all(&mut cluster, &[Step::Crash(x, 0), ADVANCE, Step::RestartWithEmptyDisk(x)]);
         let mut ticks = 0;
-        while !world.mended() {
-            world.rest(1).unwrap();
+        while !cluster.is_repaired() {
+            cluster.run_without_faults(1).unwrap();
             ticks += 1;
             assert!(ticks < 300, "not repaired after {x}");
         }
-        world.rest(40).unwrap();
-        change(&mut world);
+        cluster.run_without_faults(40).unwrap();
+        commit_change(&mut cluster);
     }
     for x in 0..4 {
-        go(&mut world, &[Step::Crash(x, 0)]);
+        apply_all(&mut cluster, &[Step::Crash(x, 0)]);
     }
-    go(&mut world, &[SHORT, Step::Restart(0), Step::Restart(1), Step::Restart(2), Step::Restart(3)]);
-    world.rest(100).unwrap();
-    change(&mut world);
-    assert_eq!(world.ghost.seen, [1, 2, 3, 4, 5, 6]);
+    apply_all(
+        &mut cluster,
+        &[ADVANCE, Step::Restart(0), Step::Restart(1), Step::Restart(2), Step::Restart(3)],
+    );
+    cluster.run_without_faults(100).unwrap();
+    commit_change(&mut cluster);
+    assert_eq!(cluster.reference.committed, [1, 2, 3, 4, 5, 6]);
 }
 
 #[test]
 fn a_draining_leader_killed_before_its_transfer_is_complete() {
     for steps in 0..30 {
-        let mut world = begun(rules());
-        change(&mut world);
-        go(&mut world, &[Step::Leave(0)]);
+        let mut cluster = started_cluster(config());
+        commit_change(&mut cluster);
+        apply_all(&mut cluster, &[Step::BeginShutdown(0)]);
         for _ in 0..steps {
-            go(&mut world, &[SHORT]);
-            network(&mut world);
+            apply_all(&mut cluster, &[ADVANCE]);
+            deliver_all(&mut cluster);
         }
-        go(&mut world, &[Step::Gone(0)]);
-        world.rest(150).unwrap();
-        change(&mut world);
-        assert_eq!(world.ghost.seen, [1, 2], "killed after {steps} steps");
+        apply_all(&mut cluster, &[Step::Remove(0)]);
+        cluster.run_without_faults(150).unwrap();
+        commit_change(&mut cluster);
+        assert_eq!(cluster.reference.committed, [1, 2], "killed after {steps} steps");
     }
 }
 
 #[test]
 fn a_draining_leader_hands_over_its_vote_and_its_state_before_it_exits() {
-    let mut world = begun(rules());
-    change(&mut world);
-    go(&mut world, &[Step::Leave(0)]);
+    let mut cluster = started_cluster(config());
+    commit_change(&mut cluster);
+    apply_all(&mut cluster, &[Step::BeginShutdown(0)]);
     let mut ticks = 0;
-    while !world.core(0).unwrap().may_exit(world.clock(0)) {
-        world.rest(1).unwrap();
+    while !cluster.core(0).unwrap().may_exit(cluster.clock(0)) {
+        cluster.run_without_faults(1).unwrap();
         ticks += 1;
         assert!(ticks < 100, "never lets go");
     }
     assert!(ticks < 60, "{ticks}: not by the time that it has to hand over");
-    let record = record(&world);
+    let record = leader_record(&cluster);
     assert!(!record.is_replica("a") && !record.is_voter("a"), "{record:?}");
-    go(&mut world, &[Step::Gone(0)]);
-    change(&mut world);
+    apply_all(&mut cluster, &[Step::Remove(0)]);
+    commit_change(&mut cluster);
 }
 
 #[test]
 fn a_replaced_node_back_with_its_old_disk_does_not_lead() {
-    let mut world =
-        begun(Rules { spans: coppersail_consensus::Timeouts { replace_after: 40, ..spans() }, ..rules() });
-    change(&mut world);
-    go(&mut world, &[Step::Crash(0, 0)]);
-    world.rest(100).unwrap();
-    assert!(!sits(&world, "a"));
+    let mut cluster =
+        started_cluster(ModelConfig { timeouts: Timeouts { replace_after: 40, ..timeouts() }, ..config() });
+    commit_change(&mut cluster);
+    apply_all(&mut cluster, &[Step::Crash(0, 0)]);
+    cluster.run_without_faults(100).unwrap();
+    assert!(!is_voter(&cluster, "a"));
     for _ in 0..3 {
-        change(&mut world);
+        commit_change(&mut cluster);
     }
     // It stood first in the record that it knows, and asks nobody's pardon.
-    go(&mut world, &[Step::Restart(0)]);
+    apply_all(&mut cluster, &[Step::Restart(0)]);
     for _ in 0..20 {
-        go(&mut world, &[SHORT]);
-        network(&mut world);
-        assert_ne!(world.acting(), [0]);
+        apply_all(&mut cluster, &[ADVANCE]);
+        deliver_all(&mut cluster);
+        assert_ne!(cluster.lease_holders(), [0]);
     }
-    world.rest(50).unwrap();
-    change(&mut world);
-    assert_eq!(world.ghost.seen, [1, 2, 3, 4, 5]);
+    cluster.run_without_faults(50).unwrap();
+    commit_change(&mut cluster);
+    assert_eq!(cluster.reference.committed, [1, 2, 3, 4, 5]);
 }
--- /dev/null
+++ b/crates/control-plane/consensus/tests/model/disk.rs
@@ -0,0 +1,90 @@
+//! Starts and crashes of nodes, and their disks.
+use super::state::{incarnation, QueuedWrite, NAMES};
+use super::Cluster;
+use coppersail_consensus::{Core, InitialState, Voter, VoterState};
+use std::sync::Arc;
+
+impl Cluster {
+    /// Starts the process of a node; `bootstrap`: it may create the first record if its disk is empty.
+    pub(super) fn start_node(&mut self, index: usize, bootstrap: bool) -> Result<(), String> {
+        let (now, config) = (self.clock(index), self.config.clone());
+        let node = self.node_mut(index);
+        let initial = InitialState {
+            id: NAMES[index].into(),
+            zone: "z".into(),
+            timeouts: config.timeouts,
+            peers: NAMES[..config.initial_voters].iter().map(|name| name.to_string()).collect(),
+            bootstrap: bootstrap && node.metadata.is_empty(),
+            state: node.state.clone(),
+            metadata: node.metadata.clone(),
+            new_incarnation: incarnation(index, node.lost_disks, config.initial_voters),
+        };
+        node.boot_count += 1;
+        let may_have_granted_lease = node.boot_count > 1 && !node.metadata.is_empty();
+        let mut out = Vec::new();
+        node.core = Some(Core::start(now, initial, &mut out));
+        if may_have_granted_lease {
+            self.lease_ends.insert(index, self.now + config.timeouts.lease);
+        }
+        self.carry_out(index, out)
+    }
+
+    /// Completes writes that are no steps of their own: all of a synchronous disk, else those that are hints only.
+    pub(super) fn complete_implicit_writes(&mut self, node: usize) -> Result<(), String> {
+        let is_async = self.config.async_disks >> node & 1 == 1;
+        while let Some(write) = self.nodes[node].queued_writes.front() {
+            if is_async && !write.is_hint() {
+                break;
+            }
+            self.complete_write(node, true)?;
+        }
+        Ok(())
+    }
+
+    /// The oldest queued write of a node completes or fails.
+    pub(super) fn complete_write(&mut self, node: usize, succeeds: bool) -> Result<(), String> {
+        let Some(write) = self.node_mut(node).queued_writes.pop_front() else { return Ok(()) };
+        let operation_id = write.operation_id;
+        if succeeds {
+            self.store(node, write)?;
+        }
+        self.run_core(node, |core, now, out| core.handle_write_result(now, operation_id, succeeds, out))
+    }
+
+    fn store(&mut self, index: usize, write: QueuedWrite) -> Result<(), String> {
+        let (initial_voters, node) = (self.config.initial_voters, self.node_mut(index));
+        let voter = Voter::new(NAMES[index], incarnation(index, node.lost_disks, initial_voters));
+        if write.replace {
+            node.state.clear();
+        }
+        node.state.extend(write.state);
+        node.state.retain(|_, value| !value.is_empty());
+        let voter_state =
+            write.metadata.iter().find(|(name, _)| name == "witness").map(|(_, text)| text.clone());
+        node.metadata.extend(write.metadata);
+        let Some(voter_state) = voter_state else { return Ok(()) };
+        let record = serde_json::from_str::<VoterState>(&voter_state).unwrap().record;
+        if record.voters.is_empty() || self.reference.has_accepted(&record.term, &voter) {
+            return Ok(());
+        }
+        Arc::make_mut(&mut self.reference).note_accepted(record, voter)
+    }
+
+    /// A node crashes; its oldest `kept_writes` queued writes are on the disk all the same.
+    pub(super) fn crash(&mut self, index: usize, kept_writes: usize) -> Result<(), String> {
+        for _ in 0..kept_writes {
+            if let Some(write) = self.node_mut(index).queued_writes.pop_front() {
+                self.store(index, write)?;
+            }
+        }
+        let node = self.node_mut(index);
+        node.core = None;
+        node.queued_writes.clear();
+        node.call_deadlines.clear();
+        // Its requests to others are still under way; nobody waits for responses to it.
+        self.network.retain(|(_, message)| {
+            message.late || message.from != index || message.is_request() && message.to != index
+        });
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/control-plane/consensus/tests/model/reference.rs
@@ -0,0 +1,90 @@
+//! The reference state: what an observer of all nodes has seen, against which the invariants are checked.
+//!
+//! It counts quorums by itself, so that the code under test is not its own oracle.
+use coppersail_consensus::{LeadershipRecord, Term, Voter};
+use std::collections::{BTreeMap, BTreeSet};
+
+/// What an observer of all nodes knows. The order of the fields is part of the fingerprint of a state.
+#[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
+pub(crate) struct ReferenceState {
+    /// By term: the record, and the disks that ever accepted it.
+    accepted: BTreeMap<Term, (LeadershipRecord, BTreeSet<Voter>)>,
+    /// Changes that were acknowledged or could be read, in their order.
+    pub(crate) committed: Vec<u64>,
+    pub(crate) acknowledged: BTreeSet<u64>,
+    /// The highest term in which a leader held the lease.
+    pub(crate) highest_term: Term,
+    /// In how many terms a leader held the lease.
+    pub(crate) terms: usize,
+    /// How many memberships were chosen.
+    pub(crate) memberships: usize,
+}
+
+fn is_majority(voters: &[Voter], accepted_by: &BTreeSet<Voter>) -> bool {
+    2 * voters.iter().filter(|voter| accepted_by.contains(voter)).count() > voters.len()
+}
+
+fn is_quorum(record: &LeadershipRecord, accepted_by: &BTreeSet<Voter>) -> bool {
+    is_majority(&record.voters, accepted_by)
+        && (record.outgoing_voters.is_empty() || is_majority(&record.outgoing_voters, accepted_by))
+}
+
+/// Whether one membership may follow another: the same, the end of a joint configuration, or the begin of one that
+/// replaces or adds at most one voter.
+fn may_follow(old: &LeadershipRecord, new: &LeadershipRecord) -> bool {
+    let is_same = old.voters == new.voters && old.outgoing_voters == new.outgoing_voters;
+    let ends_joint =
+        !old.outgoing_voters.is_empty() && new.outgoing_voters.is_empty() && old.voters == new.voters;
+    let begins_joint = old.outgoing_voters.is_empty() && new.outgoing_voters == old.voters;
+    let removed = old.voters.iter().filter(|voter| !new.voters.contains(voter)).count();
+    let added = new.voters.iter().filter(|voter| !old.voters.contains(voter)).count();
+    is_same || ends_joint || begins_joint && removed <= added && added <= 1
+}
+
+impl ReferenceState {
+    /// Whether this disk is known to have accepted the record of the term.
+    pub(super) fn has_accepted(&self, term: &Term, voter: &Voter) -> bool {
+        self.accepted.get(term).is_some_and(|(_, accepted_by)| accepted_by.contains(voter))
+    }
+
+    /// Notes that a disk has accepted a record. Invariants: one record a term, and each chosen membership follows from
+    /// the one before.
+    pub(super) fn note_accepted(&mut self, record: LeadershipRecord, voter: Voter) -> Result<(), String> {
+        if self.accepted.get(&record.term).is_some_and(|(known, _)| *known != record) {
+            return Err(format!("two records of term {:?}", record.term));
+        }
+        let (record, accepted_by) =
+            self.accepted.entry(record.term.clone()).or_insert_with(|| (record, BTreeSet::new()));
+        accepted_by.insert(voter);
+        if is_quorum(record, accepted_by) {
+            self.memberships = self.count_memberships()?;
+        }
+        Ok(())
+    }
+
+    /// Whether a quorum of the record's voters has accepted exactly this record.
+    pub(super) fn is_chosen(&self, record: &LeadershipRecord) -> bool {
+        self.accepted
+            .get(&record.term)
+            .is_some_and(|(known, accepted_by)| known == record && is_quorum(record, accepted_by))
+    }
+
+    fn count_memberships(&self) -> Result<usize, String> {
+        let chosen: Vec<&LeadershipRecord> = self
+            .accepted
+            .values()
+            .filter(|(record, accepted_by)| is_quorum(record, accepted_by))
+            .map(|(record, _)| record)
+            .collect();
+        for pair in chosen.windows(2) {
+            let (old, new) = (pair[0], pair[1]);
+            if !may_follow(old, new) {
+                return Err(format!("a membership that does not follow: {old:?} then {new:?}"));
+            }
+        }
+        let differ = |pair: &&[&LeadershipRecord]| {
+            pair[0].voters != pair[1].voters || pair[0].outgoing_voters != pair[1].outgoing_voters
+        };
+        Ok(1 + chosen.windows(2).filter(differ).count())
+    }
+}
--- a/crates/control-plane/consensus/tests/model/search.rs
+++ b/crates/control-plane/consensus/tests/model/search.rs
@@ -1,6 +1,7 @@
-//! All states that can be reached, on four threads: level by level while there is room, which gives a shortest way to
-//! what breaks a claim, then each of the last level in depth. What was visited is known by a sum of 64 bits.
-use super::world::{Path, World};
+//! Exhaustive search of the reachable states, on four threads: breadth-first while a level fits into memory, which
+//! gives a shortest trace to a violation, then depth-first from each state of the last level. Visited states are known
+//! by a fingerprint of 64 bits.
+use super::cluster::{Cluster, TraceStep};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -8,163 +9,213 @@
 
 const THREADS: usize = 4;
 const SHARDS: usize = 256;
-/// So many whole states of a level are kept in memory.
-const WIDE: usize = 60_000;
+/// The widest level, in states, that is kept in memory.
+const MAX_LEVEL: usize = 60_000;
+/// How many states a thread takes from the queue at once.
+const CHUNK: usize = 16;
+/// Liveness: within so many ticks without a fault the cluster serves again.
+const MAX_RECOVERY_TICKS: usize = 400;
 
+/// A state and its depth.
+type Node = (Cluster, usize);
+
+/// An invariant that does not hold, and the trace that leads there.
+#[derive(Debug)]
+pub(crate) struct Violation {
+    pub(crate) reason: String,
+    pub(crate) steps: usize,
+    pub(crate) trace: String,
+}
+
+/// What a search has found.
 #[derive(Debug, Default)]
-pub(crate) struct Found {
+pub(crate) struct SearchResult {
     pub(crate) states: usize,
     pub(crate) steps: usize,
     pub(crate) depth: usize,
-    pub(crate) ends: usize,
-    pub(crate) slowest: usize,
-    /// The most that any state has seen: epochs in which somebody acted, chosen groups, acknowledged changes.
-    pub(crate) epochs: usize,
-    pub(crate) groups: usize,
-    pub(crate) acked: usize,
-    pub(crate) broken: Option<(String, usize, String)>,
-    pub(crate) whole: bool,
+    /// How many states were checked for liveness, and the most ticks that one needed.
+    pub(crate) liveness_checks: usize,
+    pub(crate) slowest_recovery: usize,
+    /// The most that any state has seen: terms with a lease holder, chosen memberships, acknowledged changes.
+    pub(crate) terms: usize,
+    pub(crate) memberships: usize,
+    pub(crate) acknowledged: usize,
+    pub(crate) violation: Option<Violation>,
+    /// All reachable states were visited: neither the limit nor a violation ended the search.
+    pub(crate) exhausted: bool,
     pub(crate) seconds: f64,
 }
 
-pub(crate) fn tell(path: &Option<Arc<Path>>) -> (usize, String) {
-    let (mut lines, mut at) = (Vec::new(), path.as_ref());
-    while let Some(path) = at {
-        lines.push(path.story());
-        at = path.before.as_ref();
+/// The number of steps of a trace, and their text, a line a step.
+pub(crate) fn describe_trace(last: &Option<Arc<TraceStep>>) -> (usize, String) {
+    let (mut lines, mut current) = (Vec::new(), last.as_ref());
+    while let Some(step) = current {
+        lines.push(step.describe());
+        current = step.previous.as_ref();
     }
     lines.reverse();
     (lines.len(), lines.join("\n"))
 }
 
+/// What the threads of a search share.
 struct Search<'a> {
     visited: Vec<Mutex<HashSet<u64>>>,
     states: AtomicUsize,
     steps: AtomicUsize,
     depth: AtomicUsize,
-    ends: AtomicUsize,
-    slowest: AtomicUsize,
-    epochs: AtomicUsize,
-    groups: AtomicUsize,
-    acked: AtomicUsize,
-    stop: AtomicBool,
-    broken: Mutex<Option<(String, Option<Arc<Path>>)>>,
-    limit: usize,
-    every: u64,
-    set: &'a (dyn Fn() + Sync),
+    liveness_checks: AtomicUsize,
+    slowest_recovery: AtomicUsize,
+    terms: AtomicUsize,
+    memberships: AtomicUsize,
+    acknowledged: AtomicUsize,
+    stopped: AtomicBool,
+    violation: Mutex<Option<(String, Option<Arc<TraceStep>>)>>,
+    max_states: usize,
+    liveness_sampling: u64,
+    init_thread: &'a (dyn Fn() + Sync),
 }
 
-impl Search<'_> {
-    fn next(&self, world: &World, depth: usize, into: &mut Vec<(World, usize)>) {
-        for step in world.steps() {
-            let mut then = world.clone();
-            let mut outcome = then.step(&step, true);
+impl<'a> Search<'a> {
+    fn new(max_states: usize, liveness_sampling: u64, init_thread: &'a (dyn Fn() + Sync)) -> Search<'a> {
+        Search {
+            visited: (0..SHARDS).map(|_| Mutex::default()).collect(),
+            states: AtomicUsize::new(1),
+            steps: AtomicUsize::default(),
+            depth: AtomicUsize::default(),
+            liveness_checks: AtomicUsize::default(),
+            slowest_recovery: AtomicUsize::default(),
+            terms: AtomicUsize::default(),
+            memberships: AtomicUsize::default(),
+            acknowledged: AtomicUsize::default(),
+            stopped: AtomicBool::default(),
+            violation: Mutex::default(),
+            max_states,
+            liveness_sampling,
+            init_thread,
+        }
+    }
+
+    fn is_stopped(&self) -> bool {
+        self.stopped.load(Ordering::Relaxed)
+    }
+
+    /// Adds the states that follow directly and were not visited yet.
+    fn expand(&self, cluster: &Cluster, depth: usize, successors: &mut Vec<Node>) {
+        for step in cluster.enabled_steps() {
+            let mut next = cluster.clone();
+            let mut outcome = next.apply(&step);
             self.steps.fetch_add(1, Ordering::Relaxed);
             if outcome.is_ok() {
-                let sum = then.sum();
-                if !self.visited[sum as usize % SHARDS].lock().unwrap().insert(sum) {
+                let fingerprint = next.fingerprint();
+                if !self.visited[fingerprint as usize % SHARDS].lock().unwrap().insert(fingerprint) {
                     continue;
                 }
-                if self.states.fetch_add(1, Ordering::Relaxed) > self.limit {
-                    self.stop.store(true, Ordering::Relaxed);
-                }
-                self.depth.fetch_max(depth + 1, Ordering::Relaxed);
-                self.epochs.fetch_max(then.ghost.epochs, Ordering::Relaxed);
-                self.groups.fetch_max(then.ghost.groups, Ordering::Relaxed);
-                self.acked.fetch_max(then.ghost.acked.len(), Ordering::Relaxed);
-                if self.every > 0 && (sum / SHARDS as u64).is_multiple_of(self.every) {
-                    self.ends.fetch_add(1, Ordering::Relaxed);
-                    match then.good_end(400) {
-                        Ok(ticks) => drop(self.slowest.fetch_max(ticks, Ordering::Relaxed)),
-                        Err(why) => outcome = Err(why),
-                    }
-                }
+                self.count_state(&next, depth + 1);
+                outcome = self.check_liveness_if_sampled(&next, fingerprint);
             }
             match outcome {
-                Ok(()) => into.push((then, depth + 1)),
-                Err(why) => {
-                    self.broken.lock().unwrap().get_or_insert((why, then.path.clone()));
-                    self.stop.store(true, Ordering::Relaxed);
+                Ok(()) => successors.push((next, depth + 1)),
+                Err(reason) => {
+                    self.violation.lock().unwrap().get_or_insert((reason, next.trace.clone()));
+                    self.stopped.store(true, Ordering::Relaxed);
                 }
             }
         }
     }
 
-    /// Goes on from all of these; `deep`: to the end.
-    fn level(&self, level: Vec<(World, usize)>, deep: bool) -> Vec<(World, usize)> {
+    fn count_state(&self, cluster: &Cluster, depth: usize) {
+        if self.states.fetch_add(1, Ordering::Relaxed) > self.max_states {
+            self.stopped.store(true, Ordering::Relaxed);
+        }
+        let reference = &cluster.reference;
+        self.depth.fetch_max(depth, Ordering::Relaxed);
+        self.terms.fetch_max(reference.terms, Ordering::Relaxed);
+        self.memberships.fetch_max(reference.memberships, Ordering::Relaxed);
+        self.acknowledged.fetch_max(reference.acknowledged.len(), Ordering::Relaxed);
+    }
+
+    fn check_liveness_if_sampled(&self, cluster: &Cluster, fingerprint: u64) -> Result<(), String> {
+        let sampling = self.liveness_sampling;
+        if sampling > 0 && (fingerprint / SHARDS as u64).is_multiple_of(sampling) {
+            self.liveness_checks.fetch_add(1, Ordering::Relaxed);
+            let ticks = cluster.check_liveness(MAX_RECOVERY_TICKS)?;
+            self.slowest_recovery.fetch_max(ticks, Ordering::Relaxed);
+        }
+        Ok(())
+    }
+
+    /// Expands all states of a level on all threads. Returns the next level; depth-first there is none left.
+    fn explore(&self, level: Vec<Node>, depth_first: bool) -> Vec<Node> {
         let queue = Mutex::new(level);
-        let work = || {
-            (self.set)();
-            let mut mine: Vec<(World, usize)> = Vec::new();
-            loop {
-                let some: Vec<(World, usize)> = {
-                    let mut queue = queue.lock().unwrap();
-                    let from = queue.len().saturating_sub(16);
-                    queue.drain(from..).collect()
-                };
-                if some.is_empty() || deep && self.stop.load(Ordering::Relaxed) {
-                    return mine;
-                }
-                for (world, depth) in some {
-                    self.next(&world, depth, &mut mine);
-                    while let Some((world, depth)) = if deep { mine.pop() } else { None } {
-                        if self.stop.load(Ordering::Relaxed) {
-                            return mine;
-                        }
-                        self.next(&world, depth, &mut mine);
-                    }
-                }
-            }
-        };
         std::thread::scope(|scope| {
+            let work = || self.explore_from(&queue, depth_first);
             let threads: Vec<_> = (0..THREADS).map(|_| scope.spawn(work)).collect();
-            threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
+            threads.into_iter().flat_map(|thread| thread.join().unwrap()).collect()
         })
     }
+
+    fn explore_from(&self, queue: &Mutex<Vec<Node>>, depth_first: bool) -> Vec<Node> {
+        (self.init_thread)();
+        let mut successors: Vec<Node> = Vec::new();
+        loop {
+            let chunk: Vec<Node> = {
+                let mut queue = queue.lock().unwrap();
+                let start = queue.len().saturating_sub(CHUNK);
+                queue.drain(start..).collect()
+            };
+            if chunk.is_empty() || depth_first && self.is_stopped() {
+                return successors;
+            }
+            for (cluster, depth) in chunk {
+                self.expand(&cluster, depth, &mut successors);
+                while let Some((cluster, depth)) = if depth_first { successors.pop() } else { None } {
+                    if self.is_stopped() {
+                        return successors;
+                    }
+                    self.expand(&cluster, depth, &mut successors);
+                }
+            }
+        }
+    }
+
+    fn into_result(self, seconds: f64) -> SearchResult {
+        let violation = self.violation.into_inner().unwrap().map(|(reason, last)| {
+            let (steps, trace) = describe_trace(&last);
+            Violation { reason, steps, trace }
+        });
+        SearchResult {
+            states: self.states.into_inner(),
+            steps: self.steps.into_inner(),
+            depth: self.depth.into_inner(),
+            liveness_checks: self.liveness_checks.into_inner(),
+            slowest_recovery: self.slowest_recovery.into_inner(),
+            terms: self.terms.into_inner(),
+            memberships: self.memberships.into_inner(),
+            acknowledged: self.acknowledged.into_inner(),
+            exhausted: !self.stopped.into_inner(),
+            seconds,
+            violation,
+        }
+    }
 }
 
-/// `set` is done first in each thread. One state of `every` is played to its good end.
-pub(crate) fn search(start: World, limit: usize, every: u64, set: &(dyn Fn() + Sync)) -> Found {
-    let began = Instant::now();
-    let all = Search {
-        visited: (0..SHARDS).map(|_| Mutex::default()).collect(),
-        states: AtomicUsize::new(1),
-        steps: AtomicUsize::default(),
-        depth: AtomicUsize::default(),
-        ends: AtomicUsize::default(),
-        slowest: AtomicUsize::default(),
-        epochs: AtomicUsize::default(),
-        groups: AtomicUsize::default(),
-        acked: AtomicUsize::default(),
-        stop: AtomicBool::default(),
-        broken: Mutex::default(),
-        limit,
-        every,
-        set,
-    };
+/// Searches all states that can be reached from `start`, at most about `max_states`. `init_thread` runs first in each
+/// thread. One state of `liveness_sampling` is checked for liveness; 0: none.
+pub(crate) fn search(
+    start: Cluster,
+    max_states: usize,
+    liveness_sampling: u64,
+    init_thread: &(dyn Fn() + Sync),
+) -> SearchResult {
+    let started_at = Instant::now();
+    let search = Search::new(max_states, liveness_sampling, init_thread);
     let mut level = vec![(start, 0)];
-    while !level.is_empty() && !all.stop.load(Ordering::Relaxed) {
-        let deep = level.len() > WIDE;
-        level = all.level(level, deep);
-        if deep {
+    while !level.is_empty() && !search.is_stopped() {
+        let depth_first = level.len() > MAX_LEVEL;
+        level = search.explore(level, depth_first);
+        if depth_first {
             break;
         }
     }
-    let broken = all.broken.into_inner().unwrap().map(|(why, path)| {
-        let (steps, story) = tell(&path);
-        (why, steps, story)
-    });
-    Found {
-        states: all.states.into_inner(),
-        steps: all.steps.into_inner(),
-        depth: all.depth.into_inner(),
-        ends: all.ends.into_inner(),
-        slowest: all.slowest.into_inner(),
-        epochs: all.epochs.into_inner(),
-        groups: all.groups.into_inner(),
-        acked: all.acked.into_inner(),
-        whole: !all.stop.into_inner(),
-        seconds: began.elapsed().as_secs_f64(),
-        broken,
-    }
+    search.into_result(started_at.elapsed().as_secs_f64())
 }
