--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -27,11 +27,11 @@
 
 fn apply_all(cluster: &mut Cluster, steps: &[Step]) {
     for step in steps {
-        cluster.apply(step).unwrap_or_else(|why| panic!("{why} at {step:?}"));
+        cluster.apply(step).unwrap_or_else(|reason| panic!("{reason} at {step:?}"));
     }
 }
 
-/// Delivers all that is under way, and leaves the disks alone.
+/// Delivers all messages; queued disk writes stay queued.
 fn deliver_all(cluster: &mut Cluster) {
     for _ in 0..200 {
         let Some(step) =
@@ -41,7 +41,7 @@
         };
         apply_all(cluster, &[step]);
     }
-    panic!("messages without end");
+    panic!("the cores never stop sending");
 }
 
 const ADVANCE: Step = Step::Advance { delayed: None, isolation: Isolation::None };
@@ -53,7 +53,7 @@
     deliver_all(&mut cluster);
     apply_all(&mut cluster, &[Step::Crash(0, 0), ADVANCE, Step::Restart(0), ADVANCE]);
     deliver_all(&mut cluster);
-    // b has taken the change and the join; the first of the two writes fails.
+    // b has queued the writes of the append and of the probe; the first of them fails.
     apply_all(&mut cluster, &[Step::FailWrite(1)]);
     while cluster.enabled_steps().contains(&Step::CompleteWrite(1)) {
         apply_all(&mut cluster, &[Step::CompleteWrite(1)]);
@@ -64,44 +64,44 @@
     assert_eq!((cluster.lease_holders(), cluster.reference.committed.clone()), (vec![0], vec![1]));
 }
 
-/// Time passes without x until somebody else acts; says after how many steps.
-fn fail_over_from(cluster: &mut Cluster, x: usize) -> usize {
-    for n in 0..200 {
-        apply_all(cluster, &[Step::Advance { delayed: None, isolation: Isolation::Paused(x) }]);
+/// Time passes with a node paused until another one leads.
+fn fail_over_from(cluster: &mut Cluster, paused: usize) {
+    for _ in 0..200 {
+        apply_all(cluster, &[Step::Advance { delayed: None, isolation: Isolation::Paused(paused) }]);
         while let Some(step) = cluster.enabled_steps().into_iter().find(|s| {
             matches!(s, Step::Deliver(_, Delivery::Normal) | Step::CompleteWrite(_))
-                && cluster.node_of(s) != Some(x)
+                && cluster.node_of(s) != Some(paused)
         }) {
             apply_all(cluster, &[step]);
         }
-        if cluster.lease_holders().iter().any(|y| *y != x) {
-            return n;
+        if cluster.lease_holders().iter().any(|leader| *leader != paused) {
+            return;
         }
     }
-    panic!("nobody takes over from {x}");
+    panic!("nobody takes over from {paused}");
 }
 
 fn commit_change(cluster: &mut Cluster) {
-    let x = cluster.lease_holders()[0];
-    cluster.propose(x).unwrap();
+    let leader = cluster.lease_holders()[0];
+    cluster.propose(leader).unwrap();
     cluster.run_to_quiescence().unwrap();
     assert!(
         cluster.reference.acknowledged.contains(&cluster.last_proposal),
-        "change {} is not written",
+        "change {} is not committed",
         cluster.last_proposal
     );
 }
 
 fn leader_record(cluster: &Cluster) -> LeadershipRecord {
-    let x = cluster.lease_holders()[0];
-    match &cluster.core(x).unwrap().role {
+    let leader = cluster.lease_holders()[0];
+    match &cluster.core(leader).unwrap().role {
         Role::Leader(record) => record.clone(),
-        Role::Follower => panic!("acts without a record"),
+        Role::Follower => panic!("a lease holder that is no leader"),
     }
 }
 
 fn is_voter(cluster: &Cluster, id: &str) -> bool {
-    leader_record(cluster).voters.iter().any(|w| w.id == id)
+    leader_record(cluster).voters.iter().any(|voter| voter.id == id)
 }
 
 #[test]
@@ -111,7 +111,7 @@
     fail_over_from(&mut cluster, 0);
     let next = cluster.lease_holders()[0];
     commit_change(&mut cluster);
-    // a is back, and the second one falls silent at once.
+    // a is back, and the second leader is paused at once.
     apply_all(&mut cluster, &[ADVANCE]);
     deliver_all(&mut cluster);
     fail_over_from(&mut cluster, next);
@@ -125,21 +125,21 @@
     let mut cluster = started_cluster(ModelConfig { async_disks: 0b1, ..config() });
     apply_all(&mut cluster, &[Step::Propose(0)]);
     deliver_all(&mut cluster);
-    // The backup has it and its answer is here; the own disk's answer waits while a sleeps and b takes over.
+    // The backup has acknowledged the append; a's own write is queued while a is paused and b takes over.
     fail_over_from(&mut cluster, 0);
     assert_eq!(cluster.lease_holders(), [1]);
     apply_all(&mut cluster, &[Step::CompleteWrite(0)]);
-    assert!(cluster.reference.acknowledged.is_empty(), "b knows nothing of an acknowledgement");
+    assert!(cluster.reference.acknowledged.is_empty(), "a has lost its lease before its write completed");
     assert_eq!(
         (cluster.reference.committed.clone(), cluster.lease_holders()),
         (vec![1], vec![1]),
-        "what b held is in force all the same"
+        "b commits what it has on its disk"
     );
     cluster.run_without_faults(50).unwrap();
     commit_change(&mut cluster);
 }
 
-/// b is down, and a sends a snapshot to the one that is to be its next backup.
+/// b is down, and a sends a snapshot to its next backup.
 fn during_a_snapshot() -> Cluster {
     let mut cluster = started_cluster(config());
     commit_change(&mut cluster);
@@ -165,7 +165,7 @@
     let mut cluster = during_a_snapshot();
     apply_all(&mut cluster, &[Step::Crash(2, 0)]);
     cluster.run_without_faults(100).unwrap();
-    assert!(cluster.lease_holders().is_empty(), "a is no majority of a, b, c");
+    assert!(cluster.lease_holders().is_empty(), "a alone is no quorum of a, b, c");
     apply_all(&mut cluster, &[ADVANCE, Step::Restart(2)]);
     cluster.run_without_faults(100).unwrap();
     commit_change(&mut cluster);
@@ -182,7 +182,10 @@
     commit_change(&mut cluster);
     let record = leader_record(&cluster);
     assert!(record.outgoing_voters.is_empty());
-    assert!(record.voters.iter().any(|w| w.id == "b" && w.incarnation > 0), "its new life sits: {record:?}");
+    assert!(
+        record.voters.iter().any(|voter| voter.id == "b" && voter.incarnation > 0),
+        "b votes with its new disk: {record:?}"
+    );
     assert_eq!(cluster.reference.committed, [1, 2]);
 }
 
@@ -199,7 +202,7 @@
         assert!(ticks < 200, "not repaired");
     }
     commit_change(&mut cluster);
-    // Of the three that are left the leader goes as well; the two others are a majority.
+    // The leader of the three nodes that are left is lost as well; the two others are a quorum.
     let leader = cluster.lease_holders()[0];
     apply_all(&mut cluster, &[Step::Remove(leader)]);
     cluster.run_without_faults(100).unwrap();
@@ -211,19 +214,19 @@
 fn all_disks_lost_in_turn_and_then_a_power_failure_of_all_nodes() {
     let mut cluster = started_cluster(config());
     commit_change(&mut cluster);
-    for x in [1, 0, 2, 3] {
-        apply_all(&mut cluster, &[Step::Crash(x, 0), ADVANCE, Step::RestartWithEmptyDisk(x)]);
+    for node in [1, 0, 2, 3] {
+        apply_all(&mut cluster, &[Step::Crash(node, 0), ADVANCE, Step::RestartWithEmptyDisk(node)]);
         let mut ticks = 0;
         while !cluster.is_repaired() {
             cluster.run_without_faults(1).unwrap();
             ticks += 1;
-            assert!(ticks < 300, "not repaired after {x}");
+            assert!(ticks < 300, "not repaired after {node}");
         }
         cluster.run_without_faults(40).unwrap();
         commit_change(&mut cluster);
     }
-    for x in 0..4 {
-        apply_all(&mut cluster, &[Step::Crash(x, 0)]);
+    for node in 0..4 {
+        apply_all(&mut cluster, &[Step::Crash(node, 0)]);
     }
     apply_all(
         &mut cluster,
@@ -260,9 +263,9 @@
     while !cluster.core(0).unwrap().may_exit(cluster.clock(0)) {
         cluster.run_without_faults(1).unwrap();
         ticks += 1;
-        assert!(ticks < 100, "never lets go");
+        assert!(ticks < 100, "may never exit");
     }
-    assert!(ticks < 60, "{ticks}: not by the time that it has to hand over");
+    assert!(ticks < 60, "{ticks}: only when the grace period is over");
     let record = leader_record(&cluster);
     assert!(!record.is_replica("a") && !record.is_voter("a"), "{record:?}");
     apply_all(&mut cluster, &[Step::Remove(0)]);
@@ -280,7 +283,7 @@
     for _ in 0..3 {
         commit_change(&mut cluster);
     }
-    // It stood first in the record that it knows, and asks nobody's pardon.
+    // It was the leader in the newest record that it knows.
     apply_all(&mut cluster, &[Step::Restart(0)]);
     for _ in 0..20 {
         apply_all(&mut cluster, &[ADVANCE]);
--- a/crates/control-plane/consensus/tests/wire_format.rs
+++ b/crates/control-plane/consensus/tests/wire_format.rs
@@ -1,4 +1,4 @@
-//! The bytes of messages between members, and of what a member keeps on its own disk. These bytes are read by builds of
+//! The bytes of messages between nodes, and of what a node has on its disk. These bytes are read by builds of
 //! other versions; a change here breaks rolling upgrades or stored data.
 use coppersail_consensus::{
     Change, Core, InitialState, KeyValue, LeadershipRecord, Output, PeerStatus, Rejection, ReplicaWrite,
@@ -22,7 +22,7 @@
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-fn put(name: &str, value: &str) -> (String, String) {
+fn entry(name: &str, value: &str) -> (String, String) {
     (name.into(), value.into())
 }
 
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn a_ballot_a_witness_and_a_record_keep_their_bytes() {
+fn term_voter_and_leadership_record_keep_their_bytes() {
     assert_text(Term::new(7, "a:1"), r#"{"n":7,"by":"a:1"}"#);
     assert_text(Term::default(), r#"{"n":0,"by":""}"#);
     assert_text(Voter::new("a:1", 3), r#"{"id":"a:1","life":3}"#);
@@ -57,61 +57,61 @@
 }
 
 #[test]
-fn a_record_of_a_group_that_changes_keeps_its_bytes() {
-    let changes = LeadershipRecord {
+fn a_joint_configuration_keeps_its_bytes() {
+    let joint = LeadershipRecord {
         voters: vec![Voter::new("c:1", 5)],
         outgoing_voters: vec![Voter::new("a:1", 0)],
         ..record()
     };
     assert_text(
-        changes,
+        joint,
         r#"{"epoch":{"n":7,"by":"a:1"},"primary":"a:1","backups":["b:1"],"witnesses":[{"id":"c:1","life":5}],"before":[{"id":"a:1","life":0}]}"#,
     );
 }
 
 #[test]
-fn calls_of_a_witness_keep_their_bytes() {
-    let ballot = || Term::new(8, "b:1");
+fn voter_requests_keep_their_bytes() {
+    let term = || Term::new(8, "b:1");
     let table = [
-        (VoterRequest::Prepare(ballot()), r#"{"Witness":{"Prepare":{"n":8,"by":"b:1"}}}"#),
+        (VoterRequest::Prepare(term()), r#"{"Witness":{"Prepare":{"n":8,"by":"b:1"}}}"#),
         (VoterRequest::Accept(record(), 1200), r#"{"Witness":{"Accept":[@,1200]}}"#),
         (VoterRequest::Renew(record(), 1200), r#"{"Witness":{"Renew":[@,1200]}}"#),
-        (VoterRequest::Release(ballot()), r#"{"Witness":{"Release":{"n":8,"by":"b:1"}}}"#),
+        (VoterRequest::Release(term()), r#"{"Witness":{"Release":{"n":8,"by":"b:1"}}}"#),
     ];
-    for (call, text) in table {
-        assert_text(Request::Voter(call), &with_record(text));
+    for (request, text) in table {
+        assert_text(Request::Voter(request), &with_record(text));
     }
 }
 
 #[test]
 fn a_replica_write_keeps_its_bytes() {
-    let copy = |kind, puts| {
+    let write = |kind, writes| {
         Request::ReplicaWrite(ReplicaWrite {
             version: 1,
             term: Term::new(7, "a:1"),
             sequence: 4,
             kind,
-            writes: puts,
+            writes,
         })
     };
-    let puts = || vec![put("config", r#"{"revision":3}"#), put("order/1", "")];
+    let writes = || vec![entry("config", r#"{"revision":3}"#), entry("order/1", "")];
     assert_text(
-        copy(ReplicaWriteKind::Snapshot { checksum: 4503599627370495 }, puts()),
+        write(ReplicaWriteKind::Snapshot { checksum: 4503599627370495 }, writes()),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Snapshot":{"sum":4503599627370495}},"puts":[["config","{\"revision\":3}"],["order/1",""]]}}"#,
     );
     assert_text(
-        copy(ReplicaWriteKind::Probe { term: Term::new(6, "b:1"), sequence: 3 }, vec![]),
+        write(ReplicaWriteKind::Probe { term: Term::new(6, "b:1"), sequence: 3 }, vec![]),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":{"Join":{"epoch":{"n":6,"by":"b:1"},"seq":3}},"puts":[]}}"#,
     );
     assert_text(
-        copy(ReplicaWriteKind::Append, puts()),
+        write(ReplicaWriteKind::Append, writes()),
         r#"{"Copy":{"version":1,"epoch":{"n":7,"by":"a:1"},"seq":4,"kind":"Change","puts":[["config","{\"revision\":3}"],["order/1",""]]}}"#,
     );
 }
 
 #[test]
-fn answers_keep_their_bytes() {
-    let no = Rejection { reason: "promised more".into(), promised: Term::new(9, "c:1") };
+fn responses_keep_their_bytes() {
+    let rejection = Rejection { reason: "promised more".into(), promised: Term::new(9, "c:1") };
     let table = [
         (
             Response::Voter(VoterResponse { incarnation: 5, record: None, rejection: None }),
@@ -122,7 +122,7 @@
             r#"{"Witness":{"life":5,"record":@,"no":null}}"#,
         ),
         (
-            Response::Voter(VoterResponse { incarnation: 5, record: None, rejection: Some(no) }),
+            Response::Voter(VoterResponse { incarnation: 5, record: None, rejection: Some(rejection) }),
             r#"{"Witness":{"life":5,"record":null,"no":{"why":"promised more","promised":{"n":9,"by":"c:1"}}}}"#,
         ),
         (
@@ -142,14 +142,14 @@
             r#"{"Copy":{"ok":false,"why":"join","life":0}}"#,
         ),
     ];
-    for (say, text) in table {
-        assert_text(say, &with_record(text));
+    for (response, text) in table {
+        assert_text(response, &with_record(text));
     }
 }
 
 #[test]
 fn a_heartbeat_keeps_its_bytes() {
-    let told = PeerStatus {
+    let status = PeerStatus {
         id: "a:1".into(),
         holds_lease: true,
         disk_healthy: true,
@@ -161,7 +161,7 @@
         members: vec!["a:1".into(), "b:1".into()],
     };
     assert_text(
-        told,
+        status,
         &with_record(
             r#"{"id":"a:1","acting":true,"fit":true,"leaving":true,"life":5,"floor":{"n":7,"by":"a:1"},"area":"east","record":@,"members":["a:1","b:1"]}"#,
         ),
@@ -173,17 +173,20 @@
 }
 
 #[test]
-fn what_a_witness_keeps_on_its_disk_keeps_its_bytes() {
-    let held =
+fn the_stored_voter_state_keeps_its_bytes() {
+    let voter_state =
         VoterState { incarnation: 5, promised: Term::new(8, "b:1"), record: record(), longest_lease: 1200 };
-    assert_text(held, &with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@,"span":1200}"#));
+    assert_text(
+        voter_state,
+        &with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@,"span":1200}"#),
+    );
 }
 
 #[test]
 fn texts_of_other_versions_are_read_without_optional_fields_and_with_unknown_ones() {
-    let held =
+    let voter_state =
         VoterState { incarnation: 5, promised: Term::new(8, "b:1"), record: record(), longest_lease: 0 };
-    assert_read(&with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@}"#), held);
+    assert_read(&with_record(r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@}"#), voter_state);
     assert_read(&RECORD.replacen('{', r#"{"later":1,"#, 1), record());
     assert_read("{}", PeerStatus::default());
     assert_read(r#"{"Copy":{}}"#, Request::ReplicaWrite(ReplicaWrite::default()));
@@ -197,7 +200,7 @@
     );
 }
 
-const SPANS: Timeouts = Timeouts {
+const TIMEOUTS: Timeouts = Timeouts {
     lease: 1200,
     heartbeat_interval: 400,
     rpc_timeout: 600,
@@ -206,96 +209,103 @@
     max_failures: 1,
 };
 
-fn member(me: &str, own: &[(&str, &str)], first: bool, out: &mut Vec<Output>) -> Core {
-    let own: BTreeMap<String, String> = own.iter().map(|(name, value)| put(name, value)).collect();
+fn start_core(id: &str, metadata: &[(&str, &str)], bootstrap: bool, out: &mut Vec<Output>) -> Core {
+    let metadata: BTreeMap<String, String> =
+        metadata.iter().map(|(name, value)| entry(name, value)).collect();
     let peers = ["a:1", "b:1", "c:1"].map(String::from).into();
     let start = InitialState {
-        id: me.into(),
-        timeouts: SPANS,
+        id: id.into(),
+        timeouts: TIMEOUTS,
         peers,
-        bootstrap: first,
-        metadata: own,
+        bootstrap,
+        metadata,
         new_incarnation: 77,
         ..InitialState::default()
     };
     Core::start(1, start, out)
 }
 
-/// A line for each name and value that is written.
-fn puts(lines: &mut Vec<String>, who: &str, (state, whole, own): (Vec<KeyValue>, bool, Vec<KeyValue>)) {
-    let part = if whole { "all of the state" } else { "state" };
-    lines.extend(state.iter().map(|(name, value)| format!("{who} {part} {name} {value}")));
-    lines.extend(own.iter().map(|(name, value)| format!("{who} own {name} {value}")));
+/// A line for each entry that a node writes.
+fn record_write(
+    lines: &mut Vec<String>,
+    node: &str,
+    state: &[KeyValue],
+    replace: bool,
+    metadata: &[KeyValue],
+) {
+    let kind = if replace { "all of the state" } else { "state" };
+    lines.extend(state.iter().map(|(name, value)| format!("{node} {kind} {name} {value}")));
+    lines.extend(metadata.iter().map(|(name, value)| format!("{node} own {name} {value}")));
 }
 
-/// Three members, played on one clock: what they send and write, as lines of text, until nothing is under way.
-struct Three {
+/// Three nodes on one clock. It records what they send and write as lines of text.
+struct RecordedCluster {
     cores: Vec<Core>,
     now: u64,
     lines: Vec<String>,
 }
 
-impl Three {
-    fn start() -> Three {
-        let mut three = Three { cores: Vec::new(), now: 1, lines: Vec::new() };
-        for (n, me) in ["a:1", "b:1", "c:1"].into_iter().enumerate() {
+impl RecordedCluster {
+    fn start() -> RecordedCluster {
+        let mut cluster = RecordedCluster { cores: Vec::new(), now: 1, lines: Vec::new() };
+        for (index, id) in ["a:1", "b:1", "c:1"].into_iter().enumerate() {
             let mut out = Vec::new();
-            three.cores.push(member(me, &[], true, &mut out));
-            three.carry(n, out);
+            cluster.cores.push(start_core(id, &[], true, &mut out));
+            cluster.carry_out(index, out);
         }
-        three
+        cluster
     }
 
-    /// Carries out what a member says; its answers to another are handed back.
-    fn carry(&mut self, at: usize, out: Vec<Output>) -> Option<Response> {
-        let (mut todo, mut reply) = (VecDeque::from(out), None);
-        while let Some(one) = todo.pop_front() {
+    /// Carries out the outputs of a node and all that follow; returns its response to another node.
+    fn carry_out(&mut self, at: usize, out: Vec<Output>) -> Option<Response> {
+        let (mut pending, mut own_response) = (VecDeque::from(out), None);
+        while let Some(output) = pending.pop_front() {
             let mut next = Vec::new();
-            match one {
-                Output::Persist { operation_id: token, state, replace: whole, metadata: own } => {
-                    puts(&mut self.lines, NAMES[at], (state, whole, own));
-                    self.cores[at].handle_write_result(self.now, token, true, &mut next);
+            match output {
+                Output::Persist { operation_id, state, replace, metadata } => {
+                    record_write(&mut self.lines, NAMES[at], &state, replace, &metadata);
+                    self.cores[at].handle_write_result(self.now, operation_id, true, &mut next);
                 }
-                Output::Send { operation_id: token, to, request: call, .. } => {
+                Output::Send { operation_id, to, request, .. } => {
                     let other = self.cores.iter().position(|core| core.id == to).unwrap();
-                    let text = serde_json::to_string(&call).unwrap();
+                    let text = serde_json::to_string(&request).unwrap();
                     self.lines.push(format!("{} to {} {text}", NAMES[at], NAMES[other]));
-                    let say = self.call(other, call);
-                    self.cores[at].handle_response(self.now, token, say, &mut next);
+                    let response = self.call(other, request);
+                    self.cores[at].handle_response(self.now, operation_id, response, &mut next);
                 }
-                Output::Respond { response: say, .. } => reply = Some(say),
+                Output::Respond { response, .. } => own_response = Some(response),
                 _ => {}
             }
-            todo.extend(next);
+            pending.extend(next);
         }
-        reply
+        own_response
     }
 
-    fn call(&mut self, at: usize, call: Request) -> Option<Response> {
+    fn call(&mut self, at: usize, request: Request) -> Option<Response> {
         let mut out = Vec::new();
-        self.cores[at].handle_request(self.now, 1, call, &mut out);
-        let say = self.carry(at, out);
-        self.lines.push(format!("{} says {}", NAMES[at], serde_json::to_string(&say).unwrap()));
-        say
+        self.cores[at].handle_request(self.now, 1, request, &mut out);
+        let response = self.carry_out(at, out);
+        self.lines.push(format!("{} says {}", NAMES[at], serde_json::to_string(&response).unwrap()));
+        response
     }
 
-    /// All have heard of each other; then the first of them has a tick.
+    /// All nodes exchange heartbeats; then the first of them ticks.
     fn tick(&mut self) {
         self.now += 50;
-        for n in 0..3 {
+        for receiver in 0..3 {
             let mut out = Vec::new();
-            for other in (0..3).filter(|other| *other != n) {
-                let told = self.cores[other].status(self.now);
-                self.cores[n].handle_peer_status(self.now, &told, Some(self.now), &mut out);
+            for other in (0..3).filter(|other| *other != receiver) {
+                let status = self.cores[other].status(self.now);
+                self.cores[receiver].handle_peer_status(self.now, &status, Some(self.now), &mut out);
             }
-            self.carry(n, out);
+            self.carry_out(receiver, out);
         }
         let mut out = Vec::new();
         self.cores[0].tick(self.now, &mut out);
-        self.carry(0, out);
+        self.carry_out(0, out);
     }
 
-    /// What was written and sent since, with the two records of this play in short.
+    /// What was written and sent since the last check; `@1` and `@2` stand for the records of the first two terms.
     #[track_caller]
     fn assert_lines(&mut self, expected: &[&str]) {
         let lines = std::mem::take(&mut self.lines);
@@ -311,9 +321,9 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one recorded exchange from its start to its end")]
-fn what_three_members_write_and_send_from_their_first_start_to_a_snapshot_keeps_its_bytes() {
-    let mut three = Three::start();
-    three.assert_lines(&[
+fn what_three_nodes_write_and_send_from_their_first_start_to_a_snapshot_keeps_its_bytes() {
+    let mut cluster = RecordedCluster::start();
+    cluster.assert_lines(&[
         r#"a own floor {"n":1,"by":""}"#,
         "a own seq 0",
         "a own record @1",
@@ -327,12 +337,12 @@
         "c own record @1",
         r#"c own witness {"life":0,"promised":{"n":1,"by":""},"record":@1,"span":0}"#,
     ]);
-    let acts = (0..100).any(|_| {
-        three.tick();
-        matches!(three.cores[0].role, Role::Leader(_))
+    let is_elected = (0..100).any(|_| {
+        cluster.tick();
+        matches!(cluster.cores[0].role, Role::Leader(_))
     });
-    assert!(acts);
-    three.assert_lines(&[
+    assert!(is_elected);
+    cluster.assert_lines(&[
         r#"a own witness {"life":0,"promised":{"n":2,"by":"a:1"},"record":@1,"span":0}"#,
         r#"a to b {"Witness":{"Prepare":{"n":2,"by":"a:1"}}}"#,
         r#"b own witness {"life":0,"promised":{"n":2,"by":"a:1"},"record":@1,"span":0}"#,
@@ -358,9 +368,9 @@
         r#"c says {"Witness":{"life":0,"record":null,"no":null}}"#,
     ]);
     let mut out = Vec::new();
-    three.cores[0].propose(three.now, Change { ticket: 1, writes: vec![put("config", "x")] }, &mut out);
-    three.carry(0, out);
-    three.assert_lines(&[
+    cluster.cores[0].propose(cluster.now, Change { ticket: 1, writes: vec![entry("config", "x")] }, &mut out);
+    cluster.carry_out(0, out);
+    cluster.assert_lines(&[
         "a state config x",
         "a own seq 1",
         r#"a to b {"Copy":{"version":1,"epoch":{"n":2,"by":"a:1"},"seq":1,"kind":"Change","puts":[["config","x"]]}}"#,
@@ -368,18 +378,18 @@
         "b own seq 1",
         r#"b says {"Copy":{"ok":true,"why":"","life":0}}"#,
     ]);
-    // The sum over names and values is part of what is sent.
-    for (sum, say) in [
+    // The checksum over names and values is part of what is sent.
+    for (checksum, response) in [
         (1483233912482674u64, r#"{"ok":true,"why":"","life":0}"#),
         (1, r#"{"ok":false,"why":"the sum is wrong","life":0}"#),
     ] {
         let text = format!(
-            r#"{{"Copy":{{"version":1,"epoch":{{"n":3,"by":"a:1"}},"seq":0,"kind":{{"Snapshot":{{"sum":{sum}}}}},"puts":[["config","x"],["plan/p","y"]]}}}}"#
+            r#"{{"Copy":{{"version":1,"epoch":{{"n":3,"by":"a:1"}},"seq":0,"kind":{{"Snapshot":{{"sum":{checksum}}}}},"puts":[["config","x"],["plan/p","y"]]}}}}"#
         );
-        three.call(2, serde_json::from_str(&text).unwrap());
-        assert_eq!(three.lines.pop().unwrap(), format!(r#"c says {{"Copy":{say}}}"#));
+        cluster.call(2, serde_json::from_str(&text).unwrap());
+        assert_eq!(cluster.lines.pop().unwrap(), format!(r#"c says {{"Copy":{response}}}"#));
     }
-    three.assert_lines(&[
+    cluster.assert_lines(&[
         "c all of the state config x",
         "c all of the state plan/p y",
         r#"c own floor {"n":3,"by":"a:1"}"#,
@@ -388,49 +398,52 @@
 }
 
 fn first_write(out: &[Output]) -> (u64, Vec<KeyValue>) {
-    let writes = out.iter().find_map(|one| match one {
-        Output::Persist { operation_id: token, metadata: own, .. } => Some((*token, own.clone())),
+    let writes = out.iter().find_map(|output| match output {
+        Output::Persist { operation_id, metadata, .. } => Some((*operation_id, metadata.clone())),
         _ => None,
     });
     writes.expect("something is written")
 }
 
 #[test]
-fn names_of_members_and_the_try_after_a_refused_write_keep_their_keys() {
+fn stored_members_and_the_probe_after_a_failed_write_keep_their_keys() {
     let mut out = Vec::new();
-    let mut core = member("a:1", &[], false, &mut out);
-    let (token, own) = first_write(&out);
-    // It belongs to no group yet: the life was drawn by lot.
-    let nobody = r#"{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]}"#;
-    let held = r#"{"life":77,"promised":{"n":0,"by":""},"record":@,"span":0}"#.replace('@', nobody);
-    let floor = put("floor", r#"{"n":0,"by":""}"#);
-    assert_eq!(own, [floor, put("seq", "0"), put("record", nobody), put("witness", &held)]);
-    core.handle_write_result(1, token, true, &mut out);
+    let mut core = start_core("a:1", &[], false, &mut out);
+    let (operation_id, metadata) = first_write(&out);
+    // It is not a voter yet: its incarnation is random.
+    let no_record = r#"{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]}"#;
+    let voter_state = r#"{"life":77,"promised":{"n":0,"by":""},"record":@,"span":0}"#.replace('@', no_record);
+    let last_durable_term = entry("floor", r#"{"n":0,"by":""}"#);
+    assert_eq!(
+        metadata,
+        [last_durable_term, entry("seq", "0"), entry("record", no_record), entry("witness", &voter_state)]
+    );
+    core.handle_write_result(1, operation_id, true, &mut out);
     out.clear();
     core.add_members(2, ["d:1".to_string()].iter(), &mut out);
-    let (token, own) = first_write(&out);
-    assert_eq!(own, [put("members", r#"["a:1","b:1","c:1","d:1"]"#)]);
-    core.handle_write_result(3, token, false, &mut out);
+    let (operation_id, metadata) = first_write(&out);
+    assert_eq!(metadata, [entry("members", r#"["a:1","b:1","c:1","d:1"]"#)]);
+    core.handle_write_result(3, operation_id, false, &mut out);
     out.clear();
     core.tick(1000, &mut out);
-    assert_eq!(first_write(&out).1, [put("probe", "1000")]);
+    assert_eq!(first_write(&out).1, [entry("probe", "1000")]);
 }
 
 #[test]
-fn a_disk_that_another_version_has_written_is_taken_up() {
-    let held = r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@}"#;
-    let own = [
+fn a_disk_written_by_another_version_is_read() {
+    let voter_state = r#"{"life":5,"promised":{"n":8,"by":"b:1"},"record":@}"#;
+    let metadata = [
         ("floor", r#"{"n":7,"by":"a:1"}"#),
         ("members", r#"["a:1","z:1"]"#),
         ("record", RECORD),
         ("seq", "4"),
-        ("witness", &with_record(held)),
+        ("witness", &with_record(voter_state)),
     ];
     let mut out = Vec::new();
-    let mut core = member("b:1", &own, false, &mut out);
-    assert_eq!(out, [], "nothing is written anew");
+    let mut core = start_core("b:1", &metadata, false, &mut out);
+    assert_eq!(out, [], "nothing is written again");
     let members = ["a:1", "b:1", "c:1", "z:1"].map(String::from).into();
-    let told = PeerStatus {
+    let status = PeerStatus {
         id: "b:1".into(),
         disk_healthy: true,
         incarnation: 5,
@@ -438,13 +451,17 @@
         members,
         ..PeerStatus::default()
     };
-    assert_eq!(core.status(1), PeerStatus { record: record(), ..told });
-    // The number of its last change, too: only the next one, or the same again, is taken.
-    for (seq, writes) in [(6, false), (5, true)] {
-        let copy =
-            ReplicaWrite { version: 1, term: Term::new(7, "a:1"), sequence: seq, ..ReplicaWrite::default() };
+    assert_eq!(core.status(1), PeerStatus { record: record(), ..status });
+    // So is the sequence number of its last change: only the next one, or the same again, is accepted.
+    for (sequence, is_accepted) in [(6, false), (5, true)] {
+        let write =
+            ReplicaWrite { version: 1, term: Term::new(7, "a:1"), sequence, ..ReplicaWrite::default() };
         out.clear();
-        core.handle_request(2, 1, Request::ReplicaWrite(copy), &mut out);
-        assert_eq!(out.iter().any(|one| matches!(one, Output::Persist { .. })), writes, "{seq}");
+        core.handle_request(2, 1, Request::ReplicaWrite(write), &mut out);
+        assert_eq!(
+            out.iter().any(|output| matches!(output, Output::Persist { .. })),
+            is_accepted,
+            "{sequence}"
+        );
     }
 }
