--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -29,6 +29,15 @@
 /// key is a promise to other nodes.
 pub const SEQ: &str = "seq";
 
+/// The metadata keys of a node; their names are those of the first version, and stored disks have them.
+mod metadata_keys {
+    pub(super) const VOTER_STATE: &str = "witness";
+    pub(super) const LAST_DURABLE_TERM: &str = "floor";
+    pub(super) const RECORD: &str = "record";
+    pub(super) const MEMBERS: &str = "members";
+    pub(super) const DISK_PROBE: &str = "probe";
+}
+
 /// Timeouts in milliseconds, from the settings, and the number of failures to tolerate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Timeouts {
@@ -165,11 +174,11 @@
             ..Core::default()
         };
         core.members.insert(start.id.clone());
-        core.members.extend(read::<Vec<Id>>(&start.metadata, "members").unwrap_or_default());
-        core.record = read(&start.metadata, "record").unwrap_or_default();
-        core.last_durable_term = read(&start.metadata, "floor").unwrap_or_default();
+        core.members.extend(read::<Vec<Id>>(&start.metadata, metadata_keys::MEMBERS).unwrap_or_default());
+        core.record = read(&start.metadata, metadata_keys::RECORD).unwrap_or_default();
+        core.last_durable_term = read(&start.metadata, metadata_keys::LAST_DURABLE_TERM).unwrap_or_default();
         core.last_sequence = read(&start.metadata, SEQ).unwrap_or_default();
-        if let Some(voter_state) = read::<VoterState>(&start.metadata, "witness") {
+        if let Some(voter_state) = read::<VoterState>(&start.metadata, metadata_keys::VOTER_STATE) {
             if voter_state.record.term > core.record.term {
                 core.record = voter_state.record.clone();
             }
@@ -187,8 +196,8 @@
         }
         let voter_state = core.acceptor.state.clone();
         let mut metadata = core.term_metadata();
-        metadata.push(("record".into(), json(&core.record)));
-        metadata.push(("witness".into(), json(&voter_state)));
+        metadata.push((metadata_keys::RECORD.into(), json(&core.record)));
+        metadata.push((metadata_keys::VOTER_STATE.into(), json(&voter_state)));
         let write = DiskWrite::VoterState {
             to: Err(PendingCall::Release),
             voter_state: Box::new(voter_state),
@@ -266,7 +275,7 @@
             self.persist(
                 now,
                 DiskWrite::Metadata,
-                WriteBatch::metadata(vec![("probe".into(), now.to_string())]),
+                WriteBatch::metadata(vec![(metadata_keys::DISK_PROBE.into(), now.to_string())]),
                 out,
             );
         }
--- a/crates/control-plane/consensus/src/core/peers.rs
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -1,6 +1,6 @@
 //! Peers: their status, contact with them, and whom heartbeats go to.
 use super::tracker::{DiskWrite, WriteBatch};
-use super::{json, Core, Peer};
+use super::{json, metadata_keys, Core, Peer};
 use crate::{Id, LeadershipRecord, Ms, Output, PeerStatus, Voter};
 use std::collections::BTreeSet;
 
@@ -27,7 +27,7 @@
         self.record.has_quorum(is_in_contact)
     }
 
-    /// Whether the peer was heard within a lease.
+    /// Whether a request or response of the peer came within a lease.
     pub fn is_peer_alive(&self, now: Ms, id: &str) -> bool {
         self.peers.get(id).is_some_and(|p| p.last_heard > 0 && now < p.last_heard + self.timeouts.lease)
     }
@@ -81,7 +81,7 @@
         self.members.extend(ids.cloned());
         if self.members.len() > before {
             let all: Vec<&Id> = self.members.iter().collect();
-            let metadata = vec![("members".into(), json(&all))];
+            let metadata = vec![(metadata_keys::MEMBERS.into(), json(&all))];
             self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(metadata), out);
         }
     }
@@ -114,7 +114,7 @@
         self.highest_term_number = self.highest_term_number.max(record.term.number);
         if record.term > self.record.term {
             self.record = record.clone();
-            let metadata = vec![("record".into(), json(record))];
+            let metadata = vec![(metadata_keys::RECORD.into(), json(record))];
             self.persist(now, DiskWrite::Metadata, WriteBatch::metadata(metadata), out);
         }
     }
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,6 +1,6 @@
 //! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
 use super::tracker::{DiskWrite, PendingCall, PendingWrite, WriteBatch};
-use super::{json, Core, SEQ};
+use super::{json, metadata_keys, Core, SEQ};
 use crate::{
     KeyValue, Ms, OperationId, Output, Rejection, ReplicaWriteResponse, RequestId, Response, Term,
     VoterResponse, VoterState,
@@ -67,7 +67,7 @@
         if ok {
             self.durable_voter_state = Some(voter_state);
         } else if is_first_write {
-            // It held the term as well: the whole state is written again.
+            // That write had the term of this disk as well: everything is written again.
             self.needs_snapshot = true;
         }
         if is_first_write {
@@ -141,6 +141,9 @@
 
     /// The term in which this disk takes part, and the sequence number of its last change there.
     pub(super) fn term_metadata(&self) -> Vec<KeyValue> {
-        vec![("floor".into(), json(&self.last_durable_term)), (SEQ.into(), json(&self.last_sequence))]
+        vec![
+            (metadata_keys::LAST_DURABLE_TERM.into(), json(&self.last_durable_term)),
+            (SEQ.into(), json(&self.last_sequence)),
+        ]
     }
 }
--- a/crates/control-plane/consensus/src/core/voter.rs
+++ b/crates/control-plane/consensus/src/core/voter.rs
@@ -1,6 +1,6 @@
 //! The voter of this node: requests to its acceptor, answered only after the disk has its new state (Paxos).
 use super::tracker::{DiskWrite, PendingCall, WriteBatch};
-use super::{json, Core, Role};
+use super::{json, metadata_keys, Core, Role};
 use crate::{Id, Ms, Output, Request, RequestId, Response, VoterRequest, VoterResponse};
 
 impl Core {
@@ -39,7 +39,7 @@
             // not show a state that is not on the disk.
             if self.durable_voter_state.as_ref() != Some(&self.acceptor.state) {
                 let voter_state = self.acceptor.state.clone();
-                let metadata = vec![("witness".to_string(), json(&voter_state))];
+                let metadata = vec![(metadata_keys::VOTER_STATE.to_string(), json(&voter_state))];
                 return self.persist(
                     now,
                     DiskWrite::VoterState {
--- a/crates/control-plane/consensus/src/injected_bugs.rs
+++ b/crates/control-plane/consensus/src/injected_bugs.rs
@@ -16,7 +16,7 @@
     TwoVotersAtOnce,
     /// In a joint configuration the majority of the outgoing voters is enough.
     OutgoingMajorityOnly,
-    /// A leader keeps acting after its lease has expired.
+    /// A leader keeps serving after its lease has expired.
     NoLease,
     /// A backup accepts a probe whatever state it holds.
     UnverifiedProbe,
--- a/crates/control-plane/consensus/src/output.rs
+++ b/crates/control-plane/consensus/src/output.rs
@@ -49,7 +49,7 @@
     },
     /// This node is no longer the leader.
     SteppedDown,
-    /// These changes are on all disks of the record while the lease is held: they are in force.
+    /// These changes are on all disks of the record while the leader holds the lease: they are committed.
     Committed(Vec<Change>),
     /// The tickets of changes that were not committed; whether a later leader has them is not known.
     Failed(Vec<u64>),
