--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,19 +1,30 @@
 //! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
-use super::tracker::*;
-use super::*;
+use super::tracker::{DiskWrite, PendingCall, PendingWrite, WriteBatch};
+use super::{json, metadata_keys, Core, SEQ};
+use crate::{
+    KeyValue, Ms, OperationId, Output, Rejection, ReplicaWriteResponse, RequestId, Response, Term,
+    VoterResponse, VoterState,
+};
 
 impl Core {
     /// Writes a batch; `write` says what its result leads to.
     pub(super) fn persist(&mut self, now: Ms, write: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
-        let token = self.next_operation_id();
-        self.pending_writes.push_back(PendingWrite { token, since: now, write });
+        let operation_id = self.next_operation_id();
+        self.pending_writes.push_back(PendingWrite { operation_id, started_at: now, write });
         let WriteBatch { state, replace, metadata } = batch;
-        out.push(Output::Persist { operation_id: token, state, replace, metadata });
+        out.push(Output::Persist { operation_id, state, replace, metadata });
     }
 
     /// The result of a disk write. `ok`: it is synced.
-    pub fn handle_write_result(&mut self, now: Ms, token: OperationId, ok: bool, out: &mut Vec<Output>) {
-        let Some(index) = self.pending_writes.iter().position(|pending| pending.token == token) else {
+    pub fn handle_write_result(
+        &mut self,
+        now: Ms,
+        operation_id: OperationId,
+        ok: bool,
+        out: &mut Vec<Output>,
+    ) {
+        let Some(index) = self.pending_writes.iter().position(|pending| pending.operation_id == operation_id)
+        else {
             return;
         };
         let Some(PendingWrite { write, .. }) = self.pending_writes.remove(index) else { return };
@@ -56,7 +67,7 @@
         if ok {
             self.durable_voter_state = Some(voter_state);
         } else if is_first_write {
-            // It held the term as well: the whole state is written again.
+            // That write had the term of this disk as well: everything is written again.
             self.needs_snapshot = true;
         }
         if is_first_write {
@@ -130,6 +141,9 @@
 
     /// The term in which this disk takes part, and the sequence number of its last change there.
     pub(super) fn term_metadata(&self) -> Vec<KeyValue> {
-        vec![("floor".into(), json(&self.last_durable_term)), (SEQ.into(), json(&self.last_sequence))]
+        vec![
+            (metadata_keys::LAST_DURABLE_TERM.into(), json(&self.last_durable_term)),
+            (SEQ.into(), json(&self.last_sequence)),
+        ]
     }
 }
