--- a/crates/control-plane/consensus/tests/model/cases.rs
+++ b/crates/control-plane/consensus/tests/model/cases.rs
@@ -178,7 +178,7 @@
         "late answers" => Some(198_681),
         "disk of the primary" => Some(39_507),
         "disk of the backup" => Some(41_453),
-        "leaver" => None,
+        "leaver" => Some(549_699),
         _ => panic!("no search {name}"),
     }
 }
