--- a/crates/control-plane/server/src/store/recovery.rs
+++ b/crates/control-plane/server/src/store/recovery.rs
@@ -165,7 +165,7 @@
 pub fn read_copy(folder: &Path) -> Result<RecoveredState, StoreError> {
     static COPIES: AtomicU64 = AtomicU64::new(0);
     let number = COPIES.fetch_add(1, Ordering::Relaxed);
-    let copy = std::env::temp_dir().join(format!("council-read-{}-{number}", std::process::id()));
+    let copy = std::env::temp_dir().join(format!("control-plane-inspect-{}-{number}", std::process::id()));
     let found = open_copy(folder, &copy);
     fs::remove_dir_all(&copy)?;
     found
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -31,8 +31,10 @@
     (0..3).for_each(|n| core.kill(n));
     let journal = std::fs::File::options().write(true).open(core.data(0).join("0.jnl")).unwrap();
     journal.set_len(0).unwrap();
+    let corrupt_generation = core.generation(0);
     core.run(0, true);
     core.wait_until_ready();
+    core.wait_until_written_after(0, corrupt_generation);
     core.kill(0);
     let found = coppersail_control_plane::store::read_copy(&core.data(0)).unwrap();
     let voter: coppersail_consensus::VoterState = serde_json::from_str(&found.metadata["witness"]).unwrap();
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -1,8 +1,10 @@
 //! Three real control-plane nodes on loopback, seen from outside. Waits are long polls, with a deadline.
+// Each test file takes this module in whole and uses a part of it.
 #![allow(dead_code)]
 
 pub(crate) mod batches;
 
+use coppersail_control_plane::store::generation::{self, Generation};
 use coppersail_peer_client::PeerClient;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use serde_json::{json, Value};
@@ -30,12 +32,16 @@
     pub(crate) fn start(test: u8) -> Core {
         let net = std::process::id() % 200 + 20;
         let ips = (1..4).map(|n| format!("127.{net}.{test}.{n}")).collect();
-        let folder = std::env::temp_dir().join(format!("council-{}-{test}", std::process::id()));
+        let folder = std::env::temp_dir().join(format!("control-plane-{}-{test}", std::process::id()));
         let caller = PeerClient::new(Duration::from_millis(300), Duration::from_millis(1500));
         let mut core = Core { ips, folder, children: vec![None, None, None], caller };
         (0..3).for_each(|n| core.run(n, true));
         // A node that is killed before its first write has lost its disk, and two of them are more than may be lost.
-        (0..3).for_each(|n| core.wait_until_node_ready(n));
+        // Being ready is not enough: the first write is queued before the listener opens, and durable some time later.
+        for node in 0..3 {
+            core.wait_until_node_ready(node);
+            core.wait_until_written_after(node, 0);
+        }
         core
     }
 
@@ -145,6 +151,23 @@
         }
     }
 
+    /// The number of the last batch that the node's generation file names; 0 before its first write.
+    pub(crate) fn generation(&self, n: usize) -> u64 {
+        match generation::read(&self.data(n)) {
+            Ok(Generation::Number(number)) => number,
+            _ => 0,
+        }
+    }
+
+    /// Until the node has written a batch after this generation: the generation file follows each durable batch.
+    pub(crate) fn wait_until_written_after(&self, n: usize, previous: u64) {
+        let end = Instant::now() + Duration::from_secs(20);
+        while self.generation(n) <= previous {
+            assert!(Instant::now() < end, "{n} writes nothing after batch {previous}");
+            std::thread::yield_now();
+        }
+    }
+
     pub(crate) fn replace(&self, revision: u64, prefix: &str) -> u16 {
         self.order("POST", "/settings/replace", &settings(revision, prefix).to_string()).0
     }
