--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -14,13 +14,13 @@
     /// The settings that the programs use; others in the file are skipped.
     pub struct ProcessSettings {
         /// The name of the machine.
-        node: String = "self.nodeName", text, default_to(String::new()), accept_any;
+        node_name: String = "self.nodeName", text, default_to(String::new()), accept_any;
         /// The IP address of the machine; it identifies the process among its peers.
-        ip: String = "self.ipAddress", text, required(), ip_address;
+        ip_address: String = "self.ipAddress", text, required(), ip_address;
         /// The zone of the machine.
-        area: String = "self.area", text, required(), not_blank;
+        zone: String = "self.area", text, required(), not_blank;
         /// The region of the zone.
-        place: String = "self.place", text, default_to(String::new()), accept_any;
+        region: String = "self.place", text, default_to(String::new()), accept_any;
         /// Whether the loss of this machine is one of those that `survive` counts.
         counts_as_loss: bool = "self.countsAsLoss", boolean, default_to(false), accept_any, apply;
         /// The whole system starts for the first time, with empty disks. Never assumed: a process that believes so wrongly could take
@@ -33,23 +33,23 @@
         /// The limit of open file descriptors.
         open_files: u64 = "self.caps.openFiles", unsigned, default_to(u64::MAX), accept_any, apply;
         /// Where clients are served, "ip:port". This and the other binds are absent where the role does not serve them.
-        public_plain: Option<String> = "network.binds.publicPlain", optional(text), default_to(None), optional_address;
+        client_address: Option<String> = "network.binds.publicPlain", optional(text), default_to(None), optional_address;
         /// Where readiness is served, "ip:port".
-        readiness: Option<String> = "network.binds.readiness", optional(text), default_to(None), optional_address;
+        readiness_address: Option<String> = "network.binds.readiness", optional(text), default_to(None), optional_address;
         /// Where operators and endpoints are served, "ip:port".
-        admin: Option<String> = "network.binds.admin", optional(text), default_to(None), optional_address;
+        admin_address: Option<String> = "network.binds.admin", optional(text), default_to(None), optional_address;
         /// The first and the last of the ports that edges and control-plane nodes use among themselves.
-        spare_ports: (u16, u16) = "network.sparePorts", port_range, required(), accept_any;
+        peer_ports: (u16, u16) = "network.sparePorts", port_range, required(), accept_any;
         /// The admin addresses, "ip:port", of some control-plane nodes, by which the others are found.
         known_peers: Vec<String> = "network.knownPeers", list(text), default_to(Vec::new()), addresses, apply;
         /// The region of each zone.
-        zones: BTreeMap<String, String> = "network.zones", text_map, default_to(BTreeMap::new()), accept_any, apply;
+        zone_regions: BTreeMap<String, String> = "network.zones", text_map, default_to(BTreeMap::new()), accept_any, apply;
         /// The interval at which endpoints send heartbeats.
         heartbeat: Duration = "provider.heartbeat", time, default_ms(1000), positive_time, apply;
         /// How many machines may be lost at once while all guarantees hold.
-        survive: u32 = "terms.survive.boxes", unsigned, default_to(0), accept_any, apply;
+        max_machine_failures: u32 = "terms.survive.boxes", unsigned, default_to(0), accept_any, apply;
         /// The names of the guarantees that are asked of the system.
-        promises: Vec<String> = "terms.promises", list(text), default_to(Vec::new()), accept_any, apply;
+        guarantees: Vec<String> = "terms.promises", list(text), default_to(Vec::new()), accept_any, apply;
         /// Time limits and retry limits.
         limits: TimeLimits = "terms.timeLimits", limits, default_to(TimeLimits::default()), accept_any, reload_each;
     }
@@ -64,15 +64,15 @@
         /// How long after an endpoint's end its address may be given to one of another service.
         recycle_after: Duration = "recycleAfter", time, default_ms(1000), accept_any, apply;
         /// How long a machine has to have been connected and running to be asked to keep the guarantees.
-        in_contact: Duration = "inContact", time, default_ms(3000), accept_any, apply;
+        contact_time: Duration = "inContact", time, default_ms(3000), accept_any, apply;
         /// Within this an operator's order is acknowledged.
         confirm: Duration = "confirm", time, default_ms(5000), accept_any, apply;
         /// How long after its return a machine still counts as lost.
         sync_time: Duration = "sync_time", time, default_ms(5000), accept_any, apply;
         /// Within this of its draining an endpoint gets no more requests.
-        empty: Duration = "empty", time, default_ms(2000), accept_any, apply;
+        drain_time: Duration = "empty", time, default_ms(2000), accept_any, apply;
         /// The time between SIGTERM and SIGKILL.
-        leeway: Duration = "leeway", time, default_ms(5000), accept_any, apply;
+        shutdown_grace: Duration = "leeway", time, default_ms(5000), accept_any, apply;
         /// How long after a request began it may still be closed without an answer, if no endpoint got it.
         missing: Duration = "missing", time, default_ms(200), accept_any, apply;
         /// Within this of its acknowledgement a configuration is in force at all edges.
@@ -86,11 +86,11 @@
         /// The window over which further attempts are counted.
         retry_window: Duration = "retryWindow", time, default_ms(10000), accept_any, apply;
         /// Further attempts in each window beyond the share.
-        extra_tries: u32 = "extraTries", unsigned, default_to(0), accept_any, apply;
+        extra_attempts: u32 = "extraTries", unsigned, default_to(0), accept_any, apply;
         /// How long after the loss and return of machines most requests may still fail.
         heal: Duration = "heal", time, default_ms(10000), accept_any, apply;
         /// The longest lease duration of a slice, by the endpoint's clock.
-        keep_max: Duration = "keepMax", time, default_ms(5000), accept_any, apply;
+        max_lease_duration: Duration = "keepMax", time, default_ms(5000), accept_any, apply;
         /// What is received within this after a process was frozen, or a link cut, is not counted.
         unfreeze: Duration = "unfreeze", time, default_ms(0), accept_any, apply;
     }
--- a/crates/control-plane/config/src/config.rs
+++ b/crates/control-plane/config/src/config.rs
@@ -7,6 +7,6 @@
 mod parse;
 mod routes;
 
-pub use model::{Caps, Config, Route, Service};
+pub use model::{ClientLimits, Config, Route, Service};
 pub use parse::parse;
 pub use routes::Routes;
--- a/crates/control-plane/config/src/config/model.rs
+++ b/crates/control-plane/config/src/config/model.rs
@@ -20,20 +20,20 @@
     /// In the order of the configuration.
     pub services: Vec<Service>,
     /// Limits for clients.
-    pub caps: Caps,
+    pub caps: ClientLimits,
 }
 
 table! {
     /// What a client may send, and how long it may take.
-    pub struct Caps {
+    pub struct ClientLimits {
         /// The size of the request line and headers, in bytes.
-        head_size: usize = "headSizeBytes", unsigned, default_to(16384), accept_any;
+        max_header_bytes: usize = "headSizeBytes", unsigned, default_to(16384), accept_any;
         /// The size of a request body, in bytes.
-        body_size: u64 = "bodySizeBytes", unsigned, default_to(67108864), accept_any;
+        max_body_bytes: u64 = "bodySizeBytes", unsigned, default_to(67108864), accept_any;
         /// How long the request line and headers may take.
-        head_wait: Duration = "headWait", time, default_to(Duration::from_secs(3)), accept_any;
+        header_timeout: Duration = "headWait", time, default_to(Duration::from_secs(3)), accept_any;
         /// How long a connection may be idle, or a body may pause.
-        quiet: Duration = "quiet", time, default_to(Duration::from_secs(15)), accept_any;
+        idle_timeout: Duration = "quiet", time, default_to(Duration::from_secs(15)), accept_any;
     }
 }
 
@@ -45,19 +45,19 @@
         /// The domain, compared without case and port.
         domain: String = "domain", text, required(), not_blank;
         /// The path prefix; of several that match the longest counts.
-        path_start: String = "pathStart", text, default_to("/".into()), accept_any;
+        path_prefix: String = "pathStart", text, default_to("/".into()), accept_any;
         /// Requests are idempotent and may be sent again after an indeterminate outcome.
-        repeatable: bool = "sort", is_repeatable, default_to(false), accept_any;
+        idempotent: bool = "sort", is_repeatable, default_to(false), accept_any;
         /// The deadline of a request; ten minutes at most.
-        give_up: Option<Duration> = "giveUp", optional(time), default_to(None), give_up_limit;
+        deadline: Option<Duration> = "giveUp", optional(time), default_to(None), give_up_limit;
         /// The latency target: within it an answer has its full value. Less than a minute above `give_up`.
-        target_time: Option<Duration> = "target_time", optional(time), default_to(None), accept_any;
+        latency_target: Option<Duration> = "target_time", optional(time), default_to(None), accept_any;
         /// The priority; 0 is the highest.
-        rank: u32 = "rank", unsigned, default_to(0), accept_any;
+        priority: u32 = "rank", unsigned, default_to(0), accept_any;
         /// How many endpoints one request may be sent to; at least 1.
-        tries: u32 = "tries", at_least_one, default_to(1), accept_any;
+        max_attempts: u32 = "tries", at_least_one, default_to(1), accept_any;
         /// (service, weight): one entry of weight 1 where the route names a `backend` instead.
-        shares: Vec<(String, f64)> = "shares", list(weighted_service), default_to(Vec::new()), accept_any;
+        weighted_services: Vec<(String, f64)> = "shares", list(weighted_service), default_to(Vec::new()), accept_any;
     }
 }
 
@@ -67,13 +67,13 @@
         /// The name that routes refer to.
         name: String = "name", text, required(), accept_any;
         /// The path of its health check; absent without one.
-        check_path: Option<String> = "checkPath", optional(text), default_to(None), accept_any;
+        health_check_path: Option<String> = "checkPath", optional(text), default_to(None), accept_any;
         /// Connections to one endpoint, of all edges together. Without a limit the greatest number.
         max_connections: u32 = "maxConnections", unsigned, default_to(u32::MAX), accept_any;
         /// Its key space is sharded: each key has one endpoint.
-        split_up: bool = "splitUp", boolean, default_to(false), accept_any;
+        sharded: bool = "splitUp", boolean, default_to(false), accept_any;
         /// How long keys are slow after a transfer without a handover.
-        heat: Duration = "heat", time, default_to(Duration::ZERO), accept_any;
+        slow_after_transfer: Duration = "heat", time, default_to(Duration::ZERO), accept_any;
     }
 }
 
--- a/crates/control-plane/config/src/config/parse.rs
+++ b/crates/control-plane/config/src/config/parse.rs
@@ -1,5 +1,5 @@
 //! Reading and checking a configuration.
-use super::model::{Caps, Config, Route, Service};
+use super::model::{ClientLimits, Config, Route, Service};
 use crate::checks::accept_any;
 use crate::error::FieldError;
 use crate::format_duration;
@@ -43,7 +43,7 @@
         read_rows(required("routes")?, |row| route(row, &names)).map_err(|error| error.within("routes"))?;
     let caps = document
         .field("caps")
-        .map_or(Ok(Caps::default()), |caps| Caps::from_source(object(caps)?))
+        .map_or(Ok(ClientLimits::default()), |caps| ClientLimits::from_source(object(caps)?))
         .map_err(|error| error.within("caps"))?;
     Ok(Config { revision, routes, services, caps })
 }
@@ -61,8 +61,8 @@
     let mut route = Route::from_source(row)?;
     let backend = read_field(row, "backend", optional(text), default_to(None), accept_any)?;
     check_services(&route, backend.as_deref(), service_names)?;
-    if let (true, Some(service)) = (route.shares.is_empty(), backend) {
-        route.shares = vec![(service, 1.0)];
+    if let (true, Some(service)) = (route.weighted_services.is_empty(), backend) {
+        route.weighted_services = vec![(service, 1.0)];
     }
     check_target_time(&route)?;
     Ok(route)
@@ -74,11 +74,12 @@
     backend: Option<&str>,
     service_names: &HashSet<&str>,
 ) -> Result<(), FieldError> {
-    let field = if backend.is_some() || route.shares.is_empty() { "backend" } else { "shares" };
-    if route.shares.is_empty() && backend.is_none() {
+    let field = if backend.is_some() || route.weighted_services.is_empty() { "backend" } else { "shares" };
+    if route.weighted_services.is_empty() && backend.is_none() {
         return Err(FieldError::missing("a service, here or under shares").within(field));
     }
-    let named = backend.into_iter().chain(route.shares.iter().map(|(service, _)| service.as_str()));
+    let named =
+        backend.into_iter().chain(route.weighted_services.iter().map(|(service, _)| service.as_str()));
     for service in named {
         if !service_names.contains(service) {
             let expected = "a service of this configuration";
@@ -89,7 +90,7 @@
 }
 
 fn check_target_time(route: &Route) -> Result<(), FieldError> {
-    let (Some(target), Some(give_up)) = (route.target_time, route.give_up) else { return Ok(()) };
+    let (Some(target), Some(give_up)) = (route.latency_target, route.deadline) else { return Ok(()) };
     if target < give_up + MAX_TARGET_ABOVE_GIVE_UP {
         return Ok(());
     }
--- a/crates/control-plane/config/src/config/routes.rs
+++ b/crates/control-plane/config/src/config/routes.rs
@@ -53,7 +53,7 @@
             ancestors.clear();
         }
         let is_prefix =
-            |ancestor: u32| route.path_start.starts_with(&self.routes[ancestor as usize].path_start);
+            |ancestor: u32| route.path_prefix.starts_with(&self.routes[ancestor as usize].path_prefix);
         while ancestors.last().is_some_and(|ancestor| !is_prefix(*ancestor)) {
             ancestors.pop();
         }
@@ -68,11 +68,11 @@
         let &(first, end) = self.domains.get(host_without_port(host).as_ref())?;
         let of_domain = &self.routes[first as usize..end as usize];
         // Every prefix of the path is the last one that isn't above the path in order, or begins that one.
-        let not_above = of_domain.partition_point(|route| route.path_start.as_str() <= path);
+        let not_above = of_domain.partition_point(|route| route.path_prefix.as_str() <= path);
         let mut candidate = Some(first + not_above.checked_sub(1)? as u32);
         while let Some(index) = candidate {
             let route = &self.routes[index as usize];
-            if path.starts_with(&route.path_start) {
+            if path.starts_with(&route.path_prefix) {
                 return Some(route);
             }
             candidate = self.parents[index as usize];
@@ -92,7 +92,7 @@
 }
 
 fn sort_key<'a>((domain, route): &'a (String, &Route)) -> (&'a str, &'a str) {
-    (domain, &route.path_start)
+    (domain, &route.path_prefix)
 }
 
 /// A host in lower case without its port; an IPv6 address keeps its brackets.
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -34,19 +34,19 @@
         /// Names of routes; none for all routes of the service.
         routes: Vec<String> = "routes", list(text), default_to(Vec::new()), accept_any;
         /// The header by whose value a client is put on one version; absent for the client's address.
-        member: Option<String> = "member", optional(text), default_to(None), accept_any;
+        session_header: Option<String> = "member", optional(text), default_to(None), accept_any;
         /// 1 to 64 steps with rising shares.
         steps: Vec<Step> = "steps", list(step), required(), rising_shares;
         /// How much worse the new version may be.
         bounds: Bounds = "bounds", bounds, default_to(Bounds::default()), accept_any;
         /// The highest probability that a version that is not worse is paused in error (significance level).
-        error: f64 = "error", non_negative, default_to(0.01), error_range;
+        false_alarm_rate: f64 = "error", non_negative, default_to(0.01), error_range;
         /// What a pause does.
-        pause: Pause = "pause", pause, default_to(Pause::Withdraw), accept_any;
+        pause: PauseAction = "pause", pause, default_to(PauseAction::Withdraw), accept_any;
         /// How long an edge without contact to the leader goes on with the new version.
         lease: Duration = "lease", time, default_to(Duration::from_millis(2500)), lease_range;
         /// How long the rollout may take; after that it is paused.
-        ends: Duration = "ends", time, default_to(DEFAULT_ENDS), ends_range;
+        max_duration: Duration = "ends", time, default_to(DEFAULT_ENDS), ends_range;
     }
 }
 
@@ -56,11 +56,11 @@
         /// The share of requests that go to the new version, above 0 and up to 1.
         share: f64 = "share", non_negative, required(), share_limit;
         /// The least duration of the step.
-        least: Duration = "least", time, default_to(Duration::from_secs(60)), accept_any;
+        min_duration: Duration = "least", time, default_to(Duration::from_secs(60)), accept_any;
         /// The least number of answers of the new version in this step.
-        evidence: u64 = "evidence", unsigned, default_to(200), accept_any;
+        min_answers: u64 = "evidence", unsigned, default_to(200), accept_any;
         /// What ends the step.
-        pass: Pass = "pass", pass, default_to(Pass::Itself), accept_any;
+        pass: StepApproval = "pass", pass, default_to(StepApproval::Itself), accept_any;
     }
 }
 
@@ -93,7 +93,7 @@
 
 /// What ends a step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Pass {
+pub enum StepApproval {
     /// Its least duration and evidence.
     #[default]
     Itself,
@@ -103,7 +103,7 @@
 
 /// What a pause does.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub enum Pause {
+pub enum PauseAction {
     /// The share stays as it is.
     Freeze,
     /// All requests go to the version in service.
@@ -128,12 +128,20 @@
     choice.map(|(_, choice)| *choice).ok_or_else(|| FieldError::new(value, expected))
 }
 
-fn pass(value: &Value) -> Result<Pass, FieldError> {
-    one_of(value, &[("itself", Pass::Itself), ("operator", Pass::Operator)], "\"itself\" or \"operator\"")
+fn pass(value: &Value) -> Result<StepApproval, FieldError> {
+    one_of(
+        value,
+        &[("itself", StepApproval::Itself), ("operator", StepApproval::Operator)],
+        "\"itself\" or \"operator\"",
+    )
 }
 
-fn pause(value: &Value) -> Result<Pause, FieldError> {
-    one_of(value, &[("freeze", Pause::Freeze), ("withdraw", Pause::Withdraw)], "\"freeze\" or \"withdraw\"")
+fn pause(value: &Value) -> Result<PauseAction, FieldError> {
+    one_of(
+        value,
+        &[("freeze", PauseAction::Freeze), ("withdraw", PauseAction::Withdraw)],
+        "\"freeze\" or \"withdraw\"",
+    )
 }
 
 fn step(value: &Value) -> Result<Step, FieldError> {
@@ -233,7 +241,7 @@
         let Some(service) = config.service(&self.service) else {
             return Err(mismatch("service", &self.service, "a service of the configuration in force"));
         };
-        if service.split_up && matches!(self.to, Version::Revision(_)) {
+        if service.sharded && matches!(self.to, Version::Revision(_)) {
             // Which endpoints own its slices is not for an edge to choose.
             return Err(mismatch(
                 "service",
@@ -275,7 +283,7 @@
 }
 
 fn has_share(route: &Route, service: &str) -> bool {
-    route.shares.iter().any(|(name, _)| name == service)
+    route.weighted_services.iter().any(|(name, _)| name == service)
 }
 
 fn mismatch(field: &str, name: &str, expected: &'static str) -> FieldError {
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -15,38 +15,38 @@
         /// The name of the cookie that carries the session token.
         cookie: Option<String> = "cookie", optional(text), default_to(None), optional_not_blank;
         /// The routes whose requests belong to sessions.
-        routes: Vec<PeerSite> = "routes", list(session_route), required(), not_empty;
+        routes: Vec<SessionRoute> = "routes", list(session_route), required(), not_empty;
         /// Services of which a session keeps its endpoint as long as that takes requests.
-        stay: Vec<String> = "services", list(text), default_to(Vec::new()), accept_any;
+        affine_services: Vec<String> = "services", list(text), default_to(Vec::new()), accept_any;
         /// Peer sets by number; in each the addresses, "ip:port", of edges by their own number. Numbers are never used again. A
         /// former set stays in the file until its last tokens have expired.
-        rosters: BTreeMap<u16, BTreeMap<u16, String>> = "sites", peer_sets, required(), accept_any;
+        peer_sets: BTreeMap<u16, BTreeMap<u16, String>> = "sites", peer_sets, required(), accept_any;
         /// Files with a signing key each. The first key signs, all are accepted.
         keys: Vec<String> = "keys", list(text), required(), not_empty;
         /// How long a token is valid after it was signed. At half of it a new one is signed.
-        life: Duration = "life", time, default_ms(3_600_000), positive_time;
+        token_lifetime: Duration = "life", time, default_ms(3_600_000), positive_time;
         /// How long a repeated confirmation gets the stored answer of the first; after that only that it ran.
-        keep: Duration = "keepAnswers", time, default_ms(600_000), positive_time;
+        answer_retention: Duration = "keepAnswers", time, default_ms(600_000), positive_time;
         /// How long to wait for other edges, before a confirmation is sent and after its answer.
-        wait: Duration = "wait", time, default_ms(500), positive_time;
+        peer_timeout: Duration = "wait", time, default_ms(500), positive_time;
         /// How long after a session was moved away a lookup does not claim it back.
-        rest: Duration = "rest", time, default_ms(1_000), accept_any;
+        reclaim_delay: Duration = "rest", time, default_ms(1_000), accept_any;
         /// How far the clocks of edges may be apart. Tokens from further ahead are rejected.
-        skew: Duration = "clocksApart", time, default_ms(2_000), accept_any;
+        max_clock_skew: Duration = "clocksApart", time, default_ms(2_000), accept_any;
         /// The number of sessions that an edge keeps.
-        held: usize = "sessions", unsigned, default_to(20_000), positive_count;
+        max_sessions: usize = "sessions", unsigned, default_to(20_000), positive_count;
         /// The number of confirmations that a session may have; further ones are rejected.
-        each: usize = "confirmationsEach", unsigned, default_to(64), positive_count;
+        max_confirmations: usize = "confirmationsEach", unsigned, default_to(64), positive_count;
         /// The longest answer that is stored, in bytes.
-        answer: usize = "answerBytes", unsigned, default_to(16 * 1024), accept_any;
+        max_answer_bytes: usize = "answerBytes", unsigned, default_to(16 * 1024), accept_any;
         /// How often a claim of a session that met a higher fencing token is repeated, while requests wait.
-        tries: u32 = "claimTries", unsigned, default_to(3), accept_any;
+        max_claim_attempts: u32 = "claimTries", unsigned, default_to(3), accept_any;
     }
 }
 
 table! {
     /// A route of the configuration, by its own domain and prefix.
-    pub struct PeerSite {
+    pub struct SessionRoute {
         /// The domain of the route.
         domain: String = "domain", text, required(), not_blank;
         /// The path prefix of the route.
@@ -99,8 +99,8 @@
     }
 }
 
-fn session_route(value: &Value) -> Result<PeerSite, FieldError> {
-    PeerSite::from_source(object(value)?)
+fn session_route(value: &Value) -> Result<SessionRoute, FieldError> {
+    SessionRoute::from_source(object(value)?)
 }
 
 /// An object whose keys are numbers.
--- a/crates/control-plane/config/tests/parsing.rs
+++ b/crates/control-plane/config/tests/parsing.rs
@@ -1,6 +1,6 @@
 //! Which configurations and settings are accepted, which are rejected, and the text of the error.
 use assert_matches::assert_matches;
-use coppersail_config::config::{parse, Caps};
+use coppersail_config::config::{parse, ClientLimits};
 use coppersail_config::{Config, FieldError, ProcessSettings, Route, Routes};
 use std::time::Duration;
 
@@ -21,15 +21,29 @@
 fn every_field_of_a_configuration_is_read() {
     let config = parse(BODY.as_bytes()).unwrap();
     let [a, b] = &config.routes[..] else { panic!("{config:?}") };
-    assert_eq!(a.shares, [("main".to_string(), 90.0), ("next".to_string(), 10.0)]);
-    assert_eq!((a.repeatable, a.give_up, a.rank, a.tries), (true, Some(Duration::from_secs(5)), 2, 2));
-    assert_eq!((b.repeatable, &b.shares[..]), (false, &[("side".to_string(), 1.0)][..]));
-    assert_eq!((b.target_time, b.path_start.as_str()), (Some(Duration::from_millis(1500)), "/xapu/ny/"));
+    assert_eq!(a.weighted_services, [("main".to_string(), 90.0), ("next".to_string(), 10.0)]);
+    assert_eq!(
+        (a.idempotent, a.deadline, a.priority, a.max_attempts),
+        (true, Some(Duration::from_secs(5)), 2, 2)
+    );
+    assert_eq!((b.idempotent, &b.weighted_services[..]), (false, &[("side".to_string(), 1.0)][..]));
+    assert_eq!((b.latency_target, b.path_prefix.as_str()), (Some(Duration::from_millis(1500)), "/xapu/ny/"));
     let main = config.service("main").unwrap();
-    assert_eq!((main.split_up, main.heat, main.max_connections), (true, Duration::from_secs(2), 130));
-    assert_eq!((config.service("next").unwrap().split_up, config.service("none")), (false, None));
+    assert_eq!(
+        (main.sharded, main.slow_after_transfer, main.max_connections),
+        (true, Duration::from_secs(2), 130)
+    );
+    assert_eq!((config.service("next").unwrap().sharded, config.service("none")), (false, None));
     let (head_wait, quiet) = (Duration::from_secs(2), Duration::from_secs(10));
-    assert_eq!(config.caps, Caps { head_size: 8192, body_size: 1000000, head_wait, quiet });
+    assert_eq!(
+        config.caps,
+        ClientLimits {
+            max_header_bytes: 8192,
+            max_body_bytes: 1000000,
+            header_timeout: head_wait,
+            idle_timeout: quiet
+        }
+    );
 }
 
 /// A valid configuration must not be rejected; what the protocol leaves open is accepted.
@@ -58,7 +72,7 @@
     assert_eq!(parse(bare.as_bytes()).unwrap(), Config::default());
     let reordered = r#"{"backends":{"columns":["heat","name"],"rows":[["1s","m"]]},"revision":"r3",
         "routes":{"columns":["shares","domain"],"rows":[[[{"share":1,"backend":"m"}],"d"]]},"caps":null}"#;
-    assert_eq!(parse(reordered.as_bytes()).unwrap().routes[0].path_start, "/");
+    assert_eq!(parse(reordered.as_bytes()).unwrap().routes[0].path_prefix, "/");
 }
 
 #[test]
@@ -126,7 +140,7 @@
         let mut all = Vec::new();
         for n in 0..20 {
             let domain = format!("d{}.Example", n % 3);
-            all.push(Route { name: format!("{n}"), domain, path_start: path("/"), ..Route::default() });
+            all.push(Route { name: format!("{n}"), domain, path_prefix: path("/"), ..Route::default() });
         }
         let requested: Vec<String> = (0..40).map(|_| path("/")).collect();
         let config = Config { routes: all, ..Config::default() };
@@ -134,8 +148,8 @@
         for (n, requested) in requested.iter().enumerate() {
             let host = format!("D{}.example", n % 4);
             let fits =
-                |r: &&Route| r.domain.eq_ignore_ascii_case(&host) && requested.starts_with(&r.path_start);
-            let plain = config.routes.iter().filter(fits).max_by_key(|r| r.path_start.len());
+                |r: &&Route| r.domain.eq_ignore_ascii_case(&host) && requested.starts_with(&r.path_prefix);
+            let plain = config.routes.iter().filter(fits).max_by_key(|r| r.path_prefix.len());
             assert_eq!(
                 routes.lookup(&format!("{host}:8080"), &format!("{requested}?x=/a/")),
                 plain,
@@ -174,13 +188,13 @@
 fn settings_are_read_and_errors_name_the_field() {
     let settings = ProcessSettings::from_json(SETTINGS).unwrap();
     assert_eq!(
-        (settings.ip.as_str(), settings.initial_boot, settings.data_folder),
+        (settings.ip_address.as_str(), settings.initial_boot, settings.data_folder),
         ("10.1.0.34", true, None)
     );
-    assert_eq!((settings.public_plain.as_deref(), settings.admin), (Some("10.1.0.34:8548"), None));
-    assert_eq!((settings.spare_ports, settings.survive, settings.ram_mb), ((7540, 7555), 1, 260));
-    assert_eq!((settings.zones["south"].as_str(), settings.heartbeat.as_millis()), ("town", 1300));
-    assert_eq!((settings.limits.retry_ratio, settings.limits.keep_max.as_secs()), (0.2, 10));
+    assert_eq!((settings.client_address.as_deref(), settings.admin_address), (Some("10.1.0.34:8548"), None));
+    assert_eq!((settings.peer_ports, settings.max_machine_failures, settings.ram_mb), ((7540, 7555), 1, 260));
+    assert_eq!((settings.zone_regions["south"].as_str(), settings.heartbeat.as_millis()), ("town", 1300));
+    assert_eq!((settings.limits.retry_ratio, settings.limits.max_lease_duration.as_secs()), (0.2, 10));
     let wrong = [
         ("\"10.1.0.34\"", "\"here\"", "self.ipAddress is \"here\", expected an IP address"),
         ("\"area\"", "\"region\"", "self.area is left out, expected it to be given"),
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -33,8 +33,8 @@
         let timeouts = Timeouts::new(&settings);
         let mut outputs = Vec::new();
         let initial_state = InitialState {
-            id: settings.admin.clone().unwrap_or_default(),
-            zone: settings.area.clone(),
+            id: settings.admin_address.clone().unwrap_or_default(),
+            zone: settings.zone.clone(),
             timeouts: timeouts.core,
             peers: settings.known_peers.clone(),
             bootstrap: settings.initial_boot && recovered.condition == FolderCondition::Fresh,
@@ -58,7 +58,7 @@
     }
 
     fn log_voters_needed(&self, effects: &mut Vec<Effect>) {
-        let failures = self.settings.survive;
+        let failures = self.settings.max_machine_failures;
         if failures > 1 {
             let voters = 2 * failures + 1;
             let line = format!("terms.survive.boxes is {failures}: that wants {voters} witnesses.");
--- a/crates/control-plane/server/src/reconciliation.rs
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -35,7 +35,7 @@
             return;
         }
         let services = self.config.iter().flat_map(|config| &config.services);
-        for service in services.filter(|service| service.split_up) {
+        for service in services.filter(|service| service.sharded) {
             let candidates = self.heartbeats.candidates(now, &service.name, &self.feed, &self.timeouts);
             let writes = self.assignments.reconcile(now, &service.name, &candidates, &self.timeouts);
             if let Some(writes) = writes {
--- a/crates/control-plane/server/src/server.rs
+++ b/crates/control-plane/server/src/server.rs
@@ -89,12 +89,12 @@
     /// See [`StartError`]. Threads that were started before stay: the process is to end.
     pub fn start(settings: &ProcessSettings, log: slog::Logger) -> Result<Arc<Server>, StartError> {
         let data_folder = settings.data_folder.as_ref().ok_or(StartError::NoDataFolder)?;
-        let admin_address = settings.admin.as_ref().ok_or(StartError::NoAdminAddress)?;
+        let admin_address = settings.admin_address.as_ref().ok_or(StartError::NoAdminAddress)?;
         let log_warning = |text: &str| slog::warn!(log, "{text}");
         let (disk_writer, recovered) = DiskWriter::start(Path::new(data_folder), log_warning)?;
         let server = Server::recover(settings, recovered, disk_writer, log);
         server.spawn_ticks()?;
-        let peer_address = format!("{}:{}", settings.ip, settings.spare_ports.0);
+        let peer_address = format!("{}:{}", settings.ip_address, settings.peer_ports.0);
         Listener::bind(&peer_address, resources::of_peers(), server.request_handler())?.spawn()?;
         Listener::bind(admin_address, resources::of_admin(), server.request_handler())?.spawn()?;
         Ok(server)
@@ -115,7 +115,7 @@
             node: Mutex::new(node),
             pending_requests: Mutex::default(),
             disk_writer,
-            peer_workers: PeerRpcWorkers::new(settings.spare_ports.0),
+            peer_workers: PeerRpcWorkers::new(settings.peer_ports.0),
             started,
             log,
             exit: ExitFlag::default(),
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -42,7 +42,7 @@
         State {
             core,
             timeouts,
-            peer_port: settings.spare_ports.0,
+            peer_port: settings.peer_ports.0,
             config: None,
             feed: ChangeFeed::new(feed_id),
             members: Members::default(),
@@ -123,7 +123,7 @@
     /// Whether the configuration in force shards this service.
     pub(crate) fn is_sharded(&self, service: &str) -> bool {
         let service = self.config.as_ref().and_then(|config| config.service(service));
-        service.is_some_and(|service| service.split_up)
+        service.is_some_and(|service| service.sharded)
     }
 
     /// The highest revision that is in force or being committed.
--- a/crates/control-plane/server/src/timeouts.rs
+++ b/crates/control-plane/server/src/timeouts.rs
@@ -23,19 +23,19 @@
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         let limits = &settings.limits;
         // A failover and the heartbeats after it have to end within the time after which members count as in contact.
-        let lease = (ms(limits.in_contact) * 2 / 5).clamp(300, 3000);
+        let lease = (ms(limits.contact_time) * 2 / 5).clamp(300, 3000);
         let core = coppersail_consensus::Timeouts {
             lease,
             heartbeat_interval: lease / 3,
             rpc_timeout: lease / 2,
             // After the replacement and this time the next member may fail: the other half is left for the repair.
             replace_after: ms(limits.sync_time) / 2,
-            shutdown_grace: ms(limits.leeway) / 2,
-            max_failures: settings.survive as usize,
+            shutdown_grace: ms(limits.shutdown_grace) / 2,
+            max_failures: settings.max_machine_failures as usize,
         };
         Timeouts {
             core,
-            lease_duration: ms(limits.keep_max) / 2,
+            lease_duration: ms(limits.max_lease_duration) / 2,
             heartbeat_interval: ms(settings.heartbeat),
             acknowledgement_wait: ACKNOWLEDGEMENT_WAIT,
         }
--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -75,9 +75,9 @@
     async fn connect(&self, in_flight: &mut InFlight) -> Result<ReadyConnection, SendFailure> {
         let address = self.edge.registry.borrow().endpoint(self.endpoint).map(|endpoint| endpoint.address);
         let address = address.ok_or(SendFailure::EndpointDraining)?;
-        let target = self.request.route.target_time;
+        let target = self.request.route.latency_target;
         let requirements = ConnectionRequirements {
-            idempotent: self.request.route.repeatable,
+            idempotent: self.request.route.idempotent,
             connection_limit: self.request.connection_limit,
             connect_timeout: timeouts::connect_timeout(target, self.request.left(self.edge.now())),
             used_connections: self.used_connections,
--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -75,7 +75,7 @@
         if let Some(slice) = request.key.and_then(|key| edge.registry.borrow().slice(request.service, key)) {
             edge.request_counter.count(request.service, slice);
         }
-        let owner_wait = timeouts::owner_wait(request.route.target_time, request.left(now));
+        let owner_wait = timeouts::owner_wait(request.route.latency_target, request.left(now));
         AttemptLoop {
             edge,
             body,
@@ -121,7 +121,7 @@
     /// Whether time and attempts are left.
     fn may_attempt(&self, now: Ms) -> bool {
         self.request.left(now) > 0
-            && self.history.delivered < self.request.route.tries.max(1)
+            && self.history.delivered < self.request.route.max_attempts.max(1)
             && self.history.unsent < MAX_UNSENT_ATTEMPTS
     }
 
@@ -149,8 +149,8 @@
         let request = SelectionRequest {
             service: self.request.service,
             key: self.request.key,
-            idempotent: self.request.route.repeatable,
-            rank: self.request.route.rank,
+            idempotent: self.request.route.idempotent,
+            rank: self.request.route.priority,
             left: self.request.left(now),
             drain_grace: self.edge.drain_grace(),
             version,
@@ -261,7 +261,7 @@
             endpoint,
             server_error: failed,
             latency: sample.sent_at.elapsed().as_millis() as Ms,
-            target_time: route.target_time.map_or(Ms::MAX, |target| target.as_millis() as Ms),
+            target_time: route.latency_target.map_or(Ms::MAX, |target| target.as_millis() as Ms),
             excluded: sample.is_latency_excluded,
         };
         self.edge.record_outcome(&attempt, outcome);
@@ -288,7 +288,7 @@
 
     /// Decides what follows from an attempt.
     async fn next_step(&mut self, outcome: AttemptOutcome<UpstreamResponse>) -> NextStep {
-        let retryable = outcome.is_retryable(self.request.route.repeatable);
+        let retryable = outcome.is_retryable(self.request.route.idempotent);
         match outcome {
             AttemptOutcome::Completed(response) => NextStep::Respond(response),
             AttemptOutcome::Failed(response) if retryable && self.may_keep_failed_response() => {
--- a/crates/data-plane/edge-proxy/src/client_connection.rs
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -4,7 +4,7 @@
 use crate::request_handler;
 use crate::response::close_connection;
 use crate::socket_read::poll_read_observed;
-use coppersail_config::config::Caps;
+use coppersail_config::config::ClientLimits;
 use hyper::body::Incoming;
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
@@ -107,13 +107,13 @@
         }
     });
     let mut connection = http1::Builder::new()
-        .max_header_size(caps.head_size)
-        .max_buf_size(caps.head_size.max(MIN_BUFFER))
+        .max_header_size(caps.max_header_bytes)
+        .max_buf_size(caps.max_header_bytes.max(MIN_BUFFER))
         .header_read_timeout(None)
         .auto_date_header(false)
         .serve_connection(ClientIo { stream, state: state.clone() }, service);
     let mut lifecycle = edge.lifecycle.subscribe();
-    let timer = tokio::time::sleep_until(Instant::now() + caps.head_wait.min(caps.quiet));
+    let timer = tokio::time::sleep_until(Instant::now() + caps.header_timeout.min(caps.idle_timeout));
     tokio::pin!(timer);
     let mut closing = false;
     loop {
@@ -143,7 +143,7 @@
     HeadTimeout,
 }
 
-fn check(state: &ConnectionState, caps: &Caps, closing: bool, now: Instant) -> Check {
+fn check(state: &ConnectionState, caps: &ClientLimits, closing: bool, now: Instant) -> Check {
     let phase = state.phase();
     if closing {
         return match phase {
@@ -152,17 +152,17 @@
         };
     }
     let limit = match phase {
-        ConnectionPhase::ReadingHead => caps.head_wait,
-        ConnectionPhase::Idle | ConnectionPhase::Processing => caps.quiet,
+        ConnectionPhase::ReadingHead => caps.header_timeout,
+        ConnectionPhase::Idle | ConnectionPhase::Processing => caps.idle_timeout,
     };
     let end = state.since() + limit;
     if end > now {
         // A head that begins in between is seen at the sooner of both ends.
-        return Check::RecheckAt(end.min(now + caps.head_wait));
+        return Check::RecheckAt(end.min(now + caps.header_timeout));
     }
     match phase {
         // The request's own deadline ends it.
-        ConnectionPhase::Processing => Check::RecheckAt(now + caps.head_wait.min(caps.quiet)),
+        ConnectionPhase::Processing => Check::RecheckAt(now + caps.header_timeout.min(caps.idle_timeout)),
         ConnectionPhase::Idle => Check::Close,
         ConnectionPhase::ReadingHead => Check::HeadTimeout,
     }
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -3,7 +3,7 @@
 use crate::connection_pool::ConnectionPool;
 pub use crate::request_counter::RequestCounter;
 use crate::rollout::variants::RolloutVariants;
-use coppersail_config::config::{Caps, Routes};
+use coppersail_config::config::{ClientLimits, Routes};
 use coppersail_config::{Config, ProcessSettings};
 use coppersail_load_balancing::budget::{BudgetSettings, RetryBudget};
 use coppersail_load_balancing::endpoint::drain_grace;
@@ -64,15 +64,16 @@
 impl Edge {
     /// An edge that knows no configuration and no endpoint yet.
     pub fn new(boot: ProcessSettings, log: Logger) -> Rc<Edge> {
-        let seed = boot.ip.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
+        let seed =
+            boot.ip_address.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
         let clock = Clock::start();
-        let registry = Rc::new(RefCell::new(EndpointRegistry::new(&boot.area)));
+        let registry = Rc::new(RefCell::new(EndpointRegistry::new(&boot.zone)));
         Rc::new(Edge {
             log,
             clock,
             pool: ConnectionPool::new(clock, registry.clone()),
             registry,
-            rollouts: RolloutVariants::new(&boot.ip, &boot.area),
+            rollouts: RolloutVariants::new(&boot.ip_address, &boot.zone),
             settings: RefCell::new(Rc::new(boot)),
             config: RefCell::default(),
             retry_budgets: RefCell::default(),
@@ -103,7 +104,7 @@
     }
 
     /// Limits on what clients send.
-    pub(crate) fn caps(&self) -> Caps {
+    pub(crate) fn caps(&self) -> ClientLimits {
         self.config.borrow().as_ref().map(|snapshot| snapshot.config.caps.clone()).unwrap_or_default()
     }
 
@@ -173,16 +174,16 @@
         let config = &snapshot.config;
         let is_routed = |name: &str| {
             let has_share = |(service, share): &(String, f64)| service == name && *share > 0.0;
-            config.routes.iter().any(|route| route.shares.iter().any(has_share))
+            config.routes.iter().any(|route| route.weighted_services.iter().any(has_share))
         };
-        let services = config.services.iter().map(|service| (service.name.as_str(), service.split_up));
+        let services = config.services.iter().map(|service| (service.name.as_str(), service.sharded));
         let known_for = self.first_update_at.get().map(|at| self.now().saturating_sub(at));
         self.registry.borrow().is_ready(services.filter(|(name, _)| is_routed(name)), known_for)
     }
 
     /// For how long (ms) a draining endpoint gets requests for keys that only it owns.
     pub(crate) fn drain_grace(&self) -> Ms {
-        drain_grace(self.settings.borrow().limits.empty)
+        drain_grace(self.settings.borrow().limits.drain_time)
     }
 
     /// Counts a request in its service's retry budget.
@@ -213,7 +214,7 @@
         let boot = self.settings.borrow();
         let limits = &boot.limits;
         let window_ms = limits.retry_window.as_millis() as Ms;
-        BudgetSettings { ratio: limits.retry_ratio, window_ms, extra_retries: limits.extra_tries }
+        BudgetSettings { ratio: limits.retry_ratio, window_ms, extra_retries: limits.extra_attempts }
     }
 
     /// Reads the settings again; bad ones leave the old in force.
--- a/crates/data-plane/edge-proxy/src/request.rs
+++ b/crates/data-plane/edge-proxy/src/request.rs
@@ -67,21 +67,21 @@
         check_protocol(&method, version, &headers)?;
         let route = host.to_str().ok().and_then(|host| snapshot.routes.lookup(host, uri.path()));
         let route = route.ok_or(RequestError::NoRoute)?;
-        let name =
-            traffic_split::select_service(&route.shares, id.as_bytes()).ok_or(RequestError::NoRoute)?;
+        let name = traffic_split::select_service(&route.weighted_services, id.as_bytes())
+            .ok_or(RequestError::NoRoute)?;
         let (variant, name) = match select_variant(edge, snapshot, route, &headers, client, name, now) {
             Some((variant, name)) => (Some(variant), name),
             None => (None, name),
         };
         let service = snapshot.config.service(name);
-        let key = read_key(&headers, service.is_some_and(|service| service.split_up))?;
+        let key = read_key(&headers, service.is_some_and(|service| service.sharded))?;
         let time_left = number(optional(&headers, &TIME_LEFT)?)?;
-        check_length(&headers, snapshot.config.caps.body_size)?;
+        check_length(&headers, snapshot.config.caps.max_body_bytes)?;
         remove_hop_by_hop(&mut headers);
         headers.remove(EXPECT);
         let max_connections = service.map_or(0, |service| service.max_connections);
         let part = timeouts::connection_limit(max_connections, edge.registry.borrow().edge_count);
-        let until = now + timeouts::request_timeout(time_left, route.give_up);
+        let until = now + timeouts::request_timeout(time_left, route.deadline);
         let uri = origin_form(uri);
         Ok(ReceivedRequest {
             route,
@@ -149,7 +149,7 @@
         return None;
     }
     let session_header = edge.rollouts.selection_header(service, &route.name)?;
-    let sharded = snapshot.config.service(service).is_some_and(|service| service.split_up);
+    let sharded = snapshot.config.service(service).is_some_and(|service| service.sharded);
     // A key has one owner in each version, so that all of its requests get the same variant.
     let key = headers.get(&SHARD_KEY).filter(|_| sharded);
     let member = key.or_else(|| headers.get(session_header?)).map(|value| value.as_bytes().to_vec());
@@ -157,7 +157,7 @@
     let variant = edge.rollouts.select_variant(now, service, &route.name, &member)?;
     let Some(other) = variant.service() else { return Some((variant, service)) };
     // Only where the configuration in force allows it.
-    let (other, _) = route.shares.iter().find(|(name, _)| name == other)?;
+    let (other, _) = route.weighted_services.iter().find(|(name, _)| name == other)?;
     let other = &snapshot.config.service(other)?.name;
     Some((variant, other))
 }
--- a/crates/data-plane/edge-proxy/src/rollout/variants.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/variants.rs
@@ -81,7 +81,7 @@
     pub fn selection_header(&self, service: &str, route: &str) -> Option<Option<String>> {
         let selector = self.selector.borrow();
         let choice = selector.choose(0, service, route, b"")?;
-        Some(selector.get(choice.plan).plan.member.clone())
+        Some(selector.get(choice.plan).plan.session_header.clone())
     }
 
     /// The variant for a request with this selection key, if a rollout covers the route. Equal keys get the same
--- a/crates/data-plane/edge-proxy/src/server.rs
+++ b/crates/data-plane/edge-proxy/src/server.rs
@@ -34,8 +34,8 @@
         Some(_) => Ok(()),
         None => Err(MissingListener { field }),
     };
-    require("publicPlain", &boot.public_plain)?;
-    require("readiness", &boot.readiness)
+    require("publicPlain", &boot.client_address)?;
+    require("readiness", &boot.readiness_address)
 }
 
 /// Runs an edge until SIGTERM. `sessions` is the path of the operators' file for session affinity, if there is one.
@@ -50,8 +50,8 @@
 async fn run_until_sigterm(boot: ProcessSettings, sessions: Option<String>, log: Logger) -> eyre::Result<()> {
     let terminate = signal(SignalKind::terminate())?;
     let hangup = signal(SignalKind::hangup())?;
-    let clients = listen(boot.public_plain.as_deref().unwrap_or_default())?;
-    let readiness = listen(boot.readiness.as_deref().unwrap_or_default())?;
+    let clients = listen(boot.client_address.as_deref().unwrap_or_default())?;
+    let readiness = listen(boot.readiness_address.as_deref().unwrap_or_default())?;
     let (sender, updates) = tokio::sync::mpsc::unbounded_channel();
     let edge = Edge::new(boot, log.clone());
     if let Some(path) = sessions {
@@ -124,7 +124,7 @@
 /// Shuts down in order: readiness fails, connections are accepted for as long as some may come, and requests in flight
 /// end within the grace period.
 pub async fn shut_down(edge: &Rc<Edge>) {
-    let grace = edge.settings.borrow().limits.leeway;
+    let grace = edge.settings.borrow().limits.shutdown_grace;
     let times = ShutdownTimes::within(grace);
     let begun = Instant::now();
     info!(edge.log, "edge: leaving, {} connections open", edge.open_connections.get());
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -11,7 +11,7 @@
 use crate::request::ReceivedRequest;
 use crate::response::{close_connection, empty_response, ResponseBody};
 use bytes::Bytes;
-use coppersail_config::sessions::PeerSite;
+use coppersail_config::sessions::SessionRoute;
 use coppersail_config::Route;
 use coppersail_load_balancing::backoff;
 use coppersail_session_affinity::token::{fingerprint, SessionToken, TokenError};
@@ -121,8 +121,8 @@
 
     /// None: sessions do not cover the route.
     fn route_kind(&self, route: &Route) -> Option<RouteKind> {
-        let is_same = |site: &&PeerSite| {
-            site.domain.eq_ignore_ascii_case(&route.domain) && site.path_start == route.path_start
+        let is_same = |site: &&SessionRoute| {
+            site.domain.eq_ignore_ascii_case(&route.domain) && site.path_start == route.path_prefix
         };
         let site = self.settings.routes.iter().find(is_same)?;
         Some(if site.confirms { RouteKind::Confirmation } else { RouteKind::Lookup })
@@ -150,7 +150,7 @@
     /// to is found in what is returned.
     fn prefer_endpoint(&self, request: &mut ReceivedRequest<'_>, token: &SessionToken) -> SentTo {
         let sent_to = SentTo::default();
-        if self.settings.stay.iter().any(|service| service == request.service) {
+        if self.settings.affine_services.iter().any(|service| service == request.service) {
             let previous = self.node.borrow().host(token.id, request.service).map(Rc::from);
             request.affinity = Some(EndpointAffinity::new(previous, sent_to.clone()));
         }
@@ -185,7 +185,7 @@
             key,
             print: request_fingerprint(&request, &body),
             // For a further wait after its deadline, a repeat is told how the request ended.
-            until: unix_millis() + time_left + millis(self.settings.wait),
+            until: unix_millis() + time_left + millis(self.settings.peer_timeout),
         };
         self.send_detached(edge, BufferedRequest { request, body, idempotent }).await
     }
@@ -199,7 +199,7 @@
     ) -> Response<ResponseBody> {
         let BufferedRequest { request, body, idempotent } = buffered;
         // The configuration may allow retries on the route; a request that must run once is never retried.
-        let route = Route { repeatable: false, ..request.route.clone() };
+        let route = Route { idempotent: false, ..request.route.clone() };
         let service = request.service.to_owned();
         let ReceivedRequest {
             connection_limit: part,
@@ -252,7 +252,7 @@
                 sent.response
             }
             Some(Progress::Answer(decision)) => replay::decision_response(decision, || {
-                let wait = millis(self.settings.wait);
+                let wait = millis(self.settings.peer_timeout);
                 backoff::back(wait, true, edge.random.borrow_mut().f64())
             }),
             Some(Progress::Recorded) | None => replay::outcome_unknown(),
--- a/crates/data-plane/edge-proxy/src/sessions/background.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/background.rs
@@ -35,7 +35,7 @@
 }
 
 async fn tick(sessions: Rc<Sessions>) {
-    let mut ticks = tokio::time::interval((sessions.settings.wait / TICKS_PER_WAIT).max(MIN_TICK));
+    let mut ticks = tokio::time::interval((sessions.settings.peer_timeout / TICKS_PER_WAIT).max(MIN_TICK));
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     let (mut logged, mut logged_at) = (Counters::default(), unix_millis());
     loop {
--- a/crates/data-plane/edge-proxy/src/sessions/peer_links.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/peer_links.rs
@@ -38,7 +38,7 @@
 
 /// Limit in bytes of a post's body and of its answer: as long as the records of a batch can be, written as text.
 pub(super) fn max_body_bytes(settings: &SessionSettings) -> usize {
-    MAX_BATCH * (settings.each + 1) * (2 * settings.answer + RECORD_OVERHEAD)
+    MAX_BATCH * (settings.max_confirmations + 1) * (2 * settings.max_answer_bytes + RECORD_OVERHEAD)
 }
 
 /// What was sent to peers since the start.
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -51,7 +51,7 @@
     ) -> Result<Rc<Sessions>, SessionsError> {
         let keys = settings::signing_keys(&settings)?;
         let peer_sets = settings::peer_sets(&settings);
-        let newest = &settings.rosters[&peer_sets.newest()];
+        let newest = &settings.peer_sets[&peer_sets.newest()];
         let node_id = settings::node_id(newest, address)?;
         let affinity = settings::affinity_settings(&settings);
         let forgotten_before = if initial_boot { 0 } else { affinity.floor(unix_millis()) };
@@ -60,7 +60,12 @@
         Ok(Rc::new(Sessions {
             log,
             tokens: SessionTokens::new(&settings, keys),
-            links: PeerLinks::new(node_id, settings.wait, settings.held, max_body_bytes(&settings)),
+            links: PeerLinks::new(
+                node_id,
+                settings.peer_timeout,
+                settings.max_sessions,
+                max_body_bytes(&settings),
+            ),
             settings,
             peer_sets,
             node_id,
@@ -81,11 +86,11 @@
         boot: &ProcessSettings,
         log: Logger,
     ) -> Result<(Rc<Sessions>, String), SessionsError> {
-        let port = boot.spare_ports.0 + 1;
-        if port > boot.spare_ports.1 {
+        let port = boot.peer_ports.0 + 1;
+        if port > boot.peer_ports.1 {
             return Err(SessionsError::NoPort);
         }
-        let address = format!("{}:{port}", boot.ip);
+        let address = format!("{}:{port}", boot.ip_address);
         let settings = SessionSettings::read(path)?;
         Ok((Sessions::new(settings, &address, boot.initial_boot, log)?, address))
     }
--- a/crates/data-plane/edge-proxy/src/sessions/settings.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/settings.rs
@@ -47,7 +47,7 @@
 pub(super) fn peer_sets(settings: &SessionSettings) -> PeerSets {
     let peers =
         |sites: &BTreeMap<u16, String>| sites.iter().map(|(id, address)| (*id, address.clone())).collect();
-    PeerSets(settings.rosters.iter().map(|(number, sites)| (*number, peers(sites))).collect())
+    PeerSets(settings.peer_sets.iter().map(|(number, sites)| (*number, peers(sites))).collect())
 }
 
 /// The number that the newest peer set gives to the edge at this address.
@@ -59,14 +59,14 @@
 
 pub(super) fn affinity_settings(settings: &SessionSettings) -> AffinitySettings {
     AffinitySettings {
-        sessions: settings.held,
-        keys: settings.each,
-        keep: millis(settings.keep),
-        wait: millis(settings.wait),
-        tries: settings.tries,
-        rest: millis(settings.rest),
-        skew: millis(settings.skew),
-        answer: settings.answer,
+        sessions: settings.max_sessions,
+        keys: settings.max_confirmations,
+        keep: millis(settings.answer_retention),
+        wait: millis(settings.peer_timeout),
+        tries: settings.max_claim_attempts,
+        rest: millis(settings.reclaim_delay),
+        skew: millis(settings.max_clock_skew),
+        answer: settings.max_answer_bytes,
     }
 }
 
--- a/crates/data-plane/edge-proxy/src/sessions/settings_tests.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/settings_tests.rs
@@ -40,7 +40,7 @@
 
 #[test]
 fn process_settings_without_a_second_spare_port_are_refused() {
-    let boot = coppersail_config::ProcessSettings { spare_ports: (75, 75), ..Default::default() };
+    let boot = coppersail_config::ProcessSettings { peer_ports: (75, 75), ..Default::default() };
     let error =
         Sessions::from_process_settings("missing.json", &boot, Logger::root(Discard, o!())).err().unwrap();
     assert_eq!(format!("{:#}", eyre::Report::new(error)), "sessions: there is no second spare port");
--- a/crates/data-plane/edge-proxy/src/sessions/tokens.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/tokens.rs
@@ -35,8 +35,8 @@
             keys,
             header: settings.header.clone(),
             cookie: settings.cookie.clone(),
-            lifetime: millis(settings.life),
-            clock_skew: millis(settings.skew),
+            lifetime: millis(settings.token_lifetime),
+            clock_skew: millis(settings.max_clock_skew),
             random: RandomState::new(),
         }
     }
--- a/crates/data-plane/edge-proxy/src/watch/candidates.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates.rs
@@ -33,8 +33,9 @@
 impl Candidates {
     /// The nodes of the settings. The first is chosen by a hash of this edge's address, so that edges spread evenly.
     pub(crate) fn new(settings: &ProcessSettings) -> Candidates {
-        let position = settings.ip.bytes().fold(0, |sum: usize, byte| sum * 31 % 65_521 + usize::from(byte));
-        let port = settings.spare_ports.0;
+        let position =
+            settings.ip_address.bytes().fold(0, |sum: usize, byte| sum * 31 % 65_521 + usize::from(byte));
+        let port = settings.peer_ports.0;
         let ip = |peer: &String| peer.rsplit_once(':').map_or(peer.clone(), |(ip, _)| ip.into());
         let configured = settings.known_peers.iter().map(|peer| format!("{}:{port}", ip(peer))).collect();
         Candidates { configured, position, ..Candidates::default() }
--- a/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
@@ -6,8 +6,8 @@
 fn two_configured() -> Candidates {
     let known_peers = vec!["10.0.0.1:99".into(), "10.0.0.2:99".into()];
     Candidates::new(&ProcessSettings {
-        ip: "10.0.9.9".into(),
-        spare_ports: (75, 80),
+        ip_address: "10.0.9.9".into(),
+        peer_ports: (75, 80),
         known_peers,
         ..ProcessSettings::default()
     })
--- a/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
+++ b/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
@@ -29,8 +29,8 @@
     updates: UnboundedSender<Update>,
 ) -> std::io::Result<()> {
     let request = WatchRequest {
-        edge: settings.ip.clone(),
-        zone: settings.area.clone(),
+        edge: settings.ip_address.clone(),
+        zone: settings.zone.clone(),
         wait_ms: POLL_WAIT.as_millis() as u64,
         ..WatchRequest::default()
     };
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -208,15 +208,15 @@
 
 pub(crate) async fn rig_with(hosts: &[&Host], head_wait: &str) -> Rig {
     let mut boot = ProcessSettings {
-        area: "north".into(),
-        ip: "127.0.0.1".into(),
+        zone: "north".into(),
+        ip_address: "127.0.0.1".into(),
         open_files: 4000,
         ..ProcessSettings::default()
     };
     // Enough that the budget never decides here; it has tests of its own.
     boot.limits.retry_ratio = 100.0;
     boot.limits.retry_window = Duration::from_secs(10);
-    boot.limits.leeway = Duration::from_secs(6);
+    boot.limits.shutdown_grace = Duration::from_secs(6);
     let edge = Edge::new(boot, Logger::root(Discard, o!()));
     let clients = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let readiness = TcpListener::bind("127.0.0.1:0").await.unwrap();
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
@@ -67,9 +67,9 @@
         vec![(200, update(5, false)), (200, update(6, false)), (200, update(7, true))],
     );
     let settings = ProcessSettings {
-        ip: "127.0.0.9".into(),
-        area: "north".into(),
-        spare_ports: (port, port),
+        ip_address: "127.0.0.9".into(),
+        zone: "north".into(),
+        peer_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..ProcessSettings::default()
     };
@@ -121,8 +121,8 @@
         vec![failure.clone(), failure.clone(), failure.clone(), failure, (200, usable(11, 1))],
     );
     let settings = ProcessSettings {
-        ip: "127.0.0.9".into(),
-        spare_ports: (port, port),
+        ip_address: "127.0.0.9".into(),
+        peer_ports: (port, port),
         known_peers: vec!["127.0.0.1:1".into(), "127.0.0.2:1".into()],
         ..ProcessSettings::default()
     };
--- a/crates/data-plane/rollout/src/analysis.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -65,7 +65,7 @@
             plan: plan.clone(),
             run,
             step: 0,
-            required_answers: plan.steps.first().map_or(0, |step| step.evidence),
+            required_answers: plan.steps.first().map_or(0, |step| step.min_answers),
             answers: BTreeMap::new(),
             evaluated_at: 0,
             rows: RowStore::default(),
@@ -196,7 +196,7 @@
             self.test.begin_step();
             self.step = step;
         }
-        self.required_answers = self.plan.steps.get(step).map_or(0, |step| step.evidence);
+        self.required_answers = self.plan.steps.get(step).map_or(0, |step| step.min_answers);
     }
 
     /// Answers of the new version that were evaluated while the plan had this number.
--- a/crates/data-plane/rollout/src/analysis/sequential_test.rs
+++ b/crates/data-plane/rollout/src/analysis/sequential_test.rs
@@ -154,10 +154,10 @@
 
 impl SequentialTest {
     pub(crate) fn new(plan: &RolloutPlan) -> SequentialTest {
-        let intervals = (plan.ends.as_millis() as f64 / ANALYSIS_INTERVAL as f64).max(1.0);
+        let intervals = (plan.max_duration.as_millis() as f64 / ANALYSIS_INTERVAL as f64).max(1.0);
         SequentialTest {
             bounds: plan.bounds.clone(),
-            error: plan.error,
+            error: plan.false_alarm_rate,
             step_stake: STEP_STAKES / (plan.steps.len().max(2) - 1) as f64,
             interval_stake: INTERVAL_STAKES / intervals,
             pending_stake: 0.0,
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -2,7 +2,7 @@
 //! change them. Each change has the next number; whoever knows several keeps the highest.
 use crate::verdict::Verdict;
 use crate::Ms;
-use coppersail_config::rollout::{Pass, Pause, RolloutPlan, Step};
+use coppersail_config::rollout::{PauseAction, RolloutPlan, Step, StepApproval};
 use coppersail_config::FieldError;
 use serde::{Deserialize, Serialize};
 
@@ -209,8 +209,8 @@
             return None;
         }
         let phase = match self.plan().pause {
-            Pause::Freeze => Phase::Frozen,
-            Pause::Withdraw => Phase::Withdrawn,
+            PauseAction::Freeze => Phase::Frozen,
+            PauseAction::Withdraw => Phase::Withdrawn,
         };
         Some(self.next(elapsed, phase, self.step, reason))
     }
@@ -248,17 +248,19 @@
     }
 
     fn is_expired(&self, plan: &RolloutPlan, elapsed: Ms) -> bool {
-        (self.ran + elapsed) as u128 >= plan.ends.as_millis()
+        (self.ran + elapsed) as u128 >= plan.max_duration.as_millis()
     }
 
     fn advanced(&self, plan: &RolloutPlan, elapsed: Ms) -> Option<RolloutState> {
-        let may_pass = |step: &&Step| elapsed as u128 >= step.least.as_millis() && step.pass == Pass::Itself;
+        let may_pass = |step: &&Step| {
+            elapsed as u128 >= step.min_duration.as_millis() && step.pass == StepApproval::Itself
+        };
         plan.steps.get(self.step).filter(may_pass).map(|_| self.passed(elapsed, REASON_SOUND))
     }
 
     /// Milliseconds until the step's least time is over; none unless the rollout runs.
     pub fn left(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
-        Some((step.least.as_millis() as Ms).saturating_sub(since.elapsed(now)))
+        Some((step.min_duration.as_millis() as Ms).saturating_sub(since.elapsed(now)))
     }
 }
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -108,10 +108,19 @@
     );
     assert_text(state.clone(), &text.replace("BODY", &format!("{body:?}")));
     let plan = state.plan();
-    assert_eq!((plan.service.as_str(), plan.routes.len(), plan.member.as_deref()), ("s", 1, Some("m")));
-    assert_eq!((plan.steps[0].share, plan.steps[0].least.as_secs(), plan.steps[0].evidence), (0.1, 5, 9));
-    assert_eq!((plan.bounds.late, plan.bounds.lost, plan.bounds.doubled, plan.error), (0.03, 0.002, 1, 0.02));
-    assert_eq!((plan.lease.as_secs(), plan.ends.as_secs()), (3, 60));
+    assert_eq!(
+        (plan.service.as_str(), plan.routes.len(), plan.session_header.as_deref()),
+        ("s", 1, Some("m"))
+    );
+    assert_eq!(
+        (plan.steps[0].share, plan.steps[0].min_duration.as_secs(), plan.steps[0].min_answers),
+        (0.1, 5, 9)
+    );
+    assert_eq!(
+        (plan.bounds.late, plan.bounds.lost, plan.bounds.doubled, plan.false_alarm_rate),
+        (0.03, 0.002, 1, 0.02)
+    );
+    assert_eq!((plan.lease.as_secs(), plan.max_duration.as_secs()), (3, 60));
 }
 
 #[test]
