--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -21,7 +21,7 @@
         zone: String = "self.area", text, required(), not_blank;
         /// The region of the zone.
         region: String = "self.place", text, default_to(String::new()), accept_any;
-        /// Whether the loss of this machine is one of those that `survive` counts.
+        /// Whether the loss of this machine is one of those that `max_machine_failures` counts.
         counts_as_loss: bool = "self.countsAsLoss", boolean, default_to(false), accept_any, apply;
         /// The whole system starts for the first time, with empty disks. Never assumed: a process that believes so wrongly could take
         /// lost state for empty state.
@@ -123,7 +123,7 @@
     ///     "provider": {"heartbeat": "1300ms"},
     ///     "terms": {"timeLimits": {"leeway": "6s"}}
     /// }"#).unwrap();
-    /// assert_eq!((settings.spare_ports.0, settings.limits.leeway.as_secs()), (7540, 6));
+    /// assert_eq!((settings.peer_ports.0, settings.limits.shutdown_grace.as_secs()), (7540, 6));
     /// ```
     pub fn from_json(text: &str) -> Result<ProcessSettings, FieldError> {
         let value: Value = serde_json::from_str(text)
--- a/crates/control-plane/config/src/config/model.rs
+++ b/crates/control-plane/config/src/config/model.rs
@@ -20,7 +20,7 @@
     /// In the order of the configuration.
     pub services: Vec<Service>,
     /// Limits for clients.
-    pub caps: ClientLimits,
+    pub client_limits: ClientLimits,
 }
 
 table! {
@@ -50,7 +50,7 @@
         idempotent: bool = "sort", is_repeatable, default_to(false), accept_any;
         /// The deadline of a request; ten minutes at most.
         deadline: Option<Duration> = "giveUp", optional(time), default_to(None), give_up_limit;
-        /// The latency target: within it an answer has its full value. Less than a minute above `give_up`.
+        /// The latency target: within it an answer has its full value. Less than a minute above `deadline`.
         latency_target: Option<Duration> = "target_time", optional(time), default_to(None), accept_any;
         /// The priority; 0 is the highest.
         priority: u32 = "rank", unsigned, default_to(0), accept_any;
--- a/crates/control-plane/config/src/config/parse.rs
+++ b/crates/control-plane/config/src/config/parse.rs
@@ -23,7 +23,7 @@
 ///     "routes": {"columns": ["domain", "pathStart", "backend"], "rows": [["a.example", "/x/", "main"]]},
 ///     "backends": {"columns": ["name"], "rows": [["main"]]}}"#;
 /// let config = coppersail_config::config::parse(body).unwrap();
-/// assert_eq!((config.revision, config.routes[0].shares[0].1), (7, 1.0));
+/// assert_eq!((config.revision, config.routes[0].weighted_services[0].1), (7, 1.0));
 ///
 /// let body = String::from_utf8_lossy(body).replace("\"main\"]]},", "\"gone\"]]},");
 /// let error = coppersail_config::config::parse(body.as_bytes()).unwrap_err();
@@ -45,7 +45,7 @@
         .field("caps")
         .map_or(Ok(ClientLimits::default()), |caps| ClientLimits::from_source(object(caps)?))
         .map_err(|error| error.within("caps"))?;
-    Ok(Config { revision, routes, services, caps })
+    Ok(Config { revision, routes, services, client_limits: caps })
 }
 
 /// "r" and a number.
--- a/crates/control-plane/config/src/config/routes.rs
+++ b/crates/control-plane/config/src/config/routes.rs
@@ -7,10 +7,10 @@
 ///
 /// ```
 /// use coppersail_config::{Config, Route, Routes};
-/// let route = |start: &str| Route { domain: "a.example".into(), path_start: start.into(), ..Default::default() };
+/// let route = |start: &str| Route { domain: "a.example".into(), path_prefix: start.into(), ..Default::default() };
 /// let routes = Routes::new(&Config { routes: vec![route("/"), route("/x/y/")], ..Default::default() });
-/// assert_eq!(routes.lookup("A.example:80", "/x/y/z").unwrap().path_start, "/x/y/");
-/// assert_eq!(routes.lookup("a.example", "/x/yz").unwrap().path_start, "/");
+/// assert_eq!(routes.lookup("A.example:80", "/x/y/z").unwrap().path_prefix, "/x/y/");
+/// assert_eq!(routes.lookup("a.example", "/x/yz").unwrap().path_prefix, "/");
 /// assert!(routes.lookup("b.example", "/x/y/z").is_none());
 /// ```
 #[derive(Debug, Clone, Default)]
--- a/crates/control-plane/config/src/reload.rs
+++ b/crates/control-plane/config/src/reload.rs
@@ -7,7 +7,7 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reload {
     /// The settings in force from now on.
-    pub boot: ProcessSettings,
+    pub settings: ProcessSettings,
     /// A line for each field with a new value that is in force now.
     pub applied: Vec<String>,
     /// A line for each field with a new value that needs a restart.
@@ -23,12 +23,12 @@
 ///     coppersail_config::ProcessSettings::from_json(&text).unwrap()
 /// };
 /// let reload = coppersail_config::reload(&read("north", "6s"), read("south", "4s"));
-/// assert_eq!((reload.boot.area.as_str(), reload.boot.limits.leeway.as_secs()), ("north", 4));
+/// assert_eq!((reload.settings.zone.as_str(), reload.settings.limits.shutdown_grace.as_secs()), ("north", 4));
 /// assert_eq!(reload.applied, ["terms.timeLimits.leeway: 6s, now 4s"]);
 /// assert_eq!(reload.restart, [r#"self.area: "north", after a restart "south""#]);
 /// ```
 pub fn reload(old: &ProcessSettings, new: ProcessSettings) -> Reload {
-    let (mut boot, mut report) = (old.clone(), Report::default());
-    boot.reload_fields(new, "", &mut report);
-    Reload { boot, applied: report.applied, restart: report.restart }
+    let (mut settings, mut report) = (old.clone(), Report::default());
+    settings.reload_fields(new, "", &mut report);
+    Reload { settings, applied: report.applied, restart: report.restart }
 }
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -42,7 +42,7 @@
         /// The highest probability that a version that is not worse is paused in error (significance level).
         false_alarm_rate: f64 = "error", non_negative, default_to(0.01), error_range;
         /// What a pause does.
-        pause: PauseAction = "pause", pause, default_to(PauseAction::Withdraw), accept_any;
+        pause_action: PauseAction = "pause", pause, default_to(PauseAction::Withdraw), accept_any;
         /// How long an edge without contact to the leader goes on with the new version.
         lease: Duration = "lease", time, default_to(Duration::from_millis(2500)), lease_range;
         /// How long the rollout may take; after that it is paused.
@@ -60,7 +60,7 @@
         /// The least number of answers of the new version in this step.
         min_answers: u64 = "evidence", unsigned, default_to(200), accept_any;
         /// What ends the step.
-        pass: StepApproval = "pass", pass, default_to(StepApproval::Itself), accept_any;
+        approval: StepApproval = "pass", pass, default_to(StepApproval::Itself), accept_any;
     }
 }
 
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -68,7 +68,7 @@
     ///     "routes": [{"domain": "a.example", "pathStart": "/confirm/", "confirms": true}],
     ///     "sites": {"1": {"1": "10.0.0.1:7541", "2": "10.0.0.2:7541", "3": "10.0.0.3:7541"}}}"#;
     /// let settings = SessionSettings::from_json(file).unwrap();
-    /// assert_eq!((settings.wait.as_millis(), settings.routes[0].confirms), (300, true));
+    /// assert_eq!((settings.peer_timeout.as_millis(), settings.routes[0].confirms), (300, true));
     ///
     /// let error = SessionSettings::from_json(&file.replace("\"cookie\": \"stay\",", "")).unwrap_err();
     /// assert_eq!(error.to_string(), "header is left out, expected a header or a cookie, one of them");
--- a/crates/control-plane/config/tests/parsing.rs
+++ b/crates/control-plane/config/tests/parsing.rs
@@ -36,7 +36,7 @@
     assert_eq!((config.service("next").unwrap().sharded, config.service("none")), (false, None));
     let (head_wait, quiet) = (Duration::from_secs(2), Duration::from_secs(10));
     assert_eq!(
-        config.caps,
+        config.client_limits,
         ClientLimits {
             max_header_bytes: 8192,
             max_body_bytes: 1000000,
--- a/crates/control-plane/config/tests/reload.rs
+++ b/crates/control-plane/config/tests/reload.rs
@@ -32,7 +32,7 @@
         ("[\"base\"]", "[\"base\", \"own\"]"),
     ];
     let reload = coppersail_config::reload(&settings(&[]), settings(&changes));
-    assert_eq!(reload.boot, settings(&changes));
+    assert_eq!(reload.settings, settings(&changes));
     assert_eq!(reload.restart, [""; 0]);
     let lines = [
         "self.caps.ramMb: 260, now 512",
@@ -61,7 +61,7 @@
         ("\"centre-1\"", "\"centre-2\""),
     ];
     let reload = coppersail_config::reload(&settings(&[]), settings(&changes));
-    assert_eq!(reload.boot, settings(&[]));
+    assert_eq!(reload.settings, settings(&[]));
     assert_eq!(reload.applied, [""; 0]);
     let lines = [
         r#"self.nodeName: "centre-1", after a restart "centre-2""#,
@@ -83,7 +83,7 @@
         &settings(&[]),
         settings(&[("\"initialBoot\": true", "\"initialBoot\": false")]),
     );
-    assert_eq!((reload.boot, reload.applied.len(), reload.restart.len()), (settings(&[]), 0, 0));
+    assert_eq!((reload.settings, reload.applied.len(), reload.restart.len()), (settings(&[]), 0, 0));
 }
 
 /// A field that is added is reported as well, and a long value is truncated.
--- a/crates/control-plane/consensus/src/acceptor.rs
+++ b/crates/control-plane/consensus/src/acceptor.rs
@@ -149,7 +149,7 @@
     }
 
     /// Whether a quorum of the record's voters still grants the lease.
-    pub fn hold(&self, record: &LeadershipRecord, now: Ms) -> bool {
+    pub fn is_held(&self, record: &LeadershipRecord, now: Ms) -> bool {
         record.has_quorum(|voter| self.0.get(voter).is_some_and(|until| *until > now))
     }
 }
--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -27,7 +27,7 @@
 
 /// The metadata key of the sequence number of the last change. It is written with each change; every other metadata
 /// key is a promise to other nodes.
-pub const SEQ: &str = "seq";
+pub const LAST_SEQUENCE_KEY: &str = "seq";
 
 /// The metadata keys of a node; their names are those of the first version, and stored disks have them.
 mod metadata_keys {
@@ -177,7 +177,7 @@
         core.members.extend(read::<Vec<Id>>(&start.metadata, metadata_keys::MEMBERS).unwrap_or_default());
         core.record = read(&start.metadata, metadata_keys::RECORD).unwrap_or_default();
         core.last_durable_term = read(&start.metadata, metadata_keys::LAST_DURABLE_TERM).unwrap_or_default();
-        core.last_sequence = read(&start.metadata, SEQ).unwrap_or_default();
+        core.last_sequence = read(&start.metadata, LAST_SEQUENCE_KEY).unwrap_or_default();
         if let Some(voter_state) = read::<VoterState>(&start.metadata, metadata_keys::VOTER_STATE) {
             if voter_state.record.term > core.record.term {
                 core.record = voter_state.record.clone();
@@ -227,7 +227,7 @@
     }
 
     /// The replicated state.
-    pub fn held(&self) -> &BTreeMap<String, String> {
+    pub fn state(&self) -> &BTreeMap<String, String> {
         &self.state
     }
 
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -271,7 +271,7 @@
     pub(super) fn become_leader_if_chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Some(campaign) = &self.campaign else { return };
         let CampaignPhase::Accept(record) = &campaign.phase else { return };
-        if !campaign.leases.hold(record, now) || self.last_durable_term != record.term {
+        if !campaign.leases.is_held(record, now) || self.last_durable_term != record.term {
             return;
         }
         let (record, leases, newly_elected) =
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -7,7 +7,7 @@
 impl Core {
     /// Whether this node is the leader and a quorum of its voters still grants the lease (Raft 6.4.1).
     pub fn holds_leader_lease(&self, now: Ms) -> bool {
-        let holds = |record| self.leases.hold(record, now) || is_injected(InjectedBug::NoLease);
+        let holds = |record| self.leases.is_held(record, now) || is_injected(InjectedBug::NoLease);
         matches!(&self.role, Role::Leader(record) if holds(record))
     }
 
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,6 +1,6 @@
 //! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
 use super::tracker::{DiskWrite, PendingCall, PendingWrite, WriteBatch};
-use super::{json, metadata_keys, Core, SEQ};
+use super::{json, metadata_keys, Core, LAST_SEQUENCE_KEY};
 use crate::{
     KeyValue, Ms, OperationId, Output, Rejection, ReplicaWriteResponse, RequestId, Response, Term,
     VoterResponse, VoterState,
@@ -143,7 +143,7 @@
     pub(super) fn term_metadata(&self) -> Vec<KeyValue> {
         vec![
             (metadata_keys::LAST_DURABLE_TERM.into(), json(&self.last_durable_term)),
-            (SEQ.into(), json(&self.last_sequence)),
+            (LAST_SEQUENCE_KEY.into(), json(&self.last_sequence)),
         ]
     }
 }
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -1,6 +1,6 @@
 //! Replication: writes accepted from a leader; changes proposed, appended at the backups and committed.
 use super::tracker::{DiskWrite, InFlightAppend, PendingCall, WriteBatch};
-use super::{json, Core, Role, SEQ};
+use super::{json, Core, Role, LAST_SEQUENCE_KEY};
 use crate::injected_bugs::{is_injected, InjectedBug};
 use crate::messages::{snapshot_checksum, REPLICA_WRITE_VERSION};
 use crate::{
@@ -38,7 +38,7 @@
         // A repeated change is written again: its first write may have failed.
         self.apply_writes(&write.writes);
         let metadata = if write.kind == ReplicaWriteKind::Append {
-            vec![(SEQ.into(), json(&self.last_sequence))]
+            vec![(LAST_SEQUENCE_KEY.into(), json(&self.last_sequence))]
         } else {
             self.term_metadata()
         };
@@ -132,7 +132,7 @@
             persisted_locally: false,
             unacknowledged,
         });
-        let metadata = vec![(SEQ.into(), json(&sequence))];
+        let metadata = vec![(LAST_SEQUENCE_KEY.into(), json(&sequence))];
         self.persist(
             now,
             DiskWrite::Append { term: record.term.clone(), sequence },
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -31,7 +31,7 @@
 mod messages;
 mod output;
 
-pub use crate::core::{Core, InitialState, Peer, Role, Timeouts, SEQ};
+pub use crate::core::{Core, InitialState, Peer, Role, Timeouts, LAST_SEQUENCE_KEY};
 pub use acceptor::{Acceptor, LeaseGrants, Rejection, VoterRequest, VoterResponse, VoterState};
 #[cfg(feature = "injected-bugs")]
 pub use injected_bugs::inject;
--- a/crates/control-plane/consensus/src/tests.rs
+++ b/crates/control-plane/consensus/src/tests.rs
@@ -79,11 +79,11 @@
 fn a_lease_counts_from_the_request_less_the_clock_drift() {
     let (mut leases, record) = (LeaseGrants::default(), first_record());
     leases.add(Voter::new("a", 0), 1000, 500);
-    assert!(!leases.hold(&record, 1001));
+    assert!(!leases.is_held(&record, 1001));
     leases.add(Voter::new("c", 0), 900, 500);
-    assert!(leases.hold(&record, 1388) && !leases.hold(&record, 1390));
+    assert!(leases.is_held(&record, 1388) && !leases.is_held(&record, 1390));
     leases.add(Voter::new("c", 9), 5000, 500);
-    assert!(!leases.hold(&record, 1390), "another disk of the same node");
+    assert!(!leases.is_held(&record, 1390), "another disk of the same node");
 }
 
 #[test]
--- a/crates/control-plane/consensus/tests/model/invariants.rs
+++ b/crates/control-plane/consensus/tests/model/invariants.rs
@@ -62,7 +62,7 @@
     /// The leader has all changes that were acknowledged or could be read, in the same order. Returns those that can be
     /// read now.
     fn check_changes(&self, leader: usize, core: &Core) -> Result<Vec<u64>, String> {
-        let (state, reference) = (core.held(), &self.reference);
+        let (state, reference) = (core.state(), &self.reference);
         let is_new = |number: &u64| holds_change(state, *number) && !reference.committed.contains(number);
         let mut committed = reference.committed.clone();
         committed.extend((1..=self.last_proposal).filter(is_new));
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -83,13 +83,13 @@
     let row = EvidenceRow {
         plan: "p".into(),
         number: 2,
-        span: 3,
+        window: 3,
         route: "r".into(),
-        count: 4,
+        revision: 4,
         new,
-        old: Counts::default(),
+        control: Counts::default(),
     };
-    EvidenceReport { edge: "10.1.0.34".into(), life: 6, area: "east".into(), rows: vec![row] }
+    EvidenceReport { edge: "10.1.0.34".into(), incarnation: 6, zone: "east".into(), rows: vec![row] }
 }
 
 const REPORT: &str = r#"{"edge":"10.1.0.34","life":6,"area":"east","rows":[{"p":"p","v":2,"b":3,"r":"r","c":4,"new":{"n":[1,2,3,4,5,6,7,8],"l":[["i-1",1]],"s":[["i-2",2]],"t":[[10,3]]},"old":{"n":[0,0,0,0,0,0,0,0]}}]}"#;
@@ -101,8 +101,8 @@
         phase: Phase::Frozen,
         step: 1,
         run: 2,
-        ran: 5000,
-        why: "late".into(),
+        elapsed_ms: 5000,
+        reason: "late".into(),
         body: "{}".into(),
     }
 }
--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -48,7 +48,7 @@
     let (sender, receiver) = channel();
     let on_complete = Box::new(move |ok| sender.send(ok).unwrap_or(()));
     let started = Instant::now();
-    writer.write(WriteBatch { state, whole: false, metadata: own }, on_complete);
+    writer.write(WriteBatch { state, replace_state: false, metadata: own }, on_complete);
     assert!(receiver.recv().expect("an answer"), "the write failed");
     started.elapsed()
 }
--- a/crates/control-plane/server/src/endpoints.rs
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -142,7 +142,7 @@
                 id: endpoint.id.clone(),
                 listing_order: record.listing_order,
                 capacity: record.capacity.max(1.0),
-                new: now < record.first_seen_at + 2 * timeouts.lease_duration,
+                is_new: now < record.first_seen_at + 2 * timeouts.lease_duration,
                 draining: endpoint.state > EndpointState::Ready || suspect,
                 suspect,
                 next_heartbeat_at: record.received_at + timeouts.heartbeat_interval,
--- a/crates/control-plane/server/src/messages.rs
+++ b/crates/control-plane/server/src/messages.rs
@@ -11,7 +11,7 @@
     /// What was found in the data folder.
     pub recovered: RecoveredState,
     /// A random number from 1 to below 2^53: the incarnation of a disk that is new, and the id of the change feed.
-    pub new_incarnation: u64,
+    pub feed_and_disk_incarnation: u64,
 }
 
 /// An input of the node.
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -29,7 +29,7 @@
 impl Node {
     /// A node that starts at `now` (ms), and the first effects.
     pub fn start(now: Ms, startup: Startup) -> (Node, Vec<Effect>) {
-        let Startup { settings, recovered, new_incarnation } = startup;
+        let Startup { settings, recovered, feed_and_disk_incarnation: new_incarnation } = startup;
         let timeouts = Timeouts::new(&settings);
         let mut outputs = Vec::new();
         let initial_state = InitialState {
@@ -196,7 +196,7 @@
         let reloaded = coppersail_config::reload(&self.settings, settings);
         let lines = reloaded.applied.iter().chain(&reloaded.restart);
         effects.extend(lines.map(|line| Effect::Log(format!("Settings: {line}."))));
-        self.settings = reloaded.boot;
+        self.settings = reloaded.settings;
         self.state.change_timeouts(Timeouts::new(&self.settings));
         self.state.core.add_members(now, self.settings.known_peers.iter(), outputs);
     }
@@ -230,7 +230,7 @@
             Output::Respond { request_id, response } => effects
                 .push(Effect::RespondToPeer { request_id, response: PeerResponse::Consensus(response) }),
             Output::Persist { operation_id: token, state, replace, metadata } => {
-                let write = WriteBatch { state, whole: replace, metadata };
+                let write = WriteBatch { state, replace_state: replace, metadata };
                 effects.push(Effect::Persist { operation_id: token, write });
             }
             Output::Log(line) => effects.push(Effect::Log(line)),
--- a/crates/control-plane/server/src/replication.rs
+++ b/crates/control-plane/server/src/replication.rs
@@ -13,14 +13,14 @@
             return;
         }
         let term = self.leader_term().unwrap_or(0);
-        let state = || self.core.held().iter().map(|(key, value)| (key.as_str(), value.as_str()));
+        let state = || self.core.state().iter().map(|(key, value)| (key.as_str(), value.as_str()));
         self.orders = Orders::recover(state());
         self.assignments.recover(now, term, state(), &self.timeouts, &mut self.feed);
-        let config = self.core.held().get(CONFIG_KEY).and_then(|text| serde_json::from_str(text).ok());
+        let config = self.core.state().get(CONFIG_KEY).and_then(|text| serde_json::from_str(text).ok());
         if let Some(config) = config {
             self.put_config(&config);
         }
-        for rollout in self.rollouts.recover(now, self.core.held().iter()) {
+        for rollout in self.rollouts.recover(now, self.core.state().iter()) {
             self.feed.put_rollout(&rollout);
         }
         self.pending_replies.check_due = true;
--- a/crates/control-plane/server/src/rollout_views.rs
+++ b/crates/control-plane/server/src/rollout_views.rs
@@ -50,7 +50,7 @@
 impl VariantView {
     pub(crate) fn new(counts: &Counts) -> VariantView {
         VariantView {
-            aside: counts.of(OutcomeKind::Aside),
+            aside: counts.of(OutcomeKind::Excluded),
             doubled: counts.of(OutcomeKind::Doubled),
             failed: counts.of(OutcomeKind::Failed),
             good: counts.of(OutcomeKind::Good),
@@ -59,7 +59,7 @@
             median_ms: quantile_ms(counts, 0.5),
             offered: counts.of(OutcomeKind::Offered),
             p99_ms: quantile_ms(counts, 0.99),
-            wrong: counts.of(OutcomeKind::Foreign),
+            wrong: counts.of(OutcomeKind::InvalidResponse),
         }
     }
 }
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -57,7 +57,7 @@
     fn new(now: Ms, state: RolloutState) -> Rollout {
         let plan = state.plan();
         let mut analysis = RolloutAnalysis::new(&plan, state.run);
-        analysis.step(state.step);
+        analysis.set_step(state.step);
         Rollout { state, plan, since: Since(now), analysis, verdict: Verdict::Wait("nothing yet".into()) }
     }
 
@@ -71,7 +71,7 @@
             *self = Rollout::new(now, next);
         } else {
             (self.state, self.since) = (next, Since(now));
-            self.analysis.step(self.state.step);
+            self.analysis.set_step(self.state.step);
         }
         write_of(&self.state)
     }
@@ -89,10 +89,10 @@
             let service_is_gone = config.service(&self.plan.service).is_none();
             let command = if service_is_gone { RolloutCommand::End } else { RolloutCommand::Pause };
             let elapsed = now.saturating_sub(self.since.0);
-            return self.state.order(elapsed, command, &error.to_string()).ok().flatten();
+            return self.state.apply_command(elapsed, command, &error.to_string()).ok().flatten();
         }
         let capacity = fleet_capacity(&self.plan, &(endpoints.all)());
-        self.verdict = self.analysis.judge(now, self.state.number, capacity, endpoints.has_died_since);
+        self.verdict = self.analysis.evaluate(now, self.state.number, capacity, endpoints.has_died_since);
         self.state.tick(&self.plan, now, self.since, &self.verdict)
     }
 
@@ -104,13 +104,13 @@
             Verdict::Pause(why) => format!("bad: {why}"),
         };
         RolloutView {
-            answers: analysis.counted(state.number),
+            answers: analysis.answers(state.number),
             late_rows: analysis.late,
             name: name.into(),
             new: VariantView::new(&analysis.sums.new),
-            next_in_ms: state.left(&self.plan, now, self.since),
+            next_in_ms: state.remaining_ms(&self.plan, now, self.since),
             number: state.number,
-            old: VariantView::new(&analysis.sums.old),
+            old: VariantView::new(&analysis.sums.control),
             phase: state.phase,
             plan: serde_json::from_str(&state.body).unwrap_or_default(),
             rows: analysis.rows_taken,
@@ -118,7 +118,7 @@
             step: state.step + 1,
             steps: self.plan.steps.len(),
             verdict,
-            why: state.why.clone(),
+            why: state.reason.clone(),
         }
     }
 }
@@ -173,7 +173,7 @@
         }
         for report in reports {
             for (name, rollout) in self.rollouts.iter_mut().filter(|(_, r)| r.is_active()) {
-                rollout.analysis.take(now, name, report);
+                rollout.analysis.ingest(now, name, report);
             }
         }
     }
@@ -236,7 +236,7 @@
         let unknown = || Rejection::not_found(format!("no plan {name}"));
         let rollout = self.rollouts.get_mut(name).ok_or_else(unknown)?;
         let elapsed = now.saturating_sub(rollout.since.0);
-        let next = rollout.state.order(elapsed, command, "an operator's order");
+        let next = rollout.state.apply_command(elapsed, command, "an operator's order");
         let next = next.map_err(Rejection::conflict)?;
         Ok(next.map(|next| rollout.change_state(now, next)).into_iter().collect())
     }
@@ -252,7 +252,7 @@
         for (name, rollout) in self.rollouts.iter_mut().filter(|(_, r)| r.is_active()) {
             let Some(next) = rollout.next_state(now, config, endpoints) else { continue };
             let percent = next.share().unwrap_or(0.0) * 100.0;
-            let log_line = format!("Plan {name} is {:?} at {percent}%: {}.", next.phase, next.why);
+            let log_line = format!("Plan {name} is {:?} at {percent}%: {}.", next.phase, next.reason);
             changes.push(RolloutChange { write: rollout.change_state(now, next), log_line });
         }
         changes
@@ -298,7 +298,7 @@
             capacity.new_hosts += 1;
             capacity.new_slots += f64::from(endpoint.capacity);
         } else if is_of(&plan.from) {
-            capacity.old_slots += f64::from(endpoint.capacity);
+            capacity.control_slots += f64::from(endpoint.capacity);
         }
     }
     capacity
--- a/crates/control-plane/server/src/server.rs
+++ b/crates/control-plane/server/src/server.rs
@@ -109,7 +109,8 @@
     ) -> Arc<Server> {
         let started = Instant::now();
         let new_incarnation = fastrand::u64(1..MAX_INCARNATION);
-        let startup = Startup { settings: settings.clone(), recovered, new_incarnation };
+        let startup =
+            Startup { settings: settings.clone(), recovered, feed_and_disk_incarnation: new_incarnation };
         let (node, effects) = Node::start(CLOCK_START, startup);
         let server = Arc::new(Server {
             node: Mutex::new(node),
--- a/crates/control-plane/server/src/store/contents.rs
+++ b/crates/control-plane/server/src/store/contents.rs
@@ -10,7 +10,7 @@
     /// Entries of the replicated state.
     pub state: Vec<KeyValue>,
     /// `state` replaces everything that is stored of the state, as a snapshot does.
-    pub whole: bool,
+    pub replace_state: bool,
     /// Entries that the node keeps about itself: its register as a voter, its terms, its sequence number.
     pub metadata: Vec<KeyValue>,
 }
--- a/crates/control-plane/server/src/store/database.rs
+++ b/crates/control-plane/server/src/store/database.rs
@@ -85,7 +85,7 @@
     /// Writes the batch under its number, atomically and synced.
     fn commit(&self, changes: &WriteBatch, number: u64) -> fjall::Result<()> {
         let mut batch = self.synced_batch();
-        if changes.whole {
+        if changes.replace_state {
             self.remove_other_state(&mut batch, &changes.state)?;
         }
         for (keyspace, entries) in [(&self.state, &changes.state), (&self.own, &changes.metadata)] {
@@ -158,7 +158,7 @@
         // which are rare and must never be forgotten (Raft 5.2: one vote a term), and for the first batch of all.
         // Changes of the state carry a sequence number of their own: their generation is written without a sync.
         let changes_more_than_sequence =
-            batch.metadata.iter().any(|(key, _)| key != coppersail_consensus::SEQ);
+            batch.metadata.iter().any(|(key, _)| key != coppersail_consensus::LAST_SEQUENCE_KEY);
         let synced = self.generation == 0 || changes_more_than_sequence;
         self.generation_file.write(number, synced)?;
         self.generation = number;
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -125,7 +125,7 @@
     let mut row = coppersail_rollout::evidence::EvidenceRow {
         plan: "friday".into(),
         number: 1,
-        count: 1,
+        revision: 1,
         ..Default::default()
     };
     row.new.all[coppersail_rollout::OutcomeKind::Doubled as usize] = 1;
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -24,8 +24,10 @@
             "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
         });
         let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
-        let (node, effects) =
-            Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
+        let (node, effects) = Node::start(
+            1,
+            Startup { settings: boot, recovered: Default::default(), feed_and_disk_incarnation: 7 },
+        );
         let mut harness =
             Harness { node, now: 1, due: Vec::new(), endpoints: Some(endpoints), updates: Vec::new() };
         harness.carry(effects);
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -246,7 +246,10 @@
     let generation_before = fs::read(temp.0.join(generation::FILE_NAME)).unwrap();
     let (writer, ..) = open(&temp.0);
     let entries: Vec<KeyValue> = (0..500).map(|n| put(&format!("new/{n}"), n)).collect();
-    assert!(write(&writer, WriteBatch { state: entries, whole: true, metadata: vec![put("floor", 8)] }));
+    assert!(write(
+        &writer,
+        WriteBatch { state: entries, replace_state: true, metadata: vec![put("floor", 8)] }
+    ));
     drop(writer);
     let (_, after, _) = open(&temp.0);
     assert_eq!(
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -48,8 +48,10 @@
                 "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
             });
             let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
-            let (node, first) =
-                Node::start(1, Startup { settings: boot, recovered: Default::default(), new_incarnation: 7 });
+            let (node, first) = Node::start(
+                1,
+                Startup { settings: boot, recovered: Default::default(), feed_and_disk_incarnation: 7 },
+            );
             cluster.nodes.push(node);
             effects.push(first);
         }
@@ -133,7 +135,7 @@
     fn assert_writes(&mut self, expected: &[(&str, &[KeyValue])]) {
         let batch = |(seq, state): &(&str, &[KeyValue])| WriteBatch {
             state: state.to_vec(),
-            whole: false,
+            replace_state: false,
             metadata: vec![put("seq", seq)],
         };
         assert_eq!(std::mem::take(&mut self.writes), expected.iter().map(batch).collect::<Vec<_>>());
@@ -324,7 +326,16 @@
     let text =
         r#"{"name":"p","number":4,"phase":"done","step":1,"run":2,"ran":5,"why":"w","body":"b","later":1}"#;
     let (name, why, body) = ("p".into(), "w".into(), "b".into());
-    let stand = RolloutState { name, number: 4, phase: Phase::Done, step: 1, run: 2, ran: 5, why, body };
+    let stand = RolloutState {
+        name,
+        number: 4,
+        phase: Phase::Done,
+        step: 1,
+        run: 2,
+        elapsed_ms: 5,
+        reason: why,
+        body,
+    };
     assert_eq!(rollouts::read(&put("plan/p", text)), Some(stand));
 }
 
@@ -351,15 +362,19 @@
     assert_eq!((found.condition, found.batch_number), (FolderCondition::Fresh, 0));
     assert_eq!(mark(), [zero, none, none, none]);
     let batches = [
-        WriteBatch { state: vec![], whole: false, metadata: vec![put("floor", "f"), put("seq", "0")] },
+        WriteBatch {
+            state: vec![],
+            replace_state: false,
+            metadata: vec![put("floor", "f"), put("seq", "0")],
+        },
         WriteBatch {
             state: vec![put("config", "c"), put("order/1", "")],
-            whole: false,
+            replace_state: false,
             metadata: vec![put("seq", "1")],
         },
         WriteBatch {
             state: vec![put("plan/p", "p")],
-            whole: true,
+            replace_state: true,
             metadata: vec![put("floor", "g"), put("seq", "2")],
         },
     ];
--- a/crates/control-plane/shard-leases/src/candidate.rs
+++ b/crates/control-plane/shard-leases/src/candidate.rs
@@ -16,7 +16,7 @@
     /// Its weight relative to the other endpoints; above 0.
     pub capacity: f64,
     /// It has registered only recently: it is given the coldest slices only.
-    pub new: bool,
+    pub is_new: bool,
     /// It is shutting down or suspect: its slices move first, and it is given none.
     pub draining: bool,
     /// It misses heartbeats, so it can't be asked to release anything: its leases have to expire.
@@ -32,7 +32,7 @@
             id: id.into(),
             listing_order,
             capacity: 1.0,
-            new: false,
+            is_new: false,
             draining: false,
             suspect: false,
             next_heartbeat_at: 0,
@@ -103,7 +103,7 @@
     Holder {
         unit: (candidate.capacity / mean_capacity).max(MIN_WEIGHT),
         listed_at: Some(candidate.listing_order as f64),
-        young: candidate.new,
+        young: candidate.is_new,
         open,
         leaving: !open,
         ..Holder::default()
--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -112,7 +112,7 @@
         let ReadyConnection { mut lease, wanted_server, ready_at: sent_at, concurrency } = connection;
         let read_to_end = body.read_to_end();
         let request = self.upstream_request(body, wanted_server, sent_at);
-        lease.watch_responses(self.edge, &self.request.attempt_id, self.variant, &self.request.route.name);
+        lease.watch_responses(self.edge, &self.request.request_id, self.variant, &self.request.route.name);
         let deadline = self.edge.instant(self.request.deadline);
         let response = match timeout_at(deadline, lease.sender.try_send_request(request)).await {
             Ok(Ok(response)) => response,
--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -335,7 +335,7 @@
         let left = self.request.left(self.edge.now());
         match self.retry_after {
             Some(retry_after) => retry_after.min(left / 3),
-            None => backoff::back(left, self.lacked_owner, self.edge.random.borrow_mut().f64()),
+            None => backoff::retry_after(left, self.lacked_owner, self.edge.random.borrow_mut().f64()),
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -105,7 +105,11 @@
 
     /// Limits on what clients send.
     pub(crate) fn caps(&self) -> ClientLimits {
-        self.config.borrow().as_ref().map(|snapshot| snapshot.config.caps.clone()).unwrap_or_default()
+        self.config
+            .borrow()
+            .as_ref()
+            .map(|snapshot| snapshot.config.client_limits.clone())
+            .unwrap_or_default()
     }
 
     /// Whether a shutdown has begun.
--- a/crates/data-plane/edge-proxy/src/proxy.rs
+++ b/crates/data-plane/edge-proxy/src/proxy.rs
@@ -40,7 +40,7 @@
     deadline: Ms,
     body: Incoming,
 ) -> Result<Body, Response<ResponseBody>> {
-    let read = buffer_body(body, snapshot.config.caps.max_body_bytes);
+    let read = buffer_body(body, snapshot.config.client_limits.max_body_bytes);
     let status = match timeout_at(edge.instant(deadline), read).await {
         Ok(Ok(body)) => return Ok(body),
         Ok(Err(BodyError::TooLong)) => 413,
--- a/crates/data-plane/edge-proxy/src/request.rs
+++ b/crates/data-plane/edge-proxy/src/request.rs
@@ -43,7 +43,7 @@
     /// Without those that concern only the client's connection.
     pub(crate) headers: HeaderMap,
     /// The same in all attempts.
-    pub(crate) attempt_id: HeaderValue,
+    pub(crate) request_id: HeaderValue,
     /// The deadline, in ms of the edge's clock.
     pub(crate) deadline: Ms,
     /// Of a session with affinity to an endpoint.
@@ -76,7 +76,7 @@
         let service = snapshot.config.service(name);
         let key = read_key(&headers, service.is_some_and(|service| service.sharded))?;
         let time_left = number(optional(&headers, &TIME_LEFT)?)?;
-        check_length(&headers, snapshot.config.caps.max_body_bytes)?;
+        check_length(&headers, snapshot.config.client_limits.max_body_bytes)?;
         remove_hop_by_hop(&mut headers);
         headers.remove(EXPECT);
         let max_connections = service.map_or(0, |service| service.max_connections);
@@ -91,7 +91,7 @@
             method,
             uri,
             headers,
-            attempt_id: id,
+            request_id: id,
             deadline: until,
             affinity: None,
             variant,
--- a/crates/data-plane/edge-proxy/src/request_handler.rs
+++ b/crates/data-plane/edge-proxy/src/request_handler.rs
@@ -29,7 +29,7 @@
     }
     let Some(snapshot) = edge.config() else {
         let random = edge.random.borrow_mut().f64();
-        return unavailable(backoff::back(TIME_LEFT_WITHOUT_CONFIG, false, random));
+        return unavailable(backoff::retry_after(TIME_LEFT_WITHOUT_CONFIG, false, random));
     };
     let (head, body) = request.into_parts();
     let request = match ReceivedRequest::read(edge, &snapshot, head, client) {
--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -38,7 +38,7 @@
         match outcome {
             AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => None,
             AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_) if self.excluded => {
-                Some(OutcomeKind::Aside)
+                Some(OutcomeKind::Excluded)
             }
             AttemptOutcome::Failed(_) => Some(OutcomeKind::Failed),
             AttemptOutcome::Completed(_) if self.server_error => Some(OutcomeKind::Failed),
@@ -46,7 +46,7 @@
             AttemptOutcome::Completed(_) => Some(OutcomeKind::Good),
             AttemptOutcome::Indeterminate(
                 IndeterminateCause::ForeignResponse | IndeterminateCause::Unsealed,
-            ) => Some(OutcomeKind::Foreign),
+            ) => Some(OutcomeKind::InvalidResponse),
             AttemptOutcome::Indeterminate(_) => Some(OutcomeKind::Lost),
         }
     }
@@ -58,11 +58,11 @@
         let rollouts = &self.rollouts;
         let mut selector = rollouts.selector.borrow_mut();
         for state in &update.rollouts {
-            if selector.take(state) {
+            if selector.apply(state) {
                 let percent = state.share().map_or(0.0, |share| share * 100.0);
                 info!(
                     self.log,
-                    "edge: plan {} is {:?} at {percent}%: {}", state.name, state.phase, state.why
+                    "edge: plan {} is {:?} at {percent}%: {}", state.name, state.phase, state.reason
                 );
             }
         }
@@ -78,10 +78,10 @@
             // Counted from the request: the answer may have been on its way for any part of the time since.
             let age = requested_at.elapsed().as_millis() as Ms + as_of.age_ms;
             if let Some(known_at) = self.now().checked_sub(age) {
-                selector.fresh(known_at);
+                selector.renew_lease(known_at);
             }
             if as_of.term > rollouts.term.replace(as_of.term) {
-                rollouts.evidence.borrow_mut().again();
+                rollouts.evidence.borrow_mut().report_all_again();
             }
         }
         drop(selector);
@@ -103,7 +103,7 @@
         let known = registry.endpoint(endpoint).map(|known| (known.capacity, now < known.slow_start_until));
         let (capacity, warming_up) = known.unwrap_or((1, false));
         let mut evidence = self.rollouts.evidence.borrow_mut();
-        variant.counted && (evidence.sent(now, endpoint, f64::from(capacity)) || warming_up)
+        variant.counted && (evidence.record_sent(now, endpoint, f64::from(capacity)) || warming_up)
     }
 
     /// Records what became of an attempt, as evidence about its variant.
@@ -131,7 +131,7 @@
     ) {
         let AssignedVariant { rollout, change_number, variant, .. } = variant;
         let mut evidence = self.rollouts.evidence.borrow_mut();
-        evidence.note(now, rollout, *change_number, route, *variant, kind, latency, endpoint);
+        evidence.record_outcome(now, rollout, *change_number, route, *variant, kind, latency, endpoint);
     }
 }
 
@@ -143,7 +143,7 @@
             return;
         }
         let AssignedVariant { rollout, change_number, variant: kind, .. } = variant;
-        warn!(self.log, "edge: a try was answered twice by the {kind:?} version of plan {rollout}");
+        warn!(self.log, "edge: a try was answered twice by the {kind} version of plan {rollout}");
         if *kind == Variant::New {
             self.rollouts.selector.borrow_mut().stop(rollout, *change_number);
         }
--- a/crates/data-plane/edge-proxy/src/rollout/variants.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/variants.rs
@@ -49,7 +49,7 @@
 
     /// The same request in the control group instead.
     pub fn into_control_group(self) -> AssignedVariant {
-        AssignedVariant { variant: Variant::Old, ..self }
+        AssignedVariant { variant: Variant::Control, ..self }
     }
 
     /// Where versions are revisions: the new revision, and whether endpoints must have it (true) or must not.
@@ -96,7 +96,7 @@
         let selector = self.selector.borrow();
         let choice = selector.choose(now, service, route, member)?;
         let live = selector.get(choice.plan);
-        let version = if choice.side == Variant::New { &live.plan.to } else { &live.plan.from };
+        let version = if choice.variant == Variant::New { &live.plan.to } else { &live.plan.from };
         let revision = match &live.plan.to {
             Version::Revision(name) => Some(name.as_str().into()),
             Version::Backend(_) => None,
@@ -104,10 +104,10 @@
         Some(AssignedVariant {
             rollout: live.name.as_str().into(),
             change_number: choice.number,
-            variant: choice.side,
+            variant: choice.variant,
             version: version.clone(),
             revision,
-            counted: selector.counts(choice.plan),
+            counted: selector.records_evidence(choice.plan),
         })
     }
 }
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -102,19 +102,19 @@
         let mut response = match kind {
             RouteKind::Lookup => {
                 // Nothing is waited for: the session is claimed while the request is at its endpoint.
-                self.drive(|node, now| node.visit(now, token.id, token.born, &replicas));
+                self.drive(|node, now| node.touch(now, token.id, token.created_at, &replicas));
                 proxy_request(edge, config, request, body).await
             }
             RouteKind::Confirmation => self.confirm(edge, config, request, body, token, replicas).await,
         };
         let endpoint = sent_to.borrow_mut().take();
         if let (Some(endpoint), true) = (endpoint, response.status().is_success()) {
-            self.drive(|node, now| node.served(now, token.id, &service, &endpoint));
+            self.drive(|node, now| node.set_endpoint(now, token.id, &service, &endpoint));
         }
         if replay::ends_session(&response) {
             self.attach_new_token(&mut response);
         } else if self.tokens.needs_renewal(&valid, now) {
-            self.tokens.attach(&mut response, &SessionToken { signed: now, ..valid.token });
+            self.tokens.attach(&mut response, &SessionToken { signed_at: now, ..valid.token });
         }
         response
     }
@@ -132,7 +132,7 @@
         let text = self.tokens.find(headers).ok_or(NoSession::NoToken)?;
         let valid = self.tokens.verify(text, now).map_err(NoSession::InvalidToken);
         let session = valid.and_then(|valid| {
-            let replicas = self.peer_sets.seats(valid.token.roster, valid.token.id);
+            let replicas = self.peer_sets.replicas(valid.token.peer_set, valid.token.id);
             replicas.map(|replicas| RequestSession { valid, replicas }).ok_or(NoSession::UnknownPeerSet)
         });
         if session.is_err() {
@@ -151,7 +151,7 @@
     fn prefer_endpoint(&self, request: &mut ReceivedRequest<'_>, token: &SessionToken) -> SentTo {
         let sent_to = SentTo::default();
         if self.settings.affine_services.iter().any(|service| service == request.service) {
-            let previous = self.node.borrow().host(token.id, request.service).map(Rc::from);
+            let previous = self.node.borrow().endpoint(token.id, request.service).map(Rc::from);
             request.affinity = Some(EndpointAffinity::new(previous, sent_to.clone()));
         }
         sent_to
@@ -178,14 +178,14 @@
         };
         let time_left = request.deadline.saturating_sub(edge.now());
         let idempotent = IdempotentRequest {
-            ticket: self.new_request_id(),
-            id: token.id,
-            born: token.born,
-            seats: replicas,
+            request_id: self.new_request_id(),
+            session: token.id,
+            created_at: token.created_at,
+            replicas,
             key,
-            print: request_fingerprint(&request, &body),
+            fingerprint: request_fingerprint(&request, &body),
             // For a further wait after its deadline, a repeat is told how the request ended.
-            until: unix_millis() + time_left + millis(self.settings.peer_timeout),
+            deadline: unix_millis() + time_left + millis(self.settings.peer_timeout),
         };
         self.send_detached(edge, BufferedRequest { request, body, idempotent }).await
     }
@@ -207,7 +207,7 @@
             method,
             uri,
             headers,
-            attempt_id: id,
+            request_id: id,
             deadline: until,
             affinity,
             variant,
@@ -224,7 +224,7 @@
                 method,
                 uri,
                 headers,
-                attempt_id: id,
+                request_id: id,
                 deadline: until,
                 affinity,
                 variant,
@@ -240,20 +240,20 @@
         edge: &Rc<Edge>,
         BufferedRequest { request, body, idempotent }: BufferedRequest<'_>,
     ) -> Response<ResponseBody> {
-        let (request_id, attempt_id) = (idempotent.ticket, request.attempt_id.clone());
+        let (request_id, attempt_id) = (idempotent.request_id, request.request_id.clone());
         let mut progress = self.progress_of(request_id);
-        self.drive(|node, now| node.ask(now, idempotent));
+        self.drive(|node, now| node.admit(now, idempotent));
         let mut response = match progress.recv().await {
             Some(Progress::Send) => {
                 let sent = proxy_buffered(edge, request, Body::Buffered(body)).await;
-                self.drive(|node, now| node.ran(now, request_id, replay::recorded_outcome(&sent)));
+                self.drive(|node, now| node.complete(now, request_id, replay::recorded_outcome(&sent)));
                 // The client gets the response once a majority has recorded it, or the wait for that is over.
                 let _ = progress.recv().await;
                 sent.response
             }
             Some(Progress::Answer(decision)) => replay::decision_response(decision, || {
                 let wait = millis(self.settings.peer_timeout);
-                backoff::back(wait, true, edge.random.borrow_mut().f64())
+                backoff::retry_after(wait, true, edge.random.borrow_mut().f64())
             }),
             Some(Progress::Recorded) | None => replay::outcome_unknown(),
         };
--- a/crates/data-plane/edge-proxy/src/sessions/background.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/background.rs
@@ -24,7 +24,16 @@
     }
 
     fn log_counters(&self, counters: &Counters) {
-        let Counters { claims, crossings, let_go, waits, repeats_answered, refused, unknown, .. } = counters;
+        let Counters {
+            claims,
+            takeovers: crossings,
+            sessions_superseded: let_go,
+            requests_pending: waits,
+            repeats_answered,
+            refused,
+            unknown,
+            ..
+        } = counters;
         info!(
             self.log,
             "session: {claims} claims, {crossings} taken over, {let_go} let go, {waits} waited, \
@@ -42,7 +51,7 @@
         ticks.tick().await;
         sessions.drive(|node, now| node.tick(now));
         if unix_millis() >= logged_at + LOG_INTERVAL {
-            let counters = sessions.node.borrow().counts();
+            let counters = sessions.node.borrow().counters();
             if counters != logged {
                 sessions.log_counters(&counters);
             }
--- a/crates/data-plane/edge-proxy/src/sessions/listing.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/listing.rs
@@ -30,8 +30,8 @@
         let SentTotals { messages, bytes } = self.links.totals();
         SessionListing {
             site: self.node_id,
-            sessions: node.list().iter().map(SessionId::to_string).collect(),
-            counts: node.counts(),
+            sessions: node.sessions().iter().map(SessionId::to_string).collect(),
+            counts: node.counters(),
             unfit: self.rejected_tokens.get(),
             messages,
             bytes,
--- a/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
@@ -53,7 +53,7 @@
         (&Method::GET, path) => {
             let id = path.strip_prefix(SESSIONS_PATH).and_then(|rest| rest.strip_prefix('/'));
             let id = id.and_then(|id| id.parse::<SessionId>().ok());
-            match id.and_then(|id| sessions.node.borrow().show(unix_millis(), id)) {
+            match id.and_then(|id| sessions.node.borrow().view(unix_millis(), id)) {
                 Some(view) => json(&view),
                 None => empty(StatusCode::NOT_FOUND),
             }
@@ -71,7 +71,7 @@
     sessions.peer_sets.address(from)?;
     let mut replies = vec![];
     for message in msgs {
-        let outputs = sessions.node.borrow_mut().hear(unix_millis(), from, message);
+        let outputs = sessions.node.borrow_mut().receive_message(unix_millis(), from, message);
         let mut others = vec![];
         for output in outputs {
             match output {
--- a/crates/data-plane/edge-proxy/src/sessions/replay.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/replay.rs
@@ -38,22 +38,22 @@
     retry_after: impl FnOnce() -> Ms,
 ) -> Response<ResponseBody> {
     match decision {
-        Decision::Kept(recorded) => replay(recorded),
-        Decision::Past => refusal(410, "ran, the answer is no longer kept"),
-        Decision::UnderWay => {
+        Decision::Replay(recorded) => replay(recorded),
+        Decision::ResponseExpired => refusal(410, "ran, the answer is no longer kept"),
+        Decision::InFlight => {
             let mut response = refusal(409, "under way");
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(IN_PROGRESS_RETRY_AFTER));
             response
         }
         Decision::Unknown => outcome_unknown(),
-        Decision::Other => refusal(422, "another request went under this key"),
-        Decision::NotNow => {
+        Decision::FingerprintMismatch => refusal(422, "another request went under this key"),
+        Decision::Rejected => {
             let mut response = unavailable(retry_after());
             response.headers_mut().insert(OUTCOME, HeaderValue::from_static("not run"));
             response
         }
-        Decision::Forgotten => refusal(428, FORGOTTEN),
-        Decision::Spent => refusal(429, SPENT),
+        Decision::SessionLost => refusal(428, FORGOTTEN),
+        Decision::TooManyRequests => refusal(429, SPENT),
     }
 }
 
@@ -71,16 +71,16 @@
     ProxiedResponse { response: answer, given_up: closing }: &ProxiedResponse,
 ) -> Outcome {
     match closing {
-        Some(FinalOutcome::Unavailable) => return Outcome::NotRun,
+        Some(FinalOutcome::Unavailable) => return Outcome::NotExecuted,
         Some(FinalOutcome::OutcomeUnknown | FinalOutcome::DeadlineExceeded) => return Outcome::Unknown,
         None => {}
     }
-    let ResponseContent::Whole(body) = &answer.body().kind else { return Outcome::RanLong };
+    let ResponseContent::Whole(body) = &answer.body().kind else { return Outcome::CompletedUnrecorded };
     let recorded_header = |(name, value): (&HeaderName, &HeaderValue)| {
         let value = value.to_str().ok()?.to_owned();
         (*name != ATTEMPT_ID && *name != CONTENT_LENGTH).then(|| (name.as_str().to_owned(), value))
     };
-    Outcome::Ran(RecordedResponse {
+    Outcome::Completed(RecordedResponse {
         status: answer.status().as_u16(),
         headers: answer.headers().iter().filter_map(recorded_header).collect(),
         body: body.as_ref().map(|body| body.to_vec()).unwrap_or_default(),
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -126,9 +126,9 @@
                     Some((_, queued)) => queued.push(msg),
                     None => messages.push((to, vec![msg])),
                 },
-                Output::Run { ticket } => self.notify(ticket, Progress::Send),
-                Output::Done { ticket } => self.notify(ticket, Progress::Recorded),
-                Output::Answer { ticket, reply } => self.notify(ticket, Progress::Answer(reply)),
+                Output::SendRequest { request_id } => self.notify(request_id, Progress::Send),
+                Output::Respond { request_id } => self.notify(request_id, Progress::Recorded),
+                Output::Decided { request_id, reply } => self.notify(request_id, Progress::Answer(reply)),
             }
         }
         for (to, messages) in messages {
@@ -151,7 +151,7 @@
             let address = self.peer_sets.address(to).unwrap_or_default();
             // No answer is as good as a lost one: waits end by the clock.
             for message in self.links.send(to, address, batch).await.unwrap_or_default() {
-                self.drive(|node, now| node.hear(now, to, message));
+                self.drive(|node, now| node.receive_message(now, to, message));
             }
         }
     }
--- a/crates/data-plane/edge-proxy/src/sessions/settings.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/settings.rs
@@ -59,14 +59,14 @@
 
 pub(super) fn affinity_settings(settings: &SessionSettings) -> AffinitySettings {
     AffinitySettings {
-        sessions: settings.max_sessions,
-        keys: settings.max_confirmations,
-        keep: millis(settings.answer_retention),
-        wait: millis(settings.peer_timeout),
-        tries: settings.max_claim_attempts,
-        rest: millis(settings.reclaim_delay),
-        skew: millis(settings.max_clock_skew),
-        answer: settings.max_answer_bytes,
+        max_sessions: settings.max_sessions,
+        max_requests_per_session: settings.max_confirmations,
+        response_retention_ms: millis(settings.answer_retention),
+        peer_timeout_ms: millis(settings.peer_timeout),
+        max_claim_retries: settings.max_claim_attempts,
+        reclaim_delay_ms: millis(settings.reclaim_delay),
+        max_clock_skew_ms: millis(settings.max_clock_skew),
+        max_response_bytes: settings.max_answer_bytes,
     }
 }
 
--- a/crates/data-plane/edge-proxy/src/sessions/tokens.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/tokens.rs
@@ -60,7 +60,7 @@
 
     /// Whether a token is to be signed anew: after half of its lifetime, or after a change of keys.
     pub(super) fn needs_renewal(&self, valid: &ValidToken, now: Ms) -> bool {
-        !valid.signed_by_first_key || now >= valid.token.signed + self.lifetime / 2
+        !valid.signed_by_first_key || now >= valid.token.signed_at + self.lifetime / 2
     }
 
     /// Signs a token and adds it to a response.
@@ -81,7 +81,7 @@
     /// A token of a new session. The request id, unique in this process, keeps ids of the same millisecond apart.
     pub(super) fn issue(&self, now: Ms, request: RequestId, peer_set: u16) -> SessionToken {
         let half = |which: u8| self.random.hash_one((which, now, request));
-        SessionToken { id: SessionId([half(0), half(1)]), roster: peer_set, born: now, signed: now }
+        SessionToken { id: SessionId([half(0), half(1)]), peer_set, created_at: now, signed_at: now }
     }
 }
 
--- a/crates/data-plane/edge-proxy/src/upstream_response.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_response.rs
@@ -67,7 +67,7 @@
         let (status, headers) = (head.status, head.headers);
         // A response too many may have been waiting on the connection.
         let id = optional(&headers, &TRY_ID).ok().flatten();
-        if id != Some(&self.request.attempt_id) || status == StatusCode::SWITCHING_PROTOCOLS {
+        if id != Some(&self.request.request_id) || status == StatusCode::SWITCHING_PROTOCOLS {
             return Err(IndeterminateCause::ForeignResponse);
         }
         self.record_load(&headers);
--- a/crates/data-plane/edge-proxy/src/watch/candidates.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates.rs
@@ -108,7 +108,7 @@
         if !self.failures.is_multiple_of(self.count().max(1)) {
             return Duration::ZERO;
         }
-        self.backoff = backoff::round(self.backoff);
+        self.backoff = backoff::next_poll_backoff(self.backoff);
         self.backoff
     }
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -53,7 +53,7 @@
         for n in 0..40 {
             assert_eq!(send(&rig, "/again/", n).await.ends_with("new"), got_new[n as usize], "session {n}");
         }
-        let paused = running().order(0, RolloutCommand::Pause, "").unwrap().unwrap();
+        let paused = running().apply_command(0, RolloutCommand::Pause, "").unwrap().unwrap();
         rig.edge.apply_update(update_of_leader(vec![paused.clone()], 1));
         rig.edge.apply_update(update_of_leader(vec![running()], 1));
         let before = new.count();
@@ -63,7 +63,7 @@
         assert_eq!(new.count(), before);
         // Without the rollout, both are endpoints like any other.
         rig.edge.apply_update(update_of_leader(
-            vec![paused.order(0, RolloutCommand::End, "").unwrap().unwrap()],
+            vec![paused.apply_command(0, RolloutCommand::End, "").unwrap().unwrap()],
             1,
         ));
         assert!(!rig.edge.rollouts.is_active());
--- a/crates/data-plane/rollout/examples/evening/control_plane.rs
+++ b/crates/data-plane/rollout/examples/evening/control_plane.rs
@@ -22,25 +22,25 @@
             Event::Ended { attempt, kind, took } => self.end_attempt(now, &attempt, kind, took),
             Event::ReportArrives { report, at } => {
                 let has_leader = now >= self.no_leader_until && at >= self.no_leader_until;
-                if self.mode == Mode::Fleet && has_leader && self.analysis.take(now, PLAN_NAME, &report) {
+                if self.mode == Mode::Fleet && has_leader && self.analysis.ingest(now, PLAN_NAME, &report) {
                     let plan = self.states[0].plan();
                     self.control_plane_tick(now, &plan);
                 }
             }
             Event::StateArrives { edge, state, as_of } => {
                 let selector = &mut self.edges[edge].selector;
-                selector.take(&self.states[state]);
-                selector.fresh(as_of);
+                selector.apply(&self.states[state]);
+                selector.renew_lease(as_of);
             }
         }
     }
 
     fn end_attempt(&mut self, now: Ms, attempt: &Attempt, kind: OutcomeKind, took: Ms) {
         let is_doubled = kind == OutcomeKind::Doubled;
-        let is_answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::Foreign);
+        let is_answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::InvalidResponse);
         if is_doubled {
             self.record(now, attempt, OutcomeKind::Good, Some(took), None);
-            if attempt.side == Variant::New && self.mode != Mode::Fixed {
+            if attempt.variant == Variant::New && self.mode != Mode::Fixed {
                 self.edges[attempt.edge].selector.stop(PLAN_NAME, attempt.number);
             }
         }
@@ -73,10 +73,10 @@
         let edge = &mut self.edges[edge];
         let Some(analysis) = &mut edge.analysis else { return };
         if let Some(report) = edge.recorder.report(now, usize::MAX) {
-            analysis.take(now, PLAN_NAME, &report);
+            analysis.ingest(now, PLAN_NAME, &report);
         }
         let dead = |host: &str, seen: Ms| has_died(died, host, seen, now);
-        if let Verdict::Pause(reason) = analysis.judge(now, 1, fleet, dead) {
+        if let Verdict::Pause(reason) = analysis.evaluate(now, 1, fleet, dead) {
             edge.selector.stop(PLAN_NAME, u64::MAX);
             self.outcome.paused_at.get_or_insert(now);
             self.outcome.pause_reason = reason;
@@ -93,7 +93,7 @@
 
     fn fleet(&self) -> FleetCapacity {
         let slots = self.size.hosts as f64 * 2.0;
-        FleetCapacity { new_slots: slots, old_slots: slots, new_hosts: self.size.hosts }
+        FleetCapacity { new_slots: slots, control_slots: slots, new_hosts: self.size.hosts }
     }
 
     pub(crate) fn control_plane_tick(&mut self, now: Ms, plan: &RolloutPlan) {
@@ -104,7 +104,7 @@
             self.begin_new_leader(now, plan);
         }
         let state = self.states.last().expect("one").clone();
-        self.analysis.step(state.step);
+        self.analysis.set_step(state.step);
         let verdict = self.verdict(now, state.number);
         let Some(next) = state.tick(plan, now, self.since, &verdict) else { return };
         let is_pause = matches!(next.phase, Phase::Withdrawn | Phase::Frozen);
@@ -114,7 +114,7 @@
         }
         if is_pause {
             self.outcome.paused_at.get_or_insert(now);
-            self.outcome.pause_reason = next.why.clone();
+            self.outcome.pause_reason = next.reason.clone();
         }
         self.since = Since(now);
         self.states.push(next);
@@ -126,7 +126,7 @@
         self.analysis = RolloutAnalysis::new(plan, run);
         self.since = Since(now);
         self.no_leader_until = 0;
-        self.edges.iter_mut().for_each(|edge| edge.recorder.again());
+        self.edges.iter_mut().for_each(|edge| edge.recorder.report_all_again());
     }
 
     fn verdict(&mut self, now: Ms, number: u64) -> Verdict {
@@ -135,7 +135,7 @@
         }
         let fleet = self.fleet();
         let died = &self.died;
-        self.analysis.judge(now, number, fleet, |host, seen| has_died(died, host, seen, now))
+        self.analysis.evaluate(now, number, fleet, |host, seen| has_died(died, host, seen, now))
     }
 }
 
--- a/crates/data-plane/rollout/examples/evening/faults.rs
+++ b/crates/data-plane/rollout/examples/evening/faults.rs
@@ -12,7 +12,7 @@
 const BAD_ANSWERS_FOR: Ms = 15_000;
 const ZONE_LOST_AT: Ms = 230_000;
 const LOST_ZONE: usize = 1;
-const SIDES: [Variant; 2] = [Variant::New, Variant::Old];
+const SIDES: [Variant; 2] = [Variant::New, Variant::Control];
 
 impl Evening {
     pub(crate) fn inject_faults(&mut self, now: Ms) {
@@ -24,9 +24,9 @@
                 self.hosts[0].iter_mut().step_by(2).for_each(|host| host.cold_until = now + COLD_FOR);
             }
             Scenario::HostsCrash => {
-                for side in SIDES {
+                for variant in SIDES {
                     let host = self.rng.usize(0..self.size.hosts);
-                    self.crash(now, side, host, CRASH_FOR);
+                    self.crash(now, variant, host, CRASH_FOR);
                 }
             }
             Scenario::ZoneLost if now == ZONE_LOST_AT => self.lose_zone(now),
@@ -37,9 +37,9 @@
 
     fn lose_zone(&mut self, now: Ms) {
         let zones = self.size.zones;
-        for side in SIDES {
+        for variant in SIDES {
             for host in (0..self.size.hosts).filter(|host| host % zones == LOST_ZONE) {
-                self.crash(now, side, host, EVENING);
+                self.crash(now, variant, host, EVENING);
             }
         }
         let lost = self.edges.iter_mut().filter(|edge| edge.zone == LOST_ZONE);
@@ -47,9 +47,9 @@
     }
 
     fn spoil_one_host(&mut self, now: Ms) {
-        let side = self.rng.usize(0..2);
+        let variant = self.rng.usize(0..2);
         let at = self.rng.usize(0..self.size.hosts);
-        let host = &mut self.hosts[side][at];
+        let host = &mut self.hosts[variant][at];
         let until = match self.scenario {
             Scenario::HostsGarbleAnswers => &mut host.garbles_until,
             _ => &mut host.loses_until,
@@ -58,15 +58,15 @@
     }
 
     /// The host is down, and what was under way there is lost.
-    fn crash(&mut self, now: Ms, side: Variant, at: usize, down_for: Ms) {
-        let host = &mut self.hosts[side as usize][at];
+    fn crash(&mut self, now: Ms, variant: Variant, at: usize, down_for: Ms) {
+        let host = &mut self.hosts[variant as usize][at];
         host.down_until = now + down_for;
         host.cold_until = now + down_for + COLD_AFTER_CRASH;
         host.free_at = [0.0; 2];
         self.died.insert(host.name.clone(), now);
         for event in self.events.iter_mut().flatten() {
             if let Event::Ended { attempt, kind, .. } = event {
-                if attempt.side == side && attempt.host == at {
+                if attempt.variant == variant && attempt.host == at {
                     *kind = OutcomeKind::Lost;
                 }
             }
--- a/crates/data-plane/rollout/examples/evening/traffic.rs
+++ b/crates/data-plane/rollout/examples/evening/traffic.rs
@@ -40,20 +40,21 @@
         let client = if is_hot { &self.hot_client } else { &self.clients[client] };
         let selector = &self.edges[edge].selector;
         let choice = selector.choose(now, SERVICE, ROUTES[route], client.as_bytes());
-        let (side, number) = choice.as_ref().map_or((Variant::Old, 0), |c| (c.side, c.number));
-        let is_counted = choice.is_some_and(|choice| selector.counts(choice.plan));
-        let Some(host) = self.draw_host(now, side, is_hot) else { return };
-        let is_overloaded = is_counted && self.mode != Mode::Fixed && self.count_sent(now, edge, side, host);
-        let attempt = Attempt { edge, number, route, side, host };
+        let (variant, number) = choice.as_ref().map_or((Variant::Control, 0), |c| (c.variant, c.number));
+        let is_counted = choice.is_some_and(|choice| selector.records_evidence(choice.plan));
+        let Some(host) = self.draw_host(now, variant, is_hot) else { return };
+        let is_overloaded =
+            is_counted && self.mode != Mode::Fixed && self.count_sent(now, edge, variant, host);
+        let attempt = Attempt { edge, number, route, variant, host };
         self.record(now, &attempt, OutcomeKind::Offered, None, None);
         let Some(Response { kind, took }) = self.run(now, &attempt) else { return };
-        if side == Variant::New {
+        if variant == Variant::New {
             self.outcome.met_new += 1;
             self.outcome.last_sent = now;
         }
-        let is_cold = now < self.hosts[side as usize][host].cold_until;
+        let is_cold = now < self.hosts[variant as usize][host].cold_until;
         let is_timed = [OutcomeKind::Good, OutcomeKind::Late, OutcomeKind::Failed].contains(&kind);
-        let kind = if (is_cold || is_overloaded) && is_timed { OutcomeKind::Aside } else { kind };
+        let kind = if (is_cold || is_overloaded) && is_timed { OutcomeKind::Excluded } else { kind };
         self.schedule(now + took, Event::Ended { attempt, kind, took });
     }
 
@@ -68,8 +69,8 @@
     }
 
     /// The better of two random hosts: edges know about how long a host's queue is. A hot key has one host.
-    fn draw_host(&mut self, now: Ms, side: Variant, is_hot: bool) -> Option<usize> {
-        let hosts = &self.hosts[side as usize];
+    fn draw_host(&mut self, now: Ms, variant: Variant, is_hot: bool) -> Option<usize> {
+        let hosts = &self.hosts[variant as usize];
         let is_up = |at: &usize| now >= hosts[*at].down_until;
         let draw = |rng: &mut Rng| (0..20).map(|_| rng.usize(0..hosts.len())).find(is_up);
         let (first, second) = (draw(&mut self.rng), draw(&mut self.rng));
@@ -82,28 +83,28 @@
         })
     }
 
-    fn count_sent(&mut self, now: Ms, edge: usize, side: Variant, host: usize) -> bool {
-        self.edges[edge].recorder.sent(now, &self.hosts[side as usize][host].name, SLOTS)
+    fn count_sent(&mut self, now: Ms, edge: usize, variant: Variant, host: usize) -> bool {
+        self.edges[edge].recorder.record_sent(now, &self.hosts[variant as usize][host].name, SLOTS)
     }
 
     /// Runs a request on a host; none if it is rejected.
     fn run(&mut self, now: Ms, attempt: &Attempt) -> Option<Response> {
-        let (side, at) = (attempt.side as usize, attempt.host);
-        let slot = usize::from(self.hosts[side][at].free_at[1] < self.hosts[side][at].free_at[0]);
-        let wait = (self.hosts[side][at].free_at[slot] - now as f64).max(0.0);
+        let (variant, at) = (attempt.variant as usize, attempt.host);
+        let slot = usize::from(self.hosts[variant][at].free_at[1] < self.hosts[variant][at].free_at[0]);
+        let wait = (self.hosts[variant][at].free_at[slot] - now as f64).max(0.0);
         if wait > MAX_WAIT {
             return None;
         }
         let work = self.draw_work(now, attempt);
         let stall = self.draw_stall(now, attempt);
         // A stalled request waits for something and does not work the while: the slot isn't held.
-        self.hosts[side][at].free_at[slot] = now as f64 + wait + work;
+        self.hosts[variant][at].free_at[slot] = now as f64 + wait + work;
         let took = ((wait + work + stall.unwrap_or(0.0)) as Ms + NETWORK).min(DEADLINE);
         let version_fault = self.draw_version_fault(attempt);
         let host_fault = self.draw_host_fault(now, attempt);
         let timely = if took > LATENCY_TARGET { OutcomeKind::Late } else { OutcomeKind::Good };
         let kind = version_fault.or(host_fault).unwrap_or(timely);
-        let is_new = attempt.side == Variant::New;
+        let is_new = attempt.variant == Variant::New;
         if version_fault.is_some() || (is_new && stall.is_some() && self.scenario.is_bad()) {
             self.outcome.harmed += 1;
             self.outcome.first_bad.get_or_insert(now + took);
@@ -113,9 +114,9 @@
 
     /// The service time (ms).
     fn draw_work(&mut self, now: Ms, attempt: &Attempt) -> f64 {
-        let is_cold = now < self.hosts[attempt.side as usize][attempt.host].cold_until;
+        let is_cold = now < self.hosts[attempt.variant as usize][attempt.host].cold_until;
         let is_slow_wave = self.scenario == Scenario::SlowWaves && now % 100_000 < 20_000;
-        let is_better = attempt.side == Variant::New && self.scenario == Scenario::Better;
+        let is_better = attempt.variant == Variant::New && self.scenario == Scenario::Better;
         let mut work = MEDIAN_WORK * (WORK_SIGMA * normal(&mut self.rng)).exp();
         work *= if is_cold { 3.0 } else { 1.0 };
         work *= if is_slow_wave { 2.5 } else { 1.0 };
@@ -138,21 +139,21 @@
             | Scenario::LateAndEdgesCutOff
             | Scenario::LateAndReportsDelayed => true,
             Scenario::LateAtEveningLoad => self.rate(now) > 0.85 * self.size.peak,
-            Scenario::LateInOneZone => self.hosts[attempt.side as usize][attempt.host].zone == 1,
+            Scenario::LateInOneZone => self.hosts[attempt.variant as usize][attempt.host].zone == 1,
             Scenario::LateOnOneRoute => attempt.route == BOOK,
             Scenario::LateAfterTenMinutes => now > 600_000,
             _ => false,
         };
-        attempt.side == Variant::New && is_late
+        attempt.variant == Variant::New && is_late
     }
 
     fn draw_version_fault(&mut self, attempt: &Attempt) -> Option<OutcomeKind> {
-        if attempt.side != Variant::New {
+        if attempt.variant != Variant::New {
             return None;
         }
         let (kind, chance) = match self.scenario {
             Scenario::LosesAnswers => (OutcomeKind::Lost, 0.02),
-            Scenario::WrongSeals => (OutcomeKind::Foreign, 1.0 / 30.0),
+            Scenario::WrongSeals => (OutcomeKind::InvalidResponse, 1.0 / 30.0),
             Scenario::FailsAnswers => (OutcomeKind::Failed, 0.1),
             Scenario::DoublesBookings if attempt.route == BOOK => (OutcomeKind::Doubled, 0.002),
             _ => return None,
@@ -161,11 +162,11 @@
     }
 
     fn draw_host_fault(&mut self, now: Ms, attempt: &Attempt) -> Option<OutcomeKind> {
-        let host = &self.hosts[attempt.side as usize][attempt.host];
+        let host = &self.hosts[attempt.variant as usize][attempt.host];
         let loses = now < host.loses_until && self.rng.f64() < 0.1;
         let garbles = now < host.garbles_until && self.rng.f64() < 0.3;
         match (loses, garbles) {
-            (_, true) => Some(OutcomeKind::Foreign),
+            (_, true) => Some(OutcomeKind::InvalidResponse),
             (true, false) => Some(OutcomeKind::Lost),
             (false, false) => None,
         }
@@ -183,11 +184,11 @@
         if self.mode == Mode::Fixed {
             return;
         }
-        let Attempt { number, route, side, .. } = *attempt;
+        let Attempt { number, route, variant, .. } = *attempt;
         let edge = &mut self.edges[attempt.edge];
         if number > 0 && edge.selector.active().any(|rollout| rollout.number >= number) {
-            let host = host.map(|at| self.hosts[side as usize][at].name.as_str());
-            edge.recorder.note(now, PLAN_NAME, number, ROUTES[route], side, kind, took, host);
+            let host = host.map(|at| self.hosts[variant as usize][at].name.as_str());
+            edge.recorder.record_outcome(now, PLAN_NAME, number, ROUTES[route], variant, kind, took, host);
         }
     }
 }
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -103,7 +103,7 @@
     /// The plan's number when its variant was chosen; 0 without a plan.
     pub(crate) number: u64,
     pub(crate) route: usize,
-    pub(crate) side: Variant,
+    pub(crate) variant: Variant,
     pub(crate) host: usize,
 }
 
@@ -148,7 +148,7 @@
 
 /// The worst client to be hot: one of the first that the new version gets.
 fn hot_client() -> String {
-    let is_first = |n: &u32| share::place(SERVICE, PLAN_NAME, format!("c{n}").as_bytes()) < 0.02;
+    let is_first = |n: &u32| share::position(SERVICE, PLAN_NAME, format!("c{n}").as_bytes()) < 0.02;
     format!("c{}", (0..CLIENTS).find(is_first).unwrap_or(0))
 }
 
--- a/crates/data-plane/rollout/src/analysis.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -1,8 +1,8 @@
 //! The analysis of a rollout: the new version against the control group in the same spans of time, in the same zones,
-//! on the same routes (canary analysis). Its steps, in order: [`RolloutAnalysis::take`] guards against stale reports
+//! on the same routes (canary analysis). Its steps, in order: [`RolloutAnalysis::ingest`] guards against stale reports
 //! (`row_store`); each interval the rows that are over are evaluated, with what counts against a version and what is
 //! one host's trouble (`host_faults`), whether the new version's hosts are overloaded (`overload`) and how crowded
-//! late answers come (`dispersion`); the sequential test weighs them (`sequential_test`); [`RolloutAnalysis::judge`]
+//! late answers come (`dispersion`); the sequential test weighs them (`sequential_test`); [`RolloutAnalysis::evaluate`]
 //! decides.
 mod dispersion;
 mod host_faults;
@@ -81,7 +81,7 @@
 
     /// Takes in what an edge reports of the plan of this name. True if the new version ran something twice: the caller
     /// should then judge at once.
-    pub fn take(&mut self, now: Ms, name: &str, report: &EvidenceReport) -> bool {
+    pub fn ingest(&mut self, now: Ms, name: &str, report: &EvidenceReport) -> bool {
         let mut is_urgent = false;
         for row in report.rows.iter().filter(|row| row.plan == name && row.number >= self.run) {
             let accepted = self.rows.accept(now, report, row);
@@ -95,7 +95,7 @@
 
     /// Evaluates what can be evaluated, and decides. `number` is the plan's present one. `dead`: whether a host has
     /// died at or after a time, if that is known.
-    pub fn judge(
+    pub fn evaluate(
         &mut self,
         now: Ms,
         number: u64,
@@ -136,7 +136,7 @@
         let PendingRow { edge, zone, row, first_seen, late } = pending;
         let host_died = |host: &str| host_died(host, first_seen);
         let new_lost = self.host_faults.new_losses(&row.new, host_died);
-        let control_lost = self.host_faults.control_losses(&row.old, host_died);
+        let control_lost = self.host_faults.control_losses(&row.control, host_died);
         let new_slow = self.host_faults.attributed(Fault::Late, &row.new.slow_at);
         *self.answers.entry(row.number).or_default() += row.new.ended();
         self.sums.add_evaluated(&row);
@@ -173,7 +173,7 @@
 
     /// Whether there is enough evidence for the next step, and no trouble that would hide a fault.
     fn step_verdict(&self, now: Ms, number: u64) -> Verdict {
-        let (answers, required) = (self.counted(number), self.required_answers);
+        let (answers, required) = (self.answers(number), self.required_answers);
         if answers < required {
             return Verdict::Wait(format!("{answers} of {required} answers"));
         }
@@ -191,7 +191,7 @@
     }
 
     /// The step in force has this index.
-    pub fn step(&mut self, step: usize) {
+    pub fn set_step(&mut self, step: usize) {
         if step > self.step {
             self.test.begin_step();
             self.step = step;
@@ -200,7 +200,7 @@
     }
 
     /// Answers of the new version that were evaluated while the plan had this number.
-    pub fn counted(&self, number: u64) -> u64 {
+    pub fn answers(&self, number: u64) -> u64 {
         self.answers.get(&number).copied().unwrap_or(0)
     }
 }
--- a/crates/data-plane/rollout/src/analysis/dispersion.rs
+++ b/crates/data-plane/rollout/src/analysis/dispersion.rs
@@ -45,8 +45,8 @@
 
 fn rows_by_stratum(rows: &[EvaluatedRow]) -> BTreeMap<&StratumKey, Vec<ControlAnswers>> {
     let mut strata: BTreeMap<&StratumKey, Vec<ControlAnswers>> = BTreeMap::new();
-    for evaluated in rows.iter().filter(|evaluated| evaluated.row.old.timed() > 0) {
-        let control = &evaluated.row.old;
+    for evaluated in rows.iter().filter(|evaluated| evaluated.row.control.timed() > 0) {
+        let control = &evaluated.row.control;
         let answers = ControlAnswers { slow: control.slow() as f64, timed: control.timed() as f64 };
         strata.entry(&evaluated.stratum).or_default().push(answers);
     }
--- a/crates/data-plane/rollout/src/analysis/overload.rs
+++ b/crates/data-plane/rollout/src/analysis/overload.rs
@@ -14,7 +14,7 @@
     /// Slots (concurrent requests) of the new version's hosts.
     pub new_slots: f64,
     /// Slots of the control group's hosts.
-    pub old_slots: f64,
+    pub control_slots: f64,
     /// Hosts of the new version.
     pub new_hosts: usize,
 }
@@ -27,10 +27,10 @@
 impl OverloadDetector {
     pub(crate) fn observe(&mut self, now: Ms, fleet: FleetCapacity, rows: &[EvaluatedRow]) {
         let new = rows.iter().map(|s| s.row.new.of(OutcomeKind::Offered)).sum::<u64>() as f64;
-        let control = rows.iter().map(|s| s.row.old.of(OutcomeKind::Offered)).sum::<u64>() as f64;
-        let has_control = fleet.old_slots > 0.0;
+        let control = rows.iter().map(|s| s.row.control.of(OutcomeKind::Offered)).sum::<u64>() as f64;
+        let has_control = fleet.control_slots > 0.0;
         // What the control group's load per slot would give.
-        let expected = if has_control { control / fleet.old_slots * fleet.new_slots } else { new };
+        let expected = if has_control { control / fleet.control_slots * fleet.new_slots } else { new };
         let is_overloaded = fleet.new_slots > 0.0 && new > load_limit(expected);
         self.since = is_overloaded.then_some(self.since.unwrap_or(now));
     }
--- a/crates/data-plane/rollout/src/analysis/row_store.rs
+++ b/crates/data-plane/rollout/src/analysis/row_store.rs
@@ -23,7 +23,7 @@
 
 fn row_key(report: &EvidenceReport, row: &EvidenceRow) -> RowKey {
     let mut hash = DefaultHasher::new();
-    (&report.edge, report.life, row.span, row.number, &row.route).hash(&mut hash);
+    (&report.edge, report.incarnation, row.window, row.number, &row.route).hash(&mut hash);
     hash.finish()
 }
 
@@ -36,7 +36,7 @@
 
 impl DoubledCounts {
     fn of(row: &EvidenceRow) -> DoubledCounts {
-        DoubledCounts { new: row.new.of(OutcomeKind::Doubled), old: row.old.of(OutcomeKind::Doubled) }
+        DoubledCounts { new: row.new.of(OutcomeKind::Doubled), old: row.control.of(OutcomeKind::Doubled) }
     }
 
     fn since(self, before: DoubledCounts) -> DoubledCounts {
@@ -87,7 +87,7 @@
     pub(crate) fn accept(&mut self, now: Ms, report: &EvidenceReport, row: &EvidenceRow) -> Acceptance {
         let key = row_key(report, row);
         let is_known = self.pending.contains_key(&key) || self.evaluated.contains_key(&key);
-        let late = self.observe_edge(now, &report.edge, row.span);
+        let late = self.observe_edge(now, &report.edge, row.window);
         let before = match self.evaluated.contains_key(&key) {
             true => self.supersede_evaluated(key, row),
             false => self.supersede_pending(now, key, report, row, late),
@@ -97,14 +97,14 @@
     }
 
     /// Notes that an edge has reported. True if the row is late.
-    fn observe_edge(&mut self, now: Ms, edge: &str, span: u64) -> bool {
+    fn observe_edge(&mut self, now: Ms, edge: &str, window: u64) -> bool {
         if !self.edges.contains_key(edge) {
-            self.edges.insert(edge.into(), EdgeProgress { last_report: now, newest_span: span });
+            self.edges.insert(edge.into(), EdgeProgress { last_report: now, newest_span: window });
         }
         let Some(progress) = self.edges.get_mut(edge) else { return false };
         progress.last_report = now;
-        let late = span + LATE_SPANS < progress.newest_span;
-        progress.newest_span = progress.newest_span.max(span);
+        let late = window + LATE_SPANS < progress.newest_span;
+        progress.newest_span = progress.newest_span.max(window);
         late
     }
 
@@ -112,8 +112,8 @@
     /// Returns what was known of that before; none if the version isn't newer.
     fn supersede_evaluated(&mut self, key: RowKey, row: &EvidenceRow) -> Option<DoubledCounts> {
         let evaluated =
-            self.evaluated.get_mut(&key).filter(|evaluated| row.count > evaluated.change_count)?;
-        evaluated.change_count = row.count;
+            self.evaluated.get_mut(&key).filter(|evaluated| row.revision > evaluated.change_count)?;
+        evaluated.change_count = row.revision;
         Some(std::mem::replace(&mut evaluated.doubled, DoubledCounts::of(row)))
     }
 
@@ -127,12 +127,12 @@
     ) -> Option<DoubledCounts> {
         let pending = self.pending.entry(key).or_insert_with(|| PendingRow {
             edge: report.edge.clone(),
-            zone: report.area.clone(),
+            zone: report.zone.clone(),
             row: EvidenceRow::default(),
             first_seen: now,
             late,
         });
-        if row.count <= pending.row.count {
+        if row.revision <= pending.row.revision {
             return None;
         }
         let before = std::mem::replace(&mut pending.row, row.clone());
@@ -149,13 +149,13 @@
         self.sweep(now);
         let is_due = |pending: &PendingRow| {
             let edge = self.edges.get(&pending.edge);
-            let is_closed = edge.is_some_and(|edge| edge.newest_span > pending.row.span);
+            let is_closed = edge.is_some_and(|edge| edge.newest_span > pending.row.window);
             let fates_known = |counts: &Counts| {
                 counts.lost_at.iter().all(|(host, _)| host_died(host, pending.first_seen).is_some())
             };
             (is_closed || now >= pending.first_seen + EVALUATE_AFTER)
                 && fates_known(&pending.row.new)
-                && fates_known(&pending.row.old)
+                && fates_known(&pending.row.control)
         };
         let due = self.pending.iter().filter(|(_, pending)| is_due(pending));
         let mut keys: Vec<RowKey> = due.map(|(key, _)| *key).collect();
@@ -167,7 +167,7 @@
         let pending = self.pending.remove(&key)?;
         let mark = EvaluatedMark {
             first_seen: pending.first_seen,
-            change_count: pending.row.count,
+            change_count: pending.row.revision,
             doubled: DoubledCounts::of(&pending.row),
         };
         self.evaluated.insert(key, mark);
--- a/crates/data-plane/rollout/src/analysis/sequential_test.rs
+++ b/crates/data-plane/rollout/src/analysis/sequential_test.rs
@@ -67,7 +67,7 @@
     }
 
     fn of_late(evaluated: &EvaluatedRow) -> Sample {
-        let (new, control) = (&evaluated.row.new, &evaluated.row.old);
+        let (new, control) = (&evaluated.row.new, &evaluated.row.control);
         Sample {
             new_bad: evaluated.new_slow,
             all_bad: evaluated.new_slow + control.slow() as f64,
@@ -77,7 +77,7 @@
     }
 
     fn of_lost(evaluated: &EvaluatedRow) -> Sample {
-        let (new, control) = (&evaluated.row.new, &evaluated.row.old);
+        let (new, control) = (&evaluated.row.new, &evaluated.row.control);
         Sample {
             new_bad: evaluated.new_lost,
             all_bad: evaluated.new_lost + evaluated.control_lost,
--- a/crates/data-plane/rollout/src/analysis/sums.rs
+++ b/crates/data-plane/rollout/src/analysis/sums.rs
@@ -9,20 +9,20 @@
     /// Of the new version.
     pub new: Counts,
     /// Of the control group.
-    pub old: Counts,
+    pub control: Counts,
 }
 
 impl VariantSums {
     /// Adds second answers as they become known.
     pub(crate) fn add_doubled(&mut self, more: DoubledCounts) {
         self.new.all[OutcomeKind::Doubled as usize] += more.new as u32;
-        self.old.all[OutcomeKind::Doubled as usize] += more.old as u32;
+        self.control.all[OutcomeKind::Doubled as usize] += more.old as u32;
     }
 
     /// Adds an evaluated row, but for its second answers: those were added when they became known.
     pub(crate) fn add_evaluated(&mut self, row: &EvidenceRow) {
         add_without_doubled(&mut self.new, &row.new);
-        add_without_doubled(&mut self.old, &row.old);
+        add_without_doubled(&mut self.control, &row.control);
     }
 
     /// The share of a variant's answers that have a fault, in percent: (new version, control group).
@@ -31,18 +31,18 @@
             Fault::Late => counts.slow() as f64 / counts.timed().max(1) as f64,
             Fault::Lost => counts.unanswered() as f64 / counts.ended().max(1) as f64,
         };
-        (100.0 * share(&self.new), 100.0 * share(&self.old))
+        (100.0 * share(&self.new), 100.0 * share(&self.control))
     }
 
     /// The reason to pause if more attempts of the new version ran twice than `allowed`, unless the control group's do
     /// as often: then it isn't the release.
     pub(crate) fn doubled_reason(&self, allowed: u64) -> Option<String> {
         let new = self.new.of(OutcomeKind::Doubled);
-        let old = self.old.of(OutcomeKind::Doubled);
+        let old = self.control.of(OutcomeKind::Doubled);
         if new <= allowed {
             return None;
         }
-        let is_alike = old > 0 && 2 * old * self.new.ended().max(1) >= new * self.old.ended();
+        let is_alike = old > 0 && 2 * old * self.new.ended().max(1) >= new * self.control.ended();
         (!is_alike).then(|| format!("{new} answered twice by the new version, {old} by the other"))
     }
 }
--- a/crates/data-plane/rollout/src/evidence.rs
+++ b/crates/data-plane/rollout/src/evidence.rs
@@ -27,9 +27,9 @@
     /// A second complete answer came for one attempt: it ran twice.
     Doubled,
     /// An answer whose id or seal is wrong.
-    Foreign,
+    InvalidResponse,
     /// Answered by a host that is warming up or overloaded: says nothing about the variant's latency.
-    Aside,
+    Excluded,
 }
 
 /// What was counted of one variant.
@@ -67,12 +67,12 @@
 
     /// Attempts without a usable answer.
     pub fn unanswered(&self) -> u64 {
-        self.of(OutcomeKind::Lost) + self.of(OutcomeKind::Foreign)
+        self.of(OutcomeKind::Lost) + self.of(OutcomeKind::InvalidResponse)
     }
 
     /// Attempts that have come to an end, answered or lost.
     pub fn ended(&self) -> u64 {
-        self.timed() + self.of(OutcomeKind::Aside) + self.unanswered()
+        self.timed() + self.of(OutcomeKind::Excluded) + self.unanswered()
     }
 }
 
@@ -87,17 +87,18 @@
     pub number: u64,
     /// Index of the span: the edge's time divided by [`REPORT_SPAN`].
     #[serde(rename = "b")]
-    pub span: u64,
+    pub window: u64,
     /// The route's name, or [`OTHERS`].
     #[serde(rename = "r")]
     pub route: String,
     /// How often the row has changed: the higher one supersedes the lower.
     #[serde(rename = "c")]
-    pub count: u32,
+    pub revision: u32,
     /// Counts of the new version.
     pub new: Counts,
     /// Counts of the control group.
-    pub old: Counts,
+    #[serde(rename = "old")]
+    pub control: Counts,
 }
 
 /// A report of one edge. Control-plane nodes that aren't the leader forward it unchanged.
@@ -106,9 +107,11 @@
     /// The edge's name.
     pub edge: String,
     /// The incarnation of the edge: its counts begin anew with each start.
-    pub life: u64,
+    #[serde(rename = "life")]
+    pub incarnation: u64,
     /// The edge's zone.
-    pub area: String,
+    #[serde(rename = "area")]
+    pub zone: String,
     /// Rows that are new or have changed.
     pub rows: Vec<EvidenceRow>,
 }
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -18,7 +18,7 @@
 //!     "steps": [{"share": 0.05}, {"share": 0.5}]}"#;
 //! let state = RolloutState::submit("friday", body, None).unwrap();
 //! assert_eq!((state.number, state.share()), (1, Some(0.05)));
-//! let paused = state.order(0, RolloutCommand::Pause, "by hand").unwrap().unwrap();
+//! let paused = state.apply_command(0, RolloutCommand::Pause, "by hand").unwrap().unwrap();
 //! assert_eq!((paused.phase, paused.share()), (Phase::Withdrawn, Some(0.0)));
 //! ```
 pub mod analysis;
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -27,7 +27,7 @@
     Ended,
 }
 
-/// A command of an operator. [`RolloutCommand::named`] has the words on the wire.
+/// A command of an operator. [`RolloutCommand::from_word`] has the words on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCommand {
     /// Pauses as the plan says: freezes the share, or rolls back.
@@ -35,9 +35,9 @@
     /// Continues a paused rollout and counts evidence anew.
     Resume,
     /// Promotes to the next step.
-    Pass,
+    Promote,
     /// Rolls back, whatever the plan says of pauses.
-    Undo,
+    RollBack,
     /// Takes the plan out of force.
     End,
 }
@@ -45,8 +45,8 @@
 const COMMAND_WORDS: [(&str, RolloutCommand); 5] = [
     ("pause", RolloutCommand::Pause),
     ("resume", RolloutCommand::Resume),
-    ("pass", RolloutCommand::Pass),
-    ("undo", RolloutCommand::Undo),
+    ("pass", RolloutCommand::Promote),
+    ("undo", RolloutCommand::RollBack),
     ("end", RolloutCommand::End),
 ];
 
@@ -55,9 +55,9 @@
     ///
     /// ```
     /// use coppersail_rollout::RolloutCommand;
-    /// assert_eq!(RolloutCommand::named("undo"), Some(RolloutCommand::Undo));
+    /// assert_eq!(RolloutCommand::from_word("undo"), Some(RolloutCommand::RollBack));
     /// ```
-    pub fn named(name: &str) -> Option<RolloutCommand> {
+    pub fn from_word(name: &str) -> Option<RolloutCommand> {
         COMMAND_WORDS.iter().find(|(word, _)| *word == name).map(|(_, command)| *command)
     }
 }
@@ -104,9 +104,11 @@
     /// The number with which evidence began to count anew; evidence of lower numbers is ignored.
     pub run: u64,
     /// For how long this run had been in force up to this change, in milliseconds.
-    pub ran: Ms,
+    #[serde(rename = "ran")]
+    pub elapsed_ms: Ms,
     /// Why it is in this phase, for operators.
-    pub why: String,
+    #[serde(rename = "why")]
+    pub reason: String,
     /// The plan as the operator sent it.
     pub body: String,
 }
@@ -142,7 +144,7 @@
             name: name.into(),
             number,
             run: number,
-            why: REASON_SUBMITTED.into(),
+            reason: REASON_SUBMITTED.into(),
             body: body.into(),
             ..RolloutState::default()
         })
@@ -169,30 +171,30 @@
             number: self.number + 1,
             phase,
             step,
-            ran: self.ran + elapsed,
-            why: reason.into(),
+            elapsed_ms: self.elapsed_ms + elapsed,
+            reason: reason.into(),
             ..self.clone()
         }
     }
 
-    /// Applies a command `ran` milliseconds after the last change. None: the rollout is in the commanded state already,
-    /// as after a command that was sent twice.
-    pub fn order(
+    /// Applies a command `elapsed_ms` milliseconds after the last change. None: the rollout is in the commanded state
+    /// already, as after a command that was sent twice.
+    pub fn apply_command(
         &self,
-        ran: Ms,
-        order: RolloutCommand,
-        why: &str,
+        elapsed_ms: Ms,
+        command: RolloutCommand,
+        reason: &str,
     ) -> Result<Option<RolloutState>, CommandError> {
         if self.phase == Phase::Ended {
-            return if order == RolloutCommand::End { Ok(None) } else { Err(CommandError::Ended) };
+            return if command == RolloutCommand::End { Ok(None) } else { Err(CommandError::Ended) };
         }
-        match order {
-            RolloutCommand::End => Ok(Some(self.next(ran, Phase::Ended, self.step, why))),
-            RolloutCommand::Undo => Ok(self.rolled_back(ran, why)),
-            RolloutCommand::Pause => Ok(self.paused(ran, why)),
-            RolloutCommand::Resume => Ok(self.resumed(ran, why)),
-            RolloutCommand::Pass => match self.phase {
-                Phase::Running => Ok(Some(self.passed(ran, why))),
+        match command {
+            RolloutCommand::End => Ok(Some(self.next(elapsed_ms, Phase::Ended, self.step, reason))),
+            RolloutCommand::RollBack => Ok(self.rolled_back(elapsed_ms, reason)),
+            RolloutCommand::Pause => Ok(self.paused(elapsed_ms, reason)),
+            RolloutCommand::Resume => Ok(self.resumed(elapsed_ms, reason)),
+            RolloutCommand::Promote => match self.phase {
+                Phase::Running => Ok(Some(self.passed(elapsed_ms, reason))),
                 Phase::Done => Ok(None),
                 found => Err(CommandError::Paused { found }),
             },
@@ -208,7 +210,7 @@
         if matches!(self.phase, Phase::Frozen | Phase::Withdrawn) {
             return None;
         }
-        let phase = match self.plan().pause {
+        let phase = match self.plan().pause_action {
             PauseAction::Freeze => Phase::Frozen,
             PauseAction::Withdraw => Phase::Withdrawn,
         };
@@ -222,7 +224,7 @@
         }
         let step = if self.phase == Phase::Withdrawn { 0 } else { self.step };
         let next = self.next(elapsed, Phase::Running, step, reason);
-        Some(RolloutState { run: next.number, ran: 0, ..next })
+        Some(RolloutState { run: next.number, elapsed_ms: 0, ..next })
     }
 
     fn passed(&self, elapsed: Ms, reason: &str) -> RolloutState {
@@ -248,18 +250,18 @@
     }
 
     fn is_expired(&self, plan: &RolloutPlan, elapsed: Ms) -> bool {
-        (self.ran + elapsed) as u128 >= plan.max_duration.as_millis()
+        (self.elapsed_ms + elapsed) as u128 >= plan.max_duration.as_millis()
     }
 
     fn advanced(&self, plan: &RolloutPlan, elapsed: Ms) -> Option<RolloutState> {
         let may_pass = |step: &&Step| {
-            elapsed as u128 >= step.min_duration.as_millis() && step.pass == StepApproval::Itself
+            elapsed as u128 >= step.min_duration.as_millis() && step.approval == StepApproval::Itself
         };
         plan.steps.get(self.step).filter(may_pass).map(|_| self.passed(elapsed, REASON_SOUND))
     }
 
     /// Milliseconds until the step's least time is over; none unless the rollout runs.
-    pub fn left(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
+    pub fn remaining_ms(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
         Some((step.min_duration.as_millis() as Ms).saturating_sub(since.elapsed(now)))
     }
--- a/crates/data-plane/rollout/src/recorder.rs
+++ b/crates/data-plane/rollout/src/recorder.rs
@@ -1,4 +1,4 @@
-//! How an edge counts evidence of both variants and bounds what it reports: a row a plan, route and span of time, kept
+//! How an edge counts evidence of both variants and bounds what it reports: a row a plan, route and window of time, kept
 //! for a minute, reported whenever it has changed.
 use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHERS, REPORT_SPAN};
 use crate::load_limit::load_limit;
@@ -9,9 +9,9 @@
 
 /// Rows are reported again to a new leader for as long (ms); older ones weigh little in what it decides.
 const ROW_RETENTION: Ms = 60_000;
-/// Routes that are told apart in one span; those beyond are counted as [`OTHERS`].
+/// Routes that are told apart in one window; those beyond are counted as [`OTHERS`].
 const MAX_ROUTES: usize = 16;
-/// Response times kept of one variant, route and span; more add nothing.
+/// Response times kept of one variant, route and window; more add nothing.
 const MAX_TIMES: usize = 4096;
 /// The longest time that the histogram tells apart (ms): longer than any request.
 const HISTOGRAM_MAX: u64 = 60_000;
@@ -32,9 +32,9 @@
 }
 
 impl RecordedRow {
-    fn new(plan: &str, number: u64, span: u64, route: &str) -> RecordedRow {
+    fn new(plan: &str, number: u64, window: u64, route: &str) -> RecordedRow {
         let (plan, route) = (plan.into(), route.into());
-        let row = EvidenceRow { plan, number, span, route, ..EvidenceRow::default() };
+        let row = EvidenceRow { plan, number, window, route, ..EvidenceRow::default() };
         RecordedRow { row, times: [Vec::new(), Vec::new()], unreported: true }
     }
 
@@ -42,15 +42,15 @@
         self.row.plan == plan && self.row.number == number
     }
 
-    fn record(&mut self, side: Variant, kind: OutcomeKind, took: Option<Ms>, host: Option<&str>) {
+    fn record(&mut self, variant: Variant, kind: OutcomeKind, took: Option<Ms>, host: Option<&str>) {
         self.unreported = true;
-        self.row.count += 1;
-        let counts = if side == Variant::New { &mut self.row.new } else { &mut self.row.old };
+        self.row.revision += 1;
+        let counts = if variant == Variant::New { &mut self.row.new } else { &mut self.row.control };
         counts.all[kind as usize] += 1;
-        if let (Some(by_host), Some(host)) = (host_counts(counts, side, kind), host) {
+        if let (Some(by_host), Some(host)) = (host_counts(counts, variant, kind), host) {
             increment(by_host, host);
         }
-        let times = &mut self.times[side as usize];
+        let times = &mut self.times[variant as usize];
         if let Some(took) = took.filter(|_| times.len() < MAX_TIMES) {
             times.push(took.clamp(1, u64::from(u32::MAX)) as u32);
         }
@@ -60,7 +60,7 @@
     fn report(&mut self, histogram: &mut Histogram<u32>) -> EvidenceRow {
         self.unreported = false;
         let mut row = self.row.clone();
-        for (counts, times) in [&mut row.new, &mut row.old].into_iter().zip(&self.times) {
+        for (counts, times) in [&mut row.new, &mut row.control].into_iter().zip(&self.times) {
             if times.is_empty() {
                 continue;
             }
@@ -74,10 +74,10 @@
 }
 
 /// The list of hosts in which an outcome is counted, if any.
-fn host_counts(counts: &mut Counts, side: Variant, kind: OutcomeKind) -> Option<&mut Vec<(String, u32)>> {
+fn host_counts(counts: &mut Counts, variant: Variant, kind: OutcomeKind) -> Option<&mut Vec<(String, u32)>> {
     match kind {
-        OutcomeKind::Lost | OutcomeKind::Foreign => Some(&mut counts.lost_at),
-        OutcomeKind::Late | OutcomeKind::Failed if side == Variant::New => Some(&mut counts.slow_at),
+        OutcomeKind::Lost | OutcomeKind::InvalidResponse => Some(&mut counts.lost_at),
+        OutcomeKind::Late | OutcomeKind::Failed if variant == Variant::New => Some(&mut counts.slow_at),
         _ => None,
     }
 }
@@ -93,26 +93,26 @@
     Histogram::new_with_bounds(1, HISTOGRAM_MAX, HISTOGRAM_DIGITS).expect("fixed bounds")
 }
 
-/// Requests that were sent to one host within a span.
+/// Requests that were sent to one host within a window.
 #[derive(Clone, Copy)]
 struct HostLoad {
     requests: u32,
     slots: f64,
 }
 
-/// Requests by host within one span, to find hosts with far more than their share.
+/// Requests by host within one window, to find hosts with far more than their share.
 #[derive(Default)]
 struct LoadTracker {
-    span: u64,
+    window: u64,
     hosts: BTreeMap<String, HostLoad>,
     total_requests: f64,
     total_slots: f64,
 }
 
 impl LoadTracker {
-    fn begin_span(&mut self, span: u64) {
-        if span != self.span {
-            (self.span, self.total_requests, self.total_slots) = (span, 0.0, 0.0);
+    fn begin_window(&mut self, window: u64) {
+        if window != self.window {
+            (self.window, self.total_requests, self.total_slots) = (window, 0.0, 0.0);
             self.hosts.clear();
         }
     }
@@ -142,13 +142,13 @@
 #[derive(Default)]
 pub struct EvidenceRecorder {
     edge: String,
-    life: u64,
-    area: String,
-    /// Rows of the span under way.
+    incarnation: u64,
+    zone: String,
+    /// Rows of the current window.
     open: Vec<RecordedRow>,
-    /// The span under way has something that can't wait for its end.
+    /// The current window has something that can't wait for its end.
     urgent: bool,
-    /// Rows of earlier spans, the newest last.
+    /// Rows of earlier windows, the newest last.
     closed: VecDeque<RecordedRow>,
     /// Reused from report to report: it is large.
     histogram: Option<Histogram<u32>>,
@@ -157,25 +157,25 @@
 
 impl EvidenceRecorder {
     /// A recorder of an edge with this name, incarnation and zone.
-    pub fn new(edge: &str, life: u64, area: &str) -> EvidenceRecorder {
-        EvidenceRecorder { edge: edge.into(), life, area: area.into(), ..EvidenceRecorder::default() }
+    pub fn new(edge: &str, incarnation: u64, zone: &str) -> EvidenceRecorder {
+        EvidenceRecorder { edge: edge.into(), incarnation, zone: zone.into(), ..EvidenceRecorder::default() }
     }
 
-    /// Closes the rows of spans that are over, and drops those whose retention is.
-    fn close_spans(&mut self, now: Ms) {
-        let span = now / REPORT_SPAN;
-        if self.open.first().is_some_and(|open| open.row.span != span) {
+    /// Closes the rows of windows that are over, and drops those whose retention is.
+    fn close_windows(&mut self, now: Ms) {
+        let window = now / REPORT_SPAN;
+        if self.open.first().is_some_and(|open| open.row.window != window) {
             self.closed.extend(self.open.drain(..));
             self.urgent = false;
         }
-        let expired = |closed: &RecordedRow| closed.row.span + ROW_RETENTION / REPORT_SPAN < span;
+        let expired = |closed: &RecordedRow| closed.row.window + ROW_RETENTION / REPORT_SPAN < window;
         while self.closed.front().is_some_and(expired) {
             self.closed.pop_front();
         }
     }
 
     fn open_row(&mut self, now: Ms, plan: &str, number: u64, route: &str) -> &mut RecordedRow {
-        self.close_spans(now);
+        self.close_windows(now);
         let find = |open: &[RecordedRow], route: &str| {
             open.iter().position(|row| row.belongs_to(plan, number) && row.row.route == route)
         };
@@ -192,8 +192,8 @@
 
     /// Counts a request that goes to a host with so many slots. True if the host gets so much more than its share of
     /// what this edge sends, beyond chance, that its answers say more about the load than about the version.
-    pub fn sent(&mut self, now: Ms, host: &str, slots: f64) -> bool {
-        self.load.begin_span(now / REPORT_SPAN);
+    pub fn record_sent(&mut self, now: Ms, host: &str, slots: f64) -> bool {
+        self.load.begin_window(now / REPORT_SPAN);
         let own = self.load.count(host, slots);
         self.load.is_overloaded(own)
     }
@@ -203,25 +203,25 @@
         clippy::too_many_arguments,
         reason = "one attempt's plan, route, variant and outcome, as the edge proxy has them"
     )]
-    pub fn note(
+    pub fn record_outcome(
         &mut self,
         now: Ms,
         plan: &str,
         number: u64,
         route: &str,
-        side: Variant,
+        variant: Variant,
         kind: OutcomeKind,
         took: Option<Ms>,
         host: Option<&str>,
     ) {
         self.urgent |= kind == OutcomeKind::Doubled;
-        self.open_row(now, plan, number, route).record(side, kind, took, host);
+        self.open_row(now, plan, number, route).record(variant, kind, took, host);
     }
 
-    /// A report of the rows that have changed and whose span is over, and at once of those under way if something ran
+    /// A report of the rows that have changed and whose window is over, and at once of the current ones if something ran
     /// twice; as many as fit into `most` bytes, but one at least, the newest first. The others follow with the next.
     pub fn report(&mut self, now: Ms, most: usize) -> Option<EvidenceReport> {
-        self.close_spans(now);
+        self.close_windows(now);
         let urgent = std::mem::take(&mut self.urgent);
         let histogram = self.histogram.get_or_insert_with(new_histogram);
         let open = self.open.iter_mut().filter(|row| urgent && row.unreported);
@@ -237,12 +237,12 @@
             }
             rows.push(row);
         }
-        let (edge, life, area) = (self.edge.clone(), self.life, self.area.clone());
-        (!rows.is_empty()).then_some(EvidenceReport { edge, life, area, rows })
+        let (edge, incarnation, zone) = (self.edge.clone(), self.incarnation, self.zone.clone());
+        (!rows.is_empty()).then_some(EvidenceReport { edge, incarnation, zone, rows })
     }
 
     /// Reports all retained rows again: there is a new leader that knows none of them, or a report was lost.
-    pub fn again(&mut self) {
+    pub fn report_all_again(&mut self) {
         self.closed.iter_mut().for_each(|row| row.unreported = true);
     }
 
--- a/crates/data-plane/rollout/src/selector.rs
+++ b/crates/data-plane/rollout/src/selector.rs
@@ -35,19 +35,19 @@
     }
 
     fn includes(&self, member: &[u8]) -> bool {
-        self.share > 0.0 && share::place(&self.plan.service, &self.name, member) < self.share
+        self.share > 0.0 && share::position(&self.plan.service, &self.name, member) < self.share
     }
 }
 
 /// The variant that a plan gives a request.
 #[derive(Debug, Clone, PartialEq)]
-pub struct VariantChoice {
+pub struct VariantSelection {
     /// Index of the plan, for [`VariantSelector::get`].
     pub plan: usize,
     /// The plan's number when the variant was chosen.
     pub number: u64,
     /// The variant.
-    pub side: Variant,
+    pub variant: Variant,
 }
 
 /// The plan of a name has ended with this number: older states of it must not bring it back.
@@ -63,12 +63,12 @@
 /// use coppersail_rollout::{RolloutState, Variant, VariantSelector};
 /// let body = r#"{"service": "a", "from": {"revision": "1"}, "to": {"revision": "2"}, "steps": [{"share": 1}]}"#;
 /// let mut selector = VariantSelector::default();
-/// selector.take(&RolloutState::submit("p", body, None).unwrap());
-/// let variant = |selector: &VariantSelector, now| selector.choose(now, "a", "r", b"who").unwrap().side;
-/// assert_eq!(variant(&selector, 1000), Variant::Old, "nothing shows yet that the plan is the newest");
-/// selector.fresh(1000);
+/// selector.apply(&RolloutState::submit("p", body, None).unwrap());
+/// let variant = |selector: &VariantSelector, now| selector.choose(now, "a", "r", b"who").unwrap().variant;
+/// assert_eq!(variant(&selector, 1000), Variant::Control, "nothing shows yet that the plan is the newest");
+/// selector.renew_lease(1000);
 /// assert_eq!(variant(&selector, 3400), Variant::New);
-/// assert_eq!(variant(&selector, 3600), Variant::Old, "the lease is over");
+/// assert_eq!(variant(&selector, 3600), Variant::Control, "the lease is over");
 /// assert!(selector.choose(0, "b", "r", b"who").is_none());
 /// ```
 #[derive(Debug, Default)]
@@ -102,7 +102,7 @@
     }
 
     /// Applies a plan's state. False if it isn't newer than the one known, and changes nothing.
-    pub fn take(&mut self, state: &RolloutState) -> bool {
+    pub fn apply(&mut self, state: &RolloutState) -> bool {
         if self.known_number(&state.name).is_some_and(|known| known >= state.number) {
             return false;
         }
@@ -126,7 +126,7 @@
     }
 
     /// Renews the lease: the plans here are those that a leader had at time `at`.
-    pub fn fresh(&mut self, at: Ms) {
+    pub fn renew_lease(&mut self, at: Ms) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
@@ -138,16 +138,16 @@
     }
 
     /// The variant of a request; none where no plan concerns its service and route.
-    pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<VariantChoice> {
+    pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<VariantSelection> {
         let plan = self.active.iter().position(|rollout| rollout.concerns(service, route))?;
         let rollout = &self.active[plan];
         let may_use_new = rollout.lease_is_valid(now, self.confirmed_at) && !rollout.stopped;
-        let side = if may_use_new && rollout.includes(member) { Variant::New } else { Variant::Old };
-        Some(VariantChoice { plan, number: rollout.number, side })
+        let variant = if may_use_new && rollout.includes(member) { Variant::New } else { Variant::Control };
+        Some(VariantSelection { plan, number: rollout.number, variant })
     }
 
     /// Whether evidence of the plan's variants is to be counted.
-    pub fn counts(&self, at: usize) -> bool {
+    pub fn records_evidence(&self, at: usize) -> bool {
         self.active[at].share > 0.0 && self.active[at].phase != Phase::Withdrawn
     }
 }
--- a/crates/data-plane/rollout/src/share.rs
+++ b/crates/data-plane/rollout/src/share.rs
@@ -13,12 +13,12 @@
 /// The position of a member, from 0 up to 1. Plans on other services or with other names begin with other members.
 ///
 /// ```
-/// let place = |who: &str| coppersail_rollout::share::place("ledger", "friday", who.as_bytes());
-/// assert_eq!(place("10.1.2.3"), place("10.1.2.3"));
-/// let within = |share: f64| (0..10_000).filter(|n| place(&n.to_string()) < share).count();
+/// let position = |who: &str| coppersail_rollout::share::position("ledger", "friday", who.as_bytes());
+/// assert_eq!(position("10.1.2.3"), position("10.1.2.3"));
+/// let within = |share: f64| (0..10_000).filter(|n| position(&n.to_string()) < share).count();
 /// assert!((400..600).contains(&within(0.05)) && within(1.0) == 10_000);
 /// ```
-pub fn place(service: &str, plan: &str, member: &[u8]) -> f64 {
+pub fn position(service: &str, plan: &str, member: &[u8]) -> f64 {
     let salt = service.bytes().chain([0]).chain(plan.bytes()).chain([0]);
     let hash = salt
         .chain(member.iter().copied())
--- a/crates/data-plane/rollout/src/tests/analysis.rs
+++ b/crates/data-plane/rollout/src/tests/analysis.rs
@@ -18,7 +18,7 @@
 }
 
 fn fleet(new_slots: f64, old_slots: f64) -> FleetCapacity {
-    FleetCapacity { new_slots, old_slots, new_hosts: 4 }
+    FleetCapacity { new_slots, control_slots: old_slots, new_hosts: 4 }
 }
 
 /// Counts of so many attempts with faults at these rates.
@@ -51,22 +51,34 @@
     let (mut rng, plan) = (fastrand::Rng::with_seed(seed), initial_state().plan());
     let mut analysis = RolloutAnalysis::new(&plan, 1);
     let mut last = Verdict::Wait("nothing yet".into());
-    for span in 0..seconds * 1000 / REPORT_SPAN {
-        let now = span * REPORT_SPAN;
+    for window in 0..seconds * 1000 / REPORT_SPAN {
+        let now = window * REPORT_SPAN;
         for edge in 0..12 {
             let row = |route: &str, rng: &mut fastrand::Rng| {
                 let (new, old) = world(now, edge, route);
                 let (new, old) = (counts(rng, 1, new), counts(rng, 6, old));
-                EvidenceRow { plan: "p".into(), number: 1, span, route: route.into(), count: 1, new, old }
+                EvidenceRow {
+                    plan: "p".into(),
+                    number: 1,
+                    window,
+                    route: route.into(),
+                    revision: 1,
+                    new,
+                    control: old,
+                }
             };
             let rows = vec![row("book", &mut rng), row("look", &mut rng)];
-            let report =
-                EvidenceReport { edge: edge.to_string(), life: 1, area: format!("z{}", edge % 3), rows };
-            analysis.take(now + 700, "p", &report);
+            let report = EvidenceReport {
+                edge: edge.to_string(),
+                incarnation: 1,
+                zone: format!("z{}", edge % 3),
+                rows,
+            };
+            analysis.ingest(now + 700, "p", &report);
         }
-        last = analysis.judge(now + 1000, 1, fleet(1.0, 6.0), |_, _| Some(false));
-        if let Verdict::Pause(why) = last {
-            return Err((now, why));
+        last = analysis.evaluate(now + 1000, 1, fleet(1.0, 6.0), |_, _| Some(false));
+        if let Verdict::Pause(reason) = last {
+            return Err((now, reason));
         }
     }
     Ok(last)
@@ -108,8 +120,8 @@
     ];
     for (name, world, word, within) in worlds {
         for seed in 0..3 {
-            let (at, why) = play_rollout(seed, 900, world).expect_err(name);
-            assert!(at <= within && why.contains(word), "{name}, seed {seed}: {at} ms, {why}");
+            let (at, reason) = play_rollout(seed, 900, world).expect_err(name);
+            assert!(at <= within && reason.contains(word), "{name}, seed {seed}: {at} ms, {reason}");
         }
     }
 }
@@ -136,13 +148,13 @@
         assert!(paused <= if name == "both double" { 5 } else { 0 }, "{name}: {paused}");
     }
     assert_matches!(play_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Sound));
-    assert_matches!(play_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(why)) if why.contains("itself"));
+    assert_matches!(play_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(reason)) if reason.contains("itself"));
 }
 
-fn report(number: u64, span: u64, new: &[(OutcomeKind, u32)]) -> EvidenceReport {
-    let mut row = EvidenceRow { plan: "p".into(), number, span, count: 1, ..EvidenceRow::default() };
+fn report(number: u64, window: u64, new: &[(OutcomeKind, u32)]) -> EvidenceReport {
+    let mut row = EvidenceRow { plan: "p".into(), number, window, revision: 1, ..EvidenceRow::default() };
     new.iter().for_each(|(kind, n)| row.new.all[*kind as usize] = *n);
-    row.old.all[OutcomeKind::Good as usize] = 100;
+    row.control.all[OutcomeKind::Good as usize] = 100;
     EvidenceReport { edge: "e".into(), rows: vec![row], ..EvidenceReport::default() }
 }
 
@@ -150,11 +162,11 @@
 fn one_second_answer_pauses_and_is_counted_once() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
     let doubled = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::Doubled, 1)]);
-    assert!(analysis.take(0, "p", &doubled) && !analysis.take(1, "p", &doubled), "reported twice");
-    assert_matches!(analysis.judge(1, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Pause(_));
+    assert!(analysis.ingest(0, "p", &doubled) && !analysis.ingest(1, "p", &doubled), "reported twice");
+    assert_matches!(analysis.evaluate(1, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Pause(_));
     assert_eq!(analysis.sums.new.of(OutcomeKind::Doubled), 1);
     let mut later = RolloutAnalysis::new(&initial_state().plan(), 2);
-    assert!(!later.take(0, "p", &doubled), "of before it was resumed");
+    assert!(!later.ingest(0, "p", &doubled), "of before it was resumed");
 }
 
 #[test]
@@ -163,28 +175,29 @@
         let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
         let mut sent = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::Lost, 8)]);
         sent.rows[0].new.lost_at = (0..4).map(|n| (format!("h{n}"), 2)).collect();
-        analysis.take(0, "p", &sent);
+        analysis.ingest(0, "p", &sent);
         assert_matches!(
-            analysis.judge(5_000, 1, fleet(1.0, 1.0), |_, _| None),
+            analysis.evaluate(5_000, 1, fleet(1.0, 1.0), |_, _| None),
             Verdict::Wait(_),
             "not known yet"
         );
-        analysis.judge(8_000, 1, fleet(1.0, 1.0), |_, _| Some(dead))
+        analysis.evaluate(8_000, 1, fleet(1.0, 1.0), |_, _| Some(dead))
     };
     assert_matches!(lost(true), Verdict::Wait(_));
-    assert_matches!(lost(false), Verdict::Pause(why) if why.contains("lost"));
+    assert_matches!(lost(false), Verdict::Pause(reason) if reason.contains("lost"));
 }
 
 #[test]
 fn one_slow_host_does_not_pause_its_version() {
     let late = |hosts: u32| {
         let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
-        for span in 0..20 {
-            let mut sent = report(1, span, &[(OutcomeKind::Good, 8), (OutcomeKind::Late, 4)]);
-            let at = |n: u32| format!("h{}", (n + span as u32) % hosts);
+        for window in 0..20 {
+            let mut sent = report(1, window, &[(OutcomeKind::Good, 8), (OutcomeKind::Late, 4)]);
+            let at = |n: u32| format!("h{}", (n + window as u32) % hosts);
             sent.rows[0].new.slow_at = (0..4).map(|n| (at(n), 1)).collect();
-            analysis.take(span * REPORT_SPAN, "p", &sent);
-            if let Verdict::Pause(_) = analysis.judge(span * REPORT_SPAN + 1, 1, fleet(1.0, 1.0), |_, _| None)
+            analysis.ingest(window * REPORT_SPAN, "p", &sent);
+            if let Verdict::Pause(_) =
+                analysis.evaluate(window * REPORT_SPAN + 1, 1, fleet(1.0, 1.0), |_, _| None)
             {
                 return true;
             }
@@ -198,16 +211,16 @@
 fn late_or_missing_reports_hold_the_step() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
     let good = [(OutcomeKind::Good, 30)];
-    let of = |edge: &str, span| EvidenceReport { edge: edge.into(), ..report(1, span, &good) };
-    analysis.take(0, "p", &of("e", 40));
-    analysis.take(0, "p", &of("e", 5));
+    let of = |edge: &str, window| EvidenceReport { edge: edge.into(), ..report(1, window, &good) };
+    analysis.ingest(0, "p", &of("e", 40));
+    analysis.ingest(0, "p", &of("e", 5));
     assert_eq!(analysis.late, 1);
-    analysis.take(0, "p", &of("f", 40));
-    assert_matches!(analysis.judge(9_000, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Sound);
-    analysis.take(11_000, "p", &of("f", 45));
-    assert_matches!(analysis.judge(11_500, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Wait(why) if why.contains("silent"));
+    analysis.ingest(0, "p", &of("f", 40));
+    assert_matches!(analysis.evaluate(9_000, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Sound);
+    analysis.ingest(11_000, "p", &of("f", 45));
+    assert_matches!(analysis.evaluate(11_500, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Wait(reason) if reason.contains("silent"));
     assert_matches!(
-        analysis.judge(11_500, 2, fleet(1.0, 1.0), |_, _| None),
+        analysis.evaluate(11_500, 2, fleet(1.0, 1.0), |_, _| None),
         Verdict::Wait(_),
         "another step's"
     );
@@ -216,15 +229,18 @@
 #[test]
 fn an_overloaded_new_version_waits_and_is_paused_in_the_end() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
-    for span in 0..30 {
-        let mut sent =
-            report(1, span, &[(OutcomeKind::Offered, 90), (OutcomeKind::Late, 60), (OutcomeKind::Good, 30)]);
+    for window in 0..30 {
+        let mut sent = report(
+            1,
+            window,
+            &[(OutcomeKind::Offered, 90), (OutcomeKind::Late, 60), (OutcomeKind::Good, 30)],
+        );
         sent.rows[0].new.slow_at = (0..4).map(|n| (format!("h{n}"), 15)).collect();
-        sent.rows[0].old.all[OutcomeKind::Offered as usize] = 100;
-        analysis.take(span * REPORT_SPAN, "p", &sent);
-        let verdict = analysis.judge(span * REPORT_SPAN + 1, 1, fleet(1.0, 9.0), |_, _| None);
+        sent.rows[0].control.all[OutcomeKind::Offered as usize] = 100;
+        analysis.ingest(window * REPORT_SPAN, "p", &sent);
+        let verdict = analysis.evaluate(window * REPORT_SPAN + 1, 1, fleet(1.0, 9.0), |_, _| None);
         let paused = matches!(verdict, Verdict::Pause(_));
-        assert!(!paused || span > 14, "its hosts have eight times their part to do: {span}");
+        assert!(!paused || window > 14, "its hosts have eight times their part to do: {window}");
         if paused {
             return;
         }
--- a/crates/data-plane/rollout/src/tests/lifecycle.rs
+++ b/crates/data-plane/rollout/src/tests/lifecycle.rs
@@ -13,25 +13,26 @@
     assert_eq!((paused.phase, paused.number), (Phase::Withdrawn, 3));
     let first = initial_state().tick(&plan, 10_000, Since(0), &bad).unwrap();
     assert_eq!(first.tick(&plan, 10_400, Since(10_000), &sound), None);
-    assert_matches!(first.order(400, RolloutCommand::Pass, ""), Err(_));
+    assert_matches!(first.apply_command(400, RolloutCommand::Promote, ""), Err(_));
     // At an edge the later number counts, in whatever order they come.
     let mut selector = VariantSelector::default();
-    selector.fresh(0);
-    assert!(selector.take(&paused) && !selector.take(&stepped));
-    assert!((0..200u32).all(|n| selector.choose(1, "a", "r", &n.to_le_bytes()).unwrap().side == Variant::Old));
+    selector.renew_lease(0);
+    assert!(selector.apply(&paused) && !selector.apply(&stepped));
+    assert!((0..200u32)
+        .all(|n| selector.choose(1, "a", "r", &n.to_le_bytes()).unwrap().variant == Variant::Control));
 }
 
 #[test]
 fn repeated_commands_change_nothing_and_ended_plans_stay_ended() {
-    let paused = initial_state().order(5, RolloutCommand::Pause, "by hand").unwrap().unwrap();
-    assert_eq!(paused.order(5, RolloutCommand::Pause, "by hand"), Ok(None));
-    let resumed = paused.order(5, RolloutCommand::Resume, "").unwrap().unwrap();
+    let paused = initial_state().apply_command(5, RolloutCommand::Pause, "by hand").unwrap().unwrap();
+    assert_eq!(paused.apply_command(5, RolloutCommand::Pause, "by hand"), Ok(None));
+    let resumed = paused.apply_command(5, RolloutCommand::Resume, "").unwrap().unwrap();
     assert_eq!((resumed.run, resumed.step, resumed.phase), (3, 0, Phase::Running));
-    let ended = resumed.order(5, RolloutCommand::End, "").unwrap().unwrap();
-    assert_matches!(ended.order(5, RolloutCommand::Resume, ""), Err(_));
+    let ended = resumed.apply_command(5, RolloutCommand::End, "").unwrap().unwrap();
+    assert_matches!(ended.apply_command(5, RolloutCommand::Resume, ""), Err(_));
     let mut selector = VariantSelector::default();
-    selector.take(&ended);
-    assert!(!selector.take(&resumed) && selector.is_empty());
+    selector.apply(&ended);
+    assert!(!selector.apply(&resumed) && selector.is_empty());
     assert_eq!(RolloutState::submit("p", BODY, Some(&ended)).unwrap().number, 5);
     assert_matches!(RolloutState::submit("p", &BODY.replace("0.05", "0.06"), Some(&resumed)), Err(_));
     assert_eq!(RolloutState::submit("p", BODY, Some(&resumed)).unwrap(), resumed);
@@ -75,10 +76,13 @@
     assert_eq!(refused.to_string(), "a plan of that name is in force");
     let invalid = RolloutState::submit("p", &BODY.replace("0.5", "1.5"), None).unwrap_err();
     assert_eq!(invalid.to_string(), "steps[1].share is 1.5, expected a share of 1 at most");
-    let paused = running.order(0, RolloutCommand::Undo, "").unwrap().unwrap();
-    let refused = paused.order(0, RolloutCommand::Pass, "").unwrap_err();
+    let paused = running.apply_command(0, RolloutCommand::RollBack, "").unwrap().unwrap();
+    let refused = paused.apply_command(0, RolloutCommand::Promote, "").unwrap_err();
     assert_eq!(refused, CommandError::Paused { found: Phase::Withdrawn });
     assert_eq!(refused.to_string(), "the plan is paused; resume it first");
-    let ended = running.order(0, RolloutCommand::End, "").unwrap().unwrap();
-    assert_eq!(ended.order(0, RolloutCommand::Undo, "").unwrap_err().to_string(), "the plan has ended");
+    let ended = running.apply_command(0, RolloutCommand::End, "").unwrap().unwrap();
+    assert_eq!(
+        ended.apply_command(0, RolloutCommand::RollBack, "").unwrap_err().to_string(),
+        "the plan has ended"
+    );
 }
--- a/crates/data-plane/rollout/src/tests/recorder.rs
+++ b/crates/data-plane/rollout/src/tests/recorder.rs
@@ -5,16 +5,16 @@
 #[test]
 fn reports_are_bounded_and_repeated_for_a_new_leader() {
     let mut recorder = EvidenceRecorder::new("10.0.0.1", 7, "z");
-    for span in 0..20u64 {
+    for window in 0..20u64 {
         for n in 0..30u32 {
             let route = format!("route-{}", n % 3);
             let host = format!("host-{n}");
-            recorder.note(
-                span * REPORT_SPAN,
+            recorder.record_outcome(
+                window * REPORT_SPAN,
                 "p",
                 1,
                 &route,
-                Variant::Old,
+                Variant::Control,
                 OutcomeKind::Good,
                 Some(u64::from(n) * 20),
                 Some(&host),
@@ -30,10 +30,11 @@
     }
     assert_eq!(rows, 60);
     assert!(recorder.report(60_000, 1_000).is_none());
-    recorder.again();
+    recorder.report_all_again();
     assert!(recorder.report(60_000, 1_000).is_some());
-    (0..100)
-        .for_each(|n| recorder.note(0, "p", 1, &n.to_string(), Variant::New, OutcomeKind::Good, None, None));
+    (0..100).for_each(|n| {
+        recorder.record_outcome(0, "p", 1, &n.to_string(), Variant::New, OutcomeKind::Good, None, None)
+    });
     assert!(
         recorder.report(REPORT_SPAN, 1 << 20).unwrap().rows.len() < 100,
         "routes beyond the bound are one"
@@ -44,6 +45,6 @@
 fn an_overloaded_host_is_set_aside() {
     let (mut recorder, others) = (EvidenceRecorder::default(), ["a", "b", "c", "d"]);
     let host = |n: usize| if n.is_multiple_of(2) { "hot" } else { others[n / 2 % 4] };
-    assert!((0..400).filter(|n| recorder.sent(0, host(*n), 2.0)).count() > 150);
-    assert_eq!((0..400).filter(|n| recorder.sent(REPORT_SPAN, others[n % 4], 2.0)).count(), 0);
+    assert!((0..400).filter(|n| recorder.record_sent(0, host(*n), 2.0)).count() > 150);
+    assert_eq!((0..400).filter(|n| recorder.record_sent(REPORT_SPAN, others[n % 4], 2.0)).count(), 0);
 }
--- a/crates/data-plane/rollout/src/tests/selector.rs
+++ b/crates/data-plane/rollout/src/tests/selector.rs
@@ -7,21 +7,21 @@
     let full = BODY.replace("0.5", "1").replace("0.05", "0.9");
     let running = RolloutState::submit("p", &full, None).unwrap();
     let mut selector = VariantSelector::default();
-    selector.take(&running);
-    selector.fresh(1_000);
+    selector.apply(&running);
+    selector.renew_lease(1_000);
     let on_new_version = |selector: &VariantSelector, now| {
         (0..100u32)
-            .filter(|n| selector.choose(now, "a", "r", &n.to_le_bytes()).unwrap().side == Variant::New)
+            .filter(|n| selector.choose(now, "a", "r", &n.to_le_bytes()).unwrap().variant == Variant::New)
             .count()
     };
     assert!(on_new_version(&selector, 3_400) > 70);
     assert_eq!(on_new_version(&selector, 3_500), 0, "cut off for longer than the lease");
-    let paused = running.order(0, RolloutCommand::Pause, "").unwrap().unwrap();
-    selector.take(&paused);
-    selector.fresh(60_000);
+    let paused = running.apply_command(0, RolloutCommand::Pause, "").unwrap().unwrap();
+    selector.apply(&paused);
+    selector.renew_lease(60_000);
     assert_eq!(on_new_version(&selector, 60_001), 0);
-    let resumed = paused.order(0, RolloutCommand::Resume, "").unwrap().unwrap();
-    selector.take(&resumed);
+    let resumed = paused.apply_command(0, RolloutCommand::Resume, "").unwrap().unwrap();
+    selector.apply(&resumed);
     assert!(on_new_version(&selector, 60_002) > 70);
     selector.stop("p", resumed.number);
     assert_eq!(on_new_version(&selector, 60_003), 0, "its own evidence is enough for it");
@@ -29,7 +29,7 @@
 
 #[test]
 fn shares_grow_as_supersets() {
-    let place = |n: u32| crate::share::place("a", "p", &n.to_le_bytes());
+    let place = |n: u32| crate::share::position("a", "p", &n.to_le_bytes());
     let within = |share: f64| (0..5_000u32).filter(|n| place(*n) < share).collect::<Vec<_>>();
     let (few, many) = (within(0.05), within(0.25));
     assert!(few.iter().all(|n| many.contains(n)) && (200..300).contains(&few.len()), "{}", few.len());
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -23,13 +23,13 @@
     let row = EvidenceRow {
         plan: "friday".into(),
         number: 7,
-        span: 30,
+        window: 30,
         route: "search".into(),
-        count: 11,
+        revision: 11,
         new,
-        old,
+        control: old,
     };
-    EvidenceReport { edge: "10.0.9.9".into(), life: 5, area: "north".into(), rows: vec![row] }
+    EvidenceReport { edge: "10.0.9.9".into(), incarnation: 5, zone: "north".into(), rows: vec![row] }
 }
 
 #[test]
@@ -52,19 +52,19 @@
         (OutcomeKind::Failed, "[0,0,0,1,0,0,0,0]", r#","s":[["h",1]]"#),
         (OutcomeKind::Lost, "[0,0,0,0,1,0,0,0]", r#","l":[["h",1]]"#),
         (OutcomeKind::Doubled, "[0,0,0,0,0,1,0,0]", ""),
-        (OutcomeKind::Foreign, "[0,0,0,0,0,0,1,0]", r#","l":[["h",1]]"#),
-        (OutcomeKind::Aside, "[0,0,0,0,0,0,0,1]", ""),
+        (OutcomeKind::InvalidResponse, "[0,0,0,0,0,0,1,0]", r#","l":[["h",1]]"#),
+        (OutcomeKind::Excluded, "[0,0,0,0,0,0,0,1]", ""),
     ];
     let zero = r#"{"n":[0,0,0,0,0,0,0,0]}"#;
     for (kind, counts, lists) in table {
-        for side in [Variant::New, Variant::Old] {
+        for variant in [Variant::New, Variant::Control] {
             let mut recorder = EvidenceRecorder::new("e", 1, "a");
-            recorder.note(2000, "p", 3, "r", side, kind, Some(8), Some("h"));
+            recorder.record_outcome(2000, "p", 3, "r", variant, kind, Some(8), Some("h"));
             // Slow hosts are reported of the new version only.
-            let lists = if side == Variant::Old && lists.contains("\"s\"") { "" } else { lists };
+            let lists = if variant == Variant::Control && lists.contains("\"s\"") { "" } else { lists };
             let counted = format!(r#"{{"n":{counts}{lists},"t":[[8,1]]}}"#);
             let (new, old) =
-                if side == Variant::New { (counted.as_str(), zero) } else { (zero, counted.as_str()) };
+                if variant == Variant::New { (counted.as_str(), zero) } else { (zero, counted.as_str()) };
             let row = format!(r#"{{"p":"p","v":3,"b":1,"r":"r","c":1,"new":{new},"old":{old}}}"#);
             let report = recorder.report(4000, 10_000).unwrap();
             assert_text(report, &format!(r#"{{"edge":"e","life":1,"area":"a","rows":[{row}]}}"#));
@@ -83,8 +83,8 @@
     ];
     for (phase, word) in table {
         assert_text(phase, word);
-        let (name, why, body) = ("friday".into(), "by hand".into(), "{\"service\": 1}".into());
-        let state = RolloutState { name, number: 4, phase, step: 2, run: 3, ran: 9000, why, body };
+        let (name, reason, body) = ("friday".into(), "by hand".into(), "{\"service\": 1}".into());
+        let state = RolloutState { name, number: 4, phase, step: 2, run: 3, elapsed_ms: 9000, reason, body };
         let text = concat!(
             r#"{"name":"friday","number":4,"phase":PHASE,"step":2,"run":3,"ran":9000,"why":"by hand","#,
             r#""body":"{\"service\": 1}"}"#,
@@ -128,11 +128,11 @@
     let table = [
         ("pause", RolloutCommand::Pause),
         ("resume", RolloutCommand::Resume),
-        ("pass", RolloutCommand::Pass),
-        ("undo", RolloutCommand::Undo),
+        ("pass", RolloutCommand::Promote),
+        ("undo", RolloutCommand::RollBack),
         ("end", RolloutCommand::End),
     ];
-    table.iter().for_each(|(word, command)| assert_eq!(RolloutCommand::named(word), Some(*command)));
+    table.iter().for_each(|(word, command)| assert_eq!(RolloutCommand::from_word(word), Some(*command)));
 }
 
 #[test]
@@ -144,8 +144,14 @@
 /// A member keeps its variant when edges of different builds serve it: the positions are part of the protocol.
 #[test]
 fn positions_in_a_share_agree_across_builds() {
-    let place = coppersail_rollout::share::place;
+    let place = coppersail_rollout::share::position;
     assert_eq!(place("ledger", "friday", b"10.1.2.3"), 0.9498801664497901);
     assert_eq!(place("a", "p", b""), 0.33419988055692385);
     assert_eq!(place("ledger", "friday", b"\xff\x00session"), 0.08864703815636643);
 }
+
+#[test]
+fn log_lines_call_the_variants_new_and_old() {
+    use coppersail_rollout::Variant;
+    assert_eq!([Variant::New.to_string(), Variant::Control.to_string()], ["New", "Old"]);
+}
--- a/crates/data-plane/session-affinity/examples/night/clients.rs
+++ b/crates/data-plane/session-affinity/examples/night/clients.rs
@@ -94,10 +94,10 @@
         self.try_request(client, 0);
     }
 
-    pub(crate) fn request_arrives(&mut self, client: usize, ticket: u64, node: NodeId) {
+    pub(crate) fn request_arrives(&mut self, client: usize, request_id: u64, node: NodeId) {
         if self.nodes[node as usize].is_none() {
             // Refused at once: another node is tried.
-            if self.clients[client].request == ticket {
+            if self.clients[client].request == request_id {
                 self.clients[client].node = self.rng.u16(0..NODES);
                 self.try_request(client, 50 * MS);
             }
@@ -122,14 +122,14 @@
             response: None,
         };
         self.results.crossings += u64::from(crossing);
-        self.requests.insert(ticket, request);
+        self.requests.insert(request_id, request);
         match self.strategy {
-            Strategy::Travelling | Strategy::Careless => self.serve_by_affinity(ticket, node),
+            Strategy::Travelling | Strategy::Careless => self.serve_by_affinity(request_id, node),
             Strategy::Pinned if home != node => {
-                self.requests.get_mut(&ticket).expect("new").forwarded_by = Some(node);
-                self.send_packet(node, home, Packet::Forward(ticket));
+                self.requests.get_mut(&request_id).expect("new").forwarded_by = Some(node);
+                self.send_packet(node, home, Packet::Forward(request_id));
             }
-            Strategy::Pinned | Strategy::Everywhere => self.serve_by_copies(ticket, node),
+            Strategy::Pinned | Strategy::Everywhere => self.serve_by_copies(request_id, node),
         }
     }
 }
--- a/crates/data-plane/session-affinity/examples/night/endpoint.rs
+++ b/crates/data-plane/session-affinity/examples/night/endpoint.rs
@@ -8,8 +8,8 @@
 
 impl Night {
     /// Sends the request to the endpoint, with whatever befalls it there.
-    pub(crate) fn send_to_endpoint(&mut self, node: NodeId, ticket: u64) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+    pub(crate) fn send_to_endpoint(&mut self, node: NodeId, request_id: u64) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
         let duration = match request.kind {
             RequestKind::Lookup => self.rng.u64(5 * MS..40 * MS),
             RequestKind::Idempotent => self.rng.u64(10 * MS..120 * MS),
@@ -17,26 +17,26 @@
         let response = RecordedResponse { status: 201, headers: vec![], body: vec![b'x'; 200] };
         let fate = if self.trouble { self.rng.u32(0..100) } else { 99 };
         let (duration, outcome, executed) = match fate {
-            0 | 1 => (MS, Outcome::NotRun, false),
+            0 | 1 => (MS, Outcome::NotExecuted, false),
             2 | 3 => (duration, Outcome::Unknown, true),
             4 => (duration / 2, Outcome::Unknown, false),
             5 => (2 * SECOND, Outcome::Unknown, true),
-            _ => (duration, Outcome::Ran(response), true),
+            _ => (duration, Outcome::Completed(response), true),
         };
         request.endpoint_time = duration;
         let incarnation = self.incarnations[node as usize];
-        let end = AttemptEnd { node, incarnation, request: ticket, outcome, executed };
+        let end = AttemptEnd { node, incarnation, request: request_id, outcome, executed };
         self.schedule_after(duration, Event::AttemptEnds(end));
     }
 
     pub(crate) fn attempt_ends(&mut self, end: AttemptEnd) {
-        let AttemptEnd { node, incarnation, request: ticket, outcome, mut executed } = end;
+        let AttemptEnd { node, incarnation, request: request_id, outcome, mut executed } = end;
         let alive = self.nodes[node as usize].is_some() && self.incarnations[node as usize] == incarnation;
         if !alive {
             // Its connection broke off: some endpoints drop such a request, some don't.
             executed &= self.rng.bool();
         }
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
         if request.kind == RequestKind::Idempotent && executed {
             *self.ledger.entry((request.client, request.key.clone())).or_default() += 1;
         }
@@ -44,29 +44,33 @@
             return;
         }
         if request.kind == RequestKind::Lookup {
-            let success = matches!(outcome, Outcome::Ran(_));
-            return self.respond(node, ticket, if success { Response::Success } else { Response::NotRun });
+            let success = matches!(outcome, Outcome::Completed(_));
+            return self.respond(
+                node,
+                request_id,
+                if success { Response::Success } else { Response::NotRun },
+            );
         }
         let response = match outcome {
-            Outcome::Ran(_) | Outcome::RanLong => Response::Success,
-            Outcome::NotRun => Response::NotRun,
+            Outcome::Completed(_) | Outcome::CompletedUnrecorded => Response::Success,
+            Outcome::NotExecuted => Response::NotRun,
             Outcome::Unknown => Response::Unknown,
         };
         let careless = self.strategy == Strategy::Careless && response == Response::Unknown;
         request.response = Some(if careless { Response::NotRun } else { response.clone() });
         match self.strategy {
-            Strategy::Travelling => self.with_node(node, |node, now| node.ran(now, ticket, outcome)),
+            Strategy::Travelling => self.with_node(node, |node, now| node.complete(now, request_id, outcome)),
             Strategy::Careless => {
-                let outcome = if outcome == Outcome::Unknown { Outcome::NotRun } else { outcome };
-                self.with_node(node, |node, now| node.ran(now, ticket, outcome));
+                let outcome = if outcome == Outcome::Unknown { Outcome::NotExecuted } else { outcome };
+                self.with_node(node, |node, now| node.complete(now, request_id, outcome));
             }
-            Strategy::Pinned | Strategy::Everywhere => self.copies_end(node, ticket, response),
+            Strategy::Pinned | Strategy::Everywhere => self.copies_end(node, request_id, response),
         }
     }
 
     /// The end of an attempt in the strategies that are compared.
-    fn copies_end(&mut self, node: NodeId, ticket: u64, response: Response) {
-        let request = &self.requests[&ticket];
+    fn copies_end(&mut self, node: NodeId, request_id: u64, response: Response) {
+        let request = &self.requests[&request_id];
         let key = (request.id, request.key.clone());
         let state = match response {
             Response::NotRun => None,
@@ -82,15 +86,15 @@
                 self.send_packet(node, to, Packet::CopyEnd { key: key.clone(), state });
             }
         }
-        self.respond(node, ticket, response);
+        self.respond(node, request_id, response);
     }
 
-    pub(crate) fn respond(&mut self, node: NodeId, ticket: u64, response: Response) {
-        let Some(request) = self.requests.get(&ticket) else { return };
+    pub(crate) fn respond(&mut self, node: NodeId, request_id: u64, response: Response) {
+        let Some(request) = self.requests.get(&request_id) else { return };
         if let Some(forwarded_by) = request.forwarded_by.filter(|other| *other != node) {
-            return self.send_packet(node, forwarded_by, Packet::ForwardedResponse(ticket, response));
+            return self.send_packet(node, forwarded_by, Packet::ForwardedResponse(request_id, response));
         }
-        let request = self.requests.remove(&ticket).expect("just seen");
+        let request = self.requests.remove(&request_id).expect("just seen");
         if response == Response::Success {
             let added = (self.now - request.arrived).saturating_sub(request.endpoint_time);
             let kind = usize::from(request.kind == RequestKind::Idempotent);
@@ -100,7 +104,7 @@
         if self.trouble && self.rng.u32(0..100) < 2 {
             return;
         }
-        let arrival = Event::ResponseArrives { client: request.client, request: ticket, response };
+        let arrival = Event::ResponseArrives { client: request.client, request: request_id, response };
         self.schedule_after(CLIENT_LATENCY, arrival);
     }
 }
--- a/crates/data-plane/session-affinity/examples/night/ledger.rs
+++ b/crates/data-plane/session-affinity/examples/night/ledger.rs
@@ -25,7 +25,7 @@
 
     pub(crate) fn add_counters(&mut self) {
         for node in self.nodes.iter().flatten() {
-            let counters = node.counts();
+            let counters = node.counters();
             self.results.repeats_answered += counters.repeats_answered;
             self.results.replicas_restored += counters.replicas_restored;
         }
--- a/crates/data-plane/session-affinity/examples/night/network.rs
+++ b/crates/data-plane/session-affinity/examples/night/network.rs
@@ -62,20 +62,23 @@
         for output in outputs {
             match output {
                 Output::Send { to, msg } => self.send_packet(node, to, Packet::Affinity(msg)),
-                Output::Run { ticket } => self.send_to_endpoint(node, ticket),
-                Output::Done { ticket } => {
-                    let response = self.requests.get(&ticket).and_then(|request| request.response.clone());
-                    self.respond(node, ticket, response.unwrap_or(Response::Unknown));
+                Output::SendRequest { request_id } => self.send_to_endpoint(node, request_id),
+                Output::Respond { request_id } => {
+                    let response =
+                        self.requests.get(&request_id).and_then(|request| request.response.clone());
+                    self.respond(node, request_id, response.unwrap_or(Response::Unknown));
                 }
-                Output::Answer { ticket, reply } => {
+                Output::Decided { request_id, reply } => {
                     let response = match reply {
-                        Decision::Kept(_) | Decision::Past => Response::Replayed,
-                        Decision::UnderWay => Response::InFlight,
+                        Decision::Replay(_) | Decision::ResponseExpired => Response::Replayed,
+                        Decision::InFlight => Response::InFlight,
                         Decision::Unknown => Response::Unknown,
-                        Decision::Forgotten => Response::SessionLost,
-                        Decision::NotNow | Decision::Spent | Decision::Other => Response::NotRun,
+                        Decision::SessionLost => Response::SessionLost,
+                        Decision::Rejected | Decision::TooManyRequests | Decision::FingerprintMismatch => {
+                            Response::NotRun
+                        }
                     };
-                    self.respond(node, ticket, response);
+                    self.respond(node, request_id, response);
                 }
             }
         }
@@ -83,7 +86,9 @@
 
     pub(crate) fn receive_packet(&mut self, from: NodeId, to: NodeId, packet: Packet) {
         match packet {
-            Packet::Affinity(message) => self.with_node(to, |node, now| node.hear(now, from, message)),
+            Packet::Affinity(message) => {
+                self.with_node(to, |node, now| node.receive_message(now, from, message))
+            }
             Packet::Forward(request) => {
                 if self.requests.get(&request).is_some_and(|request| request.forwarded_by.is_some()) {
                     self.serve_by_copies(request, to);
--- a/crates/data-plane/session-affinity/examples/night/simulation.rs
+++ b/crates/data-plane/session-affinity/examples/night/simulation.rs
@@ -48,7 +48,7 @@
 impl Night {
     pub(crate) fn new(strategy: Strategy, seed: u64, trouble: bool) -> Night {
         let mut rng = fastrand::Rng::with_seed(seed);
-        let settings = AffinitySettings { sessions: 2_000, ..AffinitySettings::default() };
+        let settings = AffinitySettings { max_sessions: 2_000, ..AffinitySettings::default() };
         let addresses = (0..NODES).map(|n| (n, format!("10.0.0.{n}:7001"))).collect();
         let nodes =
             (0..NODES).map(|id| Some(AffinityNode::new(id, &settings, u64::from(id) + 1, 0))).collect();
--- a/crates/data-plane/session-affinity/examples/night/strategies.rs
+++ b/crates/data-plane/session-affinity/examples/night/strategies.rs
@@ -8,80 +8,92 @@
 const FINGERPRINT: u64 = 1;
 
 impl Night {
-    pub(crate) fn serve_by_affinity(&mut self, ticket: u64, node: NodeId) {
-        let request = &self.requests[&ticket];
-        let (id, born, kind) = (request.id, request.created_at, request.kind);
+    pub(crate) fn serve_by_affinity(&mut self, request_id: u64, node: NodeId) {
+        let request = &self.requests[&request_id];
+        let (id, created_at, kind) = (request.id, request.created_at, request.kind);
         let key = request.key.clone();
-        let seats = self.peer_sets.seats(1, id).expect("a peer set");
+        let replicas = self.peer_sets.replicas(1, id).expect("a peer set");
         if kind == RequestKind::Lookup {
-            self.with_node(node, |node, now| node.visit(now, id, born, &seats));
-            return self.send_to_endpoint(node, ticket);
+            self.with_node(node, |node, now| node.touch(now, id, created_at, &replicas));
+            return self.send_to_endpoint(node, request_id);
         }
-        let until = self.clock(node) + REQUEST_TIMEOUT;
-        let request = IdempotentRequest { ticket, id, born, seats, key, print: FINGERPRINT, until };
-        self.with_node(node, |node, now| node.ask(now, request));
+        let deadline = self.clock(node) + REQUEST_TIMEOUT;
+        let request = IdempotentRequest {
+            request_id,
+            session: id,
+            created_at,
+            replicas,
+            key,
+            fingerprint: FINGERPRINT,
+            deadline,
+        };
+        self.with_node(node, |node, now| node.admit(now, request));
     }
 
-    pub(crate) fn serve_by_copies(&mut self, ticket: u64, node: NodeId) {
-        let request = &self.requests[&ticket];
+    pub(crate) fn serve_by_copies(&mut self, request_id: u64, node: NodeId) {
+        let request = &self.requests[&request_id];
         if request.kind == RequestKind::Lookup {
-            return self.send_to_endpoint(node, ticket);
+            return self.send_to_endpoint(node, request_id);
         }
         let key = (request.id, request.key.clone());
         match self.copies[node as usize].get(&key) {
-            Some(None) => return self.respond(node, ticket, Response::InFlight),
-            Some(Some(true)) => return self.respond(node, ticket, Response::Replayed),
-            Some(Some(false)) => return self.respond(node, ticket, Response::Unknown),
+            Some(None) => return self.respond(node, request_id, Response::InFlight),
+            Some(Some(true)) => return self.respond(node, request_id, Response::Replayed),
+            Some(Some(false)) => return self.respond(node, request_id, Response::Unknown),
             None => {}
         }
         self.copies[node as usize].insert(key.clone(), None);
         if self.strategy == Strategy::Pinned {
-            return self.send_to_endpoint(node, ticket);
+            return self.send_to_endpoint(node, request_id);
         }
         for to in (0..NODES).filter(|to| *to != node) {
-            self.send_packet(node, to, Packet::CopyBegin { request: ticket, key: key.clone() });
+            self.send_packet(node, to, Packet::CopyBegin { request: request_id, key: key.clone() });
         }
     }
 
     /// The request is sent once all other nodes have their copy.
-    pub(crate) fn receive_copy_ack(&mut self, node: NodeId, ticket: u64) {
-        let Some(request) = self.requests.get_mut(&ticket) else { return };
+    pub(crate) fn receive_copy_ack(&mut self, node: NodeId, request_id: u64) {
+        let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.copy_acks += 1;
         if request.copy_acks == u32::from(NODES) - 1 && !request.sent {
             request.sent = true;
-            self.send_to_endpoint(node, ticket);
+            self.send_to_endpoint(node, request_id);
         }
     }
 
     /// What has waited for other nodes for too long proceeds without them.
     pub(crate) fn end_waits(&mut self, node: NodeId) {
-        let wait = self.settings.wait * MS;
+        let wait = self.settings.peer_timeout_ms * MS;
         let is_late = |request: &Request| !request.sent && self.now > request.arrived + wait;
-        let mut late: Vec<u64> =
-            self.requests.iter().filter(|(_, request)| is_late(request)).map(|(ticket, _)| *ticket).collect();
+        let mut late: Vec<u64> = self
+            .requests
+            .iter()
+            .filter(|(_, request)| is_late(request))
+            .map(|(request_id, _)| *request_id)
+            .collect();
         late.sort_unstable();
-        for ticket in late {
-            self.proceed_alone(node, ticket);
+        for request_id in late {
+            self.proceed_alone(node, request_id);
         }
     }
 
-    fn proceed_alone(&mut self, node: NodeId, ticket: u64) {
-        let request = &self.requests[&ticket];
+    fn proceed_alone(&mut self, node: NodeId, request_id: u64) {
+        let request = &self.requests[&request_id];
         let client = &mut self.clients[request.client];
-        if client.last_node != Some(node) || client.request != ticket || request.endpoint_time != 0 {
+        if client.last_node != Some(node) || client.request != request_id || request.endpoint_time != 0 {
             return;
         }
         match self.strategy {
             Strategy::Pinned if request.forwarded_by == Some(node) => {
                 client.home = node;
-                let request = self.requests.get_mut(&ticket).expect("just seen");
+                let request = self.requests.get_mut(&request_id).expect("just seen");
                 request.forwarded_by = None;
                 request.sent = true;
-                self.serve_by_copies(ticket, node);
+                self.serve_by_copies(request_id, node);
             }
             Strategy::Everywhere if request.kind == RequestKind::Idempotent => {
-                self.requests.get_mut(&ticket).expect("just seen").sent = true;
-                self.send_to_endpoint(node, ticket);
+                self.requests.get_mut(&request_id).expect("just seen").sent = true;
+                self.send_to_endpoint(node, request_id);
             }
             _ => {}
         }
--- a/crates/data-plane/session-affinity/examples/room.rs
+++ b/crates/data-plane/session-affinity/examples/room.rs
@@ -19,33 +19,33 @@
 }
 
 fn complete_request(node: &mut AffinityNode, request: IdempotentRequest) {
-    for output in node.ask(NOW, request) {
-        let Output::Run { ticket } = output else { continue };
+    for output in node.admit(NOW, request) {
+        let Output::SendRequest { request_id } = output else { continue };
         let headers = vec![("content-type".into(), "application/json".into())];
         let response = RecordedResponse { status: 201, headers, body: vec![b'x'; BODY_BYTES] };
-        node.ran(NOW + 1, ticket, Outcome::Ran(response));
+        node.complete(NOW + 1, request_id, Outcome::Completed(response));
     }
 }
 
 fn main() {
     let requests = std::env::args().nth(1).and_then(|requests| requests.parse().ok());
     let requests = requests.unwrap_or(DEFAULT_REQUESTS);
-    let settings = AffinitySettings { sessions: 100_000, ..AffinitySettings::default() };
+    let settings = AffinitySettings { max_sessions: 100_000, ..AffinitySettings::default() };
     let mut node = AffinityNode::new(1, &settings, 1, 0);
     let before = resident_bytes();
     for n in 0..SESSIONS {
         let id = SessionId([n, n]);
-        node.visit(NOW, id, CREATED_AT, &[1]);
-        node.served(NOW, id, "a-service", "i-0123456789ab");
+        node.touch(NOW, id, CREATED_AT, &[1]);
+        node.set_endpoint(NOW, id, "a-service", "i-0123456789ab");
         for index in 0..requests {
             let request = IdempotentRequest {
-                ticket: n * 8 + index,
-                id,
-                born: CREATED_AT,
-                seats: vec![1],
+                request_id: n * 8 + index,
+                session: id,
+                created_at: CREATED_AT,
+                replicas: vec![1],
                 key: format!("{n:032x}-{index}"),
-                print: 1,
-                until: 2_000,
+                fingerprint: 1,
+                deadline: 2_000,
             };
             complete_request(&mut node, request);
         }
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -14,17 +14,24 @@
 //! };
 //! let settings = AffinitySettings::default();
 //! let mut node = AffinityNode::new(1, &settings, 1, 0);
-//! let request = |ticket| IdempotentRequest {
-//!     ticket, id: SessionId([7, 7]), born: 60_000, seats: vec![1], key: "a".into(), print: 5, until: 70_000,
+//! let request = |request_id| IdempotentRequest {
+//!     request_id,
+//!     session: SessionId([7, 7]),
+//!     created_at: 60_000,
+//!     replicas: vec![1],
+//!     key: "a".into(),
+//!     fingerprint: 5,
+//!     deadline: 70_000,
 //! };
 //! // The only replica in a peer set of one node: there is nothing to wait for.
-//! assert!(matches!(node.ask(60_000, request(1))[..], [Output::Run { ticket: 1 }]));
+//! assert!(matches!(node.admit(60_000, request(1))[..], [Output::SendRequest { request_id: 1 }]));
 //! let response = RecordedResponse { status: 200, headers: vec![], body: b"taken".to_vec() };
-//! assert!(matches!(node.ran(60_010, 1, Outcome::Ran(response))[..], [Output::Done { ticket: 1 }]));
-//! let repeat = node.ask(60_020, request(2));
+//! let outcome = Outcome::Completed(response);
+//! assert!(matches!(node.complete(60_010, 1, outcome)[..], [Output::Respond { request_id: 1 }]));
+//! let repeat = node.admit(60_020, request(2));
 //! assert!(matches!(
 //!     &repeat[..],
-//!     [Output::Answer { ticket: 2, reply: Decision::Kept(response) }] if response.body == b"taken"
+//!     [Output::Decided { request_id: 2, reply: Decision::Replay(response) }] if response.body == b"taken"
 //! ));
 //! ```
 
--- a/crates/data-plane/session-affinity/src/model/world.rs
+++ b/crates/data-plane/session-affinity/src/model/world.rs
@@ -44,10 +44,10 @@
 impl Model {
     pub(super) fn new(scenario: Scenario) -> Model {
         let settings = AffinitySettings {
-            sessions: scenario.capacity,
-            skew: 0,
-            wait: 1_000,
-            tries: scenario.claim_retries,
+            max_sessions: scenario.capacity,
+            max_clock_skew_ms: 0,
+            peer_timeout_ms: 1_000,
+            max_claim_retries: scenario.claim_retries,
             #[cfg(test)]
             injected_bug: scenario.injected_bug,
             ..AffinitySettings::default()
@@ -151,15 +151,15 @@
             self.branch(next, |world| {
                 world.arrived |= 1 << index;
                 let idempotent_request = IdempotentRequest {
-                    ticket: index as RequestId,
-                    id: SessionId([request.session, 0]),
-                    born: request.session + 1,
-                    seats: NODES.to_vec(),
+                    request_id: index as RequestId,
+                    session: SessionId([request.session, 0]),
+                    created_at: request.session + 1,
+                    replicas: NODES.to_vec(),
                     key: "k".into(),
-                    print: 1,
-                    until: NOW + 5_000,
+                    fingerprint: 1,
+                    deadline: NOW + 5_000,
                 };
-                world.step(model, request.node, |node| node.ask(NOW, idempotent_request))
+                world.step(model, request.node, |node| node.admit(NOW, idempotent_request))
             });
         }
     }
@@ -168,7 +168,7 @@
         for (hash, envelope) in &self.network {
             let deliver = |world: &mut World| {
                 let Envelope { from, to, message } = Envelope::clone(&envelope.value);
-                world.step(model, to, |node| node.hear(NOW, from, message))
+                world.step(model, to, |node| node.receive_message(NOW, from, message))
             };
             self.branch(next, |world| {
                 world.network.remove(hash);
@@ -186,17 +186,17 @@
     fn attempts_end(&self, model: &Model, next: &mut Successors) {
         for &(node, request) in &self.running {
             let outcomes = [
-                Outcome::NotRun,
+                Outcome::NotExecuted,
                 Outcome::Unknown,
-                Outcome::Ran(RecordedResponse { status: 200, headers: vec![], body: vec![] }),
+                Outcome::Completed(RecordedResponse { status: 200, headers: vec![], body: vec![] }),
             ];
             for outcome in outcomes.into_iter().take(model.scenario.outcomes.into()) {
                 self.branch(next, |world| {
                     world.running.remove(&(node, request));
-                    if outcome == Outcome::NotRun {
+                    if outcome == Outcome::NotExecuted {
                         world.executions[model.session_of(request)] -= 1;
                     }
-                    world.step(model, node, |node| node.ran(NOW, request, outcome))
+                    world.step(model, node, |node| node.complete(NOW, request, outcome))
                 });
             }
         }
@@ -242,24 +242,24 @@
     fn apply(&mut self, model: &Model, from: NodeId, output: Output) -> Result<(), Violation> {
         match output {
             // It only ends the wait of a client.
-            Output::Send { msg: Message::CompletionAck { .. }, .. } | Output::Done { .. } => {}
+            Output::Send { msg: Message::CompletionAck { .. }, .. } | Output::Respond { .. } => {}
             Output::Send { msg: Message::Superseded { .. }, .. } if model.scenario.without_superseded => {}
             Output::Send { to, msg } => {
                 let envelope = Hashed::new(Envelope { from, to, message: msg });
                 self.network.insert(envelope.hash, envelope);
             }
-            Output::Run { ticket } => {
-                let session = model.session_of(ticket);
-                self.running.insert((from, ticket));
+            Output::SendRequest { request_id } => {
+                let session = model.session_of(request_id);
+                self.running.insert((from, request_id));
                 self.executions[session] += 1;
                 if self.executions[session] > 1 {
                     return Err(Violation::ExecutedTwice { session });
                 }
             }
-            Output::Answer { ticket, reply } => {
-                let session = model.session_of(ticket);
+            Output::Decided { request_id, reply } => {
+                let session = model.session_of(request_id);
                 let executed = self.executions[session] == 1;
-                if matches!(reply, Decision::Kept(_) | Decision::Past) && !executed {
+                if matches!(reply, Decision::Replay(_) | Decision::ResponseExpired) && !executed {
                     return Err(Violation::ResponseWithoutExecution { session });
                 }
             }
--- a/crates/data-plane/session-affinity/src/node.rs
+++ b/crates/data-plane/session-affinity/src/node.rs
@@ -29,31 +29,31 @@
     }
 
     /// An idempotent request has arrived.
-    pub fn ask(&mut self, now: Ms, request: IdempotentRequest) -> Vec<Output> {
+    pub fn admit(&mut self, now: Ms, request: IdempotentRequest) -> Vec<Output> {
         let out = self.owner.admit(&self.settings, now, request);
         self.deliver_local(now, out)
     }
 
     /// Any other request of the session has arrived: it waits for nothing, and the session is claimed meanwhile.
-    pub fn visit(&mut self, now: Ms, id: SessionId, created_at: Ms, replicas: &[NodeId]) -> Vec<Output> {
+    pub fn touch(&mut self, now: Ms, id: SessionId, created_at: Ms, replicas: &[NodeId]) -> Vec<Output> {
         let out = self.owner.touch(&self.settings, now, id, created_at, replicas);
         self.deliver_local(now, out)
     }
 
-    /// The attempt that [`Output::Run`] allowed has ended.
-    pub fn ran(&mut self, now: Ms, request: RequestId, outcome: Outcome) -> Vec<Output> {
+    /// The attempt that [`Output::SendRequest`] allowed has ended.
+    pub fn complete(&mut self, now: Ms, request: RequestId, outcome: Outcome) -> Vec<Output> {
         let out = self.owner.complete(&self.settings, now, request, outcome);
         self.deliver_local(now, out)
     }
 
     /// The endpoint that serves the session from now on.
-    pub fn served(&mut self, now: Ms, id: SessionId, service: &str, endpoint: &str) -> Vec<Output> {
+    pub fn set_endpoint(&mut self, now: Ms, id: SessionId, service: &str, endpoint: &str) -> Vec<Output> {
         let out = self.owner.set_endpoint(id, service, endpoint);
         self.deliver_local(now, out)
     }
 
     /// A message from another node has arrived.
-    pub fn hear(&mut self, now: Ms, from: NodeId, message: Message) -> Vec<Output> {
+    pub fn receive_message(&mut self, now: Ms, from: NodeId, message: Message) -> Vec<Output> {
         let out = self.receive(now, from, message);
         self.deliver_local(now, out)
     }
@@ -65,7 +65,7 @@
     }
 
     /// The endpoint of a session for a service, if this node knows the session as its owner.
-    pub fn host(&self, id: SessionId, service: &str) -> Option<&str> {
+    pub fn endpoint(&self, id: SessionId, service: &str) -> Option<&str> {
         self.owner.endpoint(id, service)
     }
 
@@ -75,12 +75,12 @@
     }
 
     /// Counts since the start.
-    pub fn counts(&self) -> Counters {
+    pub fn counters(&self) -> Counters {
         Counters { sessions_evicted: self.replica.sessions_evicted, ..self.owner.counters.clone() }
     }
 
     /// Sessions that this node has as owner or replica, sorted.
-    pub fn list(&self) -> Vec<SessionId> {
+    pub fn sessions(&self) -> Vec<SessionId> {
         let replicated = self.replica.sessions.keys().copied();
         let mut all: Vec<SessionId> = self.owner.ids().chain(replicated).collect();
         all.sort_unstable();
@@ -89,7 +89,7 @@
     }
 
     /// A session as operators see it: the owner's state if there is one, or else the replica's.
-    pub fn show(&self, now: Ms, id: SessionId) -> Option<SessionView> {
+    pub fn view(&self, now: Ms, id: SessionId) -> Option<SessionView> {
         self.owner.view(now, id).or_else(|| {
             let session = self.replica.sessions.get(&id)?;
             Some(SessionView::new(id, false, session.promised, &session.record, now))
--- a/crates/data-plane/session-affinity/src/owner/admission.rs
+++ b/crates/data-plane/session-affinity/src/owner/admission.rs
@@ -22,17 +22,17 @@
         now: Ms,
         request: IdempotentRequest,
     ) -> Vec<Output> {
-        let id = request.id;
-        let mut out = self.ensure_claimed(settings, now, id, request.born, &request.seats);
+        let id = request.session;
+        let mut out = self.ensure_claimed(settings, now, id, request.created_at, &request.replicas);
         self.busy.insert(id);
         let Some(session) = self.sessions.get_mut(&id) else { return out };
         if session.owned {
             out.extend(self.decide(settings, now, request));
             return out;
         }
-        self.counters.waits += 1;
+        self.counters.requests_pending += 1;
         let claim_began_earlier = session.pending.is_empty() && out.is_empty();
-        let wait_until = (now + settings.wait).min(request.until);
+        let wait_until = (now + settings.peer_timeout_ms).min(request.deadline);
         session.pending.push(PendingRequest { request, wait_until });
         if claim_began_earlier {
             // The messages of a claim that a lookup began may have been lost.
@@ -51,10 +51,10 @@
         match self.admission(settings, now, &request) {
             None => vec![],
             Some(Admission::Begin) => self.begin_attempt(settings, now, request),
-            Some(Admission::Answer(decision)) => vec![self.answer(request.ticket, decision)],
+            Some(Admission::Answer(decision)) => vec![self.answer(request.request_id, decision)],
             Some(Admission::AnswerInFlightAndPrepare) => {
-                let mut out = self.prepare(request.id);
-                out.push(self.answer(request.ticket, Decision::UnderWay));
+                let mut out = self.prepare(request.session);
+                out.push(self.answer(request.request_id, Decision::InFlight));
                 out
             }
         }
@@ -67,17 +67,17 @@
         now: Ms,
         request: &IdempotentRequest,
     ) -> Option<Admission> {
-        let session = self.sessions.get_mut(&request.id)?;
-        session.record.drop_expired_responses(now, settings.keep);
+        let session = self.sessions.get_mut(&request.session)?;
+        session.record.drop_expired_responses(now, settings.response_retention_ms);
         let in_flight_here = session.attempts.iter().any(|attempt| attempt.key == request.key);
         let entry = session.record.entry(&request.key);
-        if entry.is_some_and(|entry| entry.fingerprint != request.print) {
-            return Some(Admission::Answer(Decision::Other));
+        if entry.is_some_and(|entry| entry.fingerprint != request.fingerprint) {
+            return Some(Admission::Answer(Decision::FingerprintMismatch));
         }
         Some(match entry.map(|entry| &entry.state) {
-            Some(EntryState::Completed(response)) => Admission::Answer(Decision::Kept(response.clone())),
-            Some(EntryState::ResponseDropped) => Admission::Answer(Decision::Past),
-            _ if in_flight_here => Admission::Answer(Decision::UnderWay),
+            Some(EntryState::Completed(response)) => Admission::Answer(Decision::Replay(response.clone())),
+            Some(EntryState::ResponseDropped) => Admission::Answer(Decision::ResponseExpired),
+            _ if in_flight_here => Admission::Answer(Decision::InFlight),
             Some(EntryState::Unknown | EntryState::InFlight { .. })
                 if settings.has_bug(InjectedBug::RetryOfUnknown) =>
             {
@@ -88,7 +88,9 @@
                 Admission::Answer(Decision::Unknown)
             }
             Some(EntryState::InFlight { .. }) => Admission::AnswerInFlightAndPrepare,
-            None if session.record.entries.len() >= settings.keys => Admission::Answer(Decision::Spent),
+            None if session.record.entries.len() >= settings.max_requests_per_session => {
+                Admission::Answer(Decision::TooManyRequests)
+            }
             Some(EntryState::NotRun) | None => Admission::Begin,
         })
     }
@@ -100,35 +102,35 @@
         now: Ms,
         request: IdempotentRequest,
     ) -> Vec<Output> {
-        let Some(session) = self.sessions.get_mut(&request.id) else { return vec![] };
+        let Some(session) = self.sessions.get_mut(&request.session) else { return vec![] };
         let attempt = Attempt {
-            request: request.ticket,
+            request: request.request_id,
             key: request.key,
-            fingerprint: request.print,
+            fingerprint: request.fingerprint,
             id: session.next_attempt_id(),
-            wait_until: (now + settings.wait).min(request.until),
-            deadline: request.until,
+            wait_until: (now + settings.peer_timeout_ms).min(request.deadline),
+            deadline: request.deadline,
             acknowledged_by: vec![],
             phase: AttemptPhase::Recording,
         };
         let entry = attempt.entry(EntryState::InFlight { deadline: attempt.deadline }, now);
         session.record.put(&entry);
         session.attempts.push(attempt);
-        self.requests.insert(request.ticket, request.id);
-        self.write(request.id, vec![entry])
+        self.requests.insert(request.request_id, request.session);
+        self.write(request.session, vec![entry])
     }
 
     /// Answers a request that is not sent, and counts it.
-    pub(super) fn answer(&mut self, ticket: RequestId, reply: Decision) -> Output {
+    pub(super) fn answer(&mut self, request_id: RequestId, reply: Decision) -> Output {
         let counter = match reply {
-            Decision::Kept(_) | Decision::Past => &mut self.counters.repeats_answered,
-            Decision::UnderWay => &mut self.counters.in_flight,
+            Decision::Replay(_) | Decision::ResponseExpired => &mut self.counters.repeats_answered,
+            Decision::InFlight => &mut self.counters.in_flight,
             Decision::Unknown => &mut self.counters.unknown,
-            Decision::Other => &mut self.counters.fingerprint_mismatches,
-            Decision::NotNow | Decision::Spent => &mut self.counters.refused,
-            Decision::Forgotten => &mut self.counters.session_lost,
+            Decision::FingerprintMismatch => &mut self.counters.fingerprint_mismatches,
+            Decision::Rejected | Decision::TooManyRequests => &mut self.counters.refused,
+            Decision::SessionLost => &mut self.counters.session_lost,
         };
         *counter += 1;
-        Output::Answer { ticket, reply }
+        Output::Decided { request_id, reply }
     }
 }
--- a/crates/data-plane/session-affinity/src/owner/attempt.rs
+++ b/crates/data-plane/session-affinity/src/owner/attempt.rs
@@ -83,10 +83,10 @@
         }
         attempt.phase = AttemptPhase::Running;
         self.counters.sent += 1;
-        vec![Output::Run { ticket: attempt.request }]
+        vec![Output::SendRequest { request_id: attempt.request }]
     }
 
-    /// The attempt that [`Output::Run`] allowed has ended.
+    /// The attempt that [`Output::SendRequest`] allowed has ended.
     pub(crate) fn complete(
         &mut self,
         settings: &AffinitySettings,
@@ -100,14 +100,16 @@
             return vec![];
         };
         let state = match outcome {
-            Outcome::Ran(response) if response.body.len() > settings.answer => EntryState::ResponseDropped,
-            Outcome::Ran(response) => EntryState::Completed(response),
-            Outcome::RanLong => EntryState::ResponseDropped,
-            Outcome::NotRun => EntryState::NotRun,
+            Outcome::Completed(response) if response.body.len() > settings.max_response_bytes => {
+                EntryState::ResponseDropped
+            }
+            Outcome::Completed(response) => EntryState::Completed(response),
+            Outcome::CompletedUnrecorded => EntryState::ResponseDropped,
+            Outcome::NotExecuted => EntryState::NotRun,
             Outcome::Unknown => EntryState::Unknown,
         };
         attempt.phase = AttemptPhase::Reporting;
-        attempt.wait_until = now + settings.wait;
+        attempt.wait_until = now + settings.peer_timeout_ms;
         attempt.acknowledged_by.clear();
         let entry = attempt.entry(state, now);
         self.report(id, entry)
@@ -149,11 +151,11 @@
         let Some(position) = session.attempts.iter().position(|other| other.id == attempt) else {
             return vec![];
         };
-        let ticket = session.attempts.remove(position).request;
-        self.requests.remove(&ticket);
+        let request_id = session.attempts.remove(position).request;
+        self.requests.remove(&request_id);
         if session.superseded && session.is_idle() {
             self.remove(id);
         }
-        vec![Output::Done { ticket }]
+        vec![Output::Respond { request_id }]
     }
 }
--- a/crates/data-plane/session-affinity/src/owner/claim.rs
+++ b/crates/data-plane/session-affinity/src/owner/claim.rs
@@ -19,7 +19,7 @@
         created_at: Ms,
         replicas: &[NodeId],
     ) -> Vec<Output> {
-        let recently_lost = self.taken_over.get(&id).is_some_and(|at| now < at + settings.rest);
+        let recently_lost = self.taken_over.get(&id).is_some_and(|at| now < at + settings.reclaim_delay_ms);
         if recently_lost && !self.sessions.contains_key(&id) {
             return vec![];
         }
@@ -43,7 +43,7 @@
             // It comes back before its attempts have ended.
             return self.claim(id, now);
         }
-        if self.sessions.len() >= settings.sessions {
+        if self.sessions.len() >= settings.max_sessions {
             self.evict_idle();
         }
         let mut session = OwnedSession::new(created_at, replicas);
@@ -122,7 +122,7 @@
         }
         if won {
             if promise.previous_owner.is_some() {
-                self.counters.crossings += 1;
+                self.counters.takeovers += 1;
             }
             out.extend(self.begin_ownership(settings, now, id));
         }
@@ -183,7 +183,7 @@
         session.forget_loss(from);
         session.lost.push(loss);
         if session.replicas.len() - session.lost.len() < session.quorum() {
-            return self.abandon(now, id, Decision::Forgotten);
+            return self.abandon(now, id, Decision::SessionLost);
         }
         if session.owned && session.promises.len() < session.quorum() {
             return self.relinquish(now, id);
@@ -215,12 +215,12 @@
             }
             return vec![];
         }
-        if promised > fencing_token && session.claim_retries < settings.tries {
+        if promised > fencing_token && session.claim_retries < settings.max_claim_retries {
             session.claim_retries += 1;
             return self.claim(id, now.max(promised.number + 1));
         }
         if session.replicas.len() - session.rejected_by.len() < session.quorum() {
-            return self.abandon(now, id, Decision::NotNow);
+            return self.abandon(now, id, Decision::Rejected);
         }
         vec![]
     }
--- a/crates/data-plane/session-affinity/src/owner/expiry.rs
+++ b/crates/data-plane/session-affinity/src/owner/expiry.rs
@@ -8,7 +8,7 @@
 
 impl SessionOwner {
     pub(crate) fn tick(&mut self, settings: &AffinitySettings, now: Ms) -> Vec<Output> {
-        self.taken_over.retain(|_, at| now < *at + settings.rest);
+        self.taken_over.retain(|_, at| now < *at + settings.reclaim_delay_ms);
         let busy: Vec<SessionId> = self.busy.iter().copied().collect();
         busy.into_iter().flat_map(|id| self.end_waits(now, id)).collect()
     }
@@ -27,7 +27,7 @@
         session.pending = pending;
         let claim_unneeded = !session.owned && session.pending.is_empty() && !refused.is_empty();
         for PendingRequest { request, .. } in refused {
-            out.push(self.answer(request.ticket, Decision::NotNow));
+            out.push(self.answer(request.request_id, Decision::Rejected));
         }
         for attempt in reported {
             out.extend(self.finish_attempt(id, attempt));
--- a/crates/data-plane/session-affinity/src/owner/release.rs
+++ b/crates/data-plane/session-affinity/src/owner/release.rs
@@ -25,10 +25,10 @@
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         let was_current = !std::mem::replace(&mut session.superseded, true);
         if was_current && session.owned {
-            self.counters.let_go += 1;
+            self.counters.sessions_superseded += 1;
             self.taken_over.insert(id, now);
         }
-        self.abandon(now, id, Decision::NotNow)
+        self.abandon(now, id, Decision::Rejected)
     }
 
     /// Refuses what was not sent, and removes the session when its last attempt has ended.
@@ -38,7 +38,7 @@
         let pending = std::mem::take(&mut session.pending);
         let mut out: Vec<Output> = pending
             .iter()
-            .map(|PendingRequest { request, .. }| self.answer(request.ticket, reason.clone()))
+            .map(|PendingRequest { request, .. }| self.answer(request.request_id, reason.clone()))
             .collect();
         out.extend(self.reject_unsent(now, id, Ms::MAX));
         if self.sessions.get(&id).is_some_and(OwnedSession::is_idle) {
@@ -59,7 +59,7 @@
         for attempt in unsent {
             out.extend(self.report(id, attempt.entry(EntryState::NotRun, now)));
             self.requests.remove(&attempt.request);
-            out.push(self.answer(attempt.request, Decision::NotNow));
+            out.push(self.answer(attempt.request, Decision::Rejected));
         }
         out
     }
--- a/crates/data-plane/session-affinity/src/peer_sets.rs
+++ b/crates/data-plane/session-affinity/src/peer_sets.rs
@@ -12,22 +12,22 @@
 const REPLICAS: usize = 3;
 
 impl PeerSets {
-    /// The number of the list for new sessions.
+    /// The number of the peer set for new sessions.
     pub fn newest(&self) -> u16 {
         self.0.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// The replicas of a session: the first nodes after its id on the hash ring. Nothing for an unknown list.
+    /// The replicas of a session: the first nodes after its id on the hash ring. Nothing for an unknown peer set.
     ///
     /// ```
     /// use coppersail_session_affinity::{PeerSets, SessionId};
     /// let nodes = (1..=8).map(|n| (n, format!("10.0.0.{n}:7001"))).collect();
     /// let peer_sets = PeerSets([(4, nodes)].into());
-    /// let replicas = peer_sets.seats(4, SessionId([3, 9])).unwrap();
+    /// let replicas = peer_sets.replicas(4, SessionId([3, 9])).unwrap();
     /// assert_eq!(replicas.len(), 3);
-    /// assert_eq!(peer_sets.seats(5, SessionId([3, 9])), None);
+    /// assert_eq!(peer_sets.replicas(5, SessionId([3, 9])), None);
     /// ```
-    pub fn seats(&self, peer_set: u16, id: SessionId) -> Option<Vec<NodeId>> {
+    pub fn replicas(&self, peer_set: u16, id: SessionId) -> Option<Vec<NodeId>> {
         let nodes = self.0.get(&peer_set)?;
         let addresses: Vec<String> = nodes.iter().map(|(_, address)| address.clone()).collect();
         let replicas = coppersail_consensus::ring_successors(&id.to_string(), &addresses, REPLICAS);
@@ -36,7 +36,7 @@
         Some(replicas.iter().filter_map(node_at).collect())
     }
 
-    /// The address of a node, by the newest list that has it.
+    /// The address of a node, by the newest peer set that has it.
     pub fn address(&self, node: NodeId) -> Option<&str> {
         let mut newest_first = self.0.values().rev().flatten();
         newest_first.find(|(other, _)| *other == node).map(|(_, address)| address.as_str())
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -106,11 +106,11 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Outcome {
     /// The endpoint executed the request and responded.
-    Ran(RecordedResponse),
+    Completed(RecordedResponse),
     /// The endpoint executed it; the response is too long to be recorded.
-    RanLong,
+    CompletedUnrecorded,
     /// Proven: no endpoint has read it, or each that did has said that it never will execute it.
-    NotRun,
+    NotExecuted,
     /// It may have been executed.
     Unknown,
 }
--- a/crates/data-plane/session-affinity/src/replica.rs
+++ b/crates/data-plane/session-affinity/src/replica.rs
@@ -97,7 +97,7 @@
                 return Message::Rejected { id, fencing_token, promised: before };
             }
             session.promised = fencing_token;
-            session.record.drop_expired_responses(now, settings.keep);
+            session.record.drop_expired_responses(now, settings.response_retention_ms);
             self.lru.touch(id, &mut session.last_use);
             let previous_owner = (before.node != fencing_token.node).then_some(before.node);
             return self.promise(id, fencing_token, round, previous_owner);
@@ -173,7 +173,7 @@
         }
         let attempt = record.entries.first().map_or(record.endpoints_version, |entry| entry.attempt);
         session.record.merge(record);
-        session.record.drop_expired_responses(now, settings.keep);
+        session.record.drop_expired_responses(now, settings.response_retention_ms);
         Message::WriteAck { id, fencing_token, attempt }
     }
 
@@ -195,7 +195,7 @@
 
     /// Evicts the least recently used session if there is no capacity, but never one with a request in flight.
     fn make_capacity(&mut self, settings: &AffinitySettings, now: Ms) -> bool {
-        if self.sessions.len() < settings.sessions {
+        if self.sessions.len() < settings.max_sessions {
             return true;
         }
         let idle = self.lru.iter().find(|id| !self.sessions[id].record.has_in_flight(now));
--- a/crates/data-plane/session-affinity/src/request.rs
+++ b/crates/data-plane/session-affinity/src/request.rs
@@ -7,40 +7,40 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct IdempotentRequest {
     /// The adapter's id of the request, in the effects that concern it.
-    pub ticket: RequestId,
+    pub request_id: RequestId,
     /// Its session.
-    pub id: SessionId,
+    pub session: SessionId,
     /// When the session was created, in milliseconds.
-    pub born: Ms,
-    /// The nodes that keep the session, by [`crate::PeerSets::seats`].
-    pub seats: Vec<NodeId>,
+    pub created_at: Ms,
+    /// The nodes that keep the session, by [`crate::PeerSets::replicas`].
+    pub replicas: Vec<NodeId>,
     /// The client's `Idempotency-Key`.
     pub key: String,
     /// Fingerprint of method, path and body.
-    pub print: u64,
+    pub fingerprint: u64,
     /// Deadline of the request, and of reporting its outcome.
-    pub until: Ms,
+    pub deadline: Ms,
 }
 
 /// Why a request is not sent to an endpoint now.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub enum Decision {
     /// A repeat: the recorded response.
-    Kept(RecordedResponse),
+    Replay(RecordedResponse),
     /// A repeat of a request that was executed; its response is no longer kept.
-    Past,
+    ResponseExpired,
     /// The first one is in flight, at this node or at the previous owner.
-    UnderWay,
+    InFlight,
     /// The first one may have been executed.
     Unknown,
     /// The key was used for a request with another fingerprint.
-    Other,
+    FingerprintMismatch,
     /// Not executed; the client may retry.
-    NotNow,
+    Rejected,
     /// Too few replicas know the session: not executed, and never will be in this session.
-    Forgotten,
-    /// The session has had [`crate::AffinitySettings::keys`] requests: not executed.
-    Spent,
+    SessionLost,
+    /// The session has had [`crate::AffinitySettings::max_requests_per_session`] requests: not executed.
+    TooManyRequests,
 }
 
 /// What the adapter has to do.
@@ -53,20 +53,20 @@
         /// The message.
         msg: Message,
     },
-    /// Send the request to an endpoint now, once, and report the outcome by [`crate::AffinityNode::ran`].
-    Run {
+    /// Send the request to an endpoint now, once, and report the outcome by [`crate::AffinityNode::complete`].
+    SendRequest {
         /// The request.
-        ticket: RequestId,
+        request_id: RequestId,
     },
     /// The outcome is recorded, or the wait for that is over: respond to the client.
-    Done {
+    Respond {
         /// The request.
-        ticket: RequestId,
+        request_id: RequestId,
     },
     /// Respond without sending the request.
-    Answer {
+    Decided {
         /// The request.
-        ticket: RequestId,
+        request_id: RequestId,
         /// What the client gets.
         reply: Decision,
     },
--- a/crates/data-plane/session-affinity/src/settings.rs
+++ b/crates/data-plane/session-affinity/src/settings.rs
@@ -5,21 +5,21 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AffinitySettings {
     /// Sessions that a node holds as a replica, and as many as an owner.
-    pub sessions: usize,
+    pub max_sessions: usize,
     /// Idempotent requests of one session.
-    pub keys: usize,
+    pub max_requests_per_session: usize,
     /// For how long a response is kept, in milliseconds.
-    pub keep: Ms,
+    pub response_retention_ms: Ms,
     /// For how long other nodes are waited for, before a request is sent and after its response arrived.
-    pub wait: Ms,
+    pub peer_timeout_ms: Ms,
     /// How often a claim that met a higher fencing token is retried under a still higher one, while requests wait.
-    pub tries: u32,
+    pub max_claim_retries: u32,
     /// For how long after losing a session only an idempotent request claims it back: a late lookup does not.
-    pub rest: Ms,
+    pub reclaim_delay_ms: Ms,
     /// How far the clocks of two nodes may be apart.
-    pub skew: Ms,
+    pub max_clock_skew_ms: Ms,
     /// Longer response bodies (bytes) are not kept; that the request was executed is.
-    pub answer: usize,
+    pub max_response_bytes: usize,
     #[cfg(test)]
     pub(crate) injected_bug: Option<InjectedBug>,
 }
@@ -27,14 +27,14 @@
 impl Default for AffinitySettings {
     fn default() -> AffinitySettings {
         AffinitySettings {
-            sessions: 20_000,
-            keys: 64,
-            keep: 600_000,
-            wait: 500,
-            tries: 3,
-            rest: 1_000,
-            skew: 2_000,
-            answer: 16 * 1024,
+            max_sessions: 20_000,
+            max_requests_per_session: 64,
+            response_retention_ms: 600_000,
+            peer_timeout_ms: 500,
+            max_claim_retries: 3,
+            reclaim_delay_ms: 1_000,
+            max_clock_skew_ms: 2_000,
+            max_response_bytes: 16 * 1024,
             #[cfg(test)]
             injected_bug: None,
         }
@@ -45,7 +45,7 @@
     /// A node that starts at `now` may have held any session created up to the returned time before it restarted. The
     /// time lies ahead, as the clock of the node that created the session may be ahead and this one's behind.
     pub fn floor(&self, now: Ms) -> Ms {
-        now + 2 * self.skew
+        now + 2 * self.max_clock_skew_ms
     }
 
     #[cfg(test)]
--- a/crates/data-plane/session-affinity/src/tests/cluster.rs
+++ b/crates/data-plane/session-affinity/src/tests/cluster.rs
@@ -40,9 +40,9 @@
         for output in outputs {
             match output {
                 Output::Send { to, msg } => self.network.push_back((from, to, msg)),
-                Output::Run { ticket } => self.sent.push((from, ticket)),
-                Output::Done { ticket } => drop(self.answers.insert(ticket, None)),
-                Output::Answer { ticket, reply } => drop(self.answers.insert(ticket, Some(reply))),
+                Output::SendRequest { request_id } => self.sent.push((from, request_id)),
+                Output::Respond { request_id } => drop(self.answers.insert(request_id, None)),
+                Output::Decided { request_id, reply } => drop(self.answers.insert(request_id, Some(reply))),
             }
         }
     }
@@ -58,7 +58,7 @@
     pub(super) fn deliver_all(&mut self) {
         while let Some((from, to, msg)) = self.network.pop_front() {
             if self.partition.contains(&from) == self.partition.contains(&to) {
-                self.with_node(to, |node, now| node.hear(now, from, msg));
+                self.with_node(to, |node, now| node.receive_message(now, from, msg));
             }
         }
     }
@@ -66,30 +66,30 @@
     pub(super) fn request(
         &self,
         session: u64,
-        ticket: RequestId,
+        request_id: RequestId,
         key: &str,
-        print: u64,
+        fingerprint: u64,
     ) -> IdempotentRequest {
-        let (key, until) = (key.into(), self.now + 5_000);
+        let (key, deadline) = (key.into(), self.now + 5_000);
         IdempotentRequest {
-            ticket,
-            id: SessionId([session, 0]),
-            born: CREATED_AT,
-            seats: vec![1, 2, 3],
+            request_id,
+            session: SessionId([session, 0]),
+            created_at: CREATED_AT,
+            replicas: vec![1, 2, 3],
             key,
-            print,
-            until,
+            fingerprint,
+            deadline,
         }
     }
 
-    pub(super) fn send(&mut self, id: NodeId, ticket: RequestId, key: &str) {
-        let request = self.request(1, ticket, key, 7);
-        self.with_node(id, |node, now| node.ask(now, request));
+    pub(super) fn send(&mut self, id: NodeId, request_id: RequestId, key: &str) {
+        let request = self.request(1, request_id, key, 7);
+        self.with_node(id, |node, now| node.admit(now, request));
         self.deliver_all();
     }
 
-    pub(super) fn complete(&mut self, id: NodeId, ticket: RequestId, outcome: Outcome) {
-        self.with_node(id, |node, now| node.ran(now, ticket, outcome));
+    pub(super) fn complete(&mut self, id: NodeId, request_id: RequestId, outcome: Outcome) {
+        self.with_node(id, |node, now| node.complete(now, request_id, outcome));
         self.deliver_all();
     }
 
@@ -116,5 +116,5 @@
 }
 
 pub(super) fn executed() -> Outcome {
-    Outcome::Ran(response())
+    Outcome::Completed(response())
 }
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -14,11 +14,11 @@
     /// The session.
     pub id: SessionId,
     /// The number of the peer set under which the session was created.
-    pub roster: u16,
+    pub peer_set: u16,
     /// When the session was created, in milliseconds.
-    pub born: Ms,
+    pub created_at: Ms,
     /// When the token was last signed; its lifetime counts from here.
-    pub signed: Ms,
+    pub signed_at: Ms,
 }
 
 /// Why a token is not accepted. The client gets a new session. The token itself is shown neither to the client nor
@@ -105,7 +105,8 @@
     /// ```
     /// use coppersail_session_affinity::token::{SessionToken, SigningKeys, TokenError};
     /// let keys = SigningKeys::new(vec![vec![1; 32]]).unwrap();
-    /// let token = SessionToken { id: coppersail_session_affinity::SessionId([1, 2]), roster: 1, born: 5_000, signed: 5_000 };
+    /// let id = coppersail_session_affinity::SessionId([1, 2]);
+    /// let token = SessionToken { id, peer_set: 1, created_at: 5_000, signed_at: 5_000 };
     /// let text = keys.sign(&token);
     /// assert_eq!(keys.read(&text, 6_000, 60_000, 100), Ok((token, true)));
     /// assert_eq!(keys.read(&text[1..], 6_000, 60_000, 100), Err(TokenError::Malformed));
@@ -114,9 +115,9 @@
     pub fn sign(&self, token: &SessionToken) -> String {
         let mut bytes = Vec::with_capacity(BODY_BYTES + SIGNATURE_BYTES);
         bytes.extend(token.id.0.iter().flat_map(|half| half.to_be_bytes()));
-        bytes.extend(token.roster.to_be_bytes());
-        bytes.extend(token.born.to_be_bytes());
-        bytes.extend(token.signed.to_be_bytes());
+        bytes.extend(token.peer_set.to_be_bytes());
+        bytes.extend(token.created_at.to_be_bytes());
+        bytes.extend(token.signed_at.to_be_bytes());
         let signing_key = self.0.first().map_or(&[][..], |key| &key[..]);
         let signature = Self::mac(signing_key, &bytes).finalize().into_bytes();
         bytes.extend_from_slice(&signature);
@@ -136,14 +137,14 @@
         let u64_at = |at: usize| u64::from_be_bytes(body[at..at + 8].try_into().expect("8 bytes"));
         let token = SessionToken {
             id: SessionId([u64_at(0), u64_at(8)]),
-            roster: u16::from_be_bytes([body[16], body[17]]),
-            born: u64_at(18),
-            signed: u64_at(26),
+            peer_set: u16::from_be_bytes([body[16], body[17]]),
+            created_at: u64_at(18),
+            signed_at: u64_at(26),
         };
-        if token.born.max(token.signed) > now + skew {
+        if token.created_at.max(token.signed_at) > now + skew {
             return Err(TokenError::FromFuture);
         }
-        if token.signed + life <= now {
+        if token.signed_at + life <= now {
             return Err(TokenError::Expired);
         }
         Ok((token, key_index == 0))
--- a/crates/data-plane/session-affinity/src/view.rs
+++ b/crates/data-plane/session-affinity/src/view.rs
@@ -10,11 +10,14 @@
     /// Claims of a session, retries included.
     pub claims: u64,
     /// Claims that took a session over from another node.
-    pub crossings: u64,
+    #[serde(rename = "crossings")]
+    pub takeovers: u64,
     /// Sessions that another node took over.
-    pub let_go: u64,
+    #[serde(rename = "let_go")]
+    pub sessions_superseded: u64,
     /// Requests that had to wait for a claim.
-    pub waits: u64,
+    #[serde(rename = "waits")]
+    pub requests_pending: u64,
     /// Requests that were sent to an endpoint.
     pub sent: u64,
     /// Repeats that were answered from the record.
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -161,9 +161,9 @@
 fn what_operators_are_shown_keeps_its_bytes() {
     let counts = Counters {
         claims: 1,
-        crossings: 2,
-        let_go: 3,
-        waits: 4,
+        takeovers: 2,
+        sessions_superseded: 3,
+        requests_pending: 4,
         sent: 5,
         repeats_answered: 6,
         in_flight: 7,
@@ -196,7 +196,7 @@
 #[test]
 fn a_token_keeps_its_signed_text() {
     let keys = SigningKeys::new(vec![b"a literal key of 32 bytes, no less".to_vec()]).unwrap();
-    let token = SessionToken { id: ID, roster: 4, born: 60_000, signed: 65_000 };
+    let token = SessionToken { id: ID, peer_set: 4, created_at: 60_000, signed_at: 65_000 };
     let text = "AAAAAAAAAAEAAAAAAAAKvAAEAAAAAAAA6mAAAAAAAAD96BG7ySSVCBN75Wjx1BmaOmzow9I8Qem6asMQc633eSj_";
     assert_eq!(keys.sign(&token), text);
     assert_eq!(keys.read(text, 66_000, 60_000, 100), Ok((token, true)));
--- a/crates/tools/simulator/src/disk.rs
+++ b/crates/tools/simulator/src/disk.rs
@@ -56,7 +56,7 @@
         if !write.accepted {
             return;
         }
-        if write.batch.whole {
+        if write.batch.replace_state {
             self.state.clear();
         }
         self.folder_condition = FolderCondition::Intact;
--- a/crates/tools/simulator/src/world/processes.rs
+++ b/crates/tools/simulator/src/world/processes.rs
@@ -62,7 +62,7 @@
         let startup = Startup {
             settings,
             recovered: machine.disk.recover(),
-            new_incarnation: self.rng.u64(1..1 << 53),
+            feed_and_disk_incarnation: self.rng.u64(1..1 << 53),
         };
         let clock_rate = random_clock_rate(&mut self.rng);
         let (node, effects) = Node::start(1, startup);
