--- a/crates/tools/lab/src/measure.rs
+++ b/crates/tools/lab/src/measure.rs
@@ -34,20 +34,29 @@
     pub open_hosts: u32,
 }
 
+/// What a route got.
+#[derive(Clone, Copy, Debug, Default, PartialEq)]
+pub struct RouteService {
+    /// Importance of the calls that arrived.
+    pub offered: f64,
+    /// Importance of those that were answered within their latency target.
+    pub served: f64,
+}
+
 /// What one play measures.
 pub struct Measured {
     /// By second of arrival; the last one also counts what is later.
     pub seconds: Vec<Second>,
     /// Milliseconds from a client's first attempt to its answer, by route.
     pub latency: Vec<Histogram<u64>>,
-    /// Importance that arrived, and that was answered within the latency target, by route.
-    pub by_route: Vec<(f64, f64)>,
+    /// By route, over the whole play.
+    pub by_route: Vec<RouteService>,
     /// Calls that wait or run at each host, sampled each second.
     pub heat: Vec<Vec<u16>>,
     /// Events that were processed.
     pub events: u64,
     /// Health checks that hosts received.
-    pub probes: u64,
+    pub health_checks: u64,
 }
 
 impl Measured {
@@ -60,10 +69,10 @@
         Measured {
             seconds: vec![Second::default(); seconds.ceil() as usize + 1],
             latency: (0..routes).map(|_| histogram()).collect(),
-            by_route: vec![(0.0, 0.0); routes],
+            by_route: vec![RouteService::default(); routes],
             heat: Vec::new(),
             events: 0,
-            probes: 0,
+            health_checks: 0,
         }
     }
 
@@ -89,8 +98,8 @@
 
     /// Service of the worst route.
     pub fn worst_route(&self) -> f64 {
-        let routes = self.by_route.iter().filter(|(asked, _)| *asked > 0.0);
-        routes.map(|(asked, served)| served / asked).fold(1.0, f64::min)
+        let routes = self.by_route.iter().filter(|route| route.offered > 0.0);
+        routes.map(|route| route.served / route.offered).fold(1.0, f64::min)
     }
 }
 
--- a/crates/tools/lab/src/platform/tests.rs
+++ b/crates/tools/lab/src/platform/tests.rs
@@ -73,3 +73,13 @@
     let server = read.servers[0].as_ref().unwrap();
     assert_eq!((server.state, server.started_ms), (discovery::State::Draining, 1_700_000_002_000));
 }
+
+#[test]
+fn a_call_that_cannot_be_read_is_taken_as_orders() {
+    let platform = platform();
+    let text = |call: &str| platform.orders(call).unwrap_err().to_string();
+    assert_eq!(text("follow"), "no call: follow");
+    assert_eq!(text("txn SET,4,h2,1;SET,4,x2,1"), "no order: SET,4,x2,1");
+    assert_eq!(text("txn LIMIT,*,nothing,0.5,1"), "no order: LIMIT,*,nothing,0.5,1");
+    assert_eq!(text("txn LIMIT,*,*,0.5,4"), "no order: LIMIT,*,*,0.5,4");
+}
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -2,8 +2,11 @@
 //! baseline on the same interface.
 
 mod baseline;
+mod bounded_hashing;
 mod kind;
 mod process;
+mod table;
+mod true_state;
 
 pub use baseline::Baseline;
 pub use kind::{Kind, UnknownPolicy};
--- a/crates/tools/lab/src/policy/kind.rs
+++ b/crates/tools/lab/src/policy/kind.rs
@@ -100,3 +100,6 @@
         Kind::named(&name)
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tools/lab/src/policy/process.rs
+++ b/crates/tools/lab/src/policy/process.rs
@@ -18,7 +18,7 @@
 
 enum State {
     /// Before the first inputs.
-    Waiting(Platform),
+    NotStarted(Platform),
     Running(Live),
     /// The start failed, which ends the play.
     Failed,
@@ -27,7 +27,7 @@
 impl DirectorProcess {
     /// A director that has had no inputs.
     pub(super) fn new(platform: Platform, seed: u64) -> Self {
-        DirectorProcess { state: State::Waiting(platform), seed }
+        DirectorProcess { state: State::NotStarted(platform), seed }
     }
 
     /// Sends inputs to the process, which is started by the first ones.
@@ -39,7 +39,7 @@
             live.hear(inputs, store_down);
             return;
         }
-        let State::Waiting(platform) = std::mem::replace(&mut self.state, State::Failed) else { return };
+        let State::NotStarted(platform) = std::mem::replace(&mut self.state, State::Failed) else { return };
         let started = Live::start(&director(), platform, self.seed, inputs);
         self.state = State::Running(started.unwrap_or_else(|error| panic!("{error}")));
     }
@@ -48,7 +48,7 @@
     pub fn take_orders(&self) -> Vec<Order> {
         match &self.state {
             State::Running(live) => live.ordered(),
-            State::Waiting(_) | State::Failed => vec![],
+            State::NotStarted(_) | State::Failed => vec![],
         }
     }
 
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -134,9 +134,9 @@
 
     fn start(&self, now: f64, inputs: &[Input]) -> Result<Running, ConfigError> {
         let surroundings = Surroundings::new(now, inputs);
-        let endpoints = surroundings.full_list(&self.platform);
-        let places = Places { listen: loopback(1), discovery: loopback(2), relay: loopback(3) };
-        let text = self.platform.config(DIRECTOR_NAME, self.seed, &places, &endpoints);
+        let endpoints = surroundings.all_endpoints(&self.platform);
+        let addresses = Places { listen: loopback(1), discovery: loopback(2), relay: loopback(3) };
+        let text = self.platform.config(DIRECTOR_NAME, self.seed, &addresses, &endpoints);
         let config = Config::parse(text.as_bytes()).map_err(ConfigError::Syntax)?;
         let wall_ns = self.platform.began_ms * NS_PER_MS;
         let mut reducer = Reducer::new(&config, wall_ns).map_err(ConfigError::reducer)?;
--- a/crates/tools/lab/src/reduced/surroundings.rs
+++ b/crates/tools/lab/src/reduced/surroundings.rs
@@ -90,7 +90,7 @@
     }
 
     /// The whole endpoint list, as the discovery service sends it.
-    pub(super) fn full_list(&self, platform: &Platform) -> String {
+    pub(super) fn all_endpoints(&self, platform: &Platform) -> String {
         let entries: Vec<Listing> = self.endpoints.values().cloned().collect();
         platform.list(self.endpoints_version, true, &entries, &host_address)
     }
@@ -214,7 +214,7 @@
             }
             Effect::Watch(link, _, _) => {
                 self.watches.push(link);
-                events.push_back(Event::WatchLines(link, vec![line(self.full_list(platform))]));
+                events.push_back(Event::WatchLines(link, vec![line(self.all_endpoints(platform))]));
             }
             Effect::Unwatch(link) => self.watches.retain(|known| *known != link),
             Effect::Probe { host, address, .. } => {
--- a/crates/tools/lab/src/rules.rs
+++ b/crates/tools/lab/src/rules.rs
@@ -6,32 +6,32 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
     /// 1: a proxy that has joined always has a host to send to.
-    NoHost,
+    NoUsableHost,
     /// 2: a call takes effect at most once.
-    Twice,
+    DuplicateExecution,
     /// 3: after the grace period a drained host gets no attempt.
-    Drained,
+    AttemptAfterDraining,
     /// 4: a host in slow start is not overloaded until it fails.
-    PushedOver,
+    SlowStartOverload,
     /// 5: the channel's queue stays within its bound.
-    Queue,
+    ChannelBacklog,
 }
 
 impl fmt::Display for Rule {
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         out.write_str(match self {
-            Rule::NoHost => "1: a joined proxy without a host",
-            Rule::Twice => "2: an effect twice",
-            Rule::Drained => "3: a try at a drained host past the grace",
-            Rule::PushedOver => "4: a cold host pushed over",
-            Rule::Queue => "5: the channel's queue too long",
+            Rule::NoUsableHost => "1: a joined proxy without a host",
+            Rule::DuplicateExecution => "2: an effect twice",
+            Rule::AttemptAfterDraining => "3: a try at a drained host past the grace",
+            Rule::SlowStartOverload => "4: a cold host pushed over",
+            Rule::ChannelBacklog => "5: the channel's queue too long",
         })
     }
 }
 
 /// A violation of a rule.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Broken {
+pub struct Violation {
     /// The rule.
     pub rule: Rule,
     /// Simulated time in seconds.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// The first ones, in order of time.
-    pub broken: Vec<Broken>,
+    pub broken: Vec<Violation>,
     /// How many there were, with those that are not described.
     pub many: u64,
 }
@@ -54,15 +54,15 @@
 
 impl Rules {
     /// Records a violation; `what` is called only if it is described.
-    pub fn broke(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
+    pub fn record_violation(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
         self.many += 1;
         if self.broken.len() < MAX_DESCRIBED {
-            self.broken.push(Broken { rule, at, what: what() });
+            self.broken.push(Violation { rule, at, what: what() });
         }
     }
 
     /// No rule was violated.
-    pub fn kept(&self) -> bool {
+    pub fn are_kept(&self) -> bool {
         self.many == 0
     }
 }
--- a/crates/tools/lab/src/world/arrivals.rs
+++ b/crates/tools/lab/src/world/arrivals.rs
@@ -8,7 +8,7 @@
 const HOT_TIME_JITTER: Jitter = Jitter { least: 0.7, spread: 0.6 };
 /// The hot slices stay for so long at least, seconds, before the jitter.
 const MIN_HOT_TIME: f64 = 0.1;
-/// A client does not retry if less time than this would be left after its pause, seconds.
+/// A client does not retry if less time than this would be left after its backoff, seconds.
 const MIN_TIME_FOR_CLIENT_RETRY: f64 = 0.02;
 /// What latencies are measured in, for one second.
 const MS_PER_SECOND: f64 = 1e3;
@@ -43,7 +43,7 @@
         let second = self.measured.at(arrived_at);
         second.asked += importance;
         second.calls += 1;
-        self.measured.by_route[route as usize].0 += importance;
+        self.measured.by_route[route as usize].offered += importance;
         self.client_sends(call);
     }
 
@@ -55,7 +55,7 @@
         let policy = *self.assignments.route_policies[director][call.route as usize].at(applied);
         self.collectors.demand_of(call.slice, call.route).calls += 1;
         let entry = self.calls.get_mut(id);
-        entry.client_tries += 1;
+        entry.client_attempts += 1;
         entry.attempts = 0;
         let is_rejected = policy.admitted_share < 1.0 && self.rng.f64() >= policy.admitted_share;
         if is_rejected {
@@ -70,15 +70,15 @@
         let Some(call) = self.calls.get(id) else { return };
         self.collectors.demand_of(call.slice, call.route).dropped += 1;
         let load = &self.scenario.load;
-        let pause = load.again_after;
-        let has_retries = u32::from(call.client_tries) <= load.again;
-        let has_time = self.time_left(&call) > pause + MIN_TIME_FOR_CLIENT_RETRY;
+        let backoff = load.again_after;
+        let has_retries = u32::from(call.client_attempts) <= load.again;
+        let has_time = self.time_left(&call) > backoff + MIN_TIME_FOR_CLIENT_RETRY;
         if has_retries && has_time {
             // If a call runs twice as its client sent it twice, no director is to blame.
             let entry = self.calls.get_mut(id);
             entry.executions = 0;
             entry.retried_by_order = false;
-            self.schedule(self.now + pause, Event::ClientRetries { call: id });
+            self.schedule(self.now + backoff, Event::ClientRetries { call: id });
             return;
         }
         let second = self.measured.at(call.arrived_at);
@@ -98,7 +98,7 @@
         second.answered += 1;
         if in_time {
             second.served += importance;
-            self.measured.by_route[call.route as usize].1 += importance;
+            self.measured.by_route[call.route as usize].served += importance;
         } else {
             second.late += 1;
         }
--- a/crates/tools/lab/src/world/attempts.rs
+++ b/crates/tools/lab/src/world/attempts.rs
@@ -93,7 +93,9 @@
         let reaches_proxy = !self.are_partitioned(proxy_zone, director.zone);
         if grace_is_over && reaches_proxy && !self.store.is_down && director.is_up {
             let slice = call.slice;
-            self.rules.broke(Rule::Drained, self.now, || format!("host {host}, slice {slice}"));
+            self.rules.record_violation(Rule::AttemptAfterDraining, self.now, || {
+                format!("host {host}, slice {slice}")
+            });
         }
     }
 
--- a/crates/tools/lab/src/world/call.rs
+++ b/crates/tools/lab/src/world/call.rs
@@ -60,7 +60,7 @@
     /// Attempts of the proxy since the client last sent the call.
     pub(super) attempts: u8,
     /// How often the client sent the call.
-    pub(super) client_tries: u8,
+    pub(super) client_attempts: u8,
     /// Executions that were begun since the client last sent the call.
     pub(super) executions: u8,
     /// The proxy retried it, by a director's order, after an attempt that may have run.
--- a/crates/tools/lab/src/world/channel.rs
+++ b/crates/tools/lab/src/world/channel.rs
@@ -80,7 +80,8 @@
         director.channel_free_at = start + lines * proxies / channel.lines_per_s;
         let queued_lines = (director.channel_free_at - self.now) * channel.lines_per_s;
         if queued_lines > channel.backlog {
-            self.rules.broke(Rule::Queue, self.now, || format!("{queued_lines:.0} lines wait"));
+            self.rules
+                .record_violation(Rule::ChannelBacklog, self.now, || format!("{queued_lines:.0} lines wait"));
         }
         start
     }
@@ -103,8 +104,8 @@
     pub(super) fn message_reaches_proxy(&mut self, index: u16, director: u16, message: u32) {
         let zone = self.proxies[index as usize].zone;
         if self.are_partitioned(zone, self.directors[director as usize].zone) {
-            let again = Event::MessageReachesProxy { proxy: index, director, message };
-            self.schedule(self.now + PARTITION_RETRY, again);
+            let retry = Event::MessageReachesProxy { proxy: index, director, message };
+            self.schedule(self.now + PARTITION_RETRY, retry);
             return;
         }
         let applied = &mut self.proxies[index as usize].applied[director as usize];
--- a/crates/tools/lab/src/world/director_inputs.rs
+++ b/crates/tools/lab/src/world/director_inputs.rs
@@ -27,7 +27,7 @@
                 self.record_known_states(director, entries);
             }
         }
-        self.hand_inputs(director, inputs);
+        self.enqueue_inputs(director, inputs);
     }
 
     /// Remembers since when the director knows that hosts are not ready.
@@ -43,7 +43,7 @@
     }
 
     /// Gives inputs to a director, which processes all that it has at this very time, once.
-    pub(super) fn hand_inputs(&mut self, director: u16, inputs: Vec<Input>) {
+    pub(super) fn enqueue_inputs(&mut self, director: u16, inputs: Vec<Input>) {
         let receiver = &mut self.directors[director as usize];
         if !receiver.is_up {
             return;
--- a/crates/tools/lab/src/world/directors.rs
+++ b/crates/tools/lab/src/world/directors.rs
@@ -34,10 +34,10 @@
             Some(earlier) => *earlier = director,
             None => self.directors.push(director),
         }
-        let mut inputs = vec![self.remembered_list()];
+        let mut inputs = vec![self.stored_endpoints()];
         inputs.extend(self.joined_proxies(index));
         inputs.extend(self.stored_tables(index));
-        self.hand_inputs(index, inputs);
+        self.enqueue_inputs(index, inputs);
     }
 
     fn new_policy(&self, director: u16, incarnation: u32) -> Policy {
@@ -146,7 +146,7 @@
 
     /// A director checks the health of a host; the answer is sent back to it.
     fn check_health(&mut self, director: u16, host: HostId) {
-        self.measured.probes += 1;
+        self.measured.health_checks += 1;
         let director_zone = self.directors[director as usize].zone;
         let checked = &self.hosts[host.0 as usize];
         let is_partitioned = self.are_partitioned(director_zone, checked.zone);
@@ -171,7 +171,7 @@
                 trial,
                 ..Submission::default()
             });
-            self.hand_inputs(director, vec![]);
+            self.enqueue_inputs(director, vec![]);
         }
     }
 
--- a/crates/tools/lab/src/world/discovery.rs
+++ b/crates/tools/lab/src/world/discovery.rs
@@ -9,7 +9,7 @@
 
 impl World {
     /// The entry of a host in the list.
-    fn list_entry(&self, index: u32) -> Listing {
+    fn endpoint_entry(&self, index: u32) -> Listing {
         let host = &self.hosts[index as usize];
         let state = match host.state {
             LifecycleState::Ready => HostState::Ready,
@@ -29,10 +29,10 @@
     }
 
     /// The whole list, as a director has stored it when it starts.
-    pub(super) fn remembered_list(&self) -> Input {
+    pub(super) fn stored_endpoints(&self) -> Input {
         let hosts = 0..self.hosts.len() as u32;
         let listed = hosts.filter(|host| self.hosts[*host as usize].state != LifecycleState::Gone);
-        let entries = listed.map(|host| self.list_entry(host)).collect();
+        let entries = listed.map(|host| self.endpoint_entry(host)).collect();
         Input::Hosts { scope: ListScope::Remembered, version: self.endpoint_list_version, entries }
     }
 
@@ -40,7 +40,7 @@
     pub(super) fn publish_hosts(&mut self, hosts: &[u32]) {
         self.endpoint_list_version += 1;
         let version = self.endpoint_list_version;
-        let entries: Vec<Listing> = hosts.iter().map(|host| self.list_entry(*host)).collect();
+        let entries: Vec<Listing> = hosts.iter().map(|host| self.endpoint_entry(*host)).collect();
         for director in 0..self.directors.len() as u16 {
             let delay = self.jittered(self.discovery_delay, DELAY_JITTER);
             let entries = entries.clone();
--- a/crates/tools/lab/src/world/execution.rs
+++ b/crates/tools/lab/src/world/execution.rs
@@ -28,7 +28,7 @@
         if host.is_overloaded_by(self.now, call.work, fleet) {
             // It stays down, and all that it has is lost.
             host.has_collapsed = true;
-            self.rules.broke(Rule::PushedOver, self.now, || format!("host {index}"));
+            self.rules.record_violation(Rule::SlowStartOverload, self.now, || format!("host {index}"));
             self.stop_host(index);
             return;
         }
@@ -75,7 +75,9 @@
         self.calls.get_mut(job.attempt.call).executions += 1;
         let repeatable = self.scenario.load.routes[call.route as usize].repeatable;
         if call.executions >= 1 && call.retried_by_order && !repeatable {
-            self.rules.broke(Rule::Twice, self.now, || format!("a call of slice {}", call.slice));
+            self.rules.record_violation(Rule::DuplicateExecution, self.now, || {
+                format!("a call of slice {}", call.slice)
+            });
         }
         let fleet = &self.scenario.fleet;
         let host = &mut self.hosts[index as usize];
--- a/crates/tools/lab/src/world/faults.rs
+++ b/crates/tools/lab/src/world/faults.rs
@@ -146,8 +146,8 @@
         let batches = (remaining as f64 / deployment.batch_size as f64).ceil().max(1.0);
         self.fault_states[fault].deployment = Some(deployment);
         let shortest = self.scenario.fleet.grace + self.discovery_delay + DEPLOYMENT_MARGIN;
-        let pause = (self.scenario.faults[fault].lasts / batches).max(shortest);
-        self.schedule(self.now + pause, Event::DeploymentAdvances { fault: fault as u32 });
+        let interval = (self.scenario.faults[fault].lasts / batches).max(shortest);
+        self.schedule(self.now + interval, Event::DeploymentAdvances { fault: fault as u32 });
     }
 
     /// Replaces a draining host by a new process; another fault may have changed it meanwhile.
--- a/crates/tools/lab/src/world/history.rs
+++ b/crates/tools/lab/src/world/history.rs
@@ -38,3 +38,6 @@
         self.versions.drain(..newer.saturating_sub(1));
     }
 }
+
+#[cfg(test)]
+mod tests;
--- a/crates/tools/lab/src/world/table_check.rs
+++ b/crates/tools/lab/src/world/table_check.rs
@@ -50,7 +50,7 @@
         let since = *self.unserved_since[slice].get_or_insert(self.now);
         if self.now - since > MAX_UNSERVED {
             self.unserved_since[slice] = Some(self.now);
-            self.rules.broke(Rule::NoHost, self.now, || format!("slice {slice}"));
+            self.rules.record_violation(Rule::NoUsableHost, self.now, || format!("slice {slice}"));
         }
     }
 }
--- a/crates/tools/lab/src/world/tests.rs
+++ b/crates/tools/lab/src/world/tests.rs
@@ -116,17 +116,17 @@
     }
 }
 
-#[test_case(Rule::Drained, Kind::Even, let_the_director_know_of_a_drained_host)]
-#[test_case(Rule::NoHost, Kind::Even, withdraw_all_hosts)]
-#[test_case(Rule::PushedOver, Kind::Even, flood_a_fleet_in_slow_start)]
-#[test_case(Rule::Queue, Kind::LeastLoaded, slow_the_channel)]
-#[test_case(Rule::Twice, Kind::Even, retry_calls_that_may_have_run)]
+#[test_case(Rule::AttemptAfterDraining, Kind::Even, let_the_director_know_of_a_drained_host)]
+#[test_case(Rule::NoUsableHost, Kind::Even, withdraw_all_hosts)]
+#[test_case(Rule::SlowStartOverload, Kind::Even, flood_a_fleet_in_slow_start)]
+#[test_case(Rule::ChannelBacklog, Kind::LeastLoaded, slow_the_channel)]
+#[test_case(Rule::DuplicateExecution, Kind::Even, retry_calls_that_may_have_run)]
 fn a_violation_of_a_rule_is_not_found(rule: Rule, kind: Kind, violate: fn(&mut World)) {
     let mut scenario = small(20.0, vec![]);
     scenario.load.again = 0;
     let mut world = World::new(&scenario, kind, 1);
     while world.now < 3.0 && world.step() {}
-    assert!(world.rules.kept(), "sound until then: {:?}", world.rules.broken);
+    assert!(world.rules.are_kept(), "sound until then: {:?}", world.rules.broken);
     violate(&mut world);
     let world = world.run();
     assert!(world.rules.broken.iter().any(|broken| broken.rule == rule), "{:?}", world.rules);
