--- a/crates/tools/lab/src/measure.rs
+++ b/crates/tools/lab/src/measure.rs
@@ -77,7 +77,7 @@
     }
 
     /// The second of a time, which may be before the beginning or after the end.
-    pub fn at(&mut self, now: f64) -> &mut Second {
+    pub fn second_at(&mut self, now: f64) -> &mut Second {
         let last = self.seconds.len() - 1;
         &mut self.seconds[(now.max(0.0) as usize).min(last)]
     }
--- a/crates/tools/lab/src/platform/tests.rs
+++ b/crates/tools/lab/src/platform/tests.rs
@@ -10,7 +10,7 @@
 fn platform() -> Platform {
     let scenario = crate::Scenario::default();
     let routes = scenario.load.routes.iter().map(|route| route.name.clone()).collect();
-    let settings = crate::world::settings(&scenario, 0);
+    let settings = crate::world::director_settings(&scenario, 0);
     Platform { settings, routes, began_ms: 1_700_000_000_000 }
 }
 
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -14,7 +14,7 @@
 
 use crate::build::{self, Build};
 use crate::platform::Platform;
-use crate::reduced::Reduced;
+use crate::reduced::ReducerPolicy;
 use crate::scenario::Scenario;
 use crate::truth::Truth;
 use coppersail::interface::{Input, Order, Settings};
@@ -25,7 +25,7 @@
     /// The decision module alone, or with the capacity guard.
     Module(Box<Guarded>),
     /// The director's reducer: all of the director but its I/O.
-    Reducer(Box<Reduced>),
+    Reducer(Box<ReducerPolicy>),
     /// The director's binary, in real time.
     Process(Box<DirectorProcess>),
     /// An earlier build on the simulator's wire.
@@ -50,7 +50,7 @@
             Kind::Guarded => Policy::Module(Box::new(Guarded::new(settings, seed, Mode::On))),
             Kind::Reduced => {
                 let takes_changes = !scenario.changes.is_empty();
-                Policy::Reducer(Box::new(Reduced::new(platform(settings), seed, takes_changes)))
+                Policy::Reducer(Box::new(ReducerPolicy::new(platform(settings), seed, takes_changes)))
             }
             Kind::Live => Policy::Process(Box::new(DirectorProcess::new(platform(settings), seed))),
             Kind::Build(number) => {
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -35,7 +35,7 @@
 }
 
 /// A director's reducer with its surroundings.
-pub struct Reduced {
+pub struct ReducerPolicy {
     platform: Platform,
     seed: u64,
     takes_changes: bool,
@@ -73,10 +73,10 @@
     }
 }
 
-impl Reduced {
+impl ReducerPolicy {
     /// A director that starts with its first inputs. `takes_changes`: operators can submit changes.
     pub fn new(platform: Platform, seed: u64, takes_changes: bool) -> Self {
-        Reduced {
+        ReducerPolicy {
             platform,
             seed,
             takes_changes,
--- a/crates/tools/lab/src/world/arrivals.rs
+++ b/crates/tools/lab/src/world/arrivals.rs
@@ -40,7 +40,7 @@
         let arrived_at = self.now;
         let call = self.calls.insert(Call { arrived_at, work, slice, proxy, route, ..Call::default() });
         self.traffic.record_call(slice);
-        let second = self.measured.at(arrived_at);
+        let second = self.measured.second_at(arrived_at);
         second.asked += importance;
         second.calls += 1;
         self.measured.by_route[route as usize].offered += importance;
@@ -81,7 +81,7 @@
             self.schedule(self.now + backoff, Event::ClientRetries { call: id });
             return;
         }
-        let second = self.measured.at(call.arrived_at);
+        let second = self.measured.second_at(call.arrived_at);
         match failure {
             Failure::Throttled => second.throttled += 1,
             Failure::Dropped => second.dropped += 1,
@@ -94,7 +94,7 @@
         let route = &self.scenario.load.routes[call.route as usize];
         let importance = route.importance;
         let in_time = latency <= route.slo;
-        let second = self.measured.at(call.arrived_at);
+        let second = self.measured.second_at(call.arrived_at);
         second.answered += 1;
         if in_time {
             second.served += importance;
--- a/crates/tools/lab/src/world/attempts.rs
+++ b/crates/tools/lab/src/world/attempts.rs
@@ -33,7 +33,7 @@
         entry.attempt_serial += 1;
         entry.host = host;
         let attempt = AttemptId { call: id, serial: entry.attempt_serial };
-        self.measured.at(call.arrived_at).tries += 1;
+        self.measured.second_at(call.arrived_at).tries += 1;
         if self.kind == Kind::PowerOfTwo {
             *self.outstanding.entry((call.proxy, host)).or_default() += 1;
         }
--- a/crates/tools/lab/src/world/channel.rs
+++ b/crates/tools/lab/src/world/channel.rs
@@ -20,7 +20,7 @@
             self.store_order(director, message, order);
         }
         let lines = self.scenario.channel.overhead + orders.len() as f64;
-        self.measured.at(self.now).lines += lines * self.proxies.len() as f64;
+        self.measured.second_at(self.now).lines += lines * self.proxies.len() as f64;
         let start = self.occupy_channel(director, lines);
         self.send_message(director, message, lines, start);
     }
--- a/crates/tools/lab/src/world/director_settings.rs
+++ b/crates/tools/lab/src/world/director_settings.rs
@@ -10,7 +10,7 @@
 const MAX_TRANSIT_FACTOR: f64 = 2.0;
 
 /// The settings of a director in a scenario.
-pub fn settings(scenario: &Scenario, director: u16) -> Settings {
+pub fn director_settings(scenario: &Scenario, director: u16) -> Settings {
     let fleet = &scenario.fleet;
     let channel = &scenario.channel;
     let routes = &scenario.load.routes;
--- a/crates/tools/lab/src/world/directors.rs
+++ b/crates/tools/lab/src/world/directors.rs
@@ -1,6 +1,7 @@
 //! Directors: they start, process inputs, and their orders go to the store, to hosts or to the clock.
 
 use super::director::{Director, OrderBatch};
+use super::director_settings::director_settings;
 use super::event::Event;
 use super::host::Host;
 use super::state::World;
@@ -43,7 +44,7 @@
     fn new_policy(&self, director: u16, incarnation: u32) -> Policy {
         let offset = u64::from(director) * SEED_STEP + u64::from(incarnation);
         let seed = self.seed.wrapping_mul(SEED_FACTOR).wrapping_add(offset);
-        let settings = super::director_settings::settings(&self.scenario, director);
+        let settings = director_settings(&self.scenario, director);
         Policy::new(self.kind, settings, seed, &self.scenario, self.start_ms)
     }
 
--- a/crates/tools/lab/src/world/mod.rs
+++ b/crates/tools/lab/src/world/mod.rs
@@ -32,7 +32,7 @@
 mod table_check;
 mod traffic;
 
-pub use director_settings::settings;
+pub use director_settings::director_settings;
 pub use state::World;
 
 #[cfg(test)]
--- a/crates/tools/lab/src/world/sampling.rs
+++ b/crates/tools/lab/src/world/sampling.rs
@@ -23,7 +23,7 @@
     fn measure_fleet(&mut self) {
         let jobs: Vec<u16> =
             self.hosts.iter().map(|host| host.jobs().min(u16::MAX as usize) as u16).collect();
-        let second = self.measured.at(self.now);
+        let second = self.measured.second_at(self.now);
         second.queue = u32::from(jobs.iter().copied().max().unwrap_or(0));
         second.open_hosts = self.hosts.iter().filter(|host| host.is_serving()).count() as u32;
         self.measured.heat.push(jobs);
--- a/crates/tools/lab/src/world/state.rs
+++ b/crates/tools/lab/src/world/state.rs
@@ -50,8 +50,11 @@
     pub rules: Rules,
     /// Simulated seconds since the beginning.
     pub(super) now: f64,
+    /// What is still to come.
     pub(super) events: EventQueue,
+    /// The one source of random numbers; the order of draws is part of what a seed stands for.
     pub(super) rng: Rng,
+    /// Which policy the directors have.
     pub(super) kind: Kind,
     /// From which the seeds of the policies are made.
     pub(super) seed: u64,
@@ -59,12 +62,18 @@
     pub(super) start_ms: u64,
     pub(super) hosts: Vec<Host>,
     pub(super) proxies: Vec<Proxy>,
+    /// Calls that have not ended.
     pub(super) calls: CallTable,
+    /// The load.
     pub(super) traffic: Traffic,
     pub(super) directors: Vec<Director>,
+    /// The relay, which stores the tables.
     pub(super) store: Store,
+    /// What the directors have ordered.
     pub(super) assignments: Assignments,
+    /// Inputs on their way to directors.
     pub(super) deliveries: Deliveries,
+    /// Sums since the last report.
     pub(super) collectors: Collectors,
     /// Rises with each change of the endpoint list.
     pub(super) endpoint_list_version: u64,
@@ -78,6 +87,7 @@
     pub(super) fault_states: Vec<FaultState>,
     /// By slice: since when a proxy may have lacked a host for it, simulated seconds.
     pub(super) unserved_since: Vec<Option<f64>>,
+    /// The state of the fleet at the last sample, for the policy that may see it.
     pub(super) truth: Truth,
 }
 
