--- a/crates/data-plane/edge-proxy/examples/session_latency.rs
+++ b/crates/data-plane/edge-proxy/examples/session_latency.rs
@@ -11,13 +11,13 @@
 mod stand_ins;
 
 use session_edges::{measure_session_latencies, three_edges, LatencySeries};
-use stand_ins::{good, host, play, Act};
+use stand_ins::{run_test, scripted_host, sealed_response, HostAction};
 
 const SESSIONS: usize = 200;
 
 fn main() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, "one"))).await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "one"))).await;
         let edges = three_edges("figures", &[&host]).await;
         for series in measure_session_latencies(&edges, SESSIONS).await.0 {
             println!("{}", table_row(series));
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -13,9 +13,9 @@
 
 #[test]
 fn only_hop_by_hop_headers_are_removed_from_a_request_and_its_response() {
-    play(|| async {
-        let host = host("i-1", |_, head| {
-            Act::Send(answer(
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| {
+            HostAction::Respond(response(
                 head,
                 "200 OK",
                 "Server-Seal: s.1\r\nX-Own: 5\r\nKeep-Alive: timeout=5\r\n",
@@ -23,17 +23,17 @@
             ))
         })
         .await;
-        let rig = rig(&[&host]).await;
+        let test_edge = start_edge(&[&host]).await;
         let message =
             "POST /once/x%20y?q=/../1 HTTP/1.1\r\nHost: A.example:80\r\nTry-Id: 77\r\nTime-Left-Ms: 5000\r\n\
             X-Mine: 1\r\nX-Hop: 2\r\nConnection: close, X-Hop\r\nTransfer-Encoding: chunked\r\n\r\n\
             3\r\nabc\r\n4\r\ndefg\r\n0\r\n\r\n";
-        let answer = rig.raw(message.as_bytes()).await;
-        assert_eq!((status(&answer), answer.ends_with("\r\n\r\nwhole")), (200, true), "{answer}");
-        assert_eq!(header(&answer, "server-seal").as_deref(), Some("s.1"));
-        assert_eq!(header(&answer, "x-own").as_deref(), Some("5"));
-        assert_eq!(header(&answer, "keep-alive"), None);
-        let received = host.seen.borrow()[0].clone();
+        let response = test_edge.send_raw(message.as_bytes()).await;
+        assert_eq!((status(&response), response.ends_with("\r\n\r\nwhole")), (200, true), "{response}");
+        assert_eq!(header(&response, "server-seal").as_deref(), Some("s.1"));
+        assert_eq!(header(&response, "x-own").as_deref(), Some("5"));
+        assert_eq!(header(&response, "keep-alive"), None);
+        let received = host.requests.borrow()[0].clone();
         assert!(
             received.starts_with("POST /once/x%20y?q=/../1 HTTP/1.1\r\n")
                 && received.ends_with("\r\n\r\nabcdefg")
@@ -43,15 +43,15 @@
         assert_eq!(header(&received, "x-mine").as_deref(), Some("1"));
         assert_eq!((header(&received, "x-hop"), header(&received, "transfer-encoding")), (None, None));
         assert!((1..=5000).contains(&header(&received, "time-left-ms").unwrap().parse::<u32>().unwrap()));
-        assert_eq!(status(&rig.get("/unknown/", "78").await), 404);
+        assert_eq!(status(&test_edge.get("/unknown/", "78").await), 404);
     });
 }
 
 #[test]
 fn a_head_that_can_be_read_in_two_ways_is_refused_and_reaches_no_endpoint() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
-        let rig = rig(&[&host]).await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
+        let test_edge = start_edge(&[&host]).await;
         let inner = "GET /once/in HTTP/1.1\r\nHost: a.example\r\nTry-Id: 2\r\n\r\n";
         let hidden = format!("0\r\n\r\n{inner}");
         let length = hidden.len();
@@ -67,90 +67,97 @@
             "Host: b.example\r\n".into(),
             "Time-Left-Ms: soon\r\n".into(),
         ] {
-            let answer = rig.raw((request("/once/out", "1", &more) + &hidden).as_bytes()).await;
-            assert_eq!(status(&answer), 400, "{more}: {answer}");
+            let response = test_edge.send_raw((request("/once/out", "1", &more) + &hidden).as_bytes()).await;
+            assert_eq!(status(&response), 400, "{more}: {response}");
         }
-        assert_eq!(host.count(), 0);
+        assert_eq!(host.request_count(), 0);
         // A second request in one piece with the first is refused unprocessed, whatever it holds.
-        let two = rig.raw((request("/once/out", "1", "") + inner).as_bytes()).await;
+        let two = test_edge.send_raw((request("/once/out", "1", "") + inner).as_bytes()).await;
         assert!(two.starts_with("HTTP/1.1 200") && two.contains("HTTP/1.1 503"), "{two}");
-        assert_eq!(host.count(), 1);
+        assert_eq!(host.request_count(), 1);
     });
 }
 
 #[test]
 fn a_request_that_is_too_large_or_too_slow_is_refused() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
-        let rig = rig_with(&[&host], "40ms").await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
+        let test_edge = start_edge_with_header_timeout(&[&host], "40ms").await;
         let long = format!("X-Long: {}\r\n", "y".repeat(9_000));
-        assert_eq!(status(&rig.raw(request("/once/", "1", &long).as_bytes()).await), 431);
+        assert_eq!(status(&test_edge.send_raw(request("/once/", "1", &long).as_bytes()).await), 431);
         assert_eq!(
-            status(&rig.raw(request("/once/", "1", "Content-Length: 400001\r\n").as_bytes()).await),
+            status(
+                &test_edge.send_raw(request("/once/", "1", "Content-Length: 400001\r\n").as_bytes()).await
+            ),
             413
         );
-        assert_eq!(status(&rig.raw(b"GET /once/ HTTP/1.1\r\nHos").await), 408);
-        assert_eq!(host.count(), 0);
+        assert_eq!(status(&test_edge.send_raw(b"GET /once/ HTTP/1.1\r\nHos").await), 408);
+        assert_eq!(host.request_count(), 0);
     });
 }
 
-/// Whatever goes wrong once the request was sent: one that is not idempotent ends in 502, an idempotent one is retried.
+type Failure = fn(&str) -> HostAction;
+
+/// What may go wrong once a request was sent: a name, and what the host does with the request's head.
+const FAILURES: [(&str, Failure); 14] = [
+    ("reset before the answer", |_| HostAction::ResetConnection),
+    ("closed before the answer", |_| HostAction::RespondAndClose(vec![])),
+    ("closed in the head", |_| HostAction::RespondAndClose(b"HTTP/1.1 200 OK\r\nTry-I".to_vec())),
+    ("closed after the head", |head| {
+        let mut bytes = sealed_response(head, "whole");
+        bytes.truncate(bytes.len() - 5);
+        HostAction::RespondAndClose(bytes)
+    }),
+    ("cut short of its length", |head| {
+        let mut bytes = sealed_response(head, "whole");
+        bytes.truncate(bytes.len() - 1);
+        HostAction::RespondAndClose(bytes)
+    }),
+    ("cut in its chunks", |head| {
+        let id = header(head, "try-id").unwrap();
+        let head =
+            format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n");
+        HostAction::RespondAndClose((head + "\r\n3\r\nabc\r\n").into_bytes())
+    }),
+    ("without any length", |head| {
+        let id = header(head, "try-id").unwrap();
+        HostAction::RespondAndClose(
+            format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\n\r\nwhole").into_bytes(),
+        )
+    }),
+    ("to another request", |_| HostAction::Respond(sealed_response("Try-Id: another\r\n", "other"))),
+    ("no answer at all", |_| HostAction::Respond(b"\x16\x03\x01 what is this\r\n\r\n".to_vec())),
+    ("without its seal", |head| HostAction::Respond(response(head, "200 OK", "", "whole"))),
+    ("encoded", |head| {
+        HostAction::Respond(response(head, "200 OK", "Server-Seal: s\r\nContent-Encoding: gzip\r\n", "whole"))
+    }),
+    ("another protocol", |head| {
+        let more = "Upgrade: other\r\nConnection: upgrade\r\nServer-Seal: s\r\n";
+        HostAction::Respond(response(head, "101 Switching Protocols", more, ""))
+    }),
+    ("an answer and a promise at once", |head| {
+        HostAction::Respond(response(head, "200 OK", "Server-Seal: s\r\nNot-Run: 1\r\n", "whole"))
+    }),
+    ("a promise that is none", |head| HostAction::Respond(response(head, "503 Busy", "", ""))),
+];
+
+/// One that is not idempotent ends in 502, an idempotent one is retried.
 #[test]
 fn a_broken_response_is_not_passed_on_and_only_idempotent_requests_are_retried() {
-    type Failure = fn(&str) -> Act;
-    let failures: [(&str, Failure); 14] = [
-        ("reset before the answer", |_| Act::Reset),
-        ("closed before the answer", |_| Act::End(vec![])),
-        ("closed in the head", |_| Act::End(b"HTTP/1.1 200 OK\r\nTry-I".to_vec())),
-        ("closed after the head", |head| {
-            let mut bytes = good(head, "whole");
-            bytes.truncate(bytes.len() - 5);
-            Act::End(bytes)
-        }),
-        ("cut short of its length", |head| {
-            let mut bytes = good(head, "whole");
-            bytes.truncate(bytes.len() - 1);
-            Act::End(bytes)
-        }),
-        ("cut in its chunks", |head| {
-            let id = header(head, "try-id").unwrap();
-            let head = format!(
-                "HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n"
-            );
-            Act::End((head + "\r\n3\r\nabc\r\n").into_bytes())
-        }),
-        ("without any length", |head| {
-            let id = header(head, "try-id").unwrap();
-            Act::End(format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\n\r\nwhole").into_bytes())
-        }),
-        ("to another request", |_| Act::Send(good("Try-Id: another\r\n", "other"))),
-        ("no answer at all", |_| Act::Send(b"\x16\x03\x01 what is this\r\n\r\n".to_vec())),
-        ("without its seal", |head| Act::Send(answer(head, "200 OK", "", "whole"))),
-        ("encoded", |head| {
-            Act::Send(answer(head, "200 OK", "Server-Seal: s\r\nContent-Encoding: gzip\r\n", "whole"))
-        }),
-        ("another protocol", |head| {
-            let more = "Upgrade: other\r\nConnection: upgrade\r\nServer-Seal: s\r\n";
-            Act::Send(answer(head, "101 Switching Protocols", more, ""))
-        }),
-        ("an answer and a promise at once", |head| {
-            Act::Send(answer(head, "200 OK", "Server-Seal: s\r\nNot-Run: 1\r\n", "whole"))
-        }),
-        ("a promise that is none", |head| Act::Send(answer(head, "503 Busy", "", ""))),
-    ];
-    for (failure, respond) in failures {
-        play(|| async move {
-            let failing = host("i-1", move |_, head| respond(head)).await;
-            let rig = rig(&[&failing]).await;
-            let answer = rig.get("/once/", "1").await;
-            assert_eq!((status(&answer), failing.count()), (502, 1), "{failure}: {answer}");
-            let sound = host("i-2", |_, head| Act::Send(good(head, "sound"))).await;
-            rig.edge.apply_update(Update {
-                endpoints: vec![sound.news(EndpointState::Ready, 1)],
+    for (failure, respond) in FAILURES {
+        run_test(|| async move {
+            let failing = scripted_host("i-1", move |_, head| respond(head)).await;
+            let test_edge = start_edge(&[&failing]).await;
+            let response = test_edge.get("/once/", "1").await;
+            assert_eq!((status(&response), failing.request_count()), (502, 1), "{failure}: {response}");
+            let sound =
+                scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "sound"))).await;
+            test_edge.edge.apply_update(Update {
+                endpoints: vec![sound.endpoint_update(EndpointState::Ready, 1)],
                 ..Update::default()
             });
             for id in 0..4 {
-                let answer = rig.get("/again/", &format!("r{id}")).await;
+                let answer = test_edge.get("/again/", &format!("r{id}")).await;
                 assert!(answer.ends_with("\r\n\r\nsound"), "{failure}: {answer}");
             }
         });
@@ -159,24 +166,29 @@
 
 #[test]
 fn a_streamed_response_that_is_truncated_never_looks_complete() {
-    play(|| async {
+    run_test(|| async {
         let long = "z".repeat(300_000);
         let whole = long.clone();
-        let host = host("i-1", move |number, head| match number {
-            0 => Act::Send(good(head, &long)),
-            1 => Act::End(answer(head, "200 OK", "Server-Seal: s\r\nConnection: close\r\n", &long)),
-            _ => Act::End({
-                let mut bytes = good(head, &long);
+        let host = scripted_host("i-1", move |number, head| match number {
+            0 => HostAction::Respond(sealed_response(head, &long)),
+            1 => HostAction::RespondAndClose(response(
+                head,
+                "200 OK",
+                "Server-Seal: s\r\nConnection: close\r\n",
+                &long,
+            )),
+            _ => HostAction::RespondAndClose({
+                let mut bytes = sealed_response(head, &long);
                 bytes.truncate(290_000);
                 bytes
             }),
         })
         .await;
-        let rig = rig(&[&host]).await;
+        let test_edge = start_edge(&[&host]).await;
         for id in ["1", "2"] {
-            assert!(rig.get("/once/", id).await.ends_with(&whole));
+            assert!(test_edge.get("/once/", id).await.ends_with(&whole));
         }
-        let cut = rig.get("/once/", "3").await;
+        let cut = test_edge.get("/once/", "3").await;
         let (head, body) = cut.split_once("\r\n\r\n").unwrap();
         assert_eq!(header(head, "content-length").as_deref(), Some("300000"));
         assert!(body.len() < 300_000);
@@ -185,16 +197,16 @@
 
 #[test]
 fn a_second_response_on_a_connection_reaches_no_client() {
-    play(|| async {
-        let host = host("i-1", |_, head| {
-            let mut bytes = good(head, "first");
-            bytes.extend(good(head, "second"));
-            Act::Send(bytes)
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| {
+            let mut bytes = sealed_response(head, "first");
+            bytes.extend(sealed_response(head, "second"));
+            HostAction::Respond(bytes)
         })
         .await;
-        let rig = rig(&[&host]).await;
+        let test_edge = start_edge(&[&host]).await;
         for id in ["1", "2", "3"] {
-            let answer = rig.get("/once/", id).await;
+            let answer = test_edge.get("/once/", id).await;
             assert!(answer.ends_with("first"), "{answer}");
             assert_eq!(header(&answer, "try-id").as_deref(), Some(id));
         }
@@ -204,140 +216,160 @@
 
 #[test]
 fn connections_are_reused_until_their_endpoint_drains() {
-    play(|| async {
-        let staying = host("i-2", |_, head| Act::Send(good(head, "staying"))).await;
-        let leaving = host("i-1", |_, head| Act::Send(good(head, "leaving"))).await;
-        let rig = rig(&[&leaving]).await;
-        let mut client = rig.connect().await;
+    run_test(|| async {
+        let staying =
+            scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "staying"))).await;
+        let leaving =
+            scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "leaving"))).await;
+        let test_edge = start_edge(&[&leaving]).await;
+        let mut client = test_edge.connect().await;
         for id in ["1", "2"] {
             client.write_all(request("/once/", id, "").as_bytes()).await.unwrap();
             assert!(read_message(&mut client).await.unwrap().ends_with("leaving"));
         }
         assert_eq!(leaving.connections.get(), 1);
-        let endpoints = vec![leaving.news(EndpointState::Draining, 2), staying.news(EndpointState::Ready, 1)];
-        rig.edge.apply_update(Update { endpoints, ..Update::default() });
-        leaving.ended(1).await;
+        let endpoints = vec![
+            leaving.endpoint_update(EndpointState::Draining, 2),
+            staying.endpoint_update(EndpointState::Ready, 1),
+        ];
+        test_edge.edge.apply_update(Update { endpoints, ..Update::default() });
+        leaving.wait_for_closed_connections(1).await;
         client.write_all(request("/once/", "3", "").as_bytes()).await.unwrap();
         assert!(read_message(&mut client).await.unwrap().ends_with("staying"));
-        assert_eq!(leaving.count(), 2);
+        assert_eq!(leaving.request_count(), 2);
     });
 }
 
 #[test]
 fn a_rejected_request_is_sent_to_another_endpoint_or_refused_with_retry_after() {
-    play(|| async {
-        let full = host("i-1", |_, head| {
-            Act::Send(answer(head, "503 Full", "Not-Run: 1\r\nRetry-After: 0.25\r\n", ""))
+    run_test(|| async {
+        let full = scripted_host("i-1", |_, head| {
+            HostAction::Respond(response(head, "503 Full", "Not-Run: 1\r\nRetry-After: 0.25\r\n", ""))
         })
         .await;
-        let rig = rig(&[&full]).await;
-        let answer = rig.get("/once/", "1").await;
-        assert_eq!((status(&answer), header(&answer, "retry-after").as_deref()), (503, Some("0.250")));
-        let sound = host("i-3", |_, head| Act::Send(good(head, "sound"))).await;
-        let moved = host("i-2", |_, head| {
-            Act::Send(stand_ins::answer(head, "421 Other", "Not-Run: 1\r\nServer-Id: i-9\r\n", ""))
+        let test_edge = start_edge(&[&full]).await;
+        let response = test_edge.get("/once/", "1").await;
+        assert_eq!((status(&response), header(&response, "retry-after").as_deref()), (503, Some("0.250")));
+        let sound = scripted_host("i-3", |_, head| HostAction::Respond(sealed_response(head, "sound"))).await;
+        let moved = scripted_host("i-2", |_, head| {
+            HostAction::Respond(stand_ins::response(
+                head,
+                "421 Other",
+                "Not-Run: 1\r\nServer-Id: i-9\r\n",
+                "",
+            ))
         })
         .await;
-        let endpoints = vec![sound.news(EndpointState::Ready, 1), moved.news(EndpointState::Ready, 1)];
-        rig.edge.apply_update(Update { endpoints, ..Update::default() });
+        let endpoints = vec![
+            sound.endpoint_update(EndpointState::Ready, 1),
+            moved.endpoint_update(EndpointState::Ready, 1),
+        ];
+        test_edge.edge.apply_update(Update { endpoints, ..Update::default() });
         for id in 0..6 {
-            assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
+            assert!(test_edge.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
-        assert!(moved.count() <= 1, "an address that is another endpoint's is not tried again");
+        assert!(moved.request_count() <= 1, "an address that is another endpoint's is not tried again");
     });
 }
 
 #[test]
 fn an_unreachable_endpoint_fails_no_request() {
-    play(|| async {
-        let sound = host("i-1", |_, head| Act::Send(good(head, "sound"))).await;
-        let mut dead = sound.news(EndpointState::Ready, 1);
+    run_test(|| async {
+        let sound = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "sound"))).await;
+        let mut dead = sound.endpoint_update(EndpointState::Ready, 1);
         (dead.id, dead.address) = ("i-0".into(), "127.0.0.1:1".into());
-        let rig = rig(&[&sound]).await;
-        rig.edge.apply_update(Update { endpoints: vec![dead], ..Update::default() });
+        let test_edge = start_edge(&[&sound]).await;
+        test_edge.edge.apply_update(Update { endpoints: vec![dead], ..Update::default() });
         for id in 0..6 {
-            assert!(rig.get("/once/", &format!("o{id}")).await.ends_with("sound"));
+            assert!(test_edge.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
     });
 }
 
 #[test]
 fn an_endpoint_that_never_responds_ends_in_504_and_not_in_503() {
-    play(|| async {
-        let host = host("i-1", |_, _| Act::Hold(Rc::default())).await;
-        let rig = rig(&[&host]).await;
-        assert_eq!(status(&rig.get("/short/", "1").await), 504);
-        assert_eq!(host.count(), 1);
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, _| HostAction::RespondOnRelease(Rc::default())).await;
+        let test_edge = start_edge(&[&host]).await;
+        assert_eq!(status(&test_edge.get("/short/", "1").await), 504);
+        assert_eq!(host.request_count(), 1);
     });
 }
 
 #[test]
 fn a_client_that_disconnects_cancels_its_request() {
-    play(|| async {
-        let host = host("i-1", |_, _| Act::Hold(Rc::default())).await;
-        let rig = rig(&[&host]).await;
-        let mut client = rig.connect().await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, _| HostAction::RespondOnRelease(Rc::default())).await;
+        let test_edge = start_edge(&[&host]).await;
+        let mut client = test_edge.connect().await;
         client.write_all(request("/once/", "1", "").as_bytes()).await.unwrap();
-        host.read(1).await;
+        host.wait_for_requests(1).await;
         drop(client);
-        host.ended(1).await;
-        assert_eq!(rig.edge.registry.borrow().endpoint("i-1").unwrap().load.in_flight, 0);
+        host.wait_for_closed_connections(1).await;
+        assert_eq!(test_edge.edge.registry.borrow().endpoint("i-1").unwrap().load.in_flight, 0);
     });
 }
 
 #[test]
 fn a_key_without_an_owner_waits_for_one_and_is_refused_after_that() {
-    play(|| async {
+    run_test(|| async {
         let mut endpoints = Vec::new();
-        let old = host("i-1", |_, head| Act::Send(answer(head, "421 Unheld", "Not-Run: 1\r\n", ""))).await;
-        let new = host("i-2", |_, head| Act::Send(good(head, "held"))).await;
+        let old = scripted_host("i-1", |_, head| {
+            HostAction::Respond(response(head, "421 Unheld", "Not-Run: 1\r\n", ""))
+        })
+        .await;
+        let new = scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "held"))).await;
         for host in [&old, &new] {
             endpoints.push(coppersail_peer_protocol::EndpointUpdate {
                 service: "parted".into(),
-                ..host.news(EndpointState::Ready, 1)
+                ..host.endpoint_update(EndpointState::Ready, 1)
             });
         }
-        let rig = rig(&[]).await;
-        rig.edge.apply_update(Update { endpoints, ..Update::default() });
+        let test_edge = start_edge(&[]).await;
+        test_edge.edge.apply_update(Update { endpoints, ..Update::default() });
         let key = "Shard-Key: 20000\r\nConnection: close\r\n";
-        let without_owner = rig.raw(request("/key/", "1", key).as_bytes()).await;
+        let without_owner = test_edge.send_raw(request("/key/", "1", key).as_bytes()).await;
         assert_eq!(status(&without_owner), 503);
         assert!(header(&without_owner, "retry-after").is_some());
-        rig.rows(vec![(1, "i-1".into(), 1)]);
+        test_edge.send_assignments(vec![(1, "i-1".into(), 1)]);
         let message = request("/key/", "2", key);
-        let response = rig.raw(message.as_bytes());
+        let response = test_edge.send_raw(message.as_bytes());
         let moved = async {
-            old.read(1).await;
-            rig.rows(vec![(1, "i-2".into(), 2)]);
+            old.wait_for_requests(1).await;
+            test_edge.send_assignments(vec![(1, "i-2".into(), 2)]);
         };
         let (answer, ()) = tokio::join!(response, moved);
         assert!(answer.ends_with("held"), "{answer}");
-        assert_eq!(rig.edge.request_counter.take()[0].counts, [(1, 1)], "counted once the slices are known");
+        assert_eq!(
+            test_edge.edge.request_counter.take()[0].counts,
+            [(1, 1)],
+            "counted once the slices are known"
+        );
     });
 }
 
 #[test]
 fn a_shutdown_lets_requests_in_flight_complete() {
-    play(|| async {
+    run_test(|| async {
         let release: Rc<Notify> = Rc::default();
         let released = release.clone();
-        let host = host("i-1", move |number, head| match number {
-            0 => Act::Hold(released.clone()),
-            _ => Act::Send(good(head, "late")),
+        let host = scripted_host("i-1", move |number, head| match number {
+            0 => HostAction::RespondOnRelease(released.clone()),
+            _ => HostAction::Respond(sealed_response(head, "late")),
         })
         .await;
-        let rig = rig(&[&host]).await;
-        let mut client = rig.connect().await;
+        let test_edge = start_edge(&[&host]).await;
+        let mut client = test_edge.connect().await;
         client.write_all(request("/once/", "1", "").as_bytes()).await.unwrap();
-        host.read(1).await;
-        let edge = rig.edge.clone();
+        host.wait_for_requests(1).await;
+        let edge = test_edge.edge.clone();
         let shutdown = tokio::task::spawn_local(async move { coppersail_edge_proxy::shut_down(&edge).await });
         tokio::task::yield_now().await;
-        let mut probe = tokio::net::TcpStream::connect(rig.readiness).await.unwrap();
+        let mut probe = tokio::net::TcpStream::connect(test_edge.readiness_address).await.unwrap();
         probe.write_all(b"GET /readiness HTTP/1.1\r\nHost: a\r\n\r\n").await.unwrap();
         assert_eq!(status(&read_message(&mut probe).await.unwrap()), 503);
         // Clients still connect for a while.
-        let late = rig.raw(request("/once/", "2", "").as_bytes()).await;
+        let late = test_edge.send_raw(request("/once/", "2", "").as_bytes()).await;
         assert!(late.ends_with("late") && header(&late, "connection").as_deref() == Some("close"));
         release.notify_one();
         let mut answer = String::new();
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -12,8 +12,8 @@
     RolloutState::submit("friday", PLAN, None).unwrap()
 }
 
-fn with_revision(host: &Host, revision: &str) -> EndpointUpdate {
-    EndpointUpdate { version: revision.into(), ..host.news(EndpointState::Ready, 1) }
+fn with_revision(host: &ScriptedHost, revision: &str) -> EndpointUpdate {
+    EndpointUpdate { version: revision.into(), ..host.endpoint_update(EndpointState::Ready, 1) }
 }
 
 /// What a leader of this term says now.
@@ -22,72 +22,79 @@
     Update { rollouts, rollouts_as_of, requested_at: Some(Instant::now()), ..Update::default() }
 }
 
-async fn edge_with_two_revisions(old: &Host, new: &Host) -> Rig {
-    let rig = rig(&[]).await;
+async fn edge_with_two_revisions(old: &ScriptedHost, new: &ScriptedHost) -> TestEdge {
+    let test_edge = start_edge(&[]).await;
     // Done before the first update of a leader, so that its time is not before the edge's start.
-    rig.edge.apply_update(Update {
+    test_edge.edge.apply_update(Update {
         endpoints: vec![with_revision(old, "v1"), with_revision(new, "v2")],
         ..Update::default()
     });
-    rig
+    test_edge
 }
 
-async fn send(rig: &Rig, path: &str, session: u32) -> String {
+async fn send(test_edge: &TestEdge, path: &str, session: u32) -> String {
     let headers = format!("Session: s{session}\r\nConnection: close\r\n");
-    rig.raw(request(path, &session.to_string(), &headers).as_bytes()).await
+    test_edge.send_raw(request(path, &session.to_string(), &headers).as_bytes()).await
 }
 
 #[test]
 fn sessions_keep_their_variant_and_a_pause_returns_all_to_the_control_group() {
-    play(|| async {
-        let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
-        let new = host("i-new", |_, head| Act::Send(good(head, "new"))).await;
-        let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.apply_update(update_of_leader(vec![running()], 1));
+    run_test(|| async {
+        let old = scripted_host("i-old", |_, head| HostAction::Respond(sealed_response(head, "old"))).await;
+        let new = scripted_host("i-new", |_, head| HostAction::Respond(sealed_response(head, "new"))).await;
+        let test_edge = edge_with_two_revisions(&old, &new).await;
+        test_edge.edge.apply_update(update_of_leader(vec![running()], 1));
         let mut got_new = Vec::new();
         for n in 0..40 {
-            got_new.push(send(&rig, "/once/", n).await.ends_with("new"));
+            got_new.push(send(&test_edge, "/once/", n).await.ends_with("new"));
         }
         let new_count = got_new.iter().filter(|new| **new).count();
         assert!((8..32).contains(&new_count), "{new_count}");
         for n in 0..40 {
-            assert_eq!(send(&rig, "/again/", n).await.ends_with("new"), got_new[n as usize], "session {n}");
+            assert_eq!(
+                send(&test_edge, "/again/", n).await.ends_with("new"),
+                got_new[n as usize],
+                "session {n}"
+            );
         }
         let paused = running().apply_command(0, RolloutCommand::Pause, "").unwrap().unwrap();
-        rig.edge.apply_update(update_of_leader(vec![paused.clone()], 1));
-        rig.edge.apply_update(update_of_leader(vec![running()], 1));
-        let before = new.count();
+        test_edge.edge.apply_update(update_of_leader(vec![paused.clone()], 1));
+        test_edge.edge.apply_update(update_of_leader(vec![running()], 1));
+        let before = new.request_count();
         for n in 0..20 {
-            assert!(send(&rig, "/once/", n).await.ends_with("old"), "{n}");
+            assert!(send(&test_edge, "/once/", n).await.ends_with("old"), "{n}");
         }
-        assert_eq!(new.count(), before);
+        assert_eq!(new.request_count(), before);
         // Without the rollout, both are endpoints like any other.
-        rig.edge.apply_update(update_of_leader(
+        test_edge.edge.apply_update(update_of_leader(
             vec![paused.apply_command(0, RolloutCommand::End, "").unwrap().unwrap()],
             1,
         ));
-        assert!(!rig.edge.rollouts.is_active());
+        assert!(!test_edge.edge.rollouts.is_active());
     });
 }
 
 #[test]
 fn a_duplicate_response_stops_the_new_version_at_once_and_is_reported() {
-    play(|| async {
-        let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
-        let new = host("i-new", |_, head| Act::Send([good(head, "new"), good(head, "new")].concat())).await;
-        let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.apply_update(update_of_leader(vec![running()], 1));
+    run_test(|| async {
+        let old = scripted_host("i-old", |_, head| HostAction::Respond(sealed_response(head, "old"))).await;
+        let new = scripted_host("i-new", |_, head| {
+            HostAction::Respond([sealed_response(head, "new"), sealed_response(head, "new")].concat())
+        })
+        .await;
+        let test_edge = edge_with_two_revisions(&old, &new).await;
+        test_edge.edge.apply_update(update_of_leader(vec![running()], 1));
         let mut at = 0;
-        while new.count() == 0 {
-            assert_eq!(status(&send(&rig, "/once/", at).await), 200);
+        while new.request_count() == 0 {
+            assert_eq!(status(&send(&test_edge, "/once/", at).await), 200);
             at += 1;
         }
         for n in 0..20 {
-            assert!(send(&rig, "/once/", 100 + n).await.ends_with("old"));
+            assert!(send(&test_edge, "/once/", 100 + n).await.ends_with("old"));
         }
-        assert_eq!(new.count(), 1);
-        rig.edge.queue_evidence();
-        let rows: Vec<_> = rig.edge.rollouts.outbox.take().into_iter().flat_map(|r| r.rows).collect();
+        assert_eq!(new.request_count(), 1);
+        test_edge.edge.queue_evidence();
+        let rows: Vec<_> = test_edge.edge.rollouts.outbox.take().into_iter().flat_map(|r| r.rows).collect();
         assert_eq!(rows.iter().map(|r| r.new.of(OutcomeKind::Doubled)).max(), Some(1));
         assert_eq!(rows[0].route, "once");
     });
@@ -95,30 +102,30 @@
 
 #[test]
 fn a_request_that_may_have_run_is_never_sent_to_the_other_version() {
-    play(|| async {
-        let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
-        let new = host("i-new", |n, head| match n % 2 {
-            0 => Act::Reset,
-            _ => Act::Send(answer(head, "503 Busy", "Not-Run: full\r\n", "")),
+    run_test(|| async {
+        let old = scripted_host("i-old", |_, head| HostAction::Respond(sealed_response(head, "old"))).await;
+        let new = scripted_host("i-new", |n, head| match n % 2 {
+            0 => HostAction::ResetConnection,
+            _ => HostAction::Respond(response(head, "503 Busy", "Not-Run: full\r\n", "")),
         })
         .await;
-        let rig = edge_with_two_revisions(&old, &new).await;
+        let test_edge = edge_with_two_revisions(&old, &new).await;
         let most = RolloutState { body: PLAN.replace("0.5", "0.9"), ..running() };
-        rig.edge.apply_update(update_of_leader(vec![most], 1));
+        test_edge.edge.apply_update(update_of_leader(vec![most], 1));
         let (mut indeterminate, mut rejected) = (0, 0);
         for n in 0..20 {
-            let (seen, before) = (new.count(), old.count());
-            let got = status(&send(&rig, "/once/", n).await);
-            match (new.count() - seen, got) {
+            let (seen, before) = (new.request_count(), old.request_count());
+            let got = status(&send(&test_edge, "/once/", n).await);
+            match (new.request_count() - seen, got) {
                 // Reset by the new version: no other endpoint gets it.
                 (1, 502) => {
                     indeterminate += 1;
-                    assert_eq!(old.count(), before, "{n}");
+                    assert_eq!(old.request_count(), before, "{n}");
                 }
                 // Rejected by the new version, and run by the control group.
                 (1, 200) => {
                     rejected += 1;
-                    assert_eq!(old.count(), before + 1);
+                    assert_eq!(old.request_count(), before + 1);
                 }
                 (0, 200) => {}
                 other => panic!("{n}: {other:?}"),
@@ -130,37 +137,37 @@
 
 #[test]
 fn without_a_lease_of_the_leader_no_request_goes_to_the_new_version() {
-    play(|| async {
-        let old = host("i-old", |_, head| Act::Send(good(head, "old"))).await;
-        let new = host("i-new", |_, head| Act::Send(good(head, "new"))).await;
-        let rig = edge_with_two_revisions(&old, &new).await;
-        rig.edge.apply_update(Update { rollouts: vec![running()], ..Update::default() });
+    run_test(|| async {
+        let old = scripted_host("i-old", |_, head| HostAction::Respond(sealed_response(head, "old"))).await;
+        let new = scripted_host("i-new", |_, head| HostAction::Respond(sealed_response(head, "new"))).await;
+        let test_edge = edge_with_two_revisions(&old, &new).await;
+        test_edge.edge.apply_update(Update { rollouts: vec![running()], ..Update::default() });
         // What is older than the lease does not count.
         let expired = Some(RolloutsAsOf { term: 1, age_ms: 2_600 });
-        rig.edge.apply_update(Update {
+        test_edge.edge.apply_update(Update {
             rollouts_as_of: expired,
             requested_at: Some(Instant::now()),
             ..Update::default()
         });
         for n in 0..30 {
-            assert!(send(&rig, "/once/", n).await.ends_with("old"));
+            assert!(send(&test_edge, "/once/", n).await.ends_with("old"));
         }
         // Nor does what a leader of an earlier term says.
         let later_term = Some(RolloutsAsOf { term: 2, age_ms: 2_600 });
-        rig.edge.apply_update(Update {
+        test_edge.edge.apply_update(Update {
             rollouts_as_of: later_term,
             requested_at: Some(Instant::now()),
             ..Update::default()
         });
-        rig.edge.apply_update(update_of_leader(vec![], 1));
+        test_edge.edge.apply_update(update_of_leader(vec![], 1));
         for n in 30..60 {
-            assert!(send(&rig, "/once/", n).await.ends_with("old"));
+            assert!(send(&test_edge, "/once/", n).await.ends_with("old"));
         }
-        assert_eq!(new.count(), 0);
-        rig.edge.apply_update(update_of_leader(vec![], 2));
+        assert_eq!(new.request_count(), 0);
+        test_edge.edge.apply_update(update_of_leader(vec![], 2));
         for n in 60..90 {
-            send(&rig, "/once/", n).await;
+            send(&test_edge, "/once/", n).await;
         }
-        assert!(new.count() > 0);
+        assert!(new.request_count() > 0);
     });
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
@@ -8,7 +8,7 @@
 use tokio::net::{TcpListener, TcpStream};
 
 pub(crate) struct SessionEdge {
-    pub(crate) rig: Rig,
+    pub(crate) test_edge: TestEdge,
     pub(crate) sessions: Rc<Sessions>,
     /// Where peers and operators reach it.
     pub(crate) address: String,
@@ -28,8 +28,8 @@
     }
 }
 
-pub(crate) async fn three_edges(name: &str, hosts: &[&Host]) -> SessionEdges {
-    let folder = std::env::temp_dir().join(format!("sojourn-{name}-{}", std::process::id()));
+pub(crate) async fn three_edges(name: &str, hosts: &[&ScriptedHost]) -> SessionEdges {
+    let folder = std::env::temp_dir().join(format!("session-edges-{name}-{}", std::process::id()));
     std::fs::create_dir_all(&folder).unwrap();
     let key = folder.join("one.key");
     std::fs::write(&key, [7; 32]).unwrap();
@@ -48,12 +48,12 @@
     );
     let mut edges = vec![];
     for listener in listeners {
-        let (rig, address) = (rig(hosts).await, listener.local_addr().unwrap().to_string());
+        let (test_edge, address) = (start_edge(hosts).await, listener.local_addr().unwrap().to_string());
         let settings = coppersail_config::SessionSettings::from_json(&settings).unwrap();
         let sessions = Sessions::new(settings, &address, true, Logger::root(Discard, o!())).unwrap();
         sessions.start(listener);
-        rig.edge.sessions.set(sessions.clone()).ok().unwrap();
-        edges.push(SessionEdge { rig, sessions, address });
+        test_edge.edge.sessions.set(sessions.clone()).ok().unwrap();
+        edges.push(SessionEdge { test_edge, sessions, address });
     }
     SessionEdges { edges, _keys: TemporaryFolder(folder) }
 }
@@ -71,7 +71,7 @@
 impl SessionEdges {
     /// Sends a request on a connection of its own to the edge at this index.
     pub(crate) async fn send(&self, edge: usize, text: &str) -> String {
-        self.edges[edge].rig.raw(text.as_bytes()).await
+        self.edges[edge].test_edge.send_raw(text.as_bytes()).await
     }
 
     /// A token of a new session.
@@ -125,7 +125,7 @@
     let mut latencies = SessionLatencies::default();
     let mut connections = vec![];
     for edge in 0..2 {
-        connections.push(edges.edges[edge].rig.connect().await);
+        connections.push(edges.edges[edge].test_edge.connect().await);
     }
     let mut id = 0;
     for _ in 0..session_count {
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
@@ -11,14 +11,14 @@
 
 #[test]
 fn a_confirmation_repeated_at_any_edge_runs_once_and_is_replayed() {
-    play(|| async {
-        let host = host("i-1", |_, head| {
-            Act::Send(answer(head, "201 Created", "Server-Seal: s.1\r\nX-Own: 5\r\n", "table 4"))
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| {
+            HostAction::Respond(response(head, "201 Created", "Server-Seal: s.1\r\nX-Own: 5\r\n", "table 4"))
         })
         .await;
         let edges = three_edges("once", &[&host]).await;
         let token = edges.token().await;
-        assert_eq!(host.count(), 0, "a confirmation without a session is not sent");
+        assert_eq!(host.request_count(), 0, "a confirmation without a session is not sent");
         let first = edges.send(0, &confirmation(&token, "k-1", "11", "for two")).await;
         assert_eq!(status(&first), 201, "{first}");
         for (edge, id) in [(1, "12"), (2, "13"), (0, "14"), (1, "15")] {
@@ -34,7 +34,7 @@
         let forged = format!("{rest}{}", if last == "A" { "B" } else { "A" });
         let refused = edges.send(2, &confirmation(&forged, "k-1", "18", "for two")).await;
         assert!(status(&refused) == 428 && header(&refused, "session").is_some_and(|new| new != token));
-        assert_eq!(host.count(), 1);
+        assert_eq!(host.request_count(), 1);
         // Operators see the session, and neither its token nor its key.
         let listed = edges.query(1, "/sessions").await;
         let listed: SessionListing = serde_json::from_str(listed.split("\r\n\r\n").nth(1).unwrap()).unwrap();
@@ -46,21 +46,21 @@
 
 #[test]
 fn a_confirmation_under_way_or_of_unknown_outcome_is_not_sent_again() {
-    play(|| async {
+    run_test(|| async {
         let gate = Rc::new(Notify::new());
         let release = gate.clone();
-        let host = host("i-1", move |number, _| match number {
-            0 | 2 => Act::Hold(release.clone()),
-            1 => Act::Reset,
+        let host = scripted_host("i-1", move |number, _| match number {
+            0 | 2 => HostAction::RespondOnRelease(release.clone()),
+            1 => HostAction::ResetConnection,
             // Silence.
-            _ => Act::Hold(Rc::default()),
+            _ => HostAction::RespondOnRelease(Rc::default()),
         })
         .await;
         let edges = three_edges("unknown", &[&host]).await;
         let token = edges.token().await;
-        let mut client = edges.edges[0].rig.connect().await;
+        let mut client = edges.edges[0].test_edge.connect().await;
         client.write_all(confirmation(&token, "k-1", "11", "a").as_bytes()).await.unwrap();
-        host.read(1).await;
+        host.wait_for_requests(1).await;
         let again = edges.send(1, &confirmation(&token, "k-1", "12", "a")).await;
         assert_eq!((status(&again), header(&again, "retry-after").is_some()), (409, true));
         gate.notify_one();
@@ -72,11 +72,11 @@
         assert_eq!(status(&edges.send(2, &confirmation(&token, "k-2", "14", "b")).await), 502);
         let again = edges.send(0, &confirmation(&token, "k-2", "15", "b")).await;
         assert_eq!((status(&again), header(&again, "session-outcome").as_deref()), (502, Some("unknown")));
-        assert_eq!(host.count(), 2);
+        assert_eq!(host.request_count(), 2);
         // A client disconnects: its request goes on, and the repeat at another edge gets the response.
-        let mut client = edges.edges[2].rig.connect().await;
+        let mut client = edges.edges[2].test_edge.connect().await;
         client.write_all(confirmation(&token, "k-3", "16", "c").as_bytes()).await.unwrap();
-        host.read(3).await;
+        host.wait_for_requests(3).await;
         drop(client);
         gate.notify_one();
         loop {
@@ -86,21 +86,21 @@
                 break;
             }
         }
-        assert_eq!(host.count(), 3);
+        assert_eq!(host.request_count(), 3);
         // The endpoint is silent until the deadline: the request may have run.
         let short = confirmation(&token, "k-4", "18", "d").replace("5000", "150");
         assert_eq!(status(&edges.send(0, &short).await), 504);
         let again = edges.send(1, &confirmation(&token, "k-4", "19", "d")).await;
         assert_eq!((status(&again), header(&again, "session-outcome").as_deref()), (502, Some("unknown")));
-        assert_eq!(host.count(), 4);
+        assert_eq!(host.request_count(), 4);
     });
 }
 
 #[test]
 fn lookups_keep_their_endpoint_when_the_session_changes_the_edge() {
-    play(|| async {
-        let one = host("i-1", |_, head| Act::Send(good(head, "one"))).await;
-        let two = host("i-2", |_, head| Act::Send(good(head, "two"))).await;
+    run_test(|| async {
+        let one = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "one"))).await;
+        let two = scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "two"))).await;
         let edges = three_edges("endpoint", &[&one, &two]).await;
         let token = edges.token().await;
         let lookup = |edge: usize, id: usize| {
@@ -128,8 +128,8 @@
 
 #[test]
 fn many_sessions_that_change_the_edge_at_once_get_their_recorded_responses() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, "taken"))).await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "taken"))).await;
         let edges = Rc::new(three_edges("many", &[&host]).await);
         let send_all = |edge: usize, tokens: Vec<String>| {
             let edges = edges.clone();
@@ -156,7 +156,7 @@
         for some in tokens.chunks(10) {
             assert_eq!(send_all(0, some.to_vec()).await, some.len());
         }
-        assert_eq!((send_all(1, tokens).await, host.count()), (200, 200));
+        assert_eq!((send_all(1, tokens).await, host.request_count()), (200, 200));
         assert_eq!(edges.edges[1].sessions.listed().counts.takeovers, 200);
     });
 }
@@ -164,8 +164,8 @@
 /// `examples/session_latency.rs` prints figures of the same requests, of more sessions.
 #[test]
 fn each_measured_request_is_answered_and_confirmations_run_once() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, "one"))).await;
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "one"))).await;
         let edges = three_edges("latency", &[&host]).await;
         let latencies = measure_session_latencies(&edges, 2).await;
         let counts: Vec<_> = latencies.0.iter().map(|series| (series.name, series.latencies.len())).collect();
@@ -178,7 +178,7 @@
             ("confirmation, crossing", 2),
         ];
         assert_eq!(counts, expected);
-        assert_eq!(host.count(), 32 + 18, "lookups and confirmations, and no repeat");
+        assert_eq!(host.request_count(), 32 + 18, "lookups and confirmations, and no repeat");
         let total = |counter: fn(&SessionListing) -> u64| -> u64 {
             edges.edges.iter().map(|edge| counter(&edge.sessions.listed())).sum()
         };
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/stand_ins.rs
@@ -16,32 +16,32 @@
 /// Far longer than anything here takes; only a test that hangs meets it.
 const HANGS: Duration = Duration::from_secs(20);
 
-pub(crate) fn play<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
+pub(crate) fn run_test<F: Future<Output = ()>>(test: impl FnOnce() -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
     LocalSet::new()
         .block_on(&runtime, async { tokio::time::timeout(HANGS, test()).await.expect("it hangs") });
 }
 
 /// What a host does when a request's head has been read.
-pub(crate) enum Act {
-    Send(Vec<u8>),
+pub(crate) enum HostAction {
+    Respond(Vec<u8>),
     /// Sends, then closes.
-    End(Vec<u8>),
-    Reset,
+    RespondAndClose(Vec<u8>),
+    ResetConnection,
     /// Answers nothing until the test says so.
-    Hold(Rc<Notify>),
+    RespondOnRelease(Rc<Notify>),
 }
 
 #[derive(Clone)]
-pub(crate) struct Host {
-    pub(crate) ident: String,
+pub(crate) struct ScriptedHost {
+    pub(crate) id: String,
     pub(crate) address: SocketAddr,
     /// Heads of the requests read, with their bodies as they came.
-    pub(crate) seen: Rc<RefCell<Vec<String>>>,
+    pub(crate) requests: Rc<RefCell<Vec<String>>>,
     pub(crate) connections: Rc<Cell<usize>>,
     /// Told at each request and at each connection's end.
     pub(crate) event: Rc<Notify>,
-    pub(crate) ended: Rc<Cell<usize>>,
+    pub(crate) closed_connections: Rc<Cell<usize>>,
 }
 
 pub(crate) fn header(head: &str, name: &str) -> Option<String> {
@@ -52,35 +52,45 @@
 }
 
 /// A sealed answer with the request's own id.
-pub(crate) fn good(head: &str, body: &str) -> Vec<u8> {
-    answer(head, "200 OK", "Server-Seal: 1a.2b\r\n", body)
+pub(crate) fn sealed_response(head: &str, body: &str) -> Vec<u8> {
+    response(head, "200 OK", "Server-Seal: 1a.2b\r\n", body)
 }
 
-pub(crate) fn answer(head: &str, status: &str, more: &str, body: &str) -> Vec<u8> {
+pub(crate) fn response(head: &str, status: &str, more: &str, body: &str) -> Vec<u8> {
     let (id, length) = (header(head, "try-id").unwrap_or_default(), body.len());
     format!("HTTP/1.1 {status}\r\nTry-Id: {id}\r\n{more}Content-Length: {length}\r\n\r\n{body}").into_bytes()
 }
 
 /// The number of a request counts from 0 over all connections.
-pub(crate) async fn host(ident: &str, script: impl Fn(usize, &str) -> Act + 'static) -> Host {
+pub(crate) async fn scripted_host(
+    ident: &str,
+    script: impl Fn(usize, &str) -> HostAction + 'static,
+) -> ScriptedHost {
     let script = Rc::new(script);
-    bare(ident, move |_, stream, host| {
+    connection_host(ident, move |_, stream, host| {
         let script = script.clone();
-        async move { talk(stream, &host, &*script).await }
+        async move { serve_connection(stream, &host, &*script).await }
     })
     .await
 }
 
 /// A host that does with each connection as told; they count from 0.
-pub(crate) async fn bare<F: Future<Output = ()> + 'static>(
+pub(crate) async fn connection_host<F: Future<Output = ()> + 'static>(
     ident: &str,
-    serve: impl Fn(usize, TcpStream, Host) -> F + 'static,
-) -> Host {
+    serve: impl Fn(usize, TcpStream, ScriptedHost) -> F + 'static,
+) -> ScriptedHost {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     let (seen, event) = Default::default();
     let (connections, ended): (Rc<Cell<usize>>, Rc<Cell<usize>>) = Default::default();
-    let host = Host { ident: ident.into(), address, seen, event, connections, ended };
+    let host = ScriptedHost {
+        id: ident.into(),
+        address,
+        requests: seen,
+        event,
+        connections,
+        closed_connections: ended,
+    };
     let all = host.clone();
     spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
@@ -88,7 +98,7 @@
             all.connections.set(all.connections.get() + 1);
             spawn_local(async move {
                 serving.await;
-                host.ended.set(host.ended.get() + 1);
+                host.closed_connections.set(host.closed_connections.get() + 1);
                 host.event.notify_waiters();
             });
         }
@@ -96,22 +106,26 @@
     host
 }
 
-async fn talk(mut stream: TcpStream, host: &Host, script: &dyn Fn(usize, &str) -> Act) {
+async fn serve_connection(
+    mut stream: TcpStream,
+    host: &ScriptedHost,
+    script: &dyn Fn(usize, &str) -> HostAction,
+) {
     while let Some(head) = read_message(&mut stream).await {
-        match script(host.note(&head), &head) {
-            Act::Send(bytes) => stream.write_all(&bytes).await.unwrap_or_default(),
-            Act::End(bytes) => {
+        match script(host.record_request(&head), &head) {
+            HostAction::Respond(bytes) => stream.write_all(&bytes).await.unwrap_or_default(),
+            HostAction::RespondAndClose(bytes) => {
                 let _ = stream.write_all(&bytes).await;
                 return;
             }
-            Act::Reset => {
+            HostAction::ResetConnection => {
                 let _ = socket2::SockRef::from(&stream).set_linger(Some(Duration::ZERO));
                 return;
             }
-            Act::Hold(until) => {
+            HostAction::RespondOnRelease(until) => {
                 let mut byte = [0];
                 tokio::select! {
-                    _ = until.notified() => stream.write_all(&good(&head, "held")).await.unwrap_or_default(),
+                    _ = until.notified() => stream.write_all(&sealed_response(&head, "held")).await.unwrap_or_default(),
                     _ = stream.read(&mut byte) => return,
                 }
             }
@@ -139,42 +153,42 @@
     }
 }
 
-impl Host {
+impl ScriptedHost {
     /// The number of a request that has been read.
-    pub(crate) fn note(&self, head: &str) -> usize {
-        self.seen.borrow_mut().push(head.into());
+    pub(crate) fn record_request(&self, head: &str) -> usize {
+        self.requests.borrow_mut().push(head.into());
         self.event.notify_waiters();
-        self.count() - 1
+        self.request_count() - 1
     }
 
-    pub(crate) fn count(&self) -> usize {
-        self.seen.borrow().len()
+    pub(crate) fn request_count(&self) -> usize {
+        self.requests.borrow().len()
     }
 
     /// Until so many requests have been read.
-    pub(crate) async fn read(&self, count: usize) {
+    pub(crate) async fn wait_for_requests(&self, count: usize) {
         loop {
             let event = self.event.notified();
-            if self.count() >= count {
+            if self.request_count() >= count {
                 return;
             }
             event.await;
         }
     }
 
-    pub(crate) async fn ended(&self, count: usize) {
+    pub(crate) async fn wait_for_closed_connections(&self, count: usize) {
         loop {
             let event = self.event.notified();
-            if self.ended.get() >= count {
+            if self.closed_connections.get() >= count {
                 return;
             }
             event.await;
         }
     }
 
-    pub(crate) fn news(&self, stage: EndpointState, calls: u64) -> EndpointUpdate {
+    pub(crate) fn endpoint_update(&self, stage: EndpointState, calls: u64) -> EndpointUpdate {
         EndpointUpdate {
-            id: self.ident.clone(),
+            id: self.id.clone(),
             service: "plain".into(),
             address: self.address.to_string(),
             zone: "north".into(),
@@ -186,11 +200,11 @@
     }
 }
 
-pub(crate) struct Rig {
+pub(crate) struct TestEdge {
     pub(crate) edge: Rc<Edge>,
-    pub(crate) news: UnboundedSender<Update>,
-    pub(crate) clients: SocketAddr,
-    pub(crate) readiness: SocketAddr,
+    pub(crate) updates: UnboundedSender<Update>,
+    pub(crate) client_address: SocketAddr,
+    pub(crate) readiness_address: SocketAddr,
 }
 
 const SETTINGS: &str = r#"{"revision":"r4","routes":{"columns":["name","domain","pathStart","sort","giveUp","target_time","rank","shares","tries","backend"],"rows":[
@@ -202,11 +216,11 @@
 "backends":{"columns":["name","checkPath","maxConnections","protocol","encrypted","splitUp"],"rows":[["plain","/well",100,"h1",false,null],["parted","/well",100,"h1",false,true]]},
 "caps":{"headSizeBytes":9000,"bodySizeBytes":400000,"headWait":"HEADWAIT","quiet":"15000ms"}}"#;
 
-pub(crate) async fn rig(hosts: &[&Host]) -> Rig {
-    rig_with(hosts, "3000ms").await
+pub(crate) async fn start_edge(hosts: &[&ScriptedHost]) -> TestEdge {
+    start_edge_with_header_timeout(hosts, "3000ms").await
 }
 
-pub(crate) async fn rig_with(hosts: &[&Host], head_wait: &str) -> Rig {
+pub(crate) async fn start_edge_with_header_timeout(hosts: &[&ScriptedHost], head_wait: &str) -> TestEdge {
     let mut boot = ProcessSettings {
         zone: "north".into(),
         ip_address: "127.0.0.1".into(),
@@ -226,26 +240,26 @@
     let body = SETTINGS.replace("HEADWAIT", head_wait);
     edge.apply_update(Update {
         config: Some(ConfigDocument { revision: 4, body }),
-        endpoints: hosts.iter().map(|host| host.news(EndpointState::Ready, 1)).collect(),
+        endpoints: hosts.iter().map(|host| host.endpoint_update(EndpointState::Ready, 1)).collect(),
         ..Update::default()
     });
-    Rig { edge, news, clients: at.0, readiness: at.1 }
+    TestEdge { edge, updates: news, client_address: at.0, readiness_address: at.1 }
 }
 
-impl Rig {
-    pub(crate) fn rows(&self, rows: Vec<(u32, String, u64)>) {
+impl TestEdge {
+    pub(crate) fn send_assignments(&self, rows: Vec<(u32, String, u64)>) {
         let rows =
             rows.into_iter().map(|(slice, ident, number)| (slice, slice, ident, number).into()).collect();
         let slices = vec![AssignmentUpdate { service: "parted".into(), slice_count: 4, rows }];
-        self.news.send(Update { assignments: slices, ..Update::default() }).unwrap();
+        self.updates.send(Update { assignments: slices, ..Update::default() }).unwrap();
     }
 
     pub(crate) async fn connect(&self) -> TcpStream {
-        TcpStream::connect(self.clients).await.unwrap()
+        TcpStream::connect(self.client_address).await.unwrap()
     }
 
     /// One request on a connection of its own; everything that comes back until it closes.
-    pub(crate) async fn raw(&self, bytes: &[u8]) -> String {
+    pub(crate) async fn send_raw(&self, bytes: &[u8]) -> String {
         let mut stream = self.connect().await;
         let _ = stream.write_all(bytes).await;
         let mut all = Vec::new();
@@ -254,7 +268,7 @@
     }
 
     pub(crate) async fn get(&self, path: &str, id: &str) -> String {
-        self.raw(request(path, id, "Connection: close\r\n").as_bytes()).await
+        self.send_raw(request(path, id, "Connection: close\r\n").as_bytes()).await
     }
 }
 
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
@@ -150,26 +150,26 @@
 
 #[test]
 fn an_edge_becomes_ready_with_an_owner_for_each_service_and_stays_ready() {
-    play(|| async {
-        let host = host("i-1", |_, head| Act::Send(good(head, ""))).await;
-        let rig = rig(&[&host]).await;
-        assert!(!rig.edge.ready(), "the sharded service has no endpoint yet");
-        let mut sharded = host.news(EndpointState::Ready, 1);
+    run_test(|| async {
+        let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
+        let test_edge = start_edge(&[&host]).await;
+        assert!(!test_edge.edge.ready(), "the sharded service has no endpoint yet");
+        let mut sharded = host.endpoint_update(EndpointState::Ready, 1);
         (sharded.id, sharded.service, sharded.address) =
             ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
-        rig.edge.apply_update(Update { endpoints: vec![sharded], ..Update::default() });
-        assert!(!rig.edge.ready(), "and none owns its slices");
+        test_edge.edge.apply_update(Update { endpoints: vec![sharded], ..Update::default() });
+        assert!(!test_edge.edge.ready(), "and none owns its slices");
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
             rows: vec![(0, 0, "i-2".into(), 1).into()],
         }];
-        rig.edge.apply_update(Update { assignments: slices, ..Update::default() });
-        assert!(rig.edge.ready());
-        rig.edge.apply_update(Update {
-            endpoints: vec![host.news(EndpointState::Removed, 2)],
+        test_edge.edge.apply_update(Update { assignments: slices, ..Update::default() });
+        assert!(test_edge.edge.ready());
+        test_edge.edge.apply_update(Update {
+            endpoints: vec![host.endpoint_update(EndpointState::Removed, 2)],
             ..Update::default()
         });
-        assert!(rig.edge.ready());
+        assert!(test_edge.edge.ready());
     });
 }
