--- a/crates/director/protocol/tests/wire_format.rs
+++ b/crates/director/protocol/tests/wire_format.rs
@@ -82,6 +82,23 @@
         );
     }
 
+    /// Texts of errors name the types that are read.
+    #[test]
+    fn errors_of_other_json_than_an_object_keep_their_text() {
+        let table: [(&[u8], &str); 4] = [
+            (b"[]", "invalid length 0, expected struct Raw with 10 elements at line 1 column 2"),
+            (b"7", "invalid type: integer `7`, expected struct Raw at line 1 column 1"),
+            (b"{}", "missing field `msg` at line 1 column 2"),
+            (
+                br#"{"msg":"agent","az":7}"#,
+                "invalid type: integer `7`, expected a string at line 1 column 21",
+            ),
+        ];
+        for (line, text) in table {
+            assert_eq!(error_text(Line::parse(line)), text, "{}", String::from_utf8_lossy(line));
+        }
+    }
+
     #[test]
     fn an_error_that_quotes_a_long_input_is_cut_at_200_characters() {
         let line = format!(r#"{{"msg":"hot","partition":"{}"}}"#, "ä".repeat(500));
@@ -240,6 +257,27 @@
         }
     }
 
+    /// Texts of errors name the types that are read.
+    #[test]
+    fn errors_of_other_json_than_an_object_keep_their_text() {
+        for (entry, expected) in [
+            ("7", "invalid type: integer `7`, expected struct RawServer at line 1 column 1"),
+            ("[]", "invalid length 0, expected struct RawServer with 8 elements at line 1 column 2"),
+            ("{}", "missing field `id` at line 1 column 2"),
+        ] {
+            let text = list(entry);
+            let list = List::parse(text.as_bytes()).unwrap();
+            let error = list.servers[0].as_ref().unwrap_err();
+            assert_eq!((error.id.as_deref(), error.fault.to_string().as_str()), (None, expected));
+        }
+        for (text, expected) in [
+            ("7", "invalid type: integer `7`, expected struct RawList at line 1 column 1"),
+            ("[]", "invalid length 0, expected struct RawList with 3 elements at line 1 column 2"),
+        ] {
+            assert_eq!(error_text(List::parse(text.as_bytes())), expected);
+        }
+    }
+
     #[test]
     fn an_error_of_the_list_keeps_its_text() {
         let text = error_text(List::parse(b"{\"version\":43}"));
