--- a/crates/director/protocol/src/collector.rs
+++ b/crates/director/protocol/src/collector.rs
@@ -1,48 +1,65 @@
-//! What comes to the director's own address: a JSON object a line.
+//! Messages to the director's own address: a JSON object a line, from collectors and from health checks.
 
 use crate::load::Report;
-use crate::{sound, Fault};
+use crate::{non_negative, Fault};
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Most bytes in a message.
+/// Longest message, in bytes.
 pub const MOST: usize = 1 << 20;
 
-/// Milliseconds that a sum can cover: an hour, as one that reports each second is long lost by then.
-const WINDOW_MOST: f64 = 3_600_000.0;
+/// Longest period that a report can cover, in milliseconds: an hour. Collectors report each second, so one that has
+/// accumulated more has long been disconnected.
+const MAX_WINDOW_MS: f64 = 3_600_000.0;
 
-/// The answer to `Line::Probe`.
+/// The answer to [`Line::Probe`].
 pub const ALIVE: &[u8] = b"{\"msg\":\"alive\"}\n";
 
+/// One message. Names borrow from the line wherever nothing in them is escaped.
 #[derive(Debug, PartialEq)]
 pub enum Line<'a> {
+    /// A health check of the director itself, answered with [`ALIVE`].
     Probe,
-    /// The sender is the collector of a zone.
+    /// The sender is the collector of the zone with this name.
     Zone(Cow<'a, str>),
+    /// The outcomes of the attempts that the proxies of one zone made at one host.
     Tries {
+        /// Name of the proxies' zone.
         zone: Cow<'a, str>,
+        /// Id of the host.
         host: Cow<'a, str>,
+        /// Attempts that ended in the period, dropped ones included.
         tries: u64,
+        /// Attempts without a usable answer. May exceed `tries`: attempts that began in an earlier period end in this one.
         dropped: u64,
-        /// Seconds; 0 where none was answered.
+        /// Mean response time of the answered attempts, seconds; 0 where none was answered.
         rt: f64,
+        /// Length of the period, seconds.
         span: f64,
+        /// A load report of the host that the proxies have received; empty if there is none.
         report: Report,
     },
+    /// The requests that all proxies received for one slice in one route.
     Demand {
+        /// Number of the slice.
         slice: u16,
+        /// Name of the route.
         route: Cow<'a, str>,
+        /// Requests that came in the period.
         calls: u64,
+        /// Requests that were dropped; may exceed `calls`, as in `Tries`.
         dropped: u64,
+        /// Length of the period, seconds.
         span: f64,
     },
 }
 
-/// A name goes on as the bytes that came, wherever nothing in it is escaped.
+/// Borrows a name from the input; an `Option<Cow<str>>` by itself would always be copied.
 #[derive(Deserialize)]
 #[serde(transparent)]
 struct Name<'a>(#[serde(borrow)] Cow<'a, str>);
 
+/// The fields of all messages. Error texts quote the name of this type, so it stays.
 #[derive(Deserialize)]
 struct Raw<'a> {
     #[serde(borrow)]
@@ -54,69 +71,98 @@
     #[serde(borrow)]
     kind: Option<Name<'a>>,
     partition: Option<u16>,
-    n: Option<u64>,
-    bad: Option<u64>,
-    avg: Option<f64>,
-    window: Option<f64>,
+    #[serde(rename = "n")]
+    count: Option<u64>,
+    #[serde(rename = "bad")]
+    dropped: Option<u64>,
+    #[serde(rename = "avg")]
+    average_ms: Option<f64>,
+    #[serde(rename = "window")]
+    window_ms: Option<f64>,
     report: Option<serde_json::Value>,
 }
 
-fn need<T>(value: Option<T>, field: &str) -> Result<T, Fault> {
+/// What reports of outcomes and of demand have in common.
+struct Counts {
+    count: u64,
+    dropped: u64,
+    /// Length of the period, seconds.
+    period: f64,
+}
+
+fn required<T>(value: Option<T>, field: &str) -> Result<T, Fault> {
     value.ok_or_else(|| Fault::missing(field))
 }
 
 impl<'a> Raw<'a> {
-    /// Calls, those dropped, and the span in seconds. More may be dropped than came: calls that came in an earlier
-    /// span end in this one.
-    fn counts(&self) -> Result<(u64, u64, f64), Fault> {
-        let window = need(self.window, "window")?;
-        if !(window > 0.0 && window <= WINDOW_MOST) {
-            return Err(Fault::odd("window", "milliseconds, an hour at most"));
+    fn counts(&self) -> Result<Counts, Fault> {
+        let window_ms = required(self.window_ms, "window")?;
+        if !(window_ms > 0.0 && window_ms <= MAX_WINDOW_MS) {
+            return Err(Fault::invalid("window", window_ms, "milliseconds, an hour at most"));
         }
-        Ok((need(self.n, "n")?, need(self.bad, "bad")?, window / 1e3))
+        Ok(Counts {
+            count: required(self.count, "n")?,
+            dropped: required(self.dropped, "bad")?,
+            period: window_ms / 1e3,
+        })
+    }
+
+    fn into_outcomes(self) -> Result<Line<'a>, Fault> {
+        let Counts { count, dropped, period } = self.counts()?;
+        // An average that is absent must not pass for answers that took no time.
+        let average_ms = if count > dropped { required(self.average_ms, "avg")? } else { 0.0 };
+        let average_ms = non_negative(average_ms, "avg")?;
+        Ok(Line::Tries {
+            zone: required(self.az, "az")?.0,
+            host: required(self.host, "host")?.0,
+            tries: count,
+            dropped,
+            rt: average_ms / 1e3,
+            span: period,
+            report: self.report.as_ref().map(Report::from_json).unwrap_or_default(),
+        })
+    }
+
+    fn into_demand(self) -> Result<Line<'a>, Fault> {
+        let Counts { count, dropped, period } = self.counts()?;
+        Ok(Line::Demand {
+            slice: required(self.partition, "partition")?,
+            route: required(self.kind, "kind")?.0,
+            calls: count,
+            dropped,
+            span: period,
+        })
     }
 }
 
 impl<'a> Line<'a> {
+    /// Parses one line.
+    ///
+    /// # Errors
+    /// The line is no JSON object, its `msg` is unknown, or a field of that message is missing or invalid.
     pub fn parse(line: &'a [u8]) -> Result<Self, Fault> {
         let raw: Raw<'a> = serde_json::from_slice(line)?;
-        Ok(match raw.msg.as_ref() {
-            "probe" => Line::Probe,
-            "agent" => Line::Zone(need(raw.az, "az")?.0),
-            "outcomes" => {
-                let (tries, dropped, span) = raw.counts()?;
-                Line::Tries {
-                    tries,
-                    dropped,
-                    span,
-                    // Without it the answered ones would seem to have taken no time.
-                    rt: sound(if tries > dropped { need(raw.avg, "avg")? } else { 0.0 }, "avg")? / 1e3,
-                    zone: need(raw.az, "az")?.0,
-                    host: need(raw.host, "host")?.0,
-                    report: raw.report.as_ref().map(Report::json).unwrap_or_default(),
-                }
-            }
-            "hot" => {
-                let (calls, dropped, span) = raw.counts()?;
-                let slice = need(raw.partition, "partition")?;
-                Line::Demand { slice, calls, dropped, span, route: need(raw.kind, "kind")?.0 }
-            }
-            _ => return Err(Fault::odd("msg", "agent, outcomes, hot or probe")),
-        })
+        match raw.msg.as_ref() {
+            "probe" => Ok(Line::Probe),
+            "agent" => Ok(Line::Zone(required(raw.az, "az")?.0)),
+            "outcomes" => raw.into_outcomes(),
+            "hot" => raw.into_demand(),
+            unknown => Err(Fault::invalid("msg", unknown, "agent, outcomes, hot or probe")),
+        }
     }
 }
 
-/// Whether a line is a message at all, with whatever fault.
+/// Whether a line is a JSON object, and so a message, even if an invalid one.
 pub fn readable(line: &[u8]) -> bool {
     line.trim_ascii_start().starts_with(b"{") && serde_json::from_slice::<serde::de::IgnoredAny>(line).is_ok()
 }
 
-/// Whether a line that begins with `begun`, `piece` being its newest part, can't become a message any more. JSON
-/// holds no control characters but these between its parts.
+/// Whether a line can no longer become a message: `begun` is the line so far, `piece` its newest part. JSON allows no
+/// control characters except white space between its tokens.
 pub fn hopeless(begun: &[u8], piece: &[u8]) -> bool {
+    let is_forbidden = |byte: &u8| *byte < b' ' && !b"\t\r\n".contains(byte);
     let first = begun.iter().find(|byte| !byte.is_ascii_whitespace());
-    first.is_some_and(|first| *first != b'{')
-        || piece.iter().any(|byte| *byte < b' ' && !b"\t\r\n".contains(byte))
+    first.is_some_and(|first| *first != b'{') || piece.iter().any(is_forbidden)
 }
 
 #[cfg(test)]
--- a/crates/director/protocol/src/collector/tests.rs
+++ b/crates/director/protocol/src/collector/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 #[test]
-fn sums_are_read() {
+fn a_report_of_outcomes_that_loses_a_field_is_noticed() {
     let line = br#"{"avg":41.5,"az":"a","bad":3,"host":"s-5","msg":"outcomes","n":212,"new":[1],"report":{"q":7},"window":1000.0}"#;
     let Ok(Line::Tries { tries: 212, dropped: 3, rt, span, host, report, .. }) = Line::parse(line) else {
         panic!("{:?}", Line::parse(line));
@@ -13,7 +13,7 @@
 }
 
 #[test]
-fn demand_and_zones_are_read() {
+fn a_report_of_demand_or_a_zone_that_loses_a_field_is_noticed() {
     let line = br#"{"msg":"hot","partition":88,"kind":"lookup","n":40,"bad":1,"window":500.0}"#;
     let demand = Line::Demand { slice: 88, route: "lookup".into(), calls: 40, dropped: 1, span: 0.5 };
     assert_eq!(Line::parse(line), Ok(demand));
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn more_may_be_dropped_than_came() {
+fn a_report_with_more_dropped_than_received_is_accepted() {
     let line = br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":2,"window":1000.0}"#;
     assert!(matches!(Line::parse(line), Ok(Line::Demand { calls: 1, dropped: 2, .. })));
 }
@@ -31,7 +31,7 @@
 #[test_case(br#"{"msg":"agent""#, false ; "cut off")]
 #[test_case(b"7", false ; "no object")]
 #[test_case(b"", false ; "nothing")]
-fn messages_with_faults_are_told_from_what_is_none(line: &[u8], expected: bool) {
+fn an_invalid_message_is_told_from_a_line_that_is_no_json(line: &[u8], expected: bool) {
     assert_eq!(readable(line), expected);
 }
 
@@ -40,7 +40,7 @@
 #[test_case(b"\x00\x00\x00\x20{", true ; "a binary length")]
 #[test_case(b"{\"msg\":\x01", true ; "a control character")]
 #[test_case(b"", false ; "nothing yet")]
-fn what_cannot_become_a_message(begun: &[u8], expected: bool) {
+fn a_line_that_cannot_become_a_message_is_rejected_early(begun: &[u8], expected: bool) {
     assert_eq!(hopeless(begun, begun), expected);
 }
 
@@ -55,7 +55,7 @@
 #[test_case(br#"{"msg":"outcomes","az":"a","host":"h","n":1,"bad":0,"window":1}"#, "field avg" ; "no time of answered tries")]
 #[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":1e30}"#, "field window" ; "an endless span")]
 #[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":0}"#, "field window" ; "no span")]
-fn faults(line: &[u8], expected: &str) {
-    let fault = Line::parse(line).unwrap_err().0;
-    assert!(fault.contains(expected), "{fault}");
+fn an_invalid_message_is_rejected_with_the_reason(line: &[u8], expected: &str) {
+    let error = Line::parse(line).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/director/protocol/src/config.rs
+++ b/crates/director/protocol/src/config.rs
@@ -1,4 +1,6 @@
-//! The configuration: one JSON object.
+//! The configuration file of a director: one JSON object.
+
+mod paths;
 
 use crate::Fault;
 use serde_json::Value;
@@ -6,111 +8,63 @@
 use std::hash::{DefaultHasher, Hash, Hasher};
 use std::net::SocketAddr;
 
+/// The configuration of a director.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Config {
+    /// Name of this director.
     pub name: String,
+    /// Address on which collectors and health checks reach it.
     pub listen: SocketAddr,
+    /// Address of the discovery service.
     pub discovery: SocketAddr,
+    /// Address of the relay.
     pub relay: SocketAddr,
+    /// Seed of the director's random numbers; 16 hex digits in the file.
     pub seed: u64,
-    /// The list as last had, in discovery's form.
+    /// The last known endpoint list, as JSON in discovery's form.
     pub known: Option<Vec<u8>>,
-    /// The settings by their paths.
+    /// The settings by their paths: names from the outermost, joined by dots. See `coppersail_settings::Boot`.
     pub settings: BTreeMap<String, String>,
+    /// Resource limits of the process.
     pub limits: Limits,
 }
 
-/// What the director may use, where that is told.
+/// Resources that the director may use; none: not limited by the configuration.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Limits {
+    /// Open sockets at a time.
     pub sockets: Option<u64>,
+    /// Memory, mebibytes.
     pub memory_mb: Option<u64>,
 }
 
-/// Stands before and between the values of a plain list, as no name holds it.
-const UNIT: char = '\u{1f}';
-
-fn text<'a>(config: &'a Value, path: &str) -> Result<&'a str, Fault> {
-    let value = path.split('.').try_fold(config, |value, name| value.get(name));
-    value.ok_or_else(|| Fault::missing(path))?.as_str().ok_or_else(|| Fault::odd(path, "a text"))
-}
-
-fn address(config: &Value, path: &str) -> Result<SocketAddr, Fault> {
-    text(config, path)?.parse().map_err(|_| Fault::odd(path, "an address and a port, such as 127.0.0.1:8000"))
-}
-
-fn limit(config: &Value, name: &str) -> Result<Option<u64>, Fault> {
-    match config.get("limits").and_then(|limits| limits.get(name)) {
-        None | Some(Value::Null) => Ok(None),
-        Some(value) => match value.as_u64() {
-            Some(limit @ 1..=0xffff_ffff) => Ok(Some(limit)),
-            _ => Err(Fault::odd(&format!("limits.{name}"), "a whole number from 1")),
-        },
-    }
-}
-
-fn plain(value: &Value) -> Option<String> {
-    match value {
-        Value::String(text) => Some(text.clone()),
-        Value::Number(number) => Some(number.to_string()),
-        Value::Bool(flag) => Some(flag.to_string()),
-        _ => None,
-    }
-}
-
-/// Nested objects become paths; a list of objects gives its length under `.count`.
-fn flatten(path: &str, value: &Value, paths: &mut BTreeMap<String, String>) {
-    match value {
-        Value::Object(fields) => {
-            for (name, value) in fields {
-                let dot = if path.is_empty() { "" } else { "." };
-                flatten(&format!("{path}{dot}{name}"), value, paths);
-            }
-        }
-        Value::Array(items) if items.iter().any(Value::is_object) => {
-            paths.insert(format!("{path}.count"), items.len().to_string());
-            items.iter().enumerate().for_each(|(k, item)| flatten(&format!("{path}.{k}"), item, paths));
-        }
-        Value::Array(items) => {
-            let items = items.iter().filter_map(plain).map(|item| format!("{UNIT}{item}"));
-            paths.insert(path.to_string(), items.collect());
-        }
-        value => _ = plain(value).map(|value| paths.insert(path.to_string(), value)),
-    }
-}
-
 impl Config {
+    /// Parses the file.
+    ///
+    /// # Errors
+    /// The file is no JSON, or a field is missing or invalid; the error names the field's path.
     pub fn parse(bytes: &[u8]) -> Result<Self, Fault> {
         let config: Value = serde_json::from_slice(bytes)?;
         let settings = config.get("settings").ok_or_else(|| Fault::missing("settings"))?;
         if !settings.is_object() {
-            return Err(Fault::odd("settings", "an object"));
+            return Err(Fault::invalid("settings", settings, "an object"));
         }
-        let mut paths = BTreeMap::new();
-        flatten("", settings, &mut paths);
-        let seed = u64::from_str_radix(text(&config, "seed")?, 16);
+        let seed = string(&config, "seed")?;
         Ok(Config {
-            name: text(&config, "name")?.to_string(),
+            name: string(&config, "name")?.to_string(),
             listen: address(&config, "listen")?,
             discovery: address(&config, "discovery")?,
             relay: address(&config, "relay.address")?,
-            seed: seed.map_err(|_| Fault::odd("seed", "16 hex digits"))?,
-            known: config
-                .get("known")
-                .filter(|known| !known.is_null())
-                .map(|known| known.to_string().into_bytes()),
-            settings: paths,
+            seed: parse_seed(seed)?,
+            known: known_list(&config),
+            settings: paths::flatten(settings),
             limits: Limits { sockets: limit(&config, "sockets")?, memory_mb: limit(&config, "memory_mb")? },
         })
     }
 
-    /// What a running director cannot take over, by field: a digest each, to tell whether it has changed.
+    /// The fields that only a restart applies, each with a digest by which a change is detected. Digests hold within one
+    /// process only.
     pub fn fixed(&self) -> [(&'static str, u64); 4] {
-        fn digest(part: impl Hash) -> u64 {
-            let mut hasher = DefaultHasher::new();
-            part.hash(&mut hasher);
-            hasher.finish()
-        }
         [
             ("name", digest(&self.name)),
             ("listen", digest(self.listen)),
@@ -120,5 +74,43 @@
     }
 }
 
+fn digest(value: impl Hash) -> u64 {
+    let mut hasher = DefaultHasher::new();
+    value.hash(&mut hasher);
+    hasher.finish()
+}
+
+fn string<'a>(config: &'a Value, path: &str) -> Result<&'a str, Fault> {
+    let value = path.split('.').try_fold(config, |value, name| value.get(name));
+    let value = value.ok_or_else(|| Fault::missing(path))?;
+    value.as_str().ok_or_else(|| Fault::invalid(path, value, "a text"))
+}
+
+fn address(config: &Value, path: &str) -> Result<SocketAddr, Fault> {
+    let text = string(config, path)?;
+    let expected = "an address and a port, such as 127.0.0.1:8000";
+    text.parse().map_err(|_| Fault::invalid(path, text, expected))
+}
+
+fn parse_seed(text: &str) -> Result<u64, Fault> {
+    u64::from_str_radix(text, 16).map_err(|_| Fault::invalid("seed", text, "16 hex digits"))
+}
+
+fn known_list(config: &Value) -> Option<Vec<u8>> {
+    let list = config.get("known").filter(|list| !list.is_null())?;
+    Some(list.to_string().into_bytes())
+}
+
+fn limit(config: &Value, name: &str) -> Result<Option<u64>, Fault> {
+    let value = match config.get("limits").and_then(|limits| limits.get(name)) {
+        None | Some(Value::Null) => return Ok(None),
+        Some(value) => value,
+    };
+    match value.as_u64() {
+        Some(limit @ 1..=0xffff_ffff) => Ok(Some(limit)),
+        _ => Err(Fault::invalid(&format!("limits.{name}"), value, "a whole number from 1")),
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/director/protocol/src/config/tests.rs
+++ b/crates/director/protocol/src/config/tests.rs
@@ -7,7 +7,7 @@
         "settings":{"me":3,"zones":["a","b, c"],"limits":{"may-probe":true},"classes":[{"worth":3.0}],"new":null}}"#;
 
 #[test]
-fn settings_become_paths() {
+fn a_setting_without_its_path_is_noticed() {
     let config = Config::parse(CONFIG.as_bytes()).unwrap();
     let settings: Vec<(&str, &str)> =
         config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
@@ -26,7 +26,7 @@
 #[test_case("127.0.0.1:1", "127.0.0.1:4", "listen" ; "an address to listen at")]
 #[test_case(r#""me":3"#, r#""me":4"#, "settings" ; "a setting")]
 #[test_case("127.0.0.1:3", "127.0.0.1:4", "" ; "a relay is none of these")]
-fn what_only_a_start_takes(old: &str, new: &str, field: &str) {
+fn a_change_that_only_a_restart_applies_is_named(old: &str, new: &str, field: &str) {
     let [old, new] = [CONFIG.to_string(), CONFIG.replace(old, new)]
         .map(|text| Config::parse(text.as_bytes()).unwrap().fixed());
     let changed: Vec<&str> = old.iter().zip(&new).filter(|(a, b)| a != b).map(|(a, _)| a.0).collect();
@@ -39,8 +39,8 @@
 #[test_case("\"relay\"", "\"limits\":{\"sockets\":-1},\"relay\"", "limits.sockets: expected" ; "a limit below 0")]
 #[test_case("8c1f", "zz", "seed: expected" ; "a seed that is no number")]
 #[test_case(r#""settings":{"#, r#""settings":7,"x":{"#, "settings: expected an object" ; "settings that are a number")]
-fn faults_name_the_field(sound: &str, unsound: &str, expected: &str) {
-    let text = if sound == "{" { "{".to_string() } else { CONFIG.replace(sound, unsound) };
-    let fault = Config::parse(text.as_bytes()).unwrap_err().0;
-    assert!(fault.contains(expected), "{fault}");
+fn an_invalid_configuration_is_rejected_with_its_field(valid: &str, invalid: &str, expected: &str) {
+    let text = if valid == "{" { "{".to_string() } else { CONFIG.replace(valid, invalid) };
+    let error = Config::parse(text.as_bytes()).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -1,47 +1,69 @@
-//! Discovery's lists: the whole one, and objects of changes, one a line.
+//! Discovery's endpoint lists: the complete list on request, and the changes after a version as a stream of JSON objects,
+//! one a line.
 
-use crate::{sound, Fault};
+use crate::{non_negative, Fault};
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
+/// Characters that separate the orders and the words of the relay's lines, in which host ids stand.
+const RELAY_SEPARATORS: [char; 5] = [',', ';', ' ', '\r', '\n'];
+
+/// Whether a host takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum State {
+    /// In service.
     Ready,
+    /// Finishes what it has and takes nothing new.
     Draining,
+    /// Terminated.
     Gone,
 }
 
+/// One host of the list. Names borrow from the list's text wherever nothing in them is escaped.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Server<'a> {
+    /// Id of the host, safe to be written in an order to the relay.
     pub id: Cow<'a, str>,
+    /// Where it serves.
     pub address: SocketAddr,
+    /// Name of its zone.
     pub zone: Cow<'a, str>,
+    /// Name of its machine kind.
     pub kind: Cow<'a, str>,
+    /// The small group of hosts in its zone that it belongs to.
     pub cell: u64,
+    /// Whether it takes requests.
     pub state: State,
+    /// Capacity in relation to the others, not negative.
     pub weight: f64,
-    /// Wall time in milliseconds; 0: long ago.
+    /// When its process started: Unix time, milliseconds; 0: unknown, long ago.
     pub started_ms: u64,
 }
 
-/// An entry that could not be used, and whose it is if that can be told.
+/// An entry that could not be used.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Unsound {
+    /// Id of its host, if that can be told.
     pub id: Option<String>,
+    /// What is wrong with it.
     pub fault: Fault,
 }
 
+/// An endpoint list, or changes of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct List<'a> {
+    /// Version of the list after this message; it only rises.
     pub version: u64,
-    /// What is not in it is gone.
+    /// The list is complete: hosts that are not in it are gone.
     pub full: bool,
-    /// Each entry by itself: an unsound one costs only itself.
+    /// The entries. An invalid one does not spoil the others.
     pub servers: Vec<Result<Server<'a>, Unsound>>,
 }
 
+// Error texts quote the names of the following types.
+
 #[derive(Deserialize)]
 struct RawList<'a> {
     version: u64,
@@ -54,8 +76,8 @@
 struct RawServer<'a> {
     #[serde(borrow)]
     id: Cow<'a, str>,
-    #[serde(borrow)]
-    addr: Cow<'a, str>,
+    #[serde(borrow, rename = "addr")]
+    address: Cow<'a, str>,
     #[serde(borrow)]
     zone: Cow<'a, str>,
     #[serde(borrow)]
@@ -72,49 +94,66 @@
     id: String,
 }
 
-fn server(text: &str) -> Result<Server<'_>, Fault> {
-    let raw: RawServer<'_> = serde_json::from_str(text)?;
-    if raw.id.is_empty() || raw.id.contains([',', ';', ' ', '\r', '\n']) {
-        return Err(Fault::odd("id", "a name that can stand in an order"));
+impl State {
+    fn parse(word: &str) -> Result<Self, Fault> {
+        match word {
+            "in_service" => Ok(State::Ready),
+            "terminating" => Ok(State::Draining),
+            "terminated" => Ok(State::Gone),
+            unknown => Err(Fault::invalid("state", unknown, "in_service, terminating or terminated")),
+        }
     }
-    Ok(Server {
-        address: raw.addr.parse().map_err(|_| Fault::odd("addr", "an address and a port"))?,
-        state: match raw.state.as_ref() {
-            "in_service" => State::Ready,
-            "terminating" => State::Draining,
-            "terminated" => State::Gone,
-            _ => return Err(Fault::odd("state", "in_service, terminating or terminated")),
-        },
-        weight: sound(raw.weight, "weight")?,
-        id: raw.id,
-        zone: raw.zone,
-        kind: raw.kind,
-        cell: raw.cell,
-        started_ms: raw.started_ms,
+}
+
+impl<'a> Server<'a> {
+    fn parse(text: &'a str) -> Result<Self, Fault> {
+        let raw: RawServer<'a> = serde_json::from_str(text)?;
+        if raw.id.is_empty() || raw.id.contains(RELAY_SEPARATORS) {
+            return Err(Fault::invalid("id", raw.id, "a name that can stand in an order"));
+        }
+        let address = raw.address.parse();
+        Ok(Server {
+            address: address.map_err(|_| Fault::invalid("addr", &raw.address, "an address and a port"))?,
+            state: State::parse(&raw.state)?,
+            weight: non_negative(raw.weight, "weight")?,
+            id: raw.id,
+            zone: raw.zone,
+            kind: raw.kind,
+            cell: raw.cell,
+            started_ms: raw.started_ms,
+        })
+    }
+}
+
+fn parse_entry(entry: &RawValue) -> Result<Server<'_>, Unsound> {
+    let text = entry.get();
+    Server::parse(text).map_err(|fault| {
+        let id = serde_json::from_str::<RawId>(text).ok().map(|raw| raw.id);
+        Unsound { id, fault }
     })
 }
 
 impl<'a> List<'a> {
+    /// Parses one object.
+    ///
+    /// # Errors
+    /// The object is no endpoint list. Errors of single entries stand in [`List::servers`].
     pub fn parse(object: &'a [u8]) -> Result<Self, Fault> {
         let raw: RawList<'a> = serde_json::from_slice(object)?;
-        let entry = |value: &'a RawValue| {
-            server(value.get()).map_err(|fault| {
-                let id = serde_json::from_str::<RawId>(value.get()).ok().map(|raw| raw.id);
-                Unsound { id, fault }
-            })
-        };
-        let servers = raw.servers.into_iter().map(entry).collect();
+        let servers = raw.servers.into_iter().map(parse_entry).collect();
         Ok(List { version: raw.version, full: raw.full, servers })
     }
 }
 
-/// Where the whole list is.
+/// Path of the complete list.
 pub const LIST: &str = "/v1/endpoints";
 
-/// Where changes after a version are.
+/// Path and query of the stream of changes after version `since`; without a version it begins with the complete list.
 pub fn watch(since: Option<u64>) -> String {
-    let since = since.map_or(String::new(), |since| format!("&since={since}"));
-    format!("{LIST}?follow=1{since}")
+    match since {
+        Some(version) => format!("{LIST}?follow=1&since={version}"),
+        None => format!("{LIST}?follow=1"),
+    }
 }
 
 #[cfg(test)]
--- a/crates/director/protocol/src/discovery/tests.rs
+++ b/crates/director/protocol/src/discovery/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn entries_are_read() {
+fn an_entry_that_loses_a_field_is_noticed() {
     let text = list(ENTRY);
     let list = List::parse(text.as_bytes()).unwrap();
     let server = list.servers[0].as_ref().unwrap();
@@ -23,8 +23,8 @@
 #[test_case("127.0.0.1:8000", "nowhere", Some("s-5") ; "no address")]
 #[test_case(r#""id":"s-5","#, "", None ; "no id")]
 #[test_case(r#""id":"s-5""#, r#""id":"s;DEL,4""#, Some("s;DEL,4") ; "an id that would be an order")]
-fn an_unsound_entry_costs_only_itself(sound: &str, unsound: &str, id: Option<&str>) {
-    let text = list(&format!("{},{ENTRY}", ENTRY.replace(sound, unsound)));
+fn an_invalid_entry_does_not_spoil_the_others(valid: &str, invalid: &str, id: Option<&str>) {
+    let text = list(&format!("{},{ENTRY}", ENTRY.replace(valid, invalid)));
     let list = List::parse(text.as_bytes()).unwrap();
     assert_eq!(list.servers[0].as_ref().unwrap_err().id.as_deref(), id);
     assert!(list.servers[1].is_ok());
@@ -33,12 +33,12 @@
 #[test_case(b"{\"version\":43" ; "cut off")]
 #[test_case(b"{\"version\":-1,\"full\":true,\"servers\":[]}" ; "a negative version")]
 #[test_case(b"<html>" ; "no object")]
-fn no_list(text: &[u8]) {
+fn a_malformed_list_is_rejected(text: &[u8]) {
     assert!(List::parse(text).is_err());
 }
 
 #[test]
-fn paths() {
+fn a_watch_without_its_version_is_noticed() {
     assert_eq!(watch(Some(41)), "/v1/endpoints?follow=1&since=41");
     assert_eq!(watch(None), "/v1/endpoints?follow=1");
 }
--- a/crates/director/protocol/src/lib.rs
+++ b/crates/director/protocol/src/lib.rs
@@ -1,44 +1,22 @@
-//! The messages of the sockets, read and written without I/O: what collectors say, calls to the relay and its news,
-//! discovery's lists, load reports, the configuration. Their names end here. Only needed fields are parsed.
+//! The messages that a director exchanges on its sockets, parsed and written without I/O: collectors' reports, calls to
+//! the relay and its updates, discovery's endpoint lists, load reports, and the configuration file.
+//!
+//! The names on the wire stay inside this package. Only the fields that a director needs are parsed; others are ignored.
 
 pub mod collector;
 pub mod config;
 pub mod discovery;
+mod error;
 pub mod load;
 pub mod relay;
 
-/// What could not be used of a message, in words for one log line.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault(pub String);
+pub use error::Fault;
 
-impl Fault {
-    fn missing(field: &str) -> Self {
-        Fault(format!("field {field}: missing"))
-    }
-
-    fn odd(field: &str, expected: &str) -> Self {
-        Fault(format!("field {field}: expected {expected}"))
-    }
-}
-
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str(&self.0)
-    }
-}
-
-impl From<serde_json::Error> for Fault {
-    fn from(wrong: serde_json::Error) -> Self {
-        // The text may quote the input, whose length nobody vouches for.
-        Fault(wrong.to_string().chars().take(200).collect())
-    }
-}
-
-/// A figure that counts or weighs something.
-fn sound(value: f64, field: &str) -> Result<f64, Fault> {
+/// Checks a number that counts or weighs something: finite and not negative.
+fn non_negative(value: f64, field: &str) -> Result<f64, Fault> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
     } else {
-        Err(Fault::odd(field, "a number of 0 or more"))
+        Err(Fault::invalid(field, value, "a number of 0 or more"))
     }
 }
--- a/crates/director/protocol/src/load.rs
+++ b/crates/director/protocol/src/load.rs
@@ -1,54 +1,72 @@
-//! Load reports: pairs of name and figure, as JSON with the sums and as text in the answers to probes.
+//! Load reports of hosts: pairs of name and number, as JSON within collectors' messages and as text in the answers to
+//! health checks.
 
 use serde_json::Value;
 
-/// Where a host answers whether it serves, and where it does the same with its report.
+/// First word of a report as text.
+const TEXT_FORMAT: &str = "TEXT";
+
+/// Path at which a host answers whether it serves.
 pub const HEALTH: &str = "/health";
+
+/// Path at which a host answers whether it serves, with its load report as body.
 pub const LOAD: &str = "/status/load";
 
-/// The figures by the names that the settings give them.
+/// One load report: numbers by the names that the settings give them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
-    figures: Vec<(String, f64)>,
-    /// Entries that are no such figure.
+    values: Vec<(String, f64)>,
+    /// Number of entries that were ignored, as they were no finite number of 0 or more.
     pub odd: u64,
 }
 
 impl Report {
+    /// The value under this name; the first, if several are given.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.figures.iter().find(|(known, _)| known == name).map(|(_, figure)| *figure)
+        self.values.iter().find(|(known, _)| known == name).map(|(_, value)| *value)
     }
 
-    fn take(&mut self, name: &str, figure: Option<f64>) {
-        match figure.filter(|figure| figure.is_finite() && *figure >= 0.0) {
-            Some(figure) => self.figures.push((name.to_string(), figure)),
+    fn insert(&mut self, name: &str, value: Option<f64>) {
+        match value.filter(|value| value.is_finite() && *value >= 0.0) {
+            Some(value) => self.values.push((name.to_string(), value)),
             None => self.odd += 1,
         }
     }
 
-    pub(crate) fn json(value: &Value) -> Self {
+    /// Reads a report from JSON; null reports nothing, and anything else but an object counts as one ignored entry.
+    pub(crate) fn from_json(value: &Value) -> Self {
         let mut report = Report::default();
         match value {
-            Value::Object(pairs) => pairs.iter().for_each(|(name, value)| report.take(name, value.as_f64())),
+            Value::Object(entries) => {
+                for (name, value) in entries {
+                    report.insert(name, value.as_f64());
+                }
+            }
             Value::Null => {}
             _ => report.odd += 1,
         }
         report
     }
 
-    /// `TEXT inflight=7, queue=2`; an empty body reports nothing.
+    /// Reads a report from text such as `TEXT inflight=7, queue=2`. An empty text reports nothing, and any other form
+    /// counts as one ignored entry.
     pub fn text(body: &[u8]) -> Self {
         let mut report = Report::default();
         let text = String::from_utf8_lossy(body);
         let text = text.trim();
-        match text.strip_prefix("TEXT") {
-            Some(pairs) => {
-                for pair in pairs.split(',').map(str::trim).filter(|pair| !pair.is_empty()) {
-                    let (name, figure) = pair.split_once('=').unwrap_or((pair, ""));
-                    report.take(name.trim(), figure.trim().parse().ok());
-                }
+        if text.is_empty() {
+            return report;
+        }
+        let Some(entries) = text.strip_prefix(TEXT_FORMAT) else {
+            report.odd += 1;
+            return report;
+        };
+        for entry in entries.split(',').map(str::trim) {
+            if entry.is_empty() {
+                continue;
             }
-            None => report.odd += !text.is_empty() as u64,
+            let (name, value) = entry.split_once('=').unwrap_or((entry, ""));
+            report.insert(name.trim(), value.trim().parse().ok());
         }
         report
     }
--- a/crates/director/protocol/src/load/tests.rs
+++ b/crates/director/protocol/src/load/tests.rs
@@ -7,7 +7,7 @@
 #[test_case(b"TEXT q, lat_ms=3", None, Some(3.0), 1 ; "a name alone")]
 #[test_case(b"", None, None, 0 ; "nothing")]
 #[test_case(b"\xff\xfe<html>", None, None, 1 ; "no report")]
-fn texts(body: &[u8], q: Option<f64>, time: Option<f64>, odd: u64) {
+fn invalid_entries_of_a_text_are_counted(body: &[u8], q: Option<f64>, time: Option<f64>, odd: u64) {
     let report = Report::text(body);
     assert_eq!((report.get("q"), report.get("lat_ms"), report.odd), (q, time, odd));
 }
@@ -15,7 +15,7 @@
 #[test_case(r#"{"q":2,"lat_ms":"slow"}"#, Some(2.0), 1 ; "a word for a figure")]
 #[test_case(r#"[1]"#, None, 1 ; "no object")]
 #[test_case("null", None, 0 ; "none")]
-fn objects(json: &str, q: Option<f64>, odd: u64) {
-    let report = Report::json(&serde_json::from_str(json).unwrap());
+fn invalid_entries_of_an_object_are_counted(json: &str, q: Option<f64>, odd: u64) {
+    let report = Report::from_json(&serde_json::from_str(json).unwrap());
     assert_eq!((report.get("q"), report.odd), (q, odd));
 }
--- /dev/null
+++ b/crates/director/protocol/src/relay/answer.rs
@@ -0,0 +1,38 @@
+//! The relay's answers to calls.
+
+/// The answer to one call.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Answer {
+    /// This many orders were applied, from the first on.
+    Taken(usize),
+    /// The whole call was rejected for now and may be sent again.
+    Throttling,
+    /// The relay could not parse the call.
+    Invalid,
+    /// The line is no answer that is known.
+    Unreadable,
+}
+
+impl Answer {
+    /// Reads one line. What the relay says in an error is matched by whole words, wherever they stand.
+    pub fn parse(line: &[u8]) -> Self {
+        let Ok(text) = std::str::from_utf8(line) else {
+            return Answer::Unreadable;
+        };
+        let applied = text.strip_prefix("OK ").and_then(|count| count.trim().parse().ok());
+        if let Some(count) = applied {
+            return Answer::Taken(count);
+        }
+        if contains_word(text, "Throttling") {
+            return Answer::Throttling;
+        }
+        if contains_word(text, "ValidationError") {
+            return Answer::Invalid;
+        }
+        Answer::Unreadable
+    }
+}
+
+fn contains_word(text: &str, expected: &str) -> bool {
+    text.split(|character: char| !character.is_ascii_alphabetic()).any(|word| word == expected)
+}
--- a/crates/director/protocol/src/relay/tests.rs
+++ b/crates/director/protocol/src/relay/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 #[test]
-fn orders_are_written_as_the_page_shows() {
+fn an_order_that_the_relay_cannot_read_is_noticed() {
     let orders = [
         Order::Line { slice: 4, host: "s-5be2a07c", weight: 1.5 },
         Order::Clear { slice: 4 },
@@ -27,7 +27,7 @@
 #[test_case(b"-ERR Throttling: wait", Answer::Throttling)]
 #[test_case(b"ValidationError", Answer::Invalid)]
 #[test_case(b"\xf3\x01", Answer::Unreadable)]
-fn answers(line: &[u8], answer: Answer) {
+fn an_answer_that_is_misread_is_noticed(line: &[u8], answer: Answer) {
     assert_eq!(Answer::parse(line), answer);
 }
 
@@ -39,8 +39,8 @@
 #[test_case("* lease 88 1", News::Given { slice: 88 })]
 #[test_case("* lease 88 0", News::Taken { slice: 88 })]
 #[test_case("* line 88 s-5 1.0", News::StoredLine { slice: 88, host: "s-5", weight: 1.0 })]
-fn news(line: &str, news: News) {
-    assert_eq!(News::parse(line.as_bytes()), Ok(news));
+fn an_update_that_is_misread_is_noticed(line: &str, update: News) {
+    assert_eq!(News::parse(line.as_bytes()), Ok(update));
 }
 
 #[test_case(b"* hello 70000 a 1 1", "sidecar" ; "a number too high")]
@@ -48,7 +48,7 @@
 #[test_case(b"* lease 88 2", "yes" ; "neither given nor taken")]
 #[test_case(b"* hell", "no line" ; "cut off")]
 #[test_case(b"\xff", "no text" ; "no text")]
-fn faults(line: &[u8], expected: &str) {
-    let fault = News::parse(line).unwrap_err().0;
-    assert!(fault.contains(expected), "{fault}");
+fn an_invalid_update_is_rejected_with_its_field(line: &[u8], expected: &str) {
+    let error = News::parse(line).unwrap_err().to_string();
+    assert!(error.contains(expected), "{error}");
 }
--- a/crates/director/protocol/tests/wire_format.rs
+++ b/crates/director/protocol/tests/wire_format.rs
@@ -326,13 +326,23 @@
 
     #[test]
     fn nested_settings_keep_their_paths() {
-        let settings = r#"{"a":{"b":1,"c":[true,2,"x,y"]},"d":[{"e":"f"},7],"g":null,"h":[],"i":1.50}"#;
+        let settings =
+            r#"{"a":{"b":1,"c":[true,2,"x,y"]},"d":[{"e":"f"},7],"g":null,"h":[],"i":1.50,"":[{"j":8}]}"#;
         let text = CONFIG.replace(r#"{"me":3}"#, settings);
         let config = Config::parse(text.as_bytes()).unwrap();
         let paths: Vec<String> =
             config.settings.iter().map(|(path, value)| format!("{path}={value}")).collect();
-        let expected =
-            ["a.b=1", "a.c=\u{1f}true\u{1f}2\u{1f}x,y", "d.0.e=f", "d.1=7", "d.count=2", "h=", "i=1.5"];
+        let expected = [
+            ".0.j=8",
+            ".count=1",
+            "a.b=1",
+            "a.c=\u{1f}true\u{1f}2\u{1f}x,y",
+            "d.0.e=f",
+            "d.1=7",
+            "d.count=2",
+            "h=",
+            "i=1.5",
+        ];
         assert_eq!(paths, expected);
     }
 
--- a/crates/director/service/src/reducer/list.rs
+++ b/crates/director/service/src/reducer/list.rs
@@ -158,7 +158,7 @@
             Err(fault) => {
                 // What it would have told comes again on a watch from the version held.
                 out.counters.lists_bad += 1;
-                self.down(now, id, &fault.0, out);
+                self.down(now, id, &fault.to_string(), out);
                 return None;
             }
         };
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -122,8 +122,8 @@
 }
 
 /// What a message names, if we know it by that name.
-fn named<T>(field: &str, found: Result<T, String>) -> Result<T, Fault> {
-    found.map_err(|expected| Fault(format!("field {field}: expected {expected}")))
+fn named<T>(field: &str, found: Result<T, impl std::fmt::Display>) -> Result<T, Fault> {
+    found.map_err(|expected| Fault::expected(field, expected))
 }
 
 /// The settings of a configuration that can be used in every field, and the list that it remembers.
@@ -393,14 +393,14 @@
         while let Some((sender, line)) = self.taken.next(now, conn, &mut bytes, &mut self.out) {
             let used = match &line {
                 Framed::Line(line) => self.understood(now, conn, sender, line),
-                Framed::TooLong => Err(Fault("a line that is too long".to_string())),
+                Framed::TooLong => Err(Fault::LineTooLong),
             };
             let Err(fault) = used else {
                 self.taken.judged(now, conn, true, &mut self.out);
                 continue;
             };
             if sender == Sender::New {
-                self.taken.drop(now, conn, &fault.0, &mut self.out);
+                self.taken.drop(now, conn, &fault.to_string(), &mut self.out);
                 return;
             }
             self.out.counters.lines_bad += 1;
@@ -418,7 +418,7 @@
                 self.taken.joined(now, conn, zone, &mut self.out);
             }
             // What anybody may say must not reach the decisions.
-            _ if sender == Sender::New => return Err(Fault("a report before joining".to_string())),
+            _ if sender == Sender::New => return Err(Fault::ReportBeforeJoining),
             Line::Tries { zone, host, tries, dropped, rt, span, report } => {
                 let zone = named("az", self.names.zone(&zone))?;
                 let host = self.names.known_host(&host).ok_or("a host that was listed".to_string());
@@ -465,7 +465,7 @@
             self.out.counters.news_lines += 1;
             let news = match &line {
                 Framed::Line(line) => NewsLine::parse(line),
-                Framed::TooLong => Err(Fault("a line without an end".to_string())),
+                Framed::TooLong => Err(Fault::UnterminatedLine),
             };
             match news.map(|news| self.item(news)) {
                 Ok(Ok(item)) => self.news.take(now, link, item, &mut self.out),
@@ -476,7 +476,7 @@
                 Err(fault) => {
                     // What else it would have told can't be relied on; a new connection is told all that stands.
                     self.out.counters.news_bad += 1;
-                    self.news.down(now, link, &fault.0, &mut self.out);
+                    self.news.down(now, link, &fault.to_string(), &mut self.out);
                 }
             }
         }
--- a/crates/director/service/src/reducer/ranges.rs
+++ b/crates/director/service/src/reducer/ranges.rs
@@ -75,5 +75,5 @@
     if figure <= most {
         return Ok(figure);
     }
-    Err(Fault(format!("field {field}: expected {most:.0} at most")))
+    Err(Fault::invalid(field, figure, format!("{most:.0} at most")))
 }
--- a/crates/director/service/src/reducer/tests.rs
+++ b/crates/director/service/src/reducer/tests.rs
@@ -641,7 +641,7 @@
 
 fn configured(relay: u16, more: &str) -> Event {
     let text = CONFIG.replace("127.0.0.1:3", &format!("127.0.0.1:{relay}")).replace("\"m2\"", more);
-    Event::Reload(Box::new(Config::parse(text.as_bytes()).map_err(|fault| fault.0)))
+    Event::Reload(Box::new(Config::parse(text.as_bytes()).map_err(|fault| fault.to_string())))
 }
 
 #[test_case(configured(3, "\"m2\""), "taken, discovery 127.0.0.1:2, relay 127.0.0.1:3", 0 ; "unchanged")]
