--- a/crates/tools/bench-adapter/src/names.rs
+++ b/crates/tools/bench-adapter/src/names.rs
@@ -197,3 +197,6 @@
 fn load(telemetry: &Option<wire::Telemetry>) -> api::Load {
     settings::load(|name| telemetry.as_ref().and_then(|t| t.get(name)))
 }
+
+#[cfg(test)]
+mod tests;
