--- a/crates/director/protocol/src/collector.rs
+++ b/crates/director/protocol/src/collector.rs
@@ -1,7 +1,8 @@
 //! Messages to the director's own address: a JSON object a line, from collectors and from health checks.
 
 use crate::load::Report;
-use crate::{non_negative, Fault};
+use crate::number::non_negative;
+use crate::Fault;
 use serde::Deserialize;
 use std::borrow::Cow;
 
--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -1,7 +1,8 @@
 //! Discovery's endpoint lists: the complete list on request, and the changes after a version as a stream of JSON objects,
 //! one a line.
 
-use crate::{non_negative, Fault};
+use crate::number::non_negative;
+use crate::Fault;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
--- a/crates/director/protocol/src/lib.rs
+++ b/crates/director/protocol/src/lib.rs
@@ -8,15 +8,7 @@
 pub mod discovery;
 mod error;
 pub mod load;
+mod number;
 pub mod relay;
 
 pub use error::Fault;
-
-/// Checks a number that counts or weighs something: finite and not negative.
-fn non_negative(value: f64, field: &str) -> Result<f64, Fault> {
-    if value.is_finite() && value >= 0.0 {
-        Ok(value)
-    } else {
-        Err(Fault::invalid(field, value, "a number of 0 or more"))
-    }
-}
--- a/crates/director/protocol/src/relay/update.rs
+++ b/crates/director/protocol/src/relay/update.rs
@@ -1,6 +1,7 @@
 //! Updates that the relay sends without being asked again.
 
-use crate::{non_negative, Fault};
+use crate::number::non_negative;
+use crate::Fault;
 
 /// One update. Names borrow from the line.
 #[derive(Clone, Debug, PartialEq)]
