--- a/crates/director/settings/src/names.rs
+++ b/crates/director/settings/src/names.rs
@@ -1,126 +1,150 @@
-//! Where names end: what the settings and the list name becomes numbers, and times of a foreign clock seconds.
+//! Names of zones, machine kinds, routes and hosts, and the numbers by which the decisions know them.
 
-use crate::{span, Boot};
+use crate::boot::{Boot, List};
 use coppersail::interface as api;
 use std::collections::BTreeMap;
-
-/// Outside, times are whole nanoseconds of a clock that starts anywhere. Inside they are seconds since the
-/// director's start, which a fraction holds to the nanosecond for weeks.
-#[derive(Clone, Copy)]
-pub struct Clock {
-    origin_ns: u64,
+use std::fmt;
+
+/// What a name stands for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum NameKind {
+    /// A zone.
+    Zone,
+    /// A kind of machine.
+    MachineKind,
+    /// A route.
+    Route,
 }
 
-impl Clock {
-    pub fn starting(origin_ns: u64) -> Self {
-        Clock { origin_ns }
-    }
-    pub fn seconds(self, ns: u64) -> f64 {
-        let (ahead, behind) = (ns.saturating_sub(self.origin_ns), self.origin_ns.saturating_sub(ns));
-        span(ahead) - span(behind)
-    }
-    pub fn nanoseconds(self, at: f64) -> u64 {
-        let ns = (at * 1e9).round();
-        if ns < 0.0 {
-            self.origin_ns.saturating_sub(-ns as u64)
-        } else {
-            self.origin_ns.saturating_add(ns as u64)
-        }
+impl fmt::Display for NameKind {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(match self {
+            NameKind::Zone => "a zone",
+            NameKind::MachineKind => "a kind",
+            NameKind::Route => "a class",
+        })
     }
 }
 
-/// The names of one director's settings, and the hosts that it has been told of.
+/// A name that the settings don't give. Its text says what was expected instead, to follow the name of a field.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{kind} of the settings, one of {}", .known.join(", "))]
+pub struct UnknownName {
+    /// The name that was found.
+    pub name: String,
+    /// What it was to stand for.
+    pub kind: NameKind,
+    /// The names that the settings give.
+    pub known: Vec<String>,
+}
+
+/// The names of one director's settings, and the hosts that it knows.
 pub struct Names {
     zones: Vec<String>,
-    kinds: Vec<String>,
+    machine_kinds: Vec<String>,
     routes: Vec<String>,
-    /// Names by number, and numbers by name. No number is used again, so what is late to name a host that was
-    /// forgotten names nobody.
-    hosts: BTreeMap<api::HostId, String>,
-    numbers: BTreeMap<String, api::HostId>,
-    next: u32,
-}
-
-fn place(list: &[String], name: &str, what: &str) -> Result<u16, String> {
-    let at = list.iter().position(|known| known == name);
-    at.map(|at| at as u16).ok_or_else(|| format!("{what} of the settings, one of {}", list.join(", ")))
+    host_names: BTreeMap<api::HostId, String>,
+    /// The reverse of `host_names`.
+    host_ids: BTreeMap<String, api::HostId>,
+    /// Ids are not reused, so that a late message about a forgotten host concerns no other host.
+    next_host_id: u32,
 }
 
 impl Names {
+    /// The names of the settings, and no hosts.
     pub fn new(boot: &Boot) -> Self {
-        let names = |list: &Option<crate::boot::List<String>>| list.clone().unwrap_or_default().0;
+        let list = |names: &Option<List<String>>| names.clone().unwrap_or_default().0;
+        let route_name = |class: &crate::boot::Class| class.name.clone().unwrap_or_default();
         Names {
-            zones: names(&boot.top.zones),
-            kinds: names(&boot.top.kinds),
-            routes: boot.classes.iter().map(|class| class.name.clone().unwrap_or_default()).collect(),
-            hosts: BTreeMap::new(),
-            numbers: BTreeMap::new(),
-            next: 0,
+            zones: list(&boot.top.zones),
+            machine_kinds: list(&boot.top.kinds),
+            routes: boot.classes.iter().map(route_name).collect(),
+            host_names: BTreeMap::new(),
+            host_ids: BTreeMap::new(),
+            next_host_id: 0,
         }
     }
 
-    /// The host's number, a new one when it is first named.
+    /// The host's id, a new one when the name is seen for the first time or was forgotten.
     pub fn host(&mut self, name: &str) -> api::HostId {
-        if let Some(host) = self.numbers.get(name) {
+        if let Some(host) = self.host_ids.get(name) {
             return *host;
         }
-        let host = api::HostId(self.next);
-        self.next += 1;
-        self.hosts.insert(host, name.to_string());
-        self.numbers.insert(name.to_string(), host);
+        let host = api::HostId(self.next_host_id);
+        self.next_host_id += 1;
+        self.host_names.insert(host, name.to_string());
+        self.host_ids.insert(name.to_string(), host);
         host
     }
 
+    /// The host's id, if the host is known.
     pub fn known_host(&self, name: &str) -> Option<api::HostId> {
-        self.numbers.get(name).copied()
+        self.host_ids.get(name).copied()
     }
 
+    /// The host's name, or `(forgotten)`.
     pub fn host_name(&self, host: api::HostId) -> &str {
-        self.hosts.get(&host).map_or("(forgotten)", String::as_str)
+        self.host_names.get(&host).map_or("(forgotten)", String::as_str)
     }
 
-    /// Gives a host's name back.
+    /// Removes a host.
     pub fn forget(&mut self, host: api::HostId) {
-        self.hosts.remove(&host).into_iter().for_each(|name| _ = self.numbers.remove(&name));
+        if let Some(name) = self.host_names.remove(&host) {
+            self.host_ids.remove(&name);
+        }
     }
 
+    /// Number of known hosts.
     pub fn count(&self) -> usize {
-        self.hosts.len()
+        self.host_names.len()
     }
 
-    /// What a log line says, with the names of the hosts that it is about.
+    /// The text of a log line, followed by the names of the hosts that it is about.
     pub fn said(&self, text: &str, hosts: &[api::HostId]) -> String {
+        if hosts.is_empty() {
+            return text.to_string();
+        }
         let names: Vec<&str> = hosts.iter().map(|host| self.host_name(*host)).collect();
-        let colon = if names.is_empty() { "" } else { ": " };
-        format!("{text}{colon}{}", names.join(" "))
+        format!("{text}: {}", names.join(" "))
     }
 
-    pub fn zone(&self, name: &str) -> Result<api::ZoneId, String> {
-        place(&self.zones, name, "a zone").map(api::ZoneId)
+    /// The number of a zone.
+    ///
+    /// # Errors
+    /// The settings give no zone of this name.
+    pub fn zone(&self, name: &str) -> Result<api::ZoneId, UnknownName> {
+        index_of(name, &self.zones, NameKind::Zone).map(api::ZoneId)
     }
 
-    pub fn kind(&self, name: &str) -> Result<api::KindId, String> {
-        place(&self.kinds, name, "a kind").map(api::KindId)
+    /// The number of a machine kind.
+    ///
+    /// # Errors
+    /// The settings give no machine kind of this name.
+    pub fn kind(&self, name: &str) -> Result<api::KindId, UnknownName> {
+        index_of(name, &self.machine_kinds, NameKind::MachineKind).map(api::KindId)
     }
 
-    pub fn route(&self, name: &str) -> Result<api::RouteId, String> {
-        place(&self.routes, name, "a class").map(api::RouteId)
+    /// The number of a route.
+    ///
+    /// # Errors
+    /// The settings give no route of this name.
+    pub fn route(&self, name: &str) -> Result<api::RouteId, UnknownName> {
+        index_of(name, &self.routes, NameKind::Route).map(api::RouteId)
     }
 
+    /// The name of a route.
+    ///
+    /// # Panics
+    /// The settings have fewer routes.
     pub fn route_name(&self, route: api::RouteId) -> &str {
-        &self.routes[route.0 as usize]
+        &self.routes[usize::from(route.0)]
     }
 }
 
-/// A load report, of which `value` finds the figures by their names.
-pub fn load(value: impl Fn(&str) -> Option<f64>) -> api::Load {
-    api::Load {
-        in_hand: value("rif"),
-        waiting: value("q"),
-        busy: value("busy"),
-        service_time: value("lat_ms").map(|ms| ms / 1e3),
-        answered_per_s: value("rate"),
-        errors_per_s: value("fail_rate"),
+fn index_of(name: &str, known: &[String], kind: NameKind) -> Result<u16, UnknownName> {
+    match known.iter().position(|known| known == name) {
+        Some(index) => Ok(index as u16),
+        None => Err(UnknownName { name: name.to_string(), kind, known: known.to_vec() }),
     }
 }
 
--- a/crates/director/settings/src/names/tests.rs
+++ b/crates/director/settings/src/names/tests.rs
@@ -1,18 +1,8 @@
 //! Tests of the module `names`.
 use super::*;
-use test_case::test_case;
-
-#[test_case(0, 1 ; "from zero")]
-#[test_case(1_766_000_000_123_456_789, 86_400_000_000_001 ; "a day after a clock of this century")]
-#[test_case(5_000, 4_999 ; "before the start")]
-fn times_come_back_to_the_nanosecond(origin: u64, ahead: u64) {
-    let clock = Clock::starting(origin);
-    assert_eq!(clock.nanoseconds(clock.seconds(origin + ahead)), origin + ahead);
-    assert_eq!(clock.nanoseconds(clock.seconds(origin - origin.min(ahead))), origin - origin.min(ahead));
-}
 
 #[test]
-fn hosts_come_back_as_named() {
+fn a_host_that_comes_back_under_another_name_is_noticed() {
     let mut names = Names::new(&Boot::default());
     let (first, second) = (names.host("10.0.0.1:80"), names.host("10.0.0.2:80"));
     assert_eq!(names.host("10.0.0.1:80"), first, "once numbered, always the same");
@@ -20,10 +10,18 @@
 }
 
 #[test]
-fn a_name_that_was_given_back_gets_another_number() {
+fn a_forgotten_host_whose_number_is_reused_is_noticed() {
     let mut names = Names::new(&Boot::default());
     let first = names.host("10.0.0.1:80");
     names.forget(first);
     assert_eq!((names.count(), names.known_host("10.0.0.1:80")), (0, None));
     assert_ne!(names.host("10.0.0.1:80"), first, "what is late for the old one must not meet the new one");
 }
+
+#[test]
+fn an_unknown_name_without_the_name_found_is_noticed() {
+    let top = crate::boot::Top { zones: Some(List(vec!["a".into()])), ..Default::default() };
+    let names = Names::new(&Boot { top, ..Boot::default() });
+    let expected = UnknownName { name: "x".into(), kind: NameKind::Zone, known: vec!["a".into()] };
+    assert_eq!(names.zone("x"), Err(expected));
+}
--- a/crates/tools/bench-adapter/src/fleet.rs
+++ b/crates/tools/bench-adapter/src/fleet.rs
@@ -1,40 +1,101 @@
-//! Hosts the instances: deals a batch's events out to them and gathers their orders. Each instance is kept as if
-//! it ran alone.
+//! The director instances: each gets its events of a batch and answers with its orders, as if it ran alone.
 
-use crate::names::{scope_of, Names};
+use crate::error::InvalidEvent;
+use crate::names::Names;
+use crate::{input, output};
 use coppersail::interface::{Input, Listing};
-use coppersail_bench_codec::{Batch, Event, Fault, Order, Text};
+use coppersail_bench_codec::{Batch, Event, InvalidLine, Order, Text};
 use coppersail_capacity_guard::{Guarded, Mode};
-use coppersail_settings::{settings, Clock};
+use coppersail_settings::{settings, Boot, Clock};
+use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
+/// An event with the number of its line.
+type NumberedEvent = (u64, Event);
+
 struct Instance {
     names: Names,
     director: Guarded,
-    /// What came for it in this batch; none: no event, so it does not act.
+    /// The inputs of this batch; none: the instance had no event, so it is not asked for orders.
     inputs: Option<Vec<Input>>,
 }
 
+/// All instances, by their numbers.
 #[derive(Default)]
-pub struct Fleet {
+pub(crate) struct Fleet {
     instances: BTreeMap<u64, Instance>,
-    /// What stands between the decisions and the wire.
     guard: Mode,
 }
 
-fn fault(line: u64, message: &str, field: &str, expected: String) -> Fault {
-    Fault { line, message: message.to_string(), field: field.to_string(), expected }
+impl Instance {
+    fn new(boot: &Boot, seed: u64, guard: Mode, clock_ns: u64) -> Self {
+        let director = match guard {
+            Mode::Off => Guarded::plain(settings(boot), seed),
+            mode => Guarded::new(settings(boot), seed, mode),
+        };
+        Instance { names: Names::new(boot, Clock::starting(clock_ns)), director, inputs: Some(Vec::new()) }
+    }
+
+    fn handle(&mut self, line: u64, event: &Event, items: &[NumberedEvent]) -> Result<(), InvalidLine> {
+        let input = if let Event::Members { scope, rev, count, .. } = event {
+            let entries = self.listings(line, count.unwrap_or(0), items)?;
+            Some(Input::Hosts { scope: input::list_scope(*scope), version: *rev, entries })
+        } else {
+            let input = input::input(event, &mut self.names);
+            input.map_err(|invalid| invalid.on_line(line, event.first_word()))?
+        };
+        if let Some(input) = input {
+            self.inputs.get_or_insert_default().push(input);
+        }
+        Ok(())
+    }
+
+    /// A list counts only complete: where an entry is missing, its host would pass for gone.
+    fn listings(
+        &mut self,
+        line: u64,
+        count: u64,
+        items: &[NumberedEvent],
+    ) -> Result<Vec<Listing>, InvalidLine> {
+        if items.len() as u64 != count {
+            let expected = format!("{count} sound ITEM lines behind it, not {}", items.len());
+            return Err(InvalidEvent::order("members-list", expected).on_line(line, "MEMBERS"));
+        }
+        let mut listings = Vec::new();
+        for (line, item) in items {
+            let listing = input::listing(item, &mut self.names);
+            listings.push(listing.map_err(|invalid| invalid.on_line(*line, "ITEM"))?);
+        }
+        Ok(listings)
+    }
+
+    /// Appends the orders of instance `who`, if it had events; a panic of its decisions becomes its failure.
+    fn decide(&mut self, who: u64, clock_ns: u64, orders: &mut Vec<Order>) {
+        let Some(inputs) = self.inputs.take() else {
+            return;
+        };
+        let now = self.names.clock.seconds(clock_ns);
+        match catch_unwind(AssertUnwindSafe(|| self.director.handle(now, &inputs))) {
+            Ok(decided) => {
+                for order in decided {
+                    orders.extend(output::order(who, order, &mut self.names));
+                }
+            }
+            Err(panic) => orders.push(Order::GiveIn { who, reason: Text(panic_text(&*panic)) }),
+        }
+    }
 }
 
 impl Fleet {
-    pub fn guarded(guard: Mode) -> Self {
+    /// No instances yet; each will have a capacity guard in this mode.
+    pub(crate) fn new(guard: Mode) -> Self {
         Fleet { instances: BTreeMap::new(), guard }
     }
 
-    /// Carries out one batch: the orders of all instances, and what was wrong with its lines.
-    pub fn batch(&mut self, batch: Batch) -> (Vec<Order>, Vec<Fault>) {
-        let mut faults = batch.faults;
+    /// Carries out one batch: the orders of all instances, and what was wrong with its lines, in the order of lines.
+    pub(crate) fn handle_batch(&mut self, batch: Batch) -> (Vec<Order>, Vec<InvalidLine>) {
+        let mut errors = batch.errors;
         let mut events = batch.events.into_iter().peekable();
         while let Some((line, event)) = events.next() {
             let mut items = Vec::new();
@@ -43,106 +104,74 @@
                     items.push(item);
                 }
             }
-            if let Err(wrong) = self.event(line, &event, &items, batch.clock_ns) {
-                faults.push(wrong);
+            if let Err(invalid) = self.handle(line, &event, &items, batch.clock_ns) {
+                errors.push(invalid);
             }
         }
         let mut orders = Vec::new();
         for (who, instance) in &mut self.instances {
-            if let Some(inputs) = instance.inputs.take() {
-                act(*who, instance, batch.clock_ns, &inputs, &mut orders);
-            }
+            instance.decide(*who, batch.clock_ns, &mut orders);
         }
-        faults.sort_by_key(|wrong| wrong.line);
-        (orders, faults)
+        errors.sort_by_key(|invalid| invalid.line);
+        (orders, errors)
     }
 
-    fn event(
+    fn handle(
         &mut self,
         line: u64,
         event: &Event,
-        items: &[(u64, Event)],
+        items: &[NumberedEvent],
         clock_ns: u64,
-    ) -> Result<(), Fault> {
-        let (word, who) = address(event);
-        let Some(who) = who else {
-            return Err(fault(line, word, "(first word)", "a MEMBERS line before it".to_string()));
+    ) -> Result<(), InvalidLine> {
+        let word = event.first_word();
+        let Some(who) = instance_of(event) else {
+            return Err(InvalidEvent::order("(first word)", "a MEMBERS line before it").on_line(line, word));
         };
         if let Event::Configure { seed, boot, .. } = event {
-            let clock = Clock::starting(clock_ns);
-            let director = match self.guard {
-                Mode::Off => Guarded::plain(settings(boot), *seed),
-                mode => Guarded::new(settings(boot), *seed, mode),
-            };
-            let instance = Instance { names: Names::new(boot, clock), director, inputs: Some(Vec::new()) };
+            let instance = Instance::new(boot, *seed, self.guard, clock_ns);
             self.instances.insert(who, instance);
             return Ok(());
         }
-        let unknown =
-            || fault(line, word, "who", "an instance that was configured and not stopped".to_string());
+        let Some(instance) = self.instances.get_mut(&who) else {
+            let expected = "an instance that was configured and not stopped";
+            return Err(InvalidEvent::value("who", who, expected).on_line(line, word));
+        };
         if let Event::Stop { .. } = event {
-            return self.instances.remove(&who).map(|_| ()).ok_or_else(unknown);
+            self.instances.remove(&who);
+            return Ok(());
         }
-        let instance = self.instances.get_mut(&who).ok_or_else(unknown)?;
-        let input = match event {
-            Event::Members { scope, rev, count, .. } => {
-                let entries = entries(&mut instance.names, line, count.unwrap_or(0), items)?;
-                Input::Hosts { scope: scope_of(*scope), version: *rev, entries }
-            }
-            _ => match instance.names.input(event) {
-                Ok(Some(input)) => input,
-                Ok(None) => return Ok(()),
-                Err((field, expected)) => return Err(fault(line, word, field, expected)),
-            },
-        };
-        instance.inputs.get_or_insert_default().push(input);
-        Ok(())
+        instance.handle(line, event, items)
     }
 }
 
-/// A list counts only whole: with an entry missing, a host would look gone that is not.
-fn entries(names: &mut Names, line: u64, count: u64, items: &[(u64, Event)]) -> Result<Vec<Listing>, Fault> {
-    if items.len() as u64 != count {
-        let expected = format!("{count} sound ITEM lines behind it, not {}", items.len());
-        return Err(fault(line, "MEMBERS", "members-list", expected));
+fn panic_text(panic: &(dyn Any + Send)) -> String {
+    if let Some(text) = panic.downcast_ref::<&str>() {
+        return text.to_string();
     }
-    let listing = |(line, item): &(u64, Event)| {
-        names.listing(item).map_err(|(field, expected)| fault(*line, "ITEM", field, expected))
-    };
-    items.iter().map(listing).collect()
-}
-
-fn act(who: u64, instance: &mut Instance, clock_ns: u64, inputs: &[Input], orders: &mut Vec<Order>) {
-    let now = instance.names.clock.seconds(clock_ns);
-    match catch_unwind(AssertUnwindSafe(|| instance.director.handle(now, inputs))) {
-        Ok(given) => orders.extend(given.into_iter().filter_map(|order| instance.names.order(who, order))),
-        Err(panic) => {
-            let text = panic.downcast_ref::<&str>().map(|text| text.to_string());
-            let text = text.or_else(|| panic.downcast_ref::<String>().cloned());
-            let reason = Text(text.unwrap_or_else(|| "the decisions crashed".to_string()));
-            orders.push(Order::GiveIn { who, reason });
-        }
+    match panic.downcast_ref::<String>() {
+        Some(text) => text.clone(),
+        None => "the decisions crashed".to_string(),
     }
 }
 
-/// The first word of an event's line and the instance that it is for.
-fn address(event: &Event) -> (&'static str, Option<u64>) {
+/// The number of the instance that an event is for; none for an entry of a list, which follows its `MEMBERS`.
+fn instance_of(event: &Event) -> Option<u64> {
     match event {
-        Event::Configure { who, .. } => ("CONFIGURE", Some(*who)),
-        Event::Members { who, .. } => ("MEMBERS", Some(*who)),
-        Event::Item { .. } => ("ITEM", None),
-        Event::Heat { who, .. } => ("HEAT", Some(*who)),
-        Event::Tenure { who, .. } => ("TENURE", Some(*who)),
-        Event::Stop { who } => ("STOP", Some(*who)),
-        Event::Reminder { who, .. } => ("REMINDER", Some(*who)),
-        Event::CheckedIn { who, .. } => ("CHECKED_IN", Some(*who)),
-        Event::CurrentOwner { who, .. } => ("CURRENT_OWNER", Some(*who)),
-        Event::Datagram { who, .. } => ("DATAGRAM", Some(*who)),
-        Event::Pong { who, .. } => ("PONG", Some(*who)),
-        Event::Receipt { who, .. } => ("RECEIPT", Some(*who)),
-        Event::DroppedOff { who, .. } => ("DROPPED_OFF", Some(*who)),
-        Event::Intake { who, .. } => ("INTAKE", Some(*who)),
-        Event::Roundup { who, .. } => ("ROUNDUP", Some(*who)),
+        Event::Item { .. } => None,
+        Event::Configure { who, .. }
+        | Event::Members { who, .. }
+        | Event::Heat { who, .. }
+        | Event::Tenure { who, .. }
+        | Event::Stop { who }
+        | Event::Reminder { who, .. }
+        | Event::CheckedIn { who, .. }
+        | Event::CurrentOwner { who, .. }
+        | Event::Datagram { who, .. }
+        | Event::Pong { who, .. }
+        | Event::Receipt { who, .. }
+        | Event::DroppedOff { who, .. }
+        | Event::Intake { who, .. }
+        | Event::Roundup { who, .. } => Some(*who),
     }
 }
 
--- a/crates/tools/bench-adapter/src/main.rs
+++ b/crates/tools/bench-adapter/src/main.rs
@@ -1,44 +1,68 @@
-//! `coppersail-wirehost`: the decisions on the bench's wire, standard input to standard output.
+//! `coppersail-wirehost`: hosts director instances behind the bench's line protocol. Batches of events come on standard
+//! input, replies go to standard output, and errors of the input to standard error, a line each.
 
-mod host;
+mod error;
+mod fleet;
+mod input;
 mod names;
+mod output;
 
-use coppersail_bench_codec::{write_reply, Fault, Reader};
+use coppersail_bench_codec::{write_reply, InvalidLine, Reader};
 use coppersail_capacity_guard::Mode;
+use fleet::Fleet;
 use std::io::{self, Write};
+use std::process::ExitCode;
 
-fn complain(faults: &[Fault]) {
-    for fault in faults {
-        eprintln!("coppersail-wirehost: {fault}");
+/// Exit status for an argument that is unknown.
+const EXIT_USAGE: u8 = 2;
+
+const INPUT_BUFFER_BYTES: usize = 1 << 16;
+
+fn main() -> io::Result<ExitCode> {
+    let argument = std::env::args().nth(1);
+    let Some(guard) = parse_guard(argument.as_deref()) else {
+        eprintln!("coppersail-wirehost: expected --guard=watch, --guard=on or nothing");
+        return Ok(ExitCode::from(EXIT_USAGE));
+    };
+    serve(Fleet::new(guard))?;
+    Ok(ExitCode::SUCCESS)
+}
+
+fn parse_guard(argument: Option<&str>) -> Option<Mode> {
+    match argument {
+        None => Some(Mode::Off),
+        Some("--guard=watch") => Some(Mode::Watch),
+        Some("--guard=on") => Some(Mode::On),
+        Some(_) => None,
     }
 }
 
-fn main() -> io::Result<()> {
-    let mut input = Reader::new(io::BufReader::with_capacity(1 << 16, io::stdin().lock()));
+/// Answers batches until the input ends.
+fn serve(mut fleet: Fleet) -> io::Result<()> {
+    let stdin = io::BufReader::with_capacity(INPUT_BUFFER_BYTES, io::stdin().lock());
+    let mut reader = Reader::new(stdin);
     let mut output = io::stdout().lock();
-    let guard = match std::env::args().nth(1).as_deref() {
-        None => Mode::Off,
-        Some("--guard=watch") => Mode::Watch,
-        Some("--guard=on") => Mode::On,
-        Some(_) => {
-            eprintln!("coppersail-wirehost: expected --guard=watch, --guard=on or nothing");
-            std::process::exit(2);
-        }
-    };
-    let mut fleet = host::Fleet::guarded(guard);
     let mut reply = String::new();
-    while let Some(batch) = input.next_batch()? {
-        match batch {
-            Ok(batch) => {
-                let (orders, faults) = fleet.batch(batch);
-                complain(&faults);
-                reply.clear();
-                write_reply(&orders, &mut reply);
-                output.write_all(reply.as_bytes())?;
-                output.flush()?;
+    while let Some(batch) = reader.next_batch()? {
+        let batch = match batch {
+            Ok(batch) => batch,
+            Err(errors) => {
+                report(&errors);
+                continue;
             }
-            Err(faults) => complain(&faults),
-        }
+        };
+        let (orders, errors) = fleet.handle_batch(batch);
+        report(&errors);
+        reply.clear();
+        write_reply(&orders, &mut reply);
+        output.write_all(reply.as_bytes())?;
+        output.flush()?;
     }
     Ok(())
 }
+
+fn report(errors: &[InvalidLine]) {
+    for error in errors {
+        eprintln!("coppersail-wirehost: {error}");
+    }
+}
--- a/crates/tools/bench-codec/src/field.rs
+++ b/crates/tools/bench-codec/src/field.rs
@@ -1,121 +1,180 @@
-//! Values as they stand on a line, one type each, read and written by the same rules.
+//! The types of fields that are no plain numbers and words.
 
-use coppersail_settings::{words, Bad, Field, Parts, Value};
+use coppersail_settings::{word_enum, Fields, InvalidField, LineField, Value};
 use std::fmt::Write;
 
-/// What is wrong with a line. `line` counts from 1 over the whole input.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Fault {
-    pub line: u64,
-    pub message: String,
-    pub field: String,
-    pub expected: String,
-}
-
-impl std::fmt::Display for Fault {
-    fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        write!(f, "line {}: {}: field {}: expected {}", self.line, self.message, self.field, self.expected)
-    }
-}
+/// Stands for bytes of which there are none.
+const NO_BYTES: &str = "-";
 
-impl std::error::Error for Fault {}
+/// Stands for all other instances.
+const ALL_OTHERS: &str = "*";
 
-/// Payload of a message between directors.
+/// The bytes of a message between instances; two hex digits each, `-` if there are none.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Octets(pub Vec<u8>);
 
 impl Value for Octets {
     const EXPECTED: &'static str = "hex digits, or - if empty";
+
     fn parse(text: &str) -> Option<Self> {
-        if text == "-" {
+        if text == NO_BYTES {
             return Some(Octets(Vec::new()));
         }
-        let whole =
-            !text.is_empty() && text.len().is_multiple_of(2) && text.bytes().all(|b| b.is_ascii_hexdigit());
-        let byte = |at| u8::from_str_radix(&text[at..at + 2], 16).ok();
-        whole.then(|| (0..text.len()).step_by(2).map_while(byte).collect()).map(Octets)
+        let is_hex = text.bytes().all(|byte| byte.is_ascii_hexdigit());
+        if text.is_empty() || !text.len().is_multiple_of(2) || !is_hex {
+            return None;
+        }
+        let byte_at = |at| u8::from_str_radix(&text[at..at + 2], 16).ok();
+        (0..text.len()).step_by(2).map(byte_at).collect::<Option<Vec<u8>>>().map(Octets)
     }
-    fn print(&self, out: &mut String) {
+
+    fn write_text(&self, out: &mut String) {
         if self.0.is_empty() {
-            out.push('-');
+            out.push_str(NO_BYTES);
         }
         for byte in &self.0 {
+            // Writing to a string cannot fail.
             let _ = write!(out, "{byte:02x}");
         }
     }
 }
 
-/// Receiver of a message between directors.
+/// Who receives a message between instances.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Receiver {
+    /// The instance of this number.
     One(u64),
+    /// All others.
     Others,
 }
 
 impl Value for Receiver {
     const EXPECTED: &'static str = "a whole number, or * for all others";
+
     fn parse(text: &str) -> Option<Self> {
-        if text == "*" {
+        if text == ALL_OTHERS {
             return Some(Receiver::Others);
         }
         text.parse().ok().map(Receiver::One)
     }
-    fn print(&self, out: &mut String) {
+
+    fn write_text(&self, out: &mut String) {
         match self {
-            Receiver::One(id) => id.print(out),
-            Receiver::Others => out.push('*'),
+            Receiver::One(id) => id.write_text(out),
+            Receiver::Others => out.push_str(ALL_OTHERS),
         }
     }
 }
 
-/// name:value pairs set apart by commas, in the order in which they came.
+/// A load report: `name:number` pairs separated by commas, in the order in which they came.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Telemetry(pub Vec<(String, f64)>);
 
 impl Telemetry {
+    /// The number under this name; the first, if there are several.
     pub fn get(&self, name: &str) -> Option<f64> {
-        self.0.iter().find(|(n, _)| n == name).map(|(_, v)| *v)
+        self.0.iter().find(|(known, _)| known == name).map(|(_, number)| *number)
     }
 }
 
 impl Value for Telemetry {
     const EXPECTED: &'static str = "name:number pairs set apart by commas";
+
     fn parse(text: &str) -> Option<Self> {
-        let pair = |part: &str| {
-            let (name, value) = part.split_once(':')?;
-            Some((name.to_string(), f64::parse(value)?))
-        };
-        text.split(',').filter(|part| !part.is_empty()).map(pair).collect::<Option<_>>().map(Telemetry)
+        let pairs = text.split(',').filter(|pair| !pair.is_empty());
+        pairs.map(parse_pair).collect::<Option<Vec<_>>>().map(Telemetry)
     }
-    fn print(&self, out: &mut String) {
-        for (at, (name, value)) in self.0.iter().enumerate() {
-            let comma = if at == 0 { "" } else { "," };
-            let _ = write!(out, "{comma}{name}:{value}");
+
+    fn write_text(&self, out: &mut String) {
+        for (index, (name, number)) in self.0.iter().enumerate() {
+            if index > 0 {
+                out.push(',');
+            }
+            let _ = write!(out, "{name}:{number}");
         }
     }
 }
 
-/// Text that runs to the end of its line.
+fn parse_pair(pair: &str) -> Option<(String, f64)> {
+    let (name, number) = pair.split_once(':')?;
+    Some((name.to_string(), f64::parse(number)?))
+}
+
+/// A text that runs to the end of its line. Line breaks in it are written as spaces.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Text(pub String);
 
-impl Field for Text {
-    fn read(parts: &Parts<'_>, name: &str) -> Result<Self, Bad> {
-        let bad = || Bad { field: name.to_string(), expected: "text to the end of the line" };
-        let opening = format!(" {name}=");
-        let line = format!(" {}", parts.text);
-        let at = line.find(&opening).ok_or_else(bad)?;
-        Ok(Text(line[at + opening.len()..].to_string()))
+impl LineField for Text {
+    fn read(fields: &Fields<'_>, name: &str) -> Result<Self, InvalidField> {
+        let line = format!(" {}", fields.text());
+        let start = format!(" {name}=");
+        match line.find(&start) {
+            Some(at) => Ok(Text(line[at + start.len()..].to_string())),
+            None => Err(InvalidField {
+                field: name.to_string(),
+                found: None,
+                expected: "text to the end of the line",
+            }),
+        }
     }
+
     fn write(&self, name: &str, out: &mut String) {
-        let _ = write!(out, " {name}={}", self.0.replace(['\n', '\r'], " "));
+        let text = self.0.replace(['\n', '\r'], " ");
+        let _ = write!(out, " {name}={text}");
     }
 }
 
-words!(Scope, "0 (delta), 1 (full), 2 (cached) or 3 (failed)",
-    "0" => Delta, "1" => Full, "2" => Cached, "3" => Failed);
-words!(Status, "1 (gone), 2 (draining) or 3 (ready)", "1" => Gone, "2" => Draining, "3" => Ready);
-words!(Resend, "0, 1, 2 or 3", "0" => None, "1" => NeverRan, "2" => One, "3" => Two);
-words!(Outcome, "an outcome code",
-    "success" => Success, "failure" => Failure, "overloaded" => Overloaded, "timed_out" => TimedOut,
-    "unreachable" => Unreachable, "broken" => Broken, "withdrawn" => Withdrawn, "void" => Void);
+word_enum!(
+    /// What the entries of an endpoint list are.
+    Scope, "0 (delta), 1 (full), 2 (cached) or 3 (failed)",
+    /// Those that have changed.
+    "0" => Delta,
+    /// All hosts; others are gone.
+    "1" => Full,
+    /// All hosts as the instance last knew them, maybe out of date.
+    "2" => Cached,
+    /// None: the subscription or the request has failed.
+    "3" => Failed,
+);
+word_enum!(
+    /// Whether a host takes requests.
+    Status, "1 (gone), 2 (draining) or 3 (ready)",
+    /// Terminated.
+    "1" => Gone,
+    /// Finishes what it has and takes nothing new.
+    "2" => Draining,
+    /// In service.
+    "3" => Ready,
+);
+word_enum!(
+    /// How a request is retried.
+    Resend, "0, 1, 2 or 3",
+    /// Not at all.
+    "0" => None,
+    /// Once, where the first attempt did not run.
+    "1" => NeverRan,
+    /// Once.
+    "2" => One,
+    /// Twice.
+    "3" => Two,
+);
+word_enum!(
+    /// How a health check ended.
+    Outcome, "an outcome code",
+    /// With an answer.
+    "success" => Success,
+    /// With an error as answer.
+    "failure" => Failure,
+    /// It was rejected as too much.
+    "overloaded" => Overloaded,
+    /// Without an answer in time.
+    "timed_out" => TimedOut,
+    /// Without a connection.
+    "unreachable" => Unreachable,
+    /// The connection broke.
+    "broken" => Broken,
+    /// The host is withdrawn.
+    "withdrawn" => Withdrawn,
+    /// With an answer that is none.
+    "void" => Void,
+);
--- a/crates/tools/bench-codec/tests/wire_format.rs
+++ b/crates/tools/bench-codec/tests/wire_format.rs
@@ -166,13 +166,13 @@
     let mut reader = Reader::new(input);
     let mut text = String::new();
     while let Some(batch) = reader.next_batch().unwrap() {
-        let (head, faults) = match batch {
-            Ok(batch) => (format!("clock {} events {}", batch.clock_ns, batch.events.len()), batch.faults),
-            Err(faults) => ("incomplete".to_string(), faults),
+        let (head, errors) = match batch {
+            Ok(batch) => (format!("clock {} events {}", batch.clock_ns, batch.events.len()), batch.errors),
+            Err(errors) => ("incomplete".to_string(), errors),
         };
         writeln!(text, "{head}").unwrap();
-        for fault in faults {
-            writeln!(text, "  {fault}").unwrap();
+        for error in errors {
+            writeln!(text, "  {error}").unwrap();
         }
     }
     text
