--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -43,8 +43,9 @@
     pub started_ms: u64,
 }
 
-/// An entry that could not be used.
-#[derive(Clone, Debug, PartialEq)]
+/// An entry that could not be used. Its text is that of `fault`.
+#[derive(Clone, Debug, PartialEq, thiserror::Error)]
+#[error("{fault}")]
 pub struct Unsound {
     /// Id of its host, if that can be told.
     pub id: Option<String>,
--- a/crates/director/settings/src/boot.rs
+++ b/crates/director/settings/src/boot.rs
@@ -3,9 +3,10 @@
 mod sections;
 mod values;
 
-pub use sections::{Class, Goal, Guarantees, Limits, Paths, Specifics, Tariffs, Top};
+pub use sections::{General, Goals, Guarantees, Limits, Paths, RouteClass, Specifics, Tariffs};
 pub use values::{
-    Admission, Discovery, Flag, Group, List, Pick, ReportSource, Semantics, ValueBy, WeightSource,
+    Admission, Discovery, Flag, HostSelection, KeyScope, List, ReportSource, Semantics, ValueUnit,
+    WeightSource,
 };
 
 use crate::{Fields, InvalidField, LineField};
@@ -19,11 +20,11 @@
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Boot {
     /// Those without a section.
-    pub top: Top,
+    pub top: General,
     /// The classes, by which routes are named and numbered: paths `classes.0.` and so on.
-    pub classes: Vec<Class>,
+    pub classes: Vec<RouteClass>,
     /// Goals of the service.
-    pub goal: Goal,
+    pub goals: Goals,
     /// What hosts, proxies and the list guarantee.
     pub guarantees: Guarantees,
     /// What the director may do and use.
@@ -42,14 +43,14 @@
     pub fn read(paths: &Paths<'_>) -> Result<Self, InvalidField> {
         let class_count = read_class_count(paths)?;
         let mut classes = Vec::new();
-        let top = Top::read(paths, "")?;
+        let top = General::read(paths, "")?;
         for index in 0..class_count {
-            classes.push(Class::read(paths, &class_prefix(index))?);
+            classes.push(RouteClass::read(paths, &class_prefix(index))?);
         }
         Ok(Boot {
             top,
             classes,
-            goal: Goal::read(paths, "goal.")?,
+            goals: Goals::read(paths, "goal.")?,
             guarantees: Guarantees::read(paths, "guarantees.")?,
             limits: Limits::read(paths, "limits.")?,
             specifics: Specifics::read(paths, "specifics.")?,
@@ -65,7 +66,7 @@
         for (index, class) in (0..).zip(&self.classes) {
             class.write(&class_prefix(index), out);
         }
-        self.goal.write("goal.", out);
+        self.goals.write("goal.", out);
         self.guarantees.write("guarantees.", out);
         self.limits.write("limits.", out);
         self.specifics.write("specifics.", out);
--- a/crates/director/settings/src/boot/sections.rs
+++ b/crates/director/settings/src/boot/sections.rs
@@ -4,7 +4,8 @@
 //! hold nanoseconds.
 
 use super::values::{
-    Admission, Discovery, Flag, Group, List, Pick, ReportSource, Semantics, ValueBy, WeightSource,
+    Admission, Discovery, Flag, HostSelection, KeyScope, List, ReportSource, Semantics, ValueUnit,
+    WeightSource,
 };
 use crate::{InvalidField, LineField, Value};
 use std::collections::BTreeMap;
@@ -58,7 +59,7 @@
 
 section!(
     /// One class of requests: a route.
-    Class,
+    RouteClass,
     /// Factor on the latency target.
     latency_target_stretch: f64 = "aim-stretch",
     /// An answer within this time earns the full weight, nanoseconds.
@@ -68,7 +69,7 @@
     /// Whether its requests may run more than once; absent: they must not.
     semantics: Semantics = "semantics",
     /// Which hosts share the keys of repeated requests; absent: hosts of one cell.
-    key_scope: Group = "group",
+    key_scope: KeyScope = "group",
     /// Weight of an answer after the latency target.
     late_weight: f64 = "late-worth",
     /// Name of the route.
@@ -81,7 +82,7 @@
 
 section!(
     /// Settings without a section.
-    Top,
+    General,
     /// Name of the director's zone.
     zone: String = "az",
     /// Number of directors; absent: 1.
@@ -97,7 +98,7 @@
     /// Length of a round, nanoseconds.
     round_ns: u64 = "round-ns",
     /// What the value of an answer is counted by.
-    value_by: ValueBy = "value-by",
+    value_by: ValueUnit = "value-by",
     /// Where the list's weights come from; absent: it has none.
     weight_source: WeightSource = "weight-source",
     /// Names of the zones.
@@ -110,7 +111,7 @@
 
 section!(
     /// Goals of the service. They do not enter the decisions.
-    Goal,
+    Goals,
     /// Goal for the tail.
     tail: f64 = "tail",
     /// Goal for missed tails.
@@ -197,7 +198,7 @@
     /// Cost of an attempt.
     cost_per_attempt: f64 = "per-try",
     /// How proxies select a host.
-    pick: Pick = "pick",
+    pick: HostSelection = "pick",
     /// Number of proxies, whose numbers are below it; absent or 0: unknown.
     proxy_count: u64 = "proxy-count",
     /// Most messages to one proxy within `update-window-ns`; absent or 0: no limit.
--- a/crates/director/settings/src/boot/values.rs
+++ b/crates/director/settings/src/boot/values.rs
@@ -9,15 +9,15 @@
     /// Whether a request may run more than once.
     Semantics, "safe, keyed or unsafe",
     /// It is idempotent.
-    "safe" => Safe,
+    "safe" => Idempotent,
     /// It carries a key by which hosts drop repetitions for some time.
-    "keyed" => Keyed,
+    "keyed" => IdempotencyKey,
     /// It must not run twice.
-    "unsafe" => Unsafe,
+    "unsafe" => NotIdempotent,
 );
 word_enum!(
     /// Which hosts share the keys of repeated requests.
-    Group, "all, zone or cell",
+    KeyScope, "all, zone or cell",
     /// All hosts.
     "all" => All,
     /// Hosts of one zone.
@@ -45,7 +45,7 @@
 );
 word_enum!(
     /// How proxies select a host of a table.
-    Pick, "random, rotate or p2c",
+    HostSelection, "random, rotate or p2c",
     /// At random, by weight.
     "random" => Random,
     /// In turn, by weight.
@@ -77,7 +77,7 @@
 );
 word_enum!(
     /// What the value of an answer is counted by.
-    ValueBy, "request or work",
+    ValueUnit, "request or work",
     /// Each request counts the same.
     "request" => Request,
     /// A request counts by its work.
--- a/crates/director/settings/src/decisions.rs
+++ b/crates/director/settings/src/decisions.rs
@@ -1,6 +1,8 @@
 //! The settings as the decisions take them, and as operators' files are checked against them.
 
-use crate::boot::{Admission, Boot, Class, Discovery, Flag, Group, List, Semantics, Specifics, WeightSource};
+use crate::boot::{
+    Admission, Boot, Discovery, Flag, KeyScope, List, RouteClass, Semantics, Specifics, WeightSource,
+};
 use crate::seconds;
 use coppersail::interface as api;
 use coppersail_operator_config::{Known, KnownRoute};
@@ -52,7 +54,7 @@
 /// The names and limits of the settings, against which an operators' file is checked.
 pub fn known(boot: &Boot) -> Known {
     let settings = settings(boot);
-    let known_route = |(class, route): (&Class, &api::Route)| KnownRoute {
+    let known_route = |(class, route): (&RouteClass, &api::Route)| KnownRoute {
         name: class.name.clone().unwrap_or_default(),
         repeatable: route.semantics == api::Semantics::Repeatable,
     };
@@ -81,7 +83,7 @@
     Some(api::ZoneId(index as u16))
 }
 
-fn routes(classes: &[Class], specifics: &Specifics) -> Vec<api::Route> {
+fn routes(classes: &[RouteClass], specifics: &Specifics) -> Vec<api::Route> {
     let mut routes = Vec::new();
     for (index, class) in classes.iter().enumerate() {
         let mutating = flag_of_class(&specifics.mutating, index).unwrap_or(true);
@@ -96,7 +98,7 @@
     Some(flag.0)
 }
 
-fn route(class: &Class, mutating: bool, own_zone_only: bool) -> api::Route {
+fn route(class: &RouteClass, mutating: bool, own_zone_only: bool) -> api::Route {
     api::Route {
         slo_time: optional_seconds(class.latency_target_ns),
         time_limit: optional_seconds(class.deadline_ns.or(class.latency_target_ns)),
@@ -107,22 +109,22 @@
     }
 }
 
-fn semantics(class: &Class) -> api::Semantics {
+fn semantics(class: &RouteClass) -> api::Semantics {
     match class.semantics {
-        Some(Semantics::Safe) => api::Semantics::Repeatable,
-        Some(Semantics::Keyed) => api::Semantics::Keyed {
+        Some(Semantics::Idempotent) => api::Semantics::Repeatable,
+        Some(Semantics::IdempotencyKey) => api::Semantics::Keyed {
             group: keyed_group(class.key_scope),
             window: optional_seconds(class.key_window_ns),
         },
-        Some(Semantics::Unsafe) | None => api::Semantics::MustNotRepeat,
+        Some(Semantics::NotIdempotent) | None => api::Semantics::MustNotRepeat,
     }
 }
 
-fn keyed_group(scope: Option<Group>) -> api::KeyedGroup {
+fn keyed_group(scope: Option<KeyScope>) -> api::KeyedGroup {
     match scope {
-        Some(Group::All) => api::KeyedGroup::All,
-        Some(Group::Zone) => api::KeyedGroup::Zone,
-        Some(Group::Cell) | None => api::KeyedGroup::Cell,
+        Some(KeyScope::All) => api::KeyedGroup::All,
+        Some(KeyScope::Zone) => api::KeyedGroup::Zone,
+        Some(KeyScope::Cell) | None => api::KeyedGroup::Cell,
     }
 }
 
--- a/crates/director/settings/src/names.rs
+++ b/crates/director/settings/src/names.rs
@@ -54,7 +54,7 @@
     /// The names of the settings, and no hosts.
     pub fn new(boot: &Boot) -> Self {
         let list = |names: &Option<List<String>>| names.clone().unwrap_or_default().0;
-        let route_name = |class: &crate::boot::Class| class.name.clone().unwrap_or_default();
+        let route_name = |class: &crate::boot::RouteClass| class.name.clone().unwrap_or_default();
         Names {
             zones: list(&boot.top.zones),
             machine_kinds: list(&boot.top.kinds),
--- a/crates/director/settings/src/names/tests.rs
+++ b/crates/director/settings/src/names/tests.rs
@@ -20,7 +20,7 @@
 
 #[test]
 fn an_unknown_name_without_the_name_found_is_noticed() {
-    let top = crate::boot::Top { zones: Some(List(vec!["a".into()])), ..Default::default() };
+    let top = crate::boot::General { zones: Some(List(vec!["a".into()])), ..Default::default() };
     let names = Names::new(&Boot { top, ..Boot::default() });
     let expected = UnknownName { name: "x".into(), kind: NameKind::Zone, known: vec!["a".into()] };
     assert_eq!(names.zone("x"), Err(expected));
