--- a/crates/director/rebalancer/src/lib.rs
+++ b/crates/director/rebalancer/src/lib.rs
@@ -1,5 +1,5 @@
 //! The paper's mechanism, pure: scores of slices and holders, counts per unit of weight, gaps, moves from the
-//! fullest to the emptiest. `board` has the types, `mechanism` what all users share; `seats` lays slices out
+//! fullest to the emptiest. `board` has the types, `mechanism` what all users share; `placement` lays slices out
 //! and takes them off holders that leave; `relief` is our addition for hot slices at an even count. Why:
 //! `docs/design.md`.
 //!
@@ -26,17 +26,17 @@
 //! while let Some(next) = balance.plan(&board, 1).pop() {
 //!     board.owners[next.slice] = Some(next.to);
 //! }
-//! assert!(board.gap().unwrap().2 < 2.0);
+//! assert!(board.gap().unwrap().slices < 2.0);
 //! ```
 
 mod board;
 mod mechanism;
+mod placement;
 mod relief;
-mod seats;
 #[cfg(test)]
 mod tests;
 
-pub use board::{Balance, Board, Holder, Move};
+pub use board::{Balance, Board, CandidateRank, Gap, Holder, Move, Totals};
 pub use mechanism::{scores, seat, unit};
+pub use placement::{lay, units};
 pub use relief::HOT;
-pub use seats::{lay, units};
--- a/crates/director/rebalancer/src/tests.rs
+++ b/crates/director/rebalancer/src/tests.rs
@@ -15,7 +15,7 @@
 fn carry_out(board: &mut Board, moves: &[Move]) {
     for next in moves {
         assert_eq!(board.owners[next.slice], next.from);
-        board.take(next);
+        board.apply(next);
     }
 }
 
@@ -70,7 +70,7 @@
         assert!(board.owners.iter().all(kept), "seed {seed}: nobody's and leavers' slices have moved");
         // With weights a slice may be more than two per unit of a small holder: then no move evens any more.
         let grain = board.holders.iter().map(|h| 1.0 / h.unit).fold(0.0, f64::max);
-        let gap = board.gap().map_or(0.0, |(.., gap)| gap);
+        let gap = board.gap().map_or(0.0, |gap| gap.slices);
         let ends = if balance.moving { 2.0_f64.max(2.0 * grain) } else { 8.0 };
         assert!(gap <= ends, "seed {seed}: a gap of {gap}");
     }
@@ -85,7 +85,7 @@
         board.scores.iter_mut().for_each(|score| *score += draws.below(50) as f64);
         let moves = Balance::default().plan(&board, usize::MAX);
         carry_out(&mut board, &moves);
-        assert!(board.gap().unwrap().2 < 2.0, "seed {seed}");
+        assert!(board.gap().unwrap().slices < 2.0, "seed {seed}");
     }
 }
 
@@ -151,7 +151,7 @@
 fn counts_are_per_unit_of_weight() {
     let mut board = board(&[18, 5]);
     (board.holders[0].unit, board.holders[1].unit) = (1.5, 0.5);
-    assert_eq!(board.gap().unwrap().2, 2.0);
+    assert_eq!(board.gap().unwrap().slices, 2.0);
     assert_eq!(Balance::default().plan(&board, 1), []);
     assert_eq!(units(&[None, None]), [1.0, 1.0], "plainly if none is listed");
 }
@@ -193,7 +193,7 @@
         board.pinned.insert(draws.below(6 * many));
         let able: Vec<f64> = (0..many).map(|_| 0.8 + 0.1 * draws.below(5) as f64).collect();
         let peak = |board: &Board| {
-            let loads = board.sums().into_iter().zip(&able).map(|((_, score), able)| score / able);
+            let loads = board.sums().into_iter().zip(&able).map(|(totals, able)| totals.score / able);
             loads.fold(0.0, f64::max)
         };
         let before = peak(&board);
@@ -213,5 +213,5 @@
     let moves = Balance::default().relieve(&board, &[1.0; 5], 100);
     assert!(!moves.is_empty() && moves.iter().all(|m| m.from == Some(0) && m.slice != 2));
     carry_out(&mut board, &moves);
-    assert!(board.sums()[0].1 <= HOT * 38.0 / 5.0 + 1.0);
+    assert!(board.sums()[0].score <= HOT * 38.0 / 5.0 + 1.0);
 }
--- /dev/null
+++ b/src/delivery.rs
@@ -0,0 +1,129 @@
+//! Delivery of inputs and messages to the actors of a director. The decisions are in `logic`.
+
+use crate::channel_backlog::CallToWrite;
+use crate::interface::{HostId, HostState, Input, ListScope, Listing, Order, WakeId};
+use crate::logic::{TICK_INTERVAL, TICK_SLACK};
+use crate::messages::{Message, Outbox, Recipient};
+use crate::state::Director;
+use std::collections::BTreeSet;
+
+/// The actors that exist once, in the order in which their mailboxes are emptied.
+const SINGLE_ACTORS: [Recipient; 4] =
+    [Recipient::Tables, Recipient::AdmissionControl, Recipient::DiscoveryWatch, Recipient::Channel];
+
+impl Director {
+    /// Takes what came in since the last call, and gives the orders that follow. `now` is in seconds, never decreases,
+    /// and is on the same clock as the times in the inputs.
+    pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Order> {
+        let mut outbox = Outbox::default();
+        for input in inputs {
+            self.deliver(input, &mut outbox);
+        }
+        self.deliver_messages(now, &mut outbox);
+        if now + TICK_SLACK >= self.next_tick_at {
+            let hosts = self.hosts.keys().map(|host| Recipient::Host(*host));
+            for recipient in hosts.chain(SINGLE_ACTORS) {
+                outbox.send(recipient, Message::Tick);
+            }
+            self.deliver_messages(now, &mut outbox);
+            self.next_tick_at = now + TICK_INTERVAL;
+            outbox.orders.push(Order::WakeAt { wake: WakeId(1), at: self.next_tick_at });
+        }
+        outbox.orders
+    }
+
+    /// How many of a call's orders may be written at `now` (seconds), so that the channel's backlog stays within its
+    /// limit. `again`: the call may have been carried out before. `unheard`: proxies may have joined of which no
+    /// [`Input::Joined`] has told yet.
+    pub fn writable(&self, now: f64, orders: usize, again: bool, unheard: bool) -> usize {
+        self.channel.writable(now, &self.params, &CallToWrite { orders, again, unheard })
+    }
+
+    /// Upper bound of the lines that are queued in the channel.
+    pub fn may_wait(&self) -> f64 {
+        self.channel.backlog.unacknowledged_lines()
+    }
+
+    /// Puts an input into the mailboxes of the actors that it concerns.
+    fn deliver(&mut self, input: &Input, outbox: &mut Outbox) {
+        match input {
+            Input::Hosts { scope, version, entries } => self.update_list(*scope, *version, entries, outbox),
+            Input::StoredLine { host, .. } => self.ensure_host(*host),
+            Input::Tries { host, .. } | Input::Probed { host, .. } => {
+                outbox.send(Recipient::Host(*host), Message::Input(input.clone()));
+                return;
+            }
+            _ => {}
+        }
+        for recipient in SINGLE_ACTORS {
+            outbox.send(recipient, Message::Input(input.clone()));
+        }
+    }
+
+    /// Takes what was heard of the host list.
+    pub(crate) fn update_list(
+        &mut self,
+        scope: ListScope,
+        version: u64,
+        entries: &[Listing],
+        outbox: &mut Outbox,
+    ) {
+        if self.accepts_list(scope, version) {
+            self.list_version = Some(version);
+            self.deliver_list(scope, entries, outbox);
+        }
+    }
+
+    /// Tells the hosts what the list says of them. Hosts that a whole list does not name are no longer listed.
+    fn deliver_list(&mut self, scope: ListScope, entries: &[Listing], outbox: &mut Outbox) {
+        for entry in entries {
+            self.entries_read += 1;
+            self.ensure_host(entry.host);
+            let message = match entry.state {
+                HostState::Gone => Message::Unlisted,
+                _ => Message::Listed { entry: entry.clone(), position: self.entries_read },
+            };
+            outbox.send(Recipient::Host(entry.host), message);
+        }
+        if scope == ListScope::Changes {
+            return;
+        }
+        let named: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
+        for host in self.hosts.keys().filter(|host| !named.contains(host)) {
+            outbox.send(Recipient::Host(*host), Message::Unlisted);
+        }
+    }
+
+    /// Delivers messages, in the order of [`Recipient`], until no mailbox holds any.
+    pub(crate) fn deliver_messages(&mut self, now: f64, outbox: &mut Outbox) {
+        while let Some((recipient, messages)) = outbox.take_next_mailbox() {
+            for message in messages {
+                self.deliver_message(now, &recipient, message, outbox);
+            }
+        }
+    }
+
+    fn deliver_message(&mut self, now: f64, recipient: &Recipient, message: Message, outbox: &mut Outbox) {
+        let params = &self.params;
+        match recipient {
+            Recipient::Host(id) if message == Message::Expired(*id) => self.remove_expired_host(*id, outbox),
+            Recipient::Host(id) => {
+                if let Some(host) = self.hosts.get_mut(id) {
+                    host.handle(now, params, message, outbox);
+                }
+            }
+            Recipient::Tables => self.tables.handle(now, params, message, outbox),
+            Recipient::AdmissionControl => self.admission_control.handle(now, params, message, outbox),
+            Recipient::DiscoveryWatch => self.discovery_watch.handle(now, params, message, outbox),
+            Recipient::Channel => self.channel.handle(now, params, message, outbox),
+        }
+    }
+
+    /// Removes the actor of a host to which nothing refers any more, unless it has been listed again meanwhile.
+    fn remove_expired_host(&mut self, id: HostId, outbox: &mut Outbox) {
+        if self.hosts.get(&id).is_some_and(|host| !host.is_listed) {
+            self.hosts.remove(&id);
+            outbox.orders.push(Order::Forget(id));
+        }
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,12 +1,19 @@
-//! coppersail, a table manager: it assigns hosts to proxies. `interface` holds the plain types that go in and come
-//! out, `logic` the decisions; `figures`, `notes`, `state`, `ledger` and `measure` are what `logic` works with.
+//! coppersail, a controller that assigns hosts to proxies.
+//!
+//! [`interface`] holds the plain types that go into a [`Director`] and come out of it, [`logic`] all decisions. The
+//! other modules hold no decision: `delivery` brings inputs and messages to the actors, `state` is what each actor remembers,
+//! `messages` what they send each other, `channel_backlog` what may still be queued in the channel to the proxies,
+//! `parameters` what is derived from the settings; `placement`, `random` and `statistics` are tools.
 
-mod figures;
+mod channel_backlog;
+mod delivery;
 pub mod interface;
-mod ledger;
 pub mod logic;
-mod measure;
-mod notes;
+mod messages;
+mod parameters;
+mod placement;
+mod random;
 mod state;
+mod statistics;
 
 pub use state::Director;
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -1,16 +1,15 @@
-//! All decisions, by concern in `src/logic/`. One `Director` each: `Director::new(settings, seed)`
-//! once, then `handle(now, inputs) -> orders` for every batch for it; it asks for its own wake-ups.
-//! Types that go in and out: `src/interface.rs`; what actors remember: `src/state.rs`; why: `docs/design.md`.
+//! All decisions of a director, by concern in `src/logic/`. `docs/design.md` says why they are as they are.
 //!
-//! Inside, each host is a small actor; so are the tables, the gate, the list watch and the channel. They talk
-//! only by notes put into inboxes, which `Director::settle` empties.
+//! Each host is a small actor; so are the tables, admission control, the discovery watch and the channel to the proxies.
+//! What they remember is in `src/state/`. They interact only by messages, which `src/delivery.rs` delivers.
 
-use crate::figures::Figures;
+use crate::channel_backlog::CallToWrite;
 use crate::interface::*;
-use crate::measure::{median, Bins, Histogram};
-use crate::notes::{add, Item, Note, Plan, Post, Seat, Sums, To, View};
-use crate::state::{Channel, Director, Gate, Host, Slice, Tables, Watch};
-use std::cmp::Ordering;
+use crate::messages::{HostView, Message, Outbox, Recipient};
+use crate::parameters::Parameters;
+use crate::placement::{add_to_host, PerHost, PlacementPlan, Relocation};
+use crate::state::*;
+use crate::statistics::{median, Bins, Histogram};
 use std::collections::BTreeSet;
 
 mod channel;
@@ -22,31 +21,37 @@
 #[cfg(test)]
 pub(crate) mod tests;
 
-/// Whole reports, and a second for their way: what is steered more often overshoots.
-fn pace(f: &Figures) -> f64 {
-    f.interval * (1.0 + (1.0 / f.interval.max(0.1)).ceil()) - 0.01
+/// Ten times a second: a tenth of the shortest grace, and few enough to cost next to nothing.
+pub(crate) const TICK_INTERVAL: f64 = 0.1;
+/// A microsecond of slack: a tick that rounding makes seem early would end the chain of wake-ups.
+pub(crate) const TICK_SLACK: f64 = 1e-6;
+
+/// Period of control loops in seconds: whole reports, and a second for their way. Shorter periods overshoot.
+fn control_period(params: &Parameters) -> f64 {
+    params.report_interval * (1.0 + (1.0 / params.report_interval.max(0.1)).ceil()) - 0.01
 }
 
-// From 30 ms by steps of 1.4 the bins reach 5 s, past any time that could still please a caller.
+/// From 30 ms by steps of 1.4 the bins reach 5 s, past any time that could still please a caller.
 const BINS: Bins = Bins { first: 0.03, step: 1.4 };
 
-/// A quarter up or down is worth a line; less is not. Where a round of messages takes the channel long, only
-/// more is: a third of a second doubles it.
-fn alike(f: &Figures, old: Option<&f64>, weight: f64) -> bool {
-    let most = 1.25 + 3.0 * f.round_time;
-    old.is_some_and(|old| (1.0 / most..=most).contains(&(old / weight)))
+/// Whether a weight need not be sent: it differs by a quarter at most. Where a round of messages takes the channel
+/// long, more is tolerated: a third of a second doubles the tolerance.
+fn is_close_enough(params: &Parameters, sent: Option<&f64>, desired: f64) -> bool {
+    let tolerance = 1.25 + 3.0 * params.round_time;
+    sent.is_some_and(|sent| (1.0 / tolerance..=tolerance).contains(&(sent / desired)))
 }
 
-impl Watch {
-    pub(crate) fn work(&mut self, now: f64, f: &Figures, note: Note, post: &mut Post) {
-        let Some(ask_within) = f.ask_within else { return };
+impl DiscoveryWatch {
+    pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
+        let Some(max_silence) = params.max_list_silence else { return };
         // A second between tries to follow leaves the service room to recover; else thrice in the time.
-        let due = if self.following { ask_within / 3.0 } else { 1.0 };
-        match note {
-            Note::In(Input::Hosts { scope: ListScope::Failed, .. }) => self.following = false,
-            Note::Tick if self.asked_at.is_none_or(|at| now - at > due) => {
-                post.orders.push(if self.following { Order::FetchList } else { Order::Follow(true) });
-                (self.following, self.asked_at) = (true, Some(now));
+        let interval = if self.following { max_silence / 3.0 } else { 1.0 };
+        match message {
+            Message::Input(Input::Hosts { scope: ListScope::Failed, .. }) => self.following = false,
+            Message::Tick if self.asked_at.is_none_or(|asked_at| now - asked_at > interval) => {
+                outbox.orders.push(if self.following { Order::FetchList } else { Order::Follow(true) });
+                self.following = true;
+                self.asked_at = Some(now);
             }
             _ => {}
         }
@@ -54,49 +59,17 @@
 }
 
 impl Director {
-    pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Order> {
-        let mut post = Post::default();
-        inputs.iter().for_each(|input| self.take(input, &mut post));
-        self.settle(now, &mut post);
-        // A microsecond of slack: a beat that rounding makes seem early would end the chain of wake-ups.
-        if now + 1e-6 >= self.tick_at {
-            let hosts = self.hosts.keys().map(|host| To::Host(*host));
-            let parts = [To::Tables, To::Gate, To::Watch, To::Channel];
-            hosts.chain(parts).for_each(|to| post.note(to, Note::Tick));
-            self.settle(now, &mut post);
-            // Ten times a second: a tenth of the shortest grace, and few enough to cost next to nothing.
-            self.tick_at = now + 0.1;
-            post.orders.push(Order::WakeAt { wake: WakeId(1), at: self.tick_at });
-        }
-        post.orders
-    }
-
-    /// The host's inbox, and its actor made when it is first heard of.
-    pub(crate) fn host(&mut self, id: HostId) -> To {
+    /// Makes the host's actor when it is first heard of.
+    pub(crate) fn ensure_host(&mut self, id: HostId) {
         // Probes start spread over their interval, so that they don't come in bursts.
-        let phase = self.chance.share() * 0.5;
+        let first_probe_at = self.random.next_share() * 0.5;
         // What a director finds at its start is trusted until it fails; who comes later proves itself first.
-        let proven = !self.figures.may_probe || self.tick_at == f64::NEG_INFINITY;
-        self.hosts.entry(id).or_insert_with(|| Host::new(id, phase, proven));
-        To::Host(id)
+        let verified = !self.params.probes_allowed || self.next_tick_at == f64::NEG_INFINITY;
+        self.hosts.entry(id).or_insert_with(|| Host::new(id, first_probe_at, verified));
     }
 
-    pub(crate) fn list(&mut self, scope: ListScope, version: u64, entries: &[Listing], post: &mut Post) {
-        // An answer may be older than what was followed since.
-        if scope == ListScope::Failed || self.version.is_some_and(|known| version < known) {
-            return;
-        }
-        self.version = Some(version);
-        for entry in entries {
-            self.listed += 1;
-            let gone = entry.state == HostState::Gone;
-            let note = if gone { Note::Unlisted } else { Note::Listed(entry.clone(), self.listed) };
-            let to = self.host(entry.host);
-            post.note(to, note);
-        }
-        let named: BTreeSet<&HostId> = entries.iter().map(|entry| &entry.host).collect();
-        for host in self.hosts.keys().filter(|host| scope != ListScope::Changes && !named.contains(host)) {
-            post.note(To::Host(*host), Note::Unlisted);
-        }
+    /// Whether news of the host list is taken: an answer may be older than what was followed since.
+    pub(crate) fn accepts_list(&self, scope: ListScope, version: u64) -> bool {
+        scope != ListScope::Failed && self.list_version.is_none_or(|known| version >= known)
     }
 }
--- a/src/logic/channel.rs
+++ b/src/logic/channel.rs
@@ -1,141 +1,177 @@
-//! What is told to proxies, when, and how much at a time.
+//! What is sent to the proxies, when, and how much at a time.
 
 use super::*;
 
-/// The part of the backlog that may wait; and how late news may be of a proxy that joined before a call was
-/// carried out: twice the 50 ms in which that is done, or never.
-const HELD: f64 = 0.9;
-const CARRIED: f64 = 0.1;
+/// Part of the channel's backlog that may be used.
+const BACKLOG_SHARE: f64 = 0.9;
+/// Seconds after a write in which a proxy that joins may have got it: twice the 50 ms that a call takes, or never.
+const JOIN_OVERLAP: f64 = 0.1;
 
-/// Gathers what is to be told to proxies and sends it as its budgets of lines and messages allow.
+/// The order in which changes are sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) enum Priority {
+    Withdrawal,
+    NoOpenHost, // weights of a slice without an open host
+    Admission,
+    BeforeReturn, // weights that a host's return waits for
+    Return,
+    HeaviestWithdrawn, // weights of a slice whose heaviest host is withdrawn
+    Routine,
+    WithdrawnHost, // weights of hosts that are withdrawn
+    Expired,       // letting in a host that is gone: worth no message of its own
+}
+
+/// Orders that are sent together: one line each to every proxy.
+pub(super) struct PendingChange {
+    pub(super) priority: Priority,
+    /// Since when it waits, in seconds.
+    pub(super) since: f64,
+    pub(super) orders: Vec<Order>,
+}
+
+/// Gathers changes and sends them as its budgets of lines and messages allow.
 impl Channel {
-    pub(crate) fn work(&mut self, now: f64, f: &Figures, note: Note, post: &mut Post) {
-        match note {
-            Note::Lines { slice, lines } => self.want(now, slice, lines),
-            Note::In(Input::StoredLine { slice, host, weight }) => {
-                self.told.entry(slice).or_default().insert(host, weight);
-                // A table names it once more, so it is not over.
-                self.over.remove(&host);
-            }
-            // A host that is to be shut is shut before it may return: only then are its lines looked at.
-            Note::Tell(Order::Withdraw { host, out: false }) if self.shuts.get(&host) == Some(&true) => {}
-            // Who joins reads the store: a host in no table of ours need not be shut out once more.
-            Note::Tell(Order::Withdraw { host, out: true })
-                if self.out.contains(&host) && !self.shuts.contains_key(&host) && !self.names(host) => {}
-            Note::Tell(Order::Withdraw { host, out }) => self.shut(host, out),
-            Note::Tell(order) => self.level(order),
-            Note::In(Input::Refused { slice, lines, .. }) => self.stands(slice, Some(lines)),
-            Note::In(Input::Taken(id) | Input::Given(id)) => self.stands(id, None),
-            // It is over when no table names it. Proxies that shut it out are told to let it in before it is
+    pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
+        match message {
+            Message::DesiredTable { slice, weights } => self.set_desired(now, slice, weights),
+            // A host that is to be shut is shut before it may return: only then are its weights looked at.
+            Message::Send(Order::Withdraw { host, out: false }) if self.is_to_be_withdrawn(host) => {}
+            // Proxies that join read the store: a host in no table of ours need not be withdrawn once more.
+            Message::Send(Order::Withdraw { host, out: true }) if self.is_withdrawn_and_unused(host) => {}
+            Message::Send(Order::Withdraw { host, out }) => self.set_withdrawal(host, out),
+            Message::Send(order) => self.add_admission(order),
+            // It has expired when no table names it. Proxies that shut it out are told to let it in before it is
             // forgotten: should its name come back, they and we must agree.
-            Note::Over(host) if self.names(host) => {}
-            Note::Over(h) if self.out.contains(&h) && !self.told.is_empty() => _ = self.over.insert(h),
-            Note::Over(host) => {
-                _ = (self.shuts.remove(&host), self.out.remove(&host));
-                post.note(To::Tables, Note::Over(host));
+            Message::Expired(host) if self.has_table_with(host) => {}
+            Message::Expired(host) if self.withdrawn.contains(&host) && !self.sent_tables.is_empty() => {
+                self.expired.insert(host);
             }
-            Note::In(input) => self.ledger.heard(now, f, CARRIED, &input),
-            Note::Tick => self.flush(now, f, post),
+            Message::Expired(host) => self.forget_host(host, outbox),
+            Message::Input(input) => self.record_input(now, params, JOIN_OVERLAP, input),
+            Message::Tick => self.flush(now, params, outbox),
             _ => {}
         }
     }
 
-    /// All that waits by rank: withdrawals, slices without an open line, levels, lines that a host's return
-    /// waits for, returns, slices whose heaviest line is shut, others; last the lines of hosts that are out.
-    pub(super) fn items(&self, f: &Figures) -> Vec<Item> {
-        let shut = |host: &HostId| self.shuts.get(host).copied().unwrap_or(self.out.contains(host));
-        let back = |host: &&HostId| self.out.contains(*host) && !shut(host);
-        let (mut items, mut awaited, none) = (Vec::new(), BTreeSet::<HostId>::new(), Sums::new());
-        for (id, (since, wanted)) in &self.wanted {
-            let line = |host: &HostId, weight| Order::Line { slice: *id, host: *host, weight };
-            let told = self.told.get(id).unwrap_or(&none);
-            let new = wanted.iter().filter(|(host, weight)| !alike(f, told.get(*host), **weight));
-            let gone = told.keys().filter(|host| !wanted.contains_key(*host));
-            let (late, stale): (Vec<&HostId>, Vec<&HostId>) = gone.partition(|host| shut(host));
-            awaited.extend(stale.iter().copied().filter(back));
-            let heaviest = told.iter().max_by(|a, b| a.1.total_cmp(b.1));
-            let rank = match heaviest {
-                _ if told.keys().all(|host| shut(host) || self.out.contains(host)) => 1,
-                _ if stale.iter().any(back) => 3,
-                Some((host, _)) if shut(host) => 5,
-                _ => 6,
-            };
-            let stale = stale.into_iter().map(|host| line(host, 0.0));
-            items.push((rank, *since, new.map(|(host, weight)| line(host, *weight)).chain(stale).collect()));
-            items.push((7, *since, late.into_iter().map(|host| line(host, 0.0)).collect()));
+    /// All changes that are to be sent, by priority.
+    pub(super) fn pending_changes(&self, params: &Parameters) -> Vec<PendingChange> {
+        let change = |priority, since, orders| PendingChange { priority, since, orders };
+        let withdraw = |host: &HostId, out| vec![Order::Withdraw { host: *host, out }];
+        let mut changes = Vec::new();
+        let mut blocked_returns = BTreeSet::new();
+        for (id, desired) in &self.desired_tables {
+            let diff = self.table_diff(*id, desired, |sent, weight| is_close_enough(params, sent, weight));
+            changes.push(change(self.table_priority(&diff), desired.since, diff.orders));
+            changes.push(change(Priority::WithdrawnHost, desired.since, diff.removals_of_shut));
+            blocked_returns.extend(diff.returning);
+        }
+        for (host, out) in &self.pending_withdrawals {
+            // A host comes back when no table names it that should not: a young one could not bear it.
+            if *out || !blocked_returns.contains(host) {
+                let priority = if *out { Priority::Withdrawal } else { Priority::Return };
+                changes.push(change(priority, 0.0, withdraw(host, *out)));
+            }
+        }
+        let admission = self.pending_admission.iter().cloned();
+        changes.extend(admission.map(|order| change(Priority::Admission, 0.0, vec![order])));
+        changes.extend(self.expired.iter().map(|host| change(Priority::Expired, 0.0, withdraw(host, false))));
+        changes.retain(|change| !change.orders.is_empty());
+        changes.sort_by(|a, b| a.priority.cmp(&b.priority).then(a.since.total_cmp(&b.since)));
+        changes
+    }
+
+    fn table_priority(&self, diff: &TableDiff) -> Priority {
+        match diff.heaviest {
+            _ if !diff.has_open_host => Priority::NoOpenHost,
+            _ if !diff.returning.is_empty() => Priority::BeforeReturn,
+            Some(host) if self.is_shut(&host) => Priority::HeaviestWithdrawn,
+            _ => Priority::Routine,
         }
-        // A host comes back when no table names it that should not: a young one could not bear it.
-        let due = self.shuts.iter().filter(|(host, out)| **out || !awaited.contains(host));
-        let withdraw = |(host, out): (&HostId, &bool)| Order::Withdraw { host: *host, out: *out };
-        items.extend(due.map(|shut| (if *shut.1 { 0 } else { 4 }, 0.0, vec![withdraw(shut)])));
-        items.extend(self.levels.iter().map(|order| (2, 0.0, vec![order.clone()])));
-        items.retain(|(_, _, orders)| !orders.is_empty());
-        items.extend(self.over.iter().map(|host| (8, 0.0, vec![withdraw((host, &false))])));
-        items.sort_by(|a, b| (a.0, a.1).partial_cmp(&(b.0, b.1)).unwrap_or(Ordering::Equal));
-        items
     }
 
     /// Sends what waits: at once if urgent, else in steps, and never past a part of what the rules allow.
-    pub(super) fn flush(&mut self, now: f64, f: &Figures, post: &mut Post) {
+    pub(super) fn flush(&mut self, now: f64, params: &Parameters, outbox: &mut Outbox) {
         // A channel slower than stated shows in its receipts; where these are held up, less is written then.
-        let pace = self.ledger.pass(now, f, 0.02, 10.0);
-        // What was written and not received stays under nine tenths of the backlog. Where no receipt comes, a
-        // short message may use the last tenth, to show what has passed; in ten seconds of silence all has.
-        let (out, waiting, sent) = (self.ledger.out(), self.ledger.waiting, self.ledger.sent.len());
-        let items = self.items(f);
-        // Letting in a host that is gone is worth no message of its own.
-        let Some((first, ..)) = items.first().filter(|(rank, ..)| *rank < 8) else { return };
-        let urgent = *first < 6;
-        let proxies = self.ledger.proxies.len() as f64;
-        let fixed = proxies * (self.ledger.head(f) + 1.0);
+        let rate = self.backlog.advance(now, params, 0.02, 10.0);
+        let changes = self.pending_changes(params);
+        let Some(first) = changes.first().filter(|first| first.priority < Priority::Expired) else { return };
+        let is_urgent = first.priority < Priority::Routine;
+        let proxies = self.backlog.proxies.len() as f64;
+        let overhead = self.backlog.overhead_lines(params) + 1.0;
+        let fixed = proxies * overhead;
         // Without slices to its name a director concerns no proxy, and no receipt would come.
-        let idle = f.slices && self.told.is_empty() && self.wanted.is_empty();
-        // Routine changes use half of the messages; urgent ones the rest too, but spaced, lest none be left.
-        let half = sent >= f.messages_most / 2;
-        let apart = if half { 2.0 * f.messages_span / f.messages_most as f64 } else { 2.0 * fixed / pace };
-        let apart = apart.max(if urgent { 0.0 } else { 0.5 });
-        let recent = self.ledger.sent.back().is_some_and(|last| now - last < apart);
-        let spent = if urgent { sent + 1 >= f.messages_most } else { half };
+        let is_idle = params.uses_slices && self.sent_tables.is_empty() && self.desired_tables.is_empty();
+        if is_idle || self.is_rate_limited(now, params, is_urgent, 2.0 * fixed / rate) {
+            return;
+        }
         // Parts of what the channel writes in the backlog's time: the more a delay costs, the more.
-        let held = f.backlog * pace / f.lines_per_s;
-        let (least, routine) = ((0.7 * f.backlog).min(3.0 * fixed), (fixed + 0.25 * held).min(0.6 * held));
-        let limits = [0.7 * f.backlog, least.max(0.7 * held), routine];
-        let limit = |rank: u8| limits[(rank > 0) as usize + (rank > 5) as usize];
+        let backlog = params.max_backlog;
+        let held = backlog * rate / params.lines_per_s;
+        let urgent = (0.7 * backlog).min(3.0 * fixed).max(0.7 * held);
+        let routine = (fixed + 0.25 * held).min(0.6 * held);
+        let limit = |priority| match priority {
+            Priority::Withdrawal => 0.7 * backlog,
+            priority if priority < Priority::Routine => urgent,
+            _ => routine,
+        };
+        // What was written and not received stays under nine tenths of the backlog. Where no receipt comes, a
+        // short message may use the last tenth, to show what has passed; in ten seconds of silence all has.
+        let (unacknowledged, estimated) = (self.backlog.unacknowledged_lines(), self.backlog.estimated_lines);
+        let exceeds = |lines: f64, priority| {
+            estimated + lines > limit(priority) || unacknowledged + lines > BACKLOG_SHARE * backlog
+        };
         // What waits, or as much of it as is worth a message.
-        let all = fixed + proxies * items.iter().map(|(.., orders)| orders.len() as f64).sum::<f64>();
-        let worth = if *first == 0 { fixed + proxies } else { all.min((fixed + limit(*first)) / 2.0) };
-        let full = waiting + worth > limit(*first) || out + worth > HELD * f.backlog;
-        let least = out + fixed + proxies * items[0].2.len() as f64;
-        let sound = full && least <= f.backlog && self.ledger.mute(now, f);
-        if idle || spent || recent || full && !sound {
+        let all = fixed + proxies * changes.iter().map(|change| change.orders.len() as f64).sum::<f64>();
+        let is_withdrawal = first.priority == Priority::Withdrawal;
+        let partial = (fixed + limit(first.priority)) / 2.0;
+        let worthwhile = if is_withdrawal { fixed + proxies } else { all.min(partial) };
+        let is_full = exceeds(worthwhile, first.priority);
+        let least = unacknowledged + fixed + proxies * first.orders.len() as f64;
+        let is_sounding = is_full && least <= backlog && self.backlog.is_silent(now, params);
+        if is_full && !is_sounding {
             return;
         }
-        let mut each = self.ledger.head(f) + 1.0;
-        for (at, (rank, _, orders)) in items.into_iter().enumerate() {
-            let lines = proxies * (each + orders.len() as f64);
-            if !(sound && at == 0) && (waiting + lines > limit(rank) || out + lines > HELD * f.backlog) {
+        let mut lines_per_proxy = overhead;
+        for (index, change) in changes.into_iter().enumerate() {
+            let lines = proxies * (lines_per_proxy + change.orders.len() as f64);
+            if !(is_sounding && index == 0) && exceeds(lines, change.priority) {
                 break;
             }
-            each += orders.len() as f64;
-            orders.iter().for_each(|order| self.keep(now, order, post));
-            post.orders.extend(orders);
+            lines_per_proxy += change.orders.len() as f64;
+            self.give_orders(now, change.orders, outbox);
         }
-        let mark = MarkId(self.mark);
-        post.orders.push(Order::Mark { mark, all: false });
-        self.ledger.order(now, mark, each);
-        self.mark = self.mark.wrapping_add(1);
+        self.finish_round(now, lines_per_proxy, outbox);
+    }
+
+    /// Whether a message must wait, as messages are limited in number, and `distance` seconds apart at least.
+    fn is_rate_limited(&self, now: f64, params: &Parameters, is_urgent: bool, distance: f64) -> bool {
+        // Routine changes use half of the messages; urgent ones the rest too, but spaced, lest none be left.
+        let sent = self.backlog.sent_at.len();
+        let half_used = sent >= params.max_messages / 2;
+        let spaced = 2.0 * params.message_window / params.max_messages as f64;
+        let distance = if half_used { spaced } else { distance };
+        let distance = distance.max(if is_urgent { 0.0 } else { 0.5 });
+        let is_recent = self.backlog.sent_at.back().is_some_and(|last| now - last < distance);
+        is_recent || if is_urgent { sent + 1 >= params.max_messages } else { half_used }
     }
 
     /// How many of a call's orders may be written, with the proxies that are there now. Where a copy may wait
     /// already, or it is too long for all of them, what fits goes as a part.
-    pub(crate) fn writable(&self, now: f64, f: &Figures, orders: usize, again: bool, unheard: bool) -> usize {
-        let (proxies, mute) = (self.ledger.receivers(f, unheard), self.ledger.mute(now, f));
-        let most = if mute { f.backlog } else { HELD * f.backlog };
+    pub(crate) fn writable(&self, now: f64, params: &Parameters, call: &CallToWrite) -> usize {
+        let proxies = self.backlog.receiver_count(params, call.unheard);
+        let is_silent = self.backlog.is_silent(now, params);
+        let limit = if is_silent { params.max_backlog } else { BACKLOG_SHARE * params.max_backlog };
         // With nobody there all fits.
-        let fits = |out: f64| ((most - out + 1e-6) / proxies - self.ledger.head(f)).max(0.0) as usize;
-        let (many, part) = (fits(self.ledger.written_out()).min(orders), again || mute || fits(0.0) < orders);
-        let worth = many == orders || part && (many as f64 >= f.overhead || mute);
-        let spent = self.ledger.sent.len() >= f.messages_most && (again || many < orders);
-        many * (worth && !spent) as usize
+        let overhead = self.backlog.overhead_lines(params);
+        let fitting = |used: f64| ((limit - used + 1e-6) / proxies - overhead).max(0.0) as usize;
+        let count = fitting(self.backlog.unacknowledged_written_lines()).min(call.orders);
+        let is_partial = count < call.orders;
+        let may_be_part = call.again || is_silent || fitting(0.0) < call.orders;
+        let is_worthwhile = is_silent || count as f64 >= params.message_overhead;
+        let is_spent = self.backlog.sent_at.len() >= params.max_messages && (call.again || is_partial);
+        if is_spent || is_partial && !(may_be_part && is_worthwhile) {
+            return 0;
+        }
+        count
     }
 }
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -1,4 +1,4 @@
-//! Each test sets up the state it needs and calls one function.
+//! Each test sets up the state that it needs and calls one function.
 
 use super::*;
 
@@ -59,27 +59,40 @@
     }
 }
 
-fn figures() -> Figures {
-    Figures::new(&settings())
+fn params() -> Parameters {
+    Parameters::new(&settings())
 }
 
 fn id(n: usize) -> HostId {
     HostId(n as u32)
 }
 
-fn sound(n: usize) -> View {
-    let (weight, ramp, ease, zone) = (1.0, 1.0, 1.0, ZoneId((n % 2) as u16));
-    View { ready: true, senior: (0.0, n as u64), weight, ramp, ease, zone, proven: true, ..View::default() }
+fn usable_view(n: usize) -> HostView {
+    HostView {
+        ready: true,
+        seniority: (0.0, n as u64),
+        weight: 1.0,
+        slow_start: 1.0,
+        derating: 1.0,
+        zone: ZoneId((n % 2) as u16),
+        verified: true,
+        ..HostView::default()
+    }
 }
 
 /// Host n owns `held[n]` slices, each scoring 1 and standing in its table.
 fn tables(held: &[usize]) -> Tables {
-    let mut tables = Tables { weight: 1.0, speed: 15.0, ..Tables::default() };
+    let mut tables = Tables { mean_weight: 1.0, mean_speed: 15.0, ..Tables::default() };
     for (n, many) in held.iter().enumerate() {
-        tables.views.insert(id(n), sound(n));
+        tables.views.insert(id(n), usable_view(n));
         for _ in 0..*many {
-            let (owner, lines) = (Some(id(n)), Sums::from([(id(n), 1.0)]));
-            let slice = Slice { owner, lines, score: 1.0, demand: vec![0.0; 2], ..Slice::default() };
+            let slice = Slice {
+                owner: Some(id(n)),
+                weights: PerHost::from([(id(n), 1.0)]),
+                score: 1.0,
+                calls: vec![0.0; 2],
+                ..Slice::default()
+            };
             tables.slices.insert(SliceId(tables.slices.len() as u16), slice);
         }
     }
@@ -87,15 +100,15 @@
 }
 
 fn held(tables: &Tables, n: usize) -> f64 {
-    tables.counts()[&id(n)]
+    tables.slice_counts()[&id(n)]
 }
 
 /// The tables that the channel was asked for.
-fn asked(post: &mut Post) -> Vec<(SliceId, Sums)> {
-    let notes = std::iter::from_fn(|| post.collect()).flat_map(|(_, notes)| notes);
-    let table = |note| match note {
-        Note::Lines { slice, lines } => Some((slice, lines)),
+fn desired_tables(outbox: &mut Outbox) -> Vec<(SliceId, PerHost)> {
+    let messages = std::iter::from_fn(|| outbox.take_next_mailbox()).flat_map(|(_, messages)| messages);
+    let table = |message| match message {
+        Message::DesiredTable { slice, weights } => Some((slice, weights)),
         _ => None,
     };
-    notes.filter_map(table).collect()
+    messages.filter_map(table).collect()
 }
--- a/src/logic/tests/director.rs
+++ b/src/logic/tests/director.rs
@@ -7,19 +7,20 @@
 #[test_case(false, 1.1, vec![] ; "a list that is followed is left alone")]
 #[test_case(false, 3.1, vec![Order::FetchList] ; "after long silence it asks")]
 fn the_list_is_kept_up_with(failed: bool, now: f64, expected: Vec<Order>) {
-    let (mut watch, mut post) = (Watch { following: true, asked_at: Some(0.0) }, Post::default());
+    let (mut watch, mut outbox) =
+        (DiscoveryWatch { following: true, asked_at: Some(0.0) }, Outbox::default());
     if failed {
         let lost = Input::Hosts { scope: ListScope::Failed, version: 0, entries: vec![] };
-        watch.work(0.5, &figures(), Note::In(lost), &mut post);
+        watch.handle(0.5, &params(), Message::Input(lost), &mut outbox);
     }
-    watch.work(now, &figures(), Note::Tick, &mut post);
-    assert_eq!(post.orders, expected);
+    watch.handle(now, &params(), Message::Tick, &mut outbox);
+    assert_eq!(outbox.orders, expected);
 }
 
 #[test]
 fn beats_survive_rounding() {
     let mut director = Director::new(settings(), 7);
-    director.tick_at = 8.200000000000001;
+    director.next_tick_at = 8.200000000000001;
     let orders = director.handle(8.2, &[Input::Wake(WakeId(1))]);
     assert!(orders.iter().any(|order| matches!(order, Order::WakeAt { .. })));
 }
@@ -27,10 +28,10 @@
 #[test]
 fn an_old_list_version_changes_nothing() {
     let mut director = Director::new(settings(), 7);
-    director.version = Some(5);
-    let mut post = Post::default();
-    director.list(ListScope::Whole, 4, &[], &mut post);
-    assert!(post.collect().is_none());
+    director.list_version = Some(5);
+    let mut outbox = Outbox::default();
+    director.update_list(ListScope::Whole, 4, &[], &mut outbox);
+    assert!(outbox.take_next_mailbox().is_none());
 }
 
 fn listing(n: usize, state: HostState) -> Listing {
@@ -76,8 +77,10 @@
         }
     }
     let (tables, channel) = (&director.tables, &director.channel);
-    let kept = [director.hosts.len(), tables.views.len(), tables.withdrawn.len(), tables.full.len()];
-    let more = [channel.out.len(), channel.shuts.len(), channel.over.len(), shut.len()];
+    let kept =
+        [director.hosts.len(), tables.views.len(), tables.withdrawn.len(), tables.relative_loads.len()];
+    let more =
+        [channel.withdrawn.len(), channel.pending_withdrawals.len(), channel.expired.len(), shut.len()];
     assert!(
         forgotten > 1900 && kept.iter().chain(&more).all(|many| *many < 60),
         "{forgotten} {kept:?} {more:?}"
@@ -95,9 +98,9 @@
     let mut orders = director.handle(5.0, &[list(2, entries)]);
     orders.extend((51..200).flat_map(|beat| director.handle(beat as f64 / 10.0, &[])));
     // The channel may have let it go in the moment in which it was listed again.
-    let mut post = Post::default();
-    post.note(To::Tables, Note::Over(id(3)));
-    director.settle(21.0, &mut post);
+    let mut outbox = Outbox::default();
+    outbox.send(Recipient::Tables, Message::Expired(id(3)));
+    director.deliver_messages(21.0, &mut outbox);
     assert_eq!((orders.contains(&Order::Forget(id(3))), director.hosts.is_empty()), (forgotten, forgotten));
 }
 
--- a/src/logic/tests/owners.rs
+++ b/src/logic/tests/owners.rs
@@ -9,12 +9,12 @@
 #[test_case(&[4, 3, 4], true, 4.0; "begun, a gap under two ends it")]
 fn gaps(held_at_first: &[usize], balancing: bool, fullest: f64) {
     let mut tables = tables(held_at_first);
-    tables.balancing.moving = balancing;
+    tables.rebalancer.moving = balancing;
     let gap = held(&tables, 0) - held(&tables, 1);
-    let figures = Figures { all_slices: tables.slices.len() as f64, ..figures() };
-    tables.balance(100.0, &figures, &mut Post::default());
+    let params = Parameters { slice_count: tables.slices.len() as f64, ..params() };
+    tables.balance(100.0, &params, &mut Outbox::default());
     let moves = gap > 8.0 || (balancing && gap >= 2.0);
-    assert_eq!(tables.balancing.moving, moves);
+    assert_eq!(tables.rebalancer.moving, moves);
     assert_eq!(held(&tables, 0), if moves { fullest - 1.0 } else { fullest });
     assert_eq!(held(&tables, 2), 4.0);
 }
@@ -25,18 +25,18 @@
 #[test_case(4.0, true ; "a quarter of them: it stands for one of ten")]
 fn a_gap_stands_for_those_of_all_directors(of: f64, moves: bool) {
     let mut tables = tables(&[5, 0, 2]);
-    let figures = Figures { all_slices: 7.0 * of, ..figures() };
-    tables.balance(100.0, &figures, &mut Post::default());
-    assert_eq!(tables.balancing.moving, moves);
+    let params = Parameters { slice_count: 7.0 * of, ..params() };
+    tables.balance(100.0, &params, &mut Outbox::default());
+    assert_eq!(tables.rebalancer.moving, moves);
 }
 
 #[test]
 fn the_emptiest_that_has_room_receives() {
     let mut tables = tables(&[10, 0, 1]);
-    tables.views.get_mut(&id(1)).unwrap().ramp = 0.2;
-    (tables.rt, tables.most) = (1.0, 10);
-    let figures = Figures { all_slices: 11.0, ..figures() };
-    tables.balance(100.0, &figures, &mut Post::default());
+    tables.views.get_mut(&id(1)).unwrap().slow_start = 0.2;
+    (tables.response_time, tables.max_ready_hosts) = (1.0, 10);
+    let params = Parameters { slice_count: 11.0, ..params() };
+    tables.balance(100.0, &params, &mut Outbox::default());
     assert_eq!(held(&tables, 2), 2.0, "the young one has no room for any");
 }
 
@@ -49,9 +49,10 @@
 #[test_case(0.0, 1.0, 1.0, 1.5 ; "not measured")]
 fn a_jam_of_few_hosts_leaves_the_young_their_room(rt: f64, calls: f64, borne: f64, room: f64) {
     let mut tables = tables(&[6, 6, 6]);
-    tables.views.get_mut(&id(2)).unwrap().ramp = 0.5;
-    (tables.rt, tables.most, tables.calls, tables.borne) = (rt, 3, calls, borne);
-    assert!((tables.rooms(&figures())[&id(2)] + 6.0 - room * 0.5 * 6.0).abs() < 1e-9);
+    tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
+    (tables.response_time, tables.max_ready_hosts, tables.call_rate, tables.sustained_call_rate) =
+        (rt, 3, calls, borne);
+    assert!((tables.capacities(&params())[&id(2)] + 6.0 - room * 0.5 * 6.0).abs() < 1e-9);
 }
 
 #[test_case(9.0, 0.0, 0 ; "the hottest goes where the fullest scores more")]
@@ -62,8 +63,8 @@
     tables.slices.get_mut(&SliceId(0)).unwrap().score = hot.max(1.5);
     tables.slices.get_mut(&SliceId(9)).unwrap().score = 0.5;
     tables.slices.get_mut(&SliceId(10)).unwrap().score = if hot > 1.0 { 1.0 } else { 50.0 };
-    tables.views.get_mut(&id(1)).unwrap().senior = (listed_at, 1);
-    tables.balance(100.0, &figures(), &mut Post::default());
+    tables.views.get_mut(&id(1)).unwrap().seniority = (listed_at, 1);
+    tables.balance(100.0, &params(), &mut Outbox::default());
     assert_eq!(tables.slices[&SliceId(expected)].owner, Some(id(1)));
 }
 
@@ -71,18 +72,18 @@
 fn counts_are_per_unit_of_weight() {
     let mut tables = tables(&[12, 5]);
     tables.views.get_mut(&id(0)).unwrap().weight = 3.0;
-    tables.balance(100.0, &figures(), &mut Post::default());
-    assert!(!tables.balancing.moving, "8 per unit against 10 per unit");
+    tables.balance(100.0, &params(), &mut Outbox::default());
+    assert!(!tables.rebalancer.moving, "8 per unit against 10 per unit");
 }
 
 #[test]
 fn the_start_layout_is_even_and_keeps_standing_holders() {
     let mut tables = tables(&[6, 2, 1]);
     tables.slices.values_mut().for_each(|slice| slice.owner = None);
-    tables.lay(&figures(), &mut Post::default());
+    tables.assign_initial_owners(&params(), &mut Outbox::default());
     assert_eq!((held(&tables, 1), held(&tables, 2)), (2.0, 1.0), "they stay where they stood");
     assert_eq!(held(&tables, 0), 5.0, "three is its even part, two more are kept");
-    tables.rescue(1.0, &figures());
+    tables.move_displaced(1.0, &params());
     assert_eq!(held(&tables, 2), 2.0, "the rest go to the emptiest");
 }
 
@@ -92,9 +93,9 @@
     let mut tables = tables(&[2, 2, 1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = ready;
     tables.withdrawn.insert(id(0), 10.0);
-    tables.rescue(11.0, &figures());
+    tables.move_displaced(11.0, &params());
     assert_eq!(held(&tables, 0), stay as f64);
-    tables.rescue(12.5, &figures());
+    tables.move_displaced(12.5, &params());
     assert_eq!(held(&tables, 0), 0.0);
     assert_eq!((held(&tables, 2), held(&tables, 3)), (2.0, 2.0), "each to the host holding fewest");
 }
@@ -103,17 +104,17 @@
 fn of_equals_the_longest_listed_receives() {
     let mut tables = tables(&[1, 0, 0]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
-    tables.views.get_mut(&id(1)).unwrap().senior = (5.0, 9);
-    tables.rescue(1.0, &figures());
+    tables.views.get_mut(&id(1)).unwrap().seniority = (5.0, 9);
+    tables.move_displaced(1.0, &params());
     assert_eq!(held(&tables, 2), 1.0);
 }
 
 #[test]
 fn the_score_weighs_the_route_with_the_longest_slo_time() {
     let mut tables = tables(&[3]);
-    tables.slices.get_mut(&SliceId(0)).unwrap().demand = vec![10.0, 0.0];
-    tables.slices.get_mut(&SliceId(1)).unwrap().demand = vec![0.0, 10.0];
-    tables.score(&figures());
+    tables.slices.get_mut(&SliceId(0)).unwrap().calls = vec![10.0, 0.0];
+    tables.slices.get_mut(&SliceId(1)).unwrap().calls = vec![0.0, 10.0];
+    tables.score_slices(&params());
     let score = |n| tables.slices[&SliceId(n)].score;
     assert_eq!((score(0), score(1)), (1.0, 1.5));
     assert_eq!(score(2), 1.25, "one without counts scores as the average");
@@ -123,43 +124,43 @@
 #[test_case(0.6 ; "half warm")]
 fn a_young_host_has_room_by_its_age(ramp: f64) {
     let mut tables = tables(&[6, 6, 6]);
-    tables.views.get_mut(&id(2)).unwrap().ramp = ramp;
-    (tables.rt, tables.most) = (1.0, 3);
-    let room = tables.rooms(&figures())[&id(2)] + 6.0;
+    tables.views.get_mut(&id(2)).unwrap().slow_start = ramp;
+    (tables.response_time, tables.max_ready_hosts) = (1.0, 3);
+    let room = tables.capacities(&params())[&id(2)] + 6.0;
     assert!(
         (room - 1.5 * ramp * 6.0).abs() < 1e-9,
         "0.6 of the fall multiple, all calls of its tables counted"
     );
-    tables.rescue(1.0, &figures());
+    tables.move_displaced(1.0, &params());
     assert!(held(&tables, 2) <= room, "what it has no room for goes elsewhere");
 }
 
 #[test]
 fn the_fall_multiple_bounds_the_room() {
     let mut tables = tables(&[6, 6, 6]);
-    tables.views.get_mut(&id(2)).unwrap().ramp = 0.5;
-    (tables.rt, tables.most) = (1.0, 3);
-    let figures = Figures { fall_multiple: 1.5, ..figures() };
-    assert!((tables.rooms(&figures)[&id(2)] + 6.0 - 0.6 * 1.5 * 0.5 * 6.0).abs() < 1e-9);
+    tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
+    (tables.response_time, tables.max_ready_hosts) = (1.0, 3);
+    let params = Parameters { collapse_multiple: 1.5, ..params() };
+    assert!((tables.capacities(&params)[&id(2)] + 6.0 - 0.6 * 1.5 * 0.5 * 6.0).abs() < 1e-9);
 }
 
 #[test]
 fn the_room_does_not_grow_as_others_fail() {
     let mut tables = tables(&[6, 6, 6]);
-    tables.views.get_mut(&id(2)).unwrap().ramp = 0.5;
-    tables.suspects(1.0, &mut Post::default());
-    let before = tables.rooms(&figures())[&id(2)];
+    tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
+    tables.update_withdrawals(1.0, &mut Outbox::default());
+    let before = tables.capacities(&params())[&id(2)];
     tables.views.get_mut(&id(0)).unwrap().ready = false;
-    tables.suspects(2.0, &mut Post::default());
-    assert!(tables.rooms(&figures())[&id(2)] <= before);
+    tables.update_withdrawals(2.0, &mut Outbox::default());
+    assert!(tables.capacities(&params())[&id(2)] <= before);
 }
 
 #[test]
 fn a_start_in_the_middle_of_a_loss_gives_no_more_room() {
     let mut tables = tables(&[6, 6, 6]);
     (0..2).for_each(|n| tables.views.get_mut(&id(n)).unwrap().ready = false);
-    tables.views.get_mut(&id(2)).unwrap().ramp = 0.2;
-    tables.suspects(1.0, &mut Post::default());
-    let room = tables.rooms(&figures())[&id(2)] + 6.0;
+    tables.views.get_mut(&id(2)).unwrap().slow_start = 0.2;
+    tables.update_withdrawals(1.0, &mut Outbox::default());
+    let room = tables.capacities(&params())[&id(2)] + 6.0;
     assert!(room < 1.5 * 0.2 * 6.0, "nor is anything known to spare");
 }
--- a/src/logic/tests/tables.rs
+++ b/src/logic/tests/tables.rs
@@ -7,11 +7,11 @@
 fn a_move_is_told_once() {
     let mut tables = tables(&[1, 0]);
     tables.slices.get_mut(&SliceId(0)).unwrap().owner = Some(id(1));
-    let mut post = Post::default();
-    tables.write(&figures(), &mut post);
-    assert_eq!(asked(&mut post), [(SliceId(0), Sums::from([(id(1), 1.0)]))]);
-    tables.write(&figures(), &mut post);
-    assert!(asked(&mut post).is_empty(), "only differences");
+    let mut outbox = Outbox::default();
+    tables.send_tables(&params(), &mut outbox);
+    assert_eq!(desired_tables(&mut outbox), [(SliceId(0), PerHost::from([(id(1), 1.0)]))]);
+    tables.send_tables(&params(), &mut outbox);
+    assert!(desired_tables(&mut outbox).is_empty(), "only differences");
 }
 
 #[test_case(4, 4 ; "four of ten")]
@@ -19,7 +19,7 @@
 fn suspicion_is_bounded(suspects: usize, withdrawn: usize) {
     let mut tables = tables(&[1; 10]);
     (0..suspects).for_each(|n| tables.views.get_mut(&id(n)).unwrap().suspect = true);
-    tables.suspects(1.0, &mut Post::default());
+    tables.update_withdrawals(1.0, &mut Outbox::default());
     assert_eq!(tables.withdrawn.len(), withdrawn);
 }
 
@@ -29,11 +29,11 @@
 fn withdrawals_are_told_again(again: bool, later: f64, told: usize) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
-    tables.suspects(1.0, &mut Post::default());
-    let mut post = Post::default();
-    tables.again = again;
-    tables.suspects(1.0 + later, &mut post);
-    assert_eq!(post.collect().map_or(0, |(_, notes)| notes.len()), told);
+    tables.update_withdrawals(1.0, &mut Outbox::default());
+    let mut outbox = Outbox::default();
+    tables.resend_withdrawals = again;
+    tables.update_withdrawals(1.0 + later, &mut outbox);
+    assert_eq!(outbox.take_next_mailbox().map_or(0, |(_, messages)| messages.len()), told);
 }
 
 #[test]
@@ -41,18 +41,18 @@
     let mut tables = tables(&[1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     tables.slices.values_mut().for_each(|slice| slice.owner = None);
-    tables.rescue(1.0, &figures());
-    let mut post = Post::default();
-    tables.write(&figures(), &mut post);
-    assert!(asked(&mut post).is_empty());
+    tables.move_displaced(1.0, &params());
+    let mut outbox = Outbox::default();
+    tables.send_tables(&params(), &mut outbox);
+    assert!(desired_tables(&mut outbox).is_empty());
 }
 
 #[test_case(0.5, 1 ; "just restarted with a full table: out")]
 #[test_case(1.5, 0 ; "a second later it may return")]
 fn a_restart_behind_our_back_shuts_a_host(later: f64, out: usize) {
     let mut tables = tables(&[1, 1]);
-    tables.views.get_mut(&id(0)).unwrap().restarted = Some(5.0);
-    tables.suspects(5.0 + later, &mut Post::default());
+    tables.views.get_mut(&id(0)).unwrap().restarted_at = Some(5.0);
+    tables.update_withdrawals(5.0 + later, &mut Outbox::default());
     assert_eq!(tables.withdrawn.len(), out);
 }
 
@@ -60,9 +60,9 @@
 fn a_host_is_open_again_when_the_proxies_have_been_told() {
     let mut tables = tables(&[1, 1]);
     tables.withdrawn.insert(id(0), 1.0);
-    tables.suspects(5.0, &mut Post::default());
+    tables.update_withdrawals(5.0, &mut Outbox::default());
     assert!(!tables.is_open(id(0)));
-    tables.work(5.0, &figures(), Note::Back(id(0)), &mut Post::default());
+    tables.handle(5.0, &params(), Message::Readmitted(id(0)), &mut Outbox::default());
     assert!(tables.is_open(id(0)));
 }
 
@@ -73,10 +73,12 @@
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     let mut told = 0;
     for tenth in 20..40 {
-        tables.again = true;
-        let mut post = Post::default();
-        tables.suspects(0.1 * f64::from(tenth), &mut post);
-        told += std::iter::from_fn(|| post.collect()).filter(|(to, _)| *to == To::Channel).count();
+        tables.resend_withdrawals = true;
+        let mut outbox = Outbox::default();
+        tables.update_withdrawals(0.1 * f64::from(tenth), &mut outbox);
+        told += std::iter::from_fn(|| outbox.take_next_mailbox())
+            .filter(|(to, _)| *to == Recipient::Channel)
+            .count();
     }
     assert_eq!(told, 2);
 }
@@ -84,11 +86,14 @@
 #[test]
 fn hosts_are_shut_out_also_when_the_list_has_none_ready() {
     let mut tables = tables(&[2, 2]);
-    tables.tick(1.0, &figures(), &mut Post::default());
+    tables.tick(1.0, &params(), &mut Outbox::default());
     tables.views.values_mut().for_each(|view| view.ready = false);
-    let mut post = Post::default();
-    tables.tick(2.0, &figures(), &mut post);
-    let out = |note: &Note| matches!(note, Note::Tell(Order::Withdraw { out: true, .. }));
-    let many = std::iter::from_fn(|| post.collect()).flat_map(|(_, notes)| notes).filter(out).count();
+    let mut outbox = Outbox::default();
+    tables.tick(2.0, &params(), &mut outbox);
+    let out = |message: &Message| matches!(message, Message::Send(Order::Withdraw { out: true, .. }));
+    let many = std::iter::from_fn(|| outbox.take_next_mailbox())
+        .flat_map(|(_, messages)| messages)
+        .filter(out)
+        .count();
     assert_eq!(many, 2, "the third rule binds whatever tables proxies hold");
 }
--- a/src/logic/tests/wishes.rs
+++ b/src/logic/tests/wishes.rs
@@ -4,8 +4,8 @@
 use test_case::test_case;
 
 fn wished(tables: &mut Tables, wishes: Wishes) {
-    tables.work(1.0, &figures(), Note::In(Input::Wishes(wishes)), &mut Post::default());
-    tables.tick(1.0, &figures(), &mut Post::default());
+    tables.handle(1.0, &params(), Message::Input(Input::Wishes(wishes)), &mut Outbox::default());
+    tables.tick(1.0, &params(), &mut Outbox::default());
 }
 
 #[test_case(&[0], [0.0, 6.0, 6.0] ; "it keeps no slice, others take them at once")]
@@ -15,7 +15,7 @@
     let drained = hosts.iter().map(|host| id(*host)).collect();
     wished(&mut tables, Wishes { drained, ..Wishes::default() });
     assert_eq!([0, 1, 2].map(|host| held(&tables, host)), owned);
-    let named = |slice: &Slice| slice.lines.keys().any(|host| hosts == [0] && *host == id(0));
+    let named = |slice: &Slice| slice.weights.keys().any(|host| hosts == [0] && *host == id(0));
     assert!(!tables.slices.values().any(named), "nor stands by for one");
     wished(&mut tables, Wishes::default());
     assert!(tables.is_open(id(0)), "open again when the wish is taken back");
@@ -42,7 +42,7 @@
 fn a_zone_made_heavier_by_hand_draws_slices() {
     let mut tables = tables(&[4, 4, 4, 4]);
     wished(&mut tables, Wishes { zones: vec![1.0, 3.0], ..Wishes::default() });
-    (2..40).for_each(|at| tables.tick(at as f64, &figures(), &mut Post::default()));
+    (2..40).for_each(|at| tables.tick(at as f64, &params(), &mut Outbox::default()));
     assert!(held(&tables, 1) + held(&tables, 3) >= 10.0, "until the gap per unit of weight is under two");
 }
 
@@ -68,5 +68,5 @@
     wished(&mut tables, Wishes::default());
     assert_eq!((tables.slices[&SliceId(0)].owner == Some(id(0)), held(&tables, 0) >= at_home), (open, true));
     assert!(open || held(&tables, 0) == 0.0, "one that drains stays out");
-    assert_eq!(tables.slices[&SliceId(0)].home, None, "either way it is at home where it is");
+    assert_eq!(tables.slices[&SliceId(0)].original_owner, None, "either way it is at home where it is");
 }
--- /dev/null
+++ b/src/parameters.rs
@@ -0,0 +1,96 @@
+//! What the decisions use of the settings, and what follows from them directly. Holds no decision.
+
+use crate::interface::{Admission, Retry, Semantics, Settings};
+
+/// Parameters of the decisions. Times are in seconds, shares from 0 to 1.
+pub(crate) struct Parameters {
+    /// Share of its capacity that a host has at least when it starts.
+    pub(crate) cold_capacity_share: f64,
+    /// Time after which a host that has started has its full capacity.
+    pub(crate) slow_start_duration: f64,
+    /// Load, as a multiple of what a host can do, at which its service collapses.
+    pub(crate) collapse_multiple: f64,
+    /// Period of the proxies' reports.
+    pub(crate) report_interval: f64,
+    /// Health checks may be sent to hosts.
+    pub(crate) probes_allowed: bool,
+    /// A host that the list drops without having called it draining may go on serving.
+    pub(crate) removal_is_advisory: bool,
+    /// A slice has one owner and no standby, so its table has one entry.
+    pub(crate) exclusive_ownership: bool,
+    /// What an answer in time is worth, by route.
+    pub(crate) route_values: Vec<f64>,
+    /// Latency objective, by route.
+    pub(crate) latency_slos: Vec<f64>,
+    /// The shortest latency objective; infinite without routes.
+    pub(crate) tightest_slo: f64,
+    /// Whether calls may run twice, by route.
+    pub(crate) idempotent: Vec<bool>,
+    /// Retry policy of the proxies for routes without an order of ours.
+    pub(crate) default_retry: Retry,
+    /// Proxies admit a share of the calls as ordered. No other kind of admission control is used.
+    pub(crate) admission_by_share: bool,
+    /// Cost of a message to one proxy before its first order, in lines.
+    pub(crate) message_overhead: f64,
+    /// How many proxies there can be.
+    pub(crate) proxy_count: f64,
+    /// Proxies use tables of slices, not tables of their own.
+    pub(crate) uses_slices: bool,
+    /// Slices of all directors together.
+    pub(crate) slice_count: f64,
+    /// Rate of the channel to the proxies, in lines per second.
+    pub(crate) lines_per_s: f64,
+    /// How long the channel takes for a message with one line to every proxy.
+    pub(crate) round_time: f64,
+    /// Most lines that may be queued in the channel.
+    pub(crate) max_backlog: f64,
+    /// Longest time from a message's leaving the channel to its receipt.
+    pub(crate) max_transit_time: f64,
+    /// Most messages to one proxy within `message_window`.
+    pub(crate) max_messages: usize,
+    /// Window of that limit.
+    pub(crate) message_window: f64,
+    /// Where the host list must be asked for: the silence after which the director counts as informed.
+    pub(crate) max_list_silence: Option<f64>,
+}
+
+impl Parameters {
+    /// The parameters that follow from a director's settings.
+    pub(crate) fn new(settings: &Settings) -> Self {
+        let routes = &settings.routes;
+        let latency_slos: Vec<f64> = routes.iter().map(|route| route.slo_time).collect();
+        let tightest_slo = latency_slos.iter().copied().fold(f64::INFINITY, f64::min);
+        let proxy_count = settings.proxies as f64;
+        // No limit is stated as 0.
+        let max_messages = match settings.messages_most {
+            0 => usize::MAX,
+            limit => limit as usize,
+        };
+        Parameters {
+            cold_capacity_share: settings.cold_from,
+            slow_start_duration: settings.ramp_time,
+            collapse_multiple: settings.fall_multiple,
+            report_interval: settings.report_interval,
+            probes_allowed: settings.may_probe,
+            removal_is_advisory: settings.gone_is_advice,
+            exclusive_ownership: settings.exclusive,
+            route_values: routes.iter().map(|route| route.importance).collect(),
+            latency_slos,
+            tightest_slo,
+            idempotent: routes.iter().map(|route| route.semantics == Semantics::Repeatable).collect(),
+            default_retry: settings.retry_default,
+            admission_by_share: settings.admission == Admission::Share,
+            message_overhead: settings.message_overhead,
+            proxy_count,
+            uses_slices: settings.slices > 0,
+            slice_count: settings.slices as f64,
+            lines_per_s: settings.lines_per_s,
+            round_time: proxy_count * (settings.message_overhead + 1.0) / settings.lines_per_s.max(1.0),
+            max_backlog: settings.backlog_lines,
+            max_transit_time: settings.transit_most,
+            max_messages,
+            message_window: settings.messages_span,
+            max_list_silence: (!settings.list_is_pushed).then_some(settings.ask_within),
+        }
+    }
+}
--- /dev/null
+++ b/src/state/channel.rs
@@ -0,0 +1,218 @@
+//! What is remembered of the channel to the proxies.
+
+use crate::channel_backlog::ChannelBacklog;
+use crate::interface::{HostId, Input, MarkId, Order, SliceId};
+use crate::messages::{Message, Outbox, Recipient};
+use crate::parameters::Parameters;
+use crate::placement::PerHost;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// A table as the proxies should have it.
+pub(crate) struct DesiredTable {
+    /// When it was first asked for after the last order of the slice was sent, in seconds.
+    pub(crate) since: f64,
+    pub(crate) weights: PerHost,
+}
+
+/// Difference between a table as sent and as desired.
+pub(crate) struct TableDiff {
+    /// Weights that differ, and removals of hosts that are not shut.
+    pub(crate) orders: Vec<Order>,
+    /// Removals of hosts that are shut anyway.
+    pub(crate) removals_of_shut: Vec<Order>,
+    /// Hosts to be removed that are withdrawn and to be let back in.
+    pub(crate) returning: Vec<HostId>,
+    /// The host with the highest weight as sent.
+    pub(crate) heaviest: Option<HostId>,
+    /// A host of the table as sent is neither withdrawn nor to be.
+    pub(crate) has_open_host: bool,
+}
+
+/// The channel to the proxies: what they have been sent, and what is to be sent.
+#[derive(Default)]
+pub(crate) struct Channel {
+    /// Tables as sent so far, or as found in the store.
+    pub(crate) sent_tables: BTreeMap<SliceId, PerHost>,
+    /// Tables as they should be.
+    pub(crate) desired_tables: BTreeMap<SliceId, DesiredTable>,
+    /// Hosts of which the proxies were last told that they are withdrawn.
+    pub(crate) withdrawn: BTreeSet<HostId>,
+    /// Hosts that are to be withdrawn (true) or let back in (false).
+    pub(crate) pending_withdrawals: BTreeMap<HostId, bool>,
+    /// Withdrawn hosts that are gone and in no table, to be let in with other orders and then forgotten.
+    pub(crate) expired: BTreeSet<HostId>,
+    /// Admission levels to be sent.
+    pub(crate) pending_admission: Vec<Order>,
+    /// What was sent and may still be queued.
+    pub(crate) backlog: ChannelBacklog,
+    /// Id of the next round of messages.
+    pub(crate) next_round: u16,
+}
+
+impl Channel {
+    /// Whether a table names the host, or should.
+    pub(crate) fn has_table_with(&self, host: HostId) -> bool {
+        let desired = self.desired_tables.values().map(|table| &table.weights);
+        self.sent_tables.values().chain(desired).any(|weights| weights.contains_key(&host))
+    }
+
+    /// A slice's table should have these weights.
+    pub(crate) fn set_desired(&mut self, now: f64, slice: SliceId, weights: PerHost) {
+        let since = self.desired_tables.get(&slice).map_or(now, |table| table.since);
+        self.desired_tables.insert(slice, DesiredTable { since, weights });
+    }
+
+    /// An admission level for all proxies is to be sent. Messages also bring it to proxies that join later.
+    pub(crate) fn add_admission(&mut self, order: Order) {
+        if let Order::Admit { routes, .. } = &order {
+            self.backlog.admission_routes.extend(routes);
+        }
+        self.pending_admission.push(order);
+    }
+
+    /// A table is as given here, or is not known; nothing is desired of it.
+    pub(crate) fn reset_table(&mut self, slice: SliceId, weights: Option<PerHost>) {
+        self.desired_tables.remove(&slice);
+        self.sent_tables.remove(&slice);
+        if let Some(weights) = weights {
+            self.sent_tables.insert(slice, weights);
+        }
+    }
+
+    /// A host is to be withdrawn or let back in.
+    pub(crate) fn set_withdrawal(&mut self, host: HostId, withdrawn: bool) {
+        self.expired.remove(&host);
+        self.pending_withdrawals.insert(host, withdrawn);
+    }
+
+    /// Whether the host is withdrawn, or to be withdrawn, and not to be let back in.
+    pub(crate) fn is_shut(&self, host: &HostId) -> bool {
+        let is_withdrawn = self.withdrawn.contains(host);
+        self.pending_withdrawals.get(host).copied().unwrap_or(is_withdrawn)
+    }
+
+    /// Whether the host is withdrawn and to be let back in.
+    pub(crate) fn is_returning(&self, host: &HostId) -> bool {
+        self.withdrawn.contains(host) && !self.is_shut(host)
+    }
+
+    /// Ends a round of orders: asks the proxies to acknowledge it, and counts its lines.
+    pub(crate) fn finish_round(&mut self, now: f64, lines_per_proxy: f64, outbox: &mut Outbox) {
+        let id = MarkId(self.next_round);
+        outbox.orders.push(Order::Mark { mark: id, all: false });
+        self.backlog.record_order(now, id, lines_per_proxy);
+        self.next_round = self.next_round.wrapping_add(1);
+    }
+
+    /// Whether the host is yet to be withdrawn.
+    pub(crate) fn is_to_be_withdrawn(&self, host: HostId) -> bool {
+        self.pending_withdrawals.get(&host) == Some(&true)
+    }
+
+    /// Whether the host is withdrawn, nothing else is to be told of it, and no table names it or should.
+    pub(crate) fn is_withdrawn_and_unused(&self, host: HostId) -> bool {
+        let is_pending = self.pending_withdrawals.contains_key(&host);
+        self.withdrawn.contains(&host) && !is_pending && !self.has_table_with(host)
+    }
+
+    /// Nothing refers to an expired host here any more, which the tables are told.
+    pub(crate) fn forget_host(&mut self, host: HostId, outbox: &mut Outbox) {
+        self.pending_withdrawals.remove(&host);
+        self.withdrawn.remove(&host);
+        outbox.send(Recipient::Tables, Message::Expired(host));
+    }
+
+    /// Keeps what an input says that needs no decision. `join_overlap`: see [`ChannelBacklog::record_input`].
+    pub(crate) fn record_input(&mut self, now: f64, params: &Parameters, join_overlap: f64, input: Input) {
+        match input {
+            Input::StoredLine { slice, host, weight } => {
+                self.sent_tables.entry(slice).or_default().insert(host, weight);
+                // A table names it once more, so it has not expired.
+                self.expired.remove(&host);
+            }
+            Input::Refused { slice, lines, .. } => self.reset_table(slice, Some(lines)),
+            Input::Taken(slice) | Input::Given(slice) => self.reset_table(slice, None),
+            input => self.backlog.record_input(now, params, join_overlap, &input),
+        }
+    }
+
+    /// What is to be sent of a table, as far as the weights sent are not `close` enough to those desired.
+    pub(crate) fn table_diff(
+        &self,
+        slice: SliceId,
+        desired: &DesiredTable,
+        is_close: impl Fn(Option<&f64>, f64) -> bool,
+    ) -> TableDiff {
+        let never_sent = PerHost::new();
+        let sent = self.sent_tables.get(&slice).unwrap_or(&never_sent);
+        let heaviest = sent.iter().max_by(|a, b| a.1.total_cmp(b.1));
+        let mut diff = TableDiff {
+            orders: Vec::new(),
+            removals_of_shut: Vec::new(),
+            returning: Vec::new(),
+            heaviest: heaviest.map(|(host, _)| *host),
+            has_open_host: sent.keys().any(|host| !self.is_shut(host) && !self.withdrawn.contains(host)),
+        };
+        for (host, weight) in &desired.weights {
+            if !is_close(sent.get(host), *weight) {
+                diff.orders.push(Order::Line { slice, host: *host, weight: *weight });
+            }
+        }
+        for host in sent.keys().filter(|host| !desired.weights.contains_key(host)) {
+            let removal = Order::Line { slice, host: *host, weight: 0.0 };
+            if self.is_shut(host) {
+                diff.removals_of_shut.push(removal);
+                continue;
+            }
+            diff.orders.push(removal);
+            if self.is_returning(host) {
+                diff.returning.push(*host);
+            }
+        }
+        diff
+    }
+
+    /// Gives orders for the proxies, and notes what these know then.
+    pub(crate) fn give_orders(&mut self, now: f64, orders: Vec<Order>, outbox: &mut Outbox) {
+        for order in &orders {
+            self.record_sent(now, order, outbox);
+        }
+        outbox.orders.extend(orders);
+    }
+
+    /// Notes what the proxies know once this order is sent.
+    fn record_sent(&mut self, now: f64, order: &Order, outbox: &mut Outbox) {
+        match *order {
+            Order::Line { slice, host, weight } => self.record_weight(now, slice, host, weight),
+            Order::Withdraw { host, out } => self.record_withdrawal(host, out, outbox),
+            // Admission levels are sent in the order in which they were asked for.
+            _ => {
+                self.pending_admission.remove(0);
+            }
+        }
+    }
+
+    fn record_weight(&mut self, now: f64, slice: SliceId, host: HostId, weight: f64) {
+        let table = self.sent_tables.entry(slice).or_default();
+        if weight > 0.0 {
+            table.insert(host, weight);
+        } else {
+            table.remove(&host);
+        }
+        if let Some(desired) = self.desired_tables.get_mut(&slice) {
+            desired.since = now;
+        }
+    }
+
+    fn record_withdrawal(&mut self, host: HostId, withdrawn: bool, outbox: &mut Outbox) {
+        self.pending_withdrawals.remove(&host);
+        if withdrawn {
+            self.withdrawn.insert(host);
+            return;
+        }
+        self.withdrawn.remove(&host);
+        let was_expired = self.expired.remove(&host);
+        let message = if was_expired { Message::Expired(host) } else { Message::Readmitted(host) };
+        outbox.send(Recipient::Tables, message);
+    }
+}
--- /dev/null
+++ b/src/state/director.rs
@@ -0,0 +1,46 @@
+//! A director: its actors, and what it keeps beside them.
+
+use super::{AdmissionControl, Channel, DiscoveryWatch, Host, Tables};
+use crate::interface::{HostId, Settings};
+use crate::parameters::Parameters;
+use crate::random::Random;
+use std::collections::BTreeMap;
+
+/// One instance of the decisions. It reads no clock, does no I/O, and gives the same orders for the same inputs.
+///
+/// Made by [`Director::new`]; [`Director::handle`] is then called with every batch of inputs, and asks for its own
+/// wake-ups by [`Order::WakeAt`].
+pub struct Director {
+    pub(crate) params: Parameters,
+    pub(crate) random: Random,
+    pub(crate) hosts: BTreeMap<HostId, Host>,
+    pub(crate) tables: Tables,
+    pub(crate) admission_control: AdmissionControl,
+    pub(crate) channel: Channel,
+    pub(crate) discovery_watch: DiscoveryWatch,
+    /// Version of the host list that was last read.
+    pub(crate) list_version: Option<u64>,
+    /// Number of list entries read so far, by which entries are numbered.
+    pub(crate) entries_read: u64,
+    pub(crate) next_tick_at: f64,
+}
+
+impl Director {
+    /// A director that knows nothing but its settings. The seed varies when hosts are first probed.
+    pub fn new(settings: Settings, seed: u64) -> Self {
+        let params = Parameters::new(&settings);
+        let route_count = params.route_values.len();
+        Director {
+            params,
+            random: Random::new(seed),
+            hosts: BTreeMap::new(),
+            tables: Tables::default(),
+            admission_control: AdmissionControl::new(route_count),
+            channel: Channel::default(),
+            discovery_watch: DiscoveryWatch::default(),
+            list_version: None,
+            entries_read: 0,
+            next_tick_at: f64::NEG_INFINITY,
+        }
+    }
+}
