--- /dev/null
+++ b/src/interface/ids.rs
@@ -0,0 +1,44 @@
+//! Numbers that stand for names. Names and addresses stay with the caller.
+
+/// A host that answers calls: an endpoint. Numbered by the caller as it first names it. A number stands for one host for
+/// good, also after [`Order::Forget`](super::Order::Forget).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct HostId(pub u32);
+
+/// A proxy that sends calls to hosts by the director's tables.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ProxyId(pub u16);
+
+/// A slice (shard) of the key space, which has a table of hosts with weights; or, where there are no slices, a table of
+/// the director's own numbering.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct SliceId(pub u16);
+
+/// A kind of call, by its index in [`Settings::routes`](super::Settings::routes).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct RouteId(pub u16);
+
+/// A zone (failure domain), by its index in [`Settings::zones`](super::Settings::zones).
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct ZoneId(pub u16);
+
+/// A machine type, by its index in [`Settings::kinds`](super::Settings::kinds).
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct KindId(pub u16);
+
+/// A small group of hosts in one zone.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct CellId(pub u64);
+
+/// A director of the same tier.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct PeerId(pub u64);
+
+/// A timer: [`Input::Wake`](super::Input::Wake) brings back the id that
+/// [`Order::WakeAt`](super::Order::WakeAt) gave.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct WakeId(pub u64);
+
+/// A round of messages to the proxies, whose acknowledgement is asked for. Ids wrap around.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct MarkId(pub u16);
--- /dev/null
+++ b/src/interface/order.rs
@@ -0,0 +1,91 @@
+//! What a director orders.
+
+use super::{HostId, MarkId, PeerId, ProxyId, Retry, RouteId, SliceId, WakeId};
+
+/// One thing that the caller is to do, in the order given.
+#[derive(Clone, Debug, PartialEq)]
+pub enum Order {
+    /// Adds, changes or, with weight 0, removes one entry of a slice's table. To the proxies.
+    Line {
+        /// The slice.
+        slice: SliceId,
+        /// The host.
+        host: HostId,
+        /// The host's weight in relation to the others of the table.
+        weight: f64,
+    },
+    /// Removes all entries of a slice's table. To the proxies.
+    Clear(SliceId),
+    /// Withdraws (ejects) a host from all tables of the joined proxies, or lets it back in. To the proxies.
+    Withdraw {
+        /// The host.
+        host: HostId,
+        /// True: it gets no calls, whatever tables name it. False: it is used again.
+        out: bool,
+    },
+    /// Sets how much is admitted of some routes, and how often their calls are retried. To the proxies.
+    Admit {
+        /// Whose calls.
+        scope: Scope,
+        /// The routes; none named: all.
+        routes: Vec<RouteId>,
+        /// How much is admitted, in the unit of [`Settings::admission`](super::Settings::admission).
+        level: f64,
+        /// The retry policy.
+        retry: Retry,
+    },
+    /// Makes a proxy use a table for some routes, where there are no slices.
+    Bind {
+        /// The proxy.
+        proxy: ProxyId,
+        /// The routes.
+        routes: Vec<RouteId>,
+        /// The table.
+        table: SliceId,
+    },
+    /// Ends a round of messages, and asks every proxy that gets one of them to acknowledge it.
+    Mark {
+        /// The round.
+        mark: MarkId,
+        /// Also proxies for which the round has no other order.
+        all: bool,
+    },
+    /// Starts (true) or stops (false) following the host list. To service discovery.
+    Follow(bool),
+    /// Asks for the whole host list once. To service discovery.
+    FetchList,
+    /// Sends a health check to the host; `Input::Probed` answers.
+    Probe(HostId),
+    /// Sends a message to other directors.
+    Tell {
+        /// The director; none: all others.
+        to: Option<PeerId>,
+        /// The message.
+        bytes: Vec<u8>,
+    },
+    /// Sets a timer; `Input::Wake` answers.
+    WakeAt {
+        /// Its id.
+        wake: WakeId,
+        /// When, in seconds on the caller's clock.
+        at: f64,
+    },
+    /// Nothing refers any more to this host, which is gone. The caller may release its name; its number is not used again.
+    Forget(HostId),
+    /// A log line: what was decided, and why.
+    Log {
+        /// The text.
+        text: String,
+        /// The hosts that it is about, whose names the caller adds.
+        hosts: Vec<HostId>,
+    },
+}
+
+/// Whose calls an admission order is about.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub enum Scope {
+    /// Those of one slice.
+    Slice(SliceId),
+    /// Those of all joined proxies; with slices, of all slices of this director.
+    Everywhere,
+}
