--- a/crates/director/rebalancer/src/board.rs
+++ b/crates/director/rebalancer/src/board.rs
@@ -85,7 +85,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct CandidateRank<L> {
     /// It lacks the room for the slice.
-    pub lacks_room: bool,
+    pub lacks_capacity: bool,
     /// How many slices per unit of weight it would hold with the slice.
     pub fill: f64,
     /// When it was listed: whoever was listed first is preferred.
--- a/crates/director/rebalancer/src/mechanism.rs
+++ b/crates/director/rebalancer/src/mechanism.rs
@@ -18,7 +18,7 @@
 /// its shares of the others. One without counted requests scores as the average slice.
 pub fn scores<R: AsRef<[f64]>>(rows: &[R], heavy: Option<usize>, inc: f64) -> Vec<f64> {
     let classes = rows.iter().map(|row| row.as_ref().len()).max().unwrap_or(0);
-    // Under one request in all there is nothing to have a share of.
+    // At least one, as shares of nothing are not defined.
     let total = |class: usize| rows.iter().filter_map(|row| row.as_ref().get(class)).sum::<f64>().max(1.0);
     let factor = |class: usize| if Some(class) == heavy { inc } else { 1.0 } / total(class);
     let factors: Vec<f64> = (0..classes).map(factor).collect();
@@ -51,7 +51,7 @@
         let can_take = |h: &usize| self.holders[*h].open && self.holders[*h].room >= lowest_score;
         let emptiest = ranked.into_iter().find(can_take)?;
         let difference = self.fill(&totals, fullest, 0.0) - self.fill(&totals, emptiest, 0.0);
-        // Of several boards the gaps of all, as chance has it, add up by the root.
+        // Of several boards random gaps add up by the square root.
         Some(Gap { fullest, emptiest, slices: difference / self.part.unwrap_or(1.0).sqrt() })
     }
 }
@@ -62,7 +62,7 @@
         let Gap { fullest: from, emptiest: to, slices: gap } = board.gap()?;
         self.moving = gap > 8.0 || (self.moving && gap >= 2.0);
         let totals = board.sums();
-        // Reckoned per unit of weight, a move may overshoot: the receiver must not end up the fuller one.
+        // Per unit of weight a move may overshoot: it must lessen the difference.
         let fill = |holder, more| board.fill(&totals, holder, more);
         let lessens_gap = fill(to, 1.0) - fill(from, -1.0) < fill(from, 0.0) - fill(to, 0.0);
         let sends_hottest = !board.holders[to].young && totals[from].score > totals[to].score;
--- a/crates/director/rebalancer/src/placement.rs
+++ b/crates/director/rebalancer/src/placement.rs
@@ -93,7 +93,7 @@
                 break;
             }
             let rank = |h: usize| CandidateRank {
-                lacks_room: self.holders[h].room < self.scores[slice],
+                lacks_capacity: self.holders[h].room < self.scores[slice],
                 fill: self.fill(&totals, h, 1.0),
                 listed_at: self.holders[h].listed_at,
             };
--- a/src/logic/channel.rs
+++ b/src/logic/channel.rs
@@ -21,27 +21,19 @@
     Expired,       // letting in a host that is gone: worth no message of its own
 }
 
-/// Orders that are sent together: one line each to every proxy.
-pub(super) struct PendingChange {
-    pub(super) priority: Priority,
-    /// Since when it waits, in seconds.
-    pub(super) since: f64,
-    pub(super) orders: Vec<Order>,
-}
-
 /// Gathers changes and sends them as its budgets of lines and messages allow.
 impl Channel {
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
             Message::DesiredTable { slice, weights } => self.set_desired(now, slice, weights),
-            // A host that is to be shut is shut before it may return: only then are its weights looked at.
+            // A pending withdrawal is sent before the host may return: weights are checked only on return.
             Message::Send(Order::Withdraw { host, out: false }) if self.is_to_be_withdrawn(host) => {}
-            // Proxies that join read the store: a host in no table of ours need not be withdrawn once more.
+            // Proxies that join read the store: a host in none of our tables need not be withdrawn again.
             Message::Send(Order::Withdraw { host, out: true }) if self.is_withdrawn_and_unused(host) => {}
             Message::Send(Order::Withdraw { host, out }) => self.set_withdrawal(host, out),
             Message::Send(order) => self.add_admission(order),
-            // It has expired when no table names it. Proxies that shut it out are told to let it in before it is
-            // forgotten: should its name come back, they and we must agree.
+            // A host expires when no table names it. Proxies that have it withdrawn are told to let it in before it is
+            // forgotten: if its name is used again, they and we must agree.
             Message::Expired(host) if self.has_table_with(host) => {}
             Message::Expired(host) if self.withdrawn.contains(&host) && !self.sent_tables.is_empty() => {
                 self.expired.insert(host);
@@ -54,7 +46,7 @@
     }
 
     /// All changes that are to be sent, by priority.
-    pub(super) fn pending_changes(&self, params: &Parameters) -> Vec<PendingChange> {
+    pub(super) fn pending_changes(&self, params: &Parameters) -> Vec<PendingChange<Priority>> {
         let change = |priority, since, orders| PendingChange { priority, since, orders };
         let withdraw = |host: &HostId, out| vec![Order::Withdraw { host: *host, out }];
         let mut changes = Vec::new();
@@ -66,7 +58,7 @@
             blocked_returns.extend(diff.returning);
         }
         for (host, out) in &self.pending_withdrawals {
-            // A host comes back when no table names it that should not: a young one could not bear it.
+            // A host returns once its outdated weights are removed: in slow start it could not carry them.
             if *out || !blocked_returns.contains(host) {
                 let priority = if *out { Priority::Withdrawal } else { Priority::Return };
                 changes.push(change(priority, 0.0, withdraw(host, *out)));
@@ -89,9 +81,9 @@
         }
     }
 
-    /// Sends what waits: at once if urgent, else in steps, and never past a part of what the rules allow.
+    /// Sends pending changes: urgent ones at once, others in steps, within a share of the channel's limits.
     pub(super) fn flush(&mut self, now: f64, params: &Parameters, outbox: &mut Outbox) {
-        // A channel slower than stated shows in its receipts; where these are held up, less is written then.
+        // Acknowledgements show a channel that is slower than stated; where they are delayed, less is written.
         let rate = self.backlog.advance(now, params, 0.02, 10.0);
         let changes = self.pending_changes(params);
         let Some(first) = changes.first().filter(|first| first.priority < Priority::Expired) else { return };
@@ -99,42 +91,42 @@
         let proxies = self.backlog.proxies.len() as f64;
         let overhead = self.backlog.overhead_lines(params) + 1.0;
         let fixed = proxies * overhead;
-        // Without slices to its name a director concerns no proxy, and no receipt would come.
+        // A director without slices concerns no proxy, and no acknowledgement would come.
         let is_idle = params.uses_slices && self.sent_tables.is_empty() && self.desired_tables.is_empty();
         if is_idle || self.is_rate_limited(now, params, is_urgent, 2.0 * fixed / rate) {
             return;
         }
-        // Parts of what the channel writes in the backlog's time: the more a delay costs, the more.
+        // Shares of what the channel delivers in the time of a full backlog, higher for what is more urgent.
         let backlog = params.max_backlog;
-        let held = backlog * rate / params.lines_per_s;
-        let urgent = (0.7 * backlog).min(3.0 * fixed).max(0.7 * held);
-        let routine = (fixed + 0.25 * held).min(0.6 * held);
+        let deliverable = backlog * rate / params.lines_per_s;
+        let urgent = (0.7 * backlog).min(3.0 * fixed).max(0.7 * deliverable);
+        let routine = (fixed + 0.25 * deliverable).min(0.6 * deliverable);
         let limit = |priority| match priority {
             Priority::Withdrawal => 0.7 * backlog,
             priority if priority < Priority::Routine => urgent,
             _ => routine,
         };
-        // What was written and not received stays under nine tenths of the backlog. Where no receipt comes, a
-        // short message may use the last tenth, to show what has passed; in ten seconds of silence all has.
+        // Unacknowledged lines stay under nine tenths of the backlog. Where no acknowledgement comes, a short message
+        // may use the last tenth, to learn what was delivered; after ten seconds of silence all is.
         let (unacknowledged, estimated) = (self.backlog.unacknowledged_lines(), self.backlog.estimated_lines);
         let exceeds = |lines: f64, priority| {
             estimated + lines > limit(priority) || unacknowledged + lines > BACKLOG_SHARE * backlog
         };
-        // What waits, or as much of it as is worth a message.
+        // All changes, or as many of them as are worth a message.
         let all = fixed + proxies * changes.iter().map(|change| change.orders.len() as f64).sum::<f64>();
         let is_withdrawal = first.priority == Priority::Withdrawal;
         let partial = (fixed + limit(first.priority)) / 2.0;
         let worthwhile = if is_withdrawal { fixed + proxies } else { all.min(partial) };
-        let is_full = exceeds(worthwhile, first.priority);
+        let exceeds_limits = exceeds(worthwhile, first.priority);
         let least = unacknowledged + fixed + proxies * first.orders.len() as f64;
-        let is_sounding = is_full && least <= backlog && self.backlog.is_silent(now, params);
-        if is_full && !is_sounding {
+        let is_delivery_probe = exceeds_limits && least <= backlog && self.backlog.is_silent(now, params);
+        if exceeds_limits && !is_delivery_probe {
             return;
         }
         let mut lines_per_proxy = overhead;
         for (index, change) in changes.into_iter().enumerate() {
             let lines = proxies * (lines_per_proxy + change.orders.len() as f64);
-            if !(is_sounding && index == 0) && exceeds(lines, change.priority) {
+            if !(is_delivery_probe && index == 0) && exceeds(lines, change.priority) {
                 break;
             }
             lines_per_proxy += change.orders.len() as f64;
@@ -145,7 +137,7 @@
 
     /// Whether a message must wait, as messages are limited in number, and `distance` seconds apart at least.
     fn is_rate_limited(&self, now: f64, params: &Parameters, is_urgent: bool, distance: f64) -> bool {
-        // Routine changes use half of the messages; urgent ones the rest too, but spaced, lest none be left.
+        // Routine changes use half of the messages, urgent ones the rest too, but spaced, so that some are left.
         let sent = self.backlog.sent_at.len();
         let half_used = sent >= params.max_messages / 2;
         let spaced = 2.0 * params.message_window / params.max_messages as f64;
@@ -155,13 +147,13 @@
         is_recent || if is_urgent { sent + 1 >= params.max_messages } else { half_used }
     }
 
-    /// How many of a call's orders may be written, with the proxies that are there now. Where a copy may wait
-    /// already, or it is too long for all of them, what fits goes as a part.
+    /// How many of a call's orders may be written to the proxies that are joined now. Where a copy may be queued
+    /// already, or the call is too long as a whole, what fits goes as a part.
     pub(crate) fn writable(&self, now: f64, params: &Parameters, call: &CallToWrite) -> usize {
         let proxies = self.backlog.receiver_count(params, call.unheard);
         let is_silent = self.backlog.is_silent(now, params);
         let limit = if is_silent { params.max_backlog } else { BACKLOG_SHARE * params.max_backlog };
-        // With nobody there all fits.
+        // Without proxies all fits.
         let overhead = self.backlog.overhead_lines(params);
         let fitting = |used: f64| ((limit - used + 1e-6) / proxies - overhead).max(0.0) as usize;
         let count = fitting(self.backlog.unacknowledged_written_lines()).min(call.orders);
--- a/src/logic/hosts.rs
+++ b/src/logic/hosts.rs
@@ -1,4 +1,4 @@
-//! One host: how it answers, how old it is, whether it is suspected.
+//! One host: its response times, its slow start, its health checks and whether it is suspected to have failed.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
             Message::Listed { entry, position } => self.update_listing(now, entry, position),
-            // Where removal is advisory a list may be wrong: a host that answers stays until it is suspected.
+            // Where removal is advisory the list may be wrong: a host that answers stays until it is suspected.
             Message::Unlisted if params.removal_is_advisory && self.is_serving() => {
                 self.serves_unlisted = true
             }
@@ -16,7 +16,7 @@
                 self.record_load(load);
                 let (attempts, dropped) = (tries as f64, dropped.min(tries) as f64);
                 self.record_attempts(now, BINS, rt, attempts, dropped);
-                // What a dead host drops is no sign that the fleet can't keep up.
+                // What a failed host drops is no sign that the fleet is overloaded.
                 if self.view.ready && !self.view.suspect {
                     let message = Message::Attempts { response_time: rt, attempts, dropped };
                     outbox.send(Recipient::AdmissionControl, message);
@@ -27,17 +27,17 @@
                 self.on_probe(now, params, outcome, outbox);
             }
             Message::FleetMedians { response_time, .. } => {
-                // What slows all condemns none: slow is past 1.6 times the median. The power damps late sums.
+                // Relative to the median, as what slows all hosts is not theirs. The power damps delayed reports.
                 let limit = (1.6 * response_time).max(0.4 * params.tightest_slo);
                 let slowness = self.response_times.mean(BINS) / limit;
                 let factor = if slowness > 1.0 { slowness.powf(-0.7) } else { 1.2 };
                 self.view.derating = (self.view.derating * factor).clamp(0.05, 1.0);
             }
-            // As long as its withdrawal is sent to proxies that join. What only a store's table names is not listed.
+            // Ten seconds: its withdrawal may be resent. Hosts known only from stored tables expire as well.
             Message::Tick if !self.is_listed && now - *self.unlisted_since.get_or_insert(now) > 10.0 => {
                 outbox.send(Recipient::Channel, Message::Expired(self.id));
             }
-            // Two seconds: long enough for a few reports, short enough to forget a trouble that is over.
+            // Two seconds: long enough for a few reports, short enough to forget a fault that is over.
             Message::Tick if now - self.halved_at > 2.0 => self.halve_recent(now),
             Message::Tick if params.probes_allowed && self.is_probe_due(now) => {
                 self.next_probe_at = None;
@@ -45,15 +45,15 @@
             }
             _ => {}
         }
-        let cold = params.cold_capacity_share;
-        let slow_start = cold + (1.0 - cold) * self.age(now) / params.slow_start_duration.max(1e-9);
+        let initial = params.cold_capacity_share;
+        let slow_start = initial + (1.0 - initial) * self.age(now) / params.slow_start_duration.max(1e-9);
         self.view.slow_start = slow_start.clamp(0.05, 1.0);
         self.update_measurements(BINS);
         outbox.send(Recipient::Tables, Message::HostView(self.id, self.view.clone()));
     }
 
     fn record_load(&mut self, load: Load) {
-        // Where calls wait all cores are busy. An idle host's figures tell nothing of its speed.
+        // Where calls are queued all cores are busy. An idle host's figures say nothing of its speed.
         let utilisation = load.busy.or(load.waiting.map(|calls| if calls >= 1.0 { 1.0 } else { 0.5 }));
         let (completions, work) = match (load.answered_per_s, load.busy, load.service_time) {
             (Some(rate), Some(busy), _) if busy > 0.1 => (rate, busy),
@@ -65,9 +65,9 @@
     }
 
     pub(super) fn on_probe(&mut self, now: f64, params: &Parameters, outcome: Outcome, outbox: &mut Outbox) {
-        // Twice a second: death shows within about a second, and the price is a few hundredths of a point.
+        // Twice a second: a failure shows within about a second, and the cost is a few hundredths of a point.
         self.next_probe_at = Some(now + 0.5);
-        // An error or a full house still comes from a process that lives, but proves no host of ours.
+        // An error or a rejection comes from a live process, but does not prove that it is one of our hosts.
         let failures = match outcome {
             Outcome::Unreachable | Outcome::Broken => 2,
             Outcome::TimedOut => 1,
@@ -76,7 +76,7 @@
         self.count_probe(failures);
         self.has_answered |= outcome == Outcome::Answered;
         self.view.verified = self.has_answered || self.view.verified && outcome == Outcome::Throttled;
-        // One refusal may be chance, and a probe that times out may queue behind calls that are answered.
+        // One refused connection may be chance, and a probe may time out queued behind calls that are answered.
         let is_silent = self.probe_failures >= 3 && now - self.last_answer_at > control_period(params);
         if !self.view.suspect && (is_silent || failures == 2 && self.probe_failures >= 4) {
             self.view.suspect = true;
@@ -87,8 +87,8 @@
         }
         if self.view.suspect && self.probe_successes >= 2 {
             self.view.suspect = false;
-            // One that was withdrawn is taken to have restarted, before the list tells. Where so many were
-            // missed that none was withdrawn, our own path failed, and the list must tell.
+            // One that was withdrawn is taken to have restarted, before the list says so. Where so many were
+            // suspected that none was withdrawn, our own network path failed, and only the list can say so.
             if std::mem::take(&mut self.withdrawn_as_suspect) {
                 self.started_at = Some(now);
                 self.view.restarted_at = Some(now);
--- a/src/logic/owners.rs
+++ b/src/logic/owners.rs
@@ -1,10 +1,10 @@
-//! Who owns a slice: weights, scores, capacities; start, moves off hosts that leave, balancing.
+//! Which host owns a slice: weights, scores, capacities; initial assignment, displaced slices, balancing.
 
 use super::*;
 use coppersail_rebalancer::{Board, CandidateRank, Holder};
 
 impl Tables {
-    /// The weight by which counts are reckoned: as listed, less what a young host can't carry yet.
+    /// The weight by which counts are divided: as listed, lower during slow start, times the operators' factor.
     pub(crate) fn effective_weight(&self, host: HostId) -> f64 {
         let unit = |view: &HostView| coppersail_rebalancer::unit(view.weight, self.mean_weight);
         let weight = self.views.get(&host).map_or(1.0, |view| unit(view) * view.slow_start);
@@ -21,18 +21,18 @@
         self.set_scores(coppersail_rebalancer::scores(&calls, heaviest, INC));
     }
 
-    /// The score that a host may still be listed for. All calls of a young one's tables, if others fail, may
-    /// ask 0.6 of the collapse multiple, or twice what it can do; double that while the fleet answers quickly, or
+    /// The score that each host may still take. If the others in its tables fail, a host in slow start may get calls
+    /// up to 0.6 of the collapse multiple, or twice what it can do; double that while the fleet answers quickly, or
     /// no more calls come than when it last did: then it is slow because few hosts carry them.
     pub(super) fn capacities(&self, params: &Parameters) -> PerHost {
-        // With under four fifths of the fleet left calls come again, so young hosts may add less.
+        // With under four fifths of the fleet left calls are retried, so hosts in slow start may take less.
         let (max_ready, open) = (self.max_ready_hosts.max(1) as f64, self.open_hosts().len() as f64);
         let score_per_host = self.total_score() / max_ready * (open / max_ready / 0.8).min(1.0);
-        // With proxies out of reach few calls come, till they are back at once; the unmeasured is not quick.
+        // While proxies are unreachable few calls come, and later all at once. Unmeasured counts as not quick.
         let sustained = self.sustained_call_rate;
-        let calm = if self.call_rate > 0.5 * sustained { 2.0 * sustained / self.call_rate } else { 0.0 };
+        let margin = if self.call_rate > 0.5 * sustained { 2.0 * sustained / self.call_rate } else { 0.0 };
         let measured = self.response_time > 0.0;
-        let spare = if measured { (0.5 * params.tightest_slo / self.response_time).max(calm) } else { 1.0 };
+        let spare = if measured { (0.5 * params.tightest_slo / self.response_time).max(margin) } else { 1.0 };
         let limit = (0.6 * params.collapse_multiple).min(2.0) * spare.clamp(1.0, 2.0) * score_per_host;
         let limits = self.views.iter().map(|(host, view)| {
             let is_young = view.slow_start < 1.0;
@@ -41,9 +41,9 @@
         self.remaining(limits.collect())
     }
 
-    /// The open host with capacity that would hold fewest slices per unit of weight, the longest listed. For a
-    /// standby the least loaded, young ones late; the owner's zone counts as two, each shared one as 0.7.
-    fn emptiest(&self, plan: &PlacementPlan, slice: &Relocation) -> Option<HostId> {
+    /// The open host with capacity that would hold fewest slices per unit of weight; of equals the longest listed.
+    /// For a standby the least loaded: the owner's zone counts as two slices, each slice shared with it as 0.7.
+    pub(crate) fn emptiest(&self, plan: &PlacementPlan, slice: &Relocation) -> Option<HostId> {
         let (score, owner) = (slice.score, slice.owner);
         let owner_zone = owner.and_then(|owner| self.views.get(&owner)).map(|view| view.zone);
         let shared = self.standby_counts(owner);
@@ -54,7 +54,7 @@
             let standby_weight = || self.ability(host) * view.slow_start.sqrt();
             let weight = if owner.is_some() { standby_weight() } else { self.effective_weight(host) };
             let fill = (plan.load[&host] + 1.0 + zone + 0.7 * shared) / weight;
-            CandidateRank { lacks_room: plan.capacity[&host] < score, fill, listed_at: view.seniority }
+            CandidateRank { lacks_capacity: plan.capacity[&host] < score, fill, listed_at: view.seniority }
         };
         let has_capacity = |host: &HostId| owner.is_none() || plan.capacity[host] >= score;
         let is_allowed = |host: &HostId| Some(*host) != owner && !self.is_excluded(slice.slice, *host);
@@ -63,15 +63,7 @@
         coppersail_rebalancer::seat(candidates.map(|host| (rank(host), host)))
     }
 
-    /// Takes a slice from its host and gives it to the emptiest one, in a plan.
-    pub(super) fn relocate(&self, plan: &mut PlacementPlan, slice: &Relocation) -> Option<HostId> {
-        plan.remove(slice.current, slice.score);
-        let new = self.emptiest(plan, slice);
-        plan.place(new, slice.score);
-        new
-    }
-
-    /// Even, but a holder keeps slices up to two over its part, for caches; `move_displaced` places the others.
+    /// An even layout, but hosts keep, for their caches, up to two over their share. `move_displaced` places the rest.
     pub(super) fn assign_initial_owners(&mut self, params: &Parameters, outbox: &mut Outbox) {
         let unowned = self.slices.values().filter(|slice| slice.owner.is_none()).count();
         if unowned == 0 {
@@ -84,8 +76,8 @@
         let slice_count = slices.len() as f64;
         for (id, slice) in slices.iter_mut().filter(|(_, slice)| slice.owner.is_none()) {
             let holder = slice.heaviest_host(|host| self.is_open(host) && !self.is_excluded(*id, host));
-            let part = |host| (slice_count * self.effective_weight(host) / total_weight).ceil();
-            slice.owner = holder.filter(|host| counts[host] < part(*host) + 2.0);
+            let even_share = |host| (slice_count * self.effective_weight(host) / total_weight).ceil();
+            slice.owner = holder.filter(|host| counts[host] < even_share(*host) + 2.0);
             add_to_host(&mut counts, slice.owner, 1.0);
             slice.standby = slice.weights.keys().copied().find(|host| Some(*host) != slice.owner);
         }
@@ -93,51 +85,51 @@
         outbox.log(format!("{unowned} slices laid"), vec![]);
     }
 
-    /// Moves slices of gone and draining hosts, of those withdrawn a while, and those beyond a host's capacity;
-    /// and what operators want moved, which goes home when they want it no more and home can have it.
+    /// Moves slices off hosts that are gone, draining or withdrawn for a while, and slices beyond a host's capacity.
+    /// What overrides moved returns to its original owner when they are lifted and the owner has capacity.
     pub(super) fn move_displaced(&mut self, now: f64, params: &Parameters) {
         let mut plan = PlacementPlan { load: self.slice_counts(), capacity: self.capacities(params) };
-        // Two seconds: past a passing fault, and before the list would tell.
+        // Two seconds: longer than a transient fault, and sooner than the list would show it.
         let stays = |host: &HostId| self.withdrawn.get(host).is_none_or(|since| now - since <= 2.0);
         let is_kept = |host: HostId| self.is_ready(host) && stays(&host);
-        // Past its part, a host that operators made smaller gives slices up at once, not by and by.
+        // A host whose weight operators lowered gives up at once, not by balancing, what exceeds its share.
         let (slice_count, total_weight) = (self.slices.len() as f64, self.total_effective_weight());
-        let part = |host| (slice_count * self.effective_weight(host) / total_weight.max(1e-9)).ceil();
-        let exceeds_part = |host, count: f64| self.weight_override(host) < 1.0 && count > part(host);
+        let even_share = |host| (slice_count * self.effective_weight(host) / total_weight.max(1e-9)).ceil();
+        let exceeds_share = |host, count: f64| self.weight_override(host) < 1.0 && count > even_share(host);
         let mut moves = Vec::new();
         for (id, score) in self.slices_by_score() {
-            let (old, home) = (self.slices[&id].owner, self.slices[&id].original_owner);
+            let (old, original) = (self.slices[&id].owner, self.slices[&id].original_owner);
             let is_sound = old.is_some_and(|old| is_kept(old) && plan.capacity[&old] >= 0.0);
             let is_overridden = |host| self.is_drained_by_operator(host) || self.is_excluded(id, host);
-            let is_unwanted = |old| is_overridden(old) || exceeds_part(old, plan.load[&old]);
-            // Had it stayed at home, it would now go where the slices of hosts that went go.
-            let is_homeless = home.is_some_and(|home| !is_overridden(home) && !self.is_ready(home));
-            if !is_sound || is_homeless || old.is_some_and(is_unwanted) {
+            let is_unwanted = |old| is_overridden(old) || exceeds_share(old, plan.load[&old]);
+            // The original owner is gone: had the slice stayed there, it would be displaced now.
+            let has_lost_owner = original.is_some_and(|host| !is_overridden(host) && !self.is_ready(host));
+            if !is_sound || has_lost_owner || old.is_some_and(is_unwanted) {
                 let slice = Relocation { slice: id, score, current: old, owner: None };
                 let new = self.relocate(&mut plan, &slice).or(old);
-                let by_override = is_sound && !is_homeless && new != old;
-                moves.push((id, new, home.or(old).filter(|_| by_override)));
+                let by_override = is_sound && !has_lost_owner && new != old;
+                moves.push((id, new, original.or(old).filter(|_| by_override)));
                 continue;
             }
-            let fits = |home| plan.capacity[&home] >= score && !exceeds_part(home, plan.load[&home] + 1.0);
-            let may_return = |home| self.is_open(home) && !self.is_excluded(id, home) && fits(home);
-            if home.is_some_and(may_return) {
+            let fits = |host| plan.capacity[&host] >= score && !exceeds_share(host, plan.load[&host] + 1.0);
+            let may_return = |host| self.is_open(host) && !self.is_excluded(id, host) && fits(host);
+            if original.is_some_and(may_return) {
                 plan.remove(old, score);
-                plan.place(home, score);
-                moves.push((id, home, None));
+                plan.place(original, score);
+                moves.push((id, original, None));
             }
         }
         self.set_owners(moves);
     }
 
-    /// The paper's balancing, on a board of the hosts in view: what is not open neither gives nor takes.
+    /// The paper's balancing, over all known hosts: those that are not open neither give nor take.
     pub(super) fn balance(&mut self, now: f64, params: &Parameters, outbox: &mut Outbox) {
         let capacities = self.capacities(params);
         let hosts: Vec<HostId> = self.views.keys().copied().collect();
         let ids: Vec<SliceId> = self.slices.keys().copied().collect();
         let holder = |host: &HostId| {
             let (listed_at, open) = (self.views[host].seniority.0, self.is_open(*host));
-            // Newly listed: since the start of this director, for as long as a host takes to be warm.
+            // Newly listed: after the start of this director, and for the duration of slow start.
             let young = listed_at > 0.0 && now - listed_at < params.slow_start_duration;
             let (unit, room) = (self.effective_weight(*host), capacities[host]);
             Holder { unit, listed_at: Some(listed_at), young, open, leaving: !open, room }
@@ -147,7 +139,7 @@
             owners: self.slices.values().map(|slice| index_of(&hosts, slice.owner?)).collect(),
             scores: self.slices.values().map(|slice| slice.score).collect(),
             barred: self.excluded_placements(&ids, &hosts),
-            // Where a director sees a part of the slices, the gaps of all, as chance has it, add up by the root.
+            // Of several directors each has some of the slices; random gaps add up by the square root.
             part: Some((ids.len() as f64 / params.slice_count.max(1.0)).min(1.0)),
             ..Board::default()
         };
--- a/src/logic/tables.rs
+++ b/src/logic/tables.rs
@@ -1,4 +1,4 @@
-//! Tables: their round, who is open, who is withdrawn, what the channel is asked for.
+//! Tables: the periodic evaluation, which hosts are open or withdrawn, and which tables are sent.
 
 use super::*;
 
@@ -7,7 +7,7 @@
         match message {
             Message::Input(Input::Wishes(overrides)) => {
                 self.overrides = overrides;
-                // Weights set by hand must show: balancing goes on until the gap is under 2, not past 8 only.
+                // Overridden weights must take effect: balance until the gap is under 2, also if it is not past 8.
                 self.rebalancer.moving = true;
             }
             Message::Tick => self.tick(now, params, outbox),
@@ -16,7 +16,7 @@
     }
 
     pub(super) fn tick(&mut self, now: f64, params: &Parameters, outbox: &mut Outbox) {
-        // Eight seconds: near the time for which slices stay in demand, so that the score follows it.
+        // Eight seconds: about as long as a slice stays popular, so that its score follows.
         if now - self.calls_halved_at > 8.0 {
             self.halve_calls(now);
         }
@@ -27,15 +27,15 @@
         if now - self.slice_assigned_at < 0.2 {
             return;
         }
-        // Rule 1 comes before an override: while no other warm host is open, those drained by operators serve.
+        // Serving comes before overrides: while no other warm host can serve, hosts drained by operators do.
         let can_serve = |(host, view): (&HostId, &HostView)| {
-            let usable = view.ready && view.verified && !view.suspect;
-            usable && view.slow_start >= 1.0 && !self.overrides.drained.contains(host)
+            let is_sound = view.is_usable() && !view.suspect;
+            is_sound && view.slow_start >= 1.0 && !self.overrides.drained.contains(host)
         };
         self.ignore_drain_overrides = !self.views.iter().any(can_serve);
-        // Five seconds: by then sums tell of what was sent since, and a host's free capacity differs.
+        // Five seconds: by then reports cover what was sent since, and the free capacity of hosts differs.
         self.rejected_placements.retain(|_, at| now - *at < 5.0);
-        // Also with nobody left: the third rule binds whatever tables proxies hold.
+        // Also with no host left: no calls may go to hosts that are gone, whatever tables the proxies have.
         self.update_withdrawals(now, outbox);
         if !self.views.values().any(|view| view.ready) {
             return;
@@ -60,7 +60,7 @@
             self.sustained_call_rate = self.call_rate;
         }
         self.score_slices(params);
-        // Step by step on the plan: the loads are reckoned anew each time, nothing need be awaited.
+        // Four steps at once: the planned loads are computed anew each time, without waiting for effects.
         for _ in 0..4 {
             self.share_load();
         }
@@ -74,40 +74,40 @@
         self.send_fleet_medians(response_time, utilisation, outbox);
     }
 
-    /// A listed host that has answered nobody yet is none of ours to use.
+    /// Whether a host may get slices. A listed host that has not answered yet is not known to be one of ours.
     pub(crate) fn is_open(&self, host: HostId) -> bool {
-        let usable = self.views.get(&host).is_some_and(|view| view.ready && view.verified);
-        usable && !self.withdrawn.contains_key(&host) && !self.is_drained_by_operator(host)
+        let is_usable = self.views.get(&host).is_some_and(HostView::is_usable);
+        is_usable && !self.withdrawn.contains_key(&host) && !self.is_drained_by_operator(host)
     }
 
-    /// A slice is kept off a host by operators or the guard, as long as another warm one could have it.
+    /// Whether operators or the guard keep a slice off a host, and another warm host could have it.
     pub(crate) fn is_excluded(&self, slice: SliceId, host: HostId) -> bool {
-        let may_have_it =
+        let is_alternative =
             |host: &HostId| !self.has_exclusion(slice, *host) && self.views[host].slow_start >= 1.0;
-        self.has_exclusion(slice, host) && self.open_hosts().iter().any(may_have_it)
+        self.has_exclusion(slice, host) && self.open_hosts().iter().any(is_alternative)
     }
 
     pub(super) fn update_withdrawals(&mut self, now: f64, outbox: &mut Outbox) {
         self.update_means();
-        let usable: Vec<&HostView> = self.views.values().filter(|view| view.ready && view.verified).collect();
+        let usable: Vec<&HostView> = self.views.values().filter(|view| view.is_usable()).collect();
         let suspects = usable.iter().filter(|view| view.suspect).count();
-        // A director that starts in the middle of a loss finds the lost hosts in the store's tables.
+        // A director that starts while hosts are lost finds these in the stored tables.
         let known_hosts = if self.max_ready_hosts == 0 { self.views.len() } else { usable.len() };
         self.max_ready_hosts = self.max_ready_hosts.max(known_hosts);
-        // Up to four in ten, a zone of three and a host: past that our own view is more likely to fail.
+        // Up to four in ten, one zone of three and a host: beyond that our own network is more likely at fault.
         let few_suspects = suspects as f64 <= 0.4 * usable.len() as f64;
-        // Once a second for all that joined meanwhile: a crowd that returns would else fill the channel.
+        // Once a second for all that joined meanwhile: many that rejoin at once would else fill the channel.
         let resend = self.resend_withdrawals && now - self.withdrawals_resent_at >= 1.0;
         if resend {
             self.start_resend(now);
         }
         for (host, view) in &self.views {
             let was_withdrawn = self.withdrawn.contains_key(host);
-            // Restarted behind our back, in full tables: out for a second, till its weights are lower.
+            // It restarted unannounced, with full weights: withdrawn for a second, until these are lower.
             let just_restarted = view.restarted_at.is_some_and(|at| now - at < 1.0);
             let withdraw = !view.ready || just_restarted || few_suspects && view.suspect;
-            // Sent again as long as a table names it, which the channel knows: however long it is gone, a slice that
-            // is assigned may bring it back.
+            // The channel passes over hosts that no table names. However long a host is gone, the stored table of a
+            // newly assigned slice may name it.
             if withdraw != was_withdrawn || resend && withdraw {
                 let order = Order::Withdraw { host: *host, out: withdraw };
                 outbox.send(Recipient::Channel, Message::Send(order));
@@ -115,7 +115,7 @@
             if withdraw && view.suspect && !was_withdrawn {
                 outbox.send(Recipient::Host(*host), Message::WithdrawnAsSuspect);
             }
-            // It is back when the proxies have been told.
+            // It stays in here until the proxies have been told to use it again.
             if withdraw {
                 self.withdrawn.entry(*host).or_insert(now);
             }
--- a/src/logic/tests/channel.rs
+++ b/src/logic/tests/channel.rs
@@ -1,6 +1,6 @@
 //! What is told, when, how much.
 
-use super::super::channel::{PendingChange, Priority};
+use super::super::channel::Priority;
 use super::*;
 use crate::channel_backlog::Round;
 use std::collections::BTreeMap;
@@ -60,7 +60,7 @@
     channel.pending_withdrawals = BTreeMap::from([(id(8), false), (id(9), true)]);
     channel.withdrawn = BTreeSet::from([id(8)]);
     let changes = channel.pending_changes(&params());
-    let slice_of = |change: &PendingChange| match change.orders[0] {
+    let slice_of = |change: &PendingChange<Priority>| match change.orders[0] {
         Order::Line { slice, .. } => Some(slice),
         _ => None,
     };
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -34,6 +34,13 @@
     pub(crate) utilisation: Option<f64>,
 }
 
+impl HostView {
+    /// Whether the host may serve: it is ready, and known to be one of ours.
+    pub(crate) fn is_usable(&self) -> bool {
+        self.ready && self.verified
+    }
+}
+
 /// A message to an actor.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Message {
--- a/src/state.rs
+++ b/src/state.rs
@@ -10,7 +10,7 @@
 pub(crate) use admission_control::{level_log_text, AdmissionControl};
 #[cfg(test)]
 pub(crate) use channel::DesiredTable;
-pub(crate) use channel::{Channel, TableDiff};
+pub(crate) use channel::{Channel, PendingChange, TableDiff};
 pub use director::Director;
 pub(crate) use host::Host;
 pub(crate) use tables::{index_of, Slice, Tables};
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -14,6 +14,15 @@
     pub(crate) weights: PerHost,
 }
 
+/// Orders that are sent together: one line each to every proxy.
+pub(crate) struct PendingChange<P> {
+    /// The order in which changes are sent.
+    pub(crate) priority: P,
+    /// Since when it waits, in seconds: of equal priority the oldest goes first.
+    pub(crate) since: f64,
+    pub(crate) orders: Vec<Order>,
+}
+
 /// Difference between a table as sent and as desired.
 pub(crate) struct TableDiff {
     /// Weights that differ, and removals of hosts that are not shut.
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -3,7 +3,7 @@
 use crate::interface::{HostId, Input, SliceId, Wishes};
 use crate::messages::{HostView, Message, Outbox, Recipient};
 use crate::parameters::Parameters;
-use crate::placement::{add_to_host, PerHost};
+use crate::placement::{add_to_host, PerHost, PlacementPlan, Relocation};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A slice in charge.
@@ -192,6 +192,14 @@
         }
     }
 
+    /// Takes a slice from its host and gives it to the emptiest one, in a plan.
+    pub(crate) fn relocate(&self, plan: &mut PlacementPlan, slice: &Relocation) -> Option<HostId> {
+        plan.remove(slice.current, slice.score);
+        let new = self.emptiest(plan, slice);
+        plan.place(new, slice.score);
+        new
+    }
+
     /// Sum of the scores of all slices.
     pub(crate) fn total_score(&self) -> f64 {
         self.slices.values().map(|slice| slice.score).sum()
