--- a/crates/director/rebalancer/src/relief.rs
+++ b/crates/director/rebalancer/src/relief.rs
@@ -64,7 +64,8 @@
 
     /// Load from which on a holder is hot.
     fn hot_load(&self) -> f64 {
-        let (mut score, mut ability) = (0.0, 0.0);
+        let mut score = 0.0;
+        let mut ability = 0.0;
         for holder in &self.ranked {
             score += self.totals[*holder].score;
             ability += self.abilities[*holder];
--- a/crates/director/rebalancer/src/tests.rs
+++ b/crates/director/rebalancer/src/tests.rs
@@ -54,7 +54,8 @@
         let mut random = RandomNumbers(seed);
         let mut board = random_board(&mut random);
         let most = 1 + random.below(30);
-        let (mut balance, mut rounds) = (Balance::default(), 0);
+        let mut balance = Balance::default();
+        let mut rounds = 0;
         loop {
             let moves = balance.plan(&board, most);
             assert!(moves.len() <= most);
@@ -82,7 +83,9 @@
         let mut random = RandomNumbers(seed);
         let held: Vec<usize> = (0..2 + random.below(20)).map(|_| random.below(40)).chain([0, 9]).collect();
         let mut board = board(&held);
-        board.scores.iter_mut().for_each(|score| *score += random.below(50) as f64);
+        for score in board.scores.iter_mut() {
+            *score += random.below(50) as f64;
+        }
         let moves = Balance::default().plan(&board, usize::MAX);
         apply_moves(&mut board, &moves);
         assert!(board.gap().unwrap().slices < 2.0, "seed {seed}");
@@ -113,7 +116,8 @@
 #[test]
 fn slices_of_leaving_holders_do_not_move_first() {
     let mut board = board(&[2, 3, 1, 1, 20]);
-    (board.holders[0].leaving, board.holders[0].open) = (true, false);
+    board.holders[0].leaving = true;
+    board.holders[0].open = false;
     (board.holders[2].listed_at, board.scores[1]) = (Some(9.0), 7.0);
     let moves = Balance::default().plan(&board, 3);
     let placements: Vec<_> = moves.iter().map(|m| (m.slice, m.from, m.to)).collect();
@@ -124,7 +128,8 @@
 #[test]
 fn slices_are_moved_to_closed_or_not_moved_to_unlisted_holders() {
     let mut board = board(&[2, 0, 0]);
-    (board.holders[0].leaving, board.holders[0].open) = (true, false);
+    board.holders[0].leaving = true;
+    board.holders[0].open = false;
     board.holders[1].listed_at = None;
     (board.holders[2].listed_at, board.holders[2].open) = (None, false);
     assert!(Balance::default().plan(&board, 9).iter().all(|m| m.to == 1));
@@ -183,7 +188,9 @@
         let mut random = RandomNumbers(seed);
         let many = 3 + random.below(20);
         let mut board = board(&vec![6; many]);
-        board.scores.iter_mut().for_each(|score| *score += random.below(10) as f64);
+        for score in board.scores.iter_mut() {
+            *score += random.below(10) as f64;
+        }
         // One key gets about as much as a whole host.
         board.scores[random.below(6 * many)] = 40.0;
         board.pinned.insert(random.below(6 * many));
--- a/src/channel_backlog/tests.rs
+++ b/src/channel_backlog/tests.rs
@@ -17,7 +17,9 @@
 }
 
 fn record(backlog: &mut ChannelBacklog, now: f64, inputs: &[Input]) {
-    inputs.iter().for_each(|input| backlog.record_input(now, &params(), 0.1, input));
+    for input in inputs {
+        backlog.record_input(now, &params(), 0.1, input);
+    }
 }
 
 fn written(orders: usize) -> Input {
@@ -60,9 +62,13 @@
     // The first copy is delivered when the second reaches proxy 0; nine of its acknowledgements are late.
     record(&mut backlog, 1.0, &[acknowledged(0, 1), acknowledged(0, 1)]);
     assert_eq!(backlog.unacknowledged_lines(), 380.0);
-    (1..10).for_each(|proxy| record(&mut backlog, 1.1, &[acknowledged(proxy, 1)]));
+    for proxy in 1..10 {
+        record(&mut backlog, 1.1, &[acknowledged(proxy, 1)]);
+    }
     assert_eq!(backlog.unacknowledged_lines(), 380.0, "they say nothing of the second");
-    (1..10).for_each(|proxy| record(&mut backlog, 1.2, &[acknowledged(proxy, 1)]));
+    for proxy in 1..10 {
+        record(&mut backlog, 1.2, &[acknowledged(proxy, 1)]);
+    }
     assert_eq!(backlog.unacknowledged_lines(), 200.0);
 }
 
@@ -110,8 +116,12 @@
 fn last_acknowledgements_lower_the_rate(left: u16, in_time: u16) {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.0, &[written(11)]);
-    (0..left).for_each(|n| record(&mut backlog, 0.1, &[Input::Left(ProxyId(9 - n))]));
-    (0..in_time).for_each(|proxy| record(&mut backlog, 0.6, &[acknowledged(proxy, 1)]));
+    for n in 0..left {
+        record(&mut backlog, 0.1, &[Input::Left(ProxyId(9 - n))]);
+    }
+    for proxy in 0..in_time {
+        record(&mut backlog, 0.6, &[acknowledged(proxy, 1)]);
+    }
     record(&mut backlog, 9.0, &[acknowledged(in_time, 1)]);
     assert_eq!(backlog.last_rate_sample_at, 0.6);
 }
--- a/src/logic/tests/admission_control.rs
+++ b/src/logic/tests/admission_control.rs
@@ -24,12 +24,13 @@
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert!((admission.levels[0] - 0.5).abs() < 0.01 && admission.levels[1] == 1.0, "{:?}", admission.levels);
-    (admission.calls, admission.levels[0]) = (vec![60.0, 40.0], 0.5);
-    (3..30).step_by(2).for_each(|at| {
+    admission.calls = vec![60.0, 40.0];
+    admission.levels[0] = 0.5;
+    for at in (3..30).step_by(2) {
         admission.calls = vec![120.0, 80.0];
         admission.response_times.add(BINS, 0.1, 160.0, 0.0);
         admission.evaluate(at as f64, &params(), &mut Outbox::default());
-    });
+    }
     assert_eq!(admission.levels, [1.0, 1.0], "all recover while answers are quick");
 }
 
@@ -46,14 +47,17 @@
         ..admission_control([200.0, 0.0], 0.2, 200.0)
     };
     admission.reduced_at = 11.0;
-    (0..slices).for_each(|slice| admission.add_slice(10.0 - since_assigned, SliceId(slice)));
+    for slice in 0..slices {
+        admission.add_slice(10.0 - since_assigned, SliceId(slice));
+    }
     admission.evaluate(11.0, &params(), &mut Outbox::default());
     assert_eq!(admission.target_rate, Some(target));
 }
 
 #[test]
 fn calls_of_a_reduced_route_are_retried() {
-    let (mut admission, mut outbox) = (admission_control([60.0, 40.0], 0.9, 70.0), Outbox::default());
+    let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
+    let mut outbox = Outbox::default();
     admission.evaluate(1.0, &params(), &mut outbox);
     let messages: Vec<Message> = outbox.take_next_mailbox().unwrap().1.into_iter().collect();
     assert!(!messages.is_empty());
--- a/src/logic/tests/channel.rs
+++ b/src/logic/tests/channel.rs
@@ -31,7 +31,8 @@
 #[test_case(0.0, 50, 25 ; "a quarter of the backlog for routine lines")]
 #[test_case(300.0, 5, 0 ; "nothing is sent while lines are queued")]
 fn channel_backlog_grows_past_its_share(waiting: f64, slices: u16, sent: usize) {
-    let (mut channel, mut outbox) = (channel(waiting, slices), Outbox::default());
+    let mut channel = channel(waiting, slices);
+    let mut outbox = Outbox::default();
     channel.flush(0.0, &params(), &mut outbox);
     assert_eq!(sent_weights(&outbox), sent);
 }
@@ -40,7 +41,8 @@
 #[test_case(10, true, 5 ; "slices without an open host may use more")]
 #[test_case(19, true, 0 ; "the last message is kept")]
 fn message_limit_is_exceeded(before: usize, urgent: bool, sent: usize) {
-    let (mut channel, mut outbox) = (channel(0.0, 5), Outbox::default());
+    let mut channel = channel(0.0, 5);
+    let mut outbox = Outbox::default();
     channel.backlog.sent_at.extend(vec![5.0; before]);
     channel.withdrawn.extend(urgent.then_some(id(7)));
     channel.flush(9.0, &params(), &mut outbox);
@@ -80,7 +82,8 @@
 
 #[test]
 fn many_withdrawals_exceed_the_urgent_share_of_the_backlog() {
-    let (mut channel, mut outbox) = (channel(0.0, 0), Outbox::default());
+    let mut channel = channel(0.0, 0);
+    let mut outbox = Outbox::default();
     channel.sent_tables.insert(SliceId(0), PerHost::from([(id(7), 1.0)]));
     channel.pending_withdrawals.extend((0..90).map(|n| (id(n), true)));
     channel.flush(0.0, &params(), &mut outbox);
@@ -93,7 +96,8 @@
 
 #[test]
 fn unchanged_weights_are_sent_again() {
-    let (mut channel, mut outbox) = (channel(0.0, 1), Outbox::default());
+    let mut channel = channel(0.0, 1);
+    let mut outbox = Outbox::default();
     channel.sent_tables.insert(SliceId(0), PerHost::from([(id(0), 0.9), (id(1), 1.0), (id(7), 1.0)]));
     channel.flush(0.0, &params(), &mut outbox);
     assert_eq!(outbox.orders[0], Order::Line { slice: SliceId(0), host: id(1), weight: 0.0 });
@@ -102,7 +106,8 @@
 
 #[test]
 fn older_change_waits_behind_newer_ones() {
-    let (mut channel, mut outbox) = (channel(0.0, 30), Outbox::default());
+    let mut channel = channel(0.0, 30);
+    let mut outbox = Outbox::default();
     channel.desired_tables.get_mut(&SliceId(29)).unwrap().since = -1.0;
     channel.flush(0.0, &params(), &mut outbox);
     assert!(matches!(outbox.orders[0], Order::Line { slice: SliceId(29), .. }));
@@ -110,7 +115,8 @@
 
 #[test]
 fn burst_of_urgent_changes_uses_up_all_messages() {
-    let (mut channel, mut outbox) = (channel(0.0, 5), Outbox::default());
+    let mut channel = channel(0.0, 5);
+    let mut outbox = Outbox::default();
     channel.backlog.sent_at.extend(vec![8.5; 10]);
     channel.withdrawn.insert(id(7));
     channel.flush(9.0, &params(), &mut outbox);
@@ -148,7 +154,8 @@
 
 #[test]
 fn return_replaces_a_withdrawal_that_was_not_sent() {
-    let (mut channel, mut outbox) = (channel(0.0, 0), Outbox::default());
+    let mut channel = channel(0.0, 0);
+    let mut outbox = Outbox::default();
     for out in [true, false] {
         let order = Order::Withdraw { host: id(7), out };
         channel.handle(0.0, &params(), Message::Send(order), &mut outbox);
@@ -194,7 +201,9 @@
 fn channel_rate_is_misjudged(apart: f64, rate: f64) {
     let mut channel = channel(0.0, 0);
     channel.backlog.rounds.push_back(round(9, 0.0, 40.0));
-    (1..8).for_each(|n| acknowledge(&mut channel, 1.0 + apart * f64::from(n), n, 9));
+    for n in 1..8 {
+        acknowledge(&mut channel, 1.0 + apart * f64::from(n), n, 9);
+    }
     let measured = channel.backlog.current_rate(params().max_transit_time).unwrap();
     assert!((measured / rate - 1.0).abs() < 0.01, "{measured}");
 }
@@ -209,7 +218,8 @@
 
 #[test]
 fn unacknowledged_lines_exceed_the_backlog() {
-    let (mut channel, mut outbox) = (channel(0.0, 40), Outbox::default());
+    let mut channel = channel(0.0, 40);
+    let mut outbox = Outbox::default();
     channel.withdrawn.insert(id(7));
     channel.backlog.rounds.push_back(round(9, 0.0, 70.0));
     channel.flush(3.0, &params(), &mut outbox);
@@ -226,7 +236,8 @@
 
 #[test]
 fn director_without_slices_sends_orders() {
-    let (mut channel, mut outbox) = (channel(0.0, 0), Outbox::default());
+    let mut channel = channel(0.0, 0);
+    let mut outbox = Outbox::default();
     channel.pending_withdrawals.insert(id(7), true);
     channel.flush(0.0, &params(), &mut outbox);
     assert!(outbox.orders.is_empty(), "no proxy would acknowledge it");
@@ -242,7 +253,8 @@
 #[test_case(false, true, 0 ; "withdrawn, it is let in with other orders")]
 #[test_case(false, false, 1 ; "otherwise at once")]
 fn expired_host_is_kept_or_forgotten_too_early(named: bool, withdrawn: bool, sent: usize) {
-    let (mut channel, mut outbox) = (channel(0.0, 1), Outbox::default());
+    let mut channel = channel(0.0, 1);
+    let mut outbox = Outbox::default();
     channel.desired_tables.clear();
     channel.withdrawn.extend(withdrawn.then_some(id(9)));
     channel.sent_tables.entry(SliceId(0)).or_default().extend(named.then_some((id(9), 1.0)));
--- a/src/logic/tests/director.rs
+++ b/src/logic/tests/director.rs
@@ -7,8 +7,8 @@
 #[test_case(false, 1.1, vec![] ; "a list that is followed is not fetched")]
 #[test_case(false, 3.1, vec![Order::FetchList] ; "after long silence it fetches the list")]
 fn host_list_gets_out_of_date(failed: bool, now: f64, expected: Vec<Order>) {
-    let (mut watch, mut outbox) =
-        (DiscoveryWatch { following: true, asked_at: Some(0.0) }, Outbox::default());
+    let mut watch = DiscoveryWatch { following: true, asked_at: Some(0.0) };
+    let mut outbox = Outbox::default();
     if failed {
         let lost = Input::Hosts { scope: ListScope::Failed, version: 0, entries: vec![] };
         watch.handle(0.5, &params(), Message::Input(lost), &mut outbox);
@@ -51,7 +51,8 @@
         Input::Given(SliceId(0)),
         Input::StoredLine { slice: SliceId(0), host: id(0), weight: 1.0 },
     ];
-    let (mut shut, mut forgotten) = (BTreeSet::new(), 0);
+    let mut withdrawn = BTreeSet::new();
+    let mut forgotten = 0;
     for tick in 0..20_000 {
         let (n, now) = (5 + tick / 10, tick as f64 / 10.0);
         if tick % 10 == 0 {
@@ -66,10 +67,13 @@
                 }
                 Order::Mark { mark, .. } => inputs.push(Input::Applied { proxy, mark, took: 0.1 }),
                 Order::Withdraw { host, out } => {
-                    assert!(if out { shut.insert(host) } else { shut.remove(&host) })
+                    assert!(if out { withdrawn.insert(host) } else { withdrawn.remove(&host) })
                 }
                 Order::Forget(host) => {
-                    assert!(!shut.contains(&host), "the proxies would keep it out if its name came back");
+                    assert!(
+                        !withdrawn.contains(&host),
+                        "the proxies would keep it out if its name came back"
+                    );
                     forgotten += 1;
                 }
                 _ => {}
@@ -80,7 +84,7 @@
     let kept =
         [director.hosts.len(), tables.views.len(), tables.withdrawn.len(), tables.relative_loads.len()];
     let more =
-        [channel.withdrawn.len(), channel.pending_withdrawals.len(), channel.expired.len(), shut.len()];
+        [channel.withdrawn.len(), channel.pending_withdrawals.len(), channel.expired.len(), withdrawn.len()];
     assert!(
         forgotten > 1900 && kept.iter().chain(&more).all(|many| *many < 60),
         "{forgotten} {kept:?} {more:?}"
@@ -126,10 +130,14 @@
         (given_at, vec![Input::Given(SliceId(1)), stored(1, 0), stored(1, 1)]),
     ];
     due.extend(gone_at.map(|at| (at, vec![list(ListScope::Changes, 2, vec![listing(0, HostState::Gone)])])));
-    let (mut inputs, mut named, mut withdrawn_at) = (Vec::new(), false, None);
+    let mut inputs = Vec::new();
+    let mut named = false;
+    let mut withdrawn_at = None;
     for tick in 0..400 {
         let now = tick as f64 / 10.0;
-        due.extract_if(.., |(at, _)| *at <= now).for_each(|(_, more)| inputs.extend(more));
+        for (_, more) in due.extract_if(.., |(at, _)| *at <= now) {
+            inputs.extend(more);
+        }
         named |= inputs.contains(&Input::Given(SliceId(1)));
         for order in director.handle(now, &std::mem::take(&mut inputs)) {
             match order {
--- a/src/logic/tests/hosts.rs
+++ b/src/logic/tests/hosts.rs
@@ -6,7 +6,9 @@
 fn probed_host(outcomes: &[Outcome], answered_at: f64) -> Host {
     let mut host = Host::new(id(0), 0.0, true);
     host.last_answer_at = answered_at;
-    outcomes.iter().for_each(|outcome| host.on_probe(10.0, &params(), *outcome, &mut Outbox::default()));
+    for outcome in outcomes {
+        host.on_probe(10.0, &params(), *outcome, &mut Outbox::default());
+    }
     host
 }
 
@@ -24,7 +26,9 @@
     let (fine, dead) = (Outcome::Answered, Outcome::Unreachable);
     let mut host = probed_host(&[dead, dead], 0.0);
     host.withdrawn_as_suspect = true;
-    (0..2).for_each(|_| host.on_probe(10.0, &params(), fine, &mut Outbox::default()));
+    for _ in 0..2 {
+        host.on_probe(10.0, &params(), fine, &mut Outbox::default());
+    }
     assert_eq!((host.view.suspect, host.started_at), (false, Some(10.0)));
 }
 
@@ -68,11 +72,14 @@
 #[test_case(false, 0, false ; "elsewhere removal is binding")]
 fn advisory_removal_is_misjudged(removal_is_advisory: bool, probe_failures: u32, stays: bool) {
     let mut host = Host { probe_failures, has_answered: true, ..Host::new(id(0), 0.0, true) };
-    (host.view.ready, host.view.suspect) = (true, probe_failures >= 4);
+    host.view.ready = true;
+    host.view.suspect = probe_failures >= 4;
     let params = Parameters { removal_is_advisory, ..params() };
     host.handle(1.0, &params, Message::Unlisted, &mut Outbox::default());
     assert_eq!(host.view.ready, stays);
-    (0..2).for_each(|_| host.on_probe(2.0, &params, Outcome::Unreachable, &mut Outbox::default()));
+    for _ in 0..2 {
+        host.on_probe(2.0, &params, Outcome::Unreachable, &mut Outbox::default());
+    }
     assert!(!host.view.ready || !host.serves_unlisted, "and is gone when its health checks fail");
 }
 
@@ -80,13 +87,20 @@
 #[test_case(5, false ; "past four in ten our own network failed")]
 fn host_that_was_not_withdrawn_repeats_slow_start(suspects: usize, in_slow_start: bool) {
     let mut tables = tables(&[1; 10]);
-    (0..suspects).for_each(|n| tables.views.get_mut(&id(n)).unwrap().suspect = true);
-    let (mut host, mut outbox) = (probed_host(&[Outcome::Unreachable; 2], 0.0), Outbox::default());
+    for n in 0..suspects {
+        tables.views.get_mut(&id(n)).unwrap().suspect = true;
+    }
+    let mut host = probed_host(&[Outcome::Unreachable; 2], 0.0);
+    let mut outbox = Outbox::default();
     tables.update_withdrawals(11.0, &mut outbox);
     let sent =
         std::iter::from_fn(|| outbox.take_next_mailbox()).filter(|(to, _)| *to == Recipient::Host(id(0)));
     let messages: Vec<Message> = sent.flat_map(|(_, messages)| messages).collect();
-    messages.into_iter().for_each(|message| host.handle(11.0, &params(), message, &mut Outbox::default()));
-    (0..2).for_each(|_| host.on_probe(13.0, &params(), Outcome::Answered, &mut Outbox::default()));
+    for message in messages {
+        host.handle(11.0, &params(), message, &mut Outbox::default());
+    }
+    for _ in 0..2 {
+        host.on_probe(13.0, &params(), Outcome::Answered, &mut Outbox::default());
+    }
     assert_eq!((host.view.suspect, host.started_at.is_some()), (false, in_slow_start));
 }
--- a/src/logic/tests/overrides.rs
+++ b/src/logic/tests/overrides.rs
@@ -42,7 +42,9 @@
 fn raised_zone_weight_does_not_attract_slices() {
     let mut tables = tables(&[4, 4, 4, 4]);
     apply_overrides(&mut tables, Wishes { zones: vec![1.0, 3.0], ..Wishes::default() });
-    (2..40).for_each(|at| tables.tick(at as f64, &params(), &mut Outbox::default()));
+    for at in 2..40 {
+        tables.tick(at as f64, &params(), &mut Outbox::default());
+    }
     assert!(held(&tables, 1) + held(&tables, 3) >= 10.0, "until the gap per unit of weight is under two");
 }
 
--- a/src/logic/tests/owners.rs
+++ b/src/logic/tests/owners.rs
@@ -34,7 +34,8 @@
 fn emptiest_host_without_capacity_blocks_balancing() {
     let mut tables = tables(&[10, 0, 1]);
     tables.views.get_mut(&id(1)).unwrap().slow_start = 0.2;
-    (tables.response_time, tables.max_ready_hosts) = (1.0, 10);
+    tables.response_time = 1.0;
+    tables.max_ready_hosts = 10;
     let params = Parameters { slice_count: 11.0, ..params() };
     tables.balance(100.0, &params, &mut Outbox::default());
     assert_eq!(held(&tables, 2), 2.0, "the one in slow start has no capacity for any");
@@ -86,7 +87,9 @@
 #[test]
 fn initial_layout_is_uneven_or_moves_owners() {
     let mut tables = tables(&[6, 2, 1]);
-    tables.slices.values_mut().for_each(|slice| slice.owner = None);
+    for slice in tables.slices.values_mut() {
+        slice.owner = None;
+    }
     tables.assign_initial_owners(&params(), &mut Outbox::default());
     assert_eq!(
         (held(&tables, 1), held(&tables, 2)),
@@ -136,7 +139,8 @@
 fn host_in_slow_start_gets_more_than_its_capacity(slow_start: f64) {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = slow_start;
-    (tables.response_time, tables.max_ready_hosts) = (1.0, 3);
+    tables.response_time = 1.0;
+    tables.max_ready_hosts = 3;
     let capacity = tables.capacities(&params())[&id(2)] + 6.0;
     assert!(
         (capacity - 1.5 * slow_start * 6.0).abs() < 1e-9,
@@ -150,7 +154,8 @@
 fn capacity_exceeds_the_collapse_multiple() {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
-    (tables.response_time, tables.max_ready_hosts) = (1.0, 3);
+    tables.response_time = 1.0;
+    tables.max_ready_hosts = 3;
     let params = Parameters { collapse_multiple: 1.5, ..params() };
     assert!((tables.capacities(&params)[&id(2)] + 6.0 - 0.6 * 1.5 * 0.5 * 6.0).abs() < 1e-9);
 }
@@ -169,7 +174,9 @@
 #[test]
 fn director_started_during_a_loss_overestimates_capacity() {
     let mut tables = tables(&[6, 6, 6]);
-    (0..2).for_each(|n| tables.views.get_mut(&id(n)).unwrap().ready = false);
+    for n in 0..2 {
+        tables.views.get_mut(&id(n)).unwrap().ready = false;
+    }
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.2;
     tables.update_withdrawals(1.0, &mut Outbox::default());
     let capacity = tables.capacities(&params())[&id(2)] + 6.0;
--- a/src/logic/tests/standbys.rs
+++ b/src/logic/tests/standbys.rs
@@ -20,7 +20,8 @@
 fn host_in_slow_start_becomes_a_standby() {
     let mut tables = tables(&[3, 3, 0]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.2;
-    (tables.max_ready_hosts, tables.response_time) = (3, 0.1);
+    tables.max_ready_hosts = 3;
+    tables.response_time = 0.1;
     tables.assign_standbys(&params());
     assert!(tables.slices.values().all(|s| s.standby != Some(id(2))));
 }
@@ -28,7 +29,9 @@
 #[test]
 fn overloaded_standby_of_an_overloaded_owner_is_kept() {
     let mut tables = tables(&[1, 1, 1, 1]);
-    tables.slices.values_mut().for_each(|s| s.standby = Some(id(if s.owner == Some(id(1)) { 0 } else { 1 })));
+    for s in tables.slices.values_mut() {
+        s.standby = Some(id(if s.owner == Some(id(1)) { 0 } else { 1 }));
+    }
     tables.views.get_mut(&id(1)).unwrap().derating = 0.3;
     (tables.relative_loads, tables.mean_relative_load) =
         (PerHost::from([(id(0), 6.0), (id(1), 6.0), (id(2), 1.0), (id(3), 1.0)]), 3.0);
@@ -42,7 +45,8 @@
 fn standby_gets_the_wrong_share(slow_start: f64, derating: f64, expected: f64) {
     let mut tables = tables(&[1, 0]);
     let view = tables.views.get_mut(&id(0)).unwrap();
-    (view.slow_start, view.derating) = (slow_start, derating);
+    view.slow_start = slow_start;
+    view.derating = derating;
     let slice = Slice { standby: Some(id(1)), ..tables.slices[&SliceId(0)].clone() };
     assert!((tables.desired_weights(&slice)[&id(1)] - expected).abs() < 1e-9);
 }
@@ -50,7 +54,9 @@
 #[test]
 fn overloaded_owner_keeps_all_calls() {
     let mut tables = tables(&[6, 1, 1]);
-    tables.slices.values_mut().for_each(|s| s.standby = Some(id(if s.owner == Some(id(2)) { 1 } else { 2 })));
+    for s in tables.slices.values_mut() {
+        s.standby = Some(id(if s.owner == Some(id(2)) { 1 } else { 2 }));
+    }
     tables.share_load();
     assert!(tables.slices.values().all(|s| s.standby_level == (s.owner == Some(id(0))) as usize));
 }
@@ -75,7 +81,8 @@
 fn owners_weight_is_sent_again() {
     let mut tables = tables(&[1, 1]);
     let slice = tables.slices.get_mut(&SliceId(0)).unwrap();
-    (slice.standby, slice.weights) = (Some(id(1)), PerHost::from([(id(0), 0.4), (id(1), 4.0)]));
+    slice.standby = Some(id(1));
+    slice.weights = PerHost::from([(id(0), 0.4), (id(1), 4.0)]);
     let weights = tables.desired_weights(&tables.slices[&SliceId(0)]);
     assert_eq!((weights[&id(0)], (weights[&id(1)] - 0.04).abs() < 1e-9), (0.4, true));
 }
--- a/src/logic/tests/tables.rs
+++ b/src/logic/tests/tables.rs
@@ -18,7 +18,9 @@
 #[test_case(5, 0 ; "five of ten: our own network is more likely at fault")]
 fn too_many_suspects_are_withdrawn(suspects: usize, withdrawn: usize) {
     let mut tables = tables(&[1; 10]);
-    (0..suspects).for_each(|n| tables.views.get_mut(&id(n)).unwrap().suspect = true);
+    for n in 0..suspects {
+        tables.views.get_mut(&id(n)).unwrap().suspect = true;
+    }
     tables.update_withdrawals(1.0, &mut Outbox::default());
     assert_eq!(tables.withdrawn.len(), withdrawn);
 }
@@ -40,7 +42,9 @@
 fn tables_are_emptied_without_an_open_host() {
     let mut tables = tables(&[1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
-    tables.slices.values_mut().for_each(|slice| slice.owner = None);
+    for slice in tables.slices.values_mut() {
+        slice.owner = None;
+    }
     tables.move_displaced(1.0, &params());
     let mut outbox = Outbox::default();
     tables.send_tables(&params(), &mut outbox);
@@ -87,7 +91,9 @@
 fn hosts_are_not_withdrawn_when_none_is_ready() {
     let mut tables = tables(&[2, 2]);
     tables.tick(1.0, &params(), &mut Outbox::default());
-    tables.views.values_mut().for_each(|view| view.ready = false);
+    for view in tables.views.values_mut() {
+        view.ready = false;
+    }
     let mut outbox = Outbox::default();
     tables.tick(2.0, &params(), &mut outbox);
     let out = |message: &Message| matches!(message, Message::Send(Order::Withdraw { out: true, .. }));
