--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -91,7 +91,7 @@
         proxy: ProxyId,
         /// The round, as `Order::Mark` named it.
         mark: MarkId,
-        /// Seconds from the order to its being applied.
+        /// Seconds that this took, as the channel says; not used by the decisions.
         took: f64,
     },
     /// A health check that `Order::Probe` asked for has ended.
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -20,7 +20,7 @@
 }
 
 /// What a director is told at its start. What the start-up settings leave out has the reading under which least is
-/// allowed.
+/// allowed. The decisions do not use all of it, but the guard, the adapters and the lab read it too.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This director.
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -60,8 +60,8 @@
     HostView(HostId, HostView),
     /// To the tables: the proxies have been told to use the host again.
     Readmitted(HostId),
-    /// The host is long gone. It goes from the host to the channel, which passes it to the tables when no table names the
-    /// host; they send it to the host's actor when nothing refers to it any more.
+    /// The host is long gone. Sent by the host to the channel, by the channel to the tables once no table names the host,
+    /// and by the tables to the host's actor once nothing refers to it any more.
     Expired(HostId),
     /// To admission control: outcome of the attempts at a sound host, with their mean response time in seconds.
     Attempts { response_time: f64, attempts: f64, dropped: f64 },
