--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -10,8 +10,14 @@
 #[cfg(test)]
 mod tests;
 
-/// Share of a round's lines below which its last acknowledgements say nothing of the channel's rate.
-const LAST_ACKNOWLEDGEMENTS: f64 = 0.1;
+/// How acknowledgements are judged; `logic` gives the values.
+#[derive(Clone, Copy)]
+pub(crate) struct AcknowledgementRules {
+    /// Seconds after a write in which a proxy that joins may have got it.
+    pub(crate) join_overlap: f64,
+    /// Share of a round's lines below which its last acknowledgements say nothing of the channel's rate.
+    pub(crate) ignored_tail: f64,
+}
 
 /// A message to every proxy, as far as it is not known to have been delivered. Times are in seconds.
 #[derive(Default)]
@@ -119,14 +125,20 @@
         }
     }
 
-    /// Keeps what an input says of the channel. A proxy that joins within `join_overlap` seconds after a write may have
+    /// Keeps what an input says of the channel. A proxy that joins within the rules' overlap after a write may have
     /// been there when the call was carried out.
-    pub(crate) fn record_input(&mut self, now: f64, params: &Parameters, join_overlap: f64, input: &Input) {
+    pub(crate) fn record_input(
+        &mut self,
+        now: f64,
+        params: &Parameters,
+        rules: AcknowledgementRules,
+        input: &Input,
+    ) {
         match *input {
-            Input::Joined { proxy, .. } => self.add_proxy(now, join_overlap, proxy),
+            Input::Joined { proxy, .. } => self.add_proxy(now, rules.join_overlap, proxy),
             Input::Left(proxy) => self.remove_proxy(proxy),
             Input::Applied { proxy, mark, .. } => {
-                self.record_acknowledgement(now, params.max_transit_time, proxy, mark);
+                self.record_acknowledgement(now, params.max_transit_time, rules.ignored_tail, proxy, mark);
             }
             Input::Call(Call::Written { mark, orders, unheard }) => {
                 let unknown_proxies = self.receiver_count(params, unheard) - self.proxies.len() as f64;
@@ -244,7 +256,14 @@
 
     /// An acknowledgement counts for the first copy of the round of which it may be. All rounds before that one have been
     /// delivered, as the channel keeps the order.
-    fn record_acknowledgement(&mut self, now: f64, transit_time: f64, proxy: ProxyId, id: MarkId) {
+    fn record_acknowledgement(
+        &mut self,
+        now: f64,
+        transit_time: f64,
+        ignored_tail: f64,
+        proxy: ProxyId,
+        id: MarkId,
+    ) {
         self.last_acknowledged_at = now;
         let awaited = self.rounds.iter().position(|round| round.may_be_acknowledged_by(proxy, id));
         let any_copy = || self.rounds.iter().position(|round| round.id == Some(id));
@@ -262,7 +281,7 @@
         let Some(first) = self.rounds.iter().find(|round| !round.is_delivered) else { return };
         // The last few may be late for reasons of their own, also where other proxies left and will send none.
         let awaited_lines = first.lines_per_proxy * first.awaited.len() as f64;
-        if awaited_lines > LAST_ACKNOWLEDGEMENTS * first.initial_lines {
+        if awaited_lines > ignored_tail * first.initial_lines {
             self.last_rate_sample_at = now;
             self.measured_rate = self.current_rate(transit_time);
         }
--- a/src/channel_backlog/tests.rs
+++ b/src/channel_backlog/tests.rs
@@ -5,6 +5,8 @@
 use crate::logic::tests::settings;
 use test_case::test_case;
 
+const RULES: AcknowledgementRules = AcknowledgementRules { join_overlap: 0.1, ignored_tail: 0.1 };
+
 fn params() -> Parameters {
     Parameters::new(&Settings { proxies: 20, message_overhead: 9.0, transit_most: 0.5, ..settings() })
 }
@@ -18,7 +20,7 @@
 
 fn record(backlog: &mut ChannelBacklog, now: f64, inputs: &[Input]) {
     for input in inputs {
-        backlog.record_input(now, &params(), 0.1, input);
+        backlog.record_input(now, &params(), RULES, input);
     }
 }
 
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -3,7 +3,7 @@
 //! Each host is a small actor; so are the tables, admission control, the discovery watch and the channel to proxies.
 //! Their state is in `src/state/`. They interact only by messages, which `src/delivery.rs` delivers.
 
-use crate::channel_backlog::CallToWrite;
+use crate::channel_backlog::{AcknowledgementRules, CallToWrite};
 use crate::interface::*;
 use crate::messages::{HostView, Message, Outbox, Recipient};
 use crate::parameters::Parameters;
--- a/src/logic/channel.rs
+++ b/src/logic/channel.rs
@@ -4,8 +4,9 @@
 
 /// Part of the channel's backlog that may be used.
 const BACKLOG_SHARE: f64 = 0.9;
-/// Seconds after a write in which a proxy that joins may have got it: twice the 50 ms that a call takes, or never.
-const JOIN_OVERLAP: f64 = 0.1;
+/// A proxy may get a call that was written just before it joined: for twice the 50 ms that a call takes. The last tenth
+/// of a round's acknowledgements may be late for reasons other than the channel's rate.
+const ACKNOWLEDGEMENTS: AcknowledgementRules = AcknowledgementRules { join_overlap: 0.1, ignored_tail: 0.1 };
 
 /// The order in which changes are sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -39,7 +40,7 @@
                 self.expired.insert(host);
             }
             Message::Expired(host) => self.forget_host(host, outbox),
-            Message::Input(input) => self.record_input(now, params, JOIN_OVERLAP, input),
+            Message::Input(input) => self.record_input(now, params, ACKNOWLEDGEMENTS, input),
             Message::Tick => self.flush(now, params, outbox),
             _ => {}
         }
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -1,6 +1,6 @@
 //! What is remembered of the channel to the proxies.
 
-use crate::channel_backlog::ChannelBacklog;
+use crate::channel_backlog::{AcknowledgementRules, ChannelBacklog};
 use crate::interface::{HostId, Input, MarkId, Order, SliceId};
 use crate::messages::{Message, Outbox, Recipient};
 use crate::parameters::Parameters;
@@ -131,8 +131,14 @@
         outbox.send(Recipient::Tables, Message::Expired(host));
     }
 
-    /// Keeps what an input says that needs no decision. `join_overlap`: see [`ChannelBacklog::record_input`].
-    pub(crate) fn record_input(&mut self, now: f64, params: &Parameters, join_overlap: f64, input: Input) {
+    /// Keeps what an input says that needs no decision. `rules`: see [`ChannelBacklog::record_input`].
+    pub(crate) fn record_input(
+        &mut self,
+        now: f64,
+        params: &Parameters,
+        rules: AcknowledgementRules,
+        input: Input,
+    ) {
         match input {
             Input::StoredLine { slice, host, weight } => {
                 self.sent_tables.entry(slice).or_default().insert(host, weight);
@@ -141,7 +147,7 @@
             }
             Input::Refused { slice, lines, .. } => self.reset_table(slice, Some(lines)),
             Input::Taken(slice) | Input::Given(slice) => self.reset_table(slice, None),
-            input => self.backlog.record_input(now, params, join_overlap, &input),
+            input => self.backlog.record_input(now, params, rules, &input),
         }
     }
 
