--- /dev/null
+++ b/crates/tools/lab/tests/live_start_fails.rs
@@ -0,0 +1,53 @@
+//! What a failed start of a director's binary leaves behind. The only test of its program, as it counts the threads.
+
+use coppersail::interface::{CellId, HostId, HostState, Input, KindId, ListScope, Listing, Settings, ZoneId};
+use coppersail_lab::live::{Live, StartError};
+use coppersail_lab::platform::Platform;
+use coppersail_lab::Scenario;
+use std::path::Path;
+use std::time::{Duration, Instant};
+
+/// How long threads that were told to end may take to be gone.
+const MAX_WAIT: Duration = Duration::from_secs(5);
+
+fn threads() -> usize {
+    std::fs::read_dir("/proc/self/task").unwrap().count()
+}
+
+fn left_folders() -> Vec<String> {
+    let prefix = format!("coppersail-live-{}-", std::process::id());
+    let entries = std::fs::read_dir(std::env::temp_dir()).unwrap();
+    let names = entries.map(|entry| entry.unwrap().file_name().to_string_lossy().into_owned());
+    names.filter(|name| name.starts_with(&prefix)).collect()
+}
+
+#[test]
+fn a_director_that_cannot_be_spawned_leaves_no_threads_and_no_folder() {
+    let scenario = Scenario::default();
+    let settings: Settings = coppersail_lab::world::settings(&scenario, 0);
+    let routes = scenario.load.routes.iter().map(|route| route.name.clone()).collect();
+    let platform = Platform { settings, routes, began_ms: 0 };
+    let entries = (0..4)
+        .map(|host| Listing {
+            host: HostId(host),
+            state: HostState::Ready,
+            born: None,
+            weight: 1.0,
+            zone: ZoneId(0),
+            cell: CellId(0),
+            kind: KindId(0),
+        })
+        .collect();
+    let inputs = [Input::Hosts { scope: ListScope::Whole, version: 1, entries }];
+    let before = threads();
+
+    let started = Live::start(Path::new("/dev/null/no-such-director"), platform, 1, &inputs);
+
+    assert!(matches!(started, Err(StartError::Spawn { .. })));
+    assert_eq!(left_folders(), Vec::<String>::new());
+    let deadline = Instant::now() + MAX_WAIT;
+    while threads() > before && Instant::now() < deadline {
+        std::thread::yield_now();
+    }
+    assert_eq!(threads(), before, "threads of the stand-ins are left");
+}
