--- a/crates/tools/lab/src/commands/play.rs
+++ b/crates/tools/lab/src/commands/play.rs
@@ -3,7 +3,7 @@
 use crate::input_error::InputError;
 use coppersail_lab::experiment::{play, table};
 use coppersail_lab::policy::Kind;
-use coppersail_lab::{kept, watch, Scenario, World};
+use coppersail_lab::{run_folder, watch, Scenario, World};
 use std::path::Path;
 use std::time::Instant;
 
@@ -25,7 +25,7 @@
         events / elapsed_s / 1e6
     );
     if let Some(out) = out {
-        kept::keep(out, &world, &outcome)?;
+        run_folder::keep(out, &world, &outcome)?;
         println!("kept in {}", out.display());
     }
     match outcome.failed(&scenario) {
@@ -55,7 +55,7 @@
 
 /// Writes the page of a kept play again, from the other files of its folder.
 pub(crate) fn report(folder: &Path) -> eyre::Result<bool> {
-    let page = kept::page(folder).map_err(InputError::file(folder))?;
+    let page = run_folder::page(folder).map_err(InputError::file(folder))?;
     let file = folder.join("report.html");
     std::fs::write(&file, page).map_err(InputError::file(folder))?;
     println!("{}", file.display());
--- a/crates/tools/lab/src/commands/tables.rs
+++ b/crates/tools/lab/src/commands/tables.rs
@@ -2,7 +2,7 @@
 
 use super::{cores, read_scenarios};
 use crate::input_error::InputError;
-use coppersail_lab::experiment::{self, agreement, compared, ranked, table, Outcome};
+use coppersail_lab::experiment::{self, agreement, compared, ranked, table, Difference, Outcome};
 use coppersail_lab::policy::{Kind, UnknownPolicy};
 use coppersail_lab::{trials as operator_trials, Scenario};
 use std::collections::BTreeMap;
@@ -30,10 +30,10 @@
     let scenarios = std::slice::from_ref(&scenario);
     let outcomes = experiment::grid(scenarios, &kinds, 1..1 + seeds, cores(), None, &|_, _| {})?;
     println!("{}", table(&outcomes));
-    let (service, worst) = compared(&outcomes, &scenario.name, kinds[0], kinds[1]);
+    let Difference { service, worst } = compared(&outcomes, &scenario.name, kinds[0], kinds[1]);
     println!(
         "{b} against {a}, {seeds} seeds: service {:+.4} ±{:.4}, worst ten seconds {:+.4} ±{:.4}",
-        service.0, service.1, worst.0, worst.1
+        service.mean, service.half_width, worst.mean, worst.half_width
     );
     Ok(true)
 }
--- /dev/null
+++ b/crates/tools/lab/src/experiment/hunt.rs
@@ -0,0 +1,91 @@
+//! Searches for a scenario on which a policy does badly.
+
+use super::outcome::play;
+use crate::policy::Kind;
+use crate::scenario::{Fault, Scenario, What};
+use fastrand::Rng;
+use std::ops::Range;
+
+/// How many faults a drawn scenario begins with.
+const DRAWN_FAULTS: Range<usize> = 1..4;
+/// How many faults a scenario may have.
+const MAX_FAULTS: usize = 5;
+/// How many kinds of faults are drawn.
+const FAULT_KINDS: u8 = 12;
+
+/// Looks for a scenario that is bad for the policy, in so many plays: the first half by random faults, the second by
+/// changing the worst scenario that was found. Returns it with its score: how far the policy's service is behind that of
+/// the policy that sees the true state, or with `rules` the number of violations of rules.
+pub fn hunt(base: &Scenario, policy: Kind, plays: usize, seed: u64, rules: bool) -> (Scenario, f64) {
+    let mut rng = Rng::with_seed(seed);
+    let score = |scenario: &Scenario| {
+        let (outcome, _) = play(scenario, policy, seed);
+        if rules {
+            return outcome.broken as f64;
+        }
+        let (ideal, _) = play(scenario, Kind::TrueState, seed);
+        ideal.service - outcome.service
+    };
+    let mut worst = base.clone();
+    let mut worst_score = score(base);
+    for number in 1..plays.max(1) {
+        let candidate =
+            if number < plays / 2 { drawn(base, &mut rng) } else { mutated(base, &worst, &mut rng) };
+        let candidate_score = score(&candidate);
+        if candidate_score > worst_score {
+            worst = candidate;
+            worst_score = candidate_score;
+        }
+    }
+    (worst, worst_score)
+}
+
+/// The base scenario with random faults instead of its own.
+fn drawn(base: &Scenario, rng: &mut Rng) -> Scenario {
+    let faults = (0..rng.usize(DRAWN_FAULTS)).map(|_| drawn_fault(base, rng)).collect();
+    Scenario { faults, ..base.clone() }
+}
+
+/// The worst scenario with another fault, or with one of its faults replaced.
+fn mutated(base: &Scenario, worst: &Scenario, rng: &mut Rng) -> Scenario {
+    let mut scenario = worst.clone();
+    if scenario.faults.is_empty() || rng.bool() {
+        scenario.faults.push(drawn_fault(base, rng));
+    } else {
+        let index = rng.usize(0..scenario.faults.len());
+        scenario.faults[index] = drawn_fault(base, rng);
+    }
+    scenario.faults.truncate(MAX_FAULTS);
+    scenario
+}
+
+/// A random fault that lasts up to a third of the scenario. The order of the draws is part of what a seed gives.
+fn drawn_fault(scenario: &Scenario, rng: &mut Rng) -> Fault {
+    let what = drawn_kind(scenario, rng);
+    let at = (0.1 + 0.6 * rng.f64()) * scenario.seconds;
+    let lasts = (0.1 + 0.25 * rng.f64()) * scenario.seconds;
+    Fault { at, lasts, what }
+}
+
+fn drawn_kind(scenario: &Scenario, rng: &mut Rng) -> What {
+    let fleet = &scenario.fleet;
+    // Drawn also for faults that have no share.
+    let share = 0.1 + 0.4 * rng.f64();
+    match rng.u8(0..FAULT_KINDS) {
+        0 => What::Kill { share },
+        1 => What::KillZone { zone: rng.u16(0..fleet.zones) },
+        2 => What::Hang { share: share / 2.0 },
+        3 => What::Slow { share, factor: 2.0 + 4.0 * rng.f64() },
+        4 => What::Cut { zone: rng.u16(0..fleet.zones) },
+        5 => What::Roll { share: 1.0, at_a_time: 1 + fleet.hosts / 6 },
+        6 => What::ListLate { by: 2.0 + 6.0 * rng.f64() },
+        7 => What::StoreDown,
+        8 => What::KillDirector { director: rng.usize(0..fleet.directors) },
+        9 => What::Flood { factor: 1.3 + 0.7 * rng.f64() },
+        10 => {
+            let route = rng.usize(0..scenario.load.routes.len());
+            What::Cost { route, factor: 1.5 + 2.0 * rng.f64() }
+        }
+        _ => What::ReportsLost { share: 0.5 + 0.5 * rng.f64() },
+    }
+}
--- /dev/null
+++ b/crates/tools/lab/src/experiment/outcome.rs
@@ -0,0 +1,84 @@
+//! One play, and its figures in a line.
+
+use crate::policy::Kind;
+use crate::scenario::Scenario;
+use crate::World;
+use serde::{Deserialize, Serialize};
+
+/// Figures are rounded to so many parts of 1, so that they come back from a file as they went in.
+const PARTS: f64 = 1e6;
+
+/// The figures of one play. Service is the importance of the calls that were answered within their latency target, over
+/// that of all calls, from 0 to 1.
+#[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
+pub struct Outcome {
+    /// The scenario's name.
+    pub scenario: String,
+    /// The policy that was played.
+    pub policy: Kind,
+    /// The seed.
+    pub seed: u64,
+    /// Service of the whole play.
+    pub service: f64,
+    /// Service in the worst ten seconds.
+    #[serde(rename = "worst")]
+    pub worst: f64,
+    /// Service of the worst route.
+    pub worst_route: f64,
+    /// Violations of the five rules.
+    #[serde(rename = "broken")]
+    pub broken: u64,
+    /// Calls that arrived.
+    pub calls: u64,
+    /// Events that were simulated.
+    pub events: u64,
+    /// Table lines that were written, summed over the proxies.
+    pub lines: f64,
+}
+
+/// Plays a scenario: in real time if the policy is the director's binary, else in simulated time.
+pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> (Outcome, World) {
+    let world = World::new(scenario, kind, seed);
+    let world = if kind == Kind::Live { world.run_live() } else { world.run() };
+    (Outcome::of(&world, kind, seed), world)
+}
+
+impl Outcome {
+    /// The figures of a play that is over.
+    pub fn of(world: &World, kind: Kind, seed: u64) -> Outcome {
+        let measured = &world.measured;
+        Outcome {
+            scenario: world.scenario.name.clone(),
+            policy: kind,
+            seed,
+            service: rounded(measured.service()),
+            worst: rounded(measured.worst()),
+            worst_route: rounded(measured.worst_route()),
+            broken: world.rules.many,
+            calls: measured.seconds.iter().map(|second| u64::from(second.calls)).sum(),
+            events: measured.events,
+            lines: measured.seconds.iter().map(|second| second.lines).sum(),
+        }
+    }
+
+    /// The first of the scenario's checks that does not hold, in words.
+    pub fn failed(&self, scenario: &Scenario) -> Option<String> {
+        let checks = &scenario.checks;
+        if checks.rules && self.broken > 0 {
+            return Some(format!("{} breaks of rules", self.broken));
+        }
+        if self.service < checks.service_least {
+            let least = checks.service_least;
+            return Some(format!("service {:.3}, expected {least:.3} at least", self.service));
+        }
+        if self.worst < checks.worst_least {
+            let least = checks.worst_least;
+            return Some(format!("worst ten seconds {:.3}, expected {least:.3} at least", self.worst));
+        }
+        None
+    }
+}
+
+fn rounded(share: f64) -> f64 {
+    (share * PARTS).round() / PARTS
+}
--- a/crates/tools/lab/src/lib.rs
+++ b/crates/tools/lab/src/lib.rs
@@ -3,7 +3,6 @@
 
 pub mod build;
 pub mod experiment;
-pub mod kept;
 pub mod live;
 pub mod logs;
 pub mod measure;
@@ -11,11 +10,13 @@
 pub mod policy;
 pub mod reduced;
 pub mod rules;
+pub mod run_folder;
 pub mod scenario;
 pub mod stats;
 pub mod trials;
 pub mod truth;
 pub mod watch;
+mod workers;
 pub mod world;
 
 pub use scenario::Scenario;
--- a/crates/tools/lab/src/stats.rs
+++ b/crates/tools/lab/src/stats.rs
@@ -8,17 +8,26 @@
 /// The same quantile of the normal distribution, for more.
 const NORMAL_QUANTILE: f64 = 1.96;
 
-/// Mean of the differences, and half the width of its 95% confidence interval (Student's t, paired samples). Infinite with
-/// fewer than two differences.
-pub fn paired(differences: &[f64]) -> (f64, f64) {
-    let count = differences.len() as f64;
+/// A mean with its 95% confidence interval.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Estimate {
+    /// The mean of the sample.
+    pub mean: f64,
+    /// Half the width of the confidence interval.
+    pub half_width: f64,
+}
+
+/// Mean of paired differences, with Student's t interval; the interval is infinite with fewer than two differences.
+pub fn paired(differences: &[f64]) -> Estimate {
     if differences.len() < 2 {
-        return (differences.first().copied().unwrap_or(0.0), f64::INFINITY);
+        let mean = differences.first().copied().unwrap_or(0.0);
+        return Estimate { mean, half_width: f64::INFINITY };
     }
+    let count = differences.len() as f64;
     let mean = differences.iter().sum::<f64>() / count;
     let variance = differences.iter().map(|d| (d - mean) * (d - mean)).sum::<f64>() / (count - 1.0);
     let t = T_QUANTILES.get(differences.len() - 2).copied().unwrap_or(NORMAL_QUANTILE);
-    (mean, t * (variance / count).sqrt())
+    Estimate { mean, half_width: t * (variance / count).sqrt() }
 }
 
 /// Ranks from 0 in ascending order; equal values share the mean of their ranks.
@@ -31,18 +40,30 @@
     values.iter().map(rank).collect()
 }
 
+/// The fewest pairs that have a rank correlation.
+const MIN_PAIRS: usize = 3;
+
 /// Spearman's rank correlation; none with fewer than three pairs, or where all values of one side are equal.
 pub fn spearman(pairs: &[(f64, f64)]) -> Option<f64> {
-    if pairs.len() < 3 {
+    if pairs.len() < MIN_PAIRS {
         return None;
     }
-    let side = |of: fn(&(f64, f64)) -> f64| ranks(&pairs.iter().map(of).collect::<Vec<f64>>());
-    let (a, b) = (side(|pair| pair.0), side(|pair| pair.1));
-    let mean = (pairs.len() - 1) as f64 / 2.0;
-    let product =
-        |x: &[f64], y: &[f64]| -> f64 { x.iter().zip(y).map(|(x, y)| (x - mean) * (y - mean)).sum() };
-    let (aa, bb) = (product(&a, &a), product(&b, &b));
-    (aa > 0.0 && bb > 0.0).then(|| product(&a, &b) / (aa * bb).sqrt())
+    let first: Vec<f64> = pairs.iter().map(|pair| pair.0).collect();
+    let second: Vec<f64> = pairs.iter().map(|pair| pair.1).collect();
+    let first_ranks = ranks(&first);
+    let second_ranks = ranks(&second);
+    let first_spread = co_deviation(&first_ranks, &first_ranks);
+    let second_spread = co_deviation(&second_ranks, &second_ranks);
+    if first_spread <= 0.0 || second_spread <= 0.0 {
+        return None;
+    }
+    Some(co_deviation(&first_ranks, &second_ranks) / (first_spread * second_spread).sqrt())
+}
+
+/// Sum of the products of two rankings' deviations from their common mean.
+fn co_deviation(a: &[f64], b: &[f64]) -> f64 {
+    let mean = (a.len() - 1) as f64 / 2.0;
+    a.iter().zip(b).map(|(a, b)| (a - mean) * (b - mean)).sum()
 }
 
 #[cfg(test)]
--- a/crates/tools/lab/src/stats/tests.rs
+++ b/crates/tools/lab/src/stats/tests.rs
@@ -4,10 +4,10 @@
 
 #[test]
 fn an_interval_covers_and_narrows() {
-    let (mean, half) = paired(&[1.0, 2.0, 3.0, 4.0]);
+    let Estimate { mean, half_width } = paired(&[1.0, 2.0, 3.0, 4.0]);
     assert_eq!(mean, 2.5);
-    assert!((half - 3.182 * (5.0_f64 / 3.0 / 4.0).sqrt()).abs() < 1e-9);
-    assert_eq!(paired(&[0.3]).1, f64::INFINITY);
+    assert!((half_width - 3.182 * (5.0_f64 / 3.0 / 4.0).sqrt()).abs() < 1e-9);
+    assert_eq!(paired(&[0.3]).half_width, f64::INFINITY);
 }
 
 #[test_case(&[(1.0, 10.0), (2.0, 20.0), (3.0, 900.0)], Some(1.0) ; "the same order")]
--- a/crates/tools/lab/src/trials.rs
+++ b/crates/tools/lab/src/trials.rs
@@ -1,145 +1,121 @@
-//! Operators' changes tried on whole fleets: which are taken back, how soon, and which wrongly. The judge's own table
-//! (`coppersail-judge`) is made of sums by chance; here hosts, queues and retries make them.
+//! Trials of operators' changes on whole fleets: which changes the director reverts, how soon, and which wrongly. The table
+//! of `coppersail-change-analysis` is made of random sums; here hosts, queues and retries make them.
+
+mod cases;
 
 use crate::policy::Kind;
-use crate::scenario::{Change, Fault, Scenario, What};
+use crate::workers::{run_jobs, Progress};
 use crate::World;
-use std::sync::atomic::{AtomicUsize, Ordering};
+use cases::SUBMITTED_AT;
+pub use cases::{cases, Case};
 use std::sync::Mutex;
 
-/// When the change is submitted: the judge wants a minute before it.
-const AT: f64 = 62.0;
-/// A trial, and one more if it is set aside.
-const SECONDS: f64 = AT + 200.0;
-
-/// A change, whether callers lose by it, and what else befalls the fleet.
-pub struct Case {
-    pub change: &'static str,
-    pub harmful: bool,
-    pub trouble: &'static str,
-    scenario: Scenario,
-}
+/// A reversal within so many seconds is prompt.
+const PROMPT_SECONDS: f64 = 30.0;
+const HEADER: &str =
+    "| change | harmful | trouble | refused | out of force | in 30 s | undone | kept | service |
+| --- | --- | --- | --- | --- | --- | --- | --- | --- |
+";
 
-/// What became of it.
+/// What became of a change.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Verdict {
+pub struct TrialResult {
+    /// The director refused it.
     pub refused: bool,
-    /// Seconds after it was applied until it was first out of force.
-    pub back: Option<f64>,
+    /// Seconds from when it was applied until it was first out of force; none if it never was.
+    pub reverted_after: Option<f64>,
+    /// It was undone for good.
     pub undone: bool,
+    /// Its trial ended, and it was kept.
     pub kept: bool,
+    /// Service of the whole play, from 0 to 1.
     pub service: f64,
 }
 
-/// What it is called, whether callers lose by it, and the fields with their values.
-type Named = (&'static str, bool, Vec<(String, &'static str)>);
-
-fn changes() -> Vec<Named> {
-    let each = |many: u32, last: &str, value: &'static str| {
-        (0..many).map(|host| (format!("hosts.h{host}.{last}"), value)).collect::<Vec<_>>()
-    };
-    vec![
-        ("a tenth of a route held back", true, vec![("routes.read.ceiling".into(), "0.9")]),
-        ("half of a route held back", true, vec![("routes.read.ceiling".into(), "0.5")]),
-        ("seven of twelve hosts drained", true, each(7, "drained", "true")),
-        ("one host weighs 40 times", true, each(1, "weight", "40")),
-        ("a host drained", false, each(1, "drained", "true")),
-        ("a host weighs half", false, each(1, "weight", "0.5")),
-        ("all zones weigh the same", false, (0..3).map(|z| (format!("zones.z{z}.weight"), "0.9")).collect()),
-        ("slices kept apart", false, (0..4).map(|s| (format!("apart.{s}.h{s}"), "true")).collect()),
-    ]
-}
-
-fn troubles() -> Vec<(&'static str, Vec<What>)> {
-    vec![
-        ("none", vec![]),
-        ("a quarter dies", vec![What::Kill { share: 0.25 }]),
-        ("a flood", vec![What::Flood { factor: 2.0 }]),
-        ("a zone cut", vec![What::Cut { zone: 1 }]),
-        ("a quarter slow", vec![What::Slow { share: 0.25, factor: 4.0 }]),
-    ]
-}
-
-pub fn cases() -> Vec<Case> {
-    let mut cases = Vec::new();
-    for (change, harmful, set) in changes() {
-        for (trouble, what) in troubles() {
-            // Near the change on purpose: what befalls the fleet must not be put to its account.
-            let faults = what.into_iter().map(|what| Fault { at: AT + 3.0, lasts: 15.0, what }).collect();
-            let set = set.iter().map(|(field, value)| (field.clone(), value.to_string())).collect();
-            let changes = vec![Change { at: AT, set, trial: None }];
-            let mut scenario = Scenario { seconds: SECONDS, faults, changes, ..Scenario::default() };
-            scenario.load.fill = 0.55;
-            cases.push(Case { change, harmful, trouble, scenario });
+impl Case {
+    /// Plays the case through the director's reducer.
+    pub fn play(&self, seed: u64) -> TrialResult {
+        let world = World::new(&self.scenario, Kind::Reduced, seed).run();
+        let mut result = TrialResult { service: world.measured.service(), ..TrialResult::default() };
+        let mut applied_at = SUBMITTED_AT;
+        for (at, _, text) in world.told() {
+            result.record(at, &text, &mut applied_at);
         }
+        result
     }
-    cases
 }
 
-impl Case {
-    pub fn play(&self, seed: u64) -> Verdict {
-        let world = World::new(&self.scenario, Kind::Reduced, seed).run();
-        let mut verdict = Verdict { service: world.measured.service(), ..Verdict::default() };
-        let mut applied = AT;
-        for (at, _, text) in world.told() {
-            let of_it = text.strip_prefix("change 1: ");
-            match of_it {
-                Some("applied") if verdict.back.is_none() => applied = at,
-                Some(text) if text.starts_with("set aside") => _ = verdict.back.get_or_insert(at - applied),
-                Some(text) if text.starts_with("undone") => {
-                    verdict.back.get_or_insert(at - applied);
-                    verdict.undone = true;
-                }
-                Some(text) if text.starts_with("kept") => verdict.kept = true,
-                None if text.starts_with("refused") => verdict.refused = true,
-                _ => {}
+impl TrialResult {
+    /// Records what the director said at a time, in seconds. `applied_at`: when it was last applied before it was first
+    /// reverted.
+    fn record(&mut self, at: f64, text: &str, applied_at: &mut f64) {
+        let Some(said) = text.strip_prefix("change 1: ") else {
+            self.refused |= text.starts_with("refused");
+            return;
+        };
+        if said == "applied" {
+            if self.reverted_after.is_none() {
+                *applied_at = at;
             }
+        } else if said.starts_with("set aside") {
+            self.reverted_after.get_or_insert(at - *applied_at);
+        } else if said.starts_with("undone") {
+            self.reverted_after.get_or_insert(at - *applied_at);
+            self.undone = true;
+        } else if said.starts_with("kept") {
+            self.kept = true;
         }
-        verdict
     }
 }
 
-/// The table of all cases, `seeds` each, on so many threads.
+/// One play of a case.
+struct Job {
+    /// The index of the case.
+    case: usize,
+    seed: u64,
+}
+
+/// A Markdown table of all cases, played on the seeds from 1 to `seeds`, on up to `threads` threads. `progress` is called
+/// with the number of plays that are done, and of all.
 pub fn table(seeds: u64, threads: usize, progress: &(dyn Fn(usize, usize) + Sync)) -> String {
     let cases = cases();
-    let jobs: Vec<(usize, u64)> =
-        (0..cases.len()).flat_map(|case| (1..=seeds).map(move |seed| (case, seed))).collect();
-    let (next, done) = (AtomicUsize::new(0), AtomicUsize::new(0));
-    let verdicts = Mutex::new(vec![Vec::new(); cases.len()]);
-    std::thread::scope(|scope| {
-        for _ in 0..threads.max(1) {
-            scope.spawn(|| {
-                while let Some((case, seed)) = jobs.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let verdict = cases[*case].play(*seed);
-                    if let Ok(mut verdicts) = verdicts.lock() {
-                        verdicts[*case].push(verdict);
-                    }
-                    progress(done.fetch_add(1, Ordering::Relaxed) + 1, jobs.len());
-                }
-            });
+    let mut jobs = Vec::new();
+    for case in 0..cases.len() {
+        jobs.extend((1..=seeds).map(|seed| Job { case, seed }));
+    }
+    let results = Mutex::new(vec![Vec::new(); cases.len()]);
+    let progress = Progress::new(jobs.len(), progress);
+    run_jobs(&jobs, threads, |job| {
+        let result = cases[job.case].play(job.seed);
+        if let Ok(mut results) = results.lock() {
+            results[job.case].push(result);
         }
+        progress.advance();
+        true
     });
-    let verdicts = verdicts.into_inner().unwrap_or_default();
-    let mut text = String::from(
-        "| change | harmful | trouble | refused | out of force | in 30 s | undone | kept | service |\n\
-         | --- | --- | --- | --- | --- | --- | --- | --- | --- |\n",
-    );
-    for (case, verdicts) in cases.iter().zip(&verdicts) {
-        let many = verdicts.len().max(1) as f64;
-        let share =
-            |is: &dyn Fn(&Verdict) -> bool| 100.0 * verdicts.iter().filter(|v| is(v)).count() as f64 / many;
-        let service = verdicts.iter().map(|v| v.service).sum::<f64>() / many;
-        text += &format!(
-            "| {} | {} | {} | {:.0}% | {:.0}% | {:.0}% | {:.0}% | {:.0}% | {service:.3} |\n",
-            case.change,
-            if case.harmful { "yes" } else { "no" },
-            case.trouble,
-            share(&|v| v.refused),
-            share(&|v| v.back.is_some()),
-            share(&|v| v.back.is_some_and(|at| at <= 30.0)),
-            share(&|v| v.undone),
-            share(&|v| v.kept),
-        );
+    let results = results.into_inner().unwrap_or_default();
+    let mut text = String::from(HEADER);
+    for (case, results) in cases.iter().zip(&results) {
+        text += &row(case, results);
     }
     text
 }
+
+fn row(case: &Case, results: &[TrialResult]) -> String {
+    let plays = results.len().max(1) as f64;
+    let percent = |holds: fn(&TrialResult) -> bool| {
+        100.0 * results.iter().filter(|result| holds(result)).count() as f64 / plays
+    };
+    let service = results.iter().map(|result| result.service).sum::<f64>() / plays;
+    format!(
+        "| {} | {} | {} | {:.0}% | {:.0}% | {:.0}% | {:.0}% | {:.0}% | {service:.3} |\n",
+        case.change,
+        if case.harmful { "yes" } else { "no" },
+        case.fault,
+        percent(|result| result.refused),
+        percent(|result| result.reverted_after.is_some()),
+        percent(|result| result.reverted_after.is_some_and(|seconds| seconds <= PROMPT_SECONDS)),
+        percent(|result| result.undone),
+        percent(|result| result.kept),
+    )
+}
--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -3,7 +3,7 @@
 use coppersail_lab::experiment::{agreement, compared, grid, play, ranked, shrunk};
 use coppersail_lab::policy::Kind;
 use coppersail_lab::scenario::{Fault, Scenario, What};
-use coppersail_lab::{kept, World};
+use coppersail_lab::{run_folder, World};
 use std::path::{Path, PathBuf};
 use test_case::test_case;
 
@@ -90,14 +90,14 @@
     }
     let here = folder("kept").join("play");
     let (outcome, world) = play(&short("a"), Kind::Module, 1);
-    kept::keep(&here, &world, &outcome).unwrap();
+    run_folder::keep(&here, &world, &outcome).unwrap();
     for name in ["manifest.json", "seconds.csv", "table.md", "service.svg", "heat.svg", "report.html"] {
         assert!(std::fs::metadata(here.join(name)).unwrap().len() > 100, "{name}");
     }
     // The folder's place is taken by a file: nothing half is left.
     let taken = folder("taken").join("play");
     std::fs::write(taken.with_file_name("play.new"), "").unwrap();
-    assert!(kept::keep(&taken, &world, &outcome).is_err());
+    assert!(run_folder::keep(&taken, &world, &outcome).is_err());
     assert!(!taken.exists());
 }
 
@@ -123,8 +123,8 @@
     let scenario = scenario("slow");
     let kinds = [Kind::Module, Kind::TrueState];
     let outcomes = grid(std::slice::from_ref(&scenario), &kinds, 1..5, 4, None, &|_, _| {}).unwrap();
-    let ((service, half), _) = compared(&outcomes, &scenario.name, kinds[0], kinds[1]);
-    assert!(service > -half.max(0.02), "{service} ±{half}");
+    let service = compared(&outcomes, &scenario.name, kinds[0], kinds[1]).service;
+    assert!(service.mean > -service.half_width.max(0.02), "{} ±{}", service.mean, service.half_width);
 }
 
 #[test]
