--- a/crates/tools/lab/src/build/encode.rs
+++ b/crates/tools/lab/src/build/encode.rs
@@ -33,9 +33,9 @@
 pub(super) fn write_input(platform: &Platform, input: &Input, text: &mut String) {
     let event = match input {
         Input::Hosts { scope, version, entries } => {
-            write(list_header(*scope, *version, entries.len()), text);
+            write(membership_header(*scope, *version, entries.len()), text);
             for entry in entries {
-                write(list_entry(platform, entry), text);
+                write(membership_entry(platform, entry), text);
             }
             return;
         }
@@ -64,7 +64,7 @@
     platform.settings.zones[usize::from(zone.0)].clone()
 }
 
-fn list_header(scope: ListScope, version: u64, entries: usize) -> wire::Event {
+fn membership_header(scope: ListScope, version: u64, entries: usize) -> wire::Event {
     let scope = match scope {
         ListScope::Changes => wire::Scope::Delta,
         ListScope::Whole => wire::Scope::Full,
@@ -74,7 +74,7 @@
     wire::Event::Members { who: DIRECTOR, scope, rev: version, count: Some(entries as u64) }
 }
 
-fn list_entry(platform: &Platform, entry: &Listing) -> wire::Event {
+fn membership_entry(platform: &Platform, entry: &Listing) -> wire::Event {
     let status = match entry.state {
         HostState::Ready => wire::Status::Ready,
         HostState::Draining => wire::Status::Draining,
@@ -94,8 +94,8 @@
 /// Which slices the director has, and their stored tables.
 fn table_event(input: &Input) -> Option<wire::Event> {
     match input {
-        Input::Given(slice) => Some(tenure(*slice, true)),
-        Input::Taken(slice) => Some(tenure(*slice, false)),
+        Input::Given(slice) => Some(slice_assignment(*slice, true)),
+        Input::Taken(slice) => Some(slice_assignment(*slice, false)),
         Input::StoredLine { slice, host, weight } => Some(wire::Event::CurrentOwner {
             who: DIRECTOR,
             table: slice.0,
@@ -106,7 +106,7 @@
     }
 }
 
-fn tenure(slice: SliceId, set: bool) -> wire::Event {
+fn slice_assignment(slice: SliceId, set: bool) -> wire::Event {
     wire::Event::Tenure { who: DIRECTOR, set, table: slice.0 }
 }
 
--- a/crates/tools/lab/src/commands/side_by_side.rs
+++ b/crates/tools/lab/src/commands/logs.rs
@@ -60,13 +60,15 @@
     if !began.is_empty() && began.len() != files.len() {
         return Err(InputError::Began { files: files.len() });
     }
-    let (mut all, mut without_time, mut names) = (Vec::new(), 0, Vec::new());
+    let mut all = Vec::new();
+    let mut without_time = 0;
+    let mut names = Vec::new();
     for (number, path) in files.iter().enumerate() {
         let bytes = std::fs::read(path).map_err(InputError::file(path))?;
         let offset_s = began.get(number).copied().unwrap_or(0.0);
-        let (entries, skipped) = logs::read(number, &String::from_utf8_lossy(&bytes), offset_s);
-        all.push(entries);
-        without_time += skipped;
+        let parsed = logs::read(number, &String::from_utf8_lossy(&bytes), offset_s);
+        all.push(parsed.entries);
+        without_time += parsed.without_time;
         let stem = path.file_stem();
         names.push(stem.map_or_else(|| number.to_string(), |name| name.to_string_lossy().into_owned()));
     }
--- a/crates/tools/lab/src/commands/mod.rs
+++ b/crates/tools/lab/src/commands/mod.rs
@@ -1,8 +1,8 @@
 //! A function for each command. Each returns whether all checks hold: the exit status is 0 if so, else 1; an error is 2.
 
+mod logs;
 mod play;
 mod search;
-mod side_by_side;
 mod tables;
 
 use crate::cli::Command;
@@ -30,8 +30,8 @@
             search::hunt(&scenario, &policy, plays, seed, rules)
         }
         Command::Logs { files, about, near, from, to, began, lines } => {
-            let filter = side_by_side::Filter { about, near, from, to };
-            side_by_side::logs(&files, &began, &filter, lines)
+            let filter = logs::Filter { about, near, from, to };
+            logs::logs(&files, &began, &filter, lines)
         }
     }
 }
--- a/crates/tools/lab/src/commands/play.rs
+++ b/crates/tools/lab/src/commands/play.rs
@@ -9,7 +9,8 @@
 
 /// Plays one scenario and prints its figures; keeps them in the folder `out` if one is given.
 pub(crate) fn run(scenario: &Path, policy: &str, seed: u64, out: Option<&Path>) -> eyre::Result<bool> {
-    let (scenario, kind) = (Scenario::read(scenario)?, Kind::named(policy)?);
+    let scenario = Scenario::read(scenario)?;
+    let kind = Kind::named(policy)?;
     let start = Instant::now();
     let (outcome, world) = play(&scenario, kind, seed);
     let elapsed_s = start.elapsed().as_secs_f64();
--- a/crates/tools/lab/src/commands/search.rs
+++ b/crates/tools/lab/src/commands/search.rs
@@ -1,13 +1,14 @@
 //! Commands that search for a scenario: the smallest that still fails, and the worst day for a policy.
 
-use coppersail_lab::experiment::{hunt as hunt_worst, play, shrunk};
+use coppersail_lab::experiment::{hunt as hunt_worst, play, shrunk, HuntObjective, WorstScenario};
 use coppersail_lab::policy::Kind;
 use coppersail_lab::Scenario;
 use std::path::Path;
 
 /// Prints the smallest part of the scenario's timeline that still fails its checks.
 pub(crate) fn shrink(scenario: &Path, policy: &str, seed: u64) -> eyre::Result<bool> {
-    let (scenario, kind) = (Scenario::read(scenario)?, Kind::named(policy)?);
+    let scenario = Scenario::read(scenario)?;
+    let kind = Kind::named(policy)?;
     let fails = |scenario: &Scenario| play(scenario, kind, seed).0.failed(scenario).is_some();
     if !fails(&scenario) {
         println!("it does not fail its checks with this seed");
@@ -26,8 +27,10 @@
     seed: u64,
     rules: bool,
 ) -> eyre::Result<bool> {
-    let (scenario, kind) = (Scenario::read(scenario)?, Kind::named(policy)?);
-    let (worst, score) = hunt_worst(&scenario, kind, plays, seed, rules);
+    let scenario = Scenario::read(scenario)?;
+    let kind = Kind::named(policy)?;
+    let objective = if rules { HuntObjective::RuleViolations } else { HuntObjective::ServiceGap };
+    let WorstScenario { scenario: worst, score } = hunt_worst(&scenario, kind, plays, seed, objective);
     println!("{}", serde_json::to_string_pretty(&worst)?);
     let measure = if rules { "breaks of rules" } else { "service behind the true state" };
     eprintln!("{measure}: {score:.3}");
--- a/crates/tools/lab/src/commands/tables.rs
+++ b/crates/tools/lab/src/commands/tables.rs
@@ -26,7 +26,8 @@
 
 /// Compares policy `b` against `a` on the same seeds, with 95% intervals.
 pub(crate) fn compare(scenario: &Path, a: &str, b: &str, seeds: u64) -> eyre::Result<bool> {
-    let (scenario, kinds) = (Scenario::read(scenario)?, [Kind::named(a)?, Kind::named(b)?]);
+    let scenario = Scenario::read(scenario)?;
+    let kinds = [Kind::named(a)?, Kind::named(b)?];
     let scenarios = std::slice::from_ref(&scenario);
     let outcomes = experiment::grid(scenarios, &kinds, 1..1 + seeds, cores(), None, &|_, _| {})?;
     println!("{}", table(&outcomes));
--- a/crates/tools/lab/src/experiment.rs
+++ b/crates/tools/lab/src/experiment.rs
@@ -11,6 +11,6 @@
 pub use agreement::{agreement, Agreement};
 pub use comparison::{compared, ranked, table, Difference};
 pub use grid::{grid, GridError};
-pub use hunt::hunt;
+pub use hunt::{hunt, HuntObjective, WorstScenario};
 pub use outcome::{play, Outcome};
 pub use shrink::shrunk;
--- a/crates/tools/lab/src/experiment/hunt.rs
+++ b/crates/tools/lab/src/experiment/hunt.rs
@@ -13,31 +13,54 @@
 /// How many kinds of faults are drawn.
 const FAULT_KINDS: u8 = 12;
 
+/// What makes a scenario bad for a policy.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum HuntObjective {
+    /// How far its service is behind that of the policy that sees the true state.
+    ServiceGap,
+    /// How often a rule is violated.
+    RuleViolations,
+}
+
+/// The worst scenario that a hunt has found.
+#[derive(Clone, Debug, PartialEq)]
+pub struct WorstScenario {
+    /// The scenario.
+    pub scenario: Scenario,
+    /// How bad it is.
+    pub score: f64,
+}
+
 /// Looks for a scenario that is bad for the policy, in so many plays: the first half by random faults, the second by
-/// changing the worst scenario that was found. Returns it with its score: how far the policy's service is behind that of
-/// the policy that sees the true state, or with `rules` the number of violations of rules.
-pub fn hunt(base: &Scenario, policy: Kind, plays: usize, seed: u64, rules: bool) -> (Scenario, f64) {
+/// changing the worst scenario that was found.
+pub fn hunt(
+    base: &Scenario,
+    policy: Kind,
+    plays: usize,
+    seed: u64,
+    objective: HuntObjective,
+) -> WorstScenario {
     let mut rng = Rng::with_seed(seed);
     let score = |scenario: &Scenario| {
         let (outcome, _) = play(scenario, policy, seed);
-        if rules {
-            return outcome.broken as f64;
+        match objective {
+            HuntObjective::RuleViolations => outcome.broken as f64,
+            HuntObjective::ServiceGap => {
+                let (ideal, _) = play(scenario, Kind::TrueState, seed);
+                ideal.service - outcome.service
+            }
         }
-        let (ideal, _) = play(scenario, Kind::TrueState, seed);
-        ideal.service - outcome.service
     };
-    let mut worst = base.clone();
-    let mut worst_score = score(base);
+    let mut worst = WorstScenario { scenario: base.clone(), score: score(base) };
     for number in 1..plays.max(1) {
         let candidate =
-            if number < plays / 2 { drawn(base, &mut rng) } else { mutated(base, &worst, &mut rng) };
+            if number < plays / 2 { drawn(base, &mut rng) } else { mutated(base, &worst.scenario, &mut rng) };
         let candidate_score = score(&candidate);
-        if candidate_score > worst_score {
-            worst = candidate;
-            worst_score = candidate_score;
+        if candidate_score > worst.score {
+            worst = WorstScenario { scenario: candidate, score: candidate_score };
         }
     }
-    (worst, worst_score)
+    worst
 }
 
 /// The base scenario with random faults instead of its own.
--- a/crates/tools/lab/src/experiment/outcome.rs
+++ b/crates/tools/lab/src/experiment/outcome.rs
@@ -5,8 +5,8 @@
 use crate::World;
 use serde::{Deserialize, Serialize};
 
-/// Figures are rounded to so many parts of 1, so that they come back from a file as they went in.
-const PARTS: f64 = 1e6;
+/// Figures are rounded to so many steps in 1, so that they come back from a file as they went in.
+const ROUNDING_SCALE: f64 = 1e6;
 
 /// The figures of one play. Service is the importance of the calls that were answered within their latency target, over
 /// that of all calls, from 0 to 1.
@@ -80,5 +80,5 @@
 }
 
 fn rounded(share: f64) -> f64 {
-    (share * PARTS).round() / PARTS
+    (share * ROUNDING_SCALE).round() / ROUNDING_SCALE
 }
--- a/crates/tools/lab/src/live.rs
+++ b/crates/tools/lab/src/live.rs
@@ -1,23 +1,23 @@
-//! A director's binary in real time on loopback. Stand-ins of the relay, of discovery, of collectors and of hosts tell it
-//! over sockets what the world tells. Each director has a [`Live`]; the world plays on one thread, and what a director
-//! orders, its health checks included, comes back over a channel.
+//! A director's binary in real time on loopback. Fakes of the relay, of discovery, of collectors and of hosts tell it over
+//! sockets what the world tells. Each director has a [`Live`]; the world plays on one thread, and what a director orders, its
+//! health checks included, comes back over a channel.
 
 mod collectors;
 mod discovery;
 mod error;
+mod fakes;
 mod hosts;
 mod http;
 mod process;
 mod relay;
-mod stand_ins;
 mod threads;
 
 use crate::platform::{Places, Platform};
 use collectors::Collectors;
 use coppersail::interface::{Input, Order};
 pub use error::StartError;
+use fakes::Fakes;
 use process::{DirectorProcess, WorkFolder};
-use stand_ins::StandIns;
 use std::path::Path;
 use std::sync::Arc;
 use std::time::Duration;
@@ -31,13 +31,13 @@
 /// The wait between these attempts.
 const CONNECT_INTERVAL: Duration = Duration::from_millis(10);
 
-/// A running director with its stand-ins. Dropping it ends the process, then the threads of the stand-ins, and removes the
+/// A running director with its fakes. Dropping it ends the process, then the threads of the fakes, and removes the
 /// temporary folder.
 pub struct Live {
     // Fields are dropped in this order.
     process: DirectorProcess,
     collectors: Collectors,
-    stand_ins: StandIns,
+    fakes: Fakes,
     folder: WorkFolder,
 }
 
@@ -53,16 +53,15 @@
         inputs: &[Input],
     ) -> Result<Live, StartError> {
         let platform = Arc::new(platform);
-        let stand_ins = StandIns::start(&platform, inputs)?;
+        let fakes = Fakes::start(&platform, inputs)?;
         // Bound and given back: the director takes the port next.
         let listen = LoopbackListener::bind()?.address;
-        let places =
-            Places { listen, discovery: stand_ins.discovery_address, relay: stand_ins.relay_address };
-        let config = platform.config(DIRECTOR_NAME, seed, &places, &stand_ins.full_list());
+        let places = Places { listen, discovery: fakes.discovery_address, relay: fakes.relay_address };
+        let config = platform.config(DIRECTOR_NAME, seed, &places, &fakes.membership());
         let folder = WorkFolder::create(&config)?;
         let process = DirectorProcess::spawn(program, &folder)?;
         let collectors = Collectors::new(platform, listen);
-        let mut live = Live { process, collectors, stand_ins, folder };
+        let mut live = Live { process, collectors, fakes, folder };
         if live.wait_for_connections() {
             Ok(live)
         } else {
@@ -83,13 +82,13 @@
 
     /// Sends the inputs to the director. `down`: the store is down, and the relay breaks its connections.
     pub fn hear(&mut self, inputs: &[Input], down: bool) {
-        self.stand_ins.deliver(inputs, down);
+        self.fakes.deliver(inputs, down);
         self.collectors.deliver(inputs);
     }
 
     /// What the director has ordered since the last call, without waiting.
     pub fn ordered(&self) -> Vec<Order> {
-        self.stand_ins.take_orders()
+        self.fakes.take_orders()
     }
 
     /// Ends the director as a crash would.
--- a/crates/tools/lab/src/live/collectors.rs
+++ b/crates/tools/lab/src/live/collectors.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of collectors: a connection to the director for each zone, over which reports go.
+//! The fakes of collectors: a connection to the director for each zone, over which reports go.
 
 use super::threads::WRITE_TIMEOUT;
 use crate::platform::Platform;
--- a/crates/tools/lab/src/live/discovery.rs
+++ b/crates/tools/lab/src/live/discovery.rs
@@ -1,4 +1,4 @@
-//! The stand-in of discovery: it sends the list of hosts, and each change of it, to the connections that watch.
+//! The fake of discovery: it sends the list of hosts, and each change of it, to the connections that watch.
 
 use super::http;
 use crate::platform::Platform;
@@ -8,10 +8,10 @@
 use std::net::{SocketAddr, TcpStream};
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// The stand-in of discovery, shared by the threads of its connections.
+/// The fake of discovery, shared by the threads of its connections.
 pub(super) struct Discovery {
     platform: Arc<Platform>,
-    /// Where each host's stand-in listens.
+    /// Where each host's fake listens.
     addresses: BTreeMap<HostId, SocketAddr>,
     state: Mutex<DiscoveryState>,
 }
@@ -54,7 +54,7 @@
     }
 
     /// The whole list as JSON.
-    pub(super) fn full_list(&self) -> String {
+    pub(super) fn membership(&self) -> String {
         self.encode_full(&self.lock())
     }
 
@@ -65,8 +65,8 @@
         }
         // The lock is held until the connection watches, so that no change is missed.
         let mut state = self.lock();
-        let list = self.encode_full(&state) + "\n";
-        let text = format!("{}{}", http::CHUNKED_HEAD, http::chunk(&list));
+        let body = self.encode_full(&state) + "\n";
+        let text = format!("{}{}", http::CHUNKED_HEAD, http::chunk(&body));
         if stream.write_all(text.as_bytes()).is_ok() {
             state.watchers.push(stream);
         }
@@ -78,8 +78,8 @@
         for input in inputs {
             if let Input::Hosts { version, entries, .. } = input {
                 state.update(*version, entries);
-                let list = self.encode(*version, false, entries) + "\n";
-                state.broadcast(&http::chunk(&list));
+                let body = self.encode(*version, false, entries) + "\n";
+                state.broadcast(&http::chunk(&body));
             }
         }
     }
--- a/crates/tools/lab/src/live/stand_ins.rs
+++ b/crates/tools/lab/src/live/fakes.rs
@@ -1,4 +1,4 @@
-//! All stand-ins around one director, with their listeners and threads.
+//! All fakes around one director, with their listeners and threads.
 
 use super::discovery::Discovery;
 use super::error::StartError;
@@ -12,8 +12,8 @@
 use std::sync::mpsc::{channel, Receiver};
 use std::sync::Arc;
 
-/// The stand-ins of the relay, of discovery and of the hosts. Dropping it ends their threads.
-pub(super) struct StandIns {
+/// The fakes of the relay, of discovery and of the hosts. Dropping it ends their threads.
+pub(super) struct Fakes {
     relay: Arc<Relay>,
     discovery: Arc<Discovery>,
     hosts: Arc<Hosts>,
@@ -25,8 +25,8 @@
     _threads: Threads,
 }
 
-impl StandIns {
-    /// Starts the stand-ins, with what the inputs tell.
+impl Fakes {
+    /// Starts the fakes, with what the inputs tell.
     ///
     /// # Errors
     /// [`StartError::Listen`]: there are not enough ports.
@@ -54,15 +54,15 @@
         }
         let shared_relay = relay.clone();
         threads.repeat(HEARTBEAT_INTERVAL, move || shared_relay.send_heartbeat());
-        Ok(StandIns { relay, discovery, hosts, orders, relay_address, discovery_address, _threads: threads })
+        Ok(Fakes { relay, discovery, hosts, orders, relay_address, discovery_address, _threads: threads })
     }
 
     /// The list of hosts as JSON, as discovery tells it.
-    pub(super) fn full_list(&self) -> String {
-        self.discovery.full_list()
+    pub(super) fn membership(&self) -> String {
+        self.discovery.membership()
     }
 
-    /// Passes inputs on to the director over the connections that it has to the stand-ins.
+    /// Passes inputs on to the director over the connections that it has to them.
     pub(super) fn deliver(&self, inputs: &[Input], store_down: bool) {
         self.relay.deliver(inputs, store_down);
         self.discovery.deliver(inputs);
@@ -75,7 +75,7 @@
     }
 }
 
-impl Drop for StandIns {
+impl Drop for Fakes {
     fn drop(&mut self) {
         self.relay.close_connections();
     }
--- a/crates/tools/lab/src/live/hosts.rs
+++ b/crates/tools/lab/src/live/hosts.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of hosts: they hold each health check open until the world has decided how it ends.
+//! The fakes of hosts: they hold each health check open until the world has decided how it ends.
 
 use super::http;
 use crate::platform::Platform;
@@ -10,13 +10,13 @@
 use std::sync::{Mutex, MutexGuard, PoisonError};
 use std::time::Duration;
 
-/// How long a health check that times out is held open: longer than the director waits for one.
-const TIMED_OUT_HOLD: Duration = Duration::from_secs(3);
+/// After how long a health check that times out is closed: longer than the director waits for one.
+const TIMED_OUT_CLOSE_DELAY: Duration = Duration::from_secs(3);
 
 /// Connections whose health check has no answer yet, oldest first, by host.
 type PendingHealthChecks = BTreeMap<HostId, VecDeque<TcpStream>>;
 
-/// The stand-ins of all hosts, shared by the threads of their connections.
+/// The fakes of all hosts, shared by the threads of their connections.
 pub(super) struct Hosts {
     pending: Mutex<PendingHealthChecks>,
     orders: Sender<Vec<Order>>,
@@ -62,7 +62,7 @@
         Outcome::Answered => "200 OK",
         Outcome::Throttled => "503 Service Unavailable",
         Outcome::TimedOut => {
-            hold_open(stream);
+            close_late(stream);
             return;
         }
         // A connection that was accepted cannot be refused any more; closing it without an answer comes nearest.
@@ -73,9 +73,9 @@
 }
 
 /// Keeps the connection open without an answer until the director has given up.
-fn hold_open(stream: TcpStream) {
+fn close_late(stream: TcpStream) {
     std::thread::spawn(move || {
-        std::thread::sleep(TIMED_OUT_HOLD);
+        std::thread::sleep(TIMED_OUT_CLOSE_DELAY);
         drop(stream);
     });
 }
--- a/crates/tools/lab/src/live/relay.rs
+++ b/crates/tools/lab/src/live/relay.rs
@@ -1,4 +1,4 @@
-//! The stand-in of the relay: it accepts table orders, and sends updates to the connections that follow it.
+//! The fake of the relay: it accepts table orders, and sends updates to the connections that follow it.
 
 use crate::platform::{Platform, Standing};
 use coppersail::interface::{Input, Order};
@@ -17,7 +17,7 @@
 /// The answer to a line that is no call.
 const INVALID_CALL: &str = "ValidationError\r\n";
 
-/// The stand-in of the relay, shared by the threads of its connections.
+/// The fake of the relay, shared by the threads of its connections.
 pub(super) struct Relay {
     platform: Arc<Platform>,
     state: Mutex<RelayState>,
--- a/crates/tools/lab/src/live/threads.rs
+++ b/crates/tools/lab/src/live/threads.rs
@@ -1,4 +1,4 @@
-//! Threads of the stand-ins: loops that accept connections and a loop that runs periodically. All end when the owner is
+//! Threads of the fakes: loops that accept connections and a loop that runs periodically. All end when the owner is
 //! dropped.
 
 use super::error::StartError;
--- a/crates/tools/lab/src/logs.rs
+++ b/crates/tools/lab/src/logs.rs
@@ -15,22 +15,30 @@
     pub text: String,
 }
 
+/// A log that was read.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct ParsedLog {
+    /// Its lines, in their order.
+    pub entries: Vec<Entry>,
+    /// How many lines have no time, and are left out.
+    pub without_time: usize,
+}
+
 /// Parses the log with index `log`, whose clock began at `offset_s` seconds of the shared clock. A line begins with its time;
-/// if a bench has put its own time before it, that one counts and the director's is skipped. Returns the entries, and how
-/// many lines have no time.
-pub fn read(log: usize, text: &str, offset_s: f64) -> (Vec<Entry>, usize) {
-    let (mut entries, mut without_time) = (Vec::new(), 0);
+/// if a bench has put its own time before it, that one counts and the director's is skipped.
+pub fn read(log: usize, text: &str, offset_s: f64) -> ParsedLog {
+    let mut parsed = ParsedLog::default();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
         let (first, rest) = line.split_once(' ').unwrap_or((line, ""));
         let Some(time_s) = parse_time(first) else {
-            without_time += 1;
+            parsed.without_time += 1;
             continue;
         };
         let second_time = rest.split_once(' ').filter(|(own, _)| parse_time(own).is_some());
         let text = second_time.map_or(rest, |(_, text)| text).to_string();
-        entries.push(Entry { time_s: time_s + offset_s, log, text });
+        parsed.entries.push(Entry { time_s: time_s + offset_s, log, text });
     }
-    (entries, without_time)
+    parsed
 }
 
 /// A time as logs write it, with a decimal point; a number without one belongs to the text.
@@ -85,20 +93,27 @@
     pub peak: Peak,
 }
 
+/// Lines of one kind in one second.
+#[derive(Default)]
+struct SecondCount {
+    logs: BTreeSet<usize>,
+    lines: usize,
+}
+
 /// Counts the entries, which are in order of time, by kind.
 pub fn counts(entries: &[Entry]) -> BTreeMap<String, Count> {
     let mut counts: BTreeMap<String, Count> = BTreeMap::new();
-    let mut seconds: BTreeMap<(String, i64), (BTreeSet<usize>, usize)> = BTreeMap::new();
+    let mut seconds: BTreeMap<(String, i64), SecondCount> = BTreeMap::new();
     for entry in entries {
         let kind = kind(&entry.text);
         let second = seconds.entry((kind.clone(), entry.time_s.floor() as i64)).or_default();
-        second.0.insert(entry.log);
-        second.1 += 1;
+        second.logs.insert(entry.log);
+        second.lines += 1;
         let count = counts.entry(kind).or_insert_with(|| Count { first: entry.time_s, ..Count::default() });
         *count.lines_by_log.entry(entry.log).or_default() += 1;
         count.last = entry.time_s;
     }
-    for ((kind, second), (logs, lines)) in seconds {
+    for ((kind, second), SecondCount { logs, lines }) in seconds {
         let Some(count) = counts.get_mut(&kind) else { continue };
         if (logs.len(), lines) > (count.peak.directors, count.peak.lines) {
             count.peak = Peak { second, directors: logs.len(), lines };
@@ -132,10 +147,10 @@
     text
 }
 
-/// The entries that contain `word`, and all within `seconds` of one of them.
-pub fn around(entries: &[Entry], word: &str, seconds: f64) -> Vec<Entry> {
+/// The entries that contain `pattern`, and all within `seconds` of one of them.
+pub fn around(entries: &[Entry], pattern: &str, seconds: f64) -> Vec<Entry> {
     let times: Vec<f64> =
-        entries.iter().filter(|entry| entry.text.contains(word)).map(|entry| entry.time_s).collect();
+        entries.iter().filter(|entry| entry.text.contains(pattern)).map(|entry| entry.time_s).collect();
     let near = |entry: &&Entry| {
         let next = times.partition_point(|time| *time < entry.time_s - seconds);
         times.get(next).is_some_and(|time| *time <= entry.time_s + seconds)
--- a/crates/tools/lab/src/watch.rs
+++ b/crates/tools/lab/src/watch.rs
@@ -42,9 +42,9 @@
     }
     let world = World::new(scenario, kind, seed);
     let mut terminal = ratatui::try_init().map_err(WatchError::Terminal)?;
-    let shown = Player::new(world, kind, speed).run(&mut terminal);
+    let result = Player::new(world, kind, speed).run(&mut terminal);
     ratatui::restore();
-    shown.map_err(WatchError::Terminal)
+    result.map_err(WatchError::Terminal)
 }
 
 /// Plays a world at the pace that the user chooses.
--- a/crates/tools/lab/src/watch/frame.rs
+++ b/crates/tools/lab/src/watch/frame.rs
@@ -9,8 +9,8 @@
 use ratatui::widgets::{Block, Paragraph, Sparkline};
 use ratatui::Frame;
 
-/// Shares are drawn as whole numbers of so many parts.
-const PARTS: u64 = 1000;
+/// A share of 1, as the whole number that bars want.
+const BAR_SCALE: u64 = 1000;
 /// How many hosts are shown.
 const MAX_HOSTS: u32 = 40;
 /// Hosts in a row.
@@ -76,12 +76,12 @@
 fn service_panel(seconds: &[Second]) -> Sparkline<'static> {
     let service = |second: &Second| {
         if second.asked > 0.0 {
-            parts(second.served / second.asked)
+            bar_height(second.served / second.asked)
         } else {
-            PARTS
+            BAR_SCALE
         }
     };
-    bars(" served in time ", seconds.iter().map(service).collect(), Color::Green).max(PARTS)
+    bars(" served in time ", seconds.iter().map(service).collect(), Color::Green).max(BAR_SCALE)
 }
 
 fn calls_panel(seconds: &[Second]) -> Sparkline<'static> {
@@ -93,9 +93,9 @@
     Sparkline::default().block(Block::bordered().title(title)).data(values).style(Style::new().fg(color))
 }
 
-/// A share as a number of parts, as bars want it.
-fn parts(share: f64) -> u64 {
-    (PARTS as f64 * share.clamp(0.0, 1.0)).round() as u64
+/// A share as a whole number, as bars want it.
+fn bar_height(share: f64) -> u64 {
+    (BAR_SCALE as f64 * share.clamp(0.0, 1.0)).round() as u64
 }
 
 /// How many calls each host has in hand.
--- a/crates/tools/lab/tests/live_start_fails.rs
+++ b/crates/tools/lab/tests/live_start_fails.rs
@@ -49,5 +49,5 @@
     while threads() > before && Instant::now() < deadline {
         std::thread::yield_now();
     }
-    assert_eq!(threads(), before, "threads of the stand-ins are left");
+    assert_eq!(threads(), before, "threads of the fakes are left");
 }
--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -31,7 +31,7 @@
 #[test_case("reports-lost")]
 #[test_case("hot-slices")]
 #[test_case("slow-channel")]
-fn the_module_keeps_the_rules_and_serves(name: &str) {
+fn the_module_violates_no_rule_under_the_faults_of_the_library(name: &str) {
     let scenario = scenario(name);
     let (outcome, world) = play(&scenario, Kind::Module, 1);
     assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
@@ -48,7 +48,7 @@
 #[test_case(r#"{"faults":[{"at":1,"for":2,"what":{"cut":{"zone":9}}}]}"#, "that there are" ; "a zone that is not")]
 #[test_case(r#"{"secs":5}"#, "unknown field" ; "a field that is not")]
 #[test_case(r#"{"seconds":0}"#, "more than 0" ; "no time at all")]
-fn a_scenario_that_cannot_be_played_is_told(text: &str, expected: &str) {
+fn a_scenario_that_cannot_be_played_is_refused(text: &str, expected: &str) {
     let file = folder(&format!("unsound-{}", text.len())).join("scenario.json");
     std::fs::write(&file, text).unwrap();
     let wrong = Scenario::read(&file).unwrap_err().to_string();
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn results_that_cannot_be_written_are_told_and_what_stood_stands() {
+fn results_that_cannot_be_written_are_reported_and_earlier_ones_stay() {
     let file = Path::new("/dev/full");
     if file.exists() {
         let wrong = grid(&[short("a")], &[Kind::Even], 1..3, 1, Some(file), &|_, _| {});
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn who_sees_the_true_state_serves_no_worse_and_pairs_tell_by_how_much() {
+fn the_policy_that_sees_the_true_state_serves_no_worse() {
     let scenario = scenario("slow");
     let kinds = [Kind::Module, Kind::TrueState];
     let outcomes = grid(std::slice::from_ref(&scenario), &kinds, 1..5, 4, None, &|_, _| {}).unwrap();
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn a_large_world_is_made_and_moves() {
+fn a_fleet_of_500_hosts_and_2000_proxies_runs() {
     let mut scenario = Scenario { seconds: 0.3, ..Scenario::default() };
     let fleet = &mut scenario.fleet;
     (fleet.hosts, fleet.proxies, fleet.slices, fleet.directors) = (500, 2000, 3500, 5);
@@ -140,7 +140,7 @@
 #[test_case("store-down")]
 #[test_case("director-killed")]
 #[test_case("reports-spoilt")]
-fn a_play_through_the_reducer_keeps_its_checks_and_is_told_by_its_seed(name: &str) {
+fn a_play_through_the_reducer_keeps_its_checks_and_is_reproduced_by_its_seed(name: &str) {
     let scenario = scenario(name);
     let (outcome, world) = play(&scenario, Kind::Reduced, 1);
     assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
@@ -150,7 +150,7 @@
 
 /// Figures that cannot be are passed over by the reducer, and cost the bare module calls.
 #[test]
-fn spoilt_sums_cost_the_binary_nothing() {
+fn impossible_figures_in_reports_cost_the_reducer_nothing() {
     let scenario = scenario("reports-spoilt");
     assert!(play(&scenario, Kind::Reduced, 1).0.service > 0.99);
 }
