--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -1,4 +1,4 @@
-//! A dozen scenarios of the library in simulated time, held to their checks; and what is kept of plays.
+//! A dozen scenarios of the library in simulated time, held to their checks; grids, shrinking, kept results; other builds.
 
 use coppersail_lab::experiment::{agreement, compared, grid, play, ranked, shrunk};
 use coppersail_lab::policy::Kind;
@@ -57,13 +57,16 @@
 
 fn short(name: &str) -> Scenario {
     let mut scenario = Scenario { name: name.into(), seconds: 8.0, ..Scenario::default() };
-    (scenario.fleet.hosts, scenario.fleet.slices, scenario.fleet.cores) = (4, 12, 2);
+    scenario.fleet.hosts = 4;
+    scenario.fleet.slices = 12;
+    scenario.fleet.cores = 2;
     scenario
 }
 
 #[test]
 fn a_grid_that_was_killed_and_goes_on_gives_the_same_table() {
-    let (scenarios, kinds) = ([short("a"), short("b")], [Kind::Module, Kind::Even]);
+    let scenarios = [short("a"), short("b")];
+    let kinds = [Kind::Module, Kind::Even];
     let whole = grid(&scenarios, &kinds, 1..4, 2, None, &|_, _| {}).unwrap();
     let file = folder("grid").join("results");
     grid(&scenarios[..1], &kinds, 1..3, 2, Some(&file), &|_, _| {}).unwrap();
@@ -131,7 +134,10 @@
 fn a_fleet_of_500_hosts_and_2000_proxies_runs() {
     let mut scenario = Scenario { seconds: 0.3, ..Scenario::default() };
     let fleet = &mut scenario.fleet;
-    (fleet.hosts, fleet.proxies, fleet.slices, fleet.directors) = (500, 2000, 3500, 5);
+    fleet.hosts = 500;
+    fleet.proxies = 2000;
+    fleet.slices = 3500;
+    fleet.directors = 5;
     let world = World::new(&scenario, Kind::BoundedHashing, 1).run();
     assert!(world.measured.events > 10_000, "{}", world.measured.events);
 }
@@ -160,9 +166,9 @@
 fn an_operators_change_is_judged_by_what_callers_of_the_world_get(name: &str, said: &str, not: &str) {
     let (_, world) = play(&scenario(name), Kind::Reduced, 1);
     let told = world.told();
-    let of_it =
+    let was_told =
         |what: &str| told.iter().any(|(_, _, text)| text.starts_with("change 1: ") && text.contains(what));
-    assert!(of_it(said) && !of_it(not), "{told:?}");
+    assert!(was_told(said) && !was_told(not), "{told:?}");
 }
 
 /// The binary itself on loopback, with a director killed and back, beside the same in simulated time.
