--- a/crates/tools/lab/src/commands/play.rs
+++ b/crates/tools/lab/src/commands/play.rs
@@ -3,13 +3,14 @@
 use crate::input_error::InputError;
 use coppersail_lab::experiment::{play, table};
 use coppersail_lab::policy::Kind;
-use coppersail_lab::{kept, watch, Scenario, World};
+use coppersail_lab::{run_folder, watch, Scenario, World};
 use std::path::Path;
 use std::time::Instant;
 
 /// Plays one scenario and prints its figures; keeps them in the folder `out` if one is given.
 pub(crate) fn run(scenario: &Path, policy: &str, seed: u64, out: Option<&Path>) -> eyre::Result<bool> {
-    let (scenario, kind) = (Scenario::read(scenario)?, Kind::named(policy)?);
+    let scenario = Scenario::read(scenario)?;
+    let kind = Kind::named(policy)?;
     let start = Instant::now();
     let (outcome, world) = play(&scenario, kind, seed);
     let elapsed_s = start.elapsed().as_secs_f64();
@@ -25,7 +26,7 @@
         events / elapsed_s / 1e6
     );
     if let Some(out) = out {
-        kept::keep(out, &world, &outcome)?;
+        run_folder::keep(out, &world, &outcome)?;
         println!("kept in {}", out.display());
     }
     match outcome.failed(&scenario) {
@@ -55,7 +56,7 @@
 
 /// Writes the page of a kept play again, from the other files of its folder.
 pub(crate) fn report(folder: &Path) -> eyre::Result<bool> {
-    let page = kept::page(folder).map_err(InputError::file(folder))?;
+    let page = run_folder::page(folder).map_err(InputError::file(folder))?;
     let file = folder.join("report.html");
     std::fs::write(&file, page).map_err(InputError::file(folder))?;
     println!("{}", file.display());
--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -1,9 +1,9 @@
-//! A dozen scenarios of the library in simulated time, held to their checks; and what is kept of plays.
+//! A dozen scenarios of the library in simulated time, held to their checks; grids, shrinking, kept results; other builds.
 
 use coppersail_lab::experiment::{agreement, compared, grid, play, ranked, shrunk};
 use coppersail_lab::policy::Kind;
 use coppersail_lab::scenario::{Fault, Scenario, What};
-use coppersail_lab::{kept, World};
+use coppersail_lab::{run_folder, World};
 use std::path::{Path, PathBuf};
 use test_case::test_case;
 
@@ -31,7 +31,7 @@
 #[test_case("reports-lost")]
 #[test_case("hot-slices")]
 #[test_case("slow-channel")]
-fn the_module_keeps_the_rules_and_serves(name: &str) {
+fn the_module_violates_no_rule_under_the_faults_of_the_library(name: &str) {
     let scenario = scenario(name);
     let (outcome, world) = play(&scenario, Kind::Module, 1);
     assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
@@ -48,7 +48,7 @@
 #[test_case(r#"{"faults":[{"at":1,"for":2,"what":{"cut":{"zone":9}}}]}"#, "that there are" ; "a zone that is not")]
 #[test_case(r#"{"secs":5}"#, "unknown field" ; "a field that is not")]
 #[test_case(r#"{"seconds":0}"#, "more than 0" ; "no time at all")]
-fn a_scenario_that_cannot_be_played_is_told(text: &str, expected: &str) {
+fn a_scenario_that_cannot_be_played_is_refused(text: &str, expected: &str) {
     let file = folder(&format!("unsound-{}", text.len())).join("scenario.json");
     std::fs::write(&file, text).unwrap();
     let wrong = Scenario::read(&file).unwrap_err().to_string();
@@ -57,13 +57,16 @@
 
 fn short(name: &str) -> Scenario {
     let mut scenario = Scenario { name: name.into(), seconds: 8.0, ..Scenario::default() };
-    (scenario.fleet.hosts, scenario.fleet.slices, scenario.fleet.cores) = (4, 12, 2);
+    scenario.fleet.hosts = 4;
+    scenario.fleet.slices = 12;
+    scenario.fleet.cores = 2;
     scenario
 }
 
 #[test]
 fn a_grid_that_was_killed_and_goes_on_gives_the_same_table() {
-    let (scenarios, kinds) = ([short("a"), short("b")], [Kind::Module, Kind::Even]);
+    let scenarios = [short("a"), short("b")];
+    let kinds = [Kind::Module, Kind::Even];
     let whole = grid(&scenarios, &kinds, 1..4, 2, None, &|_, _| {}).unwrap();
     let file = folder("grid").join("results");
     grid(&scenarios[..1], &kinds, 1..3, 2, Some(&file), &|_, _| {}).unwrap();
@@ -81,7 +84,7 @@
 }
 
 #[test]
-fn results_that_cannot_be_written_are_told_and_what_stood_stands() {
+fn results_that_cannot_be_written_are_reported_and_earlier_ones_stay() {
     let file = Path::new("/dev/full");
     if file.exists() {
         let wrong = grid(&[short("a")], &[Kind::Even], 1..3, 1, Some(file), &|_, _| {});
@@ -90,14 +93,14 @@
     }
     let here = folder("kept").join("play");
     let (outcome, world) = play(&short("a"), Kind::Module, 1);
-    kept::keep(&here, &world, &outcome).unwrap();
+    run_folder::keep(&here, &world, &outcome).unwrap();
     for name in ["manifest.json", "seconds.csv", "table.md", "service.svg", "heat.svg", "report.html"] {
         assert!(std::fs::metadata(here.join(name)).unwrap().len() > 100, "{name}");
     }
     // The folder's place is taken by a file: nothing half is left.
     let taken = folder("taken").join("play");
     std::fs::write(taken.with_file_name("play.new"), "").unwrap();
-    assert!(kept::keep(&taken, &world, &outcome).is_err());
+    assert!(run_folder::keep(&taken, &world, &outcome).is_err());
     assert!(!taken.exists());
 }
 
@@ -119,19 +122,22 @@
 }
 
 #[test]
-fn who_sees_the_true_state_serves_no_worse_and_pairs_tell_by_how_much() {
+fn the_policy_that_sees_the_true_state_serves_no_worse() {
     let scenario = scenario("slow");
     let kinds = [Kind::Module, Kind::TrueState];
     let outcomes = grid(std::slice::from_ref(&scenario), &kinds, 1..5, 4, None, &|_, _| {}).unwrap();
-    let ((service, half), _) = compared(&outcomes, &scenario.name, kinds[0], kinds[1]);
-    assert!(service > -half.max(0.02), "{service} ±{half}");
+    let service = compared(&outcomes, &scenario.name, kinds[0], kinds[1]).service;
+    assert!(service.mean > -service.half_width.max(0.02), "{} ±{}", service.mean, service.half_width);
 }
 
 #[test]
-fn a_large_world_is_made_and_moves() {
+fn a_fleet_of_500_hosts_and_2000_proxies_runs() {
     let mut scenario = Scenario { seconds: 0.3, ..Scenario::default() };
     let fleet = &mut scenario.fleet;
-    (fleet.hosts, fleet.proxies, fleet.slices, fleet.directors) = (500, 2000, 3500, 5);
+    fleet.hosts = 500;
+    fleet.proxies = 2000;
+    fleet.slices = 3500;
+    fleet.directors = 5;
     let world = World::new(&scenario, Kind::BoundedHashing, 1).run();
     assert!(world.measured.events > 10_000, "{}", world.measured.events);
 }
@@ -140,7 +146,7 @@
 #[test_case("store-down")]
 #[test_case("director-killed")]
 #[test_case("reports-spoilt")]
-fn a_play_through_the_reducer_keeps_its_checks_and_is_told_by_its_seed(name: &str) {
+fn a_play_through_the_reducer_keeps_its_checks_and_is_reproduced_by_its_seed(name: &str) {
     let scenario = scenario(name);
     let (outcome, world) = play(&scenario, Kind::Reduced, 1);
     assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
@@ -150,7 +156,7 @@
 
 /// Figures that cannot be are passed over by the reducer, and cost the bare module calls.
 #[test]
-fn spoilt_sums_cost_the_binary_nothing() {
+fn impossible_figures_in_reports_cost_the_reducer_nothing() {
     let scenario = scenario("reports-spoilt");
     assert!(play(&scenario, Kind::Reduced, 1).0.service > 0.99);
 }
@@ -160,9 +166,9 @@
 fn an_operators_change_is_judged_by_what_callers_of_the_world_get(name: &str, said: &str, not: &str) {
     let (_, world) = play(&scenario(name), Kind::Reduced, 1);
     let told = world.told();
-    let of_it =
+    let was_told =
         |what: &str| told.iter().any(|(_, _, text)| text.starts_with("change 1: ") && text.contains(what));
-    assert!(of_it(said) && !of_it(not), "{told:?}");
+    assert!(was_told(said) && !was_told(not), "{told:?}");
 }
 
 /// The binary itself on loopback, with a director killed and back, beside the same in simulated time.
