--- a/crates/tools/lab/tests/live_start_fails.rs
+++ b/crates/tools/lab/tests/live_start_fails.rs
@@ -24,7 +24,7 @@
 #[test]
 fn a_director_that_cannot_be_spawned_leaves_no_threads_and_no_folder() {
     let scenario = Scenario::default();
-    let settings: Settings = coppersail_lab::world::settings(&scenario, 0);
+    let settings: Settings = coppersail_lab::world::director_settings(&scenario, 0);
     let routes = scenario.load.routes.iter().map(|route| route.name.clone()).collect();
     let platform = Platform { settings, routes, began_ms: 0 };
     let entries = (0..4)
