--- a/crates/director/service/src/main.rs
+++ b/crates/director/service/src/main.rs
@@ -97,7 +97,7 @@
     };
     let in_configuration = |wrong: String| format!("configuration: {wrong}");
     let config = configured().map_err(in_configuration)?;
-    let mut reducer = Reducer::new(&config, wall_ns).map_err(in_configuration)?;
+    let mut reducer = Reducer::new(&config, wall_ns).map_err(|error| in_configuration(error.to_string()))?;
     let bounds = Bounds::of(&config.limits);
     let (sender, mut events) = channel(EVENTS_MOST);
     let events_of = sender.clone();
--- /dev/null
+++ b/crates/director/service/src/reducer/configuration.rs
@@ -0,0 +1,112 @@
+//! The configuration: its check at the start, and what changes when the file is read again.
+
+use super::Reducer;
+use coppersail_protocol::config::Config;
+use coppersail_protocol::discovery;
+use coppersail_protocol::Fault;
+use coppersail_settings::Boot;
+
+/// Slice numbers have two bytes, and the last one stands for all slices.
+const MAX_SLICES: u64 = 65_535;
+/// Proxy numbers have two bytes.
+const MAX_PROXIES: u64 = 65_536;
+
+/// Why a configuration cannot be used.
+#[derive(Debug, thiserror::Error)]
+pub enum ConfigError {
+    /// The file could not be read or parsed; the text says why.
+    #[error("{0}")]
+    Unreadable(String),
+    /// A setting has a value that cannot be used.
+    #[error("field settings.{field}: expected {expected}")]
+    Setting {
+        /// Path of the field below `settings`.
+        field: String,
+        /// What was expected there.
+        expected: &'static str,
+    },
+    /// There are more slices or proxies than numbers for them.
+    #[error("field settings.specifics.{field}: {found}, expected {max} at most")]
+    TooMany {
+        /// Name of the field below `settings.specifics`.
+        field: &'static str,
+        /// The value that was found.
+        found: u64,
+        /// The largest value that can be used.
+        max: u64,
+    },
+    /// The list of hosts that the configuration remembers cannot be read.
+    #[error("field known: {0}")]
+    KnownHosts(Fault),
+}
+
+/// A configuration of which every field can be used.
+pub(super) struct CheckedConfig<'a> {
+    pub(super) boot: Boot,
+    /// The list of hosts that the configuration remembers, possibly outdated.
+    pub(super) known_hosts: Option<discovery::List<'a>>,
+}
+
+impl<'a> CheckedConfig<'a> {
+    pub(super) fn new(config: &'a Config) -> Result<Self, ConfigError> {
+        let settings = config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
+        let boot = Boot::read(&settings)
+            .map_err(|invalid| ConfigError::Setting { field: invalid.field, expected: invalid.expected })?;
+        check_maximum("slices", boot.specifics.slices, MAX_SLICES)?;
+        check_maximum("proxy-count", boot.specifics.proxy_count, MAX_PROXIES)?;
+        let known_hosts = config.known.as_deref().map(discovery::List::parse).transpose();
+        Ok(CheckedConfig { boot, known_hosts: known_hosts.map_err(ConfigError::KnownHosts)? })
+    }
+}
+
+fn check_maximum(field: &'static str, found: Option<u64>, max: u64) -> Result<(), ConfigError> {
+    match found {
+        Some(found) if found > max => Err(ConfigError::TooMany { field, found, max }),
+        _ => Ok(()),
+    }
+}
+
+/// The configuration that was read again, if all of it can be used.
+fn usable(config: Result<Config, String>) -> Result<Config, ConfigError> {
+    let config = config.map_err(ConfigError::Unreadable)?;
+    CheckedConfig::new(&config)?;
+    Ok(config)
+}
+
+impl Reducer {
+    /// Uses all of a new configuration or none of it. Connections stay until those to the new addresses serve.
+    pub(super) fn reload(&mut self, now: f64, config: Result<Config, String>) {
+        let config = match usable(config) {
+            Ok(config) => config,
+            Err(error) => {
+                self.outbox.counters.configurations_bad += 1;
+                self.outbox.warn(format!("configuration: all stays as it was, {error}"));
+                return;
+            }
+        };
+        self.outbox.counters.configurations_taken += 1;
+        let discovery = config.discovery;
+        let relay = config.relay;
+        let ignored = self.changes_that_need_a_restart(&config);
+        let suffix = if ignored.is_empty() {
+            String::new()
+        } else {
+            format!("; only a start takes {}", ignored.join(", "))
+        };
+        self.outbox.info(format!("configuration: taken, discovery {discovery}, relay {relay}{suffix}"));
+        self.discovery.set_address(now, discovery, &mut self.outbox);
+        self.subscription.set_address(now, relay, &mut self.outbox);
+        self.calls.set_address(relay, &mut self.outbox);
+    }
+
+    /// Names of the fields that differ from those at the start and that a running director cannot change.
+    fn changes_that_need_a_restart(&self, config: &Config) -> Vec<&'static str> {
+        let mut changed = Vec::new();
+        for (at_start, now) in self.fixed_at_start.iter().zip(config.fixed()) {
+            if *at_start != now {
+                changed.push(at_start.0);
+            }
+        }
+        changed
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -0,0 +1,145 @@
+//! The end of a batch: asks the decisions and carries out what they order.
+
+use super::relay_calls::WriteRequest;
+use super::{Effect, Reducer};
+use coppersail::interface::{Input, Order};
+use coppersail_capacity_guard::Mode;
+
+impl Reducer {
+    /// The batch is complete: does what has become due, asks the decisions, and says when to wake up next.
+    pub(super) fn settle(&mut self, now: f64) {
+        self.collectors.poll(now, &mut self.outbox);
+        self.discovery.poll(now, &mut self.outbox);
+        self.subscription.poll(now, &mut self.outbox);
+        for wake in self.timers.take_due(now) {
+            self.outbox.inputs.push(Input::Wake(wake));
+        }
+        self.poll_operators(now);
+        // The first batch that brings no input is decided on all the same, so that a director without any input
+        // begins to work.
+        let decide = if self.outbox.inputs.is_empty() {
+            !std::mem::replace(&mut self.decided_without_input, true)
+        } else {
+            true
+        };
+        if decide {
+            self.decide(now);
+        }
+        self.poll_relay_calls(now);
+        self.release_forgotten_hosts();
+        self.outbox.effects.push(Effect::Wake(self.next_timeout()));
+    }
+
+    /// Lets the operators' changes see the inputs, and adds what operators demand if that has changed.
+    fn poll_operators(&mut self, now: f64) {
+        if let Some(operators) = &mut self.operators {
+            operators.observe(&self.outbox.inputs);
+        }
+        let mut wishes = None;
+        self.with_operators(|operators, context, outbox| wishes = operators.poll(now, context, outbox));
+        if let Some(wishes) = wishes {
+            self.outbox.counters.wishes_given += 1;
+            self.outbox.inputs.push(Input::Wishes(wishes));
+        }
+    }
+
+    fn decide(&mut self, now: f64) {
+        let inputs = std::mem::take(&mut self.outbox.inputs);
+        self.count_inputs(&inputs);
+        if inputs.iter().any(|input| matches!(input, Input::Joined { .. })) {
+            self.plausible.proxies_joined(self.subscription.joined_proxies());
+        }
+        for input in &inputs {
+            if let Input::Given(slice) | Input::Taken(slice) = input {
+                self.calls.discard_slice(*slice);
+            }
+        }
+        self.forgotten.keep_named(&inputs);
+        let (mode, pending) = match &self.operators {
+            Some(operators) => (operators.guard_mode(), operators.pending_shutdowns(now, &self.names)),
+            None => (Mode::Off, Vec::new()),
+        };
+        self.director.mode(mode);
+        self.director.pending(pending);
+        let orders = self.director.handle(now, &inputs);
+        self.copy_guard_counts();
+        self.outbox.counters.decisions += 1;
+        self.carry_out(now, orders);
+    }
+
+    fn count_inputs(&mut self, inputs: &[Input]) {
+        let counters = &mut self.outbox.counters;
+        for input in inputs {
+            match input {
+                Input::Joined { .. } => counters.proxies_joined += 1,
+                Input::Left(_) => counters.proxies_left += 1,
+                Input::Given(_) => counters.slices_given += 1,
+                Input::Taken(_) => counters.slices_taken += 1,
+                Input::Applied { .. } => counters.receipts += 1,
+                _ => {}
+            }
+        }
+    }
+
+    fn copy_guard_counts(&mut self) {
+        let counts = self.director.counts;
+        let counters = &mut self.outbox.counters;
+        counters.guard_judged = counts.judged;
+        counters.guard_least_bad = counts.least_bad;
+        counters.guard_refused = counts.refused;
+        counters.guard_overruled = counts.overruled;
+    }
+
+    fn carry_out(&mut self, now: f64, orders: Vec<Order>) {
+        let mut call = Vec::new();
+        for order in orders {
+            match order {
+                Order::WakeAt { wake, at } => self.timers.set(at, wake),
+                Order::Log { text, hosts } => {
+                    let text = self.names.said(&text, &hosts);
+                    self.outbox.info(format!("decided: {text}"));
+                }
+                Order::Probe(host) => self.start_health_check(now, host),
+                Order::Follow(_) => {}
+                Order::Forget(host) => self.forgotten.insert(host),
+                Order::FetchList => self.discovery.request_full_list(now, &mut self.outbox),
+                Order::Bind { .. } | Order::Tell { .. } => self.outbox.counters.orders_unknown += 1,
+                order => {
+                    if let (Some(operators), Order::Line { slice, .. }) = (&mut self.operators, &order) {
+                        operators.weight_ordered(now, *slice);
+                    }
+                    call.extend(self.relay_order(order));
+                }
+            }
+        }
+        self.outbox.counters.orders_given += call.len() as u64;
+        self.calls.enqueue(call);
+    }
+
+    fn poll_relay_calls(&mut self, now: f64) {
+        let state_known = self.subscription.is_synchronized();
+        if self.relay_state_known != state_known {
+            self.relay_state_known = state_known;
+            self.calls.set_relay_state_known(now, state_known);
+        }
+        self.calls.proxies_unknown = !state_known;
+        let director = &self.director;
+        let writable = |request: WriteRequest| {
+            director.writable(now, request.orders, request.is_retry, request.proxies_unknown)
+        };
+        self.calls.poll(now, writable, &mut self.outbox);
+        self.subscription.slices_in_flight = self.calls.slices_in_flight();
+    }
+
+    /// When the reducer next wants to be called; infinity if nothing is due by itself.
+    fn next_timeout(&self) -> f64 {
+        let operators = self.operators.as_ref().map_or(f64::INFINITY, |operators| operators.next_timeout());
+        self.timers
+            .next_timeout()
+            .min(self.calls.next_timeout())
+            .min(self.subscription.next_timeout())
+            .min(self.discovery.next_timeout())
+            .min(self.collectors.next_timeout())
+            .min(operators)
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/forgotten_hosts.rs
@@ -0,0 +1,63 @@
+//! Hosts that the decisions have forgotten. What is kept by host here is released once nothing refers to it.
+
+use super::Reducer;
+use coppersail::interface::{HostId, Input};
+use std::collections::BTreeSet;
+
+/// Forgotten hosts whose names and addresses are still kept.
+#[derive(Default)]
+pub(super) struct ForgottenHosts {
+    hosts: BTreeSet<HostId>,
+}
+
+impl ForgottenHosts {
+    /// The decisions have forgotten the host.
+    pub(super) fn insert(&mut self, host: HostId) {
+        self.hosts.insert(host);
+    }
+
+    /// Keeps the hosts that these inputs name, as the decisions learn of them again.
+    pub(super) fn keep_named(&mut self, inputs: &[Input]) {
+        for input in inputs {
+            match input {
+                Input::StoredLine { host, .. } => {
+                    self.hosts.remove(host);
+                }
+                Input::Hosts { entries, .. } => {
+                    for entry in entries {
+                        self.hosts.remove(&entry.host);
+                    }
+                }
+                _ => {}
+            }
+        }
+    }
+
+    /// Removes and returns the hosts for which `is_referenced` is false.
+    fn take_unreferenced(&mut self, is_referenced: impl Fn(HostId) -> bool) -> BTreeSet<HostId> {
+        let (kept, unreferenced) =
+            std::mem::take(&mut self.hosts).into_iter().partition(|host| is_referenced(*host));
+        self.hosts = kept;
+        unreferenced
+    }
+
+    #[cfg(test)]
+    pub(super) fn count(&self) -> usize {
+        self.hosts.len()
+    }
+}
+
+impl Reducer {
+    /// Releases what is kept for forgotten hosts that no queued order and no weight table names. This is the only
+    /// place where that happens.
+    pub(super) fn release_forgotten_hosts(&mut self) {
+        let calls = &self.calls;
+        let subscription = &self.subscription;
+        let is_referenced = |host| calls.mentions(host) || subscription.mentions(host);
+        for host in self.forgotten.take_unreferenced(is_referenced) {
+            self.discovery.forget(host);
+            self.names.forget(host);
+            self.outbox.counters.hosts_forgotten += 1;
+        }
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/effects.rs
@@ -0,0 +1,102 @@
+//! What the change log wants done.
+
+use super::{ApplyingChange, Effect, OperatorContext, Operators, Outbox, TICK_S};
+use coppersail_admin_socket::Answer;
+use coppersail_change_analysis::TrialId;
+use coppersail_changes::{Act, Record, Refusal, Version};
+use std::collections::BTreeSet;
+use tracing::Level;
+
+/// Log lines of the change log that begin like this are warnings.
+const WARNING_PREFIXES: [&str; 3] = ["undone", "dropped", "set aside"];
+
+impl Operators {
+    pub(super) fn carry_out(
+        &mut self,
+        now: f64,
+        actions: Vec<Act>,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        for action in actions {
+            match action {
+                Act::Write(record) => self.write_record(now, record, context, outbox),
+                Act::Give { by, .. } => self.apply(now, by),
+                Act::Watch(number) => {
+                    let scope = self.change_scope(number, context);
+                    let change = self.change_log.change(number);
+                    let expected_loss = change.map_or(0.0, |change| change.submission.expected_loss);
+                    self.analysis.watch(TrialId(number.0), scope, expected_loss);
+                }
+                Act::Unwatch(number) => self.analysis.unwatch(TrialId(number.0)),
+                Act::SetAside(number) => self.analysis.set_aside(TrialId(number.0)),
+                Act::Resume(number) => self.analysis.resume(TrialId(number.0)),
+                Act::Say { about, text } => log_action(about, text, outbox),
+            }
+        }
+    }
+
+    /// Appends to the history. Without one, an accepted change counts as written at once.
+    fn write_record(&mut self, now: f64, record: Record, context: &OperatorContext, outbox: &mut Outbox) {
+        if self.is_durable {
+            outbox.effects.push(Effect::Record(record));
+        } else if let Record::Accepted { number, .. } = record {
+            self.record_written(now, number, context, outbox);
+        }
+    }
+
+    /// The configuration in force is given to the decisions, as this change has changed it.
+    fn apply(&mut self, now: f64, version: Version) {
+        self.overrides_outdated = true;
+        let slices = BTreeSet::new();
+        self.applying = Some(ApplyingChange { version, since: now, last_order_at: now, slices });
+        self.next_tick_at = self.next_tick_at.min(now + TICK_S);
+    }
+
+    /// The history holds the acceptance of a change: whoever submitted it gets the answer.
+    pub(super) fn record_written(
+        &mut self,
+        now: f64,
+        number: Version,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        let actions = self.change_log.written(self.wall_time(now), number);
+        self.carry_out(now, actions, context, outbox);
+        if let Some(command) = self.pending_answers.remove(&number) {
+            outbox.effects.push(Effect::Answer(command, self.accepted(number)));
+        }
+    }
+
+    /// The answer to a change that was accepted.
+    pub(super) fn accepted(&self, number: Version) -> Answer {
+        Answer::Accepted { number, durable: self.is_durable }
+    }
+
+    /// The history failed to store the acceptance of a change or, without a number, another record.
+    pub(super) fn record_failed(
+        &mut self,
+        now: f64,
+        number: Option<Version>,
+        reason: &str,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        let actions = self.change_log.unwritten(self.wall_time(now), number, reason);
+        self.carry_out(now, actions, context, outbox);
+        if let Some(command) = number.and_then(|number| self.pending_answers.remove(&number)) {
+            let reason = Refusal::History(reason.to_string()).to_string();
+            outbox.effects.push(Effect::Answer(command, Answer::Rejected { reason }));
+        }
+    }
+}
+
+fn log_action(about: Option<Version>, text: String, outbox: &mut Outbox) {
+    let is_warning = WARNING_PREFIXES.iter().any(|prefix| text.starts_with(prefix));
+    let level = if is_warning { Level::WARN } else { Level::INFO };
+    let text = match about {
+        Some(number) => format!("change {number}: {text}"),
+        None => text,
+    };
+    outbox.effects.push(Effect::Log(level, about, text));
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -0,0 +1,264 @@
+//! Operators' changes within the reducer: what the change log puts in force becomes overrides for the decisions, what
+//! comes in goes to the analysis of trials as well, and what the change log wants done becomes effects. What is decided
+//! about a change is decided in `coppersail-changes` and `coppersail-change-analysis`.
+
+mod commands;
+mod effects;
+mod overrides;
+mod scope;
+mod shutdowns;
+mod submissions;
+mod trials;
+
+use super::outbox::Outbox;
+use super::relay_subscription::RelayState;
+use super::{ControlId, Effect, Event};
+use coppersail::interface::{
+    HostId, HostState, Input, ListScope, Listing, Settings, SliceId, Wishes, ZoneId,
+};
+use coppersail_capacity_guard::{Guarded, Mode};
+use coppersail_change_analysis::Judge;
+use coppersail_changes::{Book, Pool, PoolHost, Record, RecordError, Version};
+use coppersail_operator_config::{Field, GuardMode, Known, Sheet, Value};
+use coppersail_settings::Names;
+use std::collections::{BTreeMap, BTreeSet};
+
+/// Between two looks at what has become due in the change log.
+const TICK_S: f64 = 0.25;
+const NANOSECONDS_PER_SECOND: f64 = 1e9;
+
+/// A host as the list of discovery has it.
+#[derive(Clone, Copy)]
+struct ListedHost {
+    is_ready: bool,
+    /// When it was started, if that is known.
+    started_at: Option<f64>,
+    zone: ZoneId,
+}
+
+/// A change that was given to the decisions and whose orders are not settled.
+struct ApplyingChange {
+    version: Version,
+    since: f64,
+    /// When a weight was last ordered.
+    last_order_at: f64,
+    /// Slices in which weights were ordered.
+    slices: BTreeSet<SliceId>,
+}
+
+/// What operators' changes need of the other parts of the reducer.
+pub(super) struct OperatorContext<'a> {
+    pub(super) names: &'a Names,
+    pub(super) relay_state: &'a RelayState,
+    /// No call to the relay is in flight or queued.
+    pub(super) calls_idle: bool,
+    pub(super) director: &'a Guarded,
+}
+
+/// The change log, the analysis of trials, and what connects them with the decisions.
+pub(super) struct Operators {
+    director_name: String,
+    change_log: Book,
+    analysis: Judge,
+    known: Known,
+    slow_start_s: f64,
+    zone_count: usize,
+    /// A history is kept on disk.
+    is_durable: bool,
+    /// What the wall clock showed at the zero of all times, in seconds since the Unix epoch.
+    wall_start_s: f64,
+    hosts: BTreeMap<HostId, ListedHost>,
+    /// The overrides that the decisions were last given.
+    sent_overrides: Wishes,
+    /// The configuration in force has changed, or a host has come that it may name.
+    overrides_outdated: bool,
+    /// Hosts that give up their slices because of an announced shutdown.
+    shutting_down: BTreeSet<HostId>,
+    /// When `shutting_down` changes next by itself.
+    next_shutdown_phase_at: f64,
+    applying: Option<ApplyingChange>,
+    /// Commands that are answered once their change is in the history.
+    pending_answers: BTreeMap<Version, ControlId>,
+    next_tick_at: f64,
+}
+
+impl Operators {
+    pub(super) fn new(name: &str, settings: &Settings, known: Known, wall_ns: u64) -> Self {
+        let importance = settings.routes.iter().map(|route| route.importance).collect();
+        let slo = settings.routes.iter().map(|route| route.slo_time).fold(f64::INFINITY, f64::min);
+        Operators {
+            director_name: name.to_string(),
+            change_log: Book::default(),
+            analysis: Judge::new(settings.report_interval, importance, slo),
+            known,
+            slow_start_s: settings.ramp_time,
+            zone_count: settings.zones.len(),
+            is_durable: false,
+            wall_start_s: wall_ns as f64 / NANOSECONDS_PER_SECOND,
+            hosts: BTreeMap::new(),
+            sent_overrides: Wishes::default(),
+            overrides_outdated: true,
+            shutting_down: BTreeSet::new(),
+            next_shutdown_phase_at: f64::INFINITY,
+            applying: None,
+            pending_answers: BTreeMap::new(),
+            next_tick_at: 0.0,
+        }
+    }
+
+    /// Begins with the history, if there is one, or with the file alone. What differs in the file from when it was last
+    /// taken is a change like any other.
+    pub(super) fn start(
+        &mut self,
+        sheet: &Sheet,
+        history: Option<Vec<Record>>,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) -> Result<(), RecordError> {
+        self.is_durable = history.is_some();
+        if !self.is_durable {
+            outbox.info("operators: changes are kept in memory alone and end with the director".to_string());
+        }
+        let records = history.unwrap_or_default();
+        if records.is_empty() {
+            let (change_log, record) = Book::found(sheet.document.clone(), self.wall_start_s);
+            self.change_log = change_log;
+            outbox.effects.push(Effect::Record(record));
+            return Ok(());
+        }
+        outbox.info(format!("operators: {} records in the history", records.len()));
+        self.change_log = Book::recover(records)?;
+        let pool = self.host_pool(0.0, context);
+        let actions = self.change_log.resume(0.0, self.wall_start_s, &pool);
+        self.carry_out(0.0, actions, context, outbox);
+        self.submit_file(0.0, Ok(sheet.clone()), context, outbox);
+        Ok(())
+    }
+
+    /// Handles an event that is about operators' changes; all others are ignored.
+    pub(super) fn handle_event(
+        &mut self,
+        now: f64,
+        event: Event,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        match event {
+            Event::Asked(command, request) => self.handle_command(now, command, *request, context, outbox),
+            Event::Written(version) => self.record_written(now, version, context, outbox),
+            Event::Unwritten(version, reason) => {
+                self.record_failed(now, version, &reason, context, outbox);
+            }
+            Event::Sheet(sheet) => self.submit_file(now, *sheet, context, outbox),
+            _ => {}
+        }
+    }
+
+    /// What has come in, as the decisions get it.
+    pub(super) fn observe(&mut self, inputs: &[Input]) {
+        for input in inputs {
+            match input {
+                Input::Demand { slice, route, calls, dropped, .. } => {
+                    self.analysis.demand(*slice, *route, *calls, *dropped);
+                }
+                Input::Tries { host, tries, dropped, rt, .. } => {
+                    self.analysis.tries(*host, *tries, *dropped, *rt);
+                }
+                Input::Hosts { scope, entries, .. } if *scope != ListScope::Failed => {
+                    self.hosts_listed(*scope, entries);
+                }
+                Input::StoredLine { .. } => self.overrides_outdated = true,
+                _ => {}
+            }
+        }
+    }
+
+    fn hosts_listed(&mut self, scope: ListScope, entries: &[Listing]) {
+        if scope != ListScope::Changes {
+            self.hosts.clear();
+        }
+        for entry in entries {
+            if entry.state == HostState::Gone {
+                self.hosts.remove(&entry.host);
+                continue;
+            }
+            let is_ready = entry.state == HostState::Ready;
+            let listed = ListedHost { is_ready, started_at: entry.born, zone: entry.zone };
+            self.hosts.insert(entry.host, listed);
+        }
+        self.overrides_outdated = true;
+    }
+
+    /// The decisions have ordered a weight in this slice.
+    pub(super) fn weight_ordered(&mut self, now: f64, slice: SliceId) {
+        if let Some(applying) = &mut self.applying {
+            applying.last_order_at = now;
+            applying.slices.insert(slice);
+        }
+    }
+
+    /// The mode that operators have set for the capacity guard.
+    pub(super) fn guard_mode(&self) -> Mode {
+        match self.change_log.document().get(&Field::Guard) {
+            Some(Value::Guard(GuardMode::Watch)) => Mode::Watch,
+            Some(Value::Guard(GuardMode::On)) => Mode::On,
+            _ => Mode::Off,
+        }
+    }
+
+    /// The wall clock's time in seconds since the Unix epoch.
+    fn wall_time(&self, now: f64) -> f64 {
+        self.wall_start_s + now
+    }
+
+    fn started_at(&self, host: HostId) -> Option<f64> {
+        self.hosts.get(&host).and_then(|listed| listed.started_at)
+    }
+
+    /// The hosts, against which the change log checks that enough stay in service.
+    fn host_pool(&self, now: f64, context: &OperatorContext) -> Pool {
+        let guard_pool = (self.guard_mode() == Mode::On).then_some(context.director.guard().pool());
+        let capacity = |host: &HostId| {
+            let pool = guard_pool?;
+            Some(pool.hosts.get(host)?.unit(now, &pool.bounds) * pool.bounds.carries?.low)
+        };
+        let mut hosts = Vec::new();
+        for (host, listed) in &self.hosts {
+            let is_warm = listed.started_at.is_none_or(|started_at| now - started_at >= self.slow_start_s);
+            let carries = capacity(host).unwrap_or(f64::INFINITY);
+            let name = context.names.host_name(*host).to_string();
+            hosts.push((name, PoolHost { ready: listed.is_ready, warm: is_warm, carries }));
+        }
+        Pool { hosts: hosts.into_iter().collect(), calls: context.director.asked() }
+    }
+
+    /// Does what has become due, and returns the overrides for the decisions if they have changed.
+    pub(super) fn poll(
+        &mut self,
+        now: f64,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) -> Option<Wishes> {
+        self.poll_analysis(now, context, outbox);
+        if !self.change_log.idle() && now >= self.next_tick_at {
+            self.next_tick_at = now + TICK_S;
+            self.tick(now, context, outbox);
+        }
+        self.update_announced_shutdowns(now, context, outbox);
+        if !std::mem::take(&mut self.overrides_outdated) {
+            return None;
+        }
+        let overrides = self.overrides(context.names);
+        if overrides == self.sent_overrides {
+            return None;
+        }
+        self.sent_overrides = overrides.clone();
+        Some(overrides)
+    }
+
+    /// When `poll` may have something to do by itself; infinity if never.
+    pub(super) fn next_timeout(&self) -> f64 {
+        let tick = if self.change_log.idle() { f64::INFINITY } else { self.next_tick_at };
+        self.analysis.next().min(tick).min(self.next_shutdown_phase_at)
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/scope.rs
@@ -0,0 +1,46 @@
+//! The parts of the service that a change is about.
+
+use super::{OperatorContext, Operators};
+use coppersail::interface::{HostId, SliceId};
+use coppersail_change_analysis::Touch;
+use coppersail_changes::Version;
+use coppersail_operator_config::Field;
+
+impl Operators {
+    /// The hosts, slices and routes that a change is about, by the tables before it.
+    pub(super) fn change_scope(&self, number: Version, context: &OperatorContext) -> Touch {
+        let mut scope = Touch::default();
+        let Some(change) = self.change_log.change(number) else { return scope };
+        for field in change.submission.edits.keys() {
+            self.add_field_to_scope(&mut scope, field, context);
+        }
+        for (slice, state) in &context.relay_state.slices {
+            if state.weights.keys().any(|host| scope.hosts.contains(host)) {
+                scope.slices.insert(*slice);
+            }
+        }
+        scope
+    }
+
+    fn add_field_to_scope(&self, scope: &mut Touch, field: &Field, context: &OperatorContext) {
+        match field {
+            Field::HostWeight(name) | Field::HostDrained(name) | Field::HostLeaves(name) => {
+                scope.hosts.extend(context.names.known_host(name));
+            }
+            Field::ZoneWeight(name) => scope.hosts.extend(self.hosts_in_zone(name, context)),
+            Field::Apart(slice, _) => {
+                scope.slices.insert(SliceId(*slice));
+            }
+            Field::RouteCeiling(name) | Field::RouteAgain(name) => {
+                scope.routes.extend(context.names.route(name).ok());
+            }
+            Field::Trial | Field::Judge | Field::Guard => {}
+        }
+    }
+
+    fn hosts_in_zone(&self, name: &str, context: &OperatorContext) -> Vec<HostId> {
+        let zone = context.names.zone(name).ok();
+        let in_zone = self.hosts.iter().filter(|(_, listed)| Some(listed.zone) == zone);
+        in_zone.map(|(host, _)| *host).collect()
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/shutdowns.rs
@@ -0,0 +1,66 @@
+//! Shutdowns of hosts that operators have announced.
+
+use super::{OperatorContext, Operators, Outbox};
+use coppersail::interface::HostId;
+use coppersail_capacity_guard::{Change, Pending};
+use coppersail_changes::{announced, Leaving};
+use coppersail_settings::Names;
+use std::collections::BTreeSet;
+
+/// An announced shutdown of a host that is known.
+struct Shutdown {
+    host: HostId,
+    at: f64,
+}
+
+impl Operators {
+    fn announced_shutdowns<'a>(&'a self, names: &'a Names) -> impl Iterator<Item = Shutdown> + 'a {
+        announced(self.change_log.document()).filter_map(|(name, wall_time)| {
+            Some(Shutdown { host: names.known_host(name)?, at: wall_time - self.wall_start_s })
+        })
+    }
+
+    fn phase(&self, now: f64, shutdown: &Shutdown) -> Leaving {
+        Leaving::of(now, shutdown.at, self.started_at(shutdown.host))
+    }
+
+    /// Hosts whose announced time has come give up their slices, and may serve again when it is over.
+    pub(super) fn update_announced_shutdowns(
+        &mut self,
+        now: f64,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        let mut shutting_down = BTreeSet::new();
+        let mut next_phase_at = f64::INFINITY;
+        for shutdown in self.announced_shutdowns(context.names) {
+            if self.phase(now, &shutdown) == Leaving::Moving {
+                shutting_down.insert(shutdown.host);
+            }
+            next_phase_at = f64::min(next_phase_at, Leaving::turns(now, shutdown.at));
+        }
+        self.next_shutdown_phase_at = next_phase_at;
+        if shutting_down == self.shutting_down {
+            return;
+        }
+        for host in shutting_down.difference(&self.shutting_down) {
+            outbox.info(format!("announced: {} gives up its slices", context.names.host_name(*host)));
+        }
+        for host in self.shutting_down.difference(&shutting_down) {
+            outbox.info(format!("announced: {} may serve again", context.names.host_name(*host)));
+        }
+        self.shutting_down = shutting_down;
+        self.overrides_outdated = true;
+    }
+
+    /// Announced shutdowns for which the capacity guard has to plan.
+    pub(in super::super) fn pending_shutdowns(&self, now: f64, names: &Names) -> Vec<Pending> {
+        let mut pending = Vec::new();
+        for shutdown in self.announced_shutdowns(names) {
+            if self.phase(now, &shutdown) != Leaving::Over {
+                pending.push(Pending { at: shutdown.at, host: shutdown.host, what: Change::Leaves });
+            }
+        }
+        pending
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/submissions.rs
@@ -0,0 +1,55 @@
+//! Changes that come with the operators' file.
+
+use super::{OperatorContext, Operators, Outbox};
+use coppersail_changes::{Refusal, Submission};
+use coppersail_operator_config::{difference, Sheet};
+
+impl Operators {
+    /// The file was read: what differs from when it was last taken is submitted as a change.
+    pub(super) fn submit_file(
+        &mut self,
+        now: f64,
+        sheet: Result<Sheet, String>,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) {
+        let sheet = match sheet {
+            Ok(sheet) => sheet,
+            Err(error) => {
+                outbox.counters.configurations_bad += 1;
+                outbox.warn(format!("operators' file: all stays as it was, {error}"));
+                return;
+            }
+        };
+        let edits = difference(self.change_log.file(), &sheet.document);
+        if edits.is_empty() {
+            return;
+        }
+        let submission = Submission {
+            base: self.change_log.head(),
+            who: "the operators' file".to_string(),
+            why: "it was read anew".to_string(),
+            edits,
+            file: Some(sheet.document.into_iter().collect()),
+            ..Submission::default()
+        };
+        if let Err(refusal) = self.submit(now, submission, context, outbox) {
+            outbox.counters.configurations_bad += 1;
+            outbox.warn(format!("operators' file: not taken, {refusal}"));
+        }
+    }
+
+    fn submit(
+        &mut self,
+        now: f64,
+        submission: Submission,
+        context: &OperatorContext,
+        outbox: &mut Outbox,
+    ) -> Result<(), Refusal> {
+        let pool = self.host_pool(now, context);
+        let wall_time = self.wall_time(now);
+        let (_, actions) = self.change_log.submit(now, wall_time, submission, &self.known, &pool)?;
+        self.carry_out(now, actions, context, outbox);
+        Ok(())
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -0,0 +1,88 @@
+//! Trials of changes: when a change has reached the relay, what the analysis finds, and what becomes due.
+
+use super::{OperatorContext, Operators, Outbox};
+use coppersail_change_analysis::{Found, Part, TrialId};
+use coppersail_changes::{Ready, Version};
+use coppersail_operator_config::{Field, Value};
+use coppersail_settings::Names;
+use std::collections::BTreeSet;
+
+/// Without a newly ordered weight for so long, the orders that a change makes are taken to be complete...
+const QUIET_PERIOD_S: f64 = 1.0;
+/// ...or so long after it was given to the decisions, as balancing may go on by itself. A large change takes the
+/// channel some rounds.
+const MAX_APPLY_S: f64 = 10.0;
+
+impl Operators {
+    /// Closes the analysis' period if it is over, and reports harm that was found.
+    pub(super) fn poll_analysis(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
+        if now < self.analysis.next() {
+            return;
+        }
+        let is_enabled = self.is_analysis_enabled();
+        for (TrialId(number), finding) in self.analysis.close(now) {
+            if !is_enabled {
+                continue;
+            }
+            let pool = self.host_pool(now, context);
+            let description = (describe(&finding, context.names), finding.unsure());
+            let wall_time = self.wall_time(now);
+            let actions = self.change_log.harmful(now, wall_time, Version(number), description, &pool);
+            self.carry_out(now, actions, context, outbox);
+        }
+    }
+
+    /// Lets the change log do what has become due.
+    pub(super) fn tick(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
+        self.poll_applying(now, context, outbox);
+        let wall_time = self.wall_time(now);
+        let pool = self.host_pool(now, context);
+        let analysis = &self.analysis;
+        let is_enabled = self.is_analysis_enabled();
+        let baseline = analysis.baseline();
+        let mut sufficiently_reported = BTreeSet::new();
+        for (number, trial_s) in self.change_log.trials() {
+            if is_enabled && analysis.believed(TrialId(number.0), trial_s) {
+                sufficiently_reported.insert(number);
+            }
+        }
+        let ready = |number: Option<Version>| Ready {
+            baseline,
+            heard: number.is_some_and(|number| sufficiently_reported.contains(&number)),
+            calm: number.is_some_and(|number| is_enabled && analysis.calm(TrialId(number.0))),
+        };
+        let actions = self.change_log.tick(now, wall_time, &pool, &ready);
+        self.carry_out(now, actions, context, outbox);
+    }
+
+    fn is_analysis_enabled(&self) -> bool {
+        self.change_log.document().get(&Field::Judge) != Some(&Value::Flag(false))
+    }
+
+    /// Tells the change log once the orders of the change that was given last are complete and settled.
+    fn poll_applying(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
+        let Some(applying) = &self.applying else { return };
+        let is_complete =
+            applying.last_order_at + QUIET_PERIOD_S <= now || applying.since + MAX_APPLY_S <= now;
+        if !is_complete || !context.calls_idle || self.overrides_outdated {
+            return;
+        }
+        let Some(applying) = self.applying.take() else { return };
+        self.analysis.touches(TrialId(applying.version.0), applying.slices);
+        let actions = self.change_log.settled(now, self.wall_time(now), applying.version);
+        self.carry_out(now, actions, context, outbox);
+    }
+}
+
+/// The finding with the name of the route instead of its number.
+fn describe(finding: &Found, names: &Names) -> String {
+    let text = finding.to_string();
+    match finding.part {
+        Part::Route(route) => {
+            let by_number = format!("route {}", route.0);
+            let by_name = format!("route {}", names.route_name(route));
+            text.replacen(&by_number, &by_name, 1)
+        }
+        _ => text,
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/outbox.rs
@@ -0,0 +1,37 @@
+//! What the parts of the reducer produce while they handle an event.
+
+use super::{Effect, LinkId};
+use crate::counters::Counters;
+use coppersail::interface::Input;
+use tracing::Level;
+
+/// Collects effects for the caller, inputs for the decisions, and counts.
+#[derive(Default)]
+pub(super) struct Outbox {
+    /// Effects of the event that is being handled.
+    pub(super) effects: Vec<Effect>,
+    /// Inputs for the decisions, collected since they were last asked.
+    pub(super) inputs: Vec<Input>,
+    /// Counters since the start.
+    pub(super) counters: Counters,
+    /// Number of the newest outgoing connection; 0 before the first.
+    pub(super) last_link: u64,
+}
+
+impl Outbox {
+    /// A new number for an outgoing connection.
+    pub(super) fn allocate_link(&mut self) -> LinkId {
+        self.last_link += 1;
+        LinkId(self.last_link)
+    }
+
+    /// Logs a warning.
+    pub(super) fn warn(&mut self, text: String) {
+        self.effects.push(Effect::Log(Level::WARN, None, text));
+    }
+
+    /// Logs at level info.
+    pub(super) fn info(&mut self, text: String) {
+        self.effects.push(Effect::Log(Level::INFO, None, text));
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/relay_calls/answers.rs
@@ -0,0 +1,102 @@
+//! What an answer of the relay says of the call in flight.
+
+use super::super::outbox::Outbox;
+use super::super::{Effect, LinkId};
+use super::{RelayCalls, RelayOrder, RECONNECT_DELAY_S};
+use coppersail::interface::{Call, Input};
+use coppersail_protocol::relay::Answer;
+use tracing::Level;
+
+impl RelayCalls {
+    /// Handles an answer and returns the orders that are in force by it.
+    pub(crate) fn answer(
+        &mut self,
+        now: f64,
+        link: LinkId,
+        line: &[u8],
+        outbox: &mut Outbox,
+    ) -> Vec<RelayOrder> {
+        if !self.connections.is_open(link) {
+            // Nothing was asked for on the connection to the relay's new address.
+            self.connection_down(now, link, "an answer out of turn", outbox);
+            return Vec::new();
+        }
+        if self.answer_deadline.is_none() || self.queue.is_empty() {
+            // An answer that nothing was asked for: the next one could not be told from it.
+            outbox.warn("relay: an answer out of turn".to_string());
+            self.connections.close_current(outbox);
+            return Vec::new();
+        }
+        match Answer::parse(line) {
+            Answer::Taken(accepted) if accepted <= self.queue[0].len() => {
+                self.accepted(now, link, accepted, outbox)
+            }
+            Answer::Throttling => {
+                outbox.counters.calls_throttled += 1;
+                outbox.inputs.push(Input::Call(Call::TurnedAway));
+                self.settled(now, link, outbox);
+                self.earliest_write = now + RECONNECT_DELAY_S;
+                Vec::new()
+            }
+            Answer::Invalid => {
+                self.invalid(now, link, outbox);
+                Vec::new()
+            }
+            Answer::Taken(_) | Answer::Unreadable => {
+                self.retry(now, "its answer cannot be read", outbox);
+                Vec::new()
+            }
+        }
+    }
+
+    /// The relay has accepted the first orders of the call, and stopped at one that it cannot use if that is not all.
+    fn accepted(&mut self, now: f64, link: LinkId, accepted: usize, outbox: &mut Outbox) -> Vec<RelayOrder> {
+        outbox.counters.calls_answered += 1;
+        outbox.counters.orders_taken += accepted as u64;
+        let mut in_force = std::mem::take(&mut self.queue[0]);
+        let mut rest = in_force.split_off(accepted);
+        // What follows a rejected order is sound. A corrupt answer may say the same of an order that was accepted, so
+        // the order goes out once more, with the rest, before it is dropped.
+        if accepted == 0 && self.rejected_once && !rest.is_empty() {
+            outbox.counters.orders_refused += 1;
+            let rejected = rest.remove(0).text;
+            outbox.warn(format!("relay: order refused: {rejected}"));
+            self.rejected_once = false;
+        } else {
+            self.rejected_once = !rest.is_empty();
+        }
+        if rest.is_empty() {
+            self.queue.pop_front();
+        } else {
+            self.queue[0] = rest;
+        }
+        self.settled(now, link, outbox);
+        in_force
+    }
+
+    /// The relay says that the call is not valid. It is repeated once, as the answer may be corrupt; then it is
+    /// dropped, as it would be rejected for ever and block all calls behind it.
+    fn invalid(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
+        if !self.rejected_once {
+            self.rejected_once = true;
+            self.retry(now, "it is not valid, as its answer is read", outbox);
+            return;
+        }
+        self.rejected_once = false;
+        outbox.counters.calls_invalid += 1;
+        let text = "relay: call dropped, not valid".to_string();
+        outbox.effects.push(Effect::Log(Level::ERROR, None, text));
+        self.queue.pop_front();
+        self.settled(now, link, outbox);
+    }
+
+    /// It is known what became of the first call.
+    fn settled(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
+        if self.retries > 1 {
+            outbox.warn(format!("relay: call settled after {} repeats", self.retries));
+        }
+        self.answer_deadline = None;
+        self.retries = 0;
+        self.connections.answered(now, link);
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/relay_calls/mod.rs
@@ -0,0 +1,312 @@
+//! The ordered queue of calls to the relay. A call goes out when the one before it is settled: answered, or repeated
+//! until it is. Repeating is safe, as every order sets a state; it only costs the proxies further lines.
+
+mod answers;
+mod connections;
+mod order;
+
+pub(super) use order::{OrderTarget, RelayOrder};
+
+use super::outbox::Outbox;
+use super::{Effect, LinkId};
+use connections::{Connection, RelayConnections};
+use coppersail::interface::{Call, HostId, Input, SliceId};
+use coppersail_protocol::relay;
+use order::{group_by_slice, merge};
+use std::collections::{BTreeSet, VecDeque};
+use std::net::SocketAddr;
+
+/// The relay answers within 50 ms or never; twice that, as the director's own machine may be slow.
+const ANSWER_TIMEOUT_S: f64 = 0.1;
+/// The relay closes idle connections after some seconds; one that has been idle for this long is not trusted with a
+/// call.
+const MAX_IDLE_S: f64 = 1.0;
+/// Between attempts to reach a relay that cannot be reached, or that throttles.
+const RECONNECT_DELAY_S: f64 = 0.1;
+/// Before a call's second repeat, and more before each further one: a silent relay may still hold every connection
+/// that was given up, and it accepts few.
+const RETRY_BACKOFF_S: f64 = 0.05;
+/// Longest backoff between two repeats of a call.
+const MAX_RETRY_BACKOFF_S: f64 = 0.4;
+/// Before the decisions are asked again whether a call may go; they decide ten times a second.
+const CAPACITY_POLL_S: f64 = 0.05;
+/// The relay's state is known within about a second of a dial. A relay that takes calls but sends no updates is
+/// written to all the same after this.
+const MAX_WAIT_FOR_STATE_S: f64 = 1.5;
+/// Queued calls beyond which they are merged to one, which names each target once.
+const MAX_QUEUED_CALLS: usize = 16;
+
+/// A call that is about to be written, as the decisions need it to say how many of its orders may go.
+pub(super) struct WriteRequest {
+    /// Number of orders in the call.
+    pub(super) orders: usize,
+    /// The call may have been written before.
+    pub(super) is_retry: bool,
+    /// Proxies may have joined of which the relay has not told yet.
+    pub(super) proxies_unknown: bool,
+}
+
+/// The queue of calls and the state of the first one.
+pub(super) struct RelayCalls {
+    queue: VecDeque<Vec<RelayOrder>>,
+    connections: RelayConnections,
+    /// The first call is in flight, and its answer is due by then.
+    answer_deadline: Option<f64>,
+    /// Nothing is written before.
+    earliest_write: f64,
+    /// Nor before this, while the relay's state is not known.
+    wait_for_state_until: Option<f64>,
+    /// How often the first call has been repeated.
+    retries: u32,
+    /// An answer rejected the first order, or the whole call, once. The answer may have been corrupt, so the same is
+    /// asked again before it is believed.
+    rejected_once: bool,
+    /// The first call waits for capacity of the channel to the proxies.
+    waits_for_capacity: bool,
+    /// Proxies may have joined of which the relay has not told yet.
+    pub(super) proxies_unknown: bool,
+    /// When the first call was last written.
+    pub(super) sent_at: f64,
+}
+
+impl RelayCalls {
+    pub(super) fn new(address: SocketAddr) -> Self {
+        RelayCalls {
+            queue: VecDeque::new(),
+            connections: RelayConnections::new(address),
+            answer_deadline: None,
+            earliest_write: 0.0,
+            wait_for_state_until: None,
+            retries: 0,
+            rejected_once: false,
+            waits_for_capacity: false,
+            proxies_unknown: false,
+            sent_at: 0.0,
+        }
+    }
+
+    /// Queues orders that were given together as one call, or as several if it would be too long. Neighbouring orders
+    /// of one slice stay in one call: a proxy must never hold half of what a table becomes.
+    pub(super) fn enqueue(&mut self, orders: Vec<RelayOrder>) {
+        let mut bytes = 0;
+        let mut call: Vec<RelayOrder> = Vec::new();
+        for group in orders.chunk_by(|a, b| a.slice().is_some() && a.slice() == b.slice()) {
+            let group_bytes: usize = group.iter().map(RelayOrder::encoded_len).sum();
+            if bytes + group_bytes > relay::MOST && !call.is_empty() {
+                self.queue.push_back(std::mem::take(&mut call));
+                bytes = 0;
+            }
+            // No table is so long that it fills a call alone; should one be, it is cut, as it could never go out.
+            for order in group {
+                if bytes + order.encoded_len() > relay::MOST {
+                    self.queue.push_back(std::mem::take(&mut call));
+                    bytes = 0;
+                }
+                bytes += order.encoded_len();
+                call.push(order.clone());
+            }
+        }
+        if !call.is_empty() {
+            self.queue.push_back(call);
+        }
+    }
+
+    /// Merges what waits to one call. A call that is not settled stays as it is: nothing later goes out with it.
+    fn merge_queue(&mut self, outbox: &mut Outbox) {
+        let unsettled = if self.is_first_unsettled() { self.queue.pop_front() } else { None };
+        let merged = merge(self.queue.drain(..).flatten().collect());
+        self.queue.extend(unsettled);
+        self.enqueue(group_by_slice(merged));
+        outbox.counters.calls_merged += 1;
+    }
+
+    /// Removes queued orders for a slice that was assigned anew or revoked: they were decided on a table that is no
+    /// more. A weight written now would stand in the new table without the decisions knowing.
+    pub(super) fn discard_slice(&mut self, slice: SliceId) {
+        let in_flight = self.answer_deadline.is_some() as usize;
+        for call in self.queue.iter_mut().skip(in_flight) {
+            call.retain(|order| order.affected_slice() != Some(slice));
+        }
+        if in_flight == 0 && self.queue.front().is_some_and(Vec::is_empty) {
+            self.retries = 0;
+            self.rejected_once = false;
+        }
+        self.queue.retain(|call| !call.is_empty());
+    }
+
+    /// Whether the relay's state is known. While it is not, what is queued may have been decided on tables that are no
+    /// more, so it waits for the state. It goes out all the same after a while, and again so long after each call that
+    /// was lost.
+    pub(super) fn set_relay_state_known(&mut self, now: f64, known: bool) {
+        self.wait_for_state_until = if known { None } else { Some(now + MAX_WAIT_FOR_STATE_S) };
+    }
+
+    /// The slices of which the unsettled call sets weights.
+    pub(super) fn slices_in_flight(&self) -> BTreeSet<SliceId> {
+        match self.queue.front() {
+            Some(call) if self.is_first_unsettled() => call.iter().filter_map(RelayOrder::slice).collect(),
+            _ => BTreeSet::new(),
+        }
+    }
+
+    /// No call is in flight or queued.
+    pub(super) fn is_idle(&self) -> bool {
+        self.queue.is_empty()
+    }
+
+    /// Whether a queued order names the host.
+    pub(super) fn mentions(&self, host: HostId) -> bool {
+        self.queue.iter().flatten().any(|order| match order.target {
+            OrderTarget::Weight(_, of) | OrderTarget::Withdraw(of) => of == host,
+            _ => false,
+        })
+    }
+
+    /// Writes the next call if one may go. `writable` says how many of its orders may be written now.
+    pub(super) fn poll(&mut self, now: f64, writable: impl Fn(WriteRequest) -> usize, outbox: &mut Outbox) {
+        if self.answer_deadline.is_some_and(|deadline| now >= deadline) {
+            self.retry(now, "no answer in time", outbox);
+        }
+        if self.queue.len() > MAX_QUEUED_CALLS {
+            self.merge_queue(outbox);
+        }
+        self.connections.poll(now, self.answer_deadline.is_some(), outbox);
+        let Some(call) = self.queue.front() else { return };
+        if self.answer_deadline.is_some() || now < self.write_time() {
+            return;
+        }
+        // A repeat may find its first copy in the channel, and more proxies than when it was decided: the decisions
+        // say what still keeps to the backlog, as they estimate what waits there.
+        let request = WriteRequest {
+            orders: call.len(),
+            is_retry: self.is_first_unsettled(),
+            proxies_unknown: self.proxies_unknown,
+        };
+        let allowed = writable(request);
+        if allowed == 0 {
+            if !self.waits_for_capacity {
+                outbox.counters.calls_held += 1;
+            }
+            self.waits_for_capacity = true;
+            self.earliest_write = now + CAPACITY_POLL_S;
+            return;
+        }
+        self.waits_for_capacity = false;
+        match *self.connections.current() {
+            Connection::Connecting(_) => {}
+            Connection::Open { link, idle_since }
+                if now - idle_since < MAX_IDLE_S || self.connections.has_successor() =>
+            {
+                self.write_first(now, link, allowed, outbox);
+            }
+            Connection::Open { .. } | Connection::Closed => self.connections.reconnect(outbox),
+        }
+    }
+
+    fn write_first(&mut self, now: f64, link: LinkId, allowed: usize, outbox: &mut Outbox) {
+        if self.split_first(allowed) {
+            outbox.counters.calls_cut += 1;
+        }
+        let call = &self.queue[0];
+        let mark = call.iter().find_map(|order| match order.target {
+            OrderTarget::Mark(mark) => Some(mark),
+            _ => None,
+        });
+        let written = Call::Written { mark, orders: call.len(), unheard: self.proxies_unknown };
+        outbox.inputs.push(Input::Call(written));
+        self.answer_deadline = Some(now + ANSWER_TIMEOUT_S);
+        self.sent_at = now;
+        outbox.counters.calls_sent += 1;
+        let bytes = relay::call(call.iter().map(|order| order.text.as_str()));
+        outbox.effects.push(Effect::Send(link, bytes));
+    }
+
+    /// Splits the first call so that it has at most `max_orders` orders, if possible not within neighbouring orders of
+    /// one slice. Each part gets the mark, as receipts show what has passed. False if the call is short enough.
+    fn split_first(&mut self, max_orders: usize) -> bool {
+        let call = &mut self.queue[0];
+        if max_orders >= call.len() {
+            return false;
+        }
+        let mark = call.iter().find(|order| matches!(order.target, OrderTarget::Mark(_))).cloned();
+        let max_orders = max_orders.saturating_sub(mark.is_some() as usize).max(1);
+        let splits_slice = |at: &usize| {
+            let slice = call[*at].slice();
+            slice.is_some() && slice == call[*at - 1].slice()
+        };
+        let at = (1..=max_orders).rev().find(|at| !splits_slice(at)).unwrap_or(max_orders);
+        let rest = call.split_off(at);
+        call.extend(mark);
+        self.queue.insert(1, rest);
+        true
+    }
+
+    /// When the next call may be written.
+    fn write_time(&self) -> f64 {
+        self.earliest_write.max(self.wait_for_state_until.unwrap_or(0.0))
+    }
+
+    /// The relay has another address from now on.
+    pub(super) fn set_address(&mut self, address: SocketAddr, outbox: &mut Outbox) {
+        self.connections.set_address(address, outbox);
+    }
+
+    pub(super) fn owns(&self, link: LinkId) -> bool {
+        self.connections.owns(link)
+    }
+
+    pub(super) fn connected(&mut self, now: f64, link: LinkId) {
+        self.connections.connected(now, link);
+    }
+
+    /// A connection has ended, or could not be established.
+    pub(super) fn connection_down(&mut self, now: f64, link: LinkId, reason: &str, outbox: &mut Outbox) {
+        if !self.connections.is_current(link) {
+            self.connections.successor_failed(now + RECONNECT_DELAY_S, outbox);
+            return;
+        }
+        if self.answer_deadline.is_some() {
+            self.retry(now, reason, outbox);
+            return;
+        }
+        // An idle connection may end; one that could not be established is tried again after a delay.
+        if matches!(self.connections.current(), Connection::Connecting(_)) {
+            self.earliest_write = now + RECONNECT_DELAY_S;
+        }
+        self.connections.close_current(outbox);
+    }
+
+    /// The first call was written, and it is not known yet whether it was carried out.
+    fn is_first_unsettled(&self) -> bool {
+        self.answer_deadline.is_some() || self.retries > 0 || self.rejected_once
+    }
+
+    /// It cannot be known whether the first call was carried out. It goes out again before anything else, on a new
+    /// connection, as a late answer on the old one would be taken for the next call's.
+    fn retry(&mut self, now: f64, reason: &str, outbox: &mut Outbox) {
+        outbox.counters.calls_repeated += 1;
+        // One log line for a call, however long the relay stays away.
+        if self.retries == 0 {
+            outbox.warn(format!("relay: call repeated, {reason}"));
+        }
+        let backoff = RETRY_BACKOFF_S * f64::from(self.retries) * f64::from(self.retries);
+        self.retries += 1;
+        self.answer_deadline = None;
+        self.earliest_write = now + backoff.min(MAX_RETRY_BACKOFF_S);
+        if self.wait_for_state_until.is_some() {
+            self.wait_for_state_until = Some(now + MAX_WAIT_FOR_STATE_S);
+        }
+        self.connections.close_current(outbox);
+    }
+
+    /// When `poll` may have something to do by itself; infinity if never.
+    pub(super) fn next_timeout(&self) -> f64 {
+        let is_connecting = matches!(self.connections.current(), Connection::Connecting(_));
+        let next_call = match self.answer_deadline {
+            Some(deadline) => deadline,
+            None if is_connecting || self.queue.is_empty() => f64::INFINITY,
+            None => self.write_time(),
+        };
+        self.connections.next_timeout().min(next_call)
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/relay_lines.rs
@@ -0,0 +1,92 @@
+//! Lines from the relay: answers to calls, and updates of the subscription.
+
+use super::message_fields::resolved;
+use super::relay_calls::OrderTarget;
+use super::relay_subscription::{stored_line, RelayUpdate};
+use super::{LinkId, Reducer};
+use crate::framing::Framed;
+use coppersail::interface::MarkId;
+use coppersail_protocol::relay::News;
+use coppersail_protocol::Fault;
+
+impl Reducer {
+    /// Handles one line of a connection to the relay; lines of connections that were closed are ignored.
+    pub(super) fn handle_relay_line(&mut self, now: f64, link: LinkId, line: Framed) {
+        if self.calls.owns(link) {
+            self.handle_call_answer(now, link, line);
+        } else if self.subscription.owns(link) {
+            self.handle_update_line(now, link, line);
+        }
+    }
+
+    fn handle_call_answer(&mut self, now: f64, link: LinkId, line: Framed) {
+        // A line that is too long is an answer that cannot be read.
+        let line = match line {
+            Framed::Line(line) => line,
+            Framed::TooLong => Vec::new(),
+        };
+        let sent_at = self.calls.sent_at;
+        for order in self.calls.answer(now, link, &line, &mut self.outbox) {
+            match order.target {
+                OrderTarget::Weight(slice, host) => {
+                    // If the slice was assigned anew while the call was in flight, the weight is now in a table for
+                    // which it was not meant, and the decisions have to know.
+                    let reassigned = self.subscription.assigned_at(slice).is_some_and(|at| at > sent_at);
+                    if reassigned && order.weight > 0.0 {
+                        self.outbox.inputs.push(stored_line(slice, host, order.weight));
+                    }
+                    self.subscription.weight_written(slice, host, order.weight);
+                }
+                OrderTarget::Clear(slice) => self.subscription.weights_cleared(slice),
+                OrderTarget::Withdraw(_) | OrderTarget::Admit(..) | OrderTarget::Mark(_) => {}
+            }
+        }
+    }
+
+    fn handle_update_line(&mut self, now: f64, link: LinkId, line: Framed) {
+        self.outbox.counters.news_lines += 1;
+        let parsed = match &line {
+            Framed::Line(line) => News::parse(line),
+            Framed::TooLong => Err(Fault("a line without an end".to_string())),
+        };
+        let news = match parsed {
+            Ok(news) => news,
+            Err(fault) => {
+                // The rest of the stream cannot be relied on either; a new connection starts with the whole state.
+                self.outbox.counters.news_bad += 1;
+                self.subscription.connection_down(now, link, &fault.0, &mut self.outbox);
+                return;
+            }
+        };
+        match self.resolve_update(news) {
+            Ok(update) => self.subscription.apply(now, link, update, &mut self.outbox),
+            Err(fault) => {
+                self.outbox.counters.news_bad += 1;
+                self.outbox.warn(format!("relay: news passed over, {fault}"));
+            }
+        }
+    }
+
+    fn resolve_update(&mut self, news: News<'_>) -> Result<RelayUpdate, Fault> {
+        let ids = &self.id_ranges;
+        Ok(match news {
+            News::Start => RelayUpdate::SnapshotStart,
+            News::Life => RelayUpdate::KeepAlive,
+            News::Joined { proxy, zone, calls_per_s, fresh } => {
+                let proxy = ids.proxy(proxy)?;
+                let zone = resolved("az", self.names.zone(zone))?;
+                RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh }
+            }
+            News::Left { proxy } => RelayUpdate::ProxyLeft(ids.proxy(proxy)?),
+            News::Applied { proxy, mark, took } => {
+                RelayUpdate::Applied { proxy: ids.proxy(proxy)?, mark: MarkId(mark), took }
+            }
+            News::Given { slice } => RelayUpdate::SliceAssigned(ids.slice(slice)?),
+            News::Taken { slice } => RelayUpdate::SliceRevoked(ids.slice(slice)?),
+            News::StoredLine { slice, host, weight } => {
+                let slice = ids.slice(slice)?;
+                RelayUpdate::WeightStored { slice, host: self.names.host(host), weight }
+            }
+        })
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/relay_subscription/updates.rs
@@ -0,0 +1,118 @@
+//! How one update changes what its stream has told and, if the stream leads, what the decisions know.
+
+use super::super::outbox::Outbox;
+use super::super::LinkId;
+use super::state::{ProxyState, SliceState};
+use super::{stored_line, RelaySubscription, RelayUpdate};
+use coppersail::interface::{HostId, Input, ProxyId, SliceId};
+
+impl RelaySubscription {
+    /// Applies one update of a stream.
+    pub(crate) fn apply(&mut self, now: f64, link: LinkId, update: RelayUpdate, outbox: &mut Outbox) {
+        let Some(index) = self.position(link) else { return };
+        let leads = index == 0;
+        self.streams[index].last_heard = now;
+        match update {
+            RelayUpdate::SnapshotStart => {}
+            RelayUpdate::KeepAlive => self.keep_alive(now, index, outbox),
+            RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh } => {
+                let input = Input::Joined { proxy, zone, calls_per_s, fresh };
+                self.proxy_joined(now, index, proxy, input, outbox);
+            }
+            RelayUpdate::ProxyLeft(proxy) => {
+                self.streams[index].state.proxies.remove(&proxy);
+                if leads && self.reported.proxies.remove(&proxy).is_some() {
+                    outbox.inputs.push(Input::Left(proxy));
+                }
+            }
+            RelayUpdate::Applied { proxy, mark, took } => {
+                if leads && self.reported.proxies.contains_key(&proxy) {
+                    outbox.inputs.push(Input::Applied { proxy, mark, took });
+                }
+            }
+            RelayUpdate::SliceAssigned(slice) => self.slice_assigned(now, index, slice, outbox),
+            RelayUpdate::SliceRevoked(slice) => {
+                self.streams[index].state.slices.remove(&slice);
+                self.streams[index].to_compare.remove(&slice);
+                if leads && self.reported.slices.remove(&slice).is_some() {
+                    outbox.inputs.push(Input::Taken(slice));
+                }
+            }
+            RelayUpdate::WeightStored { slice, host, weight } => {
+                self.weight_stored(index, slice, host, weight, outbox);
+            }
+        }
+    }
+
+    /// The first keep-alive of a stream completes its snapshot.
+    fn keep_alive(&mut self, now: f64, index: usize, outbox: &mut Outbox) {
+        let stream = &mut self.streams[index];
+        if stream.is_synchronized {
+            return;
+        }
+        stream.is_synchronized = true;
+        let proxies = stream.state.proxies.len();
+        let slices = stream.state.slices.len();
+        let is_at_address = stream.address == self.address;
+        outbox.info(format!("relay: news open, {proxies} proxies, {slices} slices"));
+        self.outage_logged = false;
+        if index == 0 {
+            self.reconcile(now, outbox);
+        } else if is_at_address && self.streams[0].address != self.address {
+            // The first synchronized stream at the relay's new address: those at the old one have served.
+            let address = self.address;
+            self.close_streams(|stream| stream.address != address, outbox);
+            self.promote_first(now, outbox);
+        }
+    }
+
+    fn proxy_joined(&mut self, now: f64, index: usize, proxy: ProxyId, input: Input, outbox: &mut Outbox) {
+        let stream = &mut self.streams[index];
+        let leads = index == 0;
+        // A known proxy in the snapshot of a stream that stands by has not joined again.
+        let known = self.reported.proxies.get(&proxy).filter(|_| !stream.is_synchronized && !leads);
+        let joined_at = known.map_or(now, |known| known.joined_at);
+        stream.state.proxies.insert(proxy, ProxyState { joined_at, input: input.clone() });
+        if leads {
+            self.reported.proxies.insert(proxy, ProxyState { joined_at: now, input: input.clone() });
+            outbox.inputs.push(input);
+        }
+    }
+
+    fn slice_assigned(&mut self, now: f64, index: usize, slice: SliceId, outbox: &mut Outbox) {
+        let stream = &mut self.streams[index];
+        stream.state.slices.insert(slice, SliceState::assigned(now));
+        if index != 0 {
+            return;
+        }
+        if !stream.is_synchronized && self.reported.slices.contains_key(&slice) {
+            stream.to_compare.insert(slice);
+        } else {
+            self.reported.slices.insert(slice, SliceState::assigned(now));
+            outbox.inputs.push(Input::Given(slice));
+        }
+    }
+
+    fn weight_stored(
+        &mut self,
+        index: usize,
+        slice: SliceId,
+        host: HostId,
+        weight: f64,
+        outbox: &mut Outbox,
+    ) {
+        let stream = &mut self.streams[index];
+        if let Some(state) = stream.state.slices.get_mut(&slice) {
+            state.weights.insert(host, weight);
+        }
+        if index != 0 || stream.to_compare.contains(&slice) {
+            return;
+        }
+        if let Some(state) = self.reported.slices.get_mut(&slice) {
+            // A weight that is known already would count twice.
+            if state.weights.insert(host, weight).is_none() {
+                outbox.inputs.push(stored_line(slice, host, weight));
+            }
+        }
+    }
+}
--- a/crates/director/service/src/reducer/channel_tests.rs
+++ b/crates/director/service/src/reducer/tests/channel_model.rs
@@ -2,10 +2,11 @@
 //! that pass one after the other at a pace that nobody tells. Whatever becomes of calls, receipts and proxies, what
 //! really waits keeps to the backlog, and no withdrawal waits for ever.
 
-use super::tests::lines;
-use super::*;
+use super::super::*;
+use super::{lines, CONFIG};
 use proptest::prelude::*;
 use proptest::test_runner::{Config as Cases, RngAlgorithm, TestRng, TestRunner};
+use std::collections::BTreeSet;
 use std::collections::{BTreeMap, VecDeque};
 use test_case::test_case;
 
@@ -252,7 +253,7 @@
 fn play(script: &Script) -> Played {
     let (lines_per_s, backlog) = (script.lines_per_s(), script.backlog());
     let messages = if script.counted { MESSAGES_MOST } else { 0 };
-    let text = super::tests::CONFIG.replace(
+    let text = CONFIG.replace(
         "\"slices\":1,\"proxy-count\":2",
         &format!(
             "\"slices\":{},\"proxy-count\":{},\"lines-per-s\":{lines_per_s:?},\"backlog\":{:?},\
--- a/crates/director/service/src/reducer/tests.rs
+++ b/crates/director/service/src/reducer/tests/mod.rs
@@ -1,9 +1,17 @@
 //! Each part's state is built directly and one function is called.
 
-use super::calls::{Aim, Calls, Told};
-use super::news::{Item, News};
+mod channel_model;
+
+use super::collector_connections::Sender;
+use super::relay_calls::{OrderTarget, RelayOrder, WriteRequest};
+use super::relay_subscription::RelayUpdate;
 use super::*;
+use crate::framing::Framed;
+use coppersail::interface as api;
 use coppersail::interface::{HostId, Input, ProxyId, SliceId, ZoneId};
+use coppersail_protocol::collector::ALIVE;
+use std::collections::BTreeSet;
+use std::net::SocketAddr;
 use test_case::test_case;
 
 fn here() -> SocketAddr {
@@ -15,26 +23,26 @@
 }
 
 /// Of what may be written now: all.
-fn all(orders: usize, _: bool, _: bool) -> usize {
-    orders
+fn all(request: WriteRequest) -> usize {
+    request.orders
 }
 
-fn line(slice: u16, host: u32, weight: f64) -> Told {
-    let aim = Aim::Line(SliceId(slice), HostId(host));
-    Told { aim, weight, text: format!("SET,{slice},h{host},{weight}") }
+fn line(slice: u16, host: u32, weight: f64) -> RelayOrder {
+    let target = OrderTarget::Weight(SliceId(slice), HostId(host));
+    RelayOrder { target, weight, text: format!("SET,{slice},h{host},{weight}") }
 }
 
 /// A queue with one connection up and these calls given.
-fn calls(given: &[&[Told]]) -> (Calls, Out) {
-    let (mut calls, mut out) = (Calls::new(here()), Out::default());
-    given.iter().for_each(|call| calls.give(call.to_vec()));
-    calls.pump(0.0, all, &mut out);
-    calls.up(0.0, LinkId(1));
-    calls.pump(0.0, all, &mut out);
+fn calls(given: &[&[RelayOrder]]) -> (RelayCalls, Outbox) {
+    let (mut calls, mut out) = (RelayCalls::new(here()), Outbox::default());
+    given.iter().for_each(|call| calls.enqueue(call.to_vec()));
+    calls.poll(0.0, all, &mut out);
+    calls.connected(0.0, LinkId(1));
+    calls.poll(0.0, all, &mut out);
     (calls, out)
 }
 
-fn sent(out: &Out) -> Vec<String> {
+fn sent(out: &Outbox) -> Vec<String> {
     let text = |effect: &Effect| match effect {
         Effect::Send(_, bytes) => Some(String::from_utf8_lossy(bytes).trim_end().to_string()),
         _ => None,
@@ -46,11 +54,11 @@
 fn one_call_is_out_at_a_time() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)], &[line(2, 2, 0.5)]]);
     assert_eq!(sent(&out), ["txn SET,1,h1,1"]);
-    calls.pump(0.01, all, &mut out);
+    calls.poll(0.01, all, &mut out);
     assert_eq!(sent(&out).len(), 1, "the first is not answered yet");
     let taken = calls.answer(0.02, LinkId(1), b"OK 1", &mut out);
     assert_eq!(taken, [line(1, 1, 1.0)]);
-    calls.pump(0.02, all, &mut out);
+    calls.poll(0.02, all, &mut out);
     assert_eq!(sent(&out)[1..], ["txn SET,2,h2,0.5"]);
 }
 
@@ -64,12 +72,12 @@
 #[test_case(&[b"ValidationError"], 0, 0, 1 ; "not valid once may be spoilt")]
 fn answers(answers: &[&[u8]], taken: u64, refused: u64, repeated: u64) {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0), line(1, 2, 0.5)]]);
-    calls.give(vec![line(2, 1, 1.0)]);
+    calls.enqueue(vec![line(2, 1, 1.0)]);
     let mut told = 0;
     for answer in answers {
         assert!(!sent(&out).concat().contains("SET,2"), "nothing later before it is settled");
         told += calls.answer(0.01, LinkId(1), answer, &mut out).len() as u64;
-        calls.pump(0.01, all, &mut out);
+        calls.poll(0.01, all, &mut out);
     }
     let counts = &out.counters;
     assert_eq!((told, counts.orders_taken, counts.orders_refused), (taken, taken, refused));
@@ -80,18 +88,19 @@
 fn a_call_that_is_not_valid_twice_is_dropped() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)], &[line(2, 1, 1.0)]]);
     calls.answer(0.01, LinkId(1), b"ValidationError", &mut out);
-    calls.pump(0.01, all, &mut out);
-    calls.up(0.01, LinkId(2));
-    calls.pump(0.01, all, &mut out);
+    calls.poll(0.01, all, &mut out);
+    calls.connected(0.01, LinkId(2));
+    calls.poll(0.01, all, &mut out);
     calls.answer(0.02, LinkId(2), b"ValidationError", &mut out);
-    calls.pump(0.02, all, &mut out);
+    calls.poll(0.02, all, &mut out);
     assert_eq!(sent(&out), ["txn SET,1,h1,1", "txn SET,1,h1,1", "txn SET,2,h1,1"]);
 }
 
 #[test]
 fn a_long_call_is_split() {
     let text = "x".repeat(25_000);
-    let long: Vec<Told> = (0..5).map(|k| Told { text: text.clone(), ..line(1, k, 1.0) }).collect();
+    let long: Vec<RelayOrder> =
+        (0..5).map(|k| RelayOrder { text: text.clone(), ..line(1, k, 1.0) }).collect();
     let (_, out) = calls(&[&long]);
     assert_eq!((sent(&out)[0].len(), out.counters.calls_sent), (4 + 2 * 25_000 + 1, 1));
 }
@@ -99,14 +108,14 @@
 #[test]
 fn a_repeat_waits_until_the_decisions_let_it_go() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)]]);
-    calls.down(0.001, LinkId(1), "broken", &mut out);
-    let held = |_: usize, again: bool, _: bool| if again { 0 } else { 9 };
-    calls.pump(0.001, held, &mut out);
+    calls.connection_down(0.001, LinkId(1), "broken", &mut out);
+    let held = |request: WriteRequest| if request.is_retry { 0 } else { 9 };
+    calls.poll(0.001, held, &mut out);
     assert_eq!(sent(&out).len(), 1);
-    let at = calls.next();
-    calls.pump(at, all, &mut out);
-    calls.up(at, LinkId(2));
-    calls.pump(at, all, &mut out);
+    let at = calls.next_timeout();
+    calls.poll(at, all, &mut out);
+    calls.connected(at, LinkId(2));
+    calls.poll(at, all, &mut out);
     assert_eq!(sent(&out), ["txn SET,1,h1,1", "txn SET,1,h1,1"]);
 }
 
@@ -115,26 +124,26 @@
 #[test_case(2, &["txn SET,1,h1,1;SET,1,h2,0", "txn SET,2,h1,1;SET,2,h2,0"] ; "between tables")]
 #[test_case(3, &["txn SET,1,h1,1;SET,1,h2,0", "txn SET,2,h1,1;SET,2,h2,0"] ; "before the table that does not fit whole")]
 fn what_fits_goes_first(many: usize, expected: &[&str]) {
-    let (mut calls, mut out) = (Calls::new(here()), Out::default());
-    calls.give(vec![line(1, 1, 1.0), line(1, 2, 0.0), line(2, 1, 1.0), line(2, 2, 0.0)]);
-    calls.up(0.0, LinkId(1));
-    calls.pump(0.0, |_, _, _| many, &mut out);
+    let (mut calls, mut out) = (RelayCalls::new(here()), Outbox::default());
+    calls.enqueue(vec![line(1, 1, 1.0), line(1, 2, 0.0), line(2, 1, 1.0), line(2, 2, 0.0)]);
+    calls.connected(0.0, LinkId(1));
+    calls.poll(0.0, |_| many, &mut out);
     let taken = format!("OK {}", expected[0].matches("SET").count());
     calls.answer(0.01, LinkId(1), taken.as_bytes(), &mut out);
-    calls.pump(0.01, all, &mut out);
+    calls.poll(0.01, all, &mut out);
     assert_eq!(sent(&out), expected);
 }
 
 #[test]
 fn what_waits_for_a_lost_relay_is_merged() {
-    let given: Vec<Vec<Told>> =
+    let given: Vec<Vec<RelayOrder>> =
         (0..40).map(|k| vec![line(1, 1, f64::from(k)), line(2, k % 2, 1.0)]).collect();
-    let given: Vec<&[Told]> = given.iter().map(Vec::as_slice).collect();
-    let (mut calls, mut out) = (Calls::new(here()), Out::default());
-    given.iter().for_each(|call| calls.give(call.to_vec()));
-    calls.pump(0.0, all, &mut out);
-    calls.up(0.0, LinkId(1));
-    calls.pump(0.0, all, &mut out);
+    let given: Vec<&[RelayOrder]> = given.iter().map(Vec::as_slice).collect();
+    let (mut calls, mut out) = (RelayCalls::new(here()), Outbox::default());
+    given.iter().for_each(|call| calls.enqueue(call.to_vec()));
+    calls.poll(0.0, all, &mut out);
+    calls.connected(0.0, LinkId(1));
+    calls.poll(0.0, all, &mut out);
     assert_eq!(
         sent(&out),
         ["txn SET,2,h0,1;SET,2,h1,1;SET,1,h1,39"],
@@ -146,14 +155,14 @@
 #[test]
 fn a_call_that_is_not_settled_is_not_merged() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)]]);
-    (0..40).for_each(|k| calls.give(vec![line(1, 1, f64::from(k))]));
-    calls.down(0.01, LinkId(1), "broken", &mut out);
-    calls.pump(0.02, all, &mut out);
-    calls.up(0.02, LinkId(2));
-    calls.pump(0.02, all, &mut out);
+    (0..40).for_each(|k| calls.enqueue(vec![line(1, 1, f64::from(k))]));
+    calls.connection_down(0.01, LinkId(1), "broken", &mut out);
+    calls.poll(0.02, all, &mut out);
+    calls.connected(0.02, LinkId(2));
+    calls.poll(0.02, all, &mut out);
     assert_eq!(sent(&out)[1..], ["txn SET,1,h1,1"], "the same again, and nothing later with it");
     calls.answer(0.03, LinkId(2), b"OK 1", &mut out);
-    calls.pump(0.03, all, &mut out);
+    calls.poll(0.03, all, &mut out);
     assert_eq!(sent(&out)[2..], ["txn SET,1,h1,39"]);
 }
 
@@ -165,12 +174,12 @@
     if settled {
         calls.answer(0.01, LinkId(1), b"OK 1", &mut out);
     } else {
-        calls.down(0.01, LinkId(1), "broken", &mut out);
+        calls.connection_down(0.01, LinkId(1), "broken", &mut out);
     }
-    calls.forget(SliceId(1));
-    calls.pump(0.02, all, &mut out);
-    calls.up(0.02, LinkId(2));
-    calls.pump(0.02, all, &mut out);
+    calls.discard_slice(SliceId(1));
+    calls.poll(0.02, all, &mut out);
+    calls.connected(0.02, LinkId(2));
+    calls.poll(0.02, all, &mut out);
     assert_eq!(sent(&out), expected);
 }
 
@@ -188,23 +197,27 @@
     reducer.reduce(0.1, Event::RelayLines(NEWS, lines(&["OK", "* lease 0 1", "* line 0 h1 1.0", "*"])));
     reducer.reduce(0.1, Event::Settle);
     let host = reducer.names.host("h9");
-    let out = Told { aim: Aim::Withdraw(host), weight: 0.0, text: "OUT,h9".to_string() };
-    let set = Told { aim: Aim::Line(SliceId(0), host), weight: 1.0, text: "SET,0,h9,1".to_string() };
-    reducer.calls.give(vec![set, out]);
+    let out = RelayOrder { target: OrderTarget::Withdraw(host), weight: 0.0, text: "OUT,h9".to_string() };
+    let set = RelayOrder {
+        target: OrderTarget::Weight(SliceId(0), host),
+        weight: 1.0,
+        text: "SET,0,h9,1".to_string(),
+    };
+    reducer.calls.enqueue(vec![set, out]);
     (reducer, host)
 }
 
 #[test]
 fn a_line_that_met_a_new_table_is_told() {
     let (mut reducer, host) = holding_a_slice();
-    reducer.calls.pump(0.2, all, &mut reducer.out);
-    let call = LinkId(reducer.out.links);
-    reducer.calls.up(0.2, call);
-    reducer.calls.pump(0.2, all, &mut reducer.out);
+    reducer.calls.poll(0.2, all, &mut reducer.outbox);
+    let call = LinkId(reducer.outbox.last_link);
+    reducer.calls.connected(0.2, call);
+    reducer.calls.poll(0.2, all, &mut reducer.outbox);
     reducer.reduce(0.21, Event::RelayLines(NEWS, lines(&["* lease 0 0", "* lease 0 1"])));
-    reducer.out.inputs.clear();
+    reducer.outbox.inputs.clear();
     reducer.reduce(0.22, Event::RelayLines(call, lines(&["OK 2"])));
-    assert_eq!(reducer.out.inputs, [Input::StoredLine { slice: SliceId(0), host, weight: 1.0 }]);
+    assert_eq!(reducer.outbox.inputs, [Input::StoredLine { slice: SliceId(0), host, weight: 1.0 }]);
 }
 
 #[test]
@@ -212,9 +225,9 @@
     let (mut reducer, _) = holding_a_slice();
     reducer.reduce(0.2, Event::RelayLines(NEWS, lines(&["* lease 0 0"])));
     reducer.reduce(0.2, Event::Settle);
-    reducer.reduce(0.2, Event::RelayUp(LinkId(reducer.out.links)));
-    reducer.out.effects = reducer.reduce(0.2, Event::Settle);
-    assert_eq!(sent(&reducer.out), ["txn OUT,h9"]);
+    reducer.reduce(0.2, Event::RelayUp(LinkId(reducer.outbox.last_link)));
+    reducer.outbox.effects = reducer.reduce(0.2, Event::Settle);
+    assert_eq!(sent(&reducer.outbox), ["txn OUT,h9"]);
 }
 
 #[test_case(false, 1 ; "while the news are told")]
@@ -231,12 +244,12 @@
 #[test]
 fn a_blind_director_waits_before_it_writes() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)], &[line(2, 1, 1.0)]]);
-    calls.blind(0.01, true);
-    calls.down(0.1, LinkId(1), "broken", &mut out);
-    calls.pump(1.5, all, &mut out);
-    assert_eq!((sent(&out).len(), calls.next()), (1, 1.6), "so long after a call that was lost");
-    calls.blind(1.55, false);
-    calls.pump(1.55, all, &mut out);
+    calls.set_relay_state_known(0.01, false);
+    calls.connection_down(0.1, LinkId(1), "broken", &mut out);
+    calls.poll(1.5, all, &mut out);
+    assert_eq!((sent(&out).len(), calls.next_timeout()), (1, 1.6), "so long after a call that was lost");
+    calls.set_relay_state_known(1.55, true);
+    calls.poll(1.55, all, &mut out);
     assert_eq!(out.effects.last(), Some(&Effect::Dial(LinkId(2), here())));
 }
 
@@ -244,13 +257,13 @@
 #[test_case(b"O?", &["txn SET,1,h1,1", "txn SET,1,h1,1"] ; "with an answer that cannot be read")]
 fn a_call_under_way_is_settled_before_the_relay_is_left(answer: &[u8], expected: &[&str]) {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)], &[line(2, 1, 1.0)]]);
-    calls.move_to(elsewhere(), &mut out);
+    calls.set_address(elsewhere(), &mut out);
     assert_eq!(out.effects.last(), Some(&Effect::Dial(LinkId(2), elsewhere())), "while the old one serves");
-    calls.up(0.01, LinkId(2));
-    calls.pump(0.01, all, &mut out);
+    calls.connected(0.01, LinkId(2));
+    calls.poll(0.01, all, &mut out);
     assert!(!out.effects.contains(&Effect::HangUp(LinkId(1))), "its answer is awaited");
     calls.answer(0.02, LinkId(1), answer, &mut out);
-    calls.pump(0.02, all, &mut out);
+    calls.poll(0.02, all, &mut out);
     assert!(out.effects.contains(&Effect::HangUp(LinkId(1))));
     assert_eq!(sent(&out), expected);
     assert!(matches!(out.effects.last(), Some(Effect::Send(LinkId(2), _))));
@@ -260,45 +273,46 @@
 fn the_old_relay_serves_until_the_new_one_is_up() {
     let (mut calls, mut out) = calls(&[&[line(1, 1, 1.0)], &[line(2, 1, 1.0)]]);
     calls.answer(0.01, LinkId(1), b"OK 1", &mut out);
-    calls.move_to(elsewhere(), &mut out);
-    calls.down(0.02, LinkId(2), "refused", &mut out);
-    calls.pump(0.02, all, &mut out);
+    calls.set_address(elsewhere(), &mut out);
+    calls.connection_down(0.02, LinkId(2), "refused", &mut out);
+    calls.poll(0.02, all, &mut out);
     assert!(matches!(out.effects.last(), Some(Effect::Send(LinkId(1), _))), "nobody is there yet");
-    calls.pump(0.2, all, &mut out);
+    calls.poll(0.2, all, &mut out);
     let again = |effect: &&Effect| **effect == Effect::Dial(LinkId(3), elsewhere());
     assert_eq!(out.effects.iter().filter(again).count(), 1, "it is dialled again");
 }
 
-fn joined(proxy: u16) -> Item {
-    Item::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), calls_per_s: 1.0, fresh: false }
+fn joined(proxy: u16) -> RelayUpdate {
+    RelayUpdate::ProxyJoined { proxy: ProxyId(proxy), zone: ZoneId(0), calls_per_s: 1.0, fresh: false }
 }
 
-fn stored(slice: u16, host: u32, weight: f64) -> Item {
-    Item::Line { slice: SliceId(slice), host: HostId(host), weight }
+fn stored(slice: u16, host: u32, weight: f64) -> RelayUpdate {
+    RelayUpdate::WeightStored { slice: SliceId(slice), host: HostId(host), weight }
 }
 
 /// News on `link` from its start to the first sign of life; the inputs made of them.
-fn told(news: &mut News, now: f64, link: u64, items: &[Item]) -> Vec<Input> {
-    let mut out = Out { links: link - 1, ..Out::default() };
+fn told(news: &mut RelaySubscription, now: f64, link: u64, items: &[RelayUpdate]) -> Vec<Input> {
+    let mut out = Outbox { last_link: link - 1, ..Outbox::default() };
     if !news.owns(LinkId(link)) {
-        news.pump(now, &mut out);
-        news.up(now, LinkId(link), &mut out);
+        news.poll(now, &mut out);
+        news.connected(now, LinkId(link), &mut out);
     }
-    items.iter().for_each(|item| news.take(now, LinkId(link), item.clone(), &mut out));
+    items.iter().for_each(|item| news.apply(now, LinkId(link), item.clone(), &mut out));
     out.inputs
 }
 
-fn lost(news: &mut News, now: f64, link: u64) -> Vec<Input> {
-    let mut out = Out::default();
-    news.down(now, LinkId(link), "broken", &mut out);
+fn lost(news: &mut RelaySubscription, now: f64, link: u64) -> Vec<Input> {
+    let mut out = Outbox::default();
+    news.connection_down(now, LinkId(link), "broken", &mut out);
     out.inputs
 }
 
-const START: [Item; 2] = [Item::Given(SliceId(1)), Item::Given(SliceId(2))];
+const START: [RelayUpdate; 2] =
+    [RelayUpdate::SliceAssigned(SliceId(1)), RelayUpdate::SliceAssigned(SliceId(2))];
 
 #[test]
 fn a_new_connection_tells_what_went_and_what_changed_elsewhere() {
-    let mut news = News::new(here());
+    let mut news = RelaySubscription::new(here());
     told(
         &mut news,
         0.0,
@@ -310,10 +324,10 @@
             stored(1, 1, 1.0),
             START[1].clone(),
             stored(2, 1, 1.0),
-            Item::Life,
+            RelayUpdate::KeepAlive,
         ],
     );
-    news.wrote(SliceId(1), HostId(2), 0.5);
+    news.weight_written(SliceId(1), HostId(2), 0.5);
     lost(&mut news, 5.0, 1);
     let again = [
         joined(1),
@@ -322,7 +336,7 @@
         stored(1, 2, 0.5),
         START[1].clone(),
         stored(2, 7, 1.0),
-        Item::Life,
+        RelayUpdate::KeepAlive,
     ];
     let inputs = told(&mut news, 6.0, 2, &again);
     let rest = [
@@ -336,93 +350,99 @@
 
 #[test]
 fn the_second_connection_takes_over_without_a_gap() {
-    let mut news = News::new(here());
-    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), Item::Life];
+    let mut news = RelaySubscription::new(here());
+    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive];
     assert_eq!(told(&mut news, 0.0, 1, &start).len(), 3);
     assert_eq!(told(&mut news, 1.0, 2, &start), [], "what it tells is known");
     // The first breaks before it tells what the second has told.
-    assert_eq!(told(&mut news, 2.0, 2, &[Item::Left(ProxyId(1)), joined(9), START[1].clone()]), []);
+    assert_eq!(
+        told(&mut news, 2.0, 2, &[RelayUpdate::ProxyLeft(ProxyId(1)), joined(9), START[1].clone()]),
+        []
+    );
     let inputs = lost(&mut news, 2.1, 1);
     assert_eq!(inputs[0], Input::Call(api::Call::Deaf), "receipts that only the first has told are missed");
     assert!(matches!(inputs[1], Input::Joined { proxy: ProxyId(9), .. }));
     assert_eq!(inputs[2..], [Input::Left(ProxyId(1)), Input::Given(SliceId(2))]);
-    assert_eq!(told(&mut news, 2.2, 2, &[Item::Taken(SliceId(2))]), [Input::Taken(SliceId(2))]);
+    assert_eq!(told(&mut news, 2.2, 2, &[RelayUpdate::SliceRevoked(SliceId(2))]), [Input::Taken(SliceId(2))]);
 }
 
 #[test]
 fn the_old_news_lead_until_the_new_relay_has_told_all() {
-    let (mut news, mut out) = (News::new(here()), Out::default());
-    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), Item::Life];
+    let (mut news, mut out) = (RelaySubscription::new(here()), Outbox::default());
+    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive];
     told(&mut news, 0.0, 1, &start);
-    news.move_to(1.0, elsewhere(), &mut out);
+    news.set_address(1.0, elsewhere(), &mut out);
     assert_eq!(told(&mut news, 1.0, 2, &start[..3]), [], "what it tells is known");
-    let left = told(&mut news, 1.1, 1, &[Item::Left(ProxyId(1))]);
+    let left = told(&mut news, 1.1, 1, &[RelayUpdate::ProxyLeft(ProxyId(1))]);
     assert_eq!(left, [Input::Left(ProxyId(1))], "the old one is heard meanwhile");
-    news.take(1.2, LinkId(2), Item::Left(ProxyId(1)), &mut out);
-    news.take(1.3, LinkId(2), Item::Life, &mut out);
+    news.apply(1.2, LinkId(2), RelayUpdate::ProxyLeft(ProxyId(1)), &mut out);
+    news.apply(1.3, LinkId(2), RelayUpdate::KeepAlive, &mut out);
     assert_eq!((out.effects.contains(&Effect::HangUp(LinkId(1))), out.inputs), (true, vec![]));
-    assert!(news.told() && !news.owns(LinkId(1)));
+    assert!(news.is_synchronized() && !news.owns(LinkId(1)));
 }
 
 #[test]
 fn what_was_written_since_both_began_is_no_change_elsewhere() {
-    let mut news = News::new(here());
-    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), Item::Life];
+    let mut news = RelaySubscription::new(here());
+    let start = [joined(1), START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive];
     told(&mut news, 0.0, 1, &start);
     told(&mut news, 1.0, 2, &start);
-    news.wrote(SliceId(1), HostId(2), 0.5);
+    news.weight_written(SliceId(1), HostId(2), 0.5);
     assert_eq!(lost(&mut news, 1.5, 1), [Input::Call(api::Call::Deaf)]);
 }
 
 #[test_case(0.0503073, 0.05, 0 ; "rounded to three decimals")]
 #[test_case(0.0503073, 0.052, 2 ; "another one")]
 fn a_line_that_the_store_has_rounded_is_no_change_elsewhere(wrote: f64, stands: f64, inputs: usize) {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[START[0].clone(), Item::Life]);
-    news.wrote(SliceId(1), HostId(1), wrote);
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[START[0].clone(), RelayUpdate::KeepAlive]);
+    news.weight_written(SliceId(1), HostId(1), wrote);
     lost(&mut news, 1.0, 1);
-    assert_eq!(told(&mut news, 1.0, 2, &[START[0].clone(), stored(1, 1, stands), Item::Life]).len(), inputs);
+    assert_eq!(
+        told(&mut news, 1.0, 2, &[START[0].clone(), stored(1, 1, stands), RelayUpdate::KeepAlive]).len(),
+        inputs
+    );
 }
 
 #[test]
 fn what_is_written_while_all_is_told_is_no_change_elsewhere() {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), Item::Life]);
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive]);
     lost(&mut news, 1.0, 1);
     told(&mut news, 1.0, 2, &[START[0].clone(), stored(1, 1, 1.0)]);
-    news.wrote(SliceId(1), HostId(2), 0.5);
-    assert_eq!(told(&mut news, 1.2, 2, &[Item::Life]), []);
+    news.weight_written(SliceId(1), HostId(2), 0.5);
+    assert_eq!(told(&mut news, 1.2, 2, &[RelayUpdate::KeepAlive]), []);
 }
 
 #[test]
 fn a_slice_whose_lines_are_under_way_is_not_held_for_changed() {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), Item::Life]);
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive]);
     lost(&mut news, 1.0, 1);
-    news.under_way.insert(SliceId(1));
-    assert_eq!(told(&mut news, 2.0, 2, &[START[0].clone(), stored(1, 4, 1.0), Item::Life]), []);
+    news.slices_in_flight.insert(SliceId(1));
+    assert_eq!(told(&mut news, 2.0, 2, &[START[0].clone(), stored(1, 4, 1.0), RelayUpdate::KeepAlive]), []);
 }
 
 #[test]
 fn a_proxy_that_says_hello_again_has_joined_again() {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[joined(1), Item::Life]);
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[joined(1), RelayUpdate::KeepAlive]);
     assert_eq!(told(&mut news, 1.0, 1, &[joined(1)]).len(), 1);
 }
 
 #[test]
 fn a_line_that_is_known_counts_once() {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), Item::Life]);
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[START[0].clone(), stored(1, 1, 1.0), RelayUpdate::KeepAlive]);
     assert_eq!(told(&mut news, 1.0, 1, &[stored(1, 1, 1.0)]), []);
 }
 
-#[test_case(Item::Left(ProxyId(5)) ; "a proxy that never joined")]
-#[test_case(Item::Taken(SliceId(5)) ; "a slice that was never given")]
+#[test_case(RelayUpdate::ProxyLeft(ProxyId(5)) ; "a proxy that never joined")]
+#[test_case(RelayUpdate::SliceRevoked(SliceId(5)) ; "a slice that was never given")]
 #[test_case(stored(5, 1, 1.0) ; "a line of no slice of ours")]
-fn news_of_strangers_change_nothing(item: Item) {
-    let mut news = News::new(here());
-    told(&mut news, 0.0, 1, &[joined(1), Item::Life]);
+fn news_of_strangers_change_nothing(item: RelayUpdate) {
+    let mut news = RelaySubscription::new(here());
+    told(&mut news, 0.0, 1, &[joined(1), RelayUpdate::KeepAlive]);
     assert_eq!(told(&mut news, 1.0, 1, &[item]), []);
 }
 
@@ -460,7 +480,7 @@
 fn what_is_no_joining_closes_a_new_connection(pieces: &[&[u8]]) {
     let (mut reducer, effects) = said(pieces);
     assert!(effects.contains(&Effect::Drop(CONN)), "{effects:?}");
-    assert!(reducer.out.inputs.is_empty() && reducer.taken.count() == 0);
+    assert!(reducer.outbox.inputs.is_empty() && reducer.collectors.count() == 0);
     assert_eq!(reducer.reduce(0.2, Event::Heard(CONN, HOT.to_vec())), [], "nothing later is heard");
 }
 
@@ -479,7 +499,7 @@
 #[test]
 fn nothing_is_written_to_a_collector() {
     let (reducer, effects) = said(&[AGENT, PROBE, HOT]);
-    assert!(effects.is_empty() && reducer.out.inputs.len() == 1, "{effects:?}");
+    assert!(effects.is_empty() && reducer.outbox.inputs.len() == 1, "{effects:?}");
 }
 
 const BAD: &[u8] = b"\x01{\"\xff\n";
@@ -496,7 +516,7 @@
         assert_eq!(effects.contains(&Effect::Drop(CONN)), at.is_some_and(|at| now >= at), "{now}");
     }
     let reports = pieces.iter().filter(|piece| **piece == HOT).count();
-    assert_eq!(reducer.out.counters.sums_of_calls, reports as u64, "what stands beside it is used");
+    assert_eq!(reducer.outbox.counters.sums_of_calls, reports as u64, "what stands beside it is used");
 }
 
 /// Each field of each report in turn, spoilt in each way that was seen on sockets.
@@ -532,7 +552,7 @@
                 (report[at].0, fields.iter().map(|(name, value)| format!("\"{name}\":{value}")));
             let line = format!("{{{}}}\n", pairs.collect::<Vec<_>>().join(","));
             reducer.reduce(0.1, Event::Heard(CONN, [line.as_bytes(), HOT].concat()));
-            let mut inputs = reducer.out.inputs;
+            let mut inputs = reducer.outbox.inputs;
             assert!(
                 matches!(inputs.pop(), Some(Input::Demand { calls: 4, .. })),
                 "what follows {line} is used"
@@ -560,9 +580,9 @@
     let mut reducer = reducer();
     let (host, body) = (reducer.names.host("h"), format!("TEXT {figures}").into_bytes());
     reducer.reduce(0.0, Event::Probed { host, end: ProbeEnd::Status(200), took: 0.1, body });
-    let Some(Input::Probed { load, .. }) = reducer.out.inputs.pop() else { panic!("no answer") };
+    let Some(Input::Probed { load, .. }) = reducer.outbox.inputs.pop() else { panic!("no answer") };
     assert_eq!((load.waiting, load.service_time), (waiting, time));
-    assert_eq!(reducer.out.counters.load_figures_odd, (waiting.is_none() || time.is_none()) as u64);
+    assert_eq!(reducer.outbox.counters.load_figures_odd, (waiting.is_none() || time.is_none()) as u64);
 }
 
 #[test]
@@ -570,17 +590,17 @@
     let mut reducer = reducer();
     let (host, body) = (reducer.names.host("h"), Vec::new());
     reducer.reduce(0.0, Event::Probed { host, end: ProbeEnd::Unreadable, took: 0.1, body });
-    assert!(matches!(reducer.out.inputs[..], [Input::Probed { outcome: api::Outcome::Error, .. }]));
+    assert!(matches!(reducer.outbox.inputs[..], [Input::Probed { outcome: api::Outcome::Error, .. }]));
 }
 
 /// A table of connections with room for four, and a memory for two long lines.
-fn table(now: f64, conns: &[u64]) -> (Taken, Out) {
-    let (mut taken, mut out) = (Taken::new(4, 3 << 19), Out::default());
+fn table(now: f64, conns: &[u64]) -> (CollectorConnections, Outbox) {
+    let (mut taken, mut out) = (CollectorConnections::new(4, 3 << 19), Outbox::default());
     conns.iter().for_each(|conn| taken.accepted(now, ConnId(*conn), &mut out));
     (taken, out)
 }
 
-fn dropped(out: &Out) -> Vec<u64> {
+fn dropped(out: &Outbox) -> Vec<u64> {
     let drop = |effect: &Effect| if let Effect::Drop(conn) = effect { Some(conn.0) } else { None };
     out.effects.iter().filter_map(drop).collect()
 }
@@ -589,17 +609,17 @@
 fn in_a_flood_collectors_stay_and_each_new_one_is_heard_first() {
     let (mut taken, mut out) = table(0.0, &[1, 2, 3, 4]);
     taken.joined(0.0, ConnId(1), ZoneId(0), &mut out);
-    taken.pump(0.1, &mut out);
+    taken.poll(0.1, &mut out);
     assert_eq!(out.effects, [Effect::Accept(false)], "nobody has had its chance yet");
     taken.answer(ConnId(3), ALIVE, &mut out);
-    taken.pump(0.1, &mut out);
+    taken.poll(0.1, &mut out);
     assert_eq!(
         (dropped(&out), out.effects.last()),
         (vec![3], Some(&Effect::Accept(true))),
         "it has its answer"
     );
     taken.accepted(0.2, ConnId(5), &mut out);
-    taken.pump(0.25, &mut out);
+    taken.poll(0.25, &mut out);
     assert_eq!(dropped(&out), [3, 2], "the one that came first and has said nothing");
 }
 
@@ -608,9 +628,9 @@
     let (mut taken, mut out) = table(0.0, &[1, 2, 3, 4]);
     (1..=4).for_each(|conn| taken.joined(f64::from(conn), ConnId(conn as u64), ZoneId(0), &mut out));
     (1..=4).for_each(|conn| {
-        _ = taken.next(5.0 - f64::from(conn), ConnId(conn as u64), &mut &b" "[..], &mut out)
+        _ = taken.next_line(5.0 - f64::from(conn), ConnId(conn as u64), &mut &b" "[..], &mut out)
     });
-    taken.pump(5.0, &mut out);
+    taken.poll(5.0, &mut out);
     assert_eq!(dropped(&out), [4], "the one that was silent longest");
 }
 
@@ -630,11 +650,13 @@
     let long = [&b"{\"msg\":\""[..], &[b'x'; 1 << 20][..(1 << 20) - 100]].concat();
     let lines = [1, 2].map(|conn| {
         taken.joined(0.0, ConnId(conn), ZoneId(0), &mut out);
-        taken.next(0.1, ConnId(conn), &mut &long[..], &mut out)
+        taken.next_line(0.1, ConnId(conn), &mut &long[..], &mut out)
     });
     assert_eq!(lines, [None, Some((Sender::Joined, Framed::TooLong))]);
     assert_eq!(
-        taken.next(0.1, ConnId(1), &mut &b"\"}\n"[..], &mut out).map(|(_, line)| line != Framed::TooLong),
+        taken
+            .next_line(0.1, ConnId(1), &mut &b"\"}\n"[..], &mut out)
+            .map(|(_, line)| line != Framed::TooLong),
         Some(true)
     );
 }
@@ -651,7 +673,7 @@
 #[test_case(Event::Reload(Box::new(Err("EOF".to_string()))), "all stays as it was, EOF", 0 ; "cut off")]
 fn a_new_configuration_is_taken_whole_or_not_at_all(event: Event, expected: &str, dialled: usize) {
     let (mut reducer, _) = holding_a_slice();
-    reducer.calls.up(0.2, LinkId(9));
+    reducer.calls.connected(0.2, LinkId(9));
     reducer.reduce(0.2, Event::Settle);
     let mut effects = reducer.reduce(0.2, event);
     let Some(at) = effects.iter().position(|effect| matches!(effect, Effect::Log(..))) else {
@@ -669,7 +691,7 @@
         !after.iter().any(|effect| matches!(effect, Effect::HangUp(_) | Effect::Unwatch(_))),
         "{after:?}"
     );
-    assert!(reducer.news.told(), "nothing learnt is lost");
+    assert!(reducer.subscription.is_synchronized(), "nothing learnt is lost");
 }
 
 #[test]
@@ -692,12 +714,12 @@
     }
     let to = |port| dialled.iter().filter(move |(to, _)| *to == port).map(|(_, link)| *link);
     assert!(to(4).all(|link| left.contains(&link)) && to(5).count() > 0, "{dialled:?} {left:?}");
-    assert!(!left.contains(&NEWS) && reducer.news.told(), "what served first serves on");
-    let new = to(5).find(|link| reducer.news.owns(*link)).unwrap();
+    assert!(!left.contains(&NEWS) && reducer.subscription.is_synchronized(), "what served first serves on");
+    let new = to(5).find(|link| reducer.subscription.owns(*link)).unwrap();
     reducer.reduce(0.4, Event::RelayUp(new));
     reducer.reduce(0.4, Event::RelayLines(new, lines(&["OK", "* lease 0 1", "* line 0 h1 1.0", "*"])));
-    assert!(!reducer.news.owns(NEWS) && reducer.news.owns(new));
-    assert!(!reducer.out.inputs.iter().any(|input| matches!(input, Input::Taken(_))));
+    assert!(!reducer.subscription.owns(NEWS) && reducer.subscription.owns(new));
+    assert!(!reducer.outbox.inputs.iter().any(|input| matches!(input, Input::Taken(_))));
 }
 
 #[test]
@@ -760,8 +782,12 @@
             };
             let entries = format!("{},{}", entry(n, "in_service"), entry(n - 4, "terminated"));
             let list = format!(r#"{{"version":{},"full":false,"servers":[{entries}]}}"#, n + 1);
-            let watch =
-                LinkId((1..=reducer.out.links).rev().find(|link| reducer.list.owns(LinkId(*link))).unwrap());
+            let watch = LinkId(
+                (1..=reducer.outbox.last_link)
+                    .rev()
+                    .find(|link| reducer.discovery.owns(LinkId(*link)))
+                    .unwrap(),
+            );
             answered(&mut reducer, now, Event::WatchLines(watch, lines(&[&list])));
             let conn = ConnId(n as u64);
             answered(&mut reducer, now, Event::Accepted(conn));
@@ -771,11 +797,11 @@
                 answered(&mut reducer, now, Event::Ended(conn));
             }
         }
-        for link in (1..=reducer.out.links)
+        for link in (1..=reducer.outbox.last_link)
             .rev()
             .take(9)
             .map(LinkId)
-            .filter(|link| reducer.news.owns(*link))
+            .filter(|link| reducer.subscription.owns(*link))
             .collect::<Vec<_>>()
         {
             let life = if beat % 1000 == 999 { "gone" } else { "*" };
@@ -785,17 +811,17 @@
     }
     let kept = [
         reducer.names.count(),
-        reducer.list.count(),
-        reducer.forgotten.len(),
-        reducer.taken.count(),
-        reducer.wakes.len(),
+        reducer.discovery.count(),
+        reducer.forgotten.count(),
+        reducer.collectors.count(),
+        reducer.timers.count(),
     ];
     assert!(kept.iter().all(|many| *many < 50), "{kept:?}");
-    assert!(reducer.out.counters.hosts_forgotten > 900 && reducer.out.counters.orders_taken > 1000);
+    assert!(reducer.outbox.counters.hosts_forgotten > 900 && reducer.outbox.counters.orders_taken > 1000);
     let gone = br#"{"msg":"outcomes","az":"a","host":"h3","n":1,"bad":0,"avg":1.0,"window":1.0}"#;
     let conn = ConnId(999);
     reducer.reduce(1000.0, Event::Heard(conn, [&gone[..], b"\n"].concat()));
-    assert!(reducer.out.inputs.is_empty(), "what is late for a host that went changes nothing");
+    assert!(reducer.outbox.inputs.is_empty(), "what is late for a host that went changes nothing");
 }
 
 /// All proxies of a large deployment join one director, which holds every slice, while a host drains.
@@ -834,9 +860,9 @@
             events.push_front(Event::WatchLines(LinkId(1), lines(&[&drain])));
         }
         events.extend(
-            (1..=reducer.out.links)
+            (1..=reducer.outbox.last_link)
                 .map(LinkId)
-                .filter(|link| reducer.news.owns(*link))
+                .filter(|link| reducer.subscription.owns(*link))
                 .map(|link| Event::RelayLines(link, lines(&["*"]))),
         );
         while let Some(event) = events.pop_front() {
@@ -870,7 +896,10 @@
             }
         }
     }
-    assert!(reducer.out.counters.proxies_joined == 400 && most > 0.1 * backlog && most < backlog, "{most}");
+    assert!(
+        reducer.outbox.counters.proxies_joined == 400 && most > 0.1 * backlog && most < backlog,
+        "{most}"
+    );
     assert!(shut.is_some_and(|at| at < 5.5), "a drain is told at once all the same: {shut:?}");
 }
 
@@ -896,7 +925,7 @@
             reducer.reduce(now, Event::Heard(ConnId(end as u64 + 1), text.as_bytes()[..end].to_vec()));
             reducer.reduce(now, Event::Accepted(ConnId(0)));
             reducer.reduce(now, Event::Heard(ConnId(0), AGENT.to_vec()));
-            for link in (0..=reducer.out.links).rev().take(6).map(LinkId) {
+            for link in (0..=reducer.outbox.last_link).rev().take(6).map(LinkId) {
                 reducer.reduce(now, Event::RelayUp(link));
                 reducer.reduce(now, Event::RelayLines(link, lines.clone()));
                 reducer.reduce(now, Event::WatchLines(link, lines.clone()));
@@ -905,8 +934,8 @@
         }
     }
     assert!(
-        reducer.out.counters.lists > 0
-            && reducer.out.counters.sums_of_tries > 0
-            && reducer.out.counters.slices_given > 0
+        reducer.outbox.counters.lists > 0
+            && reducer.outbox.counters.sums_of_tries > 0
+            && reducer.outbox.counters.slices_given > 0
     );
 }
