--- /dev/null
+++ b/crates/director/service/src/reducer/tests/channel_model/channel.rs
@@ -0,0 +1,296 @@
+//! The true channel, with the relay before it.
+
+use super::random::Random;
+use super::scenario::{Scenario, MESSAGE_WINDOW_S, OVERHEAD, SLICES};
+use crate::reducer::LinkId;
+use std::collections::{BTreeMap, BTreeSet, VecDeque};
+
+/// A message of less than this many lines has passed.
+const ROUNDING: f64 = 1e-9;
+/// A receipt comes so long after its message has passed, at least...
+const MIN_RECEIPT_DELAY_S: f64 = 0.05;
+/// ...and up to so much later.
+const RECEIPT_DELAY_SPREAD_S: f64 = 0.4;
+
+/// A message that waits in the channel.
+struct Message {
+    proxy: u16,
+    /// Lines of it that have not passed.
+    lines: f64,
+    mark: Option<String>,
+}
+
+struct Receipt {
+    at: f64,
+    proxy: u16,
+    mark: String,
+}
+
+/// When a host was withdrawn.
+struct Withdrawal {
+    first: f64,
+    last: f64,
+}
+
+/// An update that is on its way on a stream.
+struct PendingUpdate {
+    at: f64,
+    line: String,
+}
+
+/// The channel: messages pass one after the other at a speed that nobody tells.
+pub(super) struct Channel {
+    messages: VecDeque<Message>,
+    /// Lines that wait.
+    waiting: f64,
+    /// Most lines that have waited.
+    pub(super) max_waiting: f64,
+    pub(super) joined: BTreeSet<u16>,
+    receipts: VecDeque<Receipt>,
+    /// When messages were sent to a proxy within the window.
+    message_times: BTreeMap<u16, VecDeque<f64>>,
+    /// Most messages to a proxy within the window.
+    pub(super) max_messages: usize,
+    /// The table of each slice that is assigned to the director: weights as texts by host.
+    tables: BTreeMap<u16, BTreeMap<String, String>>,
+    withdrawals: BTreeMap<String, Withdrawal>,
+    /// Bytes of the longest call.
+    pub(super) longest_call: usize,
+    streams: BTreeMap<LinkId, VecDeque<PendingUpdate>>,
+    update_delay_s: f64,
+    /// Receipts come in bulk once a second.
+    bulk_receipts: bool,
+}
+
+impl Channel {
+    pub(super) fn new(scenario: &Scenario) -> Self {
+        let mut channel = Channel {
+            messages: VecDeque::new(),
+            waiting: 0.0,
+            max_waiting: 0.0,
+            joined: (0..scenario.proxies).collect(),
+            receipts: VecDeque::new(),
+            message_times: BTreeMap::new(),
+            max_messages: 0,
+            tables: BTreeMap::new(),
+            withdrawals: BTreeMap::new(),
+            longest_call: 0,
+            streams: BTreeMap::new(),
+            update_delay_s: scenario.update_delay_s,
+            bulk_receipts: scenario.limits_messages,
+        };
+        for slice in 0..SLICES {
+            channel.add_table(scenario, slice);
+        }
+        channel
+    }
+
+    fn add_table(&mut self, scenario: &Scenario, slice: u16) {
+        let table = BTreeMap::from([(scenario.host_in_table(slice), "1".to_string())]);
+        self.tables.insert(slice, table);
+    }
+
+    /// The director has restarted: nothing is left but what stands at the relay.
+    pub(super) fn restart(&mut self) {
+        self.waiting = 0.0;
+        self.messages.clear();
+        self.receipts.clear();
+        self.streams.clear();
+        self.message_times.clear();
+        self.withdrawals.clear();
+    }
+
+    /// Carries out a call and returns its answer.
+    pub(super) fn carry_out(&mut self, now: f64, call: &str) -> String {
+        self.longest_call = self.longest_call.max(call.len());
+        let orders: Vec<&str> = call.trim_start_matches("txn ").trim_end().split(';').collect();
+        let mark = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+        for order in &orders {
+            self.carry_out_order(now, order);
+        }
+        let lines = OVERHEAD + orders.len() as f64;
+        for proxy in self.joined.clone() {
+            self.messages.push_back(Message { proxy, lines, mark: mark.map(str::to_string) });
+            self.waiting += lines;
+            self.count_message(now, proxy);
+        }
+        self.max_waiting = self.max_waiting.max(self.waiting);
+        format!("OK {}", orders.len())
+    }
+
+    fn carry_out_order(&mut self, now: f64, order: &str) {
+        let parts: Vec<&str> = order.split(',').collect();
+        match parts[..] {
+            ["SET", slice, host, weight] => {
+                // An order for a slice that is no longer assigned counts as accepted and changes nothing.
+                let Some(table) = self.tables.get_mut(&slice.parse().unwrap()) else { return };
+                if weight == "0" {
+                    table.remove(host);
+                } else {
+                    table.insert(host.to_string(), weight.to_string());
+                }
+            }
+            ["OUT", host] => {
+                let first = Withdrawal { first: now, last: now };
+                self.withdrawals.entry(host.to_string()).or_insert(first).last = now;
+            }
+            _ => {}
+        }
+    }
+
+    fn count_message(&mut self, now: f64, proxy: u16) {
+        let times = self.message_times.entry(proxy).or_default();
+        times.push_back(now);
+        times.retain(|at| now - at <= MESSAGE_WINDOW_S);
+        self.max_messages = self.max_messages.max(times.len());
+    }
+
+    /// Passes so many lines, and sends the receipts that are due.
+    pub(super) fn pass(&mut self, now: f64, lines: f64, lost_receipts: u32, random: &mut Random) {
+        self.pass_lines(now, lines, lost_receipts, random);
+        // In bulk: all that came within a second, at its end.
+        let until = if self.bulk_receipts { now.floor() } else { now };
+        let (due, later) = self.receipts.drain(..).partition(|receipt| receipt.at <= until);
+        self.receipts = later;
+        let due: VecDeque<Receipt> = due;
+        for receipt in due {
+            if !self.joined.contains(&receipt.proxy) {
+                continue;
+            }
+            let line = format!("* ack {} {} 90.0", receipt.proxy, receipt.mark);
+            for stream in self.streams.values_mut() {
+                stream.push_back(PendingUpdate { at: now, line: line.clone() });
+            }
+        }
+    }
+
+    fn pass_lines(&mut self, now: f64, mut lines: f64, lost_receipts: u32, random: &mut Random) {
+        while let Some(message) = self.messages.front_mut() {
+            let passed = message.lines.min(lines);
+            message.lines -= passed;
+            lines -= passed;
+            self.waiting -= passed;
+            if message.lines > ROUNDING {
+                break;
+            }
+            let Some(Message { proxy, mark, .. }) = self.messages.pop_front() else { break };
+            let Some(mark) = mark.filter(|_| self.joined.contains(&proxy)) else { continue };
+            if !random.percent(lost_receipts) {
+                let at = now + MIN_RECEIPT_DELAY_S + RECEIPT_DELAY_SPREAD_S * random.share();
+                self.receipts.push_back(Receipt { at, proxy, mark });
+            }
+        }
+    }
+
+    pub(super) fn leave(&mut self, now: f64, proxy: u16, keeps_lines: bool, random: &mut Random) {
+        if !self.joined.remove(&proxy) {
+            return;
+        }
+        self.message_times.remove(&proxy);
+        self.publish(now, random, &format!("* bye {proxy}"));
+        if !keeps_lines {
+            let to_leaver = self.messages.iter().filter(|message| message.proxy == proxy);
+            let lines: f64 = to_leaver.map(|message| message.lines).sum();
+            self.messages.retain(|message| message.proxy != proxy);
+            self.waiting -= lines;
+        }
+    }
+
+    pub(super) fn join(&mut self, now: f64, proxy: u16, random: &mut Random) {
+        if self.joined.insert(proxy) {
+            self.publish(now, random, &format!("* hello {proxy} a 1.5 0"));
+        }
+    }
+
+    /// The slices of four other directors are assigned to this one as well.
+    pub(super) fn take_over(&mut self, now: f64, scenario: &Scenario, random: &mut Random) {
+        for slice in SLICES..5 * SLICES {
+            self.add_table(scenario, slice);
+            self.publish(now, random, &format!("* lease {slice} 1"));
+            let host = scenario.host_in_table(slice);
+            self.publish(now, random, &format!("* line {slice} {host} 1"));
+        }
+    }
+
+    /// The other directors get their slices back.
+    pub(super) fn hand_back(&mut self, now: f64, random: &mut Random) {
+        for slice in SLICES..5 * SLICES {
+            self.tables.remove(&slice);
+            self.publish(now, random, &format!("* lease {slice} 0"));
+        }
+    }
+
+    pub(super) fn has_taken_over(&self) -> bool {
+        self.tables.len() > SLICES as usize
+    }
+
+    /// Sends an update on each stream, with the delay of the scenario.
+    pub(super) fn publish(&mut self, now: f64, random: &mut Random, line: &str) {
+        let at = now + self.update_delay_s * random.share();
+        for stream in self.streams.values_mut() {
+            stream.push_back(PendingUpdate { at, line: line.to_string() });
+        }
+    }
+
+    /// Opens a stream and returns the snapshot.
+    pub(super) fn subscribe(&mut self, link: LinkId) -> Vec<String> {
+        self.streams.insert(link, VecDeque::new());
+        let mut snapshot = vec!["OK".to_string()];
+        for proxy in &self.joined {
+            snapshot.push(format!("* hello {proxy} a 1.5 0"));
+        }
+        for (slice, table) in &self.tables {
+            snapshot.push(format!("* lease {slice} 1"));
+            for (host, weight) in table {
+                snapshot.push(format!("* line {slice} {host} {weight}"));
+            }
+        }
+        snapshot.push("*".to_string());
+        snapshot
+    }
+
+    pub(super) fn close_stream(&mut self, link: LinkId) {
+        self.streams.remove(&link);
+    }
+
+    /// Closes all streams and returns their numbers.
+    pub(super) fn break_streams(&mut self) -> Vec<LinkId> {
+        std::mem::take(&mut self.streams).into_keys().collect()
+    }
+
+    /// The updates that are due, by stream.
+    pub(super) fn due_updates(&mut self, now: f64) -> Vec<(LinkId, Vec<String>)> {
+        let mut due = Vec::new();
+        for (link, stream) in &mut self.streams {
+            let mut lines = Vec::new();
+            while stream.front().is_some_and(|update| update.at <= now) {
+                lines.extend(stream.pop_front().map(|update| update.line));
+            }
+            if !lines.is_empty() {
+                due.push((*link, lines));
+            }
+        }
+        due
+    }
+
+    /// Whether a table names the host.
+    fn mentions(&self, host: &str) -> bool {
+        self.tables.values().any(|table| table.contains_key(host))
+    }
+
+    /// The host was withdrawn after `since`, or no table names it.
+    pub(super) fn is_settled(&self, since: f64, host: &str) -> bool {
+        let withdrawal = self.withdrawals.get(host);
+        withdrawal.is_some_and(|withdrawal| withdrawal.last > since) || !self.mentions(host)
+    }
+
+    /// A table names the host, which was never withdrawn.
+    pub(super) fn is_missed(&self, host: &str) -> bool {
+        !self.withdrawals.contains_key(host) && self.mentions(host)
+    }
+
+    /// When the host was first withdrawn.
+    pub(super) fn first_withdrawal(&self, host: &str) -> Option<f64> {
+        self.withdrawals.get(host).map(|withdrawal| withdrawal.first)
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/tests/mass_joining.rs
@@ -0,0 +1,144 @@
+//! All proxies of a large deployment at one director.
+
+use super::{host_entry, host_list, lines, CONFIG, UPDATES_LINK};
+use crate::reducer::{Effect, Event, LinkId, Reducer};
+use coppersail_protocol::config::Config;
+use std::collections::VecDeque;
+
+const PROXIES: usize = 400;
+const SLICES: usize = 190;
+const HOSTS: usize = 30;
+/// Lines that pass the channel to the proxies in a second.
+const LINES_PER_S: f64 = 60_000.0;
+/// Lines that may wait in the channel.
+const BACKLOG: f64 = 120_000.0;
+/// Lines that each message costs on top of its orders.
+const OVERHEAD: f64 = 12.0;
+const ROUNDS_PER_SECOND: f64 = 20.0;
+const ROUNDS: u32 = 200;
+/// The round in which a host begins to drain: five seconds after the start.
+const DRAIN_ROUND: u32 = 100;
+/// When the drain must have been ordered at the latest.
+const DRAIN_DEADLINE_S: f64 = 5.5;
+const WATCH_LINK: LinkId = LinkId(1);
+
+/// The relay with its channel to the proxies.
+struct Relay {
+    snapshot: Vec<String>,
+    /// Lines that wait in the channel.
+    waiting: f64,
+    most_waiting: f64,
+    /// When the draining host was withdrawn.
+    withdrawn_at: Option<f64>,
+}
+
+impl Relay {
+    fn new() -> Self {
+        let mut snapshot = vec!["OK".to_string()];
+        for proxy in 0..PROXIES {
+            snapshot.push(format!("* hello {proxy} a 1.5 0"));
+        }
+        for slice in 0..SLICES {
+            snapshot.push(format!("* lease {slice} 1"));
+            snapshot.push(format!("* line {slice} h{} 1.0", slice % HOSTS));
+        }
+        snapshot.push("*".to_string());
+        Relay { snapshot, waiting: 0.0, most_waiting: 0.0, withdrawn_at: None }
+    }
+
+    /// Lines pass the channel for the time of one round.
+    fn pass_round(&mut self) {
+        self.waiting = f64::max(self.waiting - LINES_PER_S / ROUNDS_PER_SECOND, 0.0);
+    }
+
+    /// Takes a call; the events that follow.
+    fn take_call(&mut self, now: f64, link: LinkId, call: &str) -> [Event; 3] {
+        let orders = call.matches(';').count() + 1;
+        self.waiting += PROXIES as f64 * (OVERHEAD + orders as f64);
+        self.most_waiting = self.most_waiting.max(self.waiting);
+        if call.contains("OUT,h3") {
+            self.withdrawn_at.get_or_insert(now);
+        }
+        let mark = call.split_once("SYNC,").and_then(|(_, rest)| rest.split(',').next()).unwrap_or("0");
+        let receipts: Vec<String> = (0..PROXIES).map(|proxy| format!("* ack {proxy} {mark} 90.0")).collect();
+        [
+            Event::RelayLines(link, lines(&[&format!("OK {orders}")])),
+            Event::Settle,
+            Event::RelayLines(UPDATES_LINK, owned_lines(&receipts)),
+        ]
+    }
+
+    fn handle_effect(&mut self, now: f64, effect: Effect, events: &mut VecDeque<Event>) {
+        match effect {
+            Effect::Dial(link, _) => events.extend([Event::RelayUp(link), Event::Settle]),
+            Effect::Send(link, bytes) if bytes.starts_with(b"txn ") => {
+                let call = String::from_utf8(bytes).unwrap();
+                events.extend(self.take_call(now, link, &call));
+            }
+            Effect::Send(link, _) => {
+                events.push_back(Event::RelayLines(link, owned_lines(&self.snapshot)));
+            }
+            _ => {}
+        }
+    }
+}
+
+fn owned_lines(texts: &[String]) -> Vec<crate::framing::Framed> {
+    let texts: Vec<&str> = texts.iter().map(String::as_str).collect();
+    lines(&texts)
+}
+
+fn large_reducer() -> Reducer {
+    let specifics = format!(
+        "\"slices\":{SLICES},\"proxy-count\":{PROXIES},\"lines-per-s\":{LINES_PER_S:?},\"backlog\":{BACKLOG:?},\
+         \"overhead\":{OVERHEAD:?}"
+    );
+    let text = CONFIG.replace("\"slices\":1,\"proxy-count\":2", &specifics);
+    Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap()
+}
+
+fn events_of_round(reducer: &Reducer, round: u32) -> VecDeque<Event> {
+    let mut events = VecDeque::new();
+    if round == DRAIN_ROUND {
+        let drain = host_list(2, false, &[host_entry("h3", "terminating", 0)]);
+        events.push_back(Event::WatchLines(WATCH_LINK, lines(&[&drain])));
+    }
+    if round == 0 {
+        events.push_back(Event::RelayUp(UPDATES_LINK));
+    }
+    events.push_back(Event::WatchLines(WATCH_LINK, lines(&[""])));
+    events.extend([Event::Time, Event::Settle]);
+    for link in (1..=reducer.outbox.last_link).map(LinkId) {
+        if reducer.subscription.owns(link) {
+            events.push_back(Event::RelayLines(link, lines(&["*"])));
+        }
+    }
+    events
+}
+
+/// The director holds every slice when all proxies join at once; then a host drains.
+#[test]
+fn mass_joining_keeps_the_channel_backlog_short() {
+    let mut reducer = large_reducer();
+    let mut relay = Relay::new();
+    let hosts: Vec<String> =
+        (0..HOSTS).map(|host| host_entry(&format!("h{host}"), "in_service", 0)).collect();
+    let list = host_list(1, true, &hosts);
+    reducer.reduce(0.0, Event::Settle);
+    reducer.reduce(0.0, Event::WatchLines(WATCH_LINK, lines(&[&list])));
+    for round in 0..ROUNDS {
+        let now = f64::from(round) / ROUNDS_PER_SECOND;
+        relay.pass_round();
+        let mut events = events_of_round(&reducer, round);
+        while let Some(event) = events.pop_front() {
+            for effect in reducer.reduce(now, event) {
+                relay.handle_effect(now, effect, &mut events);
+            }
+        }
+    }
+    let most = relay.most_waiting;
+    assert_eq!(reducer.outbox.counters.proxies_joined, PROXIES as u64);
+    assert!(most > 0.1 * BACKLOG && most < BACKLOG, "{most}");
+    let withdrawn_at = relay.withdrawn_at;
+    assert!(withdrawn_at.is_some_and(|at| at < DRAIN_DEADLINE_S), "a drain does not wait: {withdrawn_at:?}");
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/tests/relay_lines.rs
@@ -0,0 +1,41 @@
+//! Calls and updates of the relay that cross each other.
+
+use super::{lines, reducer_with_slice_and_queued_call, sent_calls, unlimited, UPDATES_LINK};
+use crate::reducer::{Effect, Event, LinkId};
+use coppersail::interface::{Input, SliceId};
+use test_case::test_case;
+
+#[test]
+fn slice_reassigned_in_flight_reports_the_written_weight() {
+    let (mut reducer, host) = reducer_with_slice_and_queued_call();
+    reducer.calls.poll(0.2, unlimited, &mut reducer.outbox);
+    let calls_link = LinkId(reducer.outbox.last_link);
+    reducer.calls.connected(0.2, calls_link);
+    reducer.calls.poll(0.2, unlimited, &mut reducer.outbox);
+    reducer.reduce(0.21, Event::RelayLines(UPDATES_LINK, lines(&["* lease 0 0", "* lease 0 1"])));
+    reducer.outbox.inputs.clear();
+    reducer.reduce(0.22, Event::RelayLines(calls_link, lines(&["OK 2"])));
+    assert_eq!(reducer.outbox.inputs, [Input::StoredLine { slice: SliceId(0), host, weight: 1.0 }]);
+}
+
+#[test]
+fn revoked_slice_discards_its_queued_orders() {
+    let (mut reducer, _) = reducer_with_slice_and_queued_call();
+    reducer.reduce(0.2, Event::RelayLines(UPDATES_LINK, lines(&["* lease 0 0"])));
+    reducer.reduce(0.2, Event::Settle);
+    reducer.reduce(0.2, Event::RelayUp(LinkId(reducer.outbox.last_link)));
+    reducer.outbox.effects = reducer.reduce(0.2, Event::Settle);
+    assert_eq!(sent_calls(&reducer.outbox), ["txn OUT,h9"]);
+}
+
+#[test_case(false, 1 ; "while updates come in")]
+#[test_case(true, 0 ; "without updates")]
+fn lost_subscription_holds_calls_back(lost: bool, dialled: usize) {
+    let (mut reducer, _) = reducer_with_slice_and_queued_call();
+    if lost {
+        reducer.reduce(0.2, Event::RelayDown(UPDATES_LINK, "broken".to_string()));
+    }
+    let effects = reducer.reduce(0.2, Event::Settle);
+    let dials = effects.iter().filter(|effect| matches!(effect, Effect::Dial(..)));
+    assert_eq!(dials.count(), dialled);
+}
--- /dev/null
+++ b/crates/director/service/src/reducer/tests/retention.rs
@@ -0,0 +1,109 @@
+//! What is kept for hosts and connections that are gone.
+
+use super::{host_entry, host_list, lines, CONFIG, DEMAND_LINE, JOIN_LINE};
+use crate::reducer::{ConnId, Effect, Event, LinkId, ProbeEnd, Reducer};
+use coppersail_protocol::config::Config;
+use std::collections::VecDeque;
+
+const ROUNDS_PER_SECOND: i32 = 5;
+/// Each second a host comes, and one goes that came so many seconds before.
+const HOST_LIFETIME_S: i32 = 4;
+/// How many of the newest connections are searched for subscriptions.
+const RECENT_LINKS: usize = 9;
+/// Most entries that may be kept of any kind.
+const MAX_KEPT: usize = 50;
+
+/// Handles an event in surroundings that answer every effect at once: a relay and hosts that do what they are asked.
+fn reduce_with_peers(reducer: &mut Reducer, now: f64, event: Event) {
+    let mut events = VecDeque::from([event, Event::Settle]);
+    while let Some(event) = events.pop_front() {
+        for effect in reducer.reduce(now, event) {
+            if let Some(answer) = answer(effect) {
+                events.extend([answer, Event::Settle]);
+            }
+        }
+    }
+}
+
+fn answer(effect: Effect) -> Option<Event> {
+    match effect {
+        Effect::Dial(link, _) => Some(Event::RelayUp(link)),
+        Effect::Send(link, bytes) if bytes.starts_with(b"txn ") => {
+            let orders = bytes.iter().filter(|byte| **byte == b';').count() + 1;
+            Some(Event::RelayLines(link, lines(&[&format!("OK {orders}")])))
+        }
+        Effect::Send(link, _) => {
+            let snapshot = ["OK", "* hello 0 a 5.0 0", "* lease 0 1", "* line 0 h0 1.0", "*"];
+            Some(Event::RelayLines(link, lines(&snapshot)))
+        }
+        Effect::Probe { host, .. } => {
+            Some(Event::Probed { host, end: ProbeEnd::Status(200), took: 0.01, body: Vec::new() })
+        }
+        _ => None,
+    }
+}
+
+/// Lists a new host as in service and an older one as gone.
+fn replace_host(reducer: &mut Reducer, now: f64, second: i32) {
+    let entries = [
+        host_entry(&format!("h{second}"), "in_service", 0),
+        host_entry(&format!("h{}", second - HOST_LIFETIME_S), "terminated", 0),
+    ];
+    let list = host_list(second as usize + 1, false, &entries);
+    let mut links = (1..=reducer.outbox.last_link).rev().map(LinkId);
+    let watch = links.find(|link| reducer.discovery.owns(*link)).expect("a watch");
+    reduce_with_peers(reducer, now, Event::WatchLines(watch, lines(&[&list])));
+}
+
+/// A collector joins and reports; every second one closes its connection.
+fn connect_collector(reducer: &mut Reducer, now: f64, second: i32) {
+    let conn = ConnId(second as u64);
+    reduce_with_peers(reducer, now, Event::Accepted(conn));
+    reduce_with_peers(reducer, now, Event::Heard(conn, JOIN_LINE.to_vec()));
+    reduce_with_peers(reducer, now, Event::Heard(conn, DEMAND_LINE.to_vec()));
+    if second % 2 == 0 {
+        reduce_with_peers(reducer, now, Event::Ended(conn));
+    }
+}
+
+/// A line comes on each subscription.
+fn send_update(reducer: &mut Reducer, now: f64, line: &str) {
+    let links = (1..=reducer.outbox.last_link).rev().take(RECENT_LINKS).map(LinkId);
+    let subscriptions: Vec<LinkId> = links.filter(|link| reducer.subscription.owns(*link)).collect();
+    for link in subscriptions {
+        reduce_with_peers(reducer, now, Event::RelayLines(link, lines(&[line])));
+    }
+}
+
+/// A thousand hosts are replaced by new ones with new names, and a thousand connections come and go.
+#[test]
+fn replaced_hosts_and_lost_connections_leak_nothing() {
+    let text = CONFIG
+        .replace("\"slices\"", "\"lines-per-s\":60000.0,\"backlog\":120000.0,\"overhead\":12.0,\"slices\"");
+    let mut reducer = Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap();
+    reduce_with_peers(&mut reducer, 0.0, Event::Time);
+    for round in 0..5000 {
+        let second = round / ROUNDS_PER_SECOND;
+        let now = f64::from(round) / f64::from(ROUNDS_PER_SECOND);
+        if round % ROUNDS_PER_SECOND == 0 {
+            replace_host(&mut reducer, now, second);
+            connect_collector(&mut reducer, now, second);
+        }
+        let line = if round % 1000 == 999 { "gone" } else { "*" };
+        send_update(&mut reducer, now, line);
+        reduce_with_peers(&mut reducer, now, Event::Time);
+    }
+    let kept = [
+        reducer.names.count(),
+        reducer.discovery.count(),
+        reducer.forgotten.count(),
+        reducer.collectors.count(),
+        reducer.timers.count(),
+    ];
+    assert!(kept.iter().all(|count| *count < MAX_KEPT), "{kept:?}");
+    assert!(reducer.outbox.counters.hosts_forgotten > 900);
+    assert!(reducer.outbox.counters.orders_taken > 1000);
+    let gone = br#"{"msg":"outcomes","az":"a","host":"h3","n":1,"bad":0,"avg":1.0,"window":1.0}"#;
+    reducer.reduce(1000.0, Event::Heard(ConnId(999), [&gone[..], b"\n"].concat()));
+    assert!(reducer.outbox.inputs.is_empty(), "a late report for a host that is gone changes nothing");
+}
