--- a/crates/director/service/src/reducer/collector_connections.rs
+++ b/crates/director/service/src/reducer/collector_connections.rs
@@ -3,9 +3,10 @@
 //! anything else its connection is closed at once. A collector's corrupt line costs only itself, but a stream that
 //! stays unreadable is closed.
 
+use super::effect::Effect;
+use super::ids::ConnId;
 use super::outbox::Outbox;
 use super::rate_limited_log::RateLimitedLog;
-use super::{ConnId, Effect};
 use crate::framing::{Framed, Framer};
 use coppersail::interface::ZoneId;
 use coppersail_protocol::collector::{hopeless, MOST as MAX_LINE_BYTES};
--- a/crates/director/service/src/reducer/configuration.rs
+++ b/crates/director/service/src/reducer/configuration.rs
@@ -1,6 +1,5 @@
-//! The configuration: its check at the start, and what changes when the file is read again.
+//! Checks that a configuration can be used.
 
-use super::Reducer;
 use coppersail_protocol::config::Config;
 use coppersail_protocol::discovery;
 use coppersail_protocol::Fault;
@@ -65,48 +64,3 @@
         _ => Ok(()),
     }
 }
-
-/// The configuration that was read again, if all of it can be used.
-fn usable(config: Result<Config, String>) -> Result<Config, ConfigError> {
-    let config = config.map_err(ConfigError::Unreadable)?;
-    CheckedConfig::new(&config)?;
-    Ok(config)
-}
-
-impl Reducer {
-    /// Uses all of a new configuration or none of it. Connections stay until those to the new addresses serve.
-    pub(super) fn reload(&mut self, now: f64, config: Result<Config, String>) {
-        let config = match usable(config) {
-            Ok(config) => config,
-            Err(error) => {
-                self.outbox.counters.configurations_bad += 1;
-                self.outbox.warn(format!("configuration: all stays as it was, {error}"));
-                return;
-            }
-        };
-        self.outbox.counters.configurations_taken += 1;
-        let discovery = config.discovery;
-        let relay = config.relay;
-        let ignored = self.changes_that_need_a_restart(&config);
-        let suffix = if ignored.is_empty() {
-            String::new()
-        } else {
-            format!("; only a start takes {}", ignored.join(", "))
-        };
-        self.outbox.info(format!("configuration: taken, discovery {discovery}, relay {relay}{suffix}"));
-        self.discovery.set_address(now, discovery, &mut self.outbox);
-        self.subscription.set_address(now, relay, &mut self.outbox);
-        self.calls.set_address(relay, &mut self.outbox);
-    }
-
-    /// Names of the fields that differ from those at the start and that a running director cannot change.
-    fn changes_that_need_a_restart(&self, config: &Config) -> Vec<&'static str> {
-        let mut changed = Vec::new();
-        for (at_start, now) in self.fixed_at_start.iter().zip(config.fixed()) {
-            if *at_start != now {
-                changed.push(at_start.0);
-            }
-        }
-        changed
-    }
-}
--- a/crates/director/service/src/reducer/decisions.rs
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -131,6 +131,19 @@
         self.subscription.slices_in_flight = self.calls.slices_in_flight();
     }
 
+    /// Releases what is kept for forgotten hosts that no queued order and no weight table names. This is the only
+    /// place where that happens.
+    fn release_forgotten_hosts(&mut self) {
+        let calls = &self.calls;
+        let subscription = &self.subscription;
+        let is_referenced = |host| calls.mentions(host) || subscription.mentions(host);
+        for host in self.forgotten.take_unreferenced(is_referenced) {
+            self.discovery.forget(host);
+            self.names.forget(host);
+            self.outbox.counters.hosts_forgotten += 1;
+        }
+    }
+
     /// When the reducer next wants to be called; infinity if nothing is due by itself.
     fn next_timeout(&self) -> f64 {
         let operators = self.operators.as_ref().map_or(f64::INFINITY, |operators| operators.next_timeout());
--- a/crates/director/service/src/reducer/discovery_watch.rs
+++ b/crates/director/service/src/reducer/discovery_watch.rs
@@ -1,9 +1,10 @@
 //! The list of hosts from the discovery service: one watch, opened again when it ends or falls silent. When discovery
 //! moves, the old watch is kept until the new one has brought a line.
 
+use super::effect::Effect;
+use super::ids::LinkId;
 use super::message_fields::resolved;
 use super::outbox::Outbox;
-use super::{Effect, LinkId};
 use crate::framing::Framed;
 use coppersail::interface::{CellId, HostId, HostState, Input, ListScope, Listing};
 use coppersail_protocol::discovery::{self, Server, State};
--- a/crates/director/service/src/reducer/effect.rs
+++ b/crates/director/service/src/reducer/effect.rs
@@ -1,6 +1,6 @@
 //! What the reducer asks the I/O around it to do.
 
-use super::{ConnId, ControlId, LinkId};
+use super::ids::{ConnId, ControlId, LinkId};
 use coppersail::interface::HostId;
 use coppersail_admin_socket::Answer;
 use coppersail_changes::{Record, Version};
--- a/crates/director/service/src/reducer/event.rs
+++ b/crates/director/service/src/reducer/event.rs
@@ -1,6 +1,6 @@
 //! What the I/O around the reducer reports to it.
 
-use super::{ConnId, ControlId, LinkId};
+use super::ids::{ConnId, ControlId, LinkId};
 use crate::framing::Framed;
 use coppersail::interface::HostId;
 use coppersail_admin_socket::Request;
--- a/crates/director/service/src/reducer/forgotten_hosts.rs
+++ b/crates/director/service/src/reducer/forgotten_hosts.rs
@@ -1,6 +1,5 @@
 //! Hosts that the decisions have forgotten. What is kept by host here is released once nothing refers to it.
 
-use super::Reducer;
 use coppersail::interface::{HostId, Input};
 use std::collections::BTreeSet;
 
@@ -34,7 +33,7 @@
     }
 
     /// Removes and returns the hosts for which `is_referenced` is false.
-    fn take_unreferenced(&mut self, is_referenced: impl Fn(HostId) -> bool) -> BTreeSet<HostId> {
+    pub(super) fn take_unreferenced(&mut self, is_referenced: impl Fn(HostId) -> bool) -> BTreeSet<HostId> {
         let (kept, unreferenced) =
             std::mem::take(&mut self.hosts).into_iter().partition(|host| is_referenced(*host));
         self.hosts = kept;
@@ -46,18 +45,3 @@
         self.hosts.len()
     }
 }
-
-impl Reducer {
-    /// Releases what is kept for forgotten hosts that no queued order and no weight table names. This is the only
-    /// place where that happens.
-    pub(super) fn release_forgotten_hosts(&mut self) {
-        let calls = &self.calls;
-        let subscription = &self.subscription;
-        let is_referenced = |host| calls.mentions(host) || subscription.mentions(host);
-        for host in self.forgotten.take_unreferenced(is_referenced) {
-            self.discovery.forget(host);
-            self.names.forget(host);
-            self.outbox.counters.hosts_forgotten += 1;
-        }
-    }
-}
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -24,6 +24,7 @@
 mod relay_lines;
 mod relay_orders;
 mod relay_subscription;
+mod reload;
 #[cfg(test)]
 mod tests;
 
--- a/crates/director/service/src/reducer/operators/commands.rs
+++ b/crates/director/service/src/reducer/operators/commands.rs
@@ -1,6 +1,9 @@
 //! Operators' commands and their answers.
 
-use super::{ControlId, Effect, OperatorContext, Operators, Outbox};
+use super::{OperatorContext, Operators};
+use crate::reducer::effect::Effect;
+use crate::reducer::ids::ControlId;
+use crate::reducer::outbox::Outbox;
 use coppersail_admin_socket::{Answer, Difference, Request, Status, Trial, PAGE};
 use coppersail_change_analysis::TrialId;
 use coppersail_changes::{Act, Refusal, Submission, Version};
--- a/crates/director/service/src/reducer/operators/effects.rs
+++ b/crates/director/service/src/reducer/operators/effects.rs
@@ -1,6 +1,8 @@
 //! What the change log wants done.
 
-use super::{ApplyingChange, Effect, OperatorContext, Operators, Outbox, TICK_S};
+use super::{ApplyingChange, OperatorContext, Operators, TICK_S};
+use crate::reducer::effect::Effect;
+use crate::reducer::outbox::Outbox;
 use coppersail_admin_socket::Answer;
 use coppersail_change_analysis::TrialId;
 use coppersail_changes::{Act, Record, Refusal, Version};
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -10,9 +10,11 @@
 mod submissions;
 mod trials;
 
+use super::effect::Effect;
+use super::event::Event;
+use super::ids::ControlId;
 use super::outbox::Outbox;
 use super::relay_subscription::RelayState;
-use super::{ControlId, Effect, Event};
 use coppersail::interface::{
     HostId, HostState, Input, ListScope, Listing, Settings, SliceId, Wishes, ZoneId,
 };
--- a/crates/director/service/src/reducer/operators/shutdowns.rs
+++ b/crates/director/service/src/reducer/operators/shutdowns.rs
@@ -1,6 +1,7 @@
 //! Shutdowns of hosts that operators have announced.
 
-use super::{OperatorContext, Operators, Outbox};
+use super::{OperatorContext, Operators};
+use crate::reducer::outbox::Outbox;
 use coppersail::interface::HostId;
 use coppersail_capacity_guard::{Change, Pending};
 use coppersail_changes::{announced, Leaving};
--- a/crates/director/service/src/reducer/operators/submissions.rs
+++ b/crates/director/service/src/reducer/operators/submissions.rs
@@ -1,6 +1,7 @@
 //! Changes that come with the operators' file.
 
-use super::{OperatorContext, Operators, Outbox};
+use super::{OperatorContext, Operators};
+use crate::reducer::outbox::Outbox;
 use coppersail_changes::{Refusal, Submission};
 use coppersail_operator_config::{difference, Sheet};
 
--- a/crates/director/service/src/reducer/operators/trials.rs
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -1,6 +1,7 @@
 //! Trials of changes: when a change has reached the relay, what the analysis finds, and what becomes due.
 
-use super::{OperatorContext, Operators, Outbox};
+use super::{OperatorContext, Operators};
+use crate::reducer::outbox::Outbox;
 use coppersail_change_analysis::{Found, Part, TrialId};
 use coppersail_changes::{Ready, Version};
 use coppersail_operator_config::{Field, Value};
--- a/crates/director/service/src/reducer/outbox.rs
+++ b/crates/director/service/src/reducer/outbox.rs
@@ -1,6 +1,7 @@
 //! What the parts of the reducer produce while they handle an event.
 
-use super::{Effect, LinkId};
+use super::effect::Effect;
+use super::ids::LinkId;
 use crate::counters::Counters;
 use coppersail::interface::Input;
 use tracing::Level;
--- a/crates/director/service/src/reducer/relay_calls/answers.rs
+++ b/crates/director/service/src/reducer/relay_calls/answers.rs
@@ -1,8 +1,10 @@
 //! What an answer of the relay says of the call in flight.
 
-use super::super::outbox::Outbox;
-use super::super::{Effect, LinkId};
-use super::{RelayCalls, RelayOrder, RECONNECT_DELAY_S};
+use super::order::RelayOrder;
+use super::{RelayCalls, RECONNECT_DELAY_S};
+use crate::reducer::effect::Effect;
+use crate::reducer::ids::LinkId;
+use crate::reducer::outbox::Outbox;
 use coppersail::interface::{Call, Input};
 use coppersail_protocol::relay::Answer;
 use tracing::Level;
--- a/crates/director/service/src/reducer/relay_calls/connections.rs
+++ b/crates/director/service/src/reducer/relay_calls/connections.rs
@@ -1,7 +1,8 @@
 //! The connections to the relay that calls go out on: one in use and, while the relay moves, one to its new address.
 
-use super::super::outbox::Outbox;
-use super::super::{Effect, LinkId};
+use crate::reducer::effect::Effect;
+use crate::reducer::ids::LinkId;
+use crate::reducer::outbox::Outbox;
 use std::net::SocketAddr;
 
 /// State of one connection.
--- a/crates/director/service/src/reducer/relay_calls/mod.rs
+++ b/crates/director/service/src/reducer/relay_calls/mod.rs
@@ -7,8 +7,9 @@
 
 pub(super) use order::{OrderTarget, RelayOrder};
 
+use super::effect::Effect;
+use super::ids::LinkId;
 use super::outbox::Outbox;
-use super::{Effect, LinkId};
 use connections::{Connection, RelayConnections};
 use coppersail::interface::{Call, HostId, Input, SliceId};
 use coppersail_protocol::relay;
--- a/crates/director/service/src/reducer/relay_subscription/mod.rs
+++ b/crates/director/service/src/reducer/relay_subscription/mod.rs
@@ -6,8 +6,9 @@
 
 pub(super) use state::{RelayState, RelayUpdate};
 
+use super::effect::Effect;
+use super::ids::LinkId;
 use super::outbox::Outbox;
-use super::{Effect, LinkId};
 use coppersail::interface::{Call, HostId, Input, SliceId};
 use coppersail_protocol::relay::FOLLOW;
 use state::{same_weights, ProxyState, SliceState, Weights};
--- a/crates/director/service/src/reducer/relay_subscription/updates.rs
+++ b/crates/director/service/src/reducer/relay_subscription/updates.rs
@@ -1,9 +1,9 @@
 //! How one update changes what its stream has told and, if the stream leads, what the decisions know.
 
-use super::super::outbox::Outbox;
-use super::super::LinkId;
-use super::state::{ProxyState, SliceState};
-use super::{stored_line, RelaySubscription, RelayUpdate};
+use super::state::{ProxyState, RelayUpdate, SliceState};
+use super::{stored_line, RelaySubscription};
+use crate::reducer::ids::LinkId;
+use crate::reducer::outbox::Outbox;
 use coppersail::interface::{HostId, Input, ProxyId, SliceId};
 
 impl RelaySubscription {
--- a/crates/director/service/src/reducer/tests/channel_model/run.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/run.rs
@@ -141,9 +141,9 @@
     fn step(&mut self, step: usize) {
         let now = step as f64 * STEP_S;
         let has_faults = now < self.scenario.faults_end;
-        let lines = STEP_S * self.scenario.speed(now) * self.scenario.lines_per_s();
+        let passed_lines = STEP_S * self.scenario.speed(now) * self.scenario.lines_per_s();
         let lost_receipts = if has_faults { self.scenario.lost_receipts } else { 0 };
-        self.channel.pass(now, lines, lost_receipts, &mut self.random);
+        self.channel.pass(now, passed_lines, lost_receipts, &mut self.random);
         if step % STEPS_PER_SECOND == REPLACEMENT_STEP && has_faults {
             self.replace_host(now, step / STEPS_PER_SECOND);
         }
@@ -157,7 +157,7 @@
             self.channel.publish(now, &mut self.random, "*");
         }
         if step % STEPS_PER_SECOND == DISCOVERY_KEEP_ALIVE_STEP {
-            self.events.push_back(Event::WatchLines(WATCH_LINK, lines_of(&[String::new()])));
+            self.events.push_back(Event::WatchLines(WATCH_LINK, lines(&[""])));
         }
         self.collect_due_events(now);
         while let Some(event) = self.events.pop_front() {
@@ -253,7 +253,7 @@
 
     fn collect_due_events(&mut self, now: f64) {
         for (link, updates) in self.channel.due_updates(now) {
-            self.events.push_back(Event::RelayLines(link, lines_of(&updates)));
+            self.events.push_back(Event::RelayLines(link, lines(&updates)));
         }
         let (due, later) = std::mem::take(&mut self.answers).into_iter().partition(|answer| answer.at <= now);
         self.answers = later;
@@ -280,7 +280,7 @@
             }
             Effect::Send(link, _) => {
                 let snapshot = self.channel.subscribe(link);
-                self.events.extend([Event::RelayLines(link, lines_of(&snapshot)), Event::Settle]);
+                self.events.extend([Event::RelayLines(link, lines(&snapshot)), Event::Settle]);
             }
             _ => {}
         }
@@ -345,8 +345,3 @@
         }
     }
 }
-
-fn lines_of(texts: &[String]) -> Vec<crate::framing::Framed> {
-    let texts: Vec<&str> = texts.iter().map(String::as_str).collect();
-    lines(&texts)
-}
--- a/crates/director/service/src/reducer/tests/mass_joining.rs
+++ b/crates/director/service/src/reducer/tests/mass_joining.rs
@@ -64,7 +64,7 @@
         [
             Event::RelayLines(link, lines(&[&format!("OK {orders}")])),
             Event::Settle,
-            Event::RelayLines(UPDATES_LINK, owned_lines(&receipts)),
+            Event::RelayLines(UPDATES_LINK, lines(&receipts)),
         ]
     }
 
@@ -76,18 +76,13 @@
                 events.extend(self.take_call(now, link, &call));
             }
             Effect::Send(link, _) => {
-                events.push_back(Event::RelayLines(link, owned_lines(&self.snapshot)));
+                events.push_back(Event::RelayLines(link, lines(&self.snapshot)));
             }
             _ => {}
         }
     }
 }
 
-fn owned_lines(texts: &[String]) -> Vec<crate::framing::Framed> {
-    let texts: Vec<&str> = texts.iter().map(String::as_str).collect();
-    lines(&texts)
-}
-
 fn large_reducer() -> Reducer {
     let specifics = format!(
         "\"slices\":{SLICES},\"proxy-count\":{PROXIES},\"lines-per-s\":{LINES_PER_S:?},\"backlog\":{BACKLOG:?},\
--- a/crates/director/service/src/reducer/tests/mod.rs
+++ b/crates/director/service/src/reducer/tests/mod.rs
@@ -80,8 +80,9 @@
     outbox.effects.iter().filter_map(text).collect()
 }
 
-fn lines(texts: &[&str]) -> Vec<Framed> {
-    texts.iter().map(|text| Framed::Line(text.as_bytes().to_vec())).collect()
+/// Complete lines with these texts.
+fn lines(texts: &[impl AsRef<str>]) -> Vec<Framed> {
+    texts.iter().map(|text| Framed::Line(text.as_ref().as_bytes().to_vec())).collect()
 }
 
 fn new_reducer() -> Reducer {
