--- a/crates/director/service/src/reducer/collector_connections.rs
+++ b/crates/director/service/src/reducer/collector_connections.rs
@@ -37,7 +37,7 @@
 
 struct Peer {
     accepted_at: f64,
-    last_heard: f64,
+    last_activity: f64,
     /// Set once the peer has joined.
     zone: Option<ZoneId>,
     /// A `probe` was answered.
@@ -83,7 +83,7 @@
         outbox.counters.connections_taken += 1;
         let peer = Peer {
             accepted_at: now,
-            last_heard: now,
+            last_activity: now,
             zone: None,
             answered: false,
             framer: Framer::new(MAX_NEW_LINE_BYTES),
@@ -108,7 +108,7 @@
             Sender::New => MAX_NEW_LINE_BYTES,
         };
         let peer = self.peers.get_mut(&conn)?;
-        peer.last_heard = now;
+        peer.last_activity = now;
         peer.framer.most = max_line_bytes;
         let tail = bytes.rsplit(|byte| *byte == b'\n').next().unwrap_or_default();
         if let Some(line) = peer.framer.next(bytes) {
@@ -138,7 +138,7 @@
     /// The peer has joined as the collector of a zone.
     pub(super) fn joined(&mut self, now: f64, conn: ConnId, zone: ZoneId, outbox: &mut Outbox) {
         outbox.counters.zones_named += 1;
-        let is_stale = |peer: &Peer| peer.zone == Some(zone) && now - peer.last_heard > STALE_AFTER_S;
+        let is_stale = |peer: &Peer| peer.zone == Some(zone) && now - peer.last_activity > STALE_AFTER_S;
         let stale: Vec<ConnId> =
             self.peers.iter().filter(|(_, peer)| is_stale(peer)).map(|(conn, _)| *conn).collect();
         for old in stale {
@@ -238,8 +238,8 @@
         if collectors.clone().count() <= self.max_connections / 2 {
             return None;
         }
-        let most_silent = collectors.min_by(|(_, a), (_, b)| a.last_heard.total_cmp(&b.last_heard));
-        most_silent.map(|(conn, _)| *conn)
+        let longest_idle = collectors.min_by(|(_, a), (_, b)| a.last_activity.total_cmp(&b.last_activity));
+        longest_idle.map(|(conn, _)| *conn)
     }
 
     /// When `poll` may have something to do by itself; infinity if never.
--- a/crates/director/service/src/reducer/decisions.rs
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -7,7 +7,7 @@
 
 impl Reducer {
     /// The batch is complete: does what has become due, asks the decisions, and says when to wake up next.
-    pub(super) fn settle(&mut self, now: f64) {
+    pub(super) fn finish_batch(&mut self, now: f64) {
         self.collectors.poll(now, &mut self.outbox);
         self.discovery.poll(now, &mut self.outbox);
         self.subscription.poll(now, &mut self.outbox);
@@ -35,11 +35,11 @@
         if let Some(operators) = &mut self.operators {
             operators.observe(&self.outbox.inputs);
         }
-        let mut wishes = None;
-        self.with_operators(|operators, context, outbox| wishes = operators.poll(now, context, outbox));
-        if let Some(wishes) = wishes {
+        let mut overrides = None;
+        self.with_operators(|operators, context, outbox| overrides = operators.poll(now, context, outbox));
+        if let Some(overrides) = overrides {
             self.outbox.counters.wishes_given += 1;
-            self.outbox.inputs.push(Input::Wishes(wishes));
+            self.outbox.inputs.push(Input::Wishes(overrides));
         }
     }
 
--- a/crates/director/service/src/reducer/discovery_watch.rs
+++ b/crates/director/service/src/reducer/discovery_watch.rs
@@ -133,9 +133,9 @@
 
     /// Gives up silent watches, and opens one if there is none at the current address.
     pub(super) fn poll(&mut self, now: f64, outbox: &mut Outbox) {
-        let silent: Vec<LinkId> =
+        let timed_out: Vec<LinkId> =
             self.watches.iter().filter(|watch| now >= watch.deadline).map(|watch| watch.link).collect();
-        for link in silent {
+        for link in timed_out {
             self.connection_down(now, link, "silent", outbox);
             self.reopen_at = now;
         }
--- a/crates/director/service/src/reducer/health_checks.rs
+++ b/crates/director/service/src/reducer/health_checks.rs
@@ -13,7 +13,7 @@
         match self.discovery.address(host) {
             Some(address) => {
                 self.outbox.counters.probes_sent += 1;
-                self.outbox.effects.push(Effect::Probe { host, address, path: self.probe_path });
+                self.outbox.effects.push(Effect::Probe { host, address, path: self.health_check_path });
             }
             // A host without a known address cannot be reached.
             None => self.health_check_ended(now, host, ProbeEnd::Unreachable, 0.0, b""),
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -71,7 +71,7 @@
     id_ranges: IdRanges,
     /// The decisions fetch the list of hosts themselves, and are told when a watch fails.
     fetches_list: bool,
-    probe_path: &'static str,
+    health_check_path: &'static str,
     collectors: CollectorConnections,
     bad_lines_log: RateLimitedLog,
     plausible: PlausibleFigures,
@@ -110,7 +110,7 @@
             fetches_list: !settings.list_is_pushed,
             director: Guarded::plain(settings, config.seed),
             names: Names::new(&boot),
-            probe_path: if has_load_reports { LOAD } else { HEALTH },
+            health_check_path: if has_load_reports { LOAD } else { HEALTH },
             collectors: CollectorConnections::new(bounds.taken, bounds.begun),
             bad_lines_log: RateLimitedLog::default(),
             calls: RelayCalls::new(config.relay),
@@ -212,7 +212,7 @@
                 });
             }
             Event::Time => {}
-            Event::Settle => self.settle(now),
+            Event::Settle => self.finish_batch(now),
             Event::Count => self.log_counters(),
             Event::Stop => {
                 self.log_counters();
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -38,7 +38,7 @@
     zone: ZoneId,
 }
 
-/// A change that was given to the decisions and whose orders are not settled.
+/// A change that was given to the decisions and whose orders are not acknowledged.
 struct ApplyingChange {
     version: Version,
     since: f64,
--- a/crates/director/service/src/reducer/operators/trials.rs
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -60,7 +60,7 @@
         self.change_log.document().get(&Field::Judge) != Some(&Value::Flag(false))
     }
 
-    /// Tells the change log once the orders of the change that was given last are complete and settled.
+    /// Tells the change log once the orders of the change that was given last are complete and acknowledged.
     fn poll_applying(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
         let Some(applying) = &self.applying else { return };
         let is_complete =
--- a/crates/director/service/src/reducer/relay_calls/answers.rs
+++ b/crates/director/service/src/reducer/relay_calls/answers.rs
@@ -36,7 +36,7 @@
             Answer::Throttling => {
                 outbox.counters.calls_throttled += 1;
                 outbox.inputs.push(Input::Call(Call::TurnedAway));
-                self.settled(now, link, outbox);
+                self.outcome_known(now, link, outbox);
                 self.earliest_write = now + RECONNECT_DELAY_S;
                 Vec::new()
             }
@@ -72,7 +72,7 @@
         } else {
             self.queue[0] = rest;
         }
-        self.settled(now, link, outbox);
+        self.outcome_known(now, link, outbox);
         in_force
     }
 
@@ -89,11 +89,11 @@
         let text = "relay: call dropped, not valid".to_string();
         outbox.effects.push(Effect::Log(Level::ERROR, None, text));
         self.queue.pop_front();
-        self.settled(now, link, outbox);
+        self.outcome_known(now, link, outbox);
     }
 
     /// It is known what became of the first call.
-    fn settled(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
+    fn outcome_known(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
         if self.retries > 1 {
             outbox.warn(format!("relay: call settled after {} repeats", self.retries));
         }
--- a/crates/director/service/src/reducer/relay_calls/connections.rs
+++ b/crates/director/service/src/reducer/relay_calls/connections.rs
@@ -105,7 +105,8 @@
         self.redial_at = redial_at;
     }
 
-    /// The relay has another address from now on. A call in flight is settled where it went, as long as that serves.
+    /// The relay has another address from now on. A call in flight is answered where it went, as long as that
+    /// serves.
     pub(super) fn set_address(&mut self, address: SocketAddr, outbox: &mut Outbox) {
         if self.address == address {
             return;
--- a/crates/director/service/src/reducer/relay_calls/mod.rs
+++ b/crates/director/service/src/reducer/relay_calls/mod.rs
@@ -1,4 +1,4 @@
-//! The ordered queue of calls to the relay. A call goes out when the one before it is settled: answered, or repeated
+//! The ordered queue of calls to the relay. A call goes out when the one before it is acknowledged: answered, or repeated
 //! until it is. Repeating is safe, as every order sets a state; it only costs the proxies further lines.
 
 mod answers;
@@ -112,11 +112,11 @@
         }
     }
 
-    /// Merges what waits to one call. A call that is not settled stays as it is: nothing later goes out with it.
+    /// Merges what waits to one call. A call that is not acknowledged stays as it is: nothing later goes out with it.
     fn merge_queue(&mut self, outbox: &mut Outbox) {
-        let unsettled = if self.is_first_unsettled() { self.queue.pop_front() } else { None };
+        let unacknowledged = if self.is_first_unacknowledged() { self.queue.pop_front() } else { None };
         let merged = merge(self.queue.drain(..).flatten().collect());
-        self.queue.extend(unsettled);
+        self.queue.extend(unacknowledged);
         self.enqueue(group_by_slice(merged));
         outbox.counters.calls_merged += 1;
     }
@@ -142,10 +142,12 @@
         self.wait_for_state_until = if known { None } else { Some(now + MAX_WAIT_FOR_STATE_S) };
     }
 
-    /// The slices of which the unsettled call sets weights.
+    /// The slices of which the unacknowledged call sets weights.
     pub(super) fn slices_in_flight(&self) -> BTreeSet<SliceId> {
         match self.queue.front() {
-            Some(call) if self.is_first_unsettled() => call.iter().filter_map(RelayOrder::slice).collect(),
+            Some(call) if self.is_first_unacknowledged() => {
+                call.iter().filter_map(RelayOrder::slice).collect()
+            }
             _ => BTreeSet::new(),
         }
     }
@@ -180,7 +182,7 @@
         // say what still keeps to the backlog, as they estimate what waits there.
         let request = WriteRequest {
             orders: call.len(),
-            is_retry: self.is_first_unsettled(),
+            is_retry: self.is_first_unacknowledged(),
             proxies_unknown: self.proxies_unknown,
         };
         let allowed = writable(request);
@@ -278,7 +280,7 @@
     }
 
     /// The first call was written, and it is not known yet whether it was carried out.
-    fn is_first_unsettled(&self) -> bool {
+    fn is_first_unacknowledged(&self) -> bool {
         self.answer_deadline.is_some() || self.retries > 0 || self.rejected_once
     }
 
--- a/crates/director/service/src/reducer/relay_lines.rs
+++ b/crates/director/service/src/reducer/relay_lines.rs
@@ -2,7 +2,7 @@
 
 use super::message_fields::resolved;
 use super::relay_calls::OrderTarget;
-use super::relay_subscription::{stored_line, RelayUpdate};
+use super::relay_subscription::{weight_input, RelayUpdate};
 use super::{LinkId, Reducer};
 use crate::framing::Framed;
 use coppersail::interface::MarkId;
@@ -33,7 +33,7 @@
                     // which it was not meant, and the decisions have to know.
                     let reassigned = self.subscription.assigned_at(slice).is_some_and(|at| at > sent_at);
                     if reassigned && order.weight > 0.0 {
-                        self.outbox.inputs.push(stored_line(slice, host, order.weight));
+                        self.outbox.inputs.push(weight_input(slice, host, order.weight));
                     }
                     self.subscription.weight_written(slice, host, order.weight);
                 }
--- a/crates/director/service/src/reducer/relay_subscription/mod.rs
+++ b/crates/director/service/src/reducer/relay_subscription/mod.rs
@@ -30,7 +30,7 @@
     link: LinkId,
     address: SocketAddr,
     is_connected: bool,
-    last_heard: f64,
+    last_activity: f64,
     /// The snapshot at its start is complete.
     is_synchronized: bool,
     state: RelayState,
@@ -46,7 +46,7 @@
     streams: Vec<UpdateStream>,
     /// What the decisions have been told, and the weights that the relay has accepted from this director.
     pub(super) reported: RelayState,
-    /// Slices whose weights are in a call that is not settled: their tables may be old or new.
+    /// Slices whose weights are in a call that is not acknowledged: their tables may be old or new.
     pub(super) slices_in_flight: BTreeSet<SliceId>,
     connect_at: f64,
     /// An outage was logged, and no stream was synchronized since.
@@ -100,13 +100,13 @@
 
     /// Gives up silent streams, and opens one that is missing.
     pub(super) fn poll(&mut self, now: f64, outbox: &mut Outbox) {
-        let silent: Vec<LinkId> = self
+        let timed_out: Vec<LinkId> = self
             .streams
             .iter()
-            .filter(|stream| now - stream.last_heard > IDLE_TIMEOUT_S)
+            .filter(|stream| now - stream.last_activity > IDLE_TIMEOUT_S)
             .map(|stream| stream.link)
             .collect();
-        for link in silent {
+        for link in timed_out {
             self.connection_down(now, link, "silent", outbox);
         }
         if self.may_open_stream() && now >= self.connect_at {
@@ -115,7 +115,7 @@
                 link,
                 address: self.address,
                 is_connected: false,
-                last_heard: now,
+                last_activity: now,
                 is_synchronized: false,
                 state: RelayState::default(),
                 to_compare: BTreeSet::new(),
@@ -130,7 +130,7 @@
         outbox.effects.push(Effect::Send(link, FOLLOW.to_vec()));
         if let Some(index) = self.position(link) {
             self.streams[index].is_connected = true;
-            self.streams[index].last_heard = now;
+            self.streams[index].last_activity = now;
         }
     }
 
@@ -209,7 +209,7 @@
             }
             outbox.inputs.push(Input::Given(slice));
             for (host, weight) in weights {
-                outbox.inputs.push(stored_line(slice, *host, *weight));
+                outbox.inputs.push(weight_input(slice, *host, *weight));
             }
             reported.slices.insert(slice, SliceState { assigned_at: now, weights: weights.clone() });
         }
@@ -263,12 +263,12 @@
     /// When `poll` may have something to do by itself; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let connect = if self.may_open_stream() { self.connect_at } else { f64::INFINITY };
-        let idle = self.streams.iter().map(|stream| stream.last_heard + IDLE_TIMEOUT_S + TIMER_MARGIN_S);
+        let idle = self.streams.iter().map(|stream| stream.last_activity + IDLE_TIMEOUT_S + TIMER_MARGIN_S);
         idle.fold(connect, f64::min)
     }
 }
 
 /// Tells the decisions of a weight that stands at the relay.
-pub(super) fn stored_line(slice: SliceId, host: HostId, weight: f64) -> Input {
+pub(super) fn weight_input(slice: SliceId, host: HostId, weight: f64) -> Input {
     Input::StoredLine { slice, host, weight }
 }
--- a/crates/director/service/src/reducer/relay_subscription/updates.rs
+++ b/crates/director/service/src/reducer/relay_subscription/updates.rs
@@ -1,7 +1,7 @@
 //! How one update changes what its stream has told and, if the stream leads, what the decisions know.
 
 use super::state::{ProxyState, RelayUpdate, SliceState};
-use super::{stored_line, RelaySubscription};
+use super::{weight_input, RelaySubscription};
 use crate::reducer::ids::LinkId;
 use crate::reducer::outbox::Outbox;
 use coppersail::interface::{HostId, Input, ProxyId, SliceId};
@@ -11,7 +11,7 @@
     pub(crate) fn apply(&mut self, now: f64, link: LinkId, update: RelayUpdate, outbox: &mut Outbox) {
         let Some(index) = self.position(link) else { return };
         let leads = index == 0;
-        self.streams[index].last_heard = now;
+        self.streams[index].last_activity = now;
         match update {
             RelayUpdate::SnapshotStart => {}
             RelayUpdate::KeepAlive => self.keep_alive(now, index, outbox),
@@ -111,7 +111,7 @@
         if let Some(state) = self.reported.slices.get_mut(&slice) {
             // A weight that is known already would count twice.
             if state.weights.insert(host, weight).is_none() {
-                outbox.inputs.push(stored_line(slice, host, weight));
+                outbox.inputs.push(weight_input(slice, host, weight));
             }
         }
     }
--- a/crates/director/service/src/reducer/tests/channel_model/channel.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/channel.rs
@@ -42,9 +42,9 @@
 pub(super) struct Channel {
     messages: VecDeque<Message>,
     /// Lines that wait.
-    waiting: f64,
+    queued_lines: f64,
     /// Most lines that have waited.
-    pub(super) max_waiting: f64,
+    pub(super) max_queued_lines: f64,
     pub(super) joined: BTreeSet<u16>,
     receipts: VecDeque<Receipt>,
     /// When messages were sent to a proxy within the window.
@@ -66,8 +66,8 @@
     pub(super) fn new(scenario: &Scenario) -> Self {
         let mut channel = Channel {
             messages: VecDeque::new(),
-            waiting: 0.0,
-            max_waiting: 0.0,
+            queued_lines: 0.0,
+            max_queued_lines: 0.0,
             joined: (0..scenario.proxies).collect(),
             receipts: VecDeque::new(),
             message_times: BTreeMap::new(),
@@ -92,7 +92,7 @@
 
     /// The director has restarted: nothing is left but what stands at the relay.
     pub(super) fn restart(&mut self) {
-        self.waiting = 0.0;
+        self.queued_lines = 0.0;
         self.messages.clear();
         self.receipts.clear();
         self.streams.clear();
@@ -111,10 +111,10 @@
         let lines = OVERHEAD + orders.len() as f64;
         for proxy in self.joined.clone() {
             self.messages.push_back(Message { proxy, lines, mark: mark.map(str::to_string) });
-            self.waiting += lines;
+            self.queued_lines += lines;
             self.count_message(now, proxy);
         }
-        self.max_waiting = self.max_waiting.max(self.waiting);
+        self.max_queued_lines = self.max_queued_lines.max(self.queued_lines);
         format!("OK {}", orders.len())
     }
 
@@ -169,7 +169,7 @@
             let passed = message.lines.min(lines);
             message.lines -= passed;
             lines -= passed;
-            self.waiting -= passed;
+            self.queued_lines -= passed;
             if message.lines > ROUNDING {
                 break;
             }
@@ -192,7 +192,7 @@
             let to_leaver = self.messages.iter().filter(|message| message.proxy == proxy);
             let lines: f64 = to_leaver.map(|message| message.lines).sum();
             self.messages.retain(|message| message.proxy != proxy);
-            self.waiting -= lines;
+            self.queued_lines -= lines;
         }
     }
 
@@ -279,7 +279,7 @@
     }
 
     /// The host was withdrawn after `since`, or no table names it.
-    pub(super) fn is_settled(&self, since: f64, host: &str) -> bool {
+    pub(super) fn is_withdrawn_or_unused(&self, since: f64, host: &str) -> bool {
         let withdrawal = self.withdrawals.get(host);
         withdrawal.is_some_and(|withdrawal| withdrawal.last > since) || !self.mentions(host)
     }
--- a/crates/director/service/src/reducer/tests/channel_model/mod.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/mod.rs
@@ -31,7 +31,7 @@
     let result = runner(24).run(&any_scenario(), |scenario| {
         let measured = run(&scenario);
         let backlog = scenario.backlog();
-        prop_assert!(measured.max_waiting <= backlog, "{measured:?}, {backlog} may wait");
+        prop_assert!(measured.max_queued_lines <= backlog, "{measured:?}, {backlog} may wait");
         prop_assert!(!scenario.limits_messages || measured.max_messages <= MAX_MESSAGES, "{measured:?}");
         prop_assert!(measured.missed.is_empty(), "{measured:?}");
         prop_assert!(measured.longest_call <= MAX_CALL_BYTES, "{measured:?}");
@@ -44,8 +44,8 @@
 fn retries_on_a_slow_channel_keep_to_the_backlog() {
     let scenario = Scenario::slow_and_corrupt();
     let measured = run(&scenario);
-    assert!(measured.max_waiting <= scenario.backlog(), "{measured:?}");
-    assert!(measured.max_waiting > 0.5 * scenario.backlog(), "{measured:?}");
+    assert!(measured.max_queued_lines <= scenario.backlog(), "{measured:?}");
+    assert!(measured.max_queued_lines > 0.5 * scenario.backlog(), "{measured:?}");
     assert!(measured.missed.is_empty(), "{measured:?}");
 }
 
@@ -53,7 +53,7 @@
 #[test]
 fn overstated_backlog_is_noticed_by_the_model() {
     let scenario = Scenario { stated_backlog: 2.0, ..Scenario::slow_and_corrupt() };
-    assert!(run(&scenario).max_waiting > scenario.backlog());
+    assert!(run(&scenario).max_queued_lines > scenario.backlog());
 }
 
 fn release(seed: u64, proxies: u16) -> Scenario {
@@ -79,9 +79,9 @@
 #[test_case(Scenario { takeover: Some(4.6), handback: Some(7.3), ..release(8, 400) }, 1.0 ; "slices come and go back")]
 #[test_case(Scenario { restart: Some(6.3), ..release(9, 400) }, 1.0 ; "it restarts")]
 #[test_case(Scenario { takeover: Some(4.6), host_name_len: LONG_NAME, ..release(10, 400) }, 2.0 ; "calls are split by their length")]
-fn trouble_elsewhere_delays_no_drain(scenario: Scenario, max_delay_s: f64) {
+fn fault_elsewhere_delays_no_drain(scenario: Scenario, max_delay_s: f64) {
     let measured = run(&scenario);
-    assert!(measured.max_waiting <= scenario.backlog(), "{measured:?}");
+    assert!(measured.max_queued_lines <= scenario.backlog(), "{measured:?}");
     assert!(measured.missed.is_empty(), "{measured:?}");
     // Half of the time that a drain has, so that what is ordered can also arrive; limits wait where a call is reset or
     // its answer cannot be read, and stretch on a slow channel.
--- a/crates/director/service/src/reducer/tests/channel_model/run.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/run.rs
@@ -30,7 +30,7 @@
 #[derive(Debug)]
 pub(super) struct Measured {
     /// Most lines that waited in the channel.
-    pub(super) max_waiting: f64,
+    pub(super) max_queued_lines: f64,
     /// Most messages to a proxy within the window.
     pub(super) max_messages: usize,
     /// Drained hosts that a table still names at the end, and that were not withdrawn.
@@ -42,7 +42,7 @@
     pub(super) longest_call: usize,
 }
 
-/// A drain, or a slice with a drained host, that the director has to settle.
+/// A drain, or a slice with a drained host, that the director has to withdraw.
 struct Drain {
     since: f64,
     host: String,
@@ -303,7 +303,7 @@
                 let at = now + MAX_ANSWER_DELAY_S * self.random.share();
                 self.answer(at, Event::RelayLines(link, lines(&[&answer])));
             }
-            CallFate::Silent | CallFate::Throttled => {}
+            CallFate::Unanswered | CallFate::Throttled => {}
             CallFate::Broken => self.answer(now, Event::RelayDown(link, "reset".to_string())),
             CallFate::Corrupt => self.answer(now, Event::RelayLines(link, lines(&["O?"]))),
         }
@@ -314,11 +314,11 @@
         let channel = &self.channel;
         let mut slowest = self.slowest_drain_s;
         self.taken_over.retain(|drain| {
-            let is_settled = channel.is_settled(drain.since, &drain.host);
-            if is_settled {
+            let is_done = channel.is_withdrawn_or_unused(drain.since, &drain.host);
+            if is_done {
                 slowest = slowest.max(now - drain.since);
             }
-            !is_settled
+            !is_done
         });
         self.slowest_drain_s = slowest;
     }
@@ -337,7 +337,7 @@
         let missed = self.drains.iter().filter(|drain| self.channel.is_missed(&drain.host));
         let missed = missed.chain(&self.taken_over).map(|drain| drain.host.clone()).collect();
         Measured {
-            max_waiting: self.channel.max_waiting,
+            max_queued_lines: self.channel.max_queued_lines,
             max_messages: self.channel.max_messages,
             missed,
             slowest_drain_s: self.slowest_drain_s,
--- a/crates/director/service/src/reducer/tests/channel_model/scenario.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/scenario.rs
@@ -23,13 +23,13 @@
 /// What becomes of a call, in percent; the others are answered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FaultOdds {
-    pub(super) silent: u32,
+    pub(super) unanswered: u32,
     pub(super) broken: u32,
     pub(super) corrupt: u32,
     pub(super) throttled: u32,
 }
 
-pub(super) const NO_FAULTS: FaultOdds = FaultOdds { silent: 0, broken: 0, corrupt: 0, throttled: 0 };
+pub(super) const NO_FAULTS: FaultOdds = FaultOdds { unanswered: 0, broken: 0, corrupt: 0, throttled: 0 };
 
 /// What becomes of one call.
 #[derive(Clone, Copy, PartialEq, Eq)]
@@ -38,7 +38,7 @@
     /// Rejected as a whole.
     Throttled,
     /// No answer comes.
-    Silent,
+    Unanswered,
     /// The connection breaks.
     Broken,
     /// The answer cannot be read.
@@ -50,7 +50,7 @@
     pub(super) fn fate(self, roll: u32) -> CallFate {
         let faults = [
             (self.throttled, CallFate::Throttled),
-            (self.silent, CallFate::Silent),
+            (self.unanswered, CallFate::Unanswered),
             (self.broken, CallFate::Broken),
             (self.corrupt, CallFate::Corrupt),
         ];
@@ -184,7 +184,12 @@
 
 fn fault_odds() -> impl Strategy<Value = FaultOdds> {
     let odds = (0..15u32, 0..15u32, 0..15u32, 0..4u32);
-    odds.prop_map(|(silent, broken, corrupt, throttled)| FaultOdds { silent, broken, corrupt, throttled })
+    odds.prop_map(|(unanswered, broken, corrupt, throttled)| FaultOdds {
+        unanswered,
+        broken,
+        corrupt,
+        throttled,
+    })
 }
 
 fn exodus() -> impl Strategy<Value = Exodus> {
--- a/crates/director/service/src/reducer/tests/collector_connections.rs
+++ b/crates/director/service/src/reducer/tests/collector_connections.rs
@@ -47,8 +47,8 @@
         connections.joined(f64::from(id), ConnId(id.into()), ZoneId(0), &mut outbox);
     }
     for id in 1..=4u32 {
-        let last_heard = 5.0 - f64::from(id);
-        connections.next_line(last_heard, ConnId(id.into()), &mut &b" "[..], &mut outbox);
+        let last_activity = 5.0 - f64::from(id);
+        connections.next_line(last_activity, ConnId(id.into()), &mut &b" "[..], &mut outbox);
     }
     connections.poll(5.0, &mut outbox);
     assert_eq!(dropped_connections(&outbox), [4], "the one that was silent longest");
--- a/crates/director/service/src/reducer/tests/mass_joining.rs
+++ b/crates/director/service/src/reducer/tests/mass_joining.rs
@@ -14,10 +14,10 @@
 const BACKLOG: f64 = 120_000.0;
 /// Lines that each message costs on top of its orders.
 const OVERHEAD: f64 = 12.0;
-const ROUNDS_PER_SECOND: f64 = 20.0;
-const ROUNDS: u32 = 200;
-/// The round in which a host begins to drain: five seconds after the start.
-const DRAIN_ROUND: u32 = 100;
+const STEPS_PER_SECOND: f64 = 20.0;
+const STEPS: u32 = 200;
+/// The step in which a host begins to drain: five seconds after the start.
+const DRAIN_STEP: u32 = 100;
 /// When the drain must have been ordered at the latest.
 const DRAIN_DEADLINE_S: f64 = 5.5;
 const WATCH_LINK: LinkId = LinkId(1);
@@ -26,8 +26,8 @@
 struct Relay {
     snapshot: Vec<String>,
     /// Lines that wait in the channel.
-    waiting: f64,
-    most_waiting: f64,
+    queued_lines: f64,
+    max_queued_lines: f64,
     /// When the draining host was withdrawn.
     withdrawn_at: Option<f64>,
 }
@@ -43,19 +43,19 @@
             snapshot.push(format!("* line {slice} h{} 1.0", slice % HOSTS));
         }
         snapshot.push("*".to_string());
-        Relay { snapshot, waiting: 0.0, most_waiting: 0.0, withdrawn_at: None }
+        Relay { snapshot, queued_lines: 0.0, max_queued_lines: 0.0, withdrawn_at: None }
     }
 
-    /// Lines pass the channel for the time of one round.
-    fn pass_round(&mut self) {
-        self.waiting = f64::max(self.waiting - LINES_PER_S / ROUNDS_PER_SECOND, 0.0);
+    /// Lines pass the channel for the time of one step.
+    fn pass_step(&mut self) {
+        self.queued_lines = f64::max(self.queued_lines - LINES_PER_S / STEPS_PER_SECOND, 0.0);
     }
 
     /// Takes a call; the events that follow.
     fn take_call(&mut self, now: f64, link: LinkId, call: &str) -> [Event; 3] {
         let orders = call.matches(';').count() + 1;
-        self.waiting += PROXIES as f64 * (OVERHEAD + orders as f64);
-        self.most_waiting = self.most_waiting.max(self.waiting);
+        self.queued_lines += PROXIES as f64 * (OVERHEAD + orders as f64);
+        self.max_queued_lines = self.max_queued_lines.max(self.queued_lines);
         if call.contains("OUT,h3") {
             self.withdrawn_at.get_or_insert(now);
         }
@@ -92,13 +92,13 @@
     Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap()
 }
 
-fn events_of_round(reducer: &Reducer, round: u32) -> VecDeque<Event> {
+fn events_of_step(reducer: &Reducer, step: u32) -> VecDeque<Event> {
     let mut events = VecDeque::new();
-    if round == DRAIN_ROUND {
+    if step == DRAIN_STEP {
         let drain = host_list(2, false, &[host_entry("h3", "terminating", 0)]);
         events.push_back(Event::WatchLines(WATCH_LINK, lines(&[&drain])));
     }
-    if round == 0 {
+    if step == 0 {
         events.push_back(Event::RelayUp(UPDATES_LINK));
     }
     events.push_back(Event::WatchLines(WATCH_LINK, lines(&[""])));
@@ -121,19 +121,19 @@
     let list = host_list(1, true, &hosts);
     reducer.reduce(0.0, Event::Settle);
     reducer.reduce(0.0, Event::WatchLines(WATCH_LINK, lines(&[&list])));
-    for round in 0..ROUNDS {
-        let now = f64::from(round) / ROUNDS_PER_SECOND;
-        relay.pass_round();
-        let mut events = events_of_round(&reducer, round);
+    for step in 0..STEPS {
+        let now = f64::from(step) / STEPS_PER_SECOND;
+        relay.pass_step();
+        let mut events = events_of_step(&reducer, step);
         while let Some(event) = events.pop_front() {
             for effect in reducer.reduce(now, event) {
                 relay.handle_effect(now, effect, &mut events);
             }
         }
     }
-    let most = relay.most_waiting;
+    let max_queued_lines = relay.max_queued_lines;
     assert_eq!(reducer.outbox.counters.proxies_joined, PROXIES as u64);
-    assert!(most > 0.1 * BACKLOG && most < BACKLOG, "{most}");
+    assert!(max_queued_lines > 0.1 * BACKLOG && max_queued_lines < BACKLOG, "{max_queued_lines}");
     let withdrawn_at = relay.withdrawn_at;
     assert!(withdrawn_at.is_some_and(|at| at < DRAIN_DEADLINE_S), "a drain does not wait: {withdrawn_at:?}");
 }
--- a/crates/director/service/src/reducer/tests/relay_calls.rs
+++ b/crates/director/service/src/reducer/tests/relay_calls.rs
@@ -37,7 +37,7 @@
     calls.enqueue(vec![weight_order(2, 1, 1.0)]);
     let mut in_force = 0;
     for answer in answers {
-        assert!(!sent_calls(&outbox).concat().contains("SET,2"), "nothing later before it is settled");
+        assert!(!sent_calls(&outbox).concat().contains("SET,2"), "nothing later before it is acknowledged");
         in_force += calls.answer(0.01, LinkId(1), answer, &mut outbox).len() as u64;
         calls.poll(0.01, unlimited, &mut outbox);
     }
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn lost_connection_leaves_the_unsettled_call_unmerged() {
+fn lost_connection_never_merges_the_unacknowledged_call() {
     let (mut calls, mut outbox) = queue_with(&[&[weight_order(1, 1, 1.0)]]);
     for call in 0..40 {
         calls.enqueue(vec![weight_order(1, 1, f64::from(call))]);
@@ -138,12 +138,12 @@
 
 #[test_case(true, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "what waits")]
 #[test_case(false, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "a repeat that waits")]
-fn lost_slice_discards_its_queued_orders(settled: bool, expected: &[&str]) {
+fn lost_slice_discards_its_queued_orders(acknowledged: bool, expected: &[&str]) {
     let (mut calls, mut outbox) = queue_with(&[
         &[weight_order(1, 1, 1.0)],
         &[weight_order(2, 2, 1.0), weight_order(1, 2, 1.0), weight_order(2, 3, 1.0)],
     ]);
-    if settled {
+    if acknowledged {
         calls.answer(0.01, LinkId(1), b"OK 1", &mut outbox);
     } else {
         calls.connection_down(0.01, LinkId(1), "broken", &mut outbox);
@@ -173,7 +173,7 @@
 
 #[test_case(b"OK 1", &["txn SET,1,h1,1", "txn SET,2,h1,1"] ; "answered")]
 #[test_case(b"O?", &["txn SET,1,h1,1", "txn SET,1,h1,1"] ; "with an answer that cannot be read")]
-fn relay_move_settles_the_call_in_flight_first(answer: &[u8], expected: &[&str]) {
+fn relay_move_finishes_the_call_in_flight_first(answer: &[u8], expected: &[&str]) {
     let (mut calls, mut outbox) = queue_with(&[&[weight_order(1, 1, 1.0)], &[weight_order(2, 1, 1.0)]]);
     calls.set_address(new_relay_address(), &mut outbox);
     assert_eq!(
--- a/crates/director/service/src/reducer/tests/retention.rs
+++ b/crates/director/service/src/reducer/tests/retention.rs
@@ -5,7 +5,7 @@
 use coppersail_protocol::config::Config;
 use std::collections::VecDeque;
 
-const ROUNDS_PER_SECOND: i32 = 5;
+const STEPS_PER_SECOND: i32 = 5;
 /// Each second a host comes, and one goes that came so many seconds before.
 const HOST_LIFETIME_S: i32 = 4;
 /// How many of the newest connections are searched for subscriptions.
@@ -82,14 +82,14 @@
         .replace("\"slices\"", "\"lines-per-s\":60000.0,\"backlog\":120000.0,\"overhead\":12.0,\"slices\"");
     let mut reducer = Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap();
     reduce_with_peers(&mut reducer, 0.0, Event::Time);
-    for round in 0..5000 {
-        let second = round / ROUNDS_PER_SECOND;
-        let now = f64::from(round) / f64::from(ROUNDS_PER_SECOND);
-        if round % ROUNDS_PER_SECOND == 0 {
+    for step in 0..5000 {
+        let second = step / STEPS_PER_SECOND;
+        let now = f64::from(step) / f64::from(STEPS_PER_SECOND);
+        if step % STEPS_PER_SECOND == 0 {
             replace_host(&mut reducer, now, second);
             connect_collector(&mut reducer, now, second);
         }
-        let line = if round % 1000 == 999 { "gone" } else { "*" };
+        let line = if step % 1000 == 999 { "gone" } else { "*" };
         send_update(&mut reducer, now, line);
         reduce_with_peers(&mut reducer, now, Event::Time);
     }
--- a/crates/director/service/src/reducer/tests/truncated_messages.rs
+++ b/crates/director/service/src/reducer/tests/truncated_messages.rs
@@ -7,7 +7,7 @@
 const COLLECTOR: ConnId = ConnId(0);
 /// A message goes to so many of the newest outgoing connections.
 const RECENT_LINKS: usize = 6;
-const ROUND_S: f64 = 0.5;
+const STEP_S: f64 = 0.5;
 
 const ATTEMPTS: &str =
     r#"{"msg":"outcomes","az":"a","host":"h","n":1,"bad":0,"avg":1.0,"window":1.0,"report":{"q":1}}"#;
@@ -24,7 +24,7 @@
     for message in [list.as_str(), ATTEMPTS].into_iter().chain(RELAY_LINES) {
         for end in (0..=message.len()).rev() {
             deliver_everywhere(&mut reducer, now, &message.as_bytes()[..end]);
-            now += ROUND_S;
+            now += STEP_S;
         }
     }
     assert!(reducer.outbox.counters.lists > 0);
@@ -42,7 +42,7 @@
     reducer.reduce(now, Event::Heard(new, message.to_vec()));
     reducer.reduce(now, Event::Accepted(COLLECTOR));
     reducer.reduce(now, Event::Heard(COLLECTOR, JOIN_LINE.to_vec()));
-    // Links are numbered from 1; a few go with each round, as some messages cost their connection.
+    // Links are numbered from 1; a few go with each step, as some messages cost their connection.
     for link in (0..=reducer.outbox.last_link).rev().take(RECENT_LINKS).map(LinkId) {
         reducer.reduce(now, Event::RelayUp(link));
         reducer.reduce(now, Event::RelayLines(link, line.clone()));
