--- /dev/null
+++ b/crates/director/service/src/adapters/collector_listener.rs
@@ -0,0 +1,86 @@
+//! The director's listening socket: accepts collectors' connections and reads from them.
+//!
+//! Accepted connections are kept in one table until the reducer says to close them, also after their peer has ended.
+
+use super::task::AbortOnDropTask;
+use super::ACCEPT_RETRY_DELAY;
+use coppersail_director::reducer::{ConnId, Event};
+use std::collections::BTreeMap;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
+use tokio::net::TcpListener;
+use tokio::sync::mpsc::Sender;
+
+/// Bytes read at a time. The buffer exists only while its bytes are on their way, so that hundreds of idle connections
+/// hold no memory.
+const READ_BUFFER_BYTES: usize = 1 << 13;
+
+struct Connection {
+    writer: OwnedWriteHalf,
+    _reader: AbortOnDropTask,
+}
+
+/// The listening socket and the connections that it has accepted.
+pub(crate) struct CollectorListener {
+    socket: TcpListener,
+    events: Sender<Event>,
+    connections: BTreeMap<ConnId, Connection>,
+    next_id: u64,
+}
+
+impl CollectorListener {
+    /// Listens at `address`; what connections send goes to `events`.
+    pub(crate) async fn bind(address: SocketAddr, events: Sender<Event>) -> std::io::Result<Self> {
+        let socket = TcpListener::bind(address).await?;
+        Ok(CollectorListener { socket, events, connections: BTreeMap::new(), next_id: 0 })
+    }
+
+    /// Accepts one connection. The reducer answers with whom to close for the next one, or that none is to be accepted.
+    pub(crate) async fn accept(&mut self) -> Event {
+        loop {
+            match self.socket.accept().await {
+                Ok((stream, _)) => {
+                    let id = ConnId(self.next_id);
+                    self.next_id += 1;
+                    let (reader, writer) = stream.into_split();
+                    let reader = AbortOnDropTask::spawn(read(id, reader, self.events.clone()));
+                    self.connections.insert(id, Connection { writer, _reader: reader });
+                    return Event::Accepted(id);
+                }
+                // The peer has left again, or there are no descriptors until others are closed.
+                Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
+            }
+        }
+    }
+
+    /// Writes a few bytes without waiting; a peer that does not read even these is disconnected.
+    pub(crate) fn send(&mut self, id: ConnId, bytes: &[u8]) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        let is_written = connection.writer.try_write(bytes).is_ok_and(|count| count == bytes.len());
+        if !is_written {
+            self.close(id);
+        }
+    }
+
+    /// Closes a connection.
+    pub(crate) fn close(&mut self, id: ConnId) {
+        self.connections.remove(&id);
+    }
+}
+
+async fn read(id: ConnId, reader: OwnedReadHalf, events: Sender<Event>) {
+    while reader.readable().await.is_ok() {
+        let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
+        match reader.try_read_buf(&mut buffer) {
+            Ok(1..) => {
+                if events.send(Event::Heard(id, buffer)).await.is_err() {
+                    return;
+                }
+            }
+            Err(error) if error.kind() == ErrorKind::WouldBlock => {}
+            Ok(0) | Err(_) => break,
+        }
+    }
+    let _ = events.send(Event::Ended(id)).await;
+}
--- /dev/null
+++ b/crates/director/service/src/adapters/http_client.rs
@@ -0,0 +1,67 @@
+//! One HTTP request on a connection of its own, by hyper's connection-level client.
+
+use super::task::AbortOnDropTask;
+use super::tcp;
+use bytes::Bytes;
+use http_body_util::Empty;
+use hyper::body::Incoming;
+use hyper::client::conn::http1;
+use hyper::header::HOST;
+use hyper::{Request, Response};
+use hyper_util::rt::TokioIo;
+use std::io::ErrorKind;
+use std::net::SocketAddr;
+use std::time::Duration;
+
+/// Why a request has no response. The texts stand in the log.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
+pub(crate) enum RequestError {
+    /// No connection was established.
+    #[error("unreachable")]
+    Unreachable,
+    /// The connection broke before the response.
+    #[error("broken")]
+    Broken,
+    /// The peer sent something that is no HTTP response.
+    #[error("unreadable")]
+    Unreadable,
+}
+
+/// What a failed connect says of the peer. The network resets connections of healthy peers as well, often before they
+/// are seen to be established; the machine of a process that died refuses them.
+fn connect_error(kind: ErrorKind) -> RequestError {
+    match kind {
+        ErrorKind::ConnectionReset => RequestError::Broken,
+        _ => RequestError::Unreachable,
+    }
+}
+
+fn response_error(error: hyper::Error) -> RequestError {
+    if error.is_parse() {
+        RequestError::Unreadable
+    } else {
+        RequestError::Broken
+    }
+}
+
+/// The response's head. Its body comes as long as the returned task, which drives the connection, is kept.
+pub(crate) async fn get(
+    address: SocketAddr,
+    path: &str,
+    connect_timeout: Duration,
+) -> Result<(Response<Incoming>, AbortOnDropTask), RequestError> {
+    let connected = tcp::connect(address, connect_timeout).await;
+    let stream = connected.map_err(|error| connect_error(error.kind()))?;
+    // Without it a request may wait for the peer's acknowledgement.
+    stream.set_nodelay(true).map_err(|_| RequestError::Broken)?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (mut sender, connection) = handshake.map_err(|_| RequestError::Broken)?;
+    let driver = AbortOnDropTask::spawn(async move { drop(connection.await) });
+    let request = Request::get(path).header(HOST, address.to_string()).body(Empty::<Bytes>::new());
+    let request = request.map_err(|_| RequestError::Broken)?;
+    let response = sender.send_request(request).await.map_err(response_error)?;
+    Ok((response, driver))
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/director/service/src/adapters/mod.rs
@@ -0,0 +1,79 @@
+//! The reducer's effects, performed on real sockets, timers and disks, one module for each kind of peer.
+
+mod admin_socket;
+mod change_log_writer;
+mod collector_listener;
+mod discovery_client;
+mod health_prober;
+mod http_client;
+mod relay_client;
+pub(crate) mod task;
+mod tcp;
+mod wake_timer;
+
+pub(crate) use admin_socket::AdminSocket;
+pub(crate) use change_log_writer::ChangeLogWriter;
+pub(crate) use collector_listener::CollectorListener;
+pub(crate) use discovery_client::DiscoveryClient;
+pub(crate) use health_prober::HealthProber;
+pub(crate) use relay_client::RelayClient;
+pub(crate) use wake_timer::WakeTimer;
+
+use crate::logger;
+use coppersail_director::reducer::Effect;
+use std::ops::ControlFlow;
+use std::time::Duration;
+
+/// After a failed accept, for example for lack of descriptors.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
+
+/// Everything that performs the reducer's effects.
+pub(crate) struct Adapters {
+    /// Collectors' connections.
+    pub(crate) listener: CollectorListener,
+    /// Connections to the relay.
+    pub(crate) relay: RelayClient,
+    /// Watches of discovery.
+    pub(crate) discovery: DiscoveryClient,
+    /// Probes of hosts.
+    pub(crate) prober: HealthProber,
+    /// When the reducer is next called without an event.
+    pub(crate) timer: WakeTimer,
+    /// Whether further connections are accepted.
+    pub(crate) is_accepting: bool,
+    /// Present if operators' changes are on and their file asks for it.
+    pub(crate) admin_socket: Option<AdminSocket>,
+    /// Present if operators' changes are on and their file asks for it.
+    pub(crate) change_log: Option<ChangeLogWriter>,
+}
+
+impl Adapters {
+    /// Performs one effect; breaks when the director is to exit.
+    pub(crate) fn perform(&mut self, effect: Effect) -> ControlFlow<()> {
+        match effect {
+            Effect::Say(id, bytes) => self.listener.send(id, bytes),
+            Effect::Accept(is_accepting) => self.is_accepting = is_accepting,
+            Effect::Drop(id) => self.listener.close(id),
+            Effect::Dial(id, address) => self.relay.connect(id, address),
+            Effect::Send(id, bytes) => self.relay.send(id, bytes),
+            Effect::HangUp(id) => self.relay.close(id),
+            Effect::Watch(id, address, path) => self.discovery.watch(id, address, path),
+            Effect::Unwatch(id) => self.discovery.unwatch(id),
+            Effect::Probe { host, address, path } => self.prober.start(host, address, path),
+            Effect::Wake(at) => self.timer.set(at),
+            Effect::Record(record) => {
+                if let Some(change_log) = &self.change_log {
+                    change_log.append(record);
+                }
+            }
+            Effect::Answer(id, answer) => {
+                if let Some(admin_socket) = &self.admin_socket {
+                    admin_socket.answer(id, answer);
+                }
+            }
+            Effect::Log(level, change, text) => logger::log(level, change, &text),
+            Effect::Exit => return ControlFlow::Break(()),
+        }
+        ControlFlow::Continue(())
+    }
+}
--- /dev/null
+++ b/crates/director/service/src/adapters/relay_client.rs
@@ -0,0 +1,105 @@
+//! Connections to the relay, for calls as well as for its news: connects, reads lines, writes calls.
+
+use super::task::AbortOnDropTask;
+use super::tcp;
+use coppersail_director::framing::Framer;
+use coppersail_director::reducer::{Event, LinkId};
+use std::collections::BTreeMap;
+use std::io;
+use std::net::SocketAddr;
+use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::sync::mpsc::{channel, Receiver, Sender};
+
+/// Many times what a connect takes on the way to the relay, and short against the time limits.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
+/// A call fits the buffers on the way; one that can't be written in this time is stuck.
+const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
+/// The relay's lines are short; a longer one is none of its.
+const MAX_LINE_BYTES: usize = 1 << 16;
+const READ_BUFFER_BYTES: usize = 1 << 14;
+/// One call is outstanding at a time, so that a queue of two is never full on a live connection.
+const WRITE_QUEUE_LENGTH: usize = 2;
+
+struct Connection {
+    writes: Sender<Vec<u8>>,
+    _task: AbortOnDropTask,
+}
+
+/// The relay's connections, by the numbers that the reducer has given them.
+pub(crate) struct RelayClient {
+    events: Sender<Event>,
+    connections: BTreeMap<LinkId, Connection>,
+}
+
+impl RelayClient {
+    /// No connections yet; what happens on later ones goes to `events`.
+    pub(crate) fn new(events: Sender<Event>) -> Self {
+        RelayClient { events, connections: BTreeMap::new() }
+    }
+
+    /// Starts to connect; `RelayUp` or `RelayDown` follows.
+    pub(crate) fn connect(&mut self, id: LinkId, address: SocketAddr) {
+        let (writes, queue) = channel(WRITE_QUEUE_LENGTH);
+        let task = AbortOnDropTask::spawn(run(id, address, queue, self.events.clone()));
+        self.connections.insert(id, Connection { writes, _task: task });
+    }
+
+    /// Queues bytes to be written; a connection that takes none is closed.
+    pub(crate) fn send(&mut self, id: LinkId, bytes: Vec<u8>) {
+        let Some(connection) = self.connections.get(&id) else { return };
+        if connection.writes.try_send(bytes).is_err() {
+            self.close(id);
+        }
+    }
+
+    /// Closes a connection; nothing more is heard of it.
+    pub(crate) fn close(&mut self, id: LinkId) {
+        self.connections.remove(&id);
+    }
+}
+
+/// Runs a connection to its end and reports the cause, which stands in the log.
+async fn run(id: LinkId, address: SocketAddr, queue: Receiver<Vec<u8>>, events: Sender<Event>) {
+    let cause = match exchange(id, address, queue, &events).await {
+        Ok(()) => "closed by the relay".to_string(),
+        Err(error) => error.to_string(),
+    };
+    let _ = events.send(Event::RelayDown(id, cause)).await;
+}
+
+fn director_ended() -> io::Error {
+    io::Error::other("the director has ended")
+}
+
+async fn exchange(
+    id: LinkId,
+    address: SocketAddr,
+    mut queue: Receiver<Vec<u8>>,
+    events: &Sender<Event>,
+) -> io::Result<()> {
+    let mut stream = tcp::connect(address, CONNECT_TIMEOUT).await?;
+    stream.set_nodelay(true)?;
+    events.send(Event::RelayUp(id)).await.map_err(|_| director_ended())?;
+    let (mut reader, mut writer) = stream.split();
+    let mut framer = Framer::new(MAX_LINE_BYTES);
+    let mut buffer = vec![0; READ_BUFFER_BYTES];
+    loop {
+        tokio::select! {
+            read = reader.read(&mut buffer) => {
+                let count = read?;
+                if count == 0 {
+                    return Ok(());
+                }
+                let lines = framer.take(&buffer[..count]);
+                if !lines.is_empty() {
+                    events.send(Event::RelayLines(id, lines)).await.map_err(|_| director_ended())?;
+                }
+            }
+            Some(bytes) = queue.recv() => {
+                let written = tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await;
+                written.map_err(|_| tcp::timeout_error())??;
+            }
+        }
+    }
+}
--- a/crates/director/service/src/framing.rs
+++ b/crates/director/service/src/framing.rs
@@ -1,23 +1,27 @@
-//! Cuts what comes on a connection into lines.
+//! Splits the bytes of a connection into lines.
 
-/// A line without its end, or one that was longer than allowed and is passed over.
+/// What a connection's bytes have completed.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Framed {
+    /// A line without its end.
     Line(Vec<u8>),
+    /// A line was longer than allowed. It is reported once, as soon as this is known, and discarded to its end.
     TooLong,
 }
 
+/// Buffers an incomplete line until its end comes.
 pub struct Framer {
-    /// Most bytes in a line.
+    /// Most bytes in a line, without its LF; it may change between two lines.
     pub most: usize,
     buffer: Vec<u8>,
-    /// The rest of a line that is too long.
-    passing: bool,
+    /// The current line is too long: it is discarded to its end.
+    discarding: bool,
 }
 
 impl Framer {
+    /// An empty buffer for lines of `most` bytes at most.
     pub fn new(most: usize) -> Self {
-        Framer { most, buffer: Vec::new(), passing: false }
+        Framer { most, buffer: Vec::new(), discarding: false }
     }
 
     /// The lines that `bytes` complete.
@@ -25,13 +29,13 @@
         std::iter::from_fn(|| self.next(&mut bytes)).collect()
     }
 
-    /// The next line that `bytes` complete, which are then the rest; a CR before the LF belongs to the end.
+    /// The next line that `bytes` complete; `bytes` is then what follows it. A CR before the LF belongs to the end.
     pub fn next(&mut self, bytes: &mut &[u8]) -> Option<Framed> {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             let (head, rest) = (&bytes[..end], &bytes[end + 1..]);
             *bytes = rest;
             let mut line = std::mem::take(&mut self.buffer);
-            if std::mem::take(&mut self.passing) {
+            if std::mem::take(&mut self.discarding) {
                 continue;
             }
             if line.len() + head.len() > self.most {
@@ -44,25 +48,27 @@
             return Some(Framed::Line(line));
         }
         let rest = std::mem::take(bytes);
-        if !self.passing && self.buffer.len() + rest.len() > self.most {
-            // The end will come some time; until then nothing of it is kept.
-            (self.passing, self.buffer) = (true, Vec::new());
-            return Some(Framed::TooLong);
+        if self.discarding {
+            return None;
         }
-        if !self.passing {
-            self.buffer.extend_from_slice(rest);
+        if self.buffer.len() + rest.len() > self.most {
+            // Nothing of the line is kept until its end comes.
+            self.discarding = true;
+            self.buffer = Vec::new();
+            return Some(Framed::TooLong);
         }
+        self.buffer.extend_from_slice(rest);
         None
     }
 
-    /// The line begun.
+    /// What has come of the current line.
     pub fn line(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// It was longer than allowed, and goes on.
+    /// Whether the current line is longer than allowed and goes on.
     pub fn passing(&self) -> bool {
-        self.passing
+        self.discarding
     }
 }
 
--- a/crates/director/service/src/lib.rs
+++ b/crates/director/service/src/lib.rs
@@ -1,7 +1,12 @@
-//! What the daemon is without its I/O: the reducer with all state, what it counts, and how bytes become lines. The lab
-//! plays the reducer in simulated time; the daemon (`main.rs`) puts sockets round it.
+//! The director without its I/O: the reducer, which holds all state, and what it needs of the way bytes come in.
+//!
+//! The program (`main.rs`) connects the reducer with sockets, timers and disks; the lab runs the same reducer in
+//! simulated time.
 
-pub mod bounds;
 pub mod counters;
 pub mod framing;
 pub mod reducer;
+pub mod resource_limits;
+
+// The reducer still uses this name.
+pub use resource_limits as bounds;
--- a/crates/director/service/src/bounds/tests.rs
+++ b/crates/director/service/src/resource_limits/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the module `bounds`.
+//! Tests of the module `resource_limits`.
 use super::*;
 use test_case::test_case;
 
--- /dev/null
+++ b/crates/director/service/src/start_error.rs
@@ -0,0 +1,42 @@
+//! Why the director does not start.
+
+use crate::config_file::ConfigError;
+use crate::operator_file_reader::OperatorFileError;
+use coppersail_append_log::OpenError;
+use std::error::Error;
+use std::io;
+
+/// The cause of an exit with status 2. Its text is what the program prints, and has the source's text in it.
+#[derive(Debug, thiserror::Error)]
+pub(crate) enum StartError {
+    /// There is no runtime for the sockets.
+    #[error("{0}")]
+    Runtime(#[source] io::Error),
+    /// A signal's handler cannot be installed.
+    #[error("signals cannot be taken")]
+    Signals(#[source] io::Error),
+    /// The configuration file cannot be used.
+    #[error("configuration: {0}")]
+    Config(#[source] ConfigError),
+    /// A field of the configuration has a value that the director cannot work with.
+    #[error("configuration: {0}")]
+    Settings(#[source] Box<dyn Error + Send + Sync>),
+    /// The address that the configuration names cannot be listened at.
+    #[error("configuration: field listen: {0}")]
+    Listen(#[source] io::Error),
+    /// The operators' file cannot be used.
+    #[error(transparent)]
+    OperatorFile(#[from] OperatorFileError),
+    /// The log of operators' changes cannot be opened.
+    #[error("history: {0}")]
+    ChangeLog(#[source] OpenError),
+    /// The records of the log do not fit together.
+    #[error("history: {0}")]
+    ChangeRecords(#[source] Box<dyn Error + Send + Sync>),
+    /// The operators' socket cannot be bound.
+    #[error("operators' file: field control.socket: {0}")]
+    AdminSocket(#[source] io::Error),
+}
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/director/service/src/startup.rs
@@ -0,0 +1,96 @@
+//! What happens once, before the first event: the settings are read, the sockets bound, the change log replayed.
+
+use crate::adapters::{
+    Adapters, AdminSocket, ChangeLogWriter, CollectorListener, DiscoveryClient, HealthProber, RelayClient,
+    WakeTimer,
+};
+use crate::event_loop::EventLoop;
+use crate::logger::{self, LogHandle};
+use crate::signals::Signals;
+use crate::start_error::StartError;
+use crate::{config_file, operator_file_reader};
+use coppersail_changes::Record;
+use coppersail_director::bounds::Bounds;
+use coppersail_director::reducer::{Event, Reducer};
+use coppersail_operator_config::{LogForm, StartConfig};
+use coppersail_protocol::config::Config;
+use std::time::Instant;
+use tokio::sync::mpsc::{channel, Sender};
+use tracing::Level;
+
+/// Names the operators' file; without it operators' changes are off.
+const OPERATOR_FILE_VARIABLE: &str = "EDGE_OPERATOR";
+/// Events on their way to the reducer; when there are as many, readers wait and so do their peers.
+const EVENT_QUEUE_LENGTH: usize = 64;
+
+/// Starts the director. `started` is the zero of the reducer's time, `wall_ns` what the wall clock showed then, in
+/// nanoseconds since the epoch.
+pub(crate) async fn start(
+    started: Instant,
+    wall_ns: u64,
+    logger: &LogHandle,
+) -> Result<EventLoop, StartError> {
+    // First of all, as a signal without its handler ends the process.
+    let signals = Signals::install().map_err(StartError::Signals)?;
+    let config = config_file::read().map_err(StartError::Config)?;
+    let mut reducer = Reducer::new(&config, wall_ns).map_err(|error| StartError::Settings(error.into()))?;
+    let (event_sender, events) = channel(EVENT_QUEUE_LENGTH);
+    let mut adapters = bind_adapters(&config, started, &event_sender).await?;
+    let operator_file_path = std::env::var(OPERATOR_FILE_VARIABLE).ok();
+    if let Some(path) = &operator_file_path {
+        let operator_file = operator_file_reader::read(path, reducer.known()).await?;
+        logger.set_json(operator_file.start.log == LogForm::Json);
+        let records = open_operator_adapters(&operator_file.start, &mut adapters, &event_sender)?;
+        let effects = reducer
+            .operate(&config, wall_ns, &operator_file, records)
+            .map_err(|error| StartError::ChangeRecords(error.into()))?;
+        for effect in effects {
+            let _ = adapters.perform(effect);
+        }
+    }
+    tracing::info!("{} serves", config.name);
+    Ok(EventLoop::new(reducer, adapters, events, event_sender, signals, operator_file_path))
+}
+
+async fn bind_adapters(
+    config: &Config,
+    started: Instant,
+    events: &Sender<Event>,
+) -> Result<Adapters, StartError> {
+    let limits = Bounds::of(&config.limits);
+    let listener = CollectorListener::bind(config.listen, events.clone()).await;
+    Ok(Adapters {
+        listener: listener.map_err(StartError::Listen)?,
+        relay: RelayClient::new(events.clone()),
+        discovery: DiscoveryClient::new(events.clone(), limits.list),
+        prober: HealthProber::new(events.clone(), limits.probes),
+        timer: WakeTimer::new(started),
+        is_accepting: true,
+        admin_socket: None,
+        change_log: None,
+    })
+}
+
+/// Opens what the operators' file asks for; returns the change log's records, if one is kept.
+fn open_operator_adapters(
+    start_config: &StartConfig,
+    adapters: &mut Adapters,
+    events: &Sender<Event>,
+) -> Result<Option<Vec<Record>>, StartError> {
+    let mut records = None;
+    if let Some(path) = &start_config.history {
+        let opened = ChangeLogWriter::open(path, events.clone()).map_err(StartError::ChangeLog)?;
+        if opened.truncated_bytes > 0 {
+            let text =
+                format!("history: {} bytes of a write that was cut off are given up", opened.truncated_bytes);
+            logger::log(Level::WARN, None, &text);
+        }
+        adapters.change_log = Some(opened.writer);
+        records = Some(opened.records);
+    }
+    if let Some(path) = &start_config.socket {
+        let bound = AdminSocket::bind(path, events.clone());
+        adapters.admin_socket = Some(bound.map_err(StartError::AdminSocket)?);
+    }
+    Ok(records)
+}
