--- /dev/null
+++ b/crates/director/service/tests/director/collectors.rs
@@ -0,0 +1,110 @@
+//! Connections at the director: invalid lines, connections that do not join, and floods of them.
+
+use crate::fixtures::ATTEMPTS_REPORT;
+use crate::testbed::Testbed;
+use test_case::test_case;
+
+#[test_case(b"{not json" ; "no JSON")]
+#[test_case(b"\xff\xfe\x00" ; "no text")]
+#[test_case(br#"{"msg":"outcomes","az":"a","host":"s-1"}"# ; "fields missing")]
+#[test_case(br#"{"msg":"agent","az":"nowhere"}"# ; "an unknown zone")]
+#[test_case(br#"{"msg":"outcomes","az":"a","host":"s-9","n":1,"bad":0,"avg":1.0,"window":1.0}"# ; "an unknown host")]
+#[test_case(br#"{"msg":"hot","partition":0,"kind":"other","n":1,"bad":0,"window":1.0}"# ; "an unknown route")]
+#[test_case(br#"{"msg":"hot","partition":2,"kind":"lookup","n":1,"bad":0,"window":1.0}"# ; "an unknown slice")]
+#[test_case(br#"{"msg":"hot","partition":0,"kind":"lookup","n":"one","bad":0,"window":1.0}"# ; "a wrong type")]
+#[test_case(br#"{"msg":"gossip"}"# ; "an unknown kind")]
+fn a_bad_line_costs_only_itself(line: &[u8]) {
+    let testbed = Testbed::with_tables();
+    let mut collector = testbed.connect_collector();
+    collector.send_line(line);
+    collector.send_line(ATTEMPTS_REPORT.as_bytes());
+    testbed.director.wait_for_counter("sums_of_tries", 1);
+    assert_eq!(
+        (testbed.director.counter("lines_bad"), testbed.director.counter("collectors_dropped")),
+        (1, 0)
+    );
+    testbed.director.wait_for_log("collector: line passed over, ");
+}
+
+#[test]
+fn odd_figures_of_a_load_report_cost_only_themselves() {
+    let testbed = Testbed::with_tables();
+    let mut collector = testbed.connect_collector();
+    collector.send_line(ATTEMPTS_REPORT.replace("30.0", "\"slow\"").as_bytes());
+    testbed.director.wait_for_counter("sums_of_tries", 1);
+    assert_eq!(testbed.director.counter("load_figures_odd"), 1);
+    testbed.director.wait_for_log("load report: 1 figures passed over");
+}
+
+#[test]
+fn a_flood_of_connections_that_do_not_join_costs_no_collector_and_no_probe() {
+    let testbed = Testbed::with_tables();
+    let mut collector = testbed.connect_collector();
+    // More than descriptors: some say nothing, some half a message, some ask for a sign of life and stay.
+    let mut strangers: Vec<_> = (0..400).map(|_| testbed.connect()).collect();
+    for stranger in strangers.iter_mut().step_by(3) {
+        stranger.send_bytes(b"{\"msg\":");
+    }
+    assert!(testbed.connect().is_answered(), "who comes last is answered");
+    let mut second = testbed.connect_collector();
+    assert!(testbed.director.open_descriptors() < 250);
+    for stranger in &mut strangers {
+        assert!(stranger.is_closed(), "each is closed");
+    }
+    collector.send_line(ATTEMPTS_REPORT.as_bytes());
+    second.send_line(ATTEMPTS_REPORT.as_bytes());
+    testbed.director.wait_for_counter("sums_of_tries", 2);
+    assert_eq!(testbed.director.counter("collectors_dropped"), 0);
+    assert_eq!(
+        testbed.director.counter("strangers_dropped") + testbed.director.counter("connections_ended"),
+        401
+    );
+    testbed.director.wait_for_log("stranger: connection dropped, ");
+}
+
+#[test_case(b"GET / HTTP/1.1\r\n" ; "HTTP")]
+#[test_case(ATTEMPTS_REPORT.as_bytes() ; "a report before joining")]
+#[test_case(br#"{"msg":"hello","sidecar":1,"az":"a","share":1.0,"standing":true}"# ; "a proxy")]
+#[test_case(br#"{"msg":"agent","az":"nowhere"}"# ; "an unknown zone")]
+fn a_connection_that_does_not_join_is_closed(line: &[u8]) {
+    let testbed = Testbed::with_tables();
+    let mut stranger = testbed.connect();
+    stranger.send_line(line);
+    assert!(stranger.is_closed());
+    assert_eq!(
+        (testbed.director.counter("sums_of_tries"), testbed.director.counter("strangers_dropped")),
+        (0, 1)
+    );
+}
+
+#[test]
+fn a_connection_that_never_ends_its_line_is_closed() {
+    let testbed = Testbed::with_tables();
+    let mut stranger = testbed.connect();
+    while stranger.send_bytes(&[b' '; 1000]) {}
+    assert!(testbed.connect().is_answered());
+}
+
+#[test]
+fn a_collector_that_turns_unreadable_is_closed_and_may_reconnect() {
+    let testbed = Testbed::with_tables();
+    let mut collector = testbed.connect_collector();
+    collector.send_bytes(&[1; 40_000]);
+    assert!(collector.is_closed());
+    testbed.connect_collector().send_line(ATTEMPTS_REPORT.as_bytes());
+    testbed.director.wait_for_counter("sums_of_tries", 1);
+}
+
+#[test]
+fn a_line_that_comes_in_pieces_is_read() {
+    let testbed = Testbed::with_tables();
+    let mut collector = testbed.connect_collector();
+    let (head, tail) = ATTEMPTS_REPORT.as_bytes().split_at(31);
+    assert!(
+        collector.send_bytes(head)
+            && testbed.connect().is_answered()
+            && collector.send_bytes(tail)
+            && collector.send_bytes(b"\n")
+    );
+    testbed.director.wait_for_counter("sums_of_tries", 1);
+}
--- a/crates/director/service/tests/director/main.rs
+++ b/crates/director/service/tests/director/main.rs
@@ -1,5 +1,17 @@
-//! The program as its surroundings see it: the binary is started and spoken to over sockets.
+//! The program as its surroundings see it: the binary is started among stand-ins and spoken to over sockets.
 
-mod changes;
-mod serve;
+mod announced_shutdowns;
+mod capacity_guard;
+mod change_rollout;
+mod change_trials;
+mod collectors;
+mod config_reload;
+mod discovery;
+mod fixtures;
+mod lifecycle;
+mod operator_changes;
+mod probes;
+mod relay_calls;
+mod relay_news;
 mod stand_ins;
+mod testbed;
--- /dev/null
+++ b/crates/director/service/tests/director/stand_ins/discovery.rs
@@ -0,0 +1,79 @@
+//! Discovery: it answers a watch with lists of hosts, a line each, for as long as the watch is open.
+
+use super::http_server::{self, HttpResponse};
+use super::{spawn_heartbeats, Shared};
+use bytes::Bytes;
+use http_body_util::channel::{Channel, Sender};
+use http_body_util::BodyExt;
+use hyper::body::Frame;
+use hyper::Response;
+use std::net::TcpListener;
+
+/// Lines that a watch may have on their way.
+const WATCH_QUEUE_LENGTH: usize = 1024;
+
+/// Discovery's state. Tests change it to bring failures about.
+#[derive(Default)]
+pub struct DiscoveryStandIn {
+    /// Paths of the requests, in their order.
+    pub requested_paths: Vec<String>,
+    /// The first line of the next watch.
+    pub first_line: String,
+    watches: Vec<Sender<Bytes>>,
+    /// It opens watches but sends nothing on them.
+    pub is_mute: bool,
+    /// How many of the watches were opened before it last moved to another address.
+    watches_at_old_address: usize,
+}
+
+impl DiscoveryStandIn {
+    /// Discovery that begins each watch with this line.
+    pub fn new(first_line: String) -> Self {
+        DiscoveryStandIn { first_line, ..DiscoveryStandIn::default() }
+    }
+
+    /// Serves watches from now on, and sends heartbeats on them.
+    pub fn spawn(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
+        http_server::spawn(listener, state.clone(), open_watch);
+        spawn_heartbeats(state.clone(), |discovery| {
+            if !discovery.is_mute {
+                discovery.send_line("");
+            }
+        });
+    }
+
+    /// Serves watches at another address as well; those that are open stay open.
+    pub fn relocate(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
+        state.update(|discovery| discovery.watches_at_old_address = discovery.watches.len());
+        http_server::spawn(listener, state.clone(), open_watch);
+    }
+
+    /// Ends the watches that were opened before it moved.
+    pub fn close_watches_at_old_address(&mut self) {
+        self.watches.drain(..self.watches_at_old_address.min(self.watches.len()));
+    }
+
+    /// Sends a line on all watches.
+    pub fn send_line(&mut self, line: &str) {
+        let line = Bytes::from(format!("{line}\n"));
+        self.watches.retain_mut(|watch| watch.try_send(Frame::data(line.clone())).is_ok());
+    }
+
+    /// Ends all watches.
+    pub fn close_watches(&mut self) {
+        self.watches.clear();
+    }
+}
+
+fn open_watch(path: String, state: &Shared<DiscoveryStandIn>) -> Option<HttpResponse> {
+    let (mut watch, body) = Channel::new(WATCH_QUEUE_LENGTH);
+    state.update(|discovery| {
+        discovery.requested_paths.push(path);
+        if !discovery.is_mute {
+            let first_line = Bytes::from(format!("{}\n", discovery.first_line));
+            let _ = watch.try_send(Frame::data(first_line));
+        }
+        discovery.watches.push(watch);
+    });
+    Some(Response::new(body.boxed()))
+}
--- /dev/null
+++ b/crates/director/service/tests/director/stand_ins/host.rs
@@ -0,0 +1,44 @@
+//! A host that answers probes with its load; it stands for all hosts of a fleet.
+
+use super::http_server::{self, HttpResponse};
+use super::Shared;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::{Response, StatusCode};
+use std::net::TcpListener;
+
+/// The host's state. Tests change it to bring failures about.
+pub struct HostStandIn {
+    /// Paths of the requests, in their order.
+    pub requested_paths: Vec<String>,
+    /// The status of its answers.
+    pub status: u16,
+    /// So many further connections break before their answer.
+    pub connections_to_break: usize,
+}
+
+impl HostStandIn {
+    /// A healthy host.
+    pub fn new() -> Self {
+        HostStandIn { requested_paths: Vec::new(), status: 200, connections_to_break: 0 }
+    }
+
+    /// Answers probes from now on.
+    pub fn spawn(listener: TcpListener, state: &Shared<HostStandIn>) {
+        http_server::spawn(listener, state.clone(), answer_probe);
+    }
+}
+
+fn answer_probe(path: String, state: &Shared<HostStandIn>) -> Option<HttpResponse> {
+    let status = state.update(|host| {
+        host.requested_paths.push(path);
+        if host.connections_to_break > 0 {
+            host.connections_to_break -= 1;
+            return None;
+        }
+        Some(host.status)
+    })?;
+    let mut response = Response::new(Full::new(Bytes::from("TEXT q=0, lat_ms=100.5")).boxed());
+    *response.status_mut() = StatusCode::from_u16(status).unwrap();
+    Some(response)
+}
--- /dev/null
+++ b/crates/director/service/tests/director/testbed/operator.rs
@@ -0,0 +1,55 @@
+//! What operators do: requests on the admin socket, and edits of their file.
+
+use super::Testbed;
+use crate::stand_ins::WAIT_TIMEOUT;
+use serde_json::Value;
+use std::io::{BufRead, BufReader, Write};
+use std::os::unix::net::UnixStream;
+use std::time::{Duration, Instant};
+
+/// A change may wait for another one's trial first.
+const STAGE_TIMEOUT: Duration = Duration::from_secs(2 * WAIT_TIMEOUT.as_secs());
+const STAGE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+impl Testbed {
+    /// One request on a connection of its own; the answer's fields.
+    pub fn admin_request(&self, request: &str) -> Value {
+        let socket = self.folder().join("control.sock");
+        let deadline = Instant::now() + WAIT_TIMEOUT;
+        loop {
+            match UnixStream::connect(&socket) {
+                Ok(mut stream) => {
+                    stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
+                    stream.write_all(format!("{request}\n").as_bytes()).unwrap();
+                    let mut line = String::new();
+                    BufReader::new(stream).read_line(&mut line).unwrap();
+                    return serde_json::from_str(&line).unwrap();
+                }
+                Err(_) => assert!(Instant::now() < deadline, "the director takes no commands"),
+            }
+            std::thread::yield_now();
+        }
+    }
+
+    /// Submits a change with a trial of so many seconds; its number, or why it is refused.
+    pub fn submit_change(&self, base: u64, trial_s: f64, edits: &str) -> Result<u64, String> {
+        let submission =
+            format!(r#"{{"base":{base},"who":"op","why":"test","edits":{edits},"trial":{trial_s}}}"#);
+        let answer = self.admin_request(&format!(r#"{{"do":"submit","submission":{submission}}}"#));
+        answer["number"].as_u64().ok_or(answer["why"].to_string())
+    }
+
+    /// Waits until a change is at a stage, given as its name or the name of its only field; returns the change.
+    pub fn wait_for_stage(&self, number: u64, stage: &str) -> Value {
+        let deadline = Instant::now() + STAGE_TIMEOUT;
+        loop {
+            let answer = self.admin_request(&format!(r#"{{"do":"show","number":{number}}}"#));
+            let found = &answer["stage"];
+            if found == stage || found.get(stage).is_some() {
+                return answer;
+            }
+            assert!(Instant::now() < deadline, "change {number} does not come to be {stage}: {answer}");
+            std::thread::park_timeout(STAGE_CHECK_INTERVAL);
+        }
+    }
+}
