--- a/crates/director/service/src/adapters/admin_socket.rs
+++ b/crates/director/service/src/adapters/admin_socket.rs
@@ -1,9 +1,8 @@
 //! Operators' requests on a Unix socket that only its owner may use: a few connections at a time, one request of each
 //! outstanding.
 
+use super::sockets::{timeout_error, ACCEPT_RETRY_DELAY};
 use super::task::AbortOnDropTask;
-use super::tcp::timeout_error;
-use super::ACCEPT_RETRY_DELAY;
 use coppersail_admin_socket::{encode, parse_request, Answer, MAX_LINE_BYTES};
 use coppersail_director::framing::{Framed, Framer};
 use coppersail_director::reducer::{ControlId, Event};
@@ -110,10 +109,10 @@
 
 /// Accepts connections; their tasks end with this one.
 async fn accept(listener: UnixListener, owner: u32, events: Sender<Event>, pending: SharedPendingRequests) {
-    let places = Arc::new(Semaphore::new(MAX_CONNECTIONS));
+    let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut tasks = JoinSet::new();
     loop {
-        let Ok(place) = places.clone().acquire_owned().await else { return };
+        let Ok(permit) = permits.clone().acquire_owned().await else { return };
         while tasks.try_join_next().is_some() {}
         let Ok((stream, _)) = listener.accept().await else {
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
@@ -127,7 +126,7 @@
         let (events, pending) = (events.clone(), pending.clone());
         tasks.spawn(async move {
             let _ = serve_connection(stream, events, pending).await;
-            drop(place);
+            drop(permit);
         });
     }
 }
--- a/crates/director/service/src/adapters/collector_listener.rs
+++ b/crates/director/service/src/adapters/collector_listener.rs
@@ -2,8 +2,8 @@
 //!
 //! Accepted connections are kept in one table until the reducer says to close them, also after their peer has ended.
 
+use super::sockets::ACCEPT_RETRY_DELAY;
 use super::task::AbortOnDropTask;
-use super::ACCEPT_RETRY_DELAY;
 use coppersail_director::reducer::{ConnId, Event};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
--- a/crates/director/service/src/adapters/http_client.rs
+++ b/crates/director/service/src/adapters/http_client.rs
@@ -1,7 +1,7 @@
 //! One HTTP request on a connection of its own, by hyper's connection-level client.
 
+use super::sockets;
 use super::task::AbortOnDropTask;
-use super::tcp;
 use bytes::Bytes;
 use http_body_util::Empty;
 use hyper::body::Incoming;
@@ -50,7 +50,7 @@
     path: &str,
     connect_timeout: Duration,
 ) -> Result<(Response<Incoming>, AbortOnDropTask), RequestError> {
-    let connected = tcp::connect(address, connect_timeout).await;
+    let connected = sockets::connect(address, connect_timeout).await;
     let stream = connected.map_err(|error| connect_error(error.kind()))?;
     // Without it a request may wait for the peer's acknowledgement.
     stream.set_nodelay(true).map_err(|_| RequestError::Broken)?;
--- a/crates/director/service/src/adapters/mod.rs
+++ b/crates/director/service/src/adapters/mod.rs
@@ -7,8 +7,8 @@
 mod health_prober;
 mod http_client;
 mod relay_client;
+mod sockets;
 pub(crate) mod task;
-mod tcp;
 mod wake_timer;
 
 pub(crate) use admin_socket::AdminSocket;
@@ -22,10 +22,6 @@
 use crate::logger;
 use coppersail_director::reducer::Effect;
 use std::ops::ControlFlow;
-use std::time::Duration;
-
-/// After a failed accept, for example for lack of descriptors.
-const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Everything that performs the reducer's effects.
 pub(crate) struct Adapters {
--- a/crates/director/service/src/adapters/relay_client.rs
+++ b/crates/director/service/src/adapters/relay_client.rs
@@ -1,7 +1,7 @@
 //! Connections to the relay, for calls as well as for its news: connects, reads lines, writes calls.
 
+use super::sockets;
 use super::task::AbortOnDropTask;
-use super::tcp;
 use coppersail_director::framing::Framer;
 use coppersail_director::reducer::{Event, LinkId};
 use std::collections::BTreeMap;
@@ -78,7 +78,7 @@
     mut queue: Receiver<Vec<u8>>,
     events: &Sender<Event>,
 ) -> io::Result<()> {
-    let mut stream = tcp::connect(address, CONNECT_TIMEOUT).await?;
+    let mut stream = sockets::connect(address, CONNECT_TIMEOUT).await?;
     stream.set_nodelay(true)?;
     events.send(Event::RelayUp(id)).await.map_err(|_| director_ended())?;
     let (mut reader, mut writer) = stream.split();
@@ -98,7 +98,7 @@
             }
             Some(bytes) = queue.recv() => {
                 let written = tokio::time::timeout(WRITE_TIMEOUT, writer.write_all(&bytes)).await;
-                written.map_err(|_| tcp::timeout_error())??;
+                written.map_err(|_| sockets::timeout_error())??;
             }
         }
     }
--- a/crates/director/service/src/framing/tests.rs
+++ b/crates/director/service/src/framing/tests.rs
@@ -11,15 +11,15 @@
 #[test_case(&["abcdefg\nab\n"], vec![Framed::TooLong, line("ab")] ; "too long at once")]
 #[test_case(&["abcdef", "gh", "ij\nab\n"], vec![Framed::TooLong, line("ab")] ; "too long in pieces, told once")]
 #[test_case(&["abcd"], vec![] ; "no end yet")]
-fn lines(pieces: &[&str], expected: Vec<Framed>) {
+fn bytes_are_split_into_lines(pieces: &[&str], expected: Vec<Framed>) {
     let mut framer = Framer::new(5);
     let lines: Vec<Framed> = pieces.iter().flat_map(|piece| framer.take(piece.as_bytes())).collect();
     assert_eq!(lines, expected);
 }
 
 #[test]
-fn a_line_without_an_end_is_not_kept() {
+fn a_line_that_never_ends_is_reported_once_and_not_buffered() {
     let mut framer = Framer::new(5);
-    let told: usize = (0..100).map(|_| framer.take(b"abc").len()).sum();
-    assert_eq!((told, framer.buffer.len()), (1, 0));
+    let reported: usize = (0..100).map(|_| framer.take(b"abc").len()).sum();
+    assert_eq!((reported, framer.buffer.len()), (1, 0));
 }
--- a/crates/director/service/src/resource_limits/tests.rs
+++ b/crates/director/service/src/resource_limits/tests.rs
@@ -6,16 +6,17 @@
 #[test_case(Some(256), Some(32) ; "the least")]
 #[test_case(Some(1024), Some(192) ; "the most on sockets")]
 #[test_case(Some(4096), Some(192) ; "a whole fleet")]
-fn the_parts_leave_a_reserve(sockets: Option<u64>, memory_mb: Option<u64>) {
+fn all_parts_together_leave_a_reserve(sockets: Option<u64>, memory_mb: Option<u64>) {
     let bounds = Bounds::of(&Limits { sockets, memory_mb });
     let (sockets, memory) = (sockets.unwrap_or(256) as usize, (memory_mb.unwrap_or(32) << 20) as usize);
-    // Relay: two and one, twice; discovery: two; the rest is the runtime's.
+    // Eight are the relay's (three, twice while it moves) and discovery's (two); the others are the runtime's.
     assert!(bounds.taken + bounds.probes + 8 + 24 <= sockets);
     assert!(bounds.begun + 2 * bounds.list <= memory / 5 && bounds.begun > 1 << 20);
     assert!(bounds.probes * PROBE_BYTES <= memory / 8);
 }
 
-// With 256 places a thousand hosts that fell silent took 2.8 s, past the time in which a dead one is to be noticed.
+/// With 256 probes at a time, a thousand hosts that had fallen silent took 2.8 s, more than the time in which a dead one
+/// is to be noticed.
 #[test]
 fn a_thousand_hosts_are_probed_at_a_time() {
     assert_eq!(Bounds::of(&Limits { sockets: Some(4096), memory_mb: Some(192) }).probes, 1024);
--- a/crates/director/service/tests/director/fixtures.rs
+++ b/crates/director/service/tests/director/fixtures.rs
@@ -1,15 +1,16 @@
 //! Messages and files that several tests use.
 
 /// A report of attempts at the host s-1.
-pub const ATTEMPTS_REPORT: &str = r#"{"msg":"outcomes","az":"a","host":"s-1","n":5,"bad":0,"avg":40.0,"window":1000.0,"report":{"q":1.0,"lat_ms":30.0}}"#;
+pub(crate) const ATTEMPTS_REPORT: &str = r#"{"msg":"outcomes","az":"a","host":"s-1","n":5,"bad":0,"avg":40.0,"window":1000.0,"report":{"q":1.0,"lat_ms":30.0}}"#;
 
 /// An operators' file; changes are lost with the director.
-pub const OPERATOR_FILE: &str = r#"{"form":1,"changes":{"trial":5},"control":{"socket":"DIR/control.sock"}}"#;
+pub(crate) const OPERATOR_FILE: &str =
+    r#"{"form":1,"changes":{"trial":5},"control":{"socket":"DIR/control.sock"}}"#;
 
 /// An operators' file; changes are logged on disk.
-pub const DURABLE_FILE: &str =
+pub(crate) const DURABLE_FILE: &str =
     r#"{"form":1,"changes":{"trial":5,"history":"DIR/changes.log"},"control":{"socket":"DIR/control.sock"}}"#;
 
 /// An operators' file that switches the capacity guard on.
-pub const GUARDED_FILE: &str =
+pub(crate) const GUARDED_FILE: &str =
     r#"{"form":1,"guard":{"mode":"on"},"changes":{"trial":5},"control":{"socket":"DIR/control.sock"}}"#;
--- a/crates/director/service/tests/director/stand_ins/discovery.rs
+++ b/crates/director/service/tests/director/stand_ins/discovery.rs
@@ -1,7 +1,8 @@
 //! Discovery: it answers a watch with lists of hosts, a line each, for as long as the watch is open.
 
+use super::heartbeats::spawn_heartbeats;
 use super::http_server::{self, HttpResponse};
-use super::{spawn_heartbeats, Shared};
+use super::shared_state::Shared;
 use bytes::Bytes;
 use http_body_util::channel::{Channel, Sender};
 use http_body_util::BodyExt;
@@ -14,26 +15,26 @@
 
 /// Discovery's state. Tests change it to bring failures about.
 #[derive(Default)]
-pub struct DiscoveryStandIn {
+pub(crate) struct DiscoveryStandIn {
     /// Paths of the requests, in their order.
-    pub requested_paths: Vec<String>,
+    pub(crate) requested_paths: Vec<String>,
     /// The first line of the next watch.
-    pub first_line: String,
+    pub(crate) first_line: String,
     watches: Vec<Sender<Bytes>>,
     /// It opens watches but sends nothing on them.
-    pub is_mute: bool,
+    pub(crate) is_mute: bool,
     /// How many of the watches were opened before it last moved to another address.
     watches_at_old_address: usize,
 }
 
 impl DiscoveryStandIn {
     /// Discovery that begins each watch with this line.
-    pub fn new(first_line: String) -> Self {
+    pub(crate) fn new(first_line: String) -> Self {
         DiscoveryStandIn { first_line, ..DiscoveryStandIn::default() }
     }
 
     /// Serves watches from now on, and sends heartbeats on them.
-    pub fn spawn(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
+    pub(crate) fn spawn(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
         http_server::spawn(listener, state.clone(), open_watch);
         spawn_heartbeats(state.clone(), |discovery| {
             if !discovery.is_mute {
@@ -43,24 +44,24 @@
     }
 
     /// Serves watches at another address as well; those that are open stay open.
-    pub fn relocate(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
+    pub(crate) fn relocate(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
         state.update(|discovery| discovery.watches_at_old_address = discovery.watches.len());
         http_server::spawn(listener, state.clone(), open_watch);
     }
 
     /// Ends the watches that were opened before it moved.
-    pub fn close_watches_at_old_address(&mut self) {
+    pub(crate) fn close_watches_at_old_address(&mut self) {
         self.watches.drain(..self.watches_at_old_address.min(self.watches.len()));
     }
 
     /// Sends a line on all watches.
-    pub fn send_line(&mut self, line: &str) {
+    pub(crate) fn send_line(&mut self, line: &str) {
         let line = Bytes::from(format!("{line}\n"));
         self.watches.retain_mut(|watch| watch.try_send(Frame::data(line.clone())).is_ok());
     }
 
     /// Ends all watches.
-    pub fn close_watches(&mut self) {
+    pub(crate) fn close_watches(&mut self) {
         self.watches.clear();
     }
 }
--- a/crates/director/service/tests/director/stand_ins/host.rs
+++ b/crates/director/service/tests/director/stand_ins/host.rs
@@ -1,30 +1,30 @@
 //! A host that answers probes with its load; it stands for all hosts of a fleet.
 
 use super::http_server::{self, HttpResponse};
-use super::Shared;
+use super::shared_state::Shared;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::{Response, StatusCode};
 use std::net::TcpListener;
 
 /// The host's state. Tests change it to bring failures about.
-pub struct HostStandIn {
+pub(crate) struct HostStandIn {
     /// Paths of the requests, in their order.
-    pub requested_paths: Vec<String>,
+    pub(crate) requested_paths: Vec<String>,
     /// The status of its answers.
-    pub status: u16,
+    pub(crate) status: u16,
     /// So many further connections break before their answer.
-    pub connections_to_break: usize,
+    pub(crate) connections_to_break: usize,
 }
 
 impl HostStandIn {
     /// A healthy host.
-    pub fn new() -> Self {
+    pub(crate) fn new() -> Self {
         HostStandIn { requested_paths: Vec::new(), status: 200, connections_to_break: 0 }
     }
 
     /// Answers probes from now on.
-    pub fn spawn(listener: TcpListener, state: &Shared<HostStandIn>) {
+    pub(crate) fn spawn(listener: TcpListener, state: &Shared<HostStandIn>) {
         http_server::spawn(listener, state.clone(), answer_probe);
     }
 }
--- a/crates/director/service/tests/director/stand_ins/http_server.rs
+++ b/crates/director/service/tests/director/stand_ins/http_server.rs
@@ -1,6 +1,6 @@
 //! An HTTP server for stand-ins.
 
-use super::Shared;
+use super::shared_state::Shared;
 use bytes::Bytes;
 use http_body_util::combinators::BoxBody;
 use hyper::body::Incoming;
@@ -12,10 +12,10 @@
 use std::io::{Error, ErrorKind};
 use std::net::TcpListener;
 
-pub type HttpResponse = Response<BoxBody<Bytes, Infallible>>;
+pub(crate) type HttpResponse = Response<BoxBody<Bytes, Infallible>>;
 
 /// Serves requests on a thread of its own; where `respond` has no response the connection breaks.
-pub fn spawn<S: Send + 'static>(
+pub(crate) fn spawn<S: Send + 'static>(
     listener: TcpListener,
     state: Shared<S>,
     respond: fn(String, &Shared<S>) -> Option<HttpResponse>,
--- a/crates/director/service/tests/director/stand_ins/relay.rs
+++ b/crates/director/service/tests/director/stand_ins/relay.rs
@@ -1,13 +1,14 @@
 //! A relay: it takes calls, keeps the tables that they set, and sends news of proxies and slices.
 
-use super::{spawn_heartbeats, Shared};
+use super::heartbeats::spawn_heartbeats;
+use super::shared_state::Shared;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
 /// What the relay does with a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RelayReply {
+pub(crate) enum RelayReply {
     /// Carries it out and says so.
     Ok,
     /// Never answers.
@@ -25,14 +26,14 @@
 }
 
 /// The lines of a slice's table: hosts and their weights.
-pub type Table = BTreeMap<String, f64>;
+pub(crate) type Table = BTreeMap<String, f64>;
 
 /// A call as it came.
 #[derive(Clone, Debug)]
-pub struct ReceivedCall {
+pub(crate) struct ReceivedCall {
     /// The number of its connection.
-    pub connection: usize,
-    pub orders: Vec<String>,
+    pub(crate) connection: usize,
+    pub(crate) orders: Vec<String>,
 }
 
 /// All connections, by the address at which they came in.
@@ -48,34 +49,34 @@
 
 /// The relay's state. Tests change it to bring failures about.
 #[derive(Default)]
-pub struct RelayStandIn {
-    pub calls: Vec<ReceivedCall>,
+pub(crate) struct RelayStandIn {
+    pub(crate) calls: Vec<ReceivedCall>,
     /// The replies to the next calls; when there are none left, all are carried out and answered.
-    pub replies: VecDeque<RelayReply>,
+    pub(crate) replies: VecDeque<RelayReply>,
     /// The proxies that have joined.
-    pub proxies: BTreeSet<u16>,
+    pub(crate) proxies: BTreeSet<u16>,
     /// The director's slices and their tables.
-    pub slices: BTreeMap<u16, Table>,
+    pub(crate) slices: BTreeMap<u16, Table>,
     /// Hosts that are withdrawn from all tables.
-    pub withdrawn: BTreeSet<String>,
+    pub(crate) withdrawn: BTreeSet<String>,
     /// The least and the most lines that any table had at the end of any call since a test has set this to none.
-    pub line_counts: Option<(usize, usize)>,
+    pub(crate) line_counts: Option<(usize, usize)>,
     connections: Connections,
     /// How often news were asked for.
-    pub news_requests: usize,
+    pub(crate) news_requests: usize,
     news_streams: Vec<TcpStream>,
     /// It accepts connections but sends no news and no heartbeats.
-    pub is_mute: bool,
+    pub(crate) is_mute: bool,
 }
 
 impl RelayStandIn {
     /// A relay with these proxies and tables.
-    pub fn new(proxies: BTreeSet<u16>, slices: BTreeMap<u16, Table>) -> Self {
+    pub(crate) fn new(proxies: BTreeSet<u16>, slices: BTreeMap<u16, Table>) -> Self {
         RelayStandIn { proxies, slices, ..RelayStandIn::default() }
     }
 
     /// Accepts connections from now on, and sends heartbeats to those that have asked for news.
-    pub fn spawn(listener: TcpListener, state: &Shared<RelayStandIn>) {
+    pub(crate) fn spawn(listener: TcpListener, state: &Shared<RelayStandIn>) {
         spawn_accepting(listener, 0, state.clone());
         spawn_heartbeats(state.clone(), |relay| {
             if !relay.is_mute {
@@ -85,7 +86,7 @@
     }
 
     /// Accepts connections at another address only; those that are open stay open.
-    pub fn relocate(listener: TcpListener, state: &Shared<RelayStandIn>) {
+    pub(crate) fn relocate(listener: TcpListener, state: &Shared<RelayStandIn>) {
         let moves = state.update(|relay| {
             relay.connections.moves += 1;
             relay.connections.moves
@@ -94,7 +95,7 @@
     }
 
     /// Closes all connections that came in at earlier addresses.
-    pub fn close_connections_at_old_address(&mut self) {
+    pub(crate) fn close_connections_at_old_address(&mut self) {
         for (moves, stream) in &self.connections.streams {
             if *moves < self.connections.moves {
                 let _ = stream.shutdown(Shutdown::Both);
@@ -103,34 +104,34 @@
     }
 
     /// Sends a line to all connections that have asked for news.
-    pub fn send_news(&mut self, line: &str) {
+    pub(crate) fn send_news(&mut self, line: &str) {
         self.news_streams.retain_mut(|stream| stream.write_all(format!("{line}\r\n").as_bytes()).is_ok());
     }
 
     /// Closes all news connections.
-    pub fn close_news_connections(&mut self) {
+    pub(crate) fn close_news_connections(&mut self) {
         for stream in self.news_streams.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
     /// Closes the news connection that was opened first.
-    pub fn close_first_news_connection(&mut self) {
+    pub(crate) fn close_first_news_connection(&mut self) {
         let _ = self.news_streams.remove(0).shutdown(Shutdown::Both);
     }
 
     /// Whether each slice's table has so many lines.
-    pub fn all_tables_have(&self, line_count: usize) -> bool {
+    pub(crate) fn all_tables_have(&self, line_count: usize) -> bool {
         self.slices.values().all(|lines| lines.len() == line_count)
     }
 
     /// Whether any table names the host.
-    pub fn any_table_names(&self, host: &str) -> bool {
+    pub(crate) fn any_table_names(&self, host: &str) -> bool {
         self.slices.values().any(|lines| lines.contains_key(host))
     }
 
     /// The host with the greatest weight in the slice's table; empty: there is none.
-    pub fn heaviest_host(&self, slice: u16) -> &str {
+    pub(crate) fn heaviest_host(&self, slice: u16) -> &str {
         let Some(lines) = self.slices.get(&slice) else { return "" };
         let heaviest = lines.iter().max_by(|a, b| a.1.total_cmp(b.1));
         heaviest.map_or("", |(host, _)| host)
--- a/crates/director/service/tests/director/stand_ins/shared_state.rs
+++ b/crates/director/service/tests/director/stand_ins/shared_state.rs
@@ -4,12 +4,12 @@
 use std::time::{Duration, Instant};
 
 /// Far more than anything here takes; only a director that is broken makes a test wait so long.
-pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
+pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// A condition is looked at again after this time also when nothing has changed.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
 /// A state behind a lock, and the notification that it has changed.
-pub struct Shared<T>(Arc<(Mutex<T>, Condvar)>);
+pub(crate) struct Shared<T>(Arc<(Mutex<T>, Condvar)>);
 
 impl<T> Clone for Shared<T> {
     fn clone(&self) -> Self {
@@ -18,19 +18,19 @@
 }
 
 impl<T> Shared<T> {
-    pub fn new(state: T) -> Self {
+    pub(crate) fn new(state: T) -> Self {
         Shared(Arc::new((Mutex::new(state), Condvar::new())))
     }
 
     /// Reads or changes the state and wakes whoever waits for a condition.
-    pub fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
+    pub(crate) fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
         let result = update(&mut self.lock());
         self.0 .1.notify_all();
         result
     }
 
     /// Nobody else gets at the state until the guard is dropped.
-    pub fn block(&self) -> impl Drop + '_ {
+    pub(crate) fn block(&self) -> impl Drop + '_ {
         self.lock()
     }
 
@@ -39,7 +39,7 @@
     }
 
     /// Waits until `find` finds something and returns that; `what` names it in the failure.
-    pub fn wait_for<R>(&self, what: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
+    pub(crate) fn wait_for<R>(&self, what: &str, mut find: impl FnMut(&mut T) -> Option<R>) -> R {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut state = self.lock();
         loop {
@@ -54,7 +54,7 @@
     }
 
     /// Waits until the condition holds; `what` names it in the failure.
-    pub fn wait_until(&self, what: &str, mut holds: impl FnMut(&mut T) -> bool) {
+    pub(crate) fn wait_until(&self, what: &str, mut holds: impl FnMut(&mut T) -> bool) {
         self.wait_for(what, |state| holds(state).then_some(()));
     }
 }
--- a/crates/director/service/tests/director/testbed/callers.rs
+++ b/crates/director/service/tests/director/testbed/callers.rs
@@ -1,6 +1,7 @@
 //! Reports of what callers of each slice meet, as a collector sends them.
 
-use super::{Collector, Testbed};
+use super::collector::Collector;
+use super::environment::Testbed;
 use crate::stand_ins::{RelayStandIn, Shared};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::sync::Arc;
@@ -12,10 +13,10 @@
 type CountFailures = fn(&RelayStandIn, u16) -> u64;
 
 /// Reports ten times a second until this is dropped.
-pub struct Callers(Arc<AtomicBool>);
+pub(crate) struct Callers(Arc<AtomicBool>);
 
 impl Callers {
-    pub fn start(testbed: &Testbed, count_failures: CountFailures) -> Self {
+    pub(crate) fn start(testbed: &Testbed, count_failures: CountFailures) -> Self {
         let is_reporting = Arc::new(AtomicBool::new(true));
         let continues = is_reporting.clone();
         let relay = testbed.relay.clone();
@@ -29,7 +30,7 @@
     }
 
     /// No further reports come.
-    pub fn fall_silent(&self) {
+    pub(crate) fn fall_silent(&self) {
         self.0.store(false, Ordering::Relaxed);
     }
 }
--- a/crates/director/service/tests/director/testbed/collector.rs
+++ b/crates/director/service/tests/director/testbed/collector.rs
@@ -8,11 +8,11 @@
 const PROBE: &[u8] = b"{\"msg\":\"probe\"}\n";
 const PROBE_ANSWER: &[u8] = b"{\"msg\":\"alive\"}\n";
 
-pub struct Collector(TcpStream);
+pub(crate) struct Collector(TcpStream);
 
 impl Collector {
     /// Connects as soon as the director listens.
-    pub fn connect(address: SocketAddr) -> Self {
+    pub(crate) fn connect(address: SocketAddr) -> Self {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
             match TcpStream::connect(address) {
@@ -26,25 +26,25 @@
         }
     }
 
-    pub fn send_line(&mut self, line: &[u8]) {
+    pub(crate) fn send_line(&mut self, line: &[u8]) {
         self.0.write_all(line).unwrap();
         self.0.write_all(b"\n").unwrap();
     }
 
     /// Bytes without an end of line; false: the director has closed the connection.
-    pub fn send_bytes(&mut self, bytes: &[u8]) -> bool {
+    pub(crate) fn send_bytes(&mut self, bytes: &[u8]) -> bool {
         self.0.write_all(bytes).is_ok()
     }
 
     /// Whether a request for a sign of life is answered.
-    pub fn is_answered(&mut self) -> bool {
+    pub(crate) fn is_answered(&mut self) -> bool {
         let is_sent = self.0.write_all(PROBE).is_ok();
         let mut answer = [0; PROBE_ANSWER.len()];
         is_sent && self.0.read_exact(&mut answer).is_ok() && answer == PROBE_ANSWER
     }
 
     /// Whether the director closes the connection within [`WAIT_TIMEOUT`].
-    pub fn is_closed(&mut self) -> bool {
+    pub(crate) fn is_closed(&mut self) -> bool {
         match self.0.read(&mut [0; 16]) {
             Ok(count) => count == 0,
             // The read timeout is no end of the connection.
--- a/crates/director/service/tests/director/testbed/config.rs
+++ b/crates/director/service/tests/director/testbed/config.rs
@@ -3,27 +3,32 @@
 use std::net::SocketAddr;
 
 /// What tests vary of the configuration.
-pub struct DirectorConfig {
-    pub listen: SocketAddr,
-    pub discovery: SocketAddr,
-    pub relay: SocketAddr,
+pub(crate) struct DirectorConfig {
+    pub(crate) listen: SocketAddr,
+    pub(crate) discovery: SocketAddr,
+    pub(crate) relay: SocketAddr,
     /// The list of hosts that the director remembers, as JSON.
-    pub known_hosts: String,
-    pub director_count: usize,
-    pub proxy_count: u16,
-    pub slice_count: u16,
+    pub(crate) known_hosts: String,
+    pub(crate) director_count: usize,
+    pub(crate) proxy_count: u16,
+    pub(crate) slice_count: u16,
     /// What proxies take of table lines in a second.
-    pub lines_per_s: f64,
+    pub(crate) lines_per_s: f64,
     /// Table lines that may wait for proxies.
-    pub backlog: f64,
-    pub report_interval_ns: u64,
-    pub memory_mb: u64,
-    pub sockets: u64,
+    pub(crate) backlog: f64,
+    pub(crate) report_interval_ns: u64,
+    pub(crate) memory_mb: u64,
+    pub(crate) sockets: u64,
 }
 
 impl DirectorConfig {
     /// One director of two slices, with the least of descriptors and memory.
-    pub fn new(listen: SocketAddr, discovery: SocketAddr, relay: SocketAddr, known_hosts: String) -> Self {
+    pub(crate) fn new(
+        listen: SocketAddr,
+        discovery: SocketAddr,
+        relay: SocketAddr,
+        known_hosts: String,
+    ) -> Self {
         DirectorConfig {
             listen,
             discovery,
@@ -40,7 +45,7 @@
         }
     }
 
-    pub fn to_json(&self) -> String {
+    pub(crate) fn to_json(&self) -> String {
         let DirectorConfig { listen, discovery, relay, known_hosts, director_count, .. } = self;
         let DirectorConfig { proxy_count, slice_count, lines_per_s, backlog, .. } = self;
         let DirectorConfig { report_interval_ns, memory_mb, sockets, .. } = self;
@@ -58,13 +63,13 @@
 }
 
 /// A host in a list of discovery.
-pub fn host_entry(id: &str, address: SocketAddr, state: &str) -> String {
+pub(crate) fn host_entry(id: &str, address: SocketAddr, state: &str) -> String {
     format!(
         r#"{{"id":"{id}","addr":"{address}","zone":"a","kind":"m2","cell":0,"state":"{state}","weight":1.0,"started_ms":0}}"#
     )
 }
 
 /// A list of discovery: all hosts (`is_full`) or those that have changed.
-pub fn host_list(version: u64, is_full: bool, entries: &[String]) -> String {
+pub(crate) fn host_list(version: u64, is_full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{is_full},"servers":[{}]}}"#, entries.join(","))
 }
--- a/crates/director/service/tests/director/testbed/director_process.rs
+++ b/crates/director/service/tests/director/testbed/director_process.rs
@@ -7,16 +7,16 @@
 use std::time::Instant;
 
 /// The operators' file, in the folder of the configuration; used if it exists.
-pub const OPERATOR_FILE: &str = "operator.json";
+pub(crate) const OPERATOR_FILE: &str = "operator.json";
 
-pub struct DirectorProcess {
+pub(crate) struct DirectorProcess {
     process: Child,
     /// The lines on standard error.
-    pub log: Shared<Vec<String>>,
+    pub(crate) log: Shared<Vec<String>>,
 }
 
 impl DirectorProcess {
-    pub fn spawn(config: &Path) -> Self {
+    pub(crate) fn spawn(config: &Path) -> Self {
         let mut command = Command::new(env!("CARGO_BIN_EXE_coppersail-director"));
         let operator_file = config.with_file_name(OPERATOR_FILE);
         if operator_file.exists() {
@@ -34,7 +34,7 @@
         DirectorProcess { process, log }
     }
 
-    pub fn signal(&self, name: &str) {
+    pub(crate) fn signal(&self, name: &str) {
         // The shell's own `kill`: a program of that name is not on every machine.
         let script = format!("kill -s {name} {}", self.process.id());
         let status = Command::new("sh").args(["-c", &script]).status();
@@ -42,7 +42,7 @@
     }
 
     /// A counter, asked for by signal.
-    pub fn counter(&self, name: &str) -> u64 {
+    pub(crate) fn counter(&self, name: &str) -> u64 {
         let lines_before = self.log.update(|lines| lines.len());
         self.signal("USR1");
         self.log.wait_for("counters", |lines| {
@@ -53,7 +53,7 @@
     }
 
     /// Waits until a counter has reached a value.
-    pub fn wait_for_counter(&self, name: &str, least: u64) {
+    pub(crate) fn wait_for_counter(&self, name: &str, least: u64) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.counter(name) < least {
             assert!(Instant::now() < deadline, "{name} stays below {least}");
@@ -61,12 +61,12 @@
     }
 
     /// Waits for a line that contains the text.
-    pub fn wait_for_log(&self, text: &str) {
+    pub(crate) fn wait_for_log(&self, text: &str) {
         self.log.wait_until(text, |lines| lines.iter().any(|line| line.contains(text)));
     }
 
     /// Waits for the process' end; its status, if no signal has ended it.
-    pub fn wait_for_exit(&mut self) -> Option<i32> {
+    pub(crate) fn wait_for_exit(&mut self) -> Option<i32> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut status = None;
         while status.is_none() && Instant::now() < deadline {
@@ -76,18 +76,18 @@
         status.expect("the director goes on").code()
     }
 
-    pub fn open_descriptors(&self) -> usize {
+    pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).unwrap().count()
     }
 
     /// The most memory that it has held, in MiB.
-    pub fn peak_memory_mb(&self) -> f64 {
+    pub(crate) fn peak_memory_mb(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
         line.trim().trim_end_matches("kB").trim().parse::<f64>().unwrap() / 1024.0
     }
 
-    pub fn kill(&mut self) {
+    pub(crate) fn kill(&mut self) {
         let _ = self.process.kill();
         let _ = self.process.wait();
     }
--- a/crates/director/service/tests/director/testbed/operator.rs
+++ b/crates/director/service/tests/director/testbed/operator.rs
@@ -1,6 +1,6 @@
 //! What operators do: requests on the admin socket, and edits of their file.
 
-use super::Testbed;
+use super::environment::Testbed;
 use crate::stand_ins::WAIT_TIMEOUT;
 use serde_json::Value;
 use std::io::{BufRead, BufReader, Write};
@@ -13,7 +13,7 @@
 
 impl Testbed {
     /// One request on a connection of its own; the answer's fields.
-    pub fn admin_request(&self, request: &str) -> Value {
+    pub(crate) fn admin_request(&self, request: &str) -> Value {
         let socket = self.folder().join("control.sock");
         let deadline = Instant::now() + WAIT_TIMEOUT;
         loop {
@@ -32,7 +32,7 @@
     }
 
     /// Submits a change with a trial of so many seconds; its number, or why it is refused.
-    pub fn submit_change(&self, base: u64, trial_s: f64, edits: &str) -> Result<u64, String> {
+    pub(crate) fn submit_change(&self, base: u64, trial_s: f64, edits: &str) -> Result<u64, String> {
         let submission =
             format!(r#"{{"base":{base},"who":"op","why":"test","edits":{edits},"trial":{trial_s}}}"#);
         let answer = self.admin_request(&format!(r#"{{"do":"submit","submission":{submission}}}"#));
@@ -40,7 +40,7 @@
     }
 
     /// Waits until a change is at a stage, given as its name or the name of its only field; returns the change.
-    pub fn wait_for_stage(&self, number: u64, stage: &str) -> Value {
+    pub(crate) fn wait_for_stage(&self, number: u64, stage: &str) -> Value {
         let deadline = Instant::now() + STAGE_TIMEOUT;
         loop {
             let answer = self.admin_request(&format!(r#"{{"do":"show","number":{number}}}"#));
