--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -33,7 +33,7 @@
 pub use event::{Event, ProbeEnd};
 pub use ids::{ConnId, ControlId, LinkId};
 
-use crate::bounds::Bounds;
+use crate::resource_limits::Bounds;
 use collector_connections::CollectorConnections;
 use configuration::CheckedConfig;
 use coppersail_capacity_guard::{Guarded, Mode};
