--- a/crates/control-plane/shard-leases/src/candidate.rs
+++ b/crates/control-plane/shard-leases/src/candidate.rs
@@ -101,9 +101,9 @@
 fn rebalancer_holder(candidate: &Candidate, mean_capacity: f64) -> Holder {
     let open = candidate.accepts_slices();
     Holder {
-        unit: (candidate.capacity / mean_capacity).max(MIN_WEIGHT),
+        weight: (candidate.capacity / mean_capacity).max(MIN_WEIGHT),
         listed_at: Some(candidate.listing_order as f64),
-        young: candidate.is_new,
+        is_new: candidate.is_new,
         open,
         leaving: !open,
         ..Holder::default()
--- a/crates/control-plane/shard-leases/src/initial_assignment.rs
+++ b/crates/control-plane/shard-leases/src/initial_assignment.rs
@@ -22,7 +22,7 @@
 
         let range_size = (slice_count / range_count.max(1)).max(1) as usize;
         let range_count = slice_count as usize / range_size;
-        let owners = coppersail_rebalancer::lay(range_count, &rebalancer_holders(endpoints));
+        let owners = coppersail_rebalancer::initial_assignment(range_count, &rebalancer_holders(endpoints));
         let mut changes = Vec::new();
         for (range, owner) in owners.into_iter().enumerate() {
             let Some(owner) = owner else { continue };
--- a/crates/control-plane/shard-leases/src/rebalance.rs
+++ b/crates/control-plane/shard-leases/src/rebalance.rs
@@ -3,7 +3,7 @@
 use crate::grant::FULL_GRANT_BYTES;
 use crate::lease::{Ms, SliceLease, SliceRange};
 use crate::table::{LeaseTable, ServiceLeases};
-use coppersail_rebalancer::{Board, Holder, Move};
+use coppersail_rebalancer::{Assignment, Holder, Move};
 
 /// Added to each request count when load is relieved. Slices without requests are no load, and with most of them idle an
 /// average one each would hide it; this keeps idle slices in the order of their numbers.
@@ -61,18 +61,18 @@
         let requests: Vec<[f64; 1]> = self.ranges.iter().map(|range| [self.requests_of(*range)]).collect();
         let mut board = self.board(candidates, &requests);
         let limit = self.transfer_limit(candidates, max_transfers);
-        let moves = self.balance.plan(&board, limit);
+        let moves = self.balance.plan_moves(&board, limit);
         if !moves.is_empty() || self.significant_requests(candidates.all().len()).is_none() {
             return moves;
         }
         // The counts of slices are even. Now the requests themselves are.
-        let weights: Vec<f64> = board.holders.iter().map(|holder| holder.unit).collect();
+        let weights: Vec<f64> = board.holders.iter().map(|holder| holder.weight).collect();
         board.scores = requests.iter().map(|count| count[0] + IDLE_SCORE).collect();
-        self.balance.relieve(&board, &weights, limit)
+        self.balance.relieve_hot_holders(&board, &weights, limit)
     }
 
     /// The present state in the rebalancer's terms. The last holder stands for all owners that are not known any more.
-    fn board(&self, candidates: &CandidateIndex, requests: &[[f64; 1]]) -> Board {
+    fn board(&self, candidates: &CandidateIndex, requests: &[[f64; 1]]) -> Assignment {
         let mut holders = rebalancer_holders(candidates.all());
         for (candidate, holder) in candidates.all().iter().zip(&mut holders) {
             // An endpoint with nearly as many leases as an answer has space for is assigned no more.
@@ -85,12 +85,12 @@
             (!id.is_empty()).then(|| candidates.index_of(id).unwrap_or(unknown))
         };
         let in_transfer = |(_, lease): &(usize, &SliceLease)| lease.is_in_transfer(candidates);
-        Board {
+        Assignment {
             holders,
             owners: self.range_leases().map(owner).collect(),
             scores: coppersail_rebalancer::scores(requests, None, 1.0),
             pinned: self.range_leases().enumerate().filter(in_transfer).map(|(range, _)| range).collect(),
-            ..Board::default()
+            ..Assignment::default()
         }
     }
 
--- a/crates/control-plane/shard-leases/src/table.rs
+++ b/crates/control-plane/shard-leases/src/table.rs
@@ -2,7 +2,7 @@
 use crate::lease::{max_lease_time, Ms, OwnerChange, SliceLease, SliceRange};
 use crate::sizing::slice_width;
 use crate::stored::{self, Write};
-use coppersail_rebalancer::Balance;
+use coppersail_rebalancer::Rebalancer;
 use std::collections::BTreeMap;
 
 /// The leases of one service.
@@ -14,7 +14,7 @@
     pub(crate) request_counts: Vec<f64>,
     /// What the rebalancer moves: together they cover all slices, in order. Empty until the first planning round.
     pub(crate) ranges: Vec<SliceRange>,
-    pub(crate) balance: Balance,
+    pub(crate) balance: Rebalancer,
 }
 
 impl ServiceLeases {
--- a/crates/director/admin-socket/tests/wire_format.rs
+++ b/crates/director/admin-socket/tests/wire_format.rs
@@ -24,7 +24,7 @@
 );
 
 fn edits() -> Edits {
-    [(Field::Judge, Some(Value::Flag(false))), (Field::Guard, None)].into()
+    [(Field::Analysis, Some(Value::Flag(false))), (Field::Guard, None)].into()
 }
 
 fn submission() -> Submission {
@@ -93,7 +93,8 @@
     };
     let change_text =
         r#""number":4,"wall":1.5,"submission":SUBMISSION,"stage":"staged","undoes":null,"before":{}"#;
-    let differs = vec![Difference { field: Field::Judge, current: None, proposed: Some(Value::Flag(true)) }];
+    let differs =
+        vec![Difference { field: Field::Analysis, current: None, proposed: Some(Value::Flag(true)) }];
     let table = [
         (Answer::Status(Box::new(status(None))), status_text.replace("FROZEN", "null")),
         (
--- a/crates/director/capacity-guard/benches/judgement_cost.rs
+++ b/crates/director/capacity-guard/benches/judgement_cost.rs
@@ -1,25 +1,30 @@
-//! Cost of a judgement: one changed weight and a batch of a hundred, by size of the fleet; and of the load index against
-//! computing all loads anew.
+//! Cost of a judgement: one changed weight and a batch of a hundred, by size of the fleet; and of the load index
+//! against computing all loads anew.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_capacity_guard::{Bounds, Estimate, Guard, Host, LoadIndex, Pool, Table};
+use coppersail_capacity_guard::{CapacityModel, Estimate, Guard, Host, LoadIndex, Pool, Table};
 use criterion::{criterion_group, criterion_main, BatchSize, Criterion};
 use std::collections::BTreeMap;
 
 fn fleet(hosts: u32, slices: u16) -> (Pool, BTreeMap<SliceId, Table>) {
     let carries = Some(Estimate { low: 80.0, middle: 100.0 });
-    let bounds = Bounds { cold_from: 0.2, ramp_time: 10.0, fall_multiple: 2.5, carries };
+    let bounds = CapacityModel {
+        cold_capacity_share: 0.2,
+        slow_start_duration: 10.0,
+        collapse_multiple: 2.5,
+        capacity: carries,
+    };
     let host = |n| (HostId(n), Host { zone: ZoneId((n % 3) as u16), ..Host::default() });
     let table = |n: u16| {
         let at = u32::from(n) % hosts;
         let lines = BTreeMap::from([(HostId(at), 1.0), (HostId((at * 7 + 1) % hosts), 0.1)]);
-        (SliceId(n), Table { demand: vec![3.0, 1.0], lines })
+        (SliceId(n), Table { demand: vec![3.0, 1.0], weights: lines })
     };
     (Pool { hosts: (0..hosts).map(host).collect(), bounds }, (0..slices).map(table).collect())
 }
 
 fn line(slice: u16, host: u32) -> Order {
-    Order::Line { slice: SliceId(slice), host: HostId(host), weight: 0.5 }
+    Order::SetWeight { slice: SliceId(slice), host: HostId(host), weight: 0.5 }
 }
 
 fn judgement_cost(criterion: &mut Criterion) {
--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -1,10 +1,11 @@
-//! Generated pools, tables and proposals against the oracle: what was accepted and refused rightly. And repairs of small
-//! ones against the best that there is. `cargo run --release -p coppersail-capacity-guard --example confusion [CASES] [SMALL]`
+//! Generated pools, tables and proposals against the oracle: what was accepted and refused rightly. And repairs of
+//! small ones against the best that there is. `cargo run --release -p coppersail-capacity-guard --example confusion
+//! [CASES] [SMALL]`
 
 mod model;
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_capacity_guard::{Bounds, Estimate, Guard, Host, Pool, Table, Verdict};
+use coppersail_capacity_guard::{CapacityModel, Estimate, Guard, Host, Pool, Table, Verdict};
 use model::{badness, best, is_unsafe, less, told, worsens, Case, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
@@ -18,7 +19,7 @@
         let verdict = case.guard().judge(&case.calls, &case.pending, case.now);
         let given = match verdict {
             Verdict::Accepted => 0,
-            Verdict::Least(_) => 1,
+            Verdict::Improvement(_) => 1,
             Verdict::Refused(_) => 2,
         };
         verdicts[is_unsafe(&case) as usize][given] += 1;
@@ -71,7 +72,7 @@
             _ => best(case),
         };
         match verdict {
-            Verdict::Least(_) => {
+            Verdict::Improvement(_) => {
                 self.least += 1;
                 let bare = |world: World| badness(&world.ahead(case))[0];
                 let covers_slice = bare(told(case)) < bare(World::of(case));
@@ -129,13 +130,18 @@
 fn measure_fleet(hosts: u32, slices: u16, times: u64) {
     let mut rng = fastrand::Rng::with_seed(1);
     let carries = Some(Estimate { low: 80.0, middle: 100.0 });
-    let bounds = Bounds { cold_from: 0.2, ramp_time: 10.0, fall_multiple: 2.5, carries };
+    let bounds = CapacityModel {
+        cold_capacity_share: 0.2,
+        slow_start_duration: 10.0,
+        collapse_multiple: 2.5,
+        capacity: carries,
+    };
     let host = |n| (HostId(n), Host { zone: ZoneId((n % 3) as u16), ..Host::default() });
     let each = 0.6 * 100.0 * f64::from(hosts) / f64::from(slices);
     let table = |n: u16| {
         let at = u32::from(n) % hosts;
         let lines = BTreeMap::from([(HostId(at), 1.0), (HostId((at * 7 + 1) % hosts), 0.1)]);
-        (SliceId(n), Table { demand: vec![0.7 * each, 0.3 * each], lines })
+        (SliceId(n), Table { demand: vec![0.7 * each, 0.3 * each], weights: lines })
     };
     let pool = Pool { hosts: (0..hosts).map(host).collect(), bounds };
     let mut guard = Guard::new(pool, &(0..slices).map(table).collect(), 2);
@@ -147,14 +153,14 @@
         let piled: BTreeSet<u16> = (0..many).map(|_| rng.u16(0..slices)).collect();
         let lines = piled.iter().flat_map(|slice| {
             let slice = SliceId(*slice);
-            [Order::Clear(slice), Order::Line { slice, host: to, weight: 1.0 }]
+            [Order::ClearTable(slice), Order::SetWeight { slice, host: to, weight: 1.0 }]
         });
         let calls = [lines.collect::<Vec<Order>>()];
         let begun = Instant::now();
         let verdict = guard.judge(&calls, &[], 100.0);
         took.push(begun.elapsed().as_secs_f64() * 1e3);
         let repair = match &verdict {
-            Verdict::Refused(refused) | Verdict::Least(refused) => refused.repair.as_ref(),
+            Verdict::Refused(refused) | Verdict::Improvement(refused) => refused.repair.as_ref(),
             Verdict::Accepted => continue,
         };
         unsafe_ones += 1;
--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -2,7 +2,9 @@
 //! `docs/guard.md`, sharing no code with the guard; on small pools also the best table there is, by trying all.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_capacity_guard::{Bounds, Change, Estimate, Guard, Host, Pending, Pool, State, Table};
+use coppersail_capacity_guard::{
+    CapacityModel, Estimate, Guard, Host, HostEvent, ListedState, PendingEvent, Pool, Table,
+};
 use fastrand::Rng;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,7 +15,7 @@
     pub(crate) pool: Pool,
     pub(crate) tables: BTreeMap<SliceId, Table>,
     pub(crate) calls: Vec<Vec<Order>>,
-    pub(crate) pending: Vec<Pending>,
+    pub(crate) pending: Vec<PendingEvent>,
     pub(crate) now: f64,
 }
 
@@ -27,17 +29,28 @@
         let c = &mut chance;
         let now = 100.0;
         let carries = (c.u8(0..5) > 0).then_some(Estimate { low: 8.0, middle: 10.0 });
-        let bounds =
-            Bounds { cold_from: 0.2, ramp_time: 10.0, fall_multiple: pick(c, &[1.5, 2.5, 4.0]), carries };
+        let bounds = CapacityModel {
+            cold_capacity_share: 0.2,
+            slow_start_duration: 10.0,
+            collapse_multiple: pick(c, &[1.5, 2.5, 4.0]),
+            capacity: carries,
+        };
         let host = |k: usize, c: &mut Rng| {
             let state = pick(
                 c,
-                &[State::Ready, State::Ready, State::Ready, State::Ready, State::Draining, State::Gone],
+                &[
+                    ListedState::Ready,
+                    ListedState::Ready,
+                    ListedState::Ready,
+                    ListedState::Ready,
+                    ListedState::Draining,
+                    ListedState::Removed,
+                ],
             );
-            let born = pick(c, &[None, None, Some(99.0), Some(94.0), Some(80.0)]);
+            let started_at = pick(c, &[None, None, Some(99.0), Some(94.0), Some(80.0)]);
             let (weight, proven, out) = (pick(c, &[1.0, 1.0, 0.5, 2.0]), c.u8(0..12) > 0, c.u8(0..12) == 0);
             let zone = ZoneId((k % 2) as u16);
-            (HostId(k as u32), Host { state, zone, weight, born, proven, out, speed: 1.0 })
+            (HostId(k as u32), Host { state, zone, weight, started_at, proven, withdrawn: out, speed: 1.0 })
         };
         let pool = Pool { hosts: (0..hosts).map(|k| host(k, c)).collect(), bounds };
         let any = |c: &mut Rng| HostId(c.u32(0..hosts as u32));
@@ -46,24 +59,24 @@
             let demand = (0..ROUTES).map(|_| full * c.f64()).collect();
             let lines =
                 (0..pick(c, &[0, 1, 2, 2, 2, 3])).map(|_| (any(c), pick(c, &[1.0, 1.0, 0.1, 0.001, 50.0])));
-            Table { demand, lines: lines.collect() }
+            Table { demand, weights: lines.collect() }
         };
         let tables: BTreeMap<SliceId, Table> = (0..slices).map(|k| (SliceId(k as u16), table(c))).collect();
         let order = |c: &mut Rng| {
             let slice = SliceId(c.u16(0..slices as u16));
             match c.u8(0..10) {
-                0 => Order::Clear(slice),
-                1 => Order::Withdraw { host: any(c), out: c.bool() },
-                2..=4 => Order::Line { slice, host: any(c), weight: 0.0 },
-                _ => Order::Line { slice, host: any(c), weight: pick(c, &[1.0, 1.0, 0.1, 20.0]) },
+                0 => Order::ClearTable(slice),
+                1 => Order::SetWithdrawn { host: any(c), withdrawn: c.bool() },
+                2..=4 => Order::SetWeight { slice, host: any(c), weight: 0.0 },
+                _ => Order::SetWeight { slice, host: any(c), weight: pick(c, &[1.0, 1.0, 0.1, 20.0]) },
             }
         };
         let calls =
             (0..pick(c, &[1, 1, 2, 3])).map(|_| (0..c.usize(1..4)).map(|_| order(c)).collect()).collect();
-        let event = |c: &mut Rng| Pending {
+        let event = |c: &mut Rng| PendingEvent {
             at: now + pick(c, &[2.0, 5.0, 5.0, 40.0]),
             host: any(c),
-            what: if c.u8(0..3) > 0 { Change::Leaves } else { Change::Opens },
+            what: if c.u8(0..3) > 0 { HostEvent::Leaves } else { HostEvent::Opens },
         };
         let pending = (0..pick(c, &[0, 0, 1, 2])).map(|_| event(c)).collect();
         Case { pool, tables, calls, pending, now }
@@ -104,35 +117,37 @@
 }
 
 fn age(host: &Host, at: f64) -> f64 {
-    host.born.map_or(1e9, |born| (at - born).max(0.0))
+    host.started_at.map_or(1e9, |started_at| (at - started_at).max(0.0))
 }
 
-fn ramp(bounds: &Bounds, host: &Host, at: f64) -> f64 {
-    (bounds.cold_from + (1.0 - bounds.cold_from) * age(host, at) / bounds.ramp_time).clamp(0.01, 1.0)
+fn ramp(bounds: &CapacityModel, host: &Host, at: f64) -> f64 {
+    (bounds.cold_capacity_share
+        + (1.0 - bounds.cold_capacity_share) * age(host, at) / bounds.slow_start_duration)
+        .clamp(0.01, 1.0)
 }
 
 impl World {
     pub(crate) fn of(case: &Case) -> World {
-        let lines = case.tables.iter().map(|(slice, table)| (*slice, table.lines.clone())).collect();
+        let lines = case.tables.iter().map(|(slice, table)| (*slice, table.weights.clone())).collect();
         World { hosts: case.pool.hosts.clone(), lines }
     }
 
     pub(crate) fn apply(&mut self, order: &Order) {
         match order {
-            Order::Line { slice, host, weight } if *weight > 0.0 => {
+            Order::SetWeight { slice, host, weight } if *weight > 0.0 => {
                 self.lines.entry(*slice).or_default().insert(*host, *weight);
             }
-            Order::Line { slice, host, .. } => _ = self.lines.entry(*slice).or_default().remove(host),
-            Order::Clear(slice) => drop(self.lines.insert(*slice, BTreeMap::new())),
-            Order::Withdraw { host, out } => {
-                self.hosts.entry(*host).and_modify(|host| host.out = *out);
+            Order::SetWeight { slice, host, .. } => _ = self.lines.entry(*slice).or_default().remove(host),
+            Order::ClearTable(slice) => drop(self.lines.insert(*slice, BTreeMap::new())),
+            Order::SetWithdrawn { host, withdrawn: out } => {
+                self.hosts.entry(*host).and_modify(|host| host.withdrawn = *out);
             }
             _ => {}
         }
     }
 
     fn open(&self, host: &HostId) -> bool {
-        self.hosts.get(host).is_some_and(|h| h.state == State::Ready && h.proven && !h.out)
+        self.hosts.get(host).is_some_and(|h| h.state == ListedState::Ready && h.proven && !h.withdrawn)
     }
 
     /// The load of each host and route, computed from the tables alone.
@@ -179,14 +194,14 @@
         let all: f64 = self.open_hosts().map(|(_, h)| unit(h)).sum();
         for (id, h) in self.open_hosts() {
             let Some(host) = load.hosts.get(id).filter(|host| host.calls > 0.0) else { continue };
-            if let Some(carries) = b.carries {
+            if let Some(carries) = b.capacity {
                 let cold = ramp(b, h, at) < 1.0;
-                let unproved = cold || age(h, at) < b.ramp_time + 30.0;
+                let unproved = cold || age(h, at) < b.slow_start_duration + 30.0;
                 let per_unit = if unproved { carries.low } else { carries.middle };
-                let multiple = if cold { (0.6 * b.fall_multiple).max(1.0) } else { 1.25 };
+                let multiple = if cold { (0.6 * b.collapse_multiple).max(1.0) } else { 1.25 };
                 let fair = if cold { 0.0 } else { 2.0 * totals.iter().sum::<f64>() * unit(h) / all };
                 let limit = f64::max(unit(h) * per_unit * multiple, fair);
-                let falls = unit(h) * carries.low * b.fall_multiple;
+                let falls = unit(h) * carries.low * b.collapse_multiple;
                 if host.calls > limit * 1.001 {
                     wrongs.insert((if cold { 1 } else { 2 }, id.0, 0), host.calls / limit - 1.0);
                 } else if cold && host.worst_case > falls * 1.001 {
@@ -225,14 +240,16 @@
     /// The same at each moment ahead, beginning with now.
     pub(crate) fn ahead(&self, case: &Case) -> Vec<Wrongs> {
         let mut world = self.clone();
-        let mut pending: Vec<&Pending> =
+        let mut pending: Vec<&PendingEvent> =
             case.pending.iter().filter(|event| event.at <= case.now + 15.0).collect();
         pending.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut found = vec![self.wrongs(case, case.now)];
         for (k, event) in pending.iter().enumerate() {
             world.hosts.entry(event.host).and_modify(|host| match event.what {
-                Change::Leaves => (host.state, host.proven) = (State::Draining, true),
-                Change::Opens => (host.state, host.proven, host.out) = (State::Ready, true, false),
+                HostEvent::Leaves => (host.state, host.proven) = (ListedState::Draining, true),
+                HostEvent::Opens => {
+                    (host.state, host.proven, host.withdrawn) = (ListedState::Ready, true, false)
+                }
             });
             if pending.get(k + 1).is_none_or(|next| next.at > event.at) {
                 found.push(world.wrongs(case, event.at));
--- a/crates/director/capacity-guard/src/bound.rs
+++ b/crates/director/capacity-guard/src/bound.rs
@@ -13,8 +13,8 @@
 const MIN_CONCENTRATION_CALLS: f64 = 1.0;
 /// Capacities are estimates: a warm host is overloaded when it gets so many times its capacity...
 const MAX_CAPACITY_MULTIPLE: f64 = 1.25;
-/// ... and so many times its fair share of all calls: where a whole fleet is overloaded some host must have too much, and
-/// levelling that is the decision module's business.
+/// ... and so many times its fair share of all calls: where a whole fleet is overloaded some host must have too much,
+/// and levelling that is the decision module's business.
 const MAX_FAIR_SHARE_MULTIPLE: f64 = 2.0;
 
 /// The sizes of all open hosts and zones, by which fair shares are measured.
--- a/crates/director/capacity-guard/src/demand.rs
+++ b/crates/director/capacity-guard/src/demand.rs
@@ -49,10 +49,10 @@
     }
 
     /// Adds a report of `calls` in `span` seconds. One for an unknown route is ignored.
-    pub fn report(&mut self, now: f64, slice: SliceId, route: RouteId, calls: f64, span: f64) {
+    pub fn report(&mut self, now: f64, slice: SliceId, route: RouteId, calls: f64, window: f64) {
         let rates = self.rates.entry(slice).or_insert(vec![DecayedRate::default(); self.routes]);
         if let Some(rate) = rates.get_mut(usize::from(route.0)) {
-            rate.add(now, calls, span);
+            rate.add(now, calls, window);
         }
     }
 
--- a/crates/director/capacity-guard/src/drain.rs
+++ b/crates/director/capacity-guard/src/drain.rs
@@ -19,26 +19,26 @@
 
 /// What is to be drained.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Drain {
+pub struct DrainRequest {
     /// The hosts; their order is chosen by the plan.
     pub hosts: BTreeSet<HostId>,
     /// Each comes back cold so many seconds after it was drained; `None`: it stays away.
-    pub back_after: Option<f64>,
+    pub return_after: Option<f64>,
     /// The greatest number at a time; `None`: as many as there is room for.
-    pub most: Option<usize>,
+    pub max_hosts_at_once: Option<usize>,
     /// Calls a second of all slices.
     pub calls: f64,
 }
 
 /// One step of a plan: hosts that are drained at the same time.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Step {
+pub struct DrainPlanStep {
     /// Seconds from the beginning of the plan.
     pub at: f64,
     /// The hosts.
     pub hosts: Vec<HostId>,
     /// Utilisation of the hosts that stay meanwhile, 0 to 1 or more; `None`: capacities are unknown.
-    pub fill: Option<f64>,
+    pub utilisation: Option<f64>,
     /// The hosts that stay have not enough capacity, and waiting does not help.
     pub forced: bool,
 }
@@ -59,7 +59,7 @@
 
 struct Planner<'a> {
     pool: &'a Pool,
-    drain: &'a Drain,
+    drain: &'a DrainRequest,
     /// The time at which the plan begins.
     begin: f64,
     /// Seconds from the beginning.
@@ -69,9 +69,10 @@
     initial_size: f64,
 }
 
-/// Plans to drain hosts, from `now` on. Of the hosts that wait the one whose zone has most left without it goes first, of
-/// equals the smallest, so a zone is never drained whole while another could give a host. The last open host stays.
-pub fn drain(pool: &Pool, wanted: &Drain, now: f64) -> Vec<Step> {
+/// Plans to drain hosts, from `now` on. Of the hosts that wait the one whose zone has most left without it goes
+/// first, of equals the smallest, so a zone is never drained whole while another could give a host. The last open
+/// host stays.
+pub fn drain(pool: &Pool, wanted: &DrainRequest, now: f64) -> Vec<DrainPlanStep> {
     let mut planner = Planner::new(pool, wanted, now);
     let mut steps = Vec::new();
     let mut waited = 0.0;
@@ -94,7 +95,7 @@
             continue;
         }
         planner.schedule_return(&hosts);
-        steps.push(Step { at: planner.elapsed, hosts, fill: planner.utilisation(), forced });
+        steps.push(DrainPlanStep { at: planner.elapsed, hosts, utilisation: planner.utilisation(), forced });
         planner.elapsed += STEP_TIME;
         waited = 0.0;
     }
@@ -102,7 +103,7 @@
 }
 
 impl<'a> Planner<'a> {
-    fn new(pool: &'a Pool, drain: &'a Drain, now: f64) -> Self {
+    fn new(pool: &'a Pool, drain: &'a DrainRequest, now: f64) -> Self {
         let progress =
             |id: HostId| if drain.hosts.contains(&id) { Progress::Waiting } else { Progress::NotDrained };
         let hosts = pool.open_hosts().map(|(id, _)| (id, progress(id))).collect();
@@ -126,7 +127,7 @@
     /// Hosts that may be drained now by the limit of the request.
     fn room(&self) -> usize {
         let drained = self.hosts.values().filter(|progress| **progress == Progress::Drained).count();
-        self.drain.most.unwrap_or(usize::MAX).saturating_sub(drained)
+        self.drain.max_hosts_at_once.unwrap_or(usize::MAX).saturating_sub(drained)
     }
 
     /// Drains hosts while those that stay have the capacity for all calls.
@@ -164,7 +165,7 @@
     }
 
     fn schedule_return(&mut self, hosts: &[HostId]) {
-        let Some(after) = self.drain.back_after else { return };
+        let Some(after) = self.drain.return_after else { return };
         let at = self.elapsed + after;
         self.returning.extend(hosts.iter().map(|host| Returning { at, host: *host }));
     }
@@ -177,7 +178,7 @@
             Progress::NotDrained | Progress::Waiting => host.unit(now, &self.pool.bounds),
             Progress::Drained => 0.0,
             Progress::BackSince(since) => {
-                let restarted = Host { born: Some(self.begin + since), ..*host };
+                let restarted = Host { started_at: Some(self.begin + since), ..*host };
                 restarted.unit(now, &self.pool.bounds)
             }
         }
@@ -190,7 +191,7 @@
 
     /// Utilisation of the hosts that serve; `None`: capacities are unknown.
     fn utilisation(&self) -> Option<f64> {
-        let capacity = self.pool.bounds.carries?;
+        let capacity = self.pool.bounds.capacity?;
         Some(self.drain.calls / (self.size() * capacity.low).max(1e-9))
     }
 
--- a/crates/director/capacity-guard/src/guard.rs
+++ b/crates/director/capacity-guard/src/guard.rs
@@ -4,7 +4,7 @@
 use crate::bound::FleetSizes;
 use crate::inspection::Inspection;
 use crate::load_index::{LoadIndex, Table};
-use crate::pool::{Bounds, Change, Host, Pending, Pool, State};
+use crate::pool::{CapacityModel, Host, HostEvent, ListedState, PendingEvent, Pool};
 use crate::reason::{Moment, Reason, Severity};
 use crate::violation::{worst_severity, MomentReasons};
 use coppersail::interface::{HostId, Order, SliceId};
@@ -62,7 +62,7 @@
     }
 
     /// What holds for all hosts, to be changed.
-    pub fn bounds_mut(&mut self) -> &mut Bounds {
+    pub fn bounds_mut(&mut self) -> &mut CapacityModel {
         &mut self.pool.bounds
     }
 
@@ -77,7 +77,7 @@
     /// Removes a host.
     pub fn remove_host(&mut self, id: HostId) {
         if let Some(host) = self.pool.hosts.get(&id).copied() {
-            self.loads.set_host(id, &Host { state: State::Gone, ..host });
+            self.loads.set_host(id, &Host { state: ListedState::Removed, ..host });
         }
         self.host_version += 1;
         self.pool.hosts.remove(&id);
@@ -108,22 +108,22 @@
     /// Applies an order on trial.
     pub(crate) fn apply(&mut self, order: &Order, trial: &mut Trial) {
         match order {
-            Order::Line { slice, host, weight } => {
+            Order::SetWeight { slice, host, weight } => {
                 let table = self.loads.tables().get(slice);
-                let old = table.and_then(|table| table.lines.get(host)).copied().unwrap_or(0.0);
+                let old = table.and_then(|table| table.weights.get(host)).copied().unwrap_or(0.0);
                 self.loads.set_weight(*slice, *host, *weight);
                 trial.0.push(Undo::Weight { slice: *slice, host: *host, weight: old });
             }
-            Order::Clear(slice) => {
+            Order::ClearTable(slice) => {
                 let table = self.loads.tables().get(slice);
-                let old = table.map(|table| table.lines.clone()).unwrap_or_default();
+                let old = table.map(|table| table.weights.clone()).unwrap_or_default();
                 self.loads.clear_table(*slice);
                 let undo = |(host, weight)| Undo::Weight { slice: *slice, host, weight };
                 trial.0.extend(old.into_iter().map(undo));
             }
-            Order::Withdraw { host: id, out } => {
+            Order::SetWithdrawn { host: id, withdrawn: out } => {
                 let Some(host) = self.pool.hosts.get(id).copied() else { return };
-                self.set_host(*id, Host { out: *out, ..host });
+                self.set_host(*id, Host { withdrawn: *out, ..host });
                 trial.0.push(Undo::Host { id: *id, host });
             }
             _ => {}
@@ -131,13 +131,13 @@
     }
 
     /// Applies a pending event on trial.
-    fn apply_event(&mut self, event: &Pending, trial: &mut Trial) {
+    fn apply_event(&mut self, event: &PendingEvent, trial: &mut Trial) {
         let Some(host) = self.pool.hosts.get(&event.host).copied() else { return };
         let (state, out) = match event.what {
-            Change::Leaves => (State::Draining, host.out),
-            Change::Opens => (State::Ready, false),
+            HostEvent::Leaves => (ListedState::Draining, host.withdrawn),
+            HostEvent::Opens => (ListedState::Ready, false),
         };
-        self.set_host(event.host, Host { state, proven: true, out, ..host });
+        self.set_host(event.host, Host { state, proven: true, withdrawn: out, ..host });
         trial.0.push(Undo::Host { id: event.host, host });
     }
 
@@ -178,7 +178,7 @@
     /// before when this returns.
     pub(crate) fn at_each_moment<T>(
         &mut self,
-        pending: &[Pending],
+        pending: &[PendingEvent],
         now: f64,
         evaluate: &mut dyn FnMut(&mut Guard, Moment, f64) -> T,
     ) -> Vec<T> {
@@ -208,7 +208,7 @@
     pub(crate) fn inspect_ahead(
         &mut self,
         hosts: &BTreeSet<HostId>,
-        pending: &[Pending],
+        pending: &[PendingEvent],
         now: f64,
     ) -> Vec<MomentReasons> {
         self.at_each_moment(pending, now, &mut |guard, moment, at| {
@@ -219,7 +219,12 @@
     }
 
     /// The severity of the present state and the moments ahead, whichever is worst.
-    pub(crate) fn severity(&mut self, hosts: &BTreeSet<HostId>, pending: &[Pending], now: f64) -> Severity {
+    pub(crate) fn severity(
+        &mut self,
+        hosts: &BTreeSet<HostId>,
+        pending: &[PendingEvent],
+        now: f64,
+    ) -> Severity {
         worst_severity(&self.inspect_ahead(hosts, pending, now))
     }
 
@@ -233,28 +238,28 @@
         let mut hosts = BTreeSet::new();
         for order in orders {
             match order {
-                Order::Line { slice, host, .. } => {
+                Order::SetWeight { slice, host, .. } => {
                     slices.insert(*slice);
                     hosts.insert(*host);
                 }
-                Order::Clear(slice) => _ = slices.insert(*slice),
+                Order::ClearTable(slice) => _ = slices.insert(*slice),
                 // A host that comes or goes changes the fair share of every host.
-                Order::Withdraw { .. } => hosts.extend(self.pool.hosts.keys().copied()),
+                Order::SetWithdrawn { .. } => hosts.extend(self.pool.hosts.keys().copied()),
                 _ => {}
             }
         }
         let tables = slices.iter().filter_map(|slice| self.loads.tables().get(slice));
-        hosts.extend(tables.flat_map(|table| table.lines.keys().copied()));
+        hosts.extend(tables.flat_map(|table| table.weights.keys().copied()));
         hosts
     }
 }
 
 /// The pending events that are near enough to matter, in the order of their times. Those that are overdue count as
 /// complete now.
-pub(crate) fn near_events(pending: &[Pending], now: f64) -> Vec<Pending> {
-    let is_near = |event: &&Pending| event.at <= now + LOOK_AHEAD;
-    let not_past = |event: &Pending| Pending { at: event.at.max(now), ..*event };
-    let mut near: Vec<Pending> = pending.iter().filter(is_near).map(not_past).collect();
+pub(crate) fn near_events(pending: &[PendingEvent], now: f64) -> Vec<PendingEvent> {
+    let is_near = |event: &&PendingEvent| event.at <= now + LOOK_AHEAD;
+    let not_past = |event: &PendingEvent| PendingEvent { at: event.at.max(now), ..*event };
+    let mut near: Vec<PendingEvent> = pending.iter().filter(is_near).map(not_past).collect();
     near.sort_by(|a, b| a.at.total_cmp(&b.at));
     near
 }
--- a/crates/director/capacity-guard/src/guarded_director.rs
+++ b/crates/director/capacity-guard/src/guarded_director.rs
@@ -1,12 +1,12 @@
-//! The decision module with the capacity guard behind it, called like the module alone. Refused orders are reported back
-//! to the module, which decides again a bounded number of times.
+//! The decision module with the capacity guard behind it, called like the module alone. Refused orders are reported
+//! back to the module, which decides again a bounded number of times.
 
 use crate::capacity::CapacityEstimator;
 use crate::demand::DemandEstimator;
 use crate::guard::Guard;
 use crate::host_reports::HostReports;
-use crate::judgement::{Refused, Verdict};
-use crate::pool::{Bounds, Host, Pending, Pool, State};
+use crate::judgement::{Findings, Verdict};
+use crate::pool::{CapacityModel, Host, ListedState, PendingEvent, Pool};
 use crate::refusals::RefusalHistory;
 use coppersail::interface::*;
 use coppersail::Director;
@@ -72,7 +72,7 @@
 }
 
 /// The decision module with its guard.
-pub struct Guarded {
+pub struct GuardedDirector {
     director: Director,
     mode: Mode,
     /// There is no guard: nothing is kept for it, and it cannot be switched on.
@@ -83,7 +83,7 @@
     reports: HostReports,
     listed: BTreeSet<HostId>,
     /// Announced events.
-    pending: Vec<Pending>,
+    pending: Vec<PendingEvent>,
     /// Slices that this director is responsible for.
     slices: BTreeSet<SliceId>,
     estimated_at: f64,
@@ -96,22 +96,22 @@
     pub counts: Counts,
 }
 
-impl Guarded {
+impl GuardedDirector {
     /// The module without a guard.
     pub fn plain(settings: Settings, seed: u64) -> Self {
-        Guarded { unguarded: true, ..Guarded::new(settings, seed, Mode::Off) }
+        GuardedDirector { unguarded: true, ..GuardedDirector::new(settings, seed, Mode::Off) }
     }
 
     /// The module with a guard. `seed`: of the module's random choices.
     pub fn new(settings: Settings, seed: u64, mode: Mode) -> Self {
-        let bounds = Bounds {
-            cold_from: settings.cold_from,
-            ramp_time: settings.ramp_time,
-            fall_multiple: settings.fall_multiple,
-            carries: None,
+        let bounds = CapacityModel {
+            cold_capacity_share: settings.cold_capacity_share,
+            slow_start_duration: settings.slow_start_duration,
+            collapse_multiple: settings.collapse_multiple,
+            capacity: None,
         };
         let routes = settings.routes.len();
-        Guarded {
+        GuardedDirector {
             guard: Guard::new(Pool { hosts: BTreeMap::new(), bounds }, &BTreeMap::new(), routes),
             director: Director::new(settings, seed),
             mode,
@@ -137,7 +137,7 @@
     }
 
     /// Sets all events that are announced.
-    pub fn pending(&mut self, pending: Vec<Pending>) {
+    pub fn pending(&mut self, pending: Vec<PendingEvent>) {
         self.pending = pending;
     }
 
@@ -177,14 +177,14 @@
         sent
     }
 
-    /// As [`Director::writable`].
-    pub fn writable(&self, now: f64, orders: usize, again: bool, unheard: bool) -> usize {
-        self.director.writable(now, orders, again, unheard)
+    /// As [`Director::writable_orders`].
+    pub fn writable(&self, now: f64, orders: usize, is_repeat: bool, unannounced_proxies: bool) -> usize {
+        self.director.writable_orders(now, orders, is_repeat, unannounced_proxies)
     }
 
-    /// As [`Director::may_wait`].
+    /// As [`Director::max_pending_lines`].
     pub fn may_wait(&self) -> f64 {
-        self.director.may_wait()
+        self.director.max_pending_lines()
     }
 
     /// Demand of this director's slices in calls a second; 0 without reports.
@@ -199,8 +199,8 @@
 
     fn observe(&mut self, now: f64, input: &Input) {
         match input {
-            Input::Hosts { scope, entries, .. } => self.update_list(*scope, entries),
-            Input::Given(slice) => {
+            Input::HostListUpdate { scope, entries, .. } => self.update_list(*scope, entries),
+            Input::SliceAssigned(slice) => {
                 self.guard.remove_slice(*slice);
                 self.slices.insert(*slice);
                 self.guard.set_demand(*slice, &[]);
@@ -208,27 +208,27 @@
                 // store, five were once concentrated on one host in that second.
                 self.has_new_slices = true;
             }
-            Input::Taken(slice) => {
+            Input::SliceRevoked(slice) => {
                 self.guard.remove_slice(*slice);
                 self.slices.remove(slice);
                 self.refusals.forget(*slice);
                 self.demand.forget(*slice);
             }
-            Input::StoredLine { slice, host, weight } if self.slices.contains(slice) => {
+            Input::StoredWeight { slice, host, weight } if self.slices.contains(slice) => {
                 self.guard.set_weight(*slice, *host, *weight);
             }
-            Input::Demand { slice, route, calls, span, .. } => {
-                self.demand.report(now, *slice, *route, *calls as f64, *span);
+            Input::SliceDemand { slice, route, requests: calls, window, .. } => {
+                self.demand.report(now, *slice, *route, *calls as f64, *window);
             }
-            Input::Tries { host, zone, span, tries, dropped, load, .. } => {
-                let answered = tries.saturating_sub(*dropped);
+            Input::AttemptStats { host, zone, window, attempts, dropped, load, .. } => {
+                let answered = attempts.saturating_sub(*dropped);
                 if answered > 0 {
                     self.set_proven(*host);
                 }
-                self.reports.add(*host, *zone, answered, (*dropped).min(*tries), *span);
+                self.reports.add(*host, *zone, answered, (*dropped).min(*attempts), *window);
                 self.reports.set_load(*host, *load);
             }
-            Input::Probed { host, outcome: Outcome::Answered, .. } => self.set_proven(*host),
+            Input::ProbeFinished { host, outcome: Outcome::Succeeded, .. } => self.set_proven(*host),
             _ => {}
         }
     }
@@ -239,17 +239,17 @@
         }
     }
 
-    fn update_list(&mut self, scope: ListScope, entries: &[Listing]) {
+    fn update_list(&mut self, scope: ListScope, entries: &[HostListEntry]) {
         if scope == ListScope::Failed {
             return;
         }
-        if scope != ListScope::Changes {
+        if scope != ListScope::Delta {
             let named: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
             let gone: Vec<HostId> = self.listed.difference(&named).copied().collect();
             gone.into_iter().for_each(|host| self.remove_host(host));
         }
         for entry in entries {
-            if entry.state == HostState::Gone {
+            if entry.state == HostState::Removed {
                 self.remove_host(entry.host);
             } else {
                 self.update_host(entry);
@@ -257,17 +257,17 @@
         }
     }
 
-    fn update_host(&mut self, entry: &Listing) {
+    fn update_host(&mut self, entry: &HostListEntry) {
         let old = self.guard.pool().hosts.get(&entry.host).copied();
         let is_draining = entry.state == HostState::Draining;
         self.listed.insert(entry.host);
         let host = Host {
-            state: if is_draining { State::Draining } else { State::Ready },
+            state: if is_draining { ListedState::Draining } else { ListedState::Ready },
             zone: entry.zone,
             weight: entry.weight,
-            born: entry.born,
+            started_at: entry.started_at,
             proven: !self.started || old.is_some_and(|old| old.proven),
-            out: old.is_some_and(|old| old.out),
+            withdrawn: old.is_some_and(|old| old.withdrawn),
             speed: 1.0,
         };
         self.guard.set_host(entry.host, host);
@@ -284,7 +284,7 @@
         self.update_demand();
         // Demand is reported for this director's slices alone, so capacity is what hosts have left beside the calls of
         // other directors. Without reports of demand it would mean nothing.
-        self.guard.bounds_mut().carries =
+        self.guard.bounds_mut().capacity =
             if self.demand.has_reports() { self.capacity.estimate() } else { None };
         self.refusals.compact();
     }
@@ -313,13 +313,13 @@
                 self.counts.accepted += 1;
                 Screening::accepted(orders)
             }
-            Verdict::Least(_) => {
+            Verdict::Improvement(_) => {
                 self.counts.least_bad += 1;
                 Screening::accepted(orders)
             }
             // What is less severe than the state in force is sent although the guard knows a safe repair: the module
-            // does not know it, and the state in force costs more meanwhile. Refusing it, for a turn or three times, cost
-            // 0.03 on a day of crashes and a deploy (`docs/guard.md`). Files and operators' tables do not pass so.
+            // does not know it, and the state in force costs more meanwhile. Refusing it, for a turn or three times,
+            // cost 0.03 on a day of crashes and a deploy (`docs/guard.md`). Files and operators' tables do not pass so.
             Verdict::Refused(refused) if refused.is_improvement => {
                 self.counts.least_bad += 1;
                 Screening::accepted(orders)
@@ -329,7 +329,7 @@
     }
 
     /// Holds back the orders of the slices that a proposal is refused for.
-    fn refuse(&mut self, now: f64, orders: Vec<Order>, refused: &Refused) -> Screening {
+    fn refuse(&mut self, now: f64, orders: Vec<Order>, refused: &Findings) -> Screening {
         self.counts.refused += 1;
         let mut accepted: Vec<Order> = self.log_line(now, refused).into_iter().collect();
         if self.mode == Mode::Watch {
@@ -353,17 +353,19 @@
     /// What the module is told of a refused slice: each host that it wanted, and the table in force.
     fn refusal_inputs(&self, slice: SliceId, orders: &[Order]) -> Vec<Input> {
         let table = self.guard.loads().tables().get(&slice);
-        let lines = table.map(|table| table.lines.clone()).unwrap_or_default();
+        let lines = table.map(|table| table.weights.clone()).unwrap_or_default();
         let hosts = orders.iter().filter_map(|order| match order {
-            Order::Line { slice: of, host, weight } if *of == slice && *weight > 0.0 => Some(Some(*host)),
+            Order::SetWeight { slice: of, host, weight } if *of == slice && *weight > 0.0 => {
+                Some(Some(*host))
+            }
             _ => None,
         });
-        let input = |host| Input::Refused { slice, host, lines: lines.clone() };
+        let input = |host| Input::WeightsRejected { slice, host, weights: lines.clone() };
         hosts.chain([None]).map(input).collect()
     }
 
     /// A log line about a refusal; `None` when there were too many in this second.
-    fn log_line(&mut self, now: f64, refused: &Refused) -> Option<Order> {
+    fn log_line(&mut self, now: f64, refused: &Findings) -> Option<Order> {
         if now - self.logs.second_began_at >= 1.0 {
             self.logs = LogLimit { second_began_at: now, lines: 0 };
         }
@@ -386,7 +388,7 @@
 /// The slice whose table an order changes.
 fn table_of(order: &Order) -> Option<SliceId> {
     match order {
-        Order::Line { slice, .. } | Order::Clear(slice) => Some(*slice),
+        Order::SetWeight { slice, .. } | Order::ClearTable(slice) => Some(*slice),
         _ => None,
     }
 }
--- a/crates/director/capacity-guard/src/host_reports.rs
+++ b/crates/director/capacity-guard/src/host_reports.rs
@@ -2,7 +2,7 @@
 
 use crate::capacity::{CapacityEstimator, HostObservation};
 use crate::pool::Pool;
-use coppersail::interface::{HostId, Load, ZoneId};
+use coppersail::interface::{HostId, LoadReport, ZoneId};
 use std::collections::BTreeMap;
 
 /// The least length of a reporting interval, in seconds.
@@ -20,19 +20,19 @@
 #[derive(Default)]
 pub(crate) struct HostReports {
     attempts: BTreeMap<(HostId, ZoneId), AttemptSum>,
-    loads: BTreeMap<HostId, Load>,
+    loads: BTreeMap<HostId, LoadReport>,
 }
 
 impl HostReports {
     /// Adds a report of attempts in `span` seconds.
-    pub(crate) fn add(&mut self, host: HostId, zone: ZoneId, answered: u64, failed: u64, span: f64) {
+    pub(crate) fn add(&mut self, host: HostId, zone: ZoneId, answered: u64, failed: u64, window: f64) {
         let sum = self.attempts.entry((host, zone)).or_default();
         sum.answered += answered as f64;
         sum.failed += failed as f64;
-        sum.seconds += span.max(MIN_SPAN);
+        sum.seconds += window.max(MIN_SPAN);
     }
 
-    pub(crate) fn set_load(&mut self, host: HostId, load: Load) {
+    pub(crate) fn set_load(&mut self, host: HostId, load: LoadReport) {
         self.loads.insert(host, load);
     }
 
@@ -48,7 +48,7 @@
         for (id, observation) in observations {
             let load = self.loads.get(&id).copied().unwrap_or_default();
             let unit = pool.hosts.get(&id).map_or(0.0, |host| host.unit(now, &pool.bounds));
-            let (utilisation, waiting) = (load.busy, load.waiting);
+            let (utilisation, waiting) = (load.cpu_utilisation, load.queued);
             estimator.observe(id, now, HostObservation { unit, utilisation, waiting, ..observation });
         }
         self.loads.clear();
--- a/crates/director/capacity-guard/src/inspection.rs
+++ b/crates/director/capacity-guard/src/inspection.rs
@@ -22,7 +22,7 @@
     /// The reasons of all slices, of these hosts, and of the zones that these hosts are in.
     pub(crate) fn reasons(&self, hosts: &BTreeSet<HostId>) -> Vec<Reason> {
         let uncovered = self.loads.uncovered().iter();
-        let mut reasons: Vec<Reason> = uncovered.map(|slice| Reason::Bare { slice: *slice }).collect();
+        let mut reasons: Vec<Reason> = uncovered.map(|slice| Reason::Uncovered { slice: *slice }).collect();
         for id in hosts {
             let Some(load) = self.loads.host_load(*id) else { continue };
             if !self.pool.hosts.contains_key(id) || !self.loads.is_open(*id) || load.calls <= 0.0 {
@@ -46,10 +46,10 @@
         let exceeds = calls > bound.calls * ROUNDING_FACTOR;
         let collapses = worst_case_calls > bound.worst_case_calls * ROUNDING_FACTOR;
         match warm {
-            true if exceeds => Some(Reason::Over { host, calls, carries: bound.calls }),
-            false if exceeds => Some(Reason::Falls { host, calls, stands: bound.calls }),
+            true if exceeds => Some(Reason::WarmOverload { host, calls, carries: bound.calls }),
+            false if exceeds => Some(Reason::ColdOverload { host, calls, stands: bound.calls }),
             false if collapses => {
-                Some(Reason::Falls { host, calls: worst_case_calls, stands: bound.worst_case_calls })
+                Some(Reason::ColdOverload { host, calls: worst_case_calls, stands: bound.worst_case_calls })
             }
             _ => None,
         }
@@ -66,14 +66,14 @@
         exceeded.map(move |(route, (calls, bound))| {
             let route = RouteId(route as u16);
             let total = self.loads.route_total(route);
-            Reason::Piled { route, host, share: calls / total, bound: bound / total }
+            Reason::HostConcentration { route, host, share: calls / total, bound: bound / total }
         })
     }
 
     fn zone_concentration(&self, zone: ZoneId, route: RouteId) -> Option<Reason> {
         let (calls, total) = (self.loads.zone_calls(route, zone), self.loads.route_total(route));
         let bound = self.sizes.zone_route_bound(self.loads, route, zone);
-        (calls > bound * ROUNDING_FACTOR).then(|| Reason::Crammed {
+        (calls > bound * ROUNDING_FACTOR).then(|| Reason::ZoneConcentration {
             route,
             zone,
             share: calls / total,
--- a/crates/director/capacity-guard/src/judgement.rs
+++ b/crates/director/capacity-guard/src/judgement.rs
@@ -1,7 +1,7 @@
 //! The judgement of a proposal: accepted, accepted as less severe than the state in force, or refused.
 
 use crate::guard::{near_events, Guard, Trial};
-use crate::pool::Pending;
+use crate::pool::PendingEvent;
 use crate::reason::Moment;
 use crate::repair::{find_repair, FoundRepair, Repair};
 use crate::violation::{caused_violations, worst_severity, MomentReasons, Violation};
@@ -10,7 +10,7 @@
 
 /// What is unsafe about a proposal.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Refused {
+pub struct Findings {
     /// What the proposal makes unsafe, the most severe kind first; 100 at most.
     pub reasons: Vec<Violation>,
     /// Changes that make the proposal safe, or the least severe that was found.
@@ -28,9 +28,9 @@
     Accepted,
     /// It is unsafe, but less so than the state in force, and no safe repair was found or it gives a slice without a
     /// host one: the fleet must not be stopped. There may be a repair that improves it further.
-    Least(Refused),
+    Improvement(Findings),
     /// It is unsafe.
-    Refused(Refused),
+    Refused(Findings),
 }
 
 impl Verdict {
@@ -41,9 +41,9 @@
 }
 
 impl Guard {
-    /// Judges a proposal: the orders of calls that are sent one after the other. `now` and the times of the pending events
-    /// are in seconds. The guard is as before when this returns.
-    pub fn judge(&mut self, calls: &[Vec<Order>], pending: &[Pending], now: f64) -> Verdict {
+    /// Judges a proposal: the orders of calls that are sent one after the other. `now` and the times of the pending
+    /// events are in seconds. The guard is as before when this returns.
+    pub fn judge(&mut self, calls: &[Vec<Order>], pending: &[PendingEvent], now: f64) -> Verdict {
         let pending = near_events(pending, now);
         let touched = self.touched_hosts(calls.iter().flatten());
         let before = self.inspect_ahead(&touched, &pending, now);
@@ -63,10 +63,10 @@
         let found = if is_transient { None } else { find_repair(self, calls, &touched, &pending, now) };
         let repair_is_safe = found.as_ref().is_some_and(|found| found.is_safe);
         let repair = found.map(|found: FoundRepair| found.repair);
-        let refused = Refused { reasons: violations, repair, repair_is_safe, is_improvement };
+        let refused = Findings { reasons: violations, repair, repair_is_safe, is_improvement };
         // A slice without a host loses every call, so it does not wait for a better table.
         if is_improvement && !is_transient && (!repair_is_safe || covers_slice) {
-            Verdict::Least(refused)
+            Verdict::Improvement(refused)
         } else {
             Verdict::Refused(refused)
         }
--- a/crates/director/capacity-guard/src/lib.rs
+++ b/crates/director/capacity-guard/src/lib.rs
@@ -18,7 +18,8 @@
 //! | `drain` | drain plans |
 //! | `guarded_director`, `host_reports`, `refusals` | the decision module behind its guard |
 //!
-//! The package is pure: no clock, no I/O, no random draws. The same hosts, tables and orders always give the same verdict.
+//! The package is pure: no clock, no I/O, no random draws. The same hosts, tables and orders always give the same
+//! verdict.
 
 mod bound;
 mod capacity;
@@ -38,12 +39,12 @@
 
 pub use capacity::{CapacityEstimator, HostObservation};
 pub use demand::DemandEstimator;
-pub use drain::{drain, Drain, Step};
+pub use drain::{drain, DrainPlanStep, DrainRequest};
 pub use guard::Guard;
-pub use guarded_director::{Counts, Guarded, Mode};
-pub use judgement::{Refused, Verdict};
+pub use guarded_director::{Counts, GuardedDirector, Mode};
+pub use judgement::{Findings, Verdict};
 pub use load_index::{HostLoad, LoadIndex, Table};
-pub use pool::{Bounds, Change, Estimate, Host, Pending, Pool, State};
+pub use pool::{CapacityModel, Estimate, Host, HostEvent, ListedState, PendingEvent, Pool};
 pub use reason::{Moment, Reason, ReasonKind, Severity, Subject};
 pub use repair::{Move, Repair, MAX_STEPS};
 pub use violation::Violation;
--- a/crates/director/capacity-guard/src/load_index.rs
+++ b/crates/director/capacity-guard/src/load_index.rs
@@ -1,5 +1,5 @@
-//! The load that the tables bring to each host and zone, as an index that is kept up to date with each changed weight: a
-//! change costs by the size of its own table and not by that of the fleet.
+//! The load that the tables bring to each host and zone, as an index that is kept up to date with each changed
+//! weight: a change costs by the size of its own table and not by that of the fleet.
 
 use crate::pool::{Host, Pool};
 use coppersail::interface::{HostId, RouteId, SliceId, ZoneId};
@@ -15,7 +15,7 @@
     /// Calls a second, by route.
     pub demand: Vec<f64>,
     /// The weight of each host; an open host gets calls in proportion to it.
-    pub lines: BTreeMap<HostId, f64>,
+    pub weights: BTreeMap<HostId, f64>,
 }
 
 impl Table {
@@ -105,7 +105,7 @@
         pool.hosts.iter().for_each(|(id, host)| index.set_host(*id, host));
         for (slice, table) in tables {
             index.set_demand(*slice, &table.demand);
-            table.lines.iter().for_each(|(host, weight)| index.set_weight(*slice, *host, *weight));
+            table.weights.iter().for_each(|(host, weight)| index.set_weight(*slice, *host, *weight));
         }
         index
     }
@@ -167,7 +167,7 @@
 
     /// The share of a table's calls that each of its open hosts gets.
     pub(crate) fn shares(&self, table: &Table) -> Vec<(HostId, f64)> {
-        let open = || table.lines.iter().filter(|(host, weight)| **weight > 0.0 && self.is_open(**host));
+        let open = || table.weights.iter().filter(|(host, weight)| **weight > 0.0 && self.is_open(**host));
         let sum: f64 = open().map(|(_, weight)| weight).sum();
         open().map(|(host, weight)| (*host, weight / sum)).collect()
     }
@@ -198,9 +198,9 @@
         }
         self.change_table(slice, |table| {
             if weight > 0.0 {
-                table.lines.insert(host, weight);
+                table.weights.insert(host, weight);
             } else {
-                table.lines.remove(&host);
+                table.weights.remove(&host);
             }
         });
         let tables = &mut self.host_loads.entry(host).or_default().tables;
@@ -214,7 +214,7 @@
     /// Removes all hosts from the table of a slice.
     pub fn clear_table(&mut self, slice: SliceId) {
         let hosts: Vec<HostId> =
-            self.tables.get(&slice).map_or(vec![], |table| table.lines.keys().copied().collect());
+            self.tables.get(&slice).map_or(vec![], |table| table.weights.keys().copied().collect());
         hosts.into_iter().for_each(|host| self.set_weight(slice, host, 0.0));
     }
 
--- a/crates/director/capacity-guard/src/pool.rs
+++ b/crates/director/capacity-guard/src/pool.rs
@@ -14,30 +14,30 @@
 
 /// State of a host in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum ListedState {
     /// It serves.
     Ready,
     /// It finishes the calls that it has, and gets no others.
     Draining,
     /// It has left.
-    Gone,
+    Removed,
 }
 
 /// One host as it is known now.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Host {
     /// Its state in the list.
-    pub state: State,
+    pub state: ListedState,
     /// Its failure domain.
     pub zone: ZoneId,
     /// Its size relative to the others, as listed and as set by operators.
     pub weight: f64,
     /// When it started, in seconds; `None`: long ago.
-    pub born: Option<f64>,
+    pub started_at: Option<f64>,
     /// It has answered a call or a probe since it was listed, or was there from the start.
     pub proven: bool,
     /// Proxies have been ordered to send it nothing.
-    pub out: bool,
+    pub withdrawn: bool,
     /// Its throughput relative to a usual host of its weight.
     pub speed: f64,
 }
@@ -45,12 +45,12 @@
 impl Default for Host {
     fn default() -> Self {
         Host {
-            state: State::Ready,
+            state: ListedState::Ready,
             zone: ZoneId(0),
             weight: 1.0,
-            born: None,
+            started_at: None,
             proven: true,
-            out: false,
+            withdrawn: false,
             speed: 1.0,
         }
     }
@@ -67,59 +67,62 @@
 
 /// What holds for all hosts.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Bounds {
+pub struct CapacityModel {
     /// The share of its capacity that a host has when it starts, 0 to 1.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Seconds after its start in which a host warms up; its capacity rises linearly (slow start).
-    pub ramp_time: f64,
+    pub slow_start_duration: f64,
     /// A cold host collapses at this multiple of the calls that it can serve.
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// Capacity of a host of weight 1 in calls a second; `None`: not known yet.
-    pub carries: Option<Estimate>,
+    pub capacity: Option<Estimate>,
 }
 
 impl Host {
     /// Whether calls may be sent to it: listed ready, has answered, and not withdrawn.
     pub fn is_open(&self) -> bool {
-        self.state == State::Ready && self.proven && !self.out
+        self.state == ListedState::Ready && self.proven && !self.withdrawn
     }
 
     /// The share of its full capacity that it has at its age, 0.01 to 1.
-    pub fn capacity_share(&self, now: f64, bounds: &Bounds) -> f64 {
-        let age = self.born.map_or(f64::INFINITY, |born| (now - born).max(0.0));
-        let share = bounds.cold_from + (1.0 - bounds.cold_from) * age / bounds.ramp_time.max(1e-9);
+    pub fn capacity_share(&self, now: f64, bounds: &CapacityModel) -> f64 {
+        let age = self.started_at.map_or(f64::INFINITY, |started_at| (now - started_at).max(0.0));
+        let share = bounds.cold_capacity_share
+            + (1.0 - bounds.cold_capacity_share) * age / bounds.slow_start_duration.max(1e-9);
         share.clamp(MIN_CAPACITY_SHARE, 1.0)
     }
 
     /// Whether it has its full capacity.
-    pub fn is_warm(&self, now: f64, bounds: &Bounds) -> bool {
+    pub fn is_warm(&self, now: f64, bounds: &CapacityModel) -> bool {
         self.capacity_share(now, bounds) >= 1.0
     }
 
     /// Its present size, where a warm host of weight 1 and speed 1 has size 1.
-    pub fn unit(&self, now: f64, bounds: &Bounds) -> f64 {
+    pub fn unit(&self, now: f64, bounds: &CapacityModel) -> f64 {
         self.weight * self.speed * self.capacity_share(now, bounds)
     }
 
     /// Calls a second that it may be sent; infinite while capacities are unknown. For a host that has been warm for a
     /// while this is the middle estimate of its capacity, for others the low one. A cold host may be sent more than it
     /// can serve, but not so much that it collapses.
-    pub fn call_limit(&self, now: f64, bounds: &Bounds) -> f64 {
-        let Some(capacity) = bounds.carries else { return f64::INFINITY };
+    pub fn call_limit(&self, now: f64, bounds: &CapacityModel) -> f64 {
+        let Some(capacity) = bounds.capacity else { return f64::INFINITY };
         let unit = self.unit(now, bounds);
-        let proved = self.born.is_none_or(|born| now - born >= bounds.ramp_time + PROVING_TIME);
+        let proved = self
+            .started_at
+            .is_none_or(|started_at| now - started_at >= bounds.slow_start_duration + PROVING_TIME);
         match (self.is_warm(now, bounds), proved) {
             (true, true) => unit * capacity.middle,
             (true, false) => unit * capacity.low,
-            (false, _) => unit * capacity.low * (COLD_LOAD_SHARE * bounds.fall_multiple).max(1.0),
+            (false, _) => unit * capacity.low * (COLD_LOAD_SHARE * bounds.collapse_multiple).max(1.0),
         }
     }
 
     /// Calls a second at which a cold host collapses; infinite for a warm one and while capacities are unknown.
-    pub fn collapse_limit(&self, now: f64, bounds: &Bounds) -> f64 {
-        match bounds.carries {
+    pub fn collapse_limit(&self, now: f64, bounds: &CapacityModel) -> f64 {
+        match bounds.capacity {
             Some(capacity) if !self.is_warm(now, bounds) => {
-                self.unit(now, bounds) * capacity.low * bounds.fall_multiple
+                self.unit(now, bounds) * capacity.low * bounds.collapse_multiple
             }
             _ => f64::INFINITY,
         }
@@ -132,7 +135,7 @@
     /// The listed hosts.
     pub hosts: BTreeMap<HostId, Host>,
     /// What holds for all of them.
-    pub bounds: Bounds,
+    pub bounds: CapacityModel,
 }
 
 impl Pool {
@@ -144,18 +147,18 @@
 
 /// An event that is known to come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Pending {
+pub struct PendingEvent {
     /// When it is complete, in seconds.
     pub at: f64,
     /// The host that it happens to.
     pub host: HostId,
     /// What happens.
-    pub what: Change,
+    pub what: HostEvent,
 }
 
 /// What a pending event does to a host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Change {
+pub enum HostEvent {
     /// It drains or leaves: nothing may be sent to it from then on.
     Leaves,
     /// Calls may be sent to it from then on.
--- a/crates/director/capacity-guard/src/reason.rs
+++ b/crates/director/capacity-guard/src/reason.rs
@@ -34,12 +34,12 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// The table of the slice names no open host: all of its calls are lost.
-    Bare {
+    Uncovered {
         /// The slice.
         slice: SliceId,
     },
     /// A cold host would collapse.
-    Falls {
+    ColdOverload {
         /// The host.
         host: HostId,
         /// Its load.
@@ -48,7 +48,7 @@
         stands: f64,
     },
     /// A warm host is overloaded.
-    Over {
+    WarmOverload {
         /// The host.
         host: HostId,
         /// Its load.
@@ -57,7 +57,7 @@
         carries: f64,
     },
     /// A route is concentrated on one host.
-    Piled {
+    HostConcentration {
         /// The route.
         route: RouteId,
         /// The host.
@@ -68,7 +68,7 @@
         bound: f64,
     },
     /// A route is concentrated on one zone.
-    Crammed {
+    ZoneConcentration {
         /// The route.
         route: RouteId,
         /// The zone.
@@ -83,16 +83,16 @@
 /// The kinds of reasons, the most severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReasonKind {
-    /// [`Reason::Bare`].
-    Bare,
-    /// [`Reason::Falls`].
-    Falls,
-    /// [`Reason::Over`].
-    Over,
-    /// [`Reason::Piled`].
-    Piled,
-    /// [`Reason::Crammed`].
-    Crammed,
+    /// [`Reason::Uncovered`].
+    Uncovered,
+    /// [`Reason::ColdOverload`].
+    ColdOverload,
+    /// [`Reason::WarmOverload`].
+    WarmOverload,
+    /// [`Reason::HostConcentration`].
+    HostConcentration,
+    /// [`Reason::ZoneConcentration`].
+    ZoneConcentration,
 }
 
 /// What a reason is about, by which it is recognised in another state of the tables.
@@ -111,39 +111,43 @@
     pub fn subject(&self) -> Subject {
         let subject = |kind, number, route| Subject { kind, number, route };
         match self {
-            Reason::Bare { slice } => subject(ReasonKind::Bare, u32::from(slice.0), RouteId(0)),
-            Reason::Falls { host, .. } => subject(ReasonKind::Falls, host.0, RouteId(0)),
-            Reason::Over { host, .. } => subject(ReasonKind::Over, host.0, RouteId(0)),
-            Reason::Piled { route, host, .. } => subject(ReasonKind::Piled, host.0, *route),
-            Reason::Crammed { route, zone, .. } => subject(ReasonKind::Crammed, u32::from(zone.0), *route),
+            Reason::Uncovered { slice } => subject(ReasonKind::Uncovered, u32::from(slice.0), RouteId(0)),
+            Reason::ColdOverload { host, .. } => subject(ReasonKind::ColdOverload, host.0, RouteId(0)),
+            Reason::WarmOverload { host, .. } => subject(ReasonKind::WarmOverload, host.0, RouteId(0)),
+            Reason::HostConcentration { route, host, .. } => {
+                subject(ReasonKind::HostConcentration, host.0, *route)
+            }
+            Reason::ZoneConcentration { route, zone, .. } => {
+                subject(ReasonKind::ZoneConcentration, u32::from(zone.0), *route)
+            }
         }
     }
 
     /// How severe it is among those of its kind: the relative excess of a load, or the excess of a share.
     pub fn excess(&self) -> f64 {
         match self {
-            Reason::Bare { .. } => 1.0,
-            Reason::Falls { calls, stands: bound, .. } | Reason::Over { calls, carries: bound, .. } => {
-                calls / bound.max(1e-9) - 1.0
-            }
-            Reason::Piled { share, bound, .. } | Reason::Crammed { share, bound, .. } => share - bound,
+            Reason::Uncovered { .. } => 1.0,
+            Reason::ColdOverload { calls, stands: bound, .. }
+            | Reason::WarmOverload { calls, carries: bound, .. } => calls / bound.max(1e-9) - 1.0,
+            Reason::HostConcentration { share, bound, .. }
+            | Reason::ZoneConcentration { share, bound, .. } => share - bound,
         }
     }
 
     /// The host that it is about, if any.
     pub fn host(&self) -> Option<HostId> {
         match self {
-            Reason::Falls { host, .. } | Reason::Over { host, .. } | Reason::Piled { host, .. } => {
-                Some(*host)
-            }
-            Reason::Bare { .. } | Reason::Crammed { .. } => None,
+            Reason::ColdOverload { host, .. }
+            | Reason::WarmOverload { host, .. }
+            | Reason::HostConcentration { host, .. } => Some(*host),
+            Reason::Uncovered { .. } | Reason::ZoneConcentration { .. } => None,
         }
     }
 
     /// The zone that it is about, if any.
     pub fn zone(&self) -> Option<ZoneId> {
         match self {
-            Reason::Crammed { zone, .. } => Some(*zone),
+            Reason::ZoneConcentration { zone, .. } => Some(*zone),
             _ => None,
         }
     }
@@ -152,18 +156,18 @@
 impl fmt::Display for Reason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Reason::Bare { slice } => write!(formatter, "slice {} without an open host", slice.0),
-            Reason::Falls { calls, stands, .. } => {
+            Reason::Uncovered { slice } => write!(formatter, "slice {} without an open host", slice.0),
+            Reason::ColdOverload { calls, stands, .. } => {
                 write!(formatter, "a cold host gets {calls:.1} calls a second, it stands {stands:.1}")
             }
-            Reason::Over { calls, carries, .. } => {
+            Reason::WarmOverload { calls, carries, .. } => {
                 write!(formatter, "a host gets {calls:.1} calls a second, it carries {carries:.1}")
             }
-            Reason::Piled { route, share, bound, .. } => {
+            Reason::HostConcentration { route, share, bound, .. } => {
                 let route = route.0;
                 write!(formatter, "a host gets {share:.2} of route {route}, at most {bound:.2} is sound")
             }
-            Reason::Crammed { route, zone, share, bound } => {
+            Reason::ZoneConcentration { route, zone, share, bound } => {
                 let (route, zone) = (route.0, zone.0);
                 write!(formatter, "zone {zone} gets {share:.2} of route {route}, at most {bound:.2} is sound")
             }
@@ -171,8 +175,8 @@
     }
 }
 
-/// How unsafe a state is: the summed excess by kind. The order of the fields is that of the operators' rules: first that
-/// no slice is without a host, then that no cold host collapses, then what costs calls but breaks no rule.
+/// How unsafe a state is: the summed excess by kind. The order of the fields is that of the operators' rules: first
+/// that no slice is without a host, then that no cold host collapses, then what costs calls but breaks no rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Severity {
     /// Slices without an open host.
@@ -191,10 +195,12 @@
         let mut severity = Severity::default();
         for reason in reasons {
             let sum = match reason {
-                Reason::Bare { .. } => &mut severity.uncovered,
-                Reason::Falls { .. } => &mut severity.collapsing,
-                Reason::Over { .. } => &mut severity.overloaded,
-                Reason::Piled { .. } | Reason::Crammed { .. } => &mut severity.concentrated,
+                Reason::Uncovered { .. } => &mut severity.uncovered,
+                Reason::ColdOverload { .. } => &mut severity.collapsing,
+                Reason::WarmOverload { .. } => &mut severity.overloaded,
+                Reason::HostConcentration { .. } | Reason::ZoneConcentration { .. } => {
+                    &mut severity.concentrated
+                }
             };
             *sum += reason.excess();
         }
--- a/crates/director/capacity-guard/src/refusals.rs
+++ b/crates/director/capacity-guard/src/refusals.rs
@@ -32,21 +32,21 @@
 impl TableChange {
     fn of(order: &Order) -> Option<Self> {
         match order {
-            Order::Line { slice, host, weight } => {
+            Order::SetWeight { slice, host, weight } => {
                 Some(TableChange { slice: *slice, host: Some(*host).filter(|_| *weight > 0.0) })
             }
-            Order::Clear(slice) => Some(TableChange { slice: *slice, host: None }),
+            Order::ClearTable(slice) => Some(TableChange { slice: *slice, host: None }),
             _ => None,
         }
     }
 
     fn contributes_to(&self, reason: &Reason, pool: &Pool) -> bool {
         match reason {
-            Reason::Bare { slice } => *slice == self.slice,
-            Reason::Falls { host, .. } | Reason::Over { host, .. } | Reason::Piled { host, .. } => {
-                self.host == Some(*host)
-            }
-            Reason::Crammed { zone, .. } => {
+            Reason::Uncovered { slice } => *slice == self.slice,
+            Reason::ColdOverload { host, .. }
+            | Reason::WarmOverload { host, .. }
+            | Reason::HostConcentration { host, .. } => self.host == Some(*host),
+            Reason::ZoneConcentration { zone, .. } => {
                 self.host.and_then(|host| pool.hosts.get(&host)).is_some_and(|host| host.zone == *zone)
             }
         }
@@ -54,7 +54,7 @@
 }
 
 fn is_severe(reason: &Reason) -> bool {
-    matches!(reason.subject().kind, ReasonKind::Bare | ReasonKind::Falls)
+    matches!(reason.subject().kind, ReasonKind::Uncovered | ReasonKind::ColdOverload)
         || reason.excess() > MAX_OVERRULED_EXCESS
 }
 
--- a/crates/director/capacity-guard/src/repair/forecast.rs
+++ b/crates/director/capacity-guard/src/repair/forecast.rs
@@ -2,7 +2,7 @@
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
-use crate::pool::{Host, Pending};
+use crate::pool::{Host, PendingEvent};
 use coppersail::interface::HostId;
 use std::collections::BTreeMap;
 
@@ -17,7 +17,7 @@
 /// The bounds of all hosts, with the tables that the guard now has.
 pub(crate) fn forecast_bounds(
     guard: &mut Guard,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
 ) -> BTreeMap<HostId, BoundForecast> {
     let by_moment = guard.at_each_moment(pending, now, &mut |guard, _, at| bounds_at(guard, at));
--- a/crates/director/capacity-guard/src/repair/greedy.rs
+++ b/crates/director/capacity-guard/src/repair/greedy.rs
@@ -1,9 +1,9 @@
-//! A greedy repair: each step moves the one weight that does most about the most severe reason that is left. What cannot
-//! be repaired is skipped. Cold hosts get calls only if no warm host has room.
+//! A greedy repair: each step moves the one weight that does most about the most severe reason that is left. What
+//! cannot be repaired is skipped. Cold hosts get calls only if no warm host has room.
 
 use crate::guard::Guard;
 use crate::load_index::Table;
-use crate::pool::{Change, Host, Pending};
+use crate::pool::{Host, HostEvent, PendingEvent};
 use crate::reason::{Reason, Subject};
 use crate::repair::moves::{net_moves, weights_of, Move, Repair};
 use coppersail::interface::{HostId, RouteId, SliceId, ZoneId};
@@ -44,10 +44,10 @@
 pub(crate) fn repair(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
 ) -> Option<Repair> {
-    let leaving = pending.iter().filter(|event| event.what == Change::Leaves).map(|event| event.host);
+    let leaving = pending.iter().filter(|event| event.what == HostEvent::Leaves).map(|event| event.host);
     let leaving: BTreeSet<HostId> = leaving.collect();
     let mut hosts = touched.clone();
     let mut skipped = BTreeSet::new();
@@ -92,7 +92,7 @@
 fn most_severe(
     guard: &mut Guard,
     hosts: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
     skipped: &BTreeSet<Subject>,
 ) -> Option<Reason> {
@@ -116,20 +116,20 @@
         let loads = &self.guard.loads;
         let excess = |host, kind, calls| Excess { host, kind, calls, excluded_zone: None };
         match reason {
-            Reason::Bare { slice } => self.cover(*slice),
-            Reason::Falls { host, calls, stands } => {
+            Reason::Uncovered { slice } => self.cover(*slice),
+            Reason::ColdOverload { host, calls, stands } => {
                 let exceeds = loads.host_load(*host)?.calls > *stands;
                 let kind = if exceeds { LoadKind::AllCalls } else { LoadKind::WorstCase };
                 self.relieve(&excess(*host, kind, calls - stands))
             }
-            Reason::Over { host, calls, carries } => {
+            Reason::WarmOverload { host, calls, carries } => {
                 self.relieve(&excess(*host, LoadKind::AllCalls, calls - carries))
             }
-            Reason::Piled { route, host, share, bound } => {
+            Reason::HostConcentration { route, host, share, bound } => {
                 let calls = (share - bound) * loads.route_total(*route);
                 self.relieve(&excess(*host, LoadKind::Route(*route), calls))
             }
-            Reason::Crammed { route, zone, share, bound } => {
+            Reason::ZoneConcentration { route, zone, share, bound } => {
                 let calls = (share - bound) * loads.route_total(*route);
                 let host = self.most_loaded_in(*zone, *route)?;
                 self.relieve(&Excess {
@@ -165,7 +165,7 @@
             let slice = contribution.slice;
             let table = &self.guard.loads.tables()[&slice];
             let to = self.host_with_headroom(table, contribution.calls, excess.excluded_zone)?;
-            Some(Move { slice, from: Some(excess.host), to, weight: table.lines[&excess.host] })
+            Some(Move { slice, from: Some(excess.host), to, weight: table.weights[&excess.host] })
         })
     }
 
@@ -175,8 +175,8 @@
         let mut contributions = Vec::new();
         for slice in &loads.host_load(excess.host)?.tables {
             let table = loads.tables().get(slice)?;
-            let weight = table.lines.get(&excess.host).copied().unwrap_or(0.0);
-            let open = table.lines.iter().filter(|(id, _)| loads.is_open(**id));
+            let weight = table.weights.get(&excess.host).copied().unwrap_or(0.0);
+            let open = table.weights.iter().filter(|(id, _)| loads.is_open(**id));
             let open_weight: f64 = open.map(|(_, weight)| weight).sum();
             let share = weight / open_weight.max(1e-9);
             let calls = share * table.calls();
@@ -194,11 +194,12 @@
         Some(contributions)
     }
 
-    /// The host outside a table that has most room for so many more of its calls; a cold one only if no warm one has any.
+    /// The host outside a table that has most room for so many more of its calls; a cold one only if no warm one has
+    /// any.
     fn host_with_headroom(&self, table: &Table, calls: f64, excluded_zone: Option<ZoneId>) -> Option<HostId> {
         let bounds = &self.guard.pool.bounds;
         let allowed = self.guard.pool.open_hosts().filter(|(id, host)| {
-            !table.lines.contains_key(id) && !self.leaving.contains(id) && Some(host.zone) != excluded_zone
+            !table.weights.contains_key(id) && !self.leaving.contains(id) && Some(host.zone) != excluded_zone
         });
         let keyed = allowed.filter_map(|(id, host)| {
             Some(((host.is_warm(self.now, bounds), self.headroom(id, host, table, calls)?), id))
@@ -206,8 +207,8 @@
         keyed.max_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal)).map(|(_, id)| id)
     }
 
-    /// What a host could be sent beyond so many more calls of a table; by its load while capacities are unknown. `None`:
-    /// it has no room.
+    /// What a host could be sent beyond so many more calls of a table; by its load while capacities are unknown.
+    /// `None`: it has no room.
     fn headroom(&self, id: HostId, host: &Host, table: &Table, calls: f64) -> Option<f64> {
         let bounds = &self.guard.pool.bounds;
         let load = self.guard.loads.host_load(id);
@@ -219,8 +220,8 @@
         fits.then_some(if headroom.is_finite() { headroom } else { -present })
     }
 
-    /// The host outside a table that would have the least load for its size; one that stays before one that leaves, a warm
-    /// one before a cold one.
+    /// The host outside a table that would have the least load for its size; one that stays before one that leaves, a
+    /// warm one before a cold one.
     fn least_loaded(&self, table: &Table) -> Option<HostId> {
         let bounds = &self.guard.pool.bounds;
         let key = |id: HostId, host: &Host| {
@@ -230,9 +231,9 @@
             (self.leaving.contains(&id), (!host.is_warm(self.now, bounds), load))
         };
         // A host that leaves soon is better than none, but does not help where the table has one already.
-        let is_uncovered = !table.lines.keys().any(|host| self.guard.loads.is_open(*host));
+        let is_uncovered = !table.weights.keys().any(|host| self.guard.loads.is_open(*host));
         let is_allowed =
-            |id: &HostId| !table.lines.contains_key(id) && (is_uncovered || !self.leaving.contains(id));
+            |id: &HostId| !table.weights.contains_key(id) && (is_uncovered || !self.leaving.contains(id));
         let allowed = self.guard.pool.open_hosts().filter(|(id, _)| is_allowed(id));
         let keyed = allowed.map(|(id, host)| (key(id, host), id));
         keyed.min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal)).map(|(_, id)| id)
--- a/crates/director/capacity-guard/src/repair/linear_program.rs
+++ b/crates/director/capacity-guard/src/repair/linear_program.rs
@@ -7,7 +7,7 @@
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
-use crate::pool::{Change, Pending};
+use crate::pool::{HostEvent, PendingEvent};
 use crate::repair::moves::{net_moves, weights_of, Repair, Weights};
 use crate::repair::program_tables::{hosts_of, program_tables, HostBounds, ProgramTable, BOUND_MARGIN};
 use coppersail::interface::{HostId, SliceId, ZoneId};
@@ -40,11 +40,11 @@
 pub(crate) fn repair<'b>(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
     bound: &dyn Fn(HostId) -> &'b LoadBound,
 ) -> Option<Repair> {
-    let leaving = hosts_of(pending, Change::Leaves);
+    let leaving = hosts_of(pending, HostEvent::Leaves);
     // Only hosts that are open at all moments ahead get a share: not those that leave, nor those that open later.
     let open = guard.pool.open_hosts().map(|(id, _)| id).filter(|id| !leaving.contains(id));
     let bounds: HostBounds = open.map(|id| (id, bound(id))).collect();
@@ -99,7 +99,8 @@
         Some(cells.into_iter().map(|(cell, share)| (cell, solution.value(share))).collect())
     }
 
-    /// Adds a variable for each share, and one for its increase where the table names the host already. Returns the cost.
+    /// Adds a variable for each share, and one for its increase where the table names the host already. Returns the
+    /// cost.
     fn add_variables(
         &self,
         variables: &mut ProblemVariables,
@@ -218,7 +219,7 @@
             continue;
         }
         // Shares become weights in the scale of the table, so that weights that stay need not be sent again.
-        let old = &guard.loads.tables()[&table.slice].lines;
+        let old = &guard.loads.tables()[&table.slice].weights;
         let scale: f64 = old.iter().filter(|(host, _)| proposed(host) > 0.0).map(|(_, weight)| weight).sum();
         let scale = if scale > 0.0 { scale } else { 1.0 };
         let weights = table.allowed.iter().filter_map(|host| Some((*host, share(host)? * scale)));
--- a/crates/director/capacity-guard/src/repair/moves.rs
+++ b/crates/director/capacity-guard/src/repair/moves.rs
@@ -8,8 +8,8 @@
 /// The weights of a table.
 pub(crate) type Weights = BTreeMap<HostId, f64>;
 
-/// A change of one table. The weight of `from` moves to `to`; without `from` the host is added; with `from` equal to `to`
-/// the host gets another weight, or with weight 0 is removed.
+/// A change of one table. The weight of `from` moves to `to`; without `from` the host is added; with `from` equal to
+/// `to` the host gets another weight, or with weight 0 is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Move {
     /// The slice whose table changes.
@@ -34,9 +34,10 @@
 }
 
 impl Repair {
-    /// The orders to send beside the proposal. Weights are added before others are removed, so no table is empty in between.
+    /// The orders to send beside the proposal. Weights are added before others are removed, so no table is empty in
+    /// between.
     pub fn orders(&self) -> Vec<Order> {
-        let line = |slice, host, weight| Order::Line { slice, host, weight };
+        let line = |slice, host, weight| Order::SetWeight { slice, host, weight };
         let added = self.moves.iter().map(|change| line(change.slice, change.to, change.weight));
         let moved = self.moves.iter().filter(|change| change.from != Some(change.to));
         let removed = moved.filter_map(|change| Some(line(change.slice, change.from?, 0.0)));
@@ -59,7 +60,7 @@
     guard: &Guard,
     slices: impl Iterator<Item = &'a SliceId>,
 ) -> BTreeMap<SliceId, Weights> {
-    let weights = |slice: &SliceId| guard.loads.tables().get(slice).map(|table| table.lines.clone());
+    let weights = |slice: &SliceId| guard.loads.tables().get(slice).map(|table| table.weights.clone());
     slices.map(|slice| (*slice, weights(slice).unwrap_or_default())).collect()
 }
 
--- a/crates/director/capacity-guard/src/repair/program_tables.rs
+++ b/crates/director/capacity-guard/src/repair/program_tables.rs
@@ -2,14 +2,14 @@
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
-use crate::pool::{Change, Pending};
+use crate::pool::{HostEvent, PendingEvent};
 use crate::reason::Reason;
 use coppersail::interface::{HostId, SliceId, ZoneId};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest number of variables, tables times hosts. So many are solved in some milliseconds; `docs/guard.md` has the
-/// measured times.
+/// The greatest number of variables, tables times hosts. So many are solved in some milliseconds; `docs/guard.md` has
+/// the measured times.
 const MAX_VARIABLES: usize = 1500;
 /// Hosts that any table may be given, those with most room first: more enlarge the program and hardly improve it.
 const MAX_RECEIVERS: usize = 12;
@@ -34,7 +34,7 @@
 }
 
 /// The hosts of pending events of a kind.
-pub(crate) fn hosts_of(pending: &[Pending], change: Change) -> BTreeSet<HostId> {
+pub(crate) fn hosts_of(pending: &[PendingEvent], change: HostEvent) -> BTreeSet<HostId> {
     pending.iter().filter(|event| event.what == change).map(|event| event.host).collect()
 }
 
@@ -42,7 +42,7 @@
 pub(crate) fn program_tables(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
     bounds: &HostBounds,
 ) -> Option<Vec<ProgramTable>> {
@@ -72,10 +72,10 @@
 }
 
 /// Hosts that are unsafe, that leave or open, or that are in a zone that is unsafe.
-fn involved_hosts(guard: &Guard, reasons: &[Reason], pending: &[Pending]) -> BTreeSet<HostId> {
+fn involved_hosts(guard: &Guard, reasons: &[Reason], pending: &[PendingEvent]) -> BTreeSet<HostId> {
     let mut hosts: BTreeSet<HostId> = reasons.iter().filter_map(Reason::host).collect();
-    hosts.extend(hosts_of(pending, Change::Leaves));
-    hosts.extend(hosts_of(pending, Change::Opens));
+    hosts.extend(hosts_of(pending, HostEvent::Leaves));
+    hosts.extend(hosts_of(pending, HostEvent::Opens));
     let zones: BTreeSet<ZoneId> = reasons.iter().filter_map(Reason::zone).collect();
     let in_zones = guard.pool.hosts.iter().filter(|(_, host)| zones.contains(&host.zone));
     hosts.extend(in_zones.map(|(id, _)| *id));
@@ -96,8 +96,8 @@
     receivers
 }
 
-/// All calls of a cold host's tables come to it when their other hosts fail, so it may be named only by as many tables as
-/// it withstands. Those that name it already come first, then the smallest.
+/// All calls of a cold host's tables come to it when their other hosts fail, so it may be named only by as many
+/// tables as it withstands. Those that name it already come first, then the smallest.
 fn limit_cold_hosts(guard: &Guard, now: f64, bounds: &HostBounds, tables: &mut [ProgramTable]) {
     let is_cold = |id: &&HostId| !guard.pool.hosts[*id].is_warm(now, &guard.pool.bounds);
     for id in bounds.keys().filter(is_cold) {
--- a/crates/director/capacity-guard/src/repair/search.rs
+++ b/crates/director/capacity-guard/src/repair/search.rs
@@ -1,7 +1,7 @@
 //! The choice of a repair among those that the searches find.
 
 use crate::guard::{Guard, Trial};
-use crate::pool::Pending;
+use crate::pool::PendingEvent;
 use crate::repair::forecast::{forecast_bounds, BoundForecast};
 use crate::repair::moves::Repair;
 use crate::repair::{greedy, linear_program};
@@ -34,7 +34,7 @@
         self,
         guard: &mut Guard,
         touched: &BTreeSet<HostId>,
-        pending: &[Pending],
+        pending: &[PendingEvent],
         now: f64,
         bounds: &BTreeMap<HostId, BoundForecast>,
     ) -> Option<Repair> {
@@ -48,13 +48,13 @@
     }
 }
 
-/// The best repair of a proposal that was found: a safe one if there is any, then the least severe one. The guard, without
-/// the proposal, is as before when this returns.
+/// The best repair of a proposal that was found: a safe one if there is any, then the least severe one. The guard,
+/// without the proposal, is as before when this returns.
 pub(crate) fn find_repair(
     guard: &mut Guard,
     calls: &[Vec<Order>],
     touched: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
 ) -> Option<FoundRepair> {
     let all_hosts = guard.all_hosts();
@@ -88,7 +88,7 @@
     repair: &Repair,
     before: &[MomentReasons],
     touched: &BTreeSet<HostId>,
-    pending: &[Pending],
+    pending: &[PendingEvent],
     now: f64,
 ) -> bool {
     if !repair.left.is_less(&worst_severity(before)) {
--- a/crates/director/capacity-guard/tests/guard.rs
+++ b/crates/director/capacity-guard/tests/guard.rs
@@ -15,9 +15,14 @@
     HostId(n)
 }
 
-fn bounds() -> Bounds {
+fn bounds() -> CapacityModel {
     let carries = Some(Estimate { low: 8.0, middle: 10.0 });
-    Bounds { cold_from: 0.2, ramp_time: 10.0, fall_multiple: 2.5, carries }
+    CapacityModel {
+        cold_capacity_share: 0.2,
+        slow_start_duration: 10.0,
+        collapse_multiple: 2.5,
+        capacity: carries,
+    }
 }
 
 /// So many warm hosts in two zones, and as many slices of four calls a second, each on its host and the next.
@@ -25,32 +30,32 @@
     let host = |n| (id(n), Host { zone: ZoneId((n % 2) as u16), ..Host::default() });
     let table = |n: u32| {
         let lines = BTreeMap::from([(id(n), 1.0), (id((n + 1) % hosts), 1.0)]);
-        (SliceId(n as u16), Table { demand: vec![3.0, 1.0], lines })
+        (SliceId(n as u16), Table { demand: vec![3.0, 1.0], weights: lines })
     };
     let pool = Pool { hosts: (0..hosts).map(host).collect(), bounds: bounds() };
     Guard::new(pool, &(0..hosts).map(table).collect(), 2)
 }
 
 fn line(slice: u16, host: u32, weight: f64) -> Order {
-    Order::Line { slice: SliceId(slice), host: id(host), weight }
+    Order::SetWeight { slice: SliceId(slice), host: id(host), weight }
 }
 
-fn refused(verdict: Verdict) -> Refused {
+fn refused(verdict: Verdict) -> Findings {
     match verdict {
         Verdict::Refused(refused) => refused,
         verdict => panic!("{verdict:?}"),
     }
 }
 
-fn leaves(host: u32, at: f64) -> Pending {
-    Pending { at, host: id(host), what: Change::Leaves }
+fn leaves(host: u32, at: f64) -> PendingEvent {
+    PendingEvent { at, host: id(host), what: HostEvent::Leaves }
 }
 
 #[test]
 fn a_slice_without_an_open_host_is_refused_with_a_repair_of_one_move() {
     let mut guard = guard(6);
-    let refused = refused(guard.judge(&[vec![Order::Clear(SliceId(2))]], &[], NOW));
-    assert_eq!(refused.reasons[0].reason, Reason::Bare { slice: SliceId(2) });
+    let refused = refused(guard.judge(&[vec![Order::ClearTable(SliceId(2))]], &[], NOW));
+    assert_eq!(refused.reasons[0].reason, Reason::Uncovered { slice: SliceId(2) });
     let repair = refused.repair.unwrap();
     assert_eq!((repair.moves.len(), repair.left), (1, Severity::default()));
 }
@@ -74,8 +79,8 @@
 #[test]
 fn a_table_whose_only_host_opens_later_is_refused() {
     let mut guard = guard(6);
-    guard.set_host(id(5), Host { state: State::Gone, ..Host::default() });
-    let opens = Pending { at: NOW + 2.0, host: id(5), what: Change::Opens };
+    guard.set_host(id(5), Host { state: ListedState::Removed, ..Host::default() });
+    let opens = PendingEvent { at: NOW + 2.0, host: id(5), what: HostEvent::Opens };
     let calls = [vec![line(0, 5, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
     let refused = refused(guard.judge(&calls, &[opens], NOW));
     assert_eq!(refused.reasons[0].when, Moment::AfterProposal);
@@ -89,7 +94,7 @@
     assert!(refused
         .reasons
         .iter()
-        .any(|found| matches!(found.reason, Reason::Over { host, .. } if host == id(3))));
+        .any(|found| matches!(found.reason, Reason::WarmOverload { host, .. } if host == id(3))));
     assert!(refused.repair.is_some_and(|repair| repair.left == Severity::default()));
 }
 
@@ -97,7 +102,7 @@
 #[test_case(9.0, false ; "nearly warm")]
 fn an_overload_of_a_cold_host_is_refused(age: f64, expected: bool) {
     let mut guard = guard(6);
-    guard.set_host(id(3), Host { born: Some(NOW - age), zone: ZoneId(1), ..Host::default() });
+    guard.set_host(id(3), Host { started_at: Some(NOW - age), zone: ZoneId(1), ..Host::default() });
     let calls = [vec![line(0, 3, 1.0), line(5, 3, 1.0)]];
     let verdict = guard.judge(&calls, &[], NOW);
     assert_eq!(!verdict.passes(), expected, "{verdict:?}");
@@ -116,23 +121,24 @@
 #[test]
 fn a_route_concentrated_on_two_hosts_is_refused_with_capacity_unknown() {
     let mut guard = guard(10);
-    guard.bounds_mut().carries = None;
+    guard.bounds_mut().capacity = None;
     let pile: Vec<Order> = (0..10)
         .flat_map(|n| {
             let off = [n, (n + 1) % 10].map(|host| line(n, host.into(), 0.0));
             [line(n, 0, 1.0), line(n, 1, 1.0)].into_iter().chain(
-                off.into_iter().filter(move |order| !matches!(order, Order::Line { host, .. } if host.0 < 2)),
+                off.into_iter()
+                    .filter(move |order| !matches!(order, Order::SetWeight { host, .. } if host.0 < 2)),
             )
         })
         .collect();
     let refused = refused(guard.judge(&[pile], &[], NOW));
-    assert!(refused.reasons.iter().any(|found| matches!(found.reason, Reason::Piled { .. })));
+    assert!(refused.reasons.iter().any(|found| matches!(found.reason, Reason::HostConcentration { .. })));
 }
 
 #[test]
 fn with_all_hosts_cold_after_a_crash_a_slice_without_host_still_gets_one() {
     let mut guard = guard(6);
-    (0..6).for_each(|n| guard.set_host(id(n), Host { born: Some(NOW - 0.5), ..Host::default() }));
+    (0..6).for_each(|n| guard.set_host(id(n), Host { started_at: Some(NOW - 0.5), ..Host::default() }));
     // One table bare, and every host too cold to take it: somebody must.
     guard.set_weight(SliceId(0), id(0), 0.0);
     guard.set_weight(SliceId(0), id(1), 0.0);
@@ -173,22 +179,27 @@
 fn a_drain_of_nearly_all_hosts_keeps_utilisation_within_its_limit() {
     let pool = guard(20).pool().clone();
     let hosts = (0..19).map(id).collect();
-    let wanted = Drain { hosts, back_after: Some(3.0), most: Some(4), calls: 100.0 };
+    let wanted = DrainRequest { hosts, return_after: Some(3.0), max_hosts_at_once: Some(4), calls: 100.0 };
     let steps = drain(&pool, &wanted, NOW);
     let out: usize = steps.iter().map(|step| step.hosts.len()).sum();
     assert_eq!(out, 19);
     assert!(steps.iter().all(|step| step.hosts.len() <= 4 && !step.forced));
-    assert!(steps.iter().all(|step| step.fill.is_some_and(|fill| fill <= 0.85)), "{steps:?}");
+    assert!(steps.iter().all(|step| step.utilisation.is_some_and(|fill| fill <= 0.85)), "{steps:?}");
     // With nobody's word of what they carry, a fifth at a time at most.
-    let pool = Pool { bounds: Bounds { carries: None, ..pool.bounds }, ..pool };
-    let steps = drain(&pool, &Drain { most: None, ..wanted }, NOW);
+    let pool = Pool { bounds: CapacityModel { capacity: None, ..pool.bounds }, ..pool };
+    let steps = drain(&pool, &DrainRequest { max_hosts_at_once: None, ..wanted }, NOW);
     assert!(steps.iter().all(|step| step.hosts.len() <= 4), "{steps:?}");
 }
 
 #[test]
 fn a_drain_without_spare_capacity_is_forced_one_by_one_and_leaves_the_last_host() {
     let pool = guard(3).pool().clone();
-    let wanted = Drain { hosts: (0..3).map(id).collect(), back_after: None, most: None, calls: 29.0 };
+    let wanted = DrainRequest {
+        hosts: (0..3).map(id).collect(),
+        return_after: None,
+        max_hosts_at_once: None,
+        calls: 29.0,
+    };
     let steps = drain(&pool, &wanted, NOW);
     assert_eq!(steps.len(), 2, "the last one stays: {steps:?}");
     assert!(steps.iter().all(|step| step.forced && step.hosts.len() == 1));
@@ -200,8 +211,8 @@
         let case = Case::drawn(seed, 2 + (seed % 7) as usize, 1 + (seed % 9) as usize);
         let verdict = case.guard().judge(&case.calls, &case.pending, case.now);
         assert_eq!(verdict != Verdict::Accepted, is_unsafe(&case), "seed {seed}: {verdict:?}");
-        if let Verdict::Refused(Refused { repair: Some(repair), .. })
-        | Verdict::Least(Refused { repair: Some(repair), .. }) = &verdict
+        if let Verdict::Refused(Findings { repair: Some(repair), .. })
+        | Verdict::Improvement(Findings { repair: Some(repair), .. }) = &verdict
         {
             let mut world: World = told(&case);
             let proposed = badness(&world.ahead(&case));
@@ -211,7 +222,7 @@
     }
 }
 
-fn subjects(found: &Refused) -> Vec<Subject> {
+fn subjects(found: &Findings) -> Vec<Subject> {
     found.reasons.iter().map(|found| found.reason.subject()).collect()
 }
 
@@ -238,15 +249,17 @@
         let case = Case::drawn(seed, 5, 4);
         let mut judged = case.guard();
         let first = judged.judge(&case.calls, &case.pending, case.now);
-        let again = judged.judge(&case.calls, &case.pending, case.now);
+        let judged_again = judged.judge(&case.calls, &case.pending, case.now);
         let kinds = |verdict: &Verdict| match verdict {
             Verdict::Accepted => (0, vec![], 0),
-            Verdict::Least(found) => (1, subjects(found), found.repair.as_ref().map_or(0, |r| r.moves.len())),
+            Verdict::Improvement(found) => {
+                (1, subjects(found), found.repair.as_ref().map_or(0, |r| r.moves.len()))
+            }
             Verdict::Refused(found) => {
                 (2, subjects(found), found.repair.as_ref().map_or(0, |r| r.moves.len()))
             }
         };
-        assert_eq!(kinds(&again), kinds(&first), "seed {seed}");
+        assert_eq!(kinds(&judged_again), kinds(&first), "seed {seed}");
         assert_eq!(judged.pool(), case.guard().pool(), "seed {seed}");
         let lines = |guard: &Guard| guard.loads().tables().clone();
         assert_eq!(lines(&judged), lines(&case.guard()), "seed {seed}");
@@ -303,11 +316,11 @@
     // Zone 1 is cut: its hosts are shut out. Of zone 0 one leaves in three seconds.
     [1, 3, 5]
         .into_iter()
-        .for_each(|n| guard.set_host(id(n), Host { zone: ZoneId(1), out: true, ..Host::default() }));
+        .for_each(|n| guard.set_host(id(n), Host { zone: ZoneId(1), withdrawn: true, ..Host::default() }));
     let only = vec![line(0, 2, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)];
     assert!(guard.judge(std::slice::from_ref(&only), &[], NOW).passes(), "host 2 is open");
     let refused = refused(guard.judge(&[only], &[leaves(2, NOW + 3.0)], NOW));
-    assert!(refused.reasons.iter().any(|found| found.reason == Reason::Bare { slice: SliceId(0) }));
+    assert!(refused.reasons.iter().any(|found| found.reason == Reason::Uncovered { slice: SliceId(0) }));
     let repair = refused.repair.unwrap();
     let sound = |made: &Move| made.to == id(0) || made.to == id(4);
     assert!(repair.moves.iter().all(sound), "neither to the cut zone nor to the one that leaves: {repair:?}");
@@ -317,9 +330,9 @@
 fn a_host_that_drained_and_returned_counts_by_its_present_state() {
     let mut guard = guard(6);
     let all = [vec![line(0, 3, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
-    guard.set_host(id(3), Host { state: State::Draining, ..Host::default() });
+    guard.set_host(id(3), Host { state: ListedState::Draining, ..Host::default() });
     assert!(!guard.judge(&all, &[], NOW).passes());
-    guard.set_host(id(3), Host { born: Some(NOW - 0.2), ..Host::default() });
+    guard.set_host(id(3), Host { started_at: Some(NOW - 0.2), ..Host::default() });
     assert!(
         !guard.judge(&[vec![line(0, 3, 9.0), line(1, 3, 9.0), line(2, 3, 9.0)]], &[], NOW).passes(),
         "cold"
@@ -332,9 +345,9 @@
 fn with_demand_unknown_tables_are_judged_by_shares_alone() {
     let mut guard = guard(10);
     (0..10).for_each(|n| guard.set_demand(SliceId(n), &[1.0, 0.0]));
-    guard.bounds_mut().carries = None;
+    guard.bounds_mut().capacity = None;
     assert_eq!(guard.judge(&[vec![line(0, 5, 1.0)]], &[], NOW), Verdict::Accepted);
-    let bare = guard.judge(&[vec![Order::Clear(SliceId(0))]], &[], NOW);
+    let bare = guard.judge(&[vec![Order::ClearTable(SliceId(0))]], &[], NOW);
     assert!(!bare.passes());
     let pile: Vec<Order> = (0..10).map(|n| line(n, 0, 90.0)).collect();
     assert!(!guard.judge(&[pile], &[], NOW).passes());
@@ -348,7 +361,10 @@
         let tables =
             whole.loads().tables().clone().into_iter().filter(|(slice, _)| slice.0 % 2 == half).collect();
         let carries = Some(Estimate { low: 4.0, middle: 5.0 });
-        let pool = Pool { bounds: Bounds { carries, ..whole.pool().bounds }, ..whole.pool().clone() };
+        let pool = Pool {
+            bounds: CapacityModel { capacity: carries, ..whole.pool().bounds },
+            ..whole.pool().clone()
+        };
         Guard::new(pool, &tables, 2)
     });
     for (half, mut guard) in halves.into_iter().enumerate() {
--- a/crates/director/capacity-guard/tests/guarded.rs
+++ b/crates/director/capacity-guard/tests/guarded.rs
@@ -1,62 +1,62 @@
-//! The decision module with the guard behind it, on random fleets: refusals are bounded, no slice is without a host, and
-//! the guard's tables are those of the proxies.
+//! The decision module with the guard behind it, on random fleets: refusals are bounded, no slice is without a host,
+//! and the guard's tables are those of the proxies.
 
 use coppersail::interface::*;
-use coppersail_capacity_guard::{Change, Guarded, Mode, Pending};
+use coppersail_capacity_guard::{GuardedDirector, HostEvent, Mode, PendingEvent};
 use fastrand::Rng;
 use std::collections::BTreeMap;
 
 fn settings() -> Settings {
     let route = |importance| Route {
-        slo_time: 1.0,
-        time_limit: 3.0,
-        importance,
-        semantics: Semantics::Repeatable,
-        mutating: false,
-        own_zone_only: false,
+        latency_target: 1.0,
+        deadline: 3.0,
+        value: importance,
+        idempotency: Idempotency::Idempotent,
+        is_write: false,
+        zone_local: false,
     };
     Settings {
-        me: PeerId(0),
-        directors: 1,
+        peer_id: PeerId(0),
+        director_count: 1,
         zone: None,
-        zones: vec!["a".into(), "b".into()],
-        kinds: vec!["k".into()],
+        zone_names: vec!["a".into(), "b".into()],
+        machine_types: vec!["k".into()],
         routes: vec![route(1.0), route(5.0)],
-        list_is_pushed: true,
-        ask_within: 9.0,
+        host_list_is_pushed: true,
+        host_list_max_silence: 9.0,
         listed_weights: false,
-        may_probe: true,
-        may_tell_peers: false,
-        cold_from: 0.2,
-        ramp_time: 10.0,
-        fall_multiple: 2.5,
-        fall_time: 2.0,
-        grace: 2.0,
-        throttled_may_have_run: false,
-        gone_is_advice: false,
-        unserved_most: 5.0,
-        slices: 24,
-        proxies: 4,
-        exclusive: false,
-        admission: Admission::Share,
-        retry_default: Retry::IfNeverRan,
-        ejects_after: 5,
-        message_overhead: 10.0,
-        lines_per_s: 60_000.0,
-        backlog_lines: 120_000.0,
-        messages_most: 0,
-        messages_span: 10.0,
-        transit: 0.3,
-        transit_most: 1.0,
+        probes_allowed: true,
+        peer_messages_allowed: false,
+        cold_capacity_share: 0.2,
+        slow_start_duration: 10.0,
+        collapse_multiple: 2.5,
+        collapse_time: 2.0,
+        grace_period: 2.0,
+        throttled_may_have_executed: false,
+        removal_is_advisory: false,
+        max_unserved_time: 5.0,
+        slice_count: 24,
+        proxy_count: 4,
+        exclusive_ownership: false,
+        admission_unit: AdmissionUnit::Fraction,
+        default_retry_policy: RetryPolicy::IfNotExecuted,
+        proxy_ejection_threshold: 5,
+        message_overhead_lines: 10.0,
+        channel_lines_per_s: 60_000.0,
+        channel_backlog_lines: 120_000.0,
+        max_messages_per_window: 0,
+        message_window: 10.0,
+        typical_transit_time: 0.3,
+        max_transit_time: 1.0,
         report_interval: 1.0,
-        in_flight_most: 5.0,
-        warm_keys: true,
+        max_write_in_flight_time: 5.0,
+        hosts_cache_keys: true,
     }
 }
 
-fn listing(host: u32, state: HostState, born: Option<f64>) -> Listing {
-    let (zone, cell, kind) = (ZoneId((host % 2) as u16), CellId(0), KindId(0));
-    Listing { host: HostId(host), state, born, weight: 1.0, zone, cell, kind }
+fn listing(host: u32, state: HostState, started_at: Option<f64>) -> HostListEntry {
+    let (zone, cell, kind) = (ZoneId((host % 2) as u16), CellId(0), MachineTypeId(0));
+    HostListEntry { host: HostId(host), state, started_at, weight: 1.0, zone, cell, machine_type: kind }
 }
 
 /// What proxies hold, as told.
@@ -71,12 +71,12 @@
     fn take(&mut self, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Line { slice, host, weight } => {
+                Order::SetWeight { slice, host, weight } => {
                     self.lines += 1;
                     let table = self.tables.entry(*slice).or_default();
                     _ = if *weight > 0.0 { table.insert(*host, *weight) } else { table.remove(host) };
                 }
-                Order::Withdraw { host, out } => _ = self.out.insert(*host, *out),
+                Order::SetWithdrawn { host, withdrawn: out } => _ = self.out.insert(*host, *out),
                 _ => {}
             }
         }
@@ -86,16 +86,17 @@
 /// The first inputs: six hosts, four proxies, and 24 slices on one host each.
 fn first_inputs(hosts: u32, proxies: &mut Proxies) -> Vec<Input> {
     let listed = (0..hosts).map(|host| listing(host, HostState::Ready, None)).collect();
-    let mut inputs = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
-    inputs.extend((0..4).map(|n| Input::Joined {
+    let mut inputs =
+        vec![Input::HostListUpdate { scope: ListScope::CachedSnapshot, version: 1, entries: listed }];
+    inputs.extend((0..4).map(|n| Input::ProxyJoined {
         proxy: ProxyId(n),
         zone: ZoneId(0),
-        calls_per_s: 9.0,
-        fresh: false,
+        requests_per_s: 9.0,
+        without_tables: false,
     }));
     for slice in (0..24).map(SliceId) {
         let host = HostId(slice.0 as u32 % hosts);
-        inputs.extend([Input::Given(slice), Input::StoredLine { slice, host, weight: 1.0 }]);
+        inputs.extend([Input::SliceAssigned(slice), Input::StoredWeight { slice, host, weight: 1.0 }]);
         proxies.tables.insert(slice, [(host, 1.0)].into());
     }
     inputs
@@ -106,14 +107,20 @@
     let mut inputs = Vec::new();
     for slice in (0..24).map(SliceId) {
         let calls = if slice.0 == 3 { 200 } else { 2 + chance.u64(0..9) };
-        inputs.push(Input::Demand { slice, route: RouteId(slice.0 % 2), calls, dropped: 0, span: 1.0 });
+        inputs.push(Input::SliceDemand {
+            slice,
+            route: RouteId(slice.0 % 2),
+            requests: calls,
+            dropped: 0,
+            window: 1.0,
+        });
     }
     for host in (0..hosts).map(HostId) {
-        let load = Load { waiting: Some(chance.f64() * 4.0), ..Load::default() };
-        let tries = 5 + chance.u64(0..40);
-        let (zone, span, dropped, rt) = (ZoneId(0), 1.0, 0, 0.1);
-        inputs.push(Input::Tries { host, zone, span, tries, dropped, rt, load });
-        inputs.push(Input::Probed { host, outcome: Outcome::Answered, took: 0.01, load });
+        let load = LoadReport { queued: Some(chance.f64() * 4.0), ..LoadReport::default() };
+        let attempts = 5 + chance.u64(0..40);
+        let (zone, window, dropped, mean_response_time) = (ZoneId(0), 1.0, 0, 0.1);
+        inputs.push(Input::AttemptStats { host, zone, window, attempts, dropped, mean_response_time, load });
+        inputs.push(Input::ProbeFinished { host, outcome: Outcome::Succeeded, duration: 0.01, load });
     }
     inputs
 }
@@ -130,13 +137,13 @@
     open.retain(|open| *open != host);
     open.extend(back.then_some(host));
     let entries = vec![listing(host, state, back.then_some(tick as f64 / 10.0))];
-    Some(Input::Hosts { scope: ListScope::Changes, version: 2 + tick, entries })
+    Some(Input::HostListUpdate { scope: ListScope::Delta, version: 2 + tick, entries })
 }
 
 /// A minute of a fleet in which hosts drain and come back cold, a slice is hot, and reported loads are random.
-fn minute(seed: u64, mode: Mode) -> (Guarded, Proxies, Vec<u32>) {
+fn minute(seed: u64, mode: Mode) -> (GuardedDirector, Proxies, Vec<u32>) {
     let mut chance = Rng::with_seed(seed);
-    let (mut guarded, mut proxies) = (Guarded::new(settings(), seed, mode), Proxies::default());
+    let (mut guarded, mut proxies) = (GuardedDirector::new(settings(), seed, mode), Proxies::default());
     let hosts = 6_u32;
     let mut open: Vec<u32> = (0..hosts).collect();
     let mut inputs = first_inputs(hosts, &mut proxies);
@@ -151,13 +158,17 @@
         let orders = guarded.handle(now, &inputs);
         proxies.take(&orders);
         let marks = orders.iter().filter_map(|order| match order {
-            Order::Mark { mark, .. } => Some(*mark),
+            Order::RequestAcknowledgement { round: mark, .. } => Some(*mark),
             _ => None,
         });
-        let marks: Vec<MarkId> = marks.collect();
-        inputs = vec![Input::Wake(WakeId(1))];
+        let marks: Vec<RoundId> = marks.collect();
+        inputs = vec![Input::TimerFired(TimerId(1))];
         for proxy in (0..4).map(ProxyId) {
-            inputs.extend(marks.iter().map(|mark| Input::Applied { proxy, mark: *mark, took: 0.1 }));
+            inputs.extend(marks.iter().map(|mark| Input::RoundAcknowledged {
+                proxy,
+                round: *mark,
+                latency: 0.1,
+            }));
         }
     }
     (guarded, proxies, open)
@@ -178,7 +189,7 @@
         }
         let known = guarded.guard().loads().tables();
         for (slice, table) in &proxies.tables {
-            assert_eq!(&known[slice].lines, table, "seed {seed}: the guard knows what proxies hold");
+            assert_eq!(&known[slice].weights, table, "seed {seed}: the guard knows what proxies hold");
         }
     }
 }
@@ -198,31 +209,41 @@
 #[test]
 fn an_announced_leave_is_considered_by_a_running_director() {
     for announced in [true, false] {
-        let mut guarded = Guarded::new(settings(), 1, Mode::On);
+        let mut guarded = GuardedDirector::new(settings(), 1, Mode::On);
         let mut proxies = Proxies::default();
         let listed = (0..4).map(|host| listing(host, HostState::Ready, None)).collect();
-        let mut inputs = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
-        let joined = |n| Input::Joined { proxy: ProxyId(n), zone: ZoneId(0), calls_per_s: 9.0, fresh: false };
+        let mut inputs =
+            vec![Input::HostListUpdate { scope: ListScope::CachedSnapshot, version: 1, entries: listed }];
+        let joined = |n| Input::ProxyJoined {
+            proxy: ProxyId(n),
+            zone: ZoneId(0),
+            requests_per_s: 9.0,
+            without_tables: false,
+        };
         inputs.extend((0..4).map(joined));
         for slice in (0..24).map(SliceId) {
             let host = HostId(1 + slice.0 as u32 % 3);
-            inputs.extend([Input::Given(slice), Input::StoredLine { slice, host, weight: 1.0 }]);
+            inputs.extend([Input::SliceAssigned(slice), Input::StoredWeight { slice, host, weight: 1.0 }]);
             proxies.tables.insert(slice, [(host, 1.0)].into());
         }
         for tick in 0..150 {
             let now = tick as f64 / 10.0;
             if tick == 50 {
-                let event = Pending { at: now + 12.0, host: HostId(0), what: Change::Leaves };
+                let event = PendingEvent { at: now + 12.0, host: HostId(0), what: HostEvent::Leaves };
                 guarded.pending(if announced { vec![event] } else { vec![] });
                 let apart = (1..4).map(|host| (SliceId(5), HostId(host))).collect();
-                inputs.push(Input::Wishes(Wishes { apart, ..Wishes::default() }));
+                inputs.push(Input::OverridesChanged(OperatorOverrides {
+                    anti_affinity: apart,
+                    ..OperatorOverrides::default()
+                }));
             }
             let orders = guarded.handle(now, &inputs);
             proxies.take(&orders);
-            inputs = vec![Input::Wake(WakeId(1))];
+            inputs = vec![Input::TimerFired(TimerId(1))];
             for order in &orders {
-                if let Order::Mark { mark, .. } = order {
-                    let applied = |n| Input::Applied { proxy: ProxyId(n), mark: *mark, took: 0.1 };
+                if let Order::RequestAcknowledgement { round: mark, .. } = order {
+                    let applied =
+                        |n| Input::RoundAcknowledged { proxy: ProxyId(n), round: *mark, latency: 0.1 };
                     inputs.extend((0..4).map(applied));
                 }
             }
@@ -235,17 +256,23 @@
 
 #[test]
 fn a_slice_that_is_assigned_again_has_its_demand_at_once() {
-    let mut guarded = Guarded::new(settings(), 1, Mode::On);
+    let mut guarded = GuardedDirector::new(settings(), 1, Mode::On);
     let listed = (0..4).map(|host| listing(host, HostState::Ready, None)).collect();
-    let mut first = vec![Input::Hosts { scope: ListScope::Remembered, version: 1, entries: listed }];
+    let mut first =
+        vec![Input::HostListUpdate { scope: ListScope::CachedSnapshot, version: 1, entries: listed }];
     let stored = |slice: u16| {
         let slice = SliceId(slice);
-        [Input::Given(slice), Input::StoredLine { slice, host: HostId(0), weight: 1.0 }]
+        [Input::SliceAssigned(slice), Input::StoredWeight { slice, host: HostId(0), weight: 1.0 }]
     };
     first.extend((0..4).flat_map(stored));
     guarded.handle(0.0, &first);
-    let asked =
-        |slice| Input::Demand { slice: SliceId(slice), route: RouteId(0), calls: 9, dropped: 0, span: 1.0 };
+    let asked = |slice| Input::SliceDemand {
+        slice: SliceId(slice),
+        route: RouteId(0),
+        requests: 9,
+        dropped: 0,
+        window: 1.0,
+    };
     guarded.handle(1.0, &(0..4).map(asked).collect::<Vec<_>>());
     // Changed in the store, and given anew well before demand is next reckoned.
     guarded.handle(1.3, &stored(2));
--- a/crates/director/change-analysis/benches/period_cost.rs
+++ b/crates/director/change-analysis/benches/period_cost.rs
@@ -2,40 +2,40 @@
 //! hosts, and at 1,600 with 120.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_change_analysis::{Judge, Touch, TrialId};
+use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, TrialId};
 use criterion::{criterion_group, criterion_main, Criterion};
 
-fn report_period(judge: &mut Judge, slices: u16, hosts: u32) {
+fn report_period(judge: &mut ChangeAnalysis, slices: u16, hosts: u32) {
     for slice in 0..slices {
         for route in 0..2 {
-            judge.demand(SliceId(slice), RouteId(route), 20, u64::from(slice % 7 == 0));
+            judge.report_calls(SliceId(slice), RouteId(route), 20, u64::from(slice % 7 == 0));
         }
     }
-    (0..hosts).for_each(|host| judge.tries(HostId(host), 100, 1, 0.3));
+    (0..hosts).for_each(|host| judge.report_attempts(HostId(host), 100, 1, 0.3));
 }
 
 fn period_cost(criterion: &mut Criterion) {
     for (proxies, hosts, slices) in [(150, 30, 210), (1600, 120, 840)] {
-        let mut judge = Judge::new(1.0, vec![1.0, 3.0], 1.5);
+        let mut judge = ChangeAnalysis::new(1.0, vec![1.0, 3.0], 1.5);
         let mut now = 0.0;
-        let mut run_second = |judge: &mut Judge| {
+        let mut run_second = |judge: &mut ChangeAnalysis| {
             report_period(judge, slices, hosts);
             now += 1.0;
-            judge.close(now).len()
+            judge.close_periods(now).len()
         };
         (0..60).for_each(|_| _ = run_second(&mut judge));
         criterion.bench_function(&format!("a period, {proxies} proxies, {hosts} hosts, idle"), |bencher| {
             bencher.iter(|| run_second(&mut judge));
         });
-        let touch = Touch {
+        let touch = ChangeScope {
             slices: (0..slices / 5).map(SliceId).collect(),
             hosts: (0..hosts / 5).map(HostId).collect(),
-            ..Touch::default()
+            ..ChangeScope::default()
         };
         criterion.bench_function(&format!("a trial begins, {proxies} proxies, {hosts} hosts"), |bencher| {
-            bencher.iter(|| judge.watch(TrialId(1), touch.clone(), 0.0));
+            bencher.iter(|| judge.start_trial(TrialId(1), touch.clone(), 0.0));
         });
-        judge.watch(TrialId(1), touch, 0.0);
+        judge.start_trial(TrialId(1), touch, 0.0);
         criterion.bench_function(
             &format!("a period, {proxies} proxies, {hosts} hosts, one trial"),
             |bencher| {
--- a/crates/director/change-analysis/examples/fleet_model/mod.rs
+++ b/crates/director/change-analysis/examples/fleet_model/mod.rs
@@ -2,7 +2,7 @@
 //! for each slice, reports are late, and an outage may hit all slices, though unevenly.
 
 use coppersail::interface::{RouteId, SliceId};
-use coppersail_change_analysis::{Found, Judge, Touch, TrialId};
+use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, HarmFinding, TrialId};
 use fastrand::Rng;
 use std::collections::VecDeque;
 
@@ -38,11 +38,11 @@
 #[derive(Default)]
 pub(crate) struct Outcome {
     /// When the change was first taken out of force, and why.
-    pub(crate) first_finding: Option<(f64, Found)>,
+    pub(crate) first_finding: Option<(f64, HarmFinding)>,
     /// When it came into force again after it was suspended.
     pub(crate) resumed_at: Option<f64>,
     /// When it was undone for good, and why.
-    pub(crate) undone: Option<(f64, Found)>,
+    pub(crate) undone: Option<(f64, HarmFinding)>,
     pub(crate) seconds_in_force: f64,
 }
 
@@ -168,8 +168,8 @@
 
     /// Runs a minute before the change and a trial of so many seconds. The analysis is evaluated as reports arrive; an
     /// uncertain first finding suspends the change, as `coppersail-changes` does.
-    pub(crate) fn run_trial(&mut self, touch: &Touch, harm: Harm, trial_seconds: usize) -> Outcome {
-        let mut judge = Judge::new(1.0, IMPORTANCE[..self.route_shares.len()].to_vec(), SLO_TIME);
+    pub(crate) fn run_trial(&mut self, touch: &ChangeScope, harm: Harm, trial_seconds: usize) -> Outcome {
+        let mut judge = ChangeAnalysis::new(1.0, IMPORTANCE[..self.route_shares.len()].to_vec(), SLO_TIME);
         let mut background = BackgroundLoss::new(self);
         let mut schedule = Schedule::in_force(CHANGE_AT, trial_seconds as f64);
         let mut reports: VecDeque<Report> = VecDeque::new();
@@ -181,23 +181,23 @@
             }
             self.serve_second(now, &mut background, &schedule, harm, &mut reports);
             if now == CHANGE_AT {
-                judge.watch(TRIAL, touch.clone(), 0.0);
+                judge.start_trial(TRIAL, touch.clone(), 0.0);
             }
             deliver_reports(&mut judge, &mut reports, now + 1.0);
             outcome.seconds_in_force += f64::from(schedule.is_in_force(now));
-            let finding = judge.close(now + 1.0).into_iter().next();
+            let finding = judge.close_periods(now + 1.0).into_iter().next();
             if let Some((_, finding)) = finding.filter(|_| schedule.is_in_force(now)) {
                 let at = now + 1.0 - CHANGE_AT;
                 outcome.first_finding.get_or_insert((at, finding.clone()));
-                if outcome.resumed_at.is_some() || !finding.unsure() {
+                if outcome.resumed_at.is_some() || !finding.is_uncertain() {
                     outcome.undone = Some((at, finding));
                     return outcome;
                 }
-                judge.set_aside(TRIAL);
+                judge.suspend(TRIAL);
                 schedule.in_force_until = now + 1.0 + SUSPENSION_DELAY;
                 schedule.end = now + MAX_SUSPENSION;
             }
-            if now > schedule.in_force_until && judge.calm(TRIAL) {
+            if now > schedule.in_force_until && judge.has_recovered(TRIAL) {
                 judge.resume(TRIAL);
                 outcome.resumed_at = Some(now + 1.0 - CHANGE_AT);
                 schedule = Schedule::in_force(now + 1.0, trial_seconds as f64);
@@ -233,14 +233,14 @@
     }
 
     /// A change that touches one slice in `one_in`: the first ones.
-    pub(crate) fn touch_one_in(&self, one_in: u16) -> Touch {
-        Touch { slices: (0..self.slices / one_in).map(SliceId).collect(), ..Touch::default() }
+    pub(crate) fn touch_one_in(&self, one_in: u16) -> ChangeScope {
+        ChangeScope { slices: (0..self.slices / one_in).map(SliceId).collect(), ..ChangeScope::default() }
     }
 }
 
-fn deliver_reports(judge: &mut Judge, reports: &mut VecDeque<Report>, before: f64) {
+fn deliver_reports(judge: &mut ChangeAnalysis, reports: &mut VecDeque<Report>, before: f64) {
     while reports.front().is_some_and(|report| report.arrives_at < before) {
         let Some(report) = reports.pop_front() else { break };
-        judge.demand(report.slice, report.route, report.calls, report.lost);
+        judge.report_calls(report.slice, report.route, report.calls, report.lost);
     }
 }
--- a/crates/director/change-analysis/examples/memory.rs
+++ b/crates/director/change-analysis/examples/memory.rs
@@ -2,7 +2,7 @@
 //! `cargo run --release -p coppersail-change-analysis --example memory`
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_change_analysis::{Judge, Touch, TrialId};
+use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, TrialId};
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
@@ -30,28 +30,28 @@
     for (proxies, hosts, slices) in [(150, 30_u32, 210_u16), (1600, 120, 840)] {
         let before = ALLOCATED_BYTES.load(Ordering::Relaxed);
         let allocated_kib = || (ALLOCATED_BYTES.load(Ordering::Relaxed) - before) as f64 / 1024.0;
-        let mut judge = Judge::new(1.0, vec![1.0, 3.0], 1.5);
+        let mut judge = ChangeAnalysis::new(1.0, vec![1.0, 3.0], 1.5);
         let mut now = 0.0;
-        let mut run_minute = |judge: &mut Judge| {
+        let mut run_minute = |judge: &mut ChangeAnalysis| {
             for _ in 0..60 {
                 for slice in 0..slices {
-                    (0..2).for_each(|route| judge.demand(SliceId(slice), RouteId(route), 20, 1));
+                    (0..2).for_each(|route| judge.report_calls(SliceId(slice), RouteId(route), 20, 1));
                 }
-                (0..hosts).for_each(|host| judge.tries(HostId(host), 100, 1, 0.3));
+                (0..hosts).for_each(|host| judge.report_attempts(HostId(host), 100, 1, 0.3));
                 now += 1.0;
-                judge.close(now);
+                judge.close_periods(now);
             }
         };
-        let touch = || Touch {
+        let touch = || ChangeScope {
             slices: (0..slices / 5).map(SliceId).collect(),
             hosts: (0..hosts / 5).map(HostId).collect(),
-            ..Touch::default()
+            ..ChangeScope::default()
         };
         run_minute(&mut judge);
         let idle = allocated_kib();
-        judge.watch(TrialId(1), touch(), 0.0);
+        judge.start_trial(TrialId(1), touch(), 0.0);
         let one_trial = allocated_kib();
-        (2..9).for_each(|id| judge.watch(TrialId(id), touch(), 0.0));
+        (2..9).for_each(|id| judge.start_trial(TrialId(id), touch(), 0.0));
         run_minute(&mut judge);
         let fleet = format!("{proxies} proxies, {hosts} hosts, {slices} slices");
         println!("| {fleet} | {idle:.0} KiB | {one_trial:.0} KiB | {:.0} KiB |", allocated_kib());
--- a/crates/director/change-analysis/src/comparison.rs
+++ b/crates/director/change-analysis/src/comparison.rs
@@ -1,7 +1,7 @@
 //! Comparison of the periods after a change with the baseline, for one part of service.
 
 use crate::baseline::Baseline;
-use crate::finding::{Found, UntouchedLoss};
+use crate::finding::{HarmFinding, UntouchedLoss};
 use crate::history::Period;
 use crate::sides::Sides;
 use crate::sums::SideSums;
@@ -118,12 +118,12 @@
     }
 
     /// The finding that an observation gives; its odds are set by the caller.
-    pub(crate) fn finding(&self, observation: &Observation) -> Found {
+    pub(crate) fn finding(&self, observation: &Observation) -> HarmFinding {
         let untouched = UntouchedLoss {
             now_percent: 100.0 * self.smoothed_untouched_rate,
             before_percent: 100.0 * self.baseline.untouched_rate,
         };
-        Found {
+        HarmFinding {
             part: self.sides.part(),
             lost_percent: 100.0 * observation.loss_rate,
             expected_percent: 100.0 * observation.expected_rate,
--- a/crates/director/change-analysis/src/finding.rs
+++ b/crates/director/change-analysis/src/finding.rs
@@ -1,6 +1,6 @@
 //! What the analysis reports against a change.
 
-use crate::scope::Part;
+use crate::scope::ServicePart;
 use std::fmt;
 
 /// Percentage points by which the smoothed loss of the untouched side must exceed its baseline to put the finding in
@@ -18,9 +18,9 @@
 
 /// A finding against a change: the part of service that shows the strongest evidence of harm.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Found {
+pub struct HarmFinding {
     /// The part of service that lost most clearly.
-    pub part: Part,
+    pub part: ServicePart,
     /// Loss on the touched side in the last period, in percent of the calls.
     pub lost_percent: f64,
     /// Loss to be expected there if the change did nothing, in percent of the calls.
@@ -33,21 +33,22 @@
     pub odds: f64,
 }
 
-impl Found {
+impl HarmFinding {
     /// Whether the fleet may be at fault instead of the change: there was no untouched side to compare with, or that
     /// side has become worse in the same time.
     ///
     /// A trouble of some hosts (a quarter of them slow, in the lab's experiments) may affect the touched side many
     /// times as much as the rest; without this doubt one harmless change in twenty was undone there.
-    pub fn unsure(&self) -> bool {
+    pub fn is_uncertain(&self) -> bool {
         self.untouched
             .is_none_or(|untouched| untouched.now_percent > untouched.before_percent + UNTOUCHED_WORSE_BY)
     }
 }
 
-impl fmt::Display for Found {
+impl fmt::Display for HarmFinding {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let Found { part, lost_percent: lost, expected_percent: expected, untouched, calls, odds } = self;
+        let HarmFinding { part, lost_percent: lost, expected_percent: expected, untouched, calls, odds } =
+            self;
         write!(formatter, "{part}: {lost:.1} of 100 calls lost where {expected:.1} were to be expected")?;
         match untouched {
             Some(UntouchedLoss { now_percent: now, before_percent: before }) => {
--- a/crates/director/change-analysis/src/judge.rs
+++ b/crates/director/change-analysis/src/judge.rs
@@ -1,8 +1,8 @@
 //! All trials under way, advanced by periods.
 
-use crate::finding::Found;
+use crate::finding::HarmFinding;
 use crate::history::History;
-use crate::scope::{Touch, TrialId};
+use crate::scope::{ChangeScope, TrialId};
 use crate::trial::Trial;
 use coppersail::interface::{HostId, RouteId, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
@@ -24,9 +24,9 @@
 /// After a standstill of more than so many periods they are skipped.
 const MAX_LATE_PERIODS: f64 = 10.0;
 
-/// The change analysis: reports go in, and [`Judge::close`] gives findings. Times are in seconds, on any clock that the
-/// caller keeps to.
-pub struct Judge {
+/// The change analysis: reports go in, and [`ChangeAnalysis::close_periods`] gives findings. Times are in seconds, on
+/// any clock that the caller keeps to.
+pub struct ChangeAnalysis {
     period: f64,
     importance: Vec<f64>,
     slo_time: f64,
@@ -35,12 +35,12 @@
     trials: BTreeMap<TrialId, Trial>,
 }
 
-impl Judge {
-    /// `period`: time between reports, seconds; `importance`: weight by route; `slo`: the shortest SLO time, seconds. At
-    /// hosts an answer after it counts as lost.
+impl ChangeAnalysis {
+    /// `period`: time between reports, seconds; `importance`: weight by route; `slo`: the shortest SLO time, seconds.
+    /// At hosts an answer after it counts as lost.
     pub fn new(period: f64, importance: Vec<f64>, slo: f64) -> Self {
         let period = period.max(MIN_PERIOD);
-        Judge {
+        ChangeAnalysis {
             period,
             importance,
             slo_time: slo,
@@ -52,52 +52,53 @@
 
     /// Adds reported calls of a slice in a route, `dropped` of them lost. Calls of a route without an importance are
     /// ignored.
-    pub fn demand(&mut self, slice: SliceId, route: RouteId, calls: u64, dropped: u64) {
+    pub fn report_calls(&mut self, slice: SliceId, route: RouteId, calls: u64, dropped: u64) {
         if usize::from(route.0) < self.importance.len() {
             self.history.open.add_calls(slice, route, calls, dropped);
         }
     }
 
     /// Adds reported attempts at a host. `rt`: mean response time of those that were answered, seconds.
-    pub fn tries(&mut self, host: HostId, tries: u64, dropped: u64, rt: f64) {
+    pub fn report_attempts(&mut self, host: HostId, attempts: u64, dropped: u64, mean_response_time: f64) {
         // The share of response times above the SLO time, if they are distributed exponentially, as waiting times are.
-        let late_share = if rt > 0.0 { (-self.slo_time / rt).exp() } else { 0.0 };
-        let dropped = dropped.min(tries);
-        let lost = dropped as f64 + (tries - dropped) as f64 * late_share;
-        self.history.open.add_attempts(host, tries as f64, lost);
+        let late_share =
+            if mean_response_time > 0.0 { (-self.slo_time / mean_response_time).exp() } else { 0.0 };
+        let dropped = dropped.min(attempts);
+        let lost = dropped as f64 + (attempts - dropped) as f64 * late_share;
+        self.history.open.add_attempts(host, attempts as f64, lost);
     }
 
-    /// When the current period ends and [`Judge::close`] has to be called.
-    pub fn next(&self) -> f64 {
+    /// When the current period ends and [`ChangeAnalysis::close_periods`] has to be called.
+    pub fn period_ends_at(&self) -> f64 {
         self.period_ends_at
     }
 
     /// Whether enough periods have been reported for a baseline.
-    pub fn baseline(&self) -> bool {
+    pub fn has_baseline(&self) -> bool {
         self.history.periods().filter(|period| period.has_calls()).count() >= MIN_BASELINE_PERIODS
     }
 
     /// Periods with calls since the change of a trial came into force; 0 for an unknown trial.
-    pub fn heard(&self, trial: TrialId) -> usize {
+    pub fn observed_periods(&self, trial: TrialId) -> usize {
         self.trials.get(&trial).map_or(0, Trial::observed_periods)
     }
 
     /// Whether a trial of so many seconds has been reported on sufficiently: in half of its periods at least.
-    pub fn believed(&self, trial: TrialId, seconds: f64) -> bool {
+    pub fn has_sufficient_reports(&self, trial: TrialId, seconds: f64) -> bool {
         let needed = (MIN_OBSERVED_SHARE * seconds / self.period).max(MIN_OBSERVED_PERIODS);
-        self.heard(trial) as f64 >= needed
+        self.observed_periods(trial) as f64 >= needed
     }
 
     /// Begins a trial: the change is in force from now on, and the time until now is its baseline. `expected_loss`: the
     /// loss that the change's author announced, in percent of the calls.
-    pub fn watch(&mut self, id: TrialId, touch: Touch, expected_loss: f64) {
+    pub fn start_trial(&mut self, id: TrialId, touch: ChangeScope, expected_loss: f64) {
         let trial = Trial::new(touch, expected_loss / 100.0, self.history.baseline());
         self.trials.insert(id, trial);
         self.measure_baselines();
     }
 
     /// Extends the scope of a trial by slices. No effect for an unknown trial.
-    pub fn touches(&mut self, id: TrialId, slices: impl IntoIterator<Item = SliceId>) {
+    pub fn extend_scope(&mut self, id: TrialId, slices: impl IntoIterator<Item = SliceId>) {
         let Some(trial) = self.trials.get_mut(&id) else { return };
         let before = trial.touch.slices.len();
         trial.touch.slices.extend(slices);
@@ -108,7 +109,7 @@
 
     /// Suspends a trial: the change is taken back for the time being, as it cannot be told from a trouble of the fleet.
     /// No effect for an unknown trial.
-    pub fn set_aside(&mut self, id: TrialId) {
+    pub fn suspend(&mut self, id: TrialId) {
         let Some(trial) = self.trials.get_mut(&id) else { return };
         trial.suspend();
         self.measure_baselines();
@@ -116,7 +117,7 @@
 
     /// Whether service has been as in the baseline for long enough since the trial was suspended. `false` for a trial
     /// that is in force or unknown.
-    pub fn calm(&self, id: TrialId) -> bool {
+    pub fn has_recovered(&self, id: TrialId) -> bool {
         self.trials.get(&id).is_some_and(Trial::has_recovered)
     }
 
@@ -128,15 +129,16 @@
     }
 
     /// Ends a trial. No effect for an unknown trial.
-    pub fn unwatch(&mut self, id: TrialId) {
+    pub fn end_trial(&mut self, id: TrialId) {
         if self.trials.remove(&id).is_some() {
             self.measure_baselines();
         }
     }
 
-    /// Ends the periods that are over. Returns the trials whose change has turned out harmful, with the highest id first.
-    pub fn close(&mut self, now: f64) -> Vec<(TrialId, Found)> {
-        let mut findings: BTreeMap<TrialId, Found> = BTreeMap::new();
+    /// Ends the periods that are over. Returns the trials whose change has turned out harmful, with the highest id
+    /// first.
+    pub fn close_periods(&mut self, now: f64) -> Vec<(TrialId, HarmFinding)> {
+        let mut findings: BTreeMap<TrialId, HarmFinding> = BTreeMap::new();
         while now >= self.period_ends_at {
             self.period_ends_at += self.period;
             if now - self.period_ends_at > MAX_LATE_PERIODS * self.period {
@@ -153,8 +155,11 @@
 
     /// Of two changes that overlap and both look harmful, the later one is reported and the other one's evidence begins
     /// anew, as it may have suffered from the later one.
-    fn keep_latest_of_overlapping(&mut self, findings: BTreeMap<TrialId, Found>) -> Vec<(TrialId, Found)> {
-        let mut reported: Vec<(TrialId, Found)> = Vec::new();
+    fn keep_latest_of_overlapping(
+        &mut self,
+        findings: BTreeMap<TrialId, HarmFinding>,
+    ) -> Vec<(TrialId, HarmFinding)> {
+        let mut reported: Vec<(TrialId, HarmFinding)> = Vec::new();
         for (id, finding) in findings.into_iter().rev() {
             let touch = &self.trials[&id].touch;
             if !reported.iter().any(|(later, _)| touch.overlaps(&self.trials[later].touch)) {
@@ -166,10 +171,10 @@
         reported
     }
 
-    /// Measures the baselines of all trials. Needed when a trial begins, ends or grows, or its change goes into or out of
-    /// force: what one change touches is no measure for another.
+    /// Measures the baselines of all trials. Needed when a trial begins, ends or grows, or its change goes into or
+    /// out of force: what one change touches is no measure for another.
     fn measure_baselines(&mut self) {
-        let in_force: Vec<(TrialId, Touch)> = self
+        let in_force: Vec<(TrialId, ChangeScope)> = self
             .trials
             .iter()
             .filter(|(_, trial)| trial.is_in_force())
@@ -177,7 +182,7 @@
             .collect();
         let known_hosts = self.known_hosts();
         for (id, trial) in &mut self.trials {
-            let others: Vec<&Touch> =
+            let others: Vec<&ChangeScope> =
                 in_force.iter().filter(|(other, _)| other != id).map(|(_, touch)| touch).collect();
             let touched_hosts = trial.touch.hosts.len() as f64;
             let untouched_unusable = touched_hosts > MAX_TOUCHED_HOSTS * known_hosts as f64;
--- a/crates/director/change-analysis/src/lib.rs
+++ b/crates/director/change-analysis/src/lib.rs
@@ -33,6 +33,6 @@
 mod sums;
 mod trial;
 
-pub use finding::{Found, UntouchedLoss};
-pub use judge::{Judge, MAX_FALSE_POSITIVE_RATE};
-pub use scope::{Part, Touch, TrialId};
+pub use finding::{HarmFinding, UntouchedLoss};
+pub use judge::{ChangeAnalysis, MAX_FALSE_POSITIVE_RATE};
+pub use scope::{ChangeScope, ServicePart, TrialId};
--- a/crates/director/change-analysis/src/scope.rs
+++ b/crates/director/change-analysis/src/scope.rs
@@ -10,7 +10,7 @@
 
 /// The scope of a change: calls for one of these slices or routes, and attempts at one of these hosts, are touched.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Touch {
+pub struct ChangeScope {
     /// Slices whose calls the change affects, in every route.
     pub slices: BTreeSet<SliceId>,
     /// Routes whose calls the change affects, for every slice.
@@ -19,9 +19,9 @@
     pub hosts: BTreeSet<HostId>,
 }
 
-impl Touch {
+impl ChangeScope {
     /// Whether the two scopes share a slice, a route or a host.
-    pub(crate) fn overlaps(&self, other: &Touch) -> bool {
+    pub(crate) fn overlaps(&self, other: &ChangeScope) -> bool {
         !self.slices.is_disjoint(&other.slices)
             || !self.routes.is_disjoint(&other.routes)
             || !self.hosts.is_disjoint(&other.hosts)
@@ -30,7 +30,7 @@
 
 /// A part of service that is compared with its baseline.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Part {
+pub enum ServicePart {
     /// The calls of one route.
     Route(RouteId),
     /// The calls of all routes, weighted by the importance of the route.
@@ -41,13 +41,13 @@
     Hosts,
 }
 
-impl fmt::Display for Part {
+impl fmt::Display for ServicePart {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Part::Route(route) => write!(formatter, "route {}", route.0),
-            Part::AllByImportance => formatter.write_str("all routes by importance"),
-            Part::AllCalls => formatter.write_str("all calls"),
-            Part::Hosts => formatter.write_str("hosts"),
+            ServicePart::Route(route) => write!(formatter, "route {}", route.0),
+            ServicePart::AllByImportance => formatter.write_str("all routes by importance"),
+            ServicePart::AllCalls => formatter.write_str("all calls"),
+            ServicePart::Hosts => formatter.write_str("hosts"),
         }
     }
 }
--- a/crates/director/change-analysis/src/sides.rs
+++ b/crates/director/change-analysis/src/sides.rs
@@ -1,7 +1,7 @@
 //! Assignment of the calls of a period to the touched and the untouched side of a part of service.
 
 use crate::history::{Period, SliceCalls};
-use crate::scope::{Part, Touch};
+use crate::scope::{ChangeScope, ServicePart};
 use crate::sums::SideSums;
 use coppersail::interface::{HostId, RouteId, SliceId};
 use std::collections::BTreeSet;
@@ -12,8 +12,8 @@
 /// How the calls of one part of service are divided between the two sides.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Sides {
-    part: Part,
-    touch: Touch,
+    part: ServicePart,
+    touch: ChangeScope,
     /// What other trials touch is on neither side, as it is no measure for this one.
     excluded_slices: BTreeSet<SliceId>,
     excluded_routes: BTreeSet<RouteId>,
@@ -26,9 +26,9 @@
     /// `others`: scopes of the other changes in force; `importance`: weight by route; `untouched_unusable`: the change
     /// is so wide that what it does not touch is no measure.
     pub(crate) fn new(
-        part: Part,
-        touch: &Touch,
-        others: &[&Touch],
+        part: ServicePart,
+        touch: &ChangeScope,
+        others: &[&ChangeScope],
         importance: &[f64],
         untouched_unusable: bool,
     ) -> Self {
@@ -43,7 +43,7 @@
         }
     }
 
-    pub(crate) fn part(&self) -> Part {
+    pub(crate) fn part(&self) -> ServicePart {
         self.part
     }
 
@@ -54,7 +54,7 @@
     /// The sums of a period on both sides.
     pub(crate) fn split(&self, period: &Period) -> SideSums {
         match self.part {
-            Part::Hosts => self.split_attempts(period),
+            ServicePart::Hosts => self.split_attempts(period),
             _ => self.split_calls(period),
         }
     }
@@ -97,12 +97,14 @@
     /// The weight of calls in this part; `None` if they do not belong to it.
     fn weight(&self, calls: &SliceCalls, touched: bool) -> Option<f64> {
         match self.part {
-            Part::Route(route) if calls.route == route => Some(1.0),
+            ServicePart::Route(route) if calls.route == route => Some(1.0),
             // A route that is touched everywhere is compared with the others.
-            Part::Route(route) if self.touch.routes.contains(&route) && !touched => Some(1.0),
-            Part::Route(_) => None,
-            Part::AllCalls => Some(1.0),
-            Part::AllByImportance | Part::Hosts => Some(self.importance[usize::from(calls.route.0)]),
+            ServicePart::Route(route) if self.touch.routes.contains(&route) && !touched => Some(1.0),
+            ServicePart::Route(_) => None,
+            ServicePart::AllCalls => Some(1.0),
+            ServicePart::AllByImportance | ServicePart::Hosts => {
+                Some(self.importance[usize::from(calls.route.0)])
+            }
         }
     }
 
--- a/crates/director/change-analysis/src/trial.rs
+++ b/crates/director/change-analysis/src/trial.rs
@@ -3,9 +3,9 @@
 use crate::baseline::Baseline;
 use crate::comparison::Comparison;
 use crate::evidence::Evidence;
-use crate::finding::Found;
+use crate::finding::HarmFinding;
 use crate::history::Period;
-use crate::scope::{Part, Touch};
+use crate::scope::{ChangeScope, ServicePart};
 use crate::sides::Sides;
 use coppersail::interface::RouteId;
 use std::rc::Rc;
@@ -29,7 +29,7 @@
     comparison: Comparison,
     evidence: Evidence,
     /// The finding of the last observation.
-    last_finding: Option<Found>,
+    last_finding: Option<HarmFinding>,
 }
 
 impl MonitoredPart {
@@ -41,7 +41,7 @@
 
 /// A change under trial.
 pub(crate) struct Trial {
-    pub(crate) touch: Touch,
+    pub(crate) touch: ChangeScope,
     /// The loss rate that the change's author announced, 0 to 1.
     announced_loss: f64,
     /// The periods before the change. Kept, as a suspended change is compared with the same periods again.
@@ -53,7 +53,7 @@
 }
 
 impl Trial {
-    pub(crate) fn new(touch: Touch, announced_loss: f64, baseline_periods: Vec<Rc<Period>>) -> Self {
+    pub(crate) fn new(touch: ChangeScope, announced_loss: f64, baseline_periods: Vec<Rc<Period>>) -> Self {
         Trial {
             touch,
             announced_loss,
@@ -104,7 +104,7 @@
     /// route; `untouched_unusable`: see [`Sides::new`].
     pub(crate) fn measure_baselines(
         &mut self,
-        others: &[&Touch],
+        others: &[&ChangeScope],
         importance: &[f64],
         untouched_unusable: bool,
     ) {
@@ -124,17 +124,18 @@
         self.parts = parts;
     }
 
-    fn compared_parts(&self, routes: usize) -> Vec<Part> {
-        let mut parts: Vec<Part> = (0..routes).map(|route| Part::Route(RouteId(route as u16))).collect();
-        parts.extend([Part::AllByImportance, Part::AllCalls]);
+    fn compared_parts(&self, routes: usize) -> Vec<ServicePart> {
+        let mut parts: Vec<ServicePart> =
+            (0..routes).map(|route| ServicePart::Route(RouteId(route as u16))).collect();
+        parts.extend([ServicePart::AllByImportance, ServicePart::AllCalls]);
         if !self.touch.hosts.is_empty() {
-            parts.push(Part::Hosts);
+            parts.push(ServicePart::Hosts);
         }
         parts
     }
 
     /// Takes in a period that is over. Returns the finding if the odds of harm reach `rejection_odds`.
-    pub(crate) fn observe(&mut self, period: &Period, rejection_odds: f64) -> Option<Found> {
+    pub(crate) fn observe(&mut self, period: &Period, rejection_odds: f64) -> Option<HarmFinding> {
         self.observed_periods += usize::from(period.has_calls());
         match self.state {
             TrialState::InForce => self.observe_in_force(period, rejection_odds),
@@ -146,10 +147,10 @@
         }
     }
 
-    fn observe_in_force(&mut self, period: &Period, rejection_odds: f64) -> Option<Found> {
+    fn observe_in_force(&mut self, period: &Period, rejection_odds: f64) -> Option<HarmFinding> {
         let part_count = self.parts.len() as f64;
         let mut mean_odds = 0.0;
-        let mut worst: Option<(f64, &Found)> = None;
+        let mut worst: Option<(f64, &HarmFinding)> = None;
         for part in &mut self.parts {
             if let Some(observation) = part.comparison.observe(period, self.announced_loss) {
                 part.evidence.add(&observation);
@@ -165,7 +166,7 @@
             }
         }
         let (_, finding) = worst.filter(|_| mean_odds >= rejection_odds)?;
-        Some(Found { odds: mean_odds, ..finding.clone() })
+        Some(HarmFinding { odds: mean_odds, ..finding.clone() })
     }
 
     /// Returns the number of consecutive recovered periods after this one.
--- a/crates/director/change-analysis/tests/trials.rs
+++ b/crates/director/change-analysis/tests/trials.rs
@@ -1,7 +1,8 @@
-//! Change analysis on random fleets and on constructed reports: which changes are rejected, how soon, and which are not.
+//! Change analysis on random fleets and on constructed reports: which changes are rejected, how soon, and which are
+//! not.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
-use coppersail_change_analysis::{Judge, Part, Touch, TrialId};
+use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, ServicePart, TrialId};
 use test_case::test_case;
 
 #[path = "../examples/fleet_model/mod.rs"]
@@ -81,7 +82,7 @@
         let touch = fleet.touch_one_in(1);
         let outcome = fleet.run_trial(&touch, &|_, _, _| harm, 60);
         let (at, found) = outcome.first_finding.expect("found");
-        assert!(at <= 30.0 && found.unsure(), "seed {seed}: {at} s, {found}");
+        assert!(at <= 30.0 && found.is_uncertain(), "seed {seed}: {at} s, {found}");
         assert!(outcome.undone.is_some(), "seed {seed}: {:?}", outcome.resumed_at);
     }
 }
@@ -93,7 +94,7 @@
     let touch = fleet.touch_one_in(5);
     let harm = |slice, route, _| if is_touched(slice) && route == 1 { 0.8 } else { 0.0 };
     let (at, found) = fleet.run_trial(&touch, &harm, 60).undone.expect("found");
-    assert_eq!(found.part, Part::Route(RouteId(1)));
+    assert_eq!(found.part, ServicePart::Route(RouteId(1)));
     assert!(at <= 60.0, "{at} s");
 }
 
@@ -109,7 +110,7 @@
 #[test]
 fn a_touched_route_has_the_other_routes_as_control_group() {
     let mut fleet = Fleet::new(3, Noise::FleetOutage, 1.5);
-    let touch = Touch { routes: [RouteId(1)].into(), ..Touch::default() };
+    let touch = ChangeScope { routes: [RouteId(1)].into(), ..ChangeScope::default() };
     let (_, found) = fleet.run_trial(&touch, &|_, route, _| 0.2 * route as f64, 60).undone.expect("found");
     assert!(found.untouched.is_some());
     for seed in 0..20 {
@@ -119,38 +120,43 @@
 }
 
 /// Reports seconds of ten calls for each of ten slices, `lost` of them by slice. Returns the rejected trials.
-fn run_seconds(judge: &mut Judge, from: usize, count: usize, lost: impl Fn(u16) -> u64) -> Vec<TrialId> {
+fn run_seconds(
+    judge: &mut ChangeAnalysis,
+    from: usize,
+    count: usize,
+    lost: impl Fn(u16) -> u64,
+) -> Vec<TrialId> {
     let mut rejected = Vec::new();
     for second in from..from + count {
         for slice in 0..10 {
-            judge.demand(SliceId(slice), RouteId(0), 10, lost(slice));
-            judge.tries(HostId(slice.into()), 10, lost(slice), 0.1);
+            judge.report_calls(SliceId(slice), RouteId(0), 10, lost(slice));
+            judge.report_attempts(HostId(slice.into()), 10, lost(slice), 0.1);
         }
-        rejected.extend(judge.close((second + 1) as f64).into_iter().map(|(id, _)| id));
+        rejected.extend(judge.close_periods((second + 1) as f64).into_iter().map(|(id, _)| id));
     }
     rejected
 }
 
-fn slices(numbers: &[u16]) -> Touch {
-    Touch { slices: numbers.iter().map(|number| SliceId(*number)).collect(), ..Touch::default() }
+fn slices(numbers: &[u16]) -> ChangeScope {
+    ChangeScope { slices: numbers.iter().map(|number| SliceId(*number)).collect(), ..ChangeScope::default() }
 }
 
 #[test]
 fn of_two_disjoint_trials_only_the_harmful_one_is_rejected() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.watch(TrialId(1), slices(&[0, 1]), 0.0);
-    judge.watch(TrialId(2), slices(&[2, 3]), 0.0);
+    judge.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
+    judge.start_trial(TrialId(2), slices(&[2, 3]), 0.0);
     let found = run_seconds(&mut judge, 20, 20, |slice| if slice == 2 || slice == 3 { 3 } else { 0 });
     assert!(!found.is_empty() && found.iter().all(|id| *id == TrialId(2)), "{found:?}");
 }
 
 #[test]
 fn of_two_overlapping_trials_the_later_one_is_rejected_first() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.watch(TrialId(1), slices(&[0, 1]), 0.0);
-    judge.watch(TrialId(2), slices(&[0, 1]), 0.0);
+    judge.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
+    judge.start_trial(TrialId(2), slices(&[0, 1]), 0.0);
     let found = run_seconds(&mut judge, 20, 6, |slice| if slice < 2 { 5 } else { 0 });
     assert_eq!(found.first(), Some(&TrialId(2)));
     assert!(!found.contains(&TrialId(1)), "its evidence begins anew");
@@ -158,31 +164,31 @@
 
 #[test]
 fn an_announced_loss_is_no_harm() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.watch(TrialId(1), slices(&[0, 1]), 40.0);
+    judge.start_trial(TrialId(1), slices(&[0, 1]), 40.0);
     assert_eq!(run_seconds(&mut judge, 20, 30, |slice| if slice < 2 { 3 } else { 0 }), vec![]);
 }
 
 #[test]
 fn a_trial_without_reports_has_insufficient_evidence() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
-    assert!(judge.baseline());
-    judge.watch(TrialId(1), slices(&[0]), 0.0);
+    assert!(judge.has_baseline());
+    judge.start_trial(TrialId(1), slices(&[0]), 0.0);
     run_seconds(&mut judge, 20, 10, |_| 0);
-    assert_eq!(judge.close(80.0), vec![]);
-    assert!(!judge.believed(TrialId(1), 60.0));
+    assert_eq!(judge.close_periods(80.0), vec![]);
+    assert!(!judge.has_sufficient_reports(TrialId(1), 60.0));
     run_seconds(&mut judge, 80, 25, |_| 0);
-    assert!(judge.believed(TrialId(1), 60.0));
+    assert!(judge.has_sufficient_reports(TrialId(1), 60.0));
 }
 
 #[test]
 fn a_change_to_most_hosts_has_no_control_group() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
     let hosts = (0..5).map(HostId).collect();
-    judge.watch(TrialId(1), Touch { hosts, ..slices(&[0, 1, 2, 3, 4]) }, 0.0);
+    judge.start_trial(TrialId(1), ChangeScope { hosts, ..slices(&[0, 1, 2, 3, 4]) }, 0.0);
     // The untouched hosts are overloaded by what the touched ones shed, so their loss is the change's harm too.
     let found = run_seconds(&mut judge, 20, 20, |_| 3);
     assert_eq!(found.first(), Some(&TrialId(1)));
@@ -190,23 +196,23 @@
 
 #[test]
 fn a_suspended_trial_recovers_only_after_a_lasting_calm_and_keeps_its_baseline() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
     let all: Vec<u16> = (0..10).collect();
-    judge.watch(TrialId(1), slices(&all), 0.0);
+    judge.start_trial(TrialId(1), slices(&all), 0.0);
     assert_eq!(run_seconds(&mut judge, 20, 8, |_| 3).first(), Some(&TrialId(1)));
-    judge.set_aside(TrialId(1));
+    judge.suspend(TrialId(1));
     // The fleet goes on losing calls, pauses, and loses again: a change out of force is not rejected.
     assert_eq!(run_seconds(&mut judge, 28, 100, |_| 3), vec![]);
     run_seconds(&mut judge, 128, 6, |_| 0);
-    assert!(!judge.calm(TrialId(1)));
+    assert!(!judge.has_recovered(TrialId(1)));
     run_seconds(&mut judge, 134, 3, |_| 3);
     run_seconds(&mut judge, 137, 8, |_| 0);
-    assert!(!judge.calm(TrialId(1)), "a pause is no recovery");
+    assert!(!judge.has_recovered(TrialId(1)), "a pause is no recovery");
     run_seconds(&mut judge, 145, 8, |_| 0);
-    assert!(judge.calm(TrialId(1)));
+    assert!(judge.has_recovered(TrialId(1)));
     judge.resume(TrialId(1));
-    assert!(!judge.calm(TrialId(1)) && judge.heard(TrialId(1)) == 0);
+    assert!(!judge.has_recovered(TrialId(1)) && judge.observed_periods(TrialId(1)) == 0);
     // A minute of trouble has passed by now, but the baseline is the time before the change was first in force.
     let found = run_seconds(&mut judge, 153, 8, |_| 1);
     assert_eq!(found.first(), Some(&TrialId(1)));
@@ -214,11 +220,11 @@
 
 #[test]
 fn slices_added_to_a_trial_are_compared_with_its_original_baseline() {
-    let mut judge = Judge::new(1.0, vec![1.0], 1.0);
+    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
     run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.watch(TrialId(1), slices(&[0]), 0.0);
+    judge.start_trial(TrialId(1), slices(&[0]), 0.0);
     run_seconds(&mut judge, 20, 3, |_| 0);
-    judge.touches(TrialId(1), [SliceId(1)]);
+    judge.extend_scope(TrialId(1), [SliceId(1)]);
     assert_eq!(
         run_seconds(&mut judge, 23, 20, |slice| if slice == 1 { 3 } else { 0 }).first(),
         Some(&TrialId(1))
--- a/crates/director/changes/src/act.rs
+++ b/crates/director/changes/src/act.rs
@@ -6,28 +6,28 @@
 
 /// An effect that the caller carries out, in order.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Act {
+pub enum ChangeEffect {
     /// Append the record to the log's file. Of [`Record::Accepted`] the result is to be reported, by
-    /// [`crate::Book::written`] or [`crate::Book::unwritten`].
+    /// [`crate::ChangeLog::written`] or [`crate::ChangeLog::unwritten`].
     Write(Record),
     /// The director uses this document from now on. When the proxies have what comes of it,
-    /// [`crate::Book::settled`] is to be called.
-    Give {
+    /// [`crate::ChangeLog::applied`] is to be called.
+    ApplyDocument {
         /// The change because of which the document is replaced.
         by: Version,
         /// All fields in force.
         document: Document,
     },
     /// Start the analysis of the change's effect.
-    Watch(Version),
+    StartAnalysis(Version),
     /// End it.
-    Unwatch(Version),
+    EndAnalysis(Version),
     /// The change is suspended: the analysis is to observe whether service recovers without it.
-    SetAside(Version),
+    SuspendAnalysis(Version),
     /// The change is in force again, for its second trial.
-    Resume(Version),
+    ResumeAnalysis(Version),
     /// Write a line to the program's log.
-    Say {
+    Log {
         /// The change that it is about, if any.
         about: Option<Version>,
         /// One line.
@@ -37,11 +37,11 @@
 
 /// State of the change analysis.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Ready {
+pub struct AnalysisState {
     /// It has enough reports of the time before to compare with.
-    pub baseline: bool,
+    pub has_baseline: bool,
     /// It has enough reports of this change's trial.
-    pub heard: bool,
+    pub has_reports: bool,
     /// Service has recovered without this change, which is set aside.
-    pub calm: bool,
+    pub has_recovered: bool,
 }
--- a/crates/director/changes/src/change_log/recovery.rs
+++ b/crates/director/changes/src/change_log/recovery.rs
@@ -2,12 +2,12 @@
 
 use super::undo::Undo;
 use super::ChangeLog;
-use crate::act::Act;
+use crate::act::ChangeEffect;
 use crate::change::Version;
-use crate::host_pool::Pool;
+use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::record_error::RecordError;
-use crate::stage::{Keep, Stage, Why};
+use crate::stage::{EndReason, Keep, Stage};
 use coppersail_operator_config::{Document, Edits};
 
 /// The version of what the operators' file holds at the first start; no change has it, so it cannot be undone.
@@ -62,7 +62,7 @@
 
     /// Goes on after [`ChangeLog::recover`]. Staged changes stay staged. Changes on trial are undone: the baseline that
     /// they are compared with is lost, and they may be why the director stopped.
-    pub fn resume(&mut self, now: f64, wall: f64, pool: &Pool) -> Vec<Act> {
+    pub fn resume(&mut self, now: f64, wall: f64, pool: &HostPool) -> Vec<ChangeEffect> {
         let all: Vec<(Version, Stage)> =
             self.changes.values().map(|change| (change.number, change.stage.clone())).collect();
         let mut acts = Vec::new();
@@ -78,8 +78,8 @@
         wall: f64,
         number: Version,
         stage: &Stage,
-        pool: &Pool,
-    ) -> Vec<Act> {
+        pool: &HostPool,
+    ) -> Vec<ChangeEffect> {
         match stage {
             Stage::Checked => {
                 self.activate(number, now);
@@ -93,8 +93,10 @@
             Stage::Applied if self.is_undo(number) => {
                 self.transition_and_record(wall, number, Stage::Kept(Keep::Undoing))
             }
-            Stage::Applied | Stage::Trial => self.undo_by_new_change(now, wall, number, Why::Restarted, pool),
-            Stage::Aside { .. } => self.end_set_aside(wall, number, Why::Restarted),
+            Stage::Applied | Stage::Trial => {
+                self.undo_by_new_change(now, wall, number, EndReason::Restarted, pool)
+            }
+            Stage::Suspended { .. } => self.end_set_aside(wall, number, EndReason::Restarted),
             Stage::Drafted | Stage::Kept(_) | Stage::Undone(_) | Stage::Dropped(_) => Vec::new(),
         }
     }
--- a/crates/director/changes/src/change_log/submission.rs
+++ b/crates/director/changes/src/change_log/submission.rs
@@ -1,13 +1,13 @@
 //! Submissions: validation, conflicts, idempotent resubmission, drafts, durability; and freezing, which refuses them.
 
 use super::{ActiveChange, ChangeLog};
-use crate::act::Act;
+use crate::act::ChangeEffect;
 use crate::change::{Submission, Version};
-use crate::host_pool::Pool;
+use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::refusal::Refusal;
-use crate::stage::{Keep, Stage, Why};
-use coppersail_operator_config::{check_edit, Edits, Field, Known, Value};
+use crate::stage::{EndReason, Keep, Stage};
+use coppersail_operator_config::{check_edit, Edits, Field, SettingsNames, Value};
 
 /// Length of a trial where neither the change nor the document sets one, seconds: twice the time within which a loss of
 /// five points is found.
@@ -41,9 +41,9 @@
         now: f64,
         wall: f64,
         submission: Submission,
-        known: &Known,
-        pool: &Pool,
-    ) -> Result<(Version, Vec<Act>), Refusal> {
+        known: &SettingsNames,
+        pool: &HostPool,
+    ) -> Result<(Version, Vec<ChangeEffect>), Refusal> {
         if let Some(number) = self.submitted_before(&submission.token) {
             return Ok((number, vec![]));
         }
@@ -62,7 +62,7 @@
             self.activate(number, now);
         }
         let record = Record::Accepted { number, wall, submission };
-        Ok((number, vec![Act::Say { about: Some(number), text }, Act::Write(record)]))
+        Ok((number, vec![ChangeEffect::Log { about: Some(number), text }, ChangeEffect::Write(record)]))
     }
 
     /// The change that was submitted with this idempotency token.
@@ -83,8 +83,8 @@
     fn validate(
         &self,
         submission: &Submission,
-        known: &Known,
-        pool: &Pool,
+        known: &SettingsNames,
+        pool: &HostPool,
         except: Option<Version>,
     ) -> Result<(), Refusal> {
         if let Some((who, why)) = &self.frozen {
@@ -168,9 +168,9 @@
         now: f64,
         wall: f64,
         number: Version,
-        known: &Known,
-        pool: &Pool,
-    ) -> Result<Vec<Act>, Refusal> {
+        known: &SettingsNames,
+        pool: &HostPool,
+    ) -> Result<Vec<ChangeEffect>, Refusal> {
         let change = self.find(number)?;
         if change.stage != Stage::Drafted {
             return Err(Refusal::NotIn { number, stage: change.stage.name(), wanted: "drafted" });
@@ -184,41 +184,41 @@
     }
 
     /// The change is durable: its author may be answered, and it may be applied.
-    pub fn written(&mut self, wall: f64, number: Version) -> Vec<Act> {
+    pub fn written(&mut self, wall: f64, number: Version) -> Vec<ChangeEffect> {
         if self.stage(number) == Some(&Stage::Checked) {
             return self.transition_and_record(wall, number, Stage::Staged);
         }
         Vec::new()
     }
 
-    /// The log's file has failed: the change, if it was about one, is dropped, and no other is accepted until a restart.
-    /// Changes on trial may still be undone.
-    pub fn unwritten(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<Act> {
+    /// The log's file has failed: the change, if it was about one, is dropped, and no other is accepted until a
+    /// restart. Changes on trial may still be undone.
+    pub fn unwritten(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<ChangeEffect> {
         let mut acts = Vec::new();
         if self.write_error.is_none() {
             self.write_error = Some(why.to_string());
             let text = format!("history: cannot be written, no change is taken before a start: {why}");
-            acts.push(Act::Say { about: None, text });
+            acts.push(ChangeEffect::Log { about: None, text });
         }
         let Some(number) = number else { return acts };
         if matches!(self.stage(number), Some(Stage::Checked | Stage::Drafted)) {
-            let why = Why::Unwritten { why: why.to_string() };
+            let why = EndReason::Unwritten { why: why.to_string() };
             acts.extend(self.transition_and_record(wall, number, Stage::Dropped(why)));
         }
         acts
     }
 
     /// Refuses all submissions until [`ChangeLog::thaw`]. Trials go on, and changes may still be undone.
-    pub fn freeze(&mut self, wall: f64, who: String, why: String) -> Vec<Act> {
+    pub fn freeze(&mut self, wall: f64, who: String, why: String) -> Vec<ChangeEffect> {
         let text = format!("changes frozen by {who}: {why}");
         self.frozen = Some((who.clone(), why.clone()));
-        vec![Act::Write(Record::Frozen { wall, who, why }), Act::Say { about: None, text }]
+        vec![ChangeEffect::Write(Record::Frozen { wall, who, why }), ChangeEffect::Log { about: None, text }]
     }
 
     /// Accepts submissions again.
-    pub fn thaw(&mut self, wall: f64, who: String) -> Vec<Act> {
+    pub fn thaw(&mut self, wall: f64, who: String) -> Vec<ChangeEffect> {
         self.frozen = None;
         let text = format!("changes thawed by {who}");
-        vec![Act::Write(Record::Thawed { wall, who }), Act::Say { about: None, text }]
+        vec![ChangeEffect::Write(Record::Thawed { wall, who }), ChangeEffect::Log { about: None, text }]
     }
 }
--- a/crates/director/changes/src/change_log/tests/mod.rs
+++ b/crates/director/changes/src/change_log/tests/mod.rs
@@ -6,27 +6,27 @@
 mod trial;
 mod undo;
 
-use crate::act::{Act, Ready};
+use crate::act::{AnalysisState, ChangeEffect};
 use crate::change::{Submission, Version};
 use crate::change_log::ChangeLog;
-use crate::host_pool::{Pool, PoolHost};
-use crate::stage::{Keep, Stage, Why};
-use coppersail_operator_config::{Edits, Field, Known, KnownRoute};
+use crate::host_pool::{HostPool, PoolHost};
+use crate::stage::{EndReason, Keep, Stage};
+use coppersail_operator_config::{Edits, Field, RouteName, SettingsNames};
 
-fn known() -> Known {
-    let routes = vec![KnownRoute { name: "r".into(), repeatable: true }];
-    Known { zones: vec!["z".into()], routes, slices: 4, admits: true }
+fn known() -> SettingsNames {
+    let routes = vec![RouteName { name: "r".into(), repeatable: true }];
+    SettingsNames { zones: vec!["z".into()], routes, slices: 4, admits: true }
 }
 
-fn pool(hosts: usize) -> Pool {
+fn pool(hosts: usize) -> HostPool {
     let host = |k| (format!("h{k}"), PoolHost { ready: true, warm: true, carries: 10.0 });
-    Pool { hosts: (0..hosts).map(host).collect(), calls: 0.0 }
+    HostPool { hosts: (0..hosts).map(host).collect(), calls: 0.0 }
 }
 
 fn edits(fields: &[(&str, &str)]) -> Edits {
     let edit = |(path, value): &(&str, &str)| {
         let field: Field = path.parse().unwrap();
-        let value = field.value(value).unwrap();
+        let value = field.parse_value(value).unwrap();
         (field, value)
     };
     fields.iter().map(edit).collect()
@@ -42,14 +42,15 @@
     }
 }
 
-const REPORTS_RECEIVED: Ready = Ready { baseline: true, heard: true, calm: false };
+const REPORTS_RECEIVED: AnalysisState =
+    AnalysisState { has_baseline: true, has_reports: true, has_recovered: false };
 
 /// Submits a change and brings it on trial.
 fn on_trial(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
     let (number, _) = log.submit(now, 0.0, submitted, &known(), &pool(4)).unwrap();
     log.written(0.0, number);
     log.tick(now, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    log.settled(now, 0.0, number);
+    log.applied(now, 0.0, number);
     assert!(matches!(log.stage(number), Some(Stage::Trial | Stage::Kept(_))));
     number
 }
--- a/crates/director/changes/src/change_log/tests/recovery.rs
+++ b/crates/director/changes/src/change_log/tests/recovery.rs
@@ -28,9 +28,9 @@
     }
 }
 
-fn written_records(acts: Vec<Act>) -> impl Iterator<Item = Record> {
+fn written_records(acts: Vec<ChangeEffect>) -> impl Iterator<Item = Record> {
     acts.into_iter().filter_map(|act| match act {
-        Act::Write(record) => Some(record),
+        ChangeEffect::Write(record) => Some(record),
         _ => None,
     })
 }
@@ -44,9 +44,9 @@
         let submitted =
             Submission { trial: Some(0.0), ..submission(log.head().0, "a", &[("hosts.h0.weight", &weight)]) };
         let (number, acts) = log.submit(k as f64, 0.0, submitted, &known(), &pool(4)).unwrap();
-        let mut acts: Vec<Act> = acts.into_iter().chain(log.written(0.0, number)).collect();
+        let mut acts: Vec<ChangeEffect> = acts.into_iter().chain(log.written(0.0, number)).collect();
         acts.extend(log.tick(k as f64, 0.0, &pool(4), &|_| REPORTS_RECEIVED));
-        acts.extend(log.settled(k as f64, 0.0, number));
+        acts.extend(log.applied(k as f64, 0.0, number));
         records.extend(written_records(acts));
     }
     assert_eq!((log.changes().count(), log.document().len()), (MAX_ENDED, 1));
@@ -98,14 +98,18 @@
             }
             4 => log.stage_draft(now, 0.0, number, &known(), &pool(4)).unwrap_or_default(),
             5 => log.undo(now, 0.0, number, operator(), &pool(4)).unwrap_or_default(),
-            6 => log.harmful(now, 0.0, number, ("found".into(), random.bool()), &pool(4)),
+            6 => log.report_harm(now, 0.0, number, ("found".into(), random.bool()), &pool(4)),
             7 => log.confirm(0.0, number, "op".into()).unwrap_or_default(),
             _ => {
                 let (heard, calm) = (random.bool(), random.bool());
-                let mut acts = log.tick(now, 0.0, &pool(4), &|_| Ready { baseline: true, heard, calm });
+                let mut acts = log.tick(now, 0.0, &pool(4), &|_| AnalysisState {
+                    has_baseline: true,
+                    has_reports: heard,
+                    has_recovered: calm,
+                });
                 let applied: Vec<Version> = log.active.keys().copied().collect();
                 if random.u8(0..4) > 0 {
-                    acts.extend(applied.into_iter().flat_map(|number| log.settled(now, 0.0, number)));
+                    acts.extend(applied.into_iter().flat_map(|number| log.applied(now, 0.0, number)));
                 }
                 acts
             }
@@ -132,8 +136,8 @@
     }
 }
 
-/// A start from these records loses and duplicates nothing, leaves no change on trial, and a second crash right after it
-/// recovers the same state.
+/// A start from these records loses and duplicates nothing, leaves no change on trial, and a second crash right after
+/// it recovers the same state.
 fn assert_recovers(records: &[Record], case: &str) {
     let mut log = ChangeLog::recover(records.to_vec()).unwrap_or_else(|error| panic!("{case}: {error}"));
     let adds_change = |record: &&Record| matches!(record, Record::Accepted { .. } | Record::Undo { .. });
@@ -141,7 +145,7 @@
     assert_eq!(log.changes.len(), accepted, "{case}: none lost, none duplicated");
     let acts = log.resume(0.0, 0.0, &pool(4));
     let is_unresolved =
-        |change: &&Change| matches!(change.stage, Stage::Trial | Stage::Checked | Stage::Aside { .. });
+        |change: &&Change| matches!(change.stage, Stage::Trial | Stage::Checked | Stage::Suspended { .. });
     assert_eq!(log.changes.values().filter(is_unresolved).count(), 0, "{case}");
     assert_eq!(log.document(), &expected_document(&log), "{case}");
     let all_records = records.iter().cloned().chain(written_records(acts));
--- a/crates/director/changes/src/change_log/tests/set_aside.rs
+++ b/crates/director/changes/src/change_log/tests/set_aside.rs
@@ -7,13 +7,15 @@
 /// Brings a change on trial, and sets it aside for harm that a fault of the whole fleet may have caused.
 fn set_aside_change(log: &mut ChangeLog, fields: &[(&str, &str)]) -> Version {
     let number = on_trial(log, 0.0, submission(0, "a", fields));
-    let acts = log.harmful(5.0, 0.0, number, ("found".into(), true), &pool(4));
-    assert!(acts.contains(&Act::SetAside(number)) && log.document().is_empty());
-    assert!(acts.iter().any(|act| matches!(act, Act::Give { document, .. } if document.is_empty())));
+    let acts = log.report_harm(5.0, 0.0, number, ("found".into(), true), &pool(4));
+    assert!(acts.contains(&ChangeEffect::SuspendAnalysis(number)) && log.document().is_empty());
+    assert!(acts
+        .iter()
+        .any(|act| matches!(act, ChangeEffect::ApplyDocument { document, .. } if document.is_empty())));
     number
 }
 
-const RECOVERED: Ready = Ready { baseline: true, heard: true, calm: true };
+const RECOVERED: AnalysisState = AnalysisState { has_baseline: true, has_reports: true, has_recovered: true };
 
 #[test]
 fn a_change_that_is_set_aside_is_retried_after_recovery_and_then_kept_or_undone() {
@@ -25,15 +27,15 @@
             vec![],
             "its withdrawal has not reached the proxies"
         );
-        log.settled(7.0, 0.0, number);
+        log.applied(7.0, 0.0, number);
         assert_eq!(log.tick(8.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "service has not recovered");
         let acts = log.tick(9.0, 0.0, &pool(4), &|_| RECOVERED);
-        assert!(acts.contains(&Act::Resume(number)) && log.document().len() == 1);
-        log.settled(10.0, 0.0, number);
+        assert!(acts.contains(&ChangeEffect::ResumeAnalysis(number)) && log.document().len() == 1);
+        log.applied(10.0, 0.0, number);
         if harm_again {
-            log.harmful(12.0, 0.0, number, ("found".into(), true), &pool(4));
+            log.report_harm(12.0, 0.0, number, ("found".into(), true), &pool(4));
             assert!(
-                matches!(log.stage(number), Some(Stage::Undone(Why::Harm { found })) if found.contains("second"))
+                matches!(log.stage(number), Some(Stage::Undone(EndReason::Harm { found })) if found.contains("second"))
             );
             assert!(log.document().is_empty());
         } else {
@@ -54,7 +56,7 @@
     let (other, _) = log.submit(6.0, 0.0, submitted, &known(), &pool(4)).unwrap();
     log.written(0.0, other);
     assert_eq!(log.tick(6.5, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![]);
-    log.settled(7.0, 0.0, number);
+    log.applied(7.0, 0.0, number);
     log.tick(7.5, 0.0, &pool(4), &|_| RECOVERED);
     assert_eq!(log.stage(number), Some(&Stage::Applied), "one at a time");
     assert_eq!(log.stage(other), Some(&Stage::Staged));
@@ -64,21 +66,21 @@
 fn a_drain_that_would_leave_too_few_hosts_by_now_is_not_retried() {
     let mut log = ChangeLog::default();
     let number = set_aside_change(&mut log, &[("hosts.h0.drained", "true"), ("hosts.h1.drained", "true")]);
-    log.settled(7.0, 0.0, number);
+    log.applied(7.0, 0.0, number);
     // The other hosts have left the list meanwhile.
     let mut left = pool(4);
     left.hosts.retain(|name, _| name == "h0" || name == "h1");
     log.tick(9.0, 0.0, &left, &|_| RECOVERED);
-    assert!(matches!(log.stage(number), Some(Stage::Undone(Why::Stale { .. }))));
+    assert!(matches!(log.stage(number), Some(Stage::Undone(EndReason::Stale { .. }))));
     assert!(log.document().is_empty());
 }
 
-#[test_case(false, 306.0, Why::NeverCalm ; "service never recovers")]
-#[test_case(true, 306.0, Why::NeverCalm ; "changes frozen for too long")]
-fn a_change_that_is_set_aside_too_long_is_undone(frozen: bool, at: f64, why: Why) {
+#[test_case(false, 306.0, EndReason::NeverCalm ; "service never recovers")]
+#[test_case(true, 306.0, EndReason::NeverCalm ; "changes frozen for too long")]
+fn a_change_that_is_set_aside_too_long_is_undone(frozen: bool, at: f64, why: EndReason) {
     let mut log = ChangeLog::default();
     let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
-    log.settled(7.0, 0.0, number);
+    log.applied(7.0, 0.0, number);
     if frozen {
         log.freeze(0.0, "op".into(), "until Monday".into());
     }
@@ -94,6 +96,9 @@
     let mut log = ChangeLog::default();
     let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
     let acts = log.undo(6.0, 0.0, number, operator(), &pool(4)).unwrap();
-    assert!(acts.contains(&Act::Unwatch(number)) && !acts.iter().any(|act| matches!(act, Act::Give { .. })));
-    assert!(matches!(log.stage(number), Some(Stage::Undone(Why::Asked { .. }))));
+    assert!(
+        acts.contains(&ChangeEffect::EndAnalysis(number))
+            && !acts.iter().any(|act| matches!(act, ChangeEffect::ApplyDocument { .. }))
+    );
+    assert!(matches!(log.stage(number), Some(Stage::Undone(EndReason::Asked { .. }))));
 }
--- a/crates/director/changes/src/change_log/tests/submission.rs
+++ b/crates/director/changes/src/change_log/tests/submission.rs
@@ -1,7 +1,7 @@
 //! Submissions that conflict, are invalid, sent twice, or made while changes are frozen.
 
 use super::*;
-use crate::host_pool::Pool;
+use crate::host_pool::HostPool;
 use crate::refusal::Refusal;
 use test_case::test_case;
 
@@ -13,8 +13,8 @@
     assert_eq!(log.tick(0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "not written yet");
     log.written(0.0, number);
     let acts = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert!(matches!(acts.last(), Some(Act::Give { by, .. }) if *by == number));
-    log.settled(0.3, 0.0, number);
+    assert!(matches!(acts.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
+    log.applied(0.3, 0.0, number);
     assert_eq!(log.stage(number), Some(&Stage::Trial));
     log.tick(60.4, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
     assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
@@ -69,7 +69,7 @@
 #[test_case(31.0, false ; "too little capacity")]
 fn a_drain_that_would_leave_too_little_capacity_is_refused(calls: f64, expected: bool) {
     let drain = submission(0, "a", &[("hosts.h0.drained", "true")]);
-    let pool = Pool { calls, ..pool(4) };
+    let pool = HostPool { calls, ..pool(4) };
     assert_eq!(ChangeLog::default().submit(0.0, 0.0, drain, &known(), &pool).is_ok(), expected);
 }
 
@@ -80,10 +80,10 @@
     let (second, _) =
         log.submit(1.0, 0.0, submission(0, "a", &[("hosts.h1.weight", "2")]), &known(), &pool(4)).unwrap();
     log.unwritten(0.0, Some(second), "disk full");
-    assert!(matches!(log.stage(second), Some(Stage::Dropped(Why::Unwritten { .. }))));
+    assert!(matches!(log.stage(second), Some(Stage::Dropped(EndReason::Unwritten { .. }))));
     let third = log.submit(2.0, 0.0, submission(0, "a", &[("hosts.h2.weight", "2")]), &known(), &pool(4));
     assert!(matches!(third, Err(Refusal::History(_))));
-    log.harmful(3.0, 0.0, first, ("found".into(), false), &pool(4));
+    log.report_harm(3.0, 0.0, first, ("found".into(), false), &pool(4));
     assert!(log.document().is_empty());
 }
 
--- a/crates/director/changes/src/change_log/tests/trial.rs
+++ b/crates/director/changes/src/change_log/tests/trial.rs
@@ -4,8 +4,8 @@
 use crate::change_log::trial::APPLY_TIMEOUT;
 use test_case::test_case;
 
-#[test_case(Ready { baseline: true, heard: false, calm: false }, Why::Unjudged ; "reports that stop")]
-fn a_trial_without_reports_is_undone_after_twice_its_length(ready: Ready, why: Why) {
+#[test_case(AnalysisState { has_baseline: true, has_reports: false, has_recovered: false }, EndReason::Unjudged ; "reports that stop")]
+fn a_trial_without_reports_is_undone_after_twice_its_length(ready: AnalysisState, why: EndReason) {
     let mut log = ChangeLog::default();
     let number = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
     log.tick(119.0, 0.0, &pool(4), &|_| ready);
@@ -22,8 +22,10 @@
     log.written(0.0, number);
     log.tick(0.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
     let acts = log.tick(APPLY_TIMEOUT + 0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert!(acts.iter().any(|act| matches!(act, Act::Give { document, .. } if document.is_empty())));
-    assert_eq!(log.stage(number), Some(&Stage::Undone(Why::Unsettled)));
+    assert!(acts
+        .iter()
+        .any(|act| matches!(act, ChangeEffect::ApplyDocument { document, .. } if document.is_empty())));
+    assert_eq!(log.stage(number), Some(&Stage::Undone(EndReason::Unsettled)));
 }
 
 #[test]
--- a/crates/director/changes/src/change_log/tests/undo.rs
+++ b/crates/director/changes/src/change_log/tests/undo.rs
@@ -10,9 +10,9 @@
     let weight =
         on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2"), ("hosts.h1.weight", "2")]));
     kept_change(&mut log, 1.0, submission(weight.0, "b", &[("hosts.h0.drained", "true")]));
-    let acts = log.harmful(2.0, 0.0, weight, ("found".into(), false), &pool(4));
+    let acts = log.report_harm(2.0, 0.0, weight, ("found".into(), false), &pool(4));
     let given = acts.iter().find_map(|act| match act {
-        Act::Give { document, .. } => Some(document.clone()),
+        ChangeEffect::ApplyDocument { document, .. } => Some(document.clone()),
         _ => None,
     });
     let drained = Document::from([("hosts.h0.drained".parse().unwrap(), Value::Flag(true))]);
@@ -28,7 +28,7 @@
     let acts = log.undo(2.0, 0.0, first, operator(), &pool(4)).unwrap();
     let weight = Document::from([("hosts.h0.weight".parse().unwrap(), Value::Number(5.0))]);
     assert_eq!(log.document(), &weight);
-    let named = |act: &Act| matches!(act, Act::Say { text, .. } if text.contains("later changes stand: hosts.h0.weight (change 2)"));
+    let named = |act: &ChangeEffect| matches!(act, ChangeEffect::Log { text, .. } if text.contains("later changes stand: hosts.h0.weight (change 2)"));
     assert!(acts.iter().any(named), "{acts:?}");
 }
 
@@ -59,7 +59,7 @@
     let mut log = ChangeLog::default();
     let one = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
     let two = on_trial(&mut log, 1.0, submission(0, "b", &[("hosts.h1.weight", "2")]));
-    log.harmful(2.0, 0.0, one, ("found".into(), false), &pool(4));
-    assert!(matches!(log.stage(one), Some(Stage::Undone(Why::Harm { .. }))));
+    log.report_harm(2.0, 0.0, one, ("found".into(), false), &pool(4));
+    assert!(matches!(log.stage(one), Some(Stage::Undone(EndReason::Harm { .. }))));
     assert_eq!(log.stage(two), Some(&Stage::Trial));
 }
--- a/crates/director/changes/src/change_log/transition.rs
+++ b/crates/director/changes/src/change_log/transition.rs
@@ -2,7 +2,7 @@
 //! ones go through the same code.
 
 use super::ChangeLog;
-use crate::act::Act;
+use crate::act::ChangeEffect;
 use crate::change::{Change, Submission, Version};
 use crate::record::Record;
 use crate::record_error::RecordError;
@@ -39,8 +39,8 @@
         match (&from, &to) {
             (Stage::Drafted, Stage::Checked) => self.histories.claim(number, &edits),
             (Stage::Checked, Stage::Staged) => self.staged.push_back(number),
-            (Stage::Staged | Stage::Aside { .. }, Stage::Applied) => self.enforce(number, &edits),
-            (_, Stage::Aside { .. }) => {
+            (Stage::Staged | Stage::Suspended { .. }, Stage::Applied) => self.enforce(number, &edits),
+            (_, Stage::Suspended { .. }) => {
                 self.histories.suspend(number, &edits);
                 self.refresh_document(edits.keys());
             }
@@ -62,19 +62,27 @@
     }
 
     /// Moves a change to another stage, and returns the record and log line of it; nothing if it cannot move there.
-    pub(super) fn transition_and_record(&mut self, wall: f64, number: Version, to: Stage) -> Vec<Act> {
+    pub(super) fn transition_and_record(
+        &mut self,
+        wall: f64,
+        number: Version,
+        to: Stage,
+    ) -> Vec<ChangeEffect> {
         let text = match &to {
             Stage::Kept(Keep::Confirmed { who }) => format!("kept, confirmed by {who}"),
             Stage::Kept(Keep::Judged) => "kept, its trial showed no harm".to_string(),
             Stage::Dropped(why) => format!("dropped, {why}"),
             Stage::Undone(why) => format!("undone while it was set aside, {why}"),
-            Stage::Aside { found } => format!("set aside until the fleet is well, {found}"),
+            Stage::Suspended { found } => format!("set aside until the fleet is well, {found}"),
             stage => stage.name().to_string(),
         };
         if self.transition(number, to.clone()).is_err() {
             return Vec::new();
         }
-        vec![Act::Write(Record::Moved { number, wall, stage: to }), Act::Say { about: Some(number), text }]
+        vec![
+            ChangeEffect::Write(Record::Moved { number, wall, stage: to }),
+            ChangeEffect::Log { about: Some(number), text },
+        ]
     }
 
     /// What the change sets is in force from now on.
--- a/crates/director/changes/src/change_log/undo.rs
+++ b/crates/director/changes/src/change_log/undo.rs
@@ -1,13 +1,13 @@
 //! Undoing: a new change restores, for each field that the undone one still determines, the value below it.
 
 use super::{ActiveChange, ChangeLog};
-use crate::act::Act;
+use crate::act::ChangeEffect;
 use crate::change::{Change, Submission, Version};
-use crate::host_pool::Pool;
+use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::record_error::RecordError;
 use crate::refusal::Refusal;
-use crate::stage::{Stage, Why};
+use crate::stage::{EndReason, Stage};
 use coppersail_operator_config::{Edits, Field};
 use std::collections::BTreeSet;
 
@@ -20,7 +20,7 @@
     pub(super) number: Version,
     pub(super) of: Version,
     pub(super) wall: f64,
-    pub(super) why: &'a Why,
+    pub(super) why: &'a EndReason,
     pub(super) lost: &'a [Field],
 }
 
@@ -36,15 +36,15 @@
         wall: f64,
         number: Version,
         (who, why): (String, String),
-        pool: &Pool,
-    ) -> Result<Vec<Act>, Refusal> {
+        pool: &HostPool,
+    ) -> Result<Vec<ChangeEffect>, Refusal> {
         let change = self.find(number)?;
-        let (why, stage) = (Why::Asked { who, why }, change.stage.name());
+        let (why, stage) = (EndReason::Asked { who, why }, change.stage.name());
         match change.stage {
             Stage::Drafted | Stage::Checked | Stage::Staged => {
                 Ok(self.transition_and_record(wall, number, Stage::Dropped(why)))
             }
-            Stage::Aside { .. } => Ok(self.end_set_aside(wall, number, why)),
+            Stage::Suspended { .. } => Ok(self.end_set_aside(wall, number, why)),
             Stage::Applied | Stage::Trial | Stage::Kept(_) if change.undoes.is_none() => {
                 Ok(self.undo_by_new_change(now, wall, number, why, pool))
             }
@@ -53,9 +53,9 @@
     }
 
     /// Undoes a change that is set aside. None of it is in force, so there is nothing to restore.
-    pub(super) fn end_set_aside(&mut self, wall: f64, number: Version, why: Why) -> Vec<Act> {
+    pub(super) fn end_set_aside(&mut self, wall: f64, number: Version, why: EndReason) -> Vec<ChangeEffect> {
         let mut acts = self.transition_and_record(wall, number, Stage::Undone(why));
-        acts.push(Act::Unwatch(number));
+        acts.push(ChangeEffect::EndAnalysis(number));
         acts
     }
 
@@ -65,9 +65,9 @@
         now: f64,
         wall: f64,
         of: Version,
-        why: Why,
-        pool: &Pool,
-    ) -> Vec<Act> {
+        why: EndReason,
+        pool: &HostPool,
+    ) -> Vec<ChangeEffect> {
         let Some(change) = self.changes.get(&of) else { return Vec::new() };
         let number = Version(self.newest.0 + 1);
         let text = self.undo_text(change, number, &why);
@@ -79,16 +79,16 @@
         // It is applied at once; its time in the stage shows for how long the proxies have not had it.
         self.active.insert(number, ActiveChange::new(now, 0.0));
         vec![
-            Act::Say { about: Some(of), text },
-            Act::Unwatch(of),
+            ChangeEffect::Log { about: Some(of), text },
+            ChangeEffect::EndAnalysis(of),
             // The document is replaced whether or not the record can be written.
             self.give(number),
-            Act::Write(Record::Undo { number, of, wall, why, lost }),
+            ChangeEffect::Write(Record::Undo { number, of, wall, why, lost }),
         ]
     }
 
     /// The log line of an undo; it names the fields that later changes have set.
-    fn undo_text(&self, change: &Change, number: Version, why: &Why) -> String {
+    fn undo_text(&self, change: &Change, number: Version, why: &EndReason) -> String {
         let later = change.submission.edits.keys().filter_map(|field| {
             let by = self.histories.effective(field).filter(|by| *by != change.number)?;
             Some(format!("{field} (change {by})"))
--- a/crates/director/changes/src/host_pool.rs
+++ b/crates/director/changes/src/host_pool.rs
@@ -20,7 +20,7 @@
 
 /// The hosts as the director knows them now.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Pool {
+pub struct HostPool {
     /// Each host by its name.
     pub hosts: BTreeMap<String, PoolHost>,
     /// Offered load, calls a second; 0 where it is unknown.
@@ -36,7 +36,7 @@
     pub(crate) text: String,
 }
 
-impl Pool {
+impl HostPool {
     /// Whether the host is in the endpoint list.
     pub fn knows(&self, host: &str) -> bool {
         self.hosts.contains_key(host)
@@ -111,7 +111,7 @@
     let mut excluded_hosts: BTreeMap<u16, usize> = BTreeMap::new();
     for field in document.keys() {
         match field {
-            Field::Apart(slice, host) if available.contains(host.as_str()) => {
+            Field::AntiAffinity(slice, host) if available.contains(host.as_str()) => {
                 *excluded_hosts.entry(*slice).or_default() += 1;
             }
             _ => {}
--- a/crates/director/changes/src/lib.rs
+++ b/crates/director/changes/src/lib.rs
@@ -1,5 +1,5 @@
 //! The life of an operators' change, as a pure state machine: it reads no clock and does no I/O. What is to be done is
-//! returned as [`Act`]s; what is to be stored as [`Record`]s, from which the same state is rebuilt.
+//! returned as [`ChangeEffect`]s; what is to be stored as [`Record`]s, from which the same state is rebuilt.
 //!
 //! A change is drafted, checked, staged, applied, on trial, and in the end kept or undone ([`Stage`]). Changes are
 //! numbered, and the number of the newest one is the version of the configuration ([`Version`]). An undo is a change of
@@ -16,13 +16,12 @@
 mod refusal;
 mod stage;
 
-pub use act::{Act, Ready};
+pub use act::{AnalysisState, ChangeEffect};
 pub use change::{Change, Submission, Version};
-// The service still calls it `Book`.
-pub use change_log::ChangeLog as Book;
-pub use host_pool::{Pool, PoolHost};
-pub use planned_shutdown::{announced, Leaving, EXPIRES, LEAD};
+pub use change_log::ChangeLog;
+pub use host_pool::{HostPool, PoolHost};
+pub use planned_shutdown::{announced, ShutdownPhase, EXPIRES, LEAD};
 pub use record::Record;
 pub use record_error::RecordError;
 pub use refusal::Refusal;
-pub use stage::{Keep, Stage, Why};
+pub use stage::{EndReason, Keep, Stage};
--- a/crates/director/changes/src/planned_shutdown.rs
+++ b/crates/director/changes/src/planned_shutdown.rs
@@ -9,13 +9,13 @@
 /// How long after the announced time an announcement expires, seconds: a cancelled deployment must not keep a healthy
 /// host empty. A deployment that is later than that has to announce again.
 pub const EXPIRES: f64 = 120.0;
-/// How long a host is assumed to be down, seconds, as its return is not announced: hosts that shut down within this time
-/// of each other are down together.
+/// How long a host is assumed to be down, seconds, as its return is not announced: hosts that shut down within this
+/// time of each other are down together.
 const ASSUMED_DOWNTIME: f64 = 30.0;
 
 /// The phase of a planned shutdown.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Leaving {
+pub enum ShutdownPhase {
     /// In the future; the capacity guard takes it into account.
     Ahead,
     /// The host is draining, or shuts down.
@@ -24,16 +24,16 @@
     Over,
 }
 
-impl Leaving {
+impl ShutdownPhase {
     /// The phase at `now` of a shutdown announced for `at`. `born` is when the host's process started, if the endpoint
     /// list has it. All in seconds on one clock.
-    pub fn of(now: f64, at: f64, born: Option<f64>) -> Leaving {
-        match born {
+    pub fn of(now: f64, at: f64, started_at: Option<f64>) -> ShutdownPhase {
+        match started_at {
             // A deployment may be a little early: a process that started just before `at` is the new one.
-            Some(born) if born > at - LEAD => Leaving::Over,
-            _ if now > at + EXPIRES => Leaving::Over,
-            _ if now >= at - LEAD => Leaving::Moving,
-            _ => Leaving::Ahead,
+            Some(started_at) if started_at > at - LEAD => ShutdownPhase::Over,
+            _ if now > at + EXPIRES => ShutdownPhase::Over,
+            _ if now >= at - LEAD => ShutdownPhase::Moving,
+            _ => ShutdownPhase::Ahead,
         }
     }
 
@@ -46,7 +46,7 @@
 /// All planned shutdowns: the host's name, and when, in seconds since 1970.
 pub fn announced(document: &Document) -> impl Iterator<Item = (&str, f64)> {
     document.iter().filter_map(|(field, value)| match (field, value) {
-        (Field::HostLeaves(host), Value::Number(at)) => Some((host.as_str(), *at)),
+        (Field::HostShutdown(host), Value::Number(at)) => Some((host.as_str(), *at)),
         _ => None,
     })
 }
--- a/crates/director/changes/src/record.rs
+++ b/crates/director/changes/src/record.rs
@@ -1,11 +1,11 @@
 //! The records of the change log, in the order in which they are written.
 
 use crate::change::{Submission, Version};
-use crate::stage::{Stage, Why};
+use crate::stage::{EndReason, Stage};
 use coppersail_operator_config::{Field, Value};
 use serde::{Deserialize, Serialize};
 
-/// One record of the change log; [`crate::Book::recover`] rebuilds the same state from them. `wall` is the time of
+/// One record of the change log; [`crate::ChangeLog::recover`] rebuilds the same state from them. `wall` is the time of
 /// writing, seconds since 1970.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "kebab-case")]
@@ -44,7 +44,7 @@
         /// Time of writing.
         wall: f64,
         /// Why it is undone.
-        why: Why,
+        why: EndReason,
         /// Fields of hosts that are gone: they are unset instead of restored.
         lost: Vec<Field>,
     },
--- a/crates/director/changes/src/stage.rs
+++ b/crates/director/changes/src/stage.rs
@@ -23,7 +23,7 @@
 /// Why a change was undone or dropped.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Why {
+pub enum EndReason {
     /// The analysis found that service dropped because of it.
     Harm {
         /// What was found.
@@ -56,18 +56,18 @@
     NeverCalm,
 }
 
-impl fmt::Display for Why {
+impl fmt::Display for EndReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Why::Harm { found } => write!(formatter, "service dropped: {found}"),
-            Why::Asked { who, why } if why.is_empty() => write!(formatter, "by {who}"),
-            Why::Asked { who, why } => write!(formatter, "by {who}: {why}"),
-            Why::Unjudged => formatter.write_str("its trial ended without sums enough to judge it"),
-            Why::Unsettled => formatter.write_str("its orders were not settled in time"),
-            Why::Restarted => formatter.write_str("the director ended during its trial"),
-            Why::Unwritten { why } => write!(formatter, "the history could not be written: {why}"),
-            Why::Stale { why } => write!(formatter, "stale: {why}"),
-            Why::NeverCalm => formatter
+            EndReason::Harm { found } => write!(formatter, "service dropped: {found}"),
+            EndReason::Asked { who, why } if why.is_empty() => write!(formatter, "by {who}"),
+            EndReason::Asked { who, why } => write!(formatter, "by {who}: {why}"),
+            EndReason::Unjudged => formatter.write_str("its trial ended without sums enough to judge it"),
+            EndReason::Unsettled => formatter.write_str("its orders were not settled in time"),
+            EndReason::Restarted => formatter.write_str("the director ended during its trial"),
+            EndReason::Unwritten { why } => write!(formatter, "the history could not be written: {why}"),
+            EndReason::Stale { why } => write!(formatter, "stale: {why}"),
+            EndReason::NeverCalm => formatter
                 .write_str("it was set aside, and the fleet did not become calm enough to try it again"),
         }
     }
@@ -89,16 +89,17 @@
     Trial,
     /// Out of force for the time being: service dropped, and no unaffected traffic showed whether the change or a
     /// fault of the fleet is the cause. It gets a second trial when service has recovered.
-    Aside {
+    #[serde(rename = "aside")]
+    Suspended {
         /// What was found.
         found: String,
     },
     /// In force for good, until another change replaces it or it is undone.
     Kept(Keep),
     /// Out of force; its values were replaced by those below it.
-    Undone(Why),
+    Undone(EndReason),
     /// Ended before it was applied.
-    Dropped(Why),
+    Dropped(EndReason),
 }
 
 impl Stage {
@@ -120,9 +121,9 @@
             (Drafted, Checked | Dropped(_))
                 | (Checked, Staged | Dropped(_))
                 | (Staged, Applied | Dropped(_))
-                | (Applied, Trial | Kept(_) | Undone(_) | Aside { .. })
-                | (Trial, Kept(_) | Undone(_) | Aside { .. })
-                | (Aside { .. }, Applied | Undone(_))
+                | (Applied, Trial | Kept(_) | Undone(_) | Suspended { .. })
+                | (Trial, Kept(_) | Undone(_) | Suspended { .. })
+                | (Suspended { .. }, Applied | Undone(_))
                 | (Kept(_), Undone(_))
         )
     }
@@ -135,7 +136,7 @@
             Stage::Staged => "staged",
             Stage::Applied => "applied",
             Stage::Trial => "on trial",
-            Stage::Aside { .. } => "set aside",
+            Stage::Suspended { .. } => "set aside",
             Stage::Kept(_) => "kept",
             Stage::Undone(_) => "undone",
             Stage::Dropped(_) => "dropped",
--- a/crates/director/changes/tests/error_texts.rs
+++ b/crates/director/changes/tests/error_texts.rs
@@ -1,5 +1,5 @@
 //! Operators read these texts, and the director stops with those of records: each is one line, and stays as it is.
-use coppersail_changes::{Book, Record, RecordError, Refusal, Stage, Submission, Version, Why};
+use coppersail_changes::{ChangeLog, EndReason, Record, RecordError, Refusal, Stage, Submission, Version};
 
 fn accepted(number: u64) -> Record {
     Record::Accepted { number: Version(number), wall: 0.0, submission: Submission::default() }
@@ -36,7 +36,7 @@
 fn a_log_with_contradicting_records_is_refused_with_the_change_and_its_stages() {
     let (number, wall) = (Version(1), 0.0);
     let moved = |stage| Record::Moved { number, wall, stage };
-    let undo = Record::Undo { number: Version(2), of: number, wall, why: Why::Restarted, lost: vec![] };
+    let undo = Record::Undo { number: Version(2), of: number, wall, why: EndReason::Restarted, lost: vec![] };
     let (from, to) = ("checked", "on trial");
     let table = [
         (vec![accepted(1), accepted(1)], RecordError::AcceptedTwice(number), "change 1 accepted twice"),
@@ -58,7 +58,7 @@
         ),
     ];
     for (records, expected, text) in table {
-        let error = Book::recover(records).unwrap_err();
+        let error = ChangeLog::recover(records).unwrap_err();
         assert_eq!((error.to_string().as_str(), error), (text, expected));
     }
 }
