--- a/crates/director/changes/tests/wire_format.rs
+++ b/crates/director/changes/tests/wire_format.rs
@@ -1,7 +1,7 @@
 //! These bytes are read by builds of other versions: records of changes stand in a director's log, and are read again
 //! at each start. A change here breaks rolling upgrades or stored data.
-use coppersail_changes::{Change, Keep, Record, Stage, Submission, Version, Why};
-use coppersail_operator_config::{Again, Edits, Field, GuardMode, Value};
+use coppersail_changes::{Change, EndReason, Keep, Record, Stage, Submission, Version};
+use coppersail_operator_config::{Edits, Field, GuardMode, RouteRetryPolicy, Value};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -27,7 +27,7 @@
         expected_loss: 2.5,
         token: "t".into(),
         draft: true,
-        file: Some(vec![(Field::Judge, Value::Flag(true))]),
+        file: Some(vec![(Field::Analysis, Value::Flag(true))]),
     }
 }
 
@@ -37,13 +37,13 @@
     let fields = [
         (Field::HostWeight(name()), r#""hosts.n.weight""#),
         (Field::HostDrained(name()), r#""hosts.n.drained""#),
-        (Field::HostLeaves(name()), r#""hosts.n.leaves""#),
+        (Field::HostShutdown(name()), r#""hosts.n.leaves""#),
         (Field::ZoneWeight(name()), r#""zones.n.weight""#),
-        (Field::RouteCeiling(name()), r#""routes.n.ceiling""#),
-        (Field::RouteAgain(name()), r#""routes.n.again""#),
-        (Field::Apart(7, name()), r#""apart.7.n""#),
+        (Field::RouteAdmissionLimit(name()), r#""routes.n.ceiling""#),
+        (Field::RouteRetries(name()), r#""routes.n.again""#),
+        (Field::AntiAffinity(7, name()), r#""apart.7.n""#),
         (Field::Trial, r#""changes.trial""#),
-        (Field::Judge, r#""changes.judge""#),
+        (Field::Analysis, r#""changes.judge""#),
         (Field::Guard, r#""guard.mode""#),
     ];
     fields.into_iter().for_each(|(field, text)| assert_text(field, text));
@@ -51,10 +51,10 @@
         (Value::Flag(true), "true"),
         (Value::Flag(false), "false"),
         (Value::Number(1.0), "1.0"),
-        (Value::Again(Again::Never), r#""never""#),
-        (Value::Again(Again::IfNeverRan), r#""if-never-ran""#),
-        (Value::Again(Again::Once), r#""once""#),
-        (Value::Again(Again::Twice), r#""twice""#),
+        (Value::Again(RouteRetryPolicy::Never), r#""never""#),
+        (Value::Again(RouteRetryPolicy::IfNeverRan), r#""if-never-ran""#),
+        (Value::Again(RouteRetryPolicy::Once), r#""once""#),
+        (Value::Again(RouteRetryPolicy::Twice), r#""twice""#),
         (Value::Guard(GuardMode::Off), r#""off""#),
         (Value::Guard(GuardMode::Watch), r#""watch""#),
         (Value::Guard(GuardMode::On), r#""on""#),
@@ -75,14 +75,14 @@
         assert_text(Stage::Kept(keep), &format!(r#"{{"kept":{text}}}"#));
     }
     let reasons = [
-        (Why::Harm { found: "f".into() }, r#"{"harm":{"found":"f"}}"#),
-        (Why::Asked { who: who(), why: why() }, r#"{"asked":{"who":"ann","why":"w"}}"#),
-        (Why::Unjudged, r#""unjudged""#),
-        (Why::Unsettled, r#""unsettled""#),
-        (Why::Restarted, r#""restarted""#),
-        (Why::Unwritten { why: why() }, r#"{"unwritten":{"why":"w"}}"#),
-        (Why::Stale { why: why() }, r#"{"stale":{"why":"w"}}"#),
-        (Why::NeverCalm, r#""never-calm""#),
+        (EndReason::Harm { found: "f".into() }, r#"{"harm":{"found":"f"}}"#),
+        (EndReason::Asked { who: who(), why: why() }, r#"{"asked":{"who":"ann","why":"w"}}"#),
+        (EndReason::Unjudged, r#""unjudged""#),
+        (EndReason::Unsettled, r#""unsettled""#),
+        (EndReason::Restarted, r#""restarted""#),
+        (EndReason::Unwritten { why: why() }, r#"{"unwritten":{"why":"w"}}"#),
+        (EndReason::Stale { why: why() }, r#"{"stale":{"why":"w"}}"#),
+        (EndReason::NeverCalm, r#""never-calm""#),
     ];
     for (reason, text) in reasons {
         assert_text(Stage::Undone(reason.clone()), &format!(r#"{{"undone":{text}}}"#));
@@ -94,7 +94,7 @@
         (Stage::Staged, r#""staged""#),
         (Stage::Applied, r#""applied""#),
         (Stage::Trial, r#""trial""#),
-        (Stage::Aside { found: "f".into() }, r#"{"aside":{"found":"f"}}"#),
+        (Stage::Suspended { found: "f".into() }, r#"{"aside":{"found":"f"}}"#),
     ];
     stages.into_iter().for_each(|(stage, text)| assert_text(stage, text));
 }
@@ -103,7 +103,8 @@
 fn each_record_of_the_change_log_keeps_its_bytes() {
     let (number, wall, who, why) = (Version(4), 1.5, || "ann".to_string(), || "w".to_string());
     let document = vec![(Field::Trial, Value::Number(60.0))];
-    let undo = Record::Undo { number, of: Version(2), wall, why: Why::Unjudged, lost: vec![Field::Guard] };
+    let undo =
+        Record::Undo { number, of: Version(2), wall, why: EndReason::Unjudged, lost: vec![Field::Guard] };
     let table = [
         (
             Record::Founded { wall, document },
@@ -131,7 +132,7 @@
 
 #[test]
 fn a_change_as_it_is_shown_keeps_its_bytes() {
-    let before: Edits = [(Field::Judge, None)].into();
+    let before: Edits = [(Field::Analysis, None)].into();
     let (number, undoes) = (Version(4), Some(Version(2)));
     let change = Change { number, wall: 1.5, submission: submission(), stage: Stage::Trial, undoes, before };
     let text = concat!(
--- a/crates/director/jsonnet/src/lib.rs
+++ b/crates/director/jsonnet/src/lib.rs
@@ -71,9 +71,9 @@
     let message = error.error().to_string().replace('\n', " ");
     let location = error.trace().0.iter().find_map(|element| element.location.as_ref());
     match location {
-        Some(span) => {
-            let file = span.0.source_path().path().map_or(path.to_path_buf(), Path::to_path_buf);
-            let line = span.0.map_source_locations(&[span.1])[0].line;
+        Some(window) => {
+            let file = window.0.source_path().path().map_or(path.to_path_buf(), Path::to_path_buf);
+            let line = window.0.map_source_locations(&[window.1])[0].line;
             EvaluateError::Invalid { path: file, line: Some(line), message }
         }
         None => EvaluateError::Invalid { path: path.to_path_buf(), line: None, message },
--- a/crates/director/operator-config/src/field.rs
+++ b/crates/director/operator-config/src/field.rs
@@ -21,19 +21,24 @@
     /// The host is drained: it gets no new traffic.
     HostDrained(String),
     /// When the host will shut down, seconds since 1970; its slices are moved before.
-    HostLeaves(String),
+    #[serde(rename = "HostLeaves")]
+    HostShutdown(String),
     /// Factor on the weights of all hosts of the zone.
     ZoneWeight(String),
     /// Admission limit of a route, as a share of its calls.
-    RouteCeiling(String),
+    #[serde(rename = "RouteCeiling")]
+    RouteAdmissionLimit(String),
     /// Retry policy of a route.
-    RouteAgain(String),
+    #[serde(rename = "RouteAgain")]
+    RouteRetries(String),
     /// Anti-affinity: the slice is not assigned to the host.
-    Apart(u16, String),
+    #[serde(rename = "Apart")]
+    AntiAffinity(u16, String),
     /// Default length of a change's trial, seconds.
     Trial,
     /// Whether changes on trial are analysed by the service level of the callers.
-    Judge,
+    #[serde(rename = "Judge")]
+    Analysis,
     /// Mode of the capacity guard.
     Guard,
 }
@@ -50,8 +55,8 @@
         match self {
             Field::HostWeight(host)
             | Field::HostDrained(host)
-            | Field::HostLeaves(host)
-            | Field::Apart(_, host) => Some(host),
+            | Field::HostShutdown(host)
+            | Field::AntiAffinity(_, host) => Some(host),
             _ => None,
         }
     }
@@ -62,11 +67,11 @@
             Field::HostWeight(_) | Field::ZoneWeight(_) => {
                 "a number from 0.01 to 100 (to send nothing there, set drained)"
             }
-            Field::HostDrained(_) | Field::Judge => "true or false",
-            Field::HostLeaves(_) => "seconds since 1970, when it will leave",
-            Field::Apart(..) => "true, or null to take it back",
-            Field::RouteCeiling(_) => "a share from 0 to 1",
-            Field::RouteAgain(_) => "one of never, if-never-ran, once, twice",
+            Field::HostDrained(_) | Field::Analysis => "true or false",
+            Field::HostShutdown(_) => "seconds since 1970, when it will leave",
+            Field::AntiAffinity(..) => "true, or null to take it back",
+            Field::RouteAdmissionLimit(_) => "a share from 0 to 1",
+            Field::RouteRetries(_) => "one of never, if-never-ran, once, twice",
             Field::Trial => "seconds from 5 to 3600",
             Field::Guard => "one of off, watch, on",
         }
@@ -80,12 +85,12 @@
                 (0.01..=100.0).contains(number)
             }
             // From 2001 to 2286: relative seconds, and milliseconds, are rejected.
-            (Field::HostLeaves(_), Value::Number(number)) => (1e9..1e10).contains(number),
-            (Field::RouteCeiling(_), Value::Number(number)) => (0.0..=1.0).contains(number),
+            (Field::HostShutdown(_), Value::Number(number)) => (1e9..1e10).contains(number),
+            (Field::RouteAdmissionLimit(_), Value::Number(number)) => (0.0..=1.0).contains(number),
             (Field::Trial, Value::Number(number)) => (5.0..=3600.0).contains(number),
-            (Field::Apart(..), Value::Flag(apart)) => *apart,
-            (Field::HostDrained(_) | Field::Judge, Value::Flag(_)) => true,
-            (Field::RouteAgain(_), Value::Again(_)) | (Field::Guard, Value::Guard(_)) => true,
+            (Field::AntiAffinity(..), Value::Flag(apart)) => *apart,
+            (Field::HostDrained(_) | Field::Analysis, Value::Flag(_)) => true,
+            (Field::RouteRetries(_), Value::Again(_)) | (Field::Guard, Value::Guard(_)) => true,
             _ => false,
         }
     }
@@ -95,7 +100,7 @@
     /// # Errors
     ///
     /// The text is no value, or none that [`Field::fits`] accepts.
-    pub fn value(&self, text: &str) -> Result<Option<Value>, ValueError> {
+    pub fn parse_value(&self, text: &str) -> Result<Option<Value>, ValueError> {
         let invalid = || ValueError { found: text.to_string(), expected: self.expected() };
         let value = match text {
             "null" => return Ok(None),
@@ -119,10 +124,10 @@
         match (section, property) {
             ("hosts", "weight") => Some(Field::HostWeight(name)),
             ("hosts", "drained") => Some(Field::HostDrained(name)),
-            ("hosts", "leaves") => Some(Field::HostLeaves(name)),
+            ("hosts", "leaves") => Some(Field::HostShutdown(name)),
             ("zones", "weight") => Some(Field::ZoneWeight(name)),
-            ("routes", "ceiling") => Some(Field::RouteCeiling(name)),
-            ("routes", "again") => Some(Field::RouteAgain(name)),
+            ("routes", "ceiling") => Some(Field::RouteAdmissionLimit(name)),
+            ("routes", "again") => Some(Field::RouteRetries(name)),
             _ => None,
         }
     }
@@ -132,13 +137,13 @@
         let (section, rest) = path.split_once('.')?;
         match (section, rest) {
             ("changes", "trial") => return Some(Field::Trial),
-            ("changes", "judge") => return Some(Field::Judge),
+            ("changes", "judge") => return Some(Field::Analysis),
             ("guard", "mode") => return Some(Field::Guard),
             _ => {}
         }
         if section == "apart" {
             let (slice, host) = rest.split_once('.').filter(|(_, host)| is_valid_name(host))?;
-            return Some(Field::Apart(slice.parse().ok()?, host.to_string()));
+            return Some(Field::AntiAffinity(slice.parse().ok()?, host.to_string()));
         }
         let (name, property) = rest.rsplit_once('.').filter(|(name, _)| is_valid_name(name))?;
         Field::of_named(section, name, property)
@@ -154,13 +159,13 @@
         match self {
             Field::HostWeight(host) => write!(formatter, "hosts.{host}.weight"),
             Field::HostDrained(host) => write!(formatter, "hosts.{host}.drained"),
-            Field::HostLeaves(host) => write!(formatter, "hosts.{host}.leaves"),
+            Field::HostShutdown(host) => write!(formatter, "hosts.{host}.leaves"),
             Field::ZoneWeight(zone) => write!(formatter, "zones.{zone}.weight"),
-            Field::RouteCeiling(route) => write!(formatter, "routes.{route}.ceiling"),
-            Field::RouteAgain(route) => write!(formatter, "routes.{route}.again"),
-            Field::Apart(slice, host) => write!(formatter, "apart.{slice}.{host}"),
+            Field::RouteAdmissionLimit(route) => write!(formatter, "routes.{route}.ceiling"),
+            Field::RouteRetries(route) => write!(formatter, "routes.{route}.again"),
+            Field::AntiAffinity(slice, host) => write!(formatter, "apart.{slice}.{host}"),
             Field::Trial => formatter.write_str("changes.trial"),
-            Field::Judge => formatter.write_str("changes.judge"),
+            Field::Analysis => formatter.write_str("changes.judge"),
             Field::Guard => formatter.write_str("guard.mode"),
         }
     }
--- a/crates/director/operator-config/src/lib.rs
+++ b/crates/director/operator-config/src/lib.rs
@@ -1,9 +1,9 @@
 //! The operators' file, without I/O: its form, its validation with the line of each fault, and the same configuration
 //! as single fields, which is the form in which it is changed, compared and undone.
 //!
-//! [`sheet`] reads a file; [`Field`] and [`Value`] are one setting each; [`Document`] is all that is set and [`Edits`]
+//! [`read_operator_file`] reads a file; [`Field`] and [`Value`] are one setting each; [`Document`] is all that is set and [`Edits`]
 //! what a change sets. The bounds of a value are in [`Field::fits`]; what depends on the director's settings, for
-//! example the names of zones, is checked against [`Known`].
+//! example the names of zones, is checked against [`SettingsNames`].
 
 mod error;
 mod fault;
@@ -17,7 +17,6 @@
 pub use error::{EditError, FieldPathError, ValueError};
 pub use fault::Fault;
 pub use field::{difference, Document, Edits, Field, MAX_FIELDS};
-// Other packages still use the names `sheet` and `Sheet`.
-pub use operator_file::{read as sheet, LogForm, OperatorFile as Sheet, StartConfig};
-pub use validation::{check_edit, Known, KnownRoute};
-pub use value::{Again, GuardMode, Value};
+pub use operator_file::{read as read_operator_file, LogFormat, OperatorFile, StartConfig};
+pub use validation::{check_edit, RouteName, SettingsNames};
+pub use value::{GuardMode, RouteRetryPolicy, Value};
--- a/crates/director/operator-config/src/operator_file.rs
+++ b/crates/director/operator-config/src/operator_file.rs
@@ -4,7 +4,7 @@
 use crate::field::{Document, Field, MAX_FIELDS};
 use crate::json::{JsonValue, DUPLICATE_NAME};
 use crate::line_lookup::line_of;
-use crate::validation::{check_value, Known};
+use crate::validation::{check_value, SettingsNames};
 use crate::value::Value;
 
 /// The version of the file format that this program reads.
@@ -22,12 +22,12 @@
     /// Path of the log of changes; `None`: they are kept in memory only.
     pub history: Option<String>,
     /// Format of the program's log.
-    pub log: LogForm,
+    pub log: LogFormat,
 }
 
 /// Format of the program's log.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum LogForm {
+pub enum LogFormat {
     /// Lines of plain text.
     #[default]
     Text,
@@ -50,7 +50,12 @@
 /// # Errors
 ///
 /// All faults of the file, in the order of the file.
-pub fn read(file: &str, source: &str, json: &str, known: Option<&Known>) -> Result<OperatorFile, Vec<Fault>> {
+pub fn read(
+    file: &str,
+    source: &str,
+    json: &str,
+    known: Option<&SettingsNames>,
+) -> Result<OperatorFile, Vec<Fault>> {
     let content = OperatorFile::default();
     let mut reader = Reader { file, source, known, faults: Vec::new(), content };
     match serde_json::from_str::<JsonValue>(json) {
@@ -70,7 +75,7 @@
 struct Reader<'a> {
     file: &'a str,
     source: &'a str,
-    known: Option<&'a Known>,
+    known: Option<&'a SettingsNames>,
     faults: Vec<Fault>,
     content: OperatorFile,
 }
@@ -161,7 +166,7 @@
         for (name, value) in self.object(&["changes"], value) {
             match name.as_str() {
                 "trial" => self.set(&["changes", name], Field::Trial, value),
-                "judge" => self.set(&["changes", name], Field::Judge, value),
+                "judge" => self.set(&["changes", name], Field::Analysis, value),
                 "history" => {
                     self.content.start.history = self.file_path(&["changes", name], value, MAX_FILE_PATH);
                 }
@@ -192,8 +197,8 @@
 
     fn read_log(&mut self, value: &JsonValue) {
         match value {
-            JsonValue::Text(format) if format == "text" => self.content.start.log = LogForm::Text,
-            JsonValue::Text(format) if format == "json" => self.content.start.log = LogForm::Json,
+            JsonValue::Text(format) if format == "text" => self.content.start.log = LogFormat::Text,
+            JsonValue::Text(format) if format == "json" => self.content.start.log = LogFormat::Json,
             _ => self.report(&["log"], "text or json"),
         }
     }
--- a/crates/director/operator-config/src/operator_file/tests.rs
+++ b/crates/director/operator-config/src/operator_file/tests.rs
@@ -2,14 +2,14 @@
 
 use super::*;
 use crate::field::difference;
-use crate::validation::KnownRoute;
+use crate::validation::RouteName;
 use proptest::prelude::*;
 use test_case::test_case;
 
-fn known() -> Known {
-    let route = |name: &str, repeatable| KnownRoute { name: name.into(), repeatable };
+fn known() -> SettingsNames {
+    let route = |name: &str, repeatable| RouteName { name: name.into(), repeatable };
     let routes = vec![route("lookup", true), route("order", false)];
-    Known { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: true }
+    SettingsNames { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: true }
 }
 
 const VALID: &str = r#"{
@@ -67,8 +67,8 @@
     prop_oneof![
         name.prop_map(Field::HostWeight),
         name.prop_map(Field::HostDrained),
-        name.prop_map(Field::RouteAgain),
-        (any::<u16>(), name).prop_map(|(slice, host)| Field::Apart(slice, host)),
+        name.prop_map(Field::RouteRetries),
+        (any::<u16>(), name).prop_map(|(slice, host)| Field::AntiAffinity(slice, host)),
         Just(Field::Trial),
     ]
 }
--- a/crates/director/operator-config/src/validation.rs
+++ b/crates/director/operator-config/src/validation.rs
@@ -2,11 +2,11 @@
 
 use crate::error::EditError;
 use crate::field::Field;
-use crate::value::{Again, Value};
+use crate::value::{RouteRetryPolicy, Value};
 
 /// A route of the director's settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct KnownRoute {
+pub struct RouteName {
     /// Its name.
     pub name: String,
     /// Its calls are idempotent: they may run again.
@@ -15,11 +15,11 @@
 
 /// What the director's settings name, against which fields are validated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Known {
+pub struct SettingsNames {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// The routes.
-    pub routes: Vec<KnownRoute>,
+    pub routes: Vec<RouteName>,
     /// Number of slices; a slice's number is below it.
     pub slices: u64,
     /// Whether admission limits and retry policies can be set at all.
@@ -31,7 +31,11 @@
 /// # Errors
 ///
 /// The value is out of the field's bounds or, where `known` is given, contradicts the director's settings.
-pub fn check_edit(field: &Field, value: Option<&Value>, known: Option<&Known>) -> Result<(), EditError> {
+pub fn check_edit(
+    field: &Field,
+    value: Option<&Value>,
+    known: Option<&SettingsNames>,
+) -> Result<(), EditError> {
     let Some(value) = value else { return Ok(()) };
     match check_value(field, value, known) {
         Ok(()) => Ok(()),
@@ -40,7 +44,7 @@
 }
 
 /// Validates a value; the error says what is expected of the field here.
-pub(crate) fn check_value(field: &Field, value: &Value, known: Option<&Known>) -> Result<(), String> {
+pub(crate) fn check_value(field: &Field, value: &Value, known: Option<&SettingsNames>) -> Result<(), String> {
     if !field.fits(value) {
         return Err(field.expected().to_string());
     }
@@ -48,24 +52,26 @@
 }
 
 /// What the settings allow instead, if they do not allow a value that is within the field's bounds.
-fn expected_by_settings(field: &Field, value: &Value, known: &Known) -> Option<String> {
+fn expected_by_settings(field: &Field, value: &Value, known: &SettingsNames) -> Option<String> {
     match field {
         Field::ZoneWeight(zone) if !known.zones.contains(zone) => {
             Some(one_of("a zone", known.zones.iter().map(String::as_str).collect()))
         }
-        Field::RouteCeiling(route) | Field::RouteAgain(route) => expected_of_route(route, value, known),
-        Field::Apart(slice, _) if u64::from(*slice) >= known.slices => {
+        Field::RouteAdmissionLimit(route) | Field::RouteRetries(route) => {
+            expected_of_route(route, value, known)
+        }
+        Field::AntiAffinity(slice, _) if u64::from(*slice) >= known.slices => {
             Some(format!("a slice below {}", known.slices))
         }
         _ => None,
     }
 }
 
-fn expected_of_route(name: &str, value: &Value, known: &Known) -> Option<String> {
+fn expected_of_route(name: &str, value: &Value, known: &SettingsNames) -> Option<String> {
     let Some(route) = known.routes.iter().find(|route| route.name == name) else {
         return Some(one_of("a route", known.routes.iter().map(|route| route.name.as_str()).collect()));
     };
-    let retries = matches!(value, Value::Again(policy) if *policy > Again::IfNeverRan);
+    let retries = matches!(value, Value::Again(policy) if *policy > RouteRetryPolicy::IfNeverRan);
     if retries && !route.repeatable {
         // Rule 2 of the director's contract: it answers for whatever it lets proxies retry.
         return Some("never or if-never-ran, as this route's calls must not run twice".to_string());
--- a/crates/director/operator-config/src/value.rs
+++ b/crates/director/operator-config/src/value.rs
@@ -30,7 +30,7 @@
 /// A route's retry policy: when proxies retry a call at another host. Ordered from the fewest retries to the most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Again {
+pub enum RouteRetryPolicy {
     /// No retry.
     Never,
     /// Only where the call cannot have run, for example after a refused connection.
@@ -41,19 +41,19 @@
     Twice,
 }
 
-impl Again {
+impl RouteRetryPolicy {
     /// Each policy with its name in files and on the command line.
-    pub const NAMES: [(&'static str, Again); 4] = [
-        ("never", Again::Never),
-        ("if-never-ran", Again::IfNeverRan),
-        ("once", Again::Once),
-        ("twice", Again::Twice),
+    pub const NAMES: [(&'static str, RouteRetryPolicy); 4] = [
+        ("never", RouteRetryPolicy::Never),
+        ("if-never-ran", RouteRetryPolicy::IfNeverRan),
+        ("once", RouteRetryPolicy::Once),
+        ("twice", RouteRetryPolicy::Twice),
     ];
 }
 
-impl fmt::Display for Again {
+impl fmt::Display for RouteRetryPolicy {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write_name(&Again::NAMES, self, formatter)
+        write_name(&RouteRetryPolicy::NAMES, self, formatter)
     }
 }
 
@@ -66,7 +66,7 @@
     /// A weight, a share, or seconds; the field says which.
     Number(f64),
     /// A retry policy.
-    Again(Again),
+    Again(RouteRetryPolicy),
     /// A mode of the capacity guard.
     Guard(GuardMode),
 }
@@ -74,7 +74,7 @@
 impl Value {
     /// The value with this name, if a retry policy or guard mode has it.
     pub(crate) fn from_name(name: &str) -> Option<Value> {
-        let retry_policy = find_name(&Again::NAMES, name).map(Value::Again);
+        let retry_policy = find_name(&RouteRetryPolicy::NAMES, name).map(Value::Again);
         retry_policy.or_else(|| find_name(&GuardMode::NAMES, name).map(Value::Guard))
     }
 }
--- a/crates/director/operator-config/tests/error_texts.rs
+++ b/crates/director/operator-config/tests/error_texts.rs
@@ -1,5 +1,5 @@
 //! Operators and their scripts read these texts: each is one line, and stays as it is.
-use coppersail_operator_config::{check_edit, Again, Field, Known, KnownRoute, Value};
+use coppersail_operator_config::{check_edit, Field, RouteName, RouteRetryPolicy, SettingsNames, Value};
 
 #[test]
 fn an_unknown_path_lists_all_fields() {
@@ -16,28 +16,28 @@
 fn a_value_out_of_bounds_or_of_another_type_names_what_is_expected() {
     let field = Field::Trial;
     for found in ["4.9", "long", "true", "once"] {
-        let error = field.value(found).unwrap_err();
+        let error = field.parse_value(found).unwrap_err();
         assert_eq!((error.found.as_str(), error.to_string().as_str()), (found, "seconds from 5 to 3600"));
     }
-    assert_eq!(field.value("null"), Ok(None));
+    assert_eq!(field.parse_value("null"), Ok(None));
 }
 
 #[test]
 fn an_edit_that_the_settings_do_not_allow_names_the_field() {
-    let routes = vec![KnownRoute { name: "order".into(), repeatable: false }];
-    let known = Known { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: false };
+    let routes = vec![RouteName { name: "order".into(), repeatable: false }];
+    let known = SettingsNames { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: false };
     let text = |field: Field, value| check_edit(&field, Some(&value), Some(&known)).unwrap_err().to_string();
-    let retries = |name: &str, policy| text(Field::RouteAgain(name.into()), Value::Again(policy));
+    let retries = |name: &str, policy| text(Field::RouteRetries(name.into()), Value::Again(policy));
     assert_eq!(
-        retries("order", Again::Once),
+        retries("order", RouteRetryPolicy::Once),
         "field routes.order.again: expected never or if-never-ran, as this route's calls must not run twice"
     );
     assert_eq!(
-        retries("order", Again::Never),
+        retries("order", RouteRetryPolicy::Never),
         "field routes.order.again: expected nothing: the settings let no levels be set"
     );
     assert_eq!(
-        retries("q", Again::Never),
+        retries("q", RouteRetryPolicy::Never),
         "field routes.q.again: expected a route of the settings, one of order"
     );
     assert_eq!(
@@ -45,7 +45,7 @@
         "field zones.q.weight: expected a zone of the settings, one of a, b"
     );
     assert_eq!(
-        text(Field::Apart(8, "h".into()), Value::Flag(true)),
+        text(Field::AntiAffinity(8, "h".into()), Value::Flag(true)),
         "field apart.8.h: expected a slice below 8"
     );
     assert_eq!(
--- a/crates/director/protocol/src/collector.rs
+++ b/crates/director/protocol/src/collector.rs
@@ -2,56 +2,57 @@
 
 use crate::load::Report;
 use crate::number::non_negative;
-use crate::Fault;
+use crate::ParseError;
 use serde::Deserialize;
 use std::borrow::Cow;
 
 /// Longest message, in bytes.
-pub const MOST: usize = 1 << 20;
+pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
 /// Longest period that a report can cover, in milliseconds: an hour. Collectors report each second, so one that has
 /// accumulated more has long been disconnected.
 const MAX_WINDOW_MS: f64 = 3_600_000.0;
 
-/// The answer to [`Line::Probe`].
-pub const ALIVE: &[u8] = b"{\"msg\":\"alive\"}\n";
+/// The answer to [`CollectorMessage::HealthCheck`].
+pub const HEALTH_CHECK_RESPONSE: &[u8] = b"{\"msg\":\"alive\"}\n";
 
 /// One message. Names borrow from the line wherever nothing in them is escaped.
 #[derive(Debug, PartialEq)]
-pub enum Line<'a> {
-    /// A health check of the director itself, answered with [`ALIVE`].
-    Probe,
+pub enum CollectorMessage<'a> {
+    /// A health check of the director itself, answered with [`HEALTH_CHECK_RESPONSE`].
+    HealthCheck,
     /// The sender is the collector of the zone with this name.
-    Zone(Cow<'a, str>),
+    Register(Cow<'a, str>),
     /// The outcomes of the attempts that the proxies of one zone made at one host.
-    Tries {
+    AttemptReport {
         /// Name of the proxies' zone.
         zone: Cow<'a, str>,
         /// Id of the host.
         host: Cow<'a, str>,
         /// Attempts that ended in the period, dropped ones included.
-        tries: u64,
-        /// Attempts without a usable answer. May exceed `tries`: attempts that began in an earlier period end in this one.
+        attempts: u64,
+        /// Attempts without a usable answer. May exceed `tries`: attempts that began in an earlier period end in this
+        /// one.
         dropped: u64,
         /// Mean response time of the answered attempts, seconds; 0 where none was answered.
-        rt: f64,
+        mean_response_time: f64,
         /// Length of the period, seconds.
-        span: f64,
+        window: f64,
         /// A load report of the host that the proxies have received; empty if there is none.
         report: Report,
     },
     /// The requests that all proxies received for one slice in one route.
-    Demand {
+    DemandReport {
         /// Number of the slice.
         slice: u16,
         /// Name of the route.
         route: Cow<'a, str>,
         /// Requests that came in the period.
-        calls: u64,
+        requests: u64,
         /// Requests that were dropped; may exceed `calls`, as in `Tries`.
         dropped: u64,
         /// Length of the period, seconds.
-        span: f64,
+        window: f64,
     },
 }
 
@@ -91,15 +92,15 @@
     period: f64,
 }
 
-fn required<T>(value: Option<T>, field: &str) -> Result<T, Fault> {
-    value.ok_or_else(|| Fault::missing(field))
+fn required<T>(value: Option<T>, field: &str) -> Result<T, ParseError> {
+    value.ok_or_else(|| ParseError::missing(field))
 }
 
 impl<'a> Raw<'a> {
-    fn counts(&self) -> Result<Counts, Fault> {
+    fn counts(&self) -> Result<Counts, ParseError> {
         let window_ms = required(self.window_ms, "window")?;
         if !(window_ms > 0.0 && window_ms <= MAX_WINDOW_MS) {
-            return Err(Fault::invalid("window", window_ms, "milliseconds, an hour at most"));
+            return Err(ParseError::invalid("window", window_ms, "milliseconds, an hour at most"));
         }
         Ok(Counts {
             count: required(self.count, "n")?,
@@ -108,59 +109,59 @@
         })
     }
 
-    fn into_outcomes(self) -> Result<Line<'a>, Fault> {
+    fn into_outcomes(self) -> Result<CollectorMessage<'a>, ParseError> {
         let Counts { count, dropped, period } = self.counts()?;
         // An average that is absent must not pass for answers that took no time.
         let average_ms = if count > dropped { required(self.average_ms, "avg")? } else { 0.0 };
         let average_ms = non_negative(average_ms, "avg")?;
-        Ok(Line::Tries {
+        Ok(CollectorMessage::AttemptReport {
             zone: required(self.az, "az")?.0,
             host: required(self.host, "host")?.0,
-            tries: count,
+            attempts: count,
             dropped,
-            rt: average_ms / 1e3,
-            span: period,
+            mean_response_time: average_ms / 1e3,
+            window: period,
             report: self.report.as_ref().map(Report::from_json).unwrap_or_default(),
         })
     }
 
-    fn into_demand(self) -> Result<Line<'a>, Fault> {
+    fn into_demand(self) -> Result<CollectorMessage<'a>, ParseError> {
         let Counts { count, dropped, period } = self.counts()?;
-        Ok(Line::Demand {
+        Ok(CollectorMessage::DemandReport {
             slice: required(self.partition, "partition")?,
             route: required(self.kind, "kind")?.0,
-            calls: count,
+            requests: count,
             dropped,
-            span: period,
+            window: period,
         })
     }
 }
 
-impl<'a> Line<'a> {
+impl<'a> CollectorMessage<'a> {
     /// Parses one line.
     ///
     /// # Errors
     /// The line is no JSON object, its `msg` is unknown, or a field of that message is missing or invalid.
-    pub fn parse(line: &'a [u8]) -> Result<Self, Fault> {
+    pub fn parse(line: &'a [u8]) -> Result<Self, ParseError> {
         let raw: Raw<'a> = serde_json::from_slice(line)?;
         match raw.msg.as_ref() {
-            "probe" => Ok(Line::Probe),
-            "agent" => Ok(Line::Zone(required(raw.az, "az")?.0)),
+            "probe" => Ok(CollectorMessage::HealthCheck),
+            "agent" => Ok(CollectorMessage::Register(required(raw.az, "az")?.0)),
             "outcomes" => raw.into_outcomes(),
             "hot" => raw.into_demand(),
-            unknown => Err(Fault::invalid("msg", unknown, "agent, outcomes, hot or probe")),
+            unknown => Err(ParseError::invalid("msg", unknown, "agent, outcomes, hot or probe")),
         }
     }
 }
 
 /// Whether a line is a JSON object, and so a message, even if an invalid one.
-pub fn readable(line: &[u8]) -> bool {
+pub fn is_message(line: &[u8]) -> bool {
     line.trim_ascii_start().starts_with(b"{") && serde_json::from_slice::<serde::de::IgnoredAny>(line).is_ok()
 }
 
 /// Whether a line can no longer become a message: `begun` is the line so far, `piece` its newest part. JSON allows no
 /// control characters except white space between its tokens.
-pub fn hopeless(begun: &[u8], piece: &[u8]) -> bool {
+pub fn cannot_become_message(begun: &[u8], piece: &[u8]) -> bool {
     let is_forbidden = |byte: &u8| *byte < b' ' && !b"\t\r\n".contains(byte);
     let first = begun.iter().find(|byte| !byte.is_ascii_whitespace());
     first.is_some_and(|first| *first != b'{') || piece.iter().any(is_forbidden)
--- a/crates/director/protocol/src/collector/tests.rs
+++ b/crates/director/protocol/src/collector/tests.rs
@@ -5,25 +5,46 @@
 #[test]
 fn a_report_of_outcomes_that_loses_a_field_is_noticed() {
     let line = br#"{"avg":41.5,"az":"a","bad":3,"host":"s-5","msg":"outcomes","n":212,"new":[1],"report":{"q":7},"window":1000.0}"#;
-    let Ok(Line::Tries { tries: 212, dropped: 3, rt, span, host, report, .. }) = Line::parse(line) else {
-        panic!("{:?}", Line::parse(line));
+    let Ok(CollectorMessage::AttemptReport {
+        attempts: 212,
+        dropped: 3,
+        mean_response_time,
+        window,
+        host,
+        report,
+        ..
+    }) = CollectorMessage::parse(line)
+    else {
+        panic!("{:?}", CollectorMessage::parse(line));
     };
-    assert_eq!((rt, span, report.get("q")), (0.0415, 1.0, Some(7.0)));
+    assert_eq!((mean_response_time, window, report.get("q")), (0.0415, 1.0, Some(7.0)));
     assert!(matches!(host, Cow::Borrowed("s-5")), "a name stays the bytes that came");
 }
 
 #[test]
 fn a_report_of_demand_or_a_zone_that_loses_a_field_is_noticed() {
     let line = br#"{"msg":"hot","partition":88,"kind":"lookup","n":40,"bad":1,"window":500.0}"#;
-    let demand = Line::Demand { slice: 88, route: "lookup".into(), calls: 40, dropped: 1, span: 0.5 };
-    assert_eq!(Line::parse(line), Ok(demand));
-    assert_eq!(Line::parse(br#"{"msg":"agent","az":"a"}"#), Ok(Line::Zone("a".into())));
+    let demand = CollectorMessage::DemandReport {
+        slice: 88,
+        route: "lookup".into(),
+        requests: 40,
+        dropped: 1,
+        window: 0.5,
+    };
+    assert_eq!(CollectorMessage::parse(line), Ok(demand));
+    assert_eq!(
+        CollectorMessage::parse(br#"{"msg":"agent","az":"a"}"#),
+        Ok(CollectorMessage::Register("a".into()))
+    );
 }
 
 #[test]
 fn a_report_with_more_dropped_than_received_is_accepted() {
     let line = br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":2,"window":1000.0}"#;
-    assert!(matches!(Line::parse(line), Ok(Line::Demand { calls: 1, dropped: 2, .. })));
+    assert!(matches!(
+        CollectorMessage::parse(line),
+        Ok(CollectorMessage::DemandReport { requests: 1, dropped: 2, .. })
+    ));
 }
 
 #[test_case(br#"{"msg":"news"}"#, true ; "an unknown kind")]
@@ -32,7 +53,7 @@
 #[test_case(b"7", false ; "no object")]
 #[test_case(b"", false ; "nothing")]
 fn an_invalid_message_is_told_from_a_line_that_is_no_json(line: &[u8], expected: bool) {
-    assert_eq!(readable(line), expected);
+    assert_eq!(is_message(line), expected);
 }
 
 #[test_case(b" {\"msg\":", false ; "a message so far")]
@@ -41,7 +62,7 @@
 #[test_case(b"{\"msg\":\x01", true ; "a control character")]
 #[test_case(b"", false ; "nothing yet")]
 fn a_line_that_cannot_become_a_message_is_rejected_early(begun: &[u8], expected: bool) {
-    assert_eq!(hopeless(begun, begun), expected);
+    assert_eq!(cannot_become_message(begun, begun), expected);
 }
 
 #[test_case(b"{", "EOF" ; "cut off")]
@@ -56,6 +77,6 @@
 #[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":1e30}"#, "field window" ; "an endless span")]
 #[test_case(br#"{"msg":"hot","partition":1,"kind":"a","n":1,"bad":0,"window":0}"#, "field window" ; "no span")]
 fn an_invalid_message_is_rejected_with_the_reason(line: &[u8], expected: &str) {
-    let error = Line::parse(line).unwrap_err().to_string();
+    let error = CollectorMessage::parse(line).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
 }
--- a/crates/director/protocol/src/config.rs
+++ b/crates/director/protocol/src/config.rs
@@ -2,7 +2,7 @@
 
 mod paths;
 
-use crate::Fault;
+use crate::ParseError;
 use serde_json::Value;
 use std::collections::BTreeMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -22,7 +22,7 @@
     /// Seed of the director's random numbers; 16 hex digits in the file.
     pub seed: u64,
     /// The last known endpoint list, as JSON in discovery's form.
-    pub known: Option<Vec<u8>>,
+    pub known_endpoints: Option<Vec<u8>>,
     /// The settings by their paths: names from the outermost, joined by dots. See `coppersail_settings::Boot`.
     pub settings: BTreeMap<String, String>,
     /// Resource limits of the process.
@@ -43,11 +43,11 @@
     ///
     /// # Errors
     /// The file is no JSON, or a field is missing or invalid; the error names the field's path.
-    pub fn parse(bytes: &[u8]) -> Result<Self, Fault> {
+    pub fn parse(bytes: &[u8]) -> Result<Self, ParseError> {
         let config: Value = serde_json::from_slice(bytes)?;
-        let settings = config.get("settings").ok_or_else(|| Fault::missing("settings"))?;
+        let settings = config.get("settings").ok_or_else(|| ParseError::missing("settings"))?;
         if !settings.is_object() {
-            return Err(Fault::invalid("settings", settings, "an object"));
+            return Err(ParseError::invalid("settings", settings, "an object"));
         }
         let seed = string(&config, "seed")?;
         Ok(Config {
@@ -56,15 +56,15 @@
             discovery: address(&config, "discovery")?,
             relay: address(&config, "relay.address")?,
             seed: parse_seed(seed)?,
-            known: known_list(&config),
+            known_endpoints: known_list(&config),
             settings: paths::flatten(settings),
             limits: Limits { sockets: limit(&config, "sockets")?, memory_mb: limit(&config, "memory_mb")? },
         })
     }
 
-    /// The fields that only a restart applies, each with a digest by which a change is detected. Digests hold within one
-    /// process only.
-    pub fn fixed(&self) -> [(&'static str, u64); 4] {
+    /// The fields that only a restart applies, each with a digest by which a change is detected. Digests hold within
+    /// one process only.
+    pub fn restart_only_fields(&self) -> [(&'static str, u64); 4] {
         [
             ("name", digest(&self.name)),
             ("listen", digest(self.listen)),
@@ -80,20 +80,20 @@
     hasher.finish()
 }
 
-fn string<'a>(config: &'a Value, path: &str) -> Result<&'a str, Fault> {
+fn string<'a>(config: &'a Value, path: &str) -> Result<&'a str, ParseError> {
     let value = path.split('.').try_fold(config, |value, name| value.get(name));
-    let value = value.ok_or_else(|| Fault::missing(path))?;
-    value.as_str().ok_or_else(|| Fault::invalid(path, value, "a text"))
+    let value = value.ok_or_else(|| ParseError::missing(path))?;
+    value.as_str().ok_or_else(|| ParseError::invalid(path, value, "a text"))
 }
 
-fn address(config: &Value, path: &str) -> Result<SocketAddr, Fault> {
+fn address(config: &Value, path: &str) -> Result<SocketAddr, ParseError> {
     let text = string(config, path)?;
     let expected = "an address and a port, such as 127.0.0.1:8000";
-    text.parse().map_err(|_| Fault::invalid(path, text, expected))
+    text.parse().map_err(|_| ParseError::invalid(path, text, expected))
 }
 
-fn parse_seed(text: &str) -> Result<u64, Fault> {
-    u64::from_str_radix(text, 16).map_err(|_| Fault::invalid("seed", text, "16 hex digits"))
+fn parse_seed(text: &str) -> Result<u64, ParseError> {
+    u64::from_str_radix(text, 16).map_err(|_| ParseError::invalid("seed", text, "16 hex digits"))
 }
 
 fn known_list(config: &Value) -> Option<Vec<u8>> {
@@ -101,14 +101,14 @@
     Some(list.to_string().into_bytes())
 }
 
-fn limit(config: &Value, name: &str) -> Result<Option<u64>, Fault> {
+fn limit(config: &Value, name: &str) -> Result<Option<u64>, ParseError> {
     let value = match config.get("limits").and_then(|limits| limits.get(name)) {
         None | Some(Value::Null) => return Ok(None),
         Some(value) => value,
     };
     match value.as_u64() {
         Some(limit @ 1..=0xffff_ffff) => Ok(Some(limit)),
-        _ => Err(Fault::invalid(&format!("limits.{name}"), value, "a whole number from 1")),
+        _ => Err(ParseError::invalid(&format!("limits.{name}"), value, "a whole number from 1")),
     }
 }
 
--- a/crates/director/protocol/src/config/paths.rs
+++ b/crates/director/protocol/src/config/paths.rs
@@ -6,9 +6,9 @@
 /// Stands before each value of a list, as names may hold commas but not this character.
 const UNIT_SEPARATOR: char = '\u{1f}';
 
-/// The values of a JSON object by path: names from the outermost, joined by dots. The items of a list that holds objects
-/// have their index, from 0, as name, and `count` beside them is the list's length. Other lists are one text, with a unit
-/// separator before each value. Null values are absent.
+/// The values of a JSON object by path: names from the outermost, joined by dots. The items of a list that holds
+/// objects have their index, from 0, as name, and `count` beside them is the list's length. Other lists are one text,
+/// with a unit separator before each value. Null values are absent.
 pub(super) fn flatten(settings: &Value) -> BTreeMap<String, String> {
     let mut values = BTreeMap::new();
     insert("", settings, &mut values);
--- a/crates/director/protocol/src/config/tests.rs
+++ b/crates/director/protocol/src/config/tests.rs
@@ -28,7 +28,7 @@
 #[test_case("127.0.0.1:3", "127.0.0.1:4", "" ; "a relay is none of these")]
 fn a_change_that_only_a_restart_applies_is_named(old: &str, new: &str, field: &str) {
     let [old, new] = [CONFIG.to_string(), CONFIG.replace(old, new)]
-        .map(|text| Config::parse(text.as_bytes()).unwrap().fixed());
+        .map(|text| Config::parse(text.as_bytes()).unwrap().restart_only_fields());
     let changed: Vec<&str> = old.iter().zip(&new).filter(|(a, b)| a != b).map(|(a, _)| a.0).collect();
     assert_eq!(changed.join(","), field);
 }
--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -1,8 +1,8 @@
-//! Discovery's endpoint lists: the complete list on request, and the changes after a version as a stream of JSON objects,
-//! one a line.
+//! Discovery's endpoint lists: the complete list on request, and the changes after a version as a stream of JSON
+//! objects, one a line.
 
 use crate::number::non_negative;
-use crate::Fault;
+use crate::ParseError;
 use serde::Deserialize;
 use serde_json::value::RawValue;
 use std::borrow::Cow;
@@ -13,7 +13,7 @@
 
 /// Whether a host takes requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum State {
+pub enum EndpointState {
     /// In service.
     Ready,
     /// Finishes what it has and takes nothing new.
@@ -24,7 +24,7 @@
 
 /// One host of the list. Names borrow from the list's text wherever nothing in them is escaped.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Server<'a> {
+pub struct Endpoint<'a> {
     /// Id of the host, safe to be written in an order to the relay.
     pub id: Cow<'a, str>,
     /// Where it serves.
@@ -36,7 +36,7 @@
     /// The small group of hosts in its zone that it belongs to.
     pub cell: u64,
     /// Whether it takes requests.
-    pub state: State,
+    pub state: EndpointState,
     /// Capacity in relation to the others, not negative.
     pub weight: f64,
     /// When its process started: Unix time, milliseconds; 0: unknown, long ago.
@@ -45,23 +45,23 @@
 
 /// An entry that could not be used. Its text is that of `fault`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
-#[error("{fault}")]
-pub struct Unsound {
+#[error("{error}")]
+pub struct InvalidEntry {
     /// Id of its host, if that can be told.
     pub id: Option<String>,
     /// What is wrong with it.
-    pub fault: Fault,
+    pub error: ParseError,
 }
 
 /// An endpoint list, or changes of it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct List<'a> {
+pub struct EndpointList<'a> {
     /// Version of the list after this message; it only rises.
     pub version: u64,
     /// The list is complete: hosts that are not in it are gone.
-    pub full: bool,
+    pub is_complete: bool,
     /// The entries. An invalid one does not spoil the others.
-    pub servers: Vec<Result<Server<'a>, Unsound>>,
+    pub entries: Vec<Result<Endpoint<'a>, InvalidEntry>>,
 }
 
 // Error texts quote the names of the following types.
@@ -96,27 +96,28 @@
     id: String,
 }
 
-impl State {
-    fn parse(word: &str) -> Result<Self, Fault> {
+impl EndpointState {
+    fn parse(word: &str) -> Result<Self, ParseError> {
         match word {
-            "in_service" => Ok(State::Ready),
-            "terminating" => Ok(State::Draining),
-            "terminated" => Ok(State::Gone),
-            unknown => Err(Fault::invalid("state", unknown, "in_service, terminating or terminated")),
+            "in_service" => Ok(EndpointState::Ready),
+            "terminating" => Ok(EndpointState::Draining),
+            "terminated" => Ok(EndpointState::Gone),
+            unknown => Err(ParseError::invalid("state", unknown, "in_service, terminating or terminated")),
         }
     }
 }
 
-impl<'a> Server<'a> {
-    fn parse(text: &'a str) -> Result<Self, Fault> {
+impl<'a> Endpoint<'a> {
+    fn parse(text: &'a str) -> Result<Self, ParseError> {
         let raw: RawServer<'a> = serde_json::from_str(text)?;
         if raw.id.is_empty() || raw.id.contains(RELAY_SEPARATORS) {
-            return Err(Fault::invalid("id", raw.id, "a name that can stand in an order"));
+            return Err(ParseError::invalid("id", raw.id, "a name that can stand in an order"));
         }
         let address = raw.address.parse();
-        Ok(Server {
-            address: address.map_err(|_| Fault::invalid("addr", &raw.address, "an address and a port"))?,
-            state: State::parse(&raw.state)?,
+        Ok(Endpoint {
+            address: address
+                .map_err(|_| ParseError::invalid("addr", &raw.address, "an address and a port"))?,
+            state: EndpointState::parse(&raw.state)?,
             weight: non_negative(raw.weight, "weight")?,
             id: raw.id,
             zone: raw.zone,
@@ -127,34 +128,34 @@
     }
 }
 
-fn parse_entry(entry: &RawValue) -> Result<Server<'_>, Unsound> {
+fn parse_entry(entry: &RawValue) -> Result<Endpoint<'_>, InvalidEntry> {
     let text = entry.get();
-    Server::parse(text).map_err(|fault| {
+    Endpoint::parse(text).map_err(|fault| {
         let id = serde_json::from_str::<RawId>(text).ok().map(|raw| raw.id);
-        Unsound { id, fault }
+        InvalidEntry { id, error: fault }
     })
 }
 
-impl<'a> List<'a> {
+impl<'a> EndpointList<'a> {
     /// Parses one object.
     ///
     /// # Errors
-    /// The object is no endpoint list. Errors of single entries stand in [`List::servers`].
-    pub fn parse(object: &'a [u8]) -> Result<Self, Fault> {
+    /// The object is no endpoint list. Errors of single entries stand in [`EndpointList::entries`].
+    pub fn parse(object: &'a [u8]) -> Result<Self, ParseError> {
         let raw: RawList<'a> = serde_json::from_slice(object)?;
         let servers = raw.servers.into_iter().map(parse_entry).collect();
-        Ok(List { version: raw.version, full: raw.full, servers })
+        Ok(EndpointList { version: raw.version, is_complete: raw.full, entries: servers })
     }
 }
 
 /// Path of the complete list.
-pub const LIST: &str = "/v1/endpoints";
+pub const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
 /// Path and query of the stream of changes after version `since`; without a version it begins with the complete list.
-pub fn watch(since: Option<u64>) -> String {
+pub fn watch_path(since: Option<u64>) -> String {
     match since {
-        Some(version) => format!("{LIST}?follow=1&since={version}"),
-        None => format!("{LIST}?follow=1"),
+        Some(version) => format!("{ENDPOINTS_PATH}?follow=1&since={version}"),
+        None => format!("{ENDPOINTS_PATH}?follow=1"),
     }
 }
 
--- a/crates/director/protocol/src/discovery/tests.rs
+++ b/crates/director/protocol/src/discovery/tests.rs
@@ -11,9 +11,9 @@
 #[test]
 fn an_entry_that_loses_a_field_is_noticed() {
     let text = list(ENTRY);
-    let list = List::parse(text.as_bytes()).unwrap();
-    let server = list.servers[0].as_ref().unwrap();
-    assert_eq!((list.version, list.full, server.state), (43, false, State::Draining));
+    let list = EndpointList::parse(text.as_bytes()).unwrap();
+    let server = list.entries[0].as_ref().unwrap();
+    assert_eq!((list.version, list.is_complete, server.state), (43, false, EndpointState::Draining));
     assert_eq!((server.cell, server.started_ms, server.address.port()), (3, 7, 8000));
     assert!(matches!(server.id, Cow::Borrowed("s-5")));
 }
@@ -25,20 +25,20 @@
 #[test_case(r#""id":"s-5""#, r#""id":"s;DEL,4""#, Some("s;DEL,4") ; "an id that would be an order")]
 fn an_invalid_entry_does_not_spoil_the_others(valid: &str, invalid: &str, id: Option<&str>) {
     let text = list(&format!("{},{ENTRY}", ENTRY.replace(valid, invalid)));
-    let list = List::parse(text.as_bytes()).unwrap();
-    assert_eq!(list.servers[0].as_ref().unwrap_err().id.as_deref(), id);
-    assert!(list.servers[1].is_ok());
+    let list = EndpointList::parse(text.as_bytes()).unwrap();
+    assert_eq!(list.entries[0].as_ref().unwrap_err().id.as_deref(), id);
+    assert!(list.entries[1].is_ok());
 }
 
 #[test_case(b"{\"version\":43" ; "cut off")]
 #[test_case(b"{\"version\":-1,\"full\":true,\"servers\":[]}" ; "a negative version")]
 #[test_case(b"<html>" ; "no object")]
 fn a_malformed_list_is_rejected(text: &[u8]) {
-    assert!(List::parse(text).is_err());
+    assert!(EndpointList::parse(text).is_err());
 }
 
 #[test]
 fn a_watch_without_its_version_is_noticed() {
-    assert_eq!(watch(Some(41)), "/v1/endpoints?follow=1&since=41");
-    assert_eq!(watch(None), "/v1/endpoints?follow=1");
+    assert_eq!(watch_path(Some(41)), "/v1/endpoints?follow=1&since=41");
+    assert_eq!(watch_path(None), "/v1/endpoints?follow=1");
 }
--- a/crates/director/protocol/src/error.rs
+++ b/crates/director/protocol/src/error.rs
@@ -8,7 +8,7 @@
 
 /// Why a message could not be used. The text fits on one log line and names fields as they stand on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Fault {
+pub enum ParseError {
     /// The text is not JSON, or not of the form of this message. Carries the parser's position and text instead of its
     /// error, which can be neither cloned nor compared.
     #[error("{reason}")]
@@ -45,7 +45,7 @@
         /// The line, at most 200 characters of it.
         found: String,
     },
-    /// A collector's line exceeds [`collector::MOST`](crate::collector::MOST) bytes.
+    /// A collector's line exceeds [`MAX_MESSAGE_BYTES`](crate::collector::MAX_MESSAGE_BYTES) bytes.
     #[error("a line that is too long")]
     LineTooLong,
     /// The relay sends more than a line can hold without ending the line.
@@ -56,34 +56,34 @@
     ReportBeforeJoining,
 }
 
-impl Fault {
+impl ParseError {
     /// The field is absent.
     pub fn missing(field: &str) -> Self {
-        Fault::MissingField { field: field.to_string() }
+        ParseError::MissingField { field: field.to_string() }
     }
 
     /// The field's value is `found`, where `expected` says what a valid one is.
     pub fn invalid(field: &str, found: impl Display, expected: impl Display) -> Self {
-        Fault::InvalidField {
+        ParseError::InvalidField {
             field: field.to_string(),
             found: Some(excerpt(&found.to_string())),
             expected: expected.to_string(),
         }
     }
 
-    /// As [`Fault::invalid`], where the value is not at hand.
+    /// As [`ParseError::invalid`], where the value is not at hand.
     pub fn expected(field: &str, expected: impl Display) -> Self {
-        Fault::InvalidField { field: field.to_string(), found: None, expected: expected.to_string() }
+        ParseError::InvalidField { field: field.to_string(), found: None, expected: expected.to_string() }
     }
 
     pub(crate) fn unknown_update(line: &str) -> Self {
-        Fault::UnknownUpdate { found: excerpt(line) }
+        ParseError::UnknownUpdate { found: excerpt(line) }
     }
 }
 
-impl From<serde_json::Error> for Fault {
+impl From<serde_json::Error> for ParseError {
     fn from(error: serde_json::Error) -> Self {
-        Fault::MalformedJson {
+        ParseError::MalformedJson {
             line: error.line(),
             column: error.column(),
             reason: excerpt(&error.to_string()),
--- a/crates/director/protocol/src/error/tests.rs
+++ b/crates/director/protocol/src/error/tests.rs
@@ -1,35 +1,35 @@
 //! Tests of the module `error`.
 use super::*;
-use crate::relay::News;
+use crate::relay::RelayEvent;
 use std::error::Error;
 
 #[test]
 fn an_invalid_field_without_the_value_found_is_noticed() {
     let found = |fault| match fault {
-        Fault::InvalidField { field, found, expected } => (field, found, expected),
+        ParseError::InvalidField { field, found, expected } => (field, found, expected),
         other => panic!("{other:?}"),
     };
     let expected = ("yes".to_string(), Some("2".to_string()), "1 or 0".to_string());
-    assert_eq!(found(News::parse(b"* lease 88 2").unwrap_err()), expected);
+    assert_eq!(found(RelayEvent::parse(b"* lease 88 2").unwrap_err()), expected);
     let expected = ("weight".to_string(), Some("x".to_string()), "a number of 0 or more".to_string());
-    assert_eq!(found(News::parse(b"* line 88 s-5 x").unwrap_err()), expected);
+    assert_eq!(found(RelayEvent::parse(b"* line 88 s-5 x").unwrap_err()), expected);
 }
 
 #[test]
 fn a_long_value_is_kept_only_in_part() {
     let line = "\u{e4}".repeat(1000);
     let found = "\u{e4}".repeat(MAX_EXCERPT_CHARS);
-    assert_eq!(News::parse(line.as_bytes()), Err(Fault::UnknownUpdate { found: found.clone() }));
-    let fault = Fault::invalid("field", line, "less");
+    assert_eq!(RelayEvent::parse(line.as_bytes()), Err(ParseError::UnknownUpdate { found: found.clone() }));
+    let fault = ParseError::invalid("field", line, "less");
     assert_eq!(
         fault,
-        Fault::InvalidField { field: "field".into(), found: Some(found), expected: "less".into() }
+        ParseError::InvalidField { field: "field".into(), found: Some(found), expected: "less".into() }
     );
 }
 
 #[test]
 fn a_text_that_is_no_utf_8_loses_its_source() {
-    let fault = News::parse(b"* \xff").unwrap_err();
+    let fault = RelayEvent::parse(b"* \xff").unwrap_err();
     assert_eq!(
         fault.source().map(ToString::to_string).unwrap(),
         "invalid utf-8 sequence of 1 bytes from index 2"
@@ -38,6 +38,6 @@
 
 #[test]
 fn malformed_json_loses_its_position() {
-    let fault = Fault::from(serde_json::from_str::<u8>("\n x").unwrap_err());
-    assert!(matches!(fault, Fault::MalformedJson { line: 2, column: 2, .. }), "{fault:?}");
+    let fault = ParseError::from(serde_json::from_str::<u8>("\n x").unwrap_err());
+    assert!(matches!(fault, ParseError::MalformedJson { line: 2, column: 2, .. }), "{fault:?}");
 }
--- a/crates/director/protocol/src/lib.rs
+++ b/crates/director/protocol/src/lib.rs
@@ -1,7 +1,8 @@
 //! The messages that a director exchanges on its sockets, parsed and written without I/O: collectors' reports, calls to
 //! the relay and its updates, discovery's endpoint lists, load reports, and the configuration file.
 //!
-//! The names on the wire stay inside this package. Only the fields that a director needs are parsed; others are ignored.
+//! The names on the wire stay inside this package. Only the fields that a director needs are parsed; others are
+//! ignored.
 
 pub mod collector;
 pub mod config;
@@ -11,4 +12,4 @@
 mod number;
 pub mod relay;
 
-pub use error::Fault;
+pub use error::ParseError;
--- a/crates/director/protocol/src/load.rs
+++ b/crates/director/protocol/src/load.rs
@@ -7,17 +7,17 @@
 const TEXT_FORMAT: &str = "TEXT";
 
 /// Path at which a host answers whether it serves.
-pub const HEALTH: &str = "/health";
+pub const HEALTH_PATH: &str = "/health";
 
 /// Path at which a host answers whether it serves, with its load report as body.
-pub const LOAD: &str = "/status/load";
+pub const LOAD_PATH: &str = "/status/load";
 
 /// One load report: numbers by the names that the settings give them.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     values: Vec<(String, f64)>,
     /// Number of entries that were ignored, as they were no finite number of 0 or more.
-    pub odd: u64,
+    pub invalid_entries: u64,
 }
 
 impl Report {
@@ -29,7 +29,7 @@
     fn insert(&mut self, name: &str, value: Option<f64>) {
         match value.filter(|value| value.is_finite() && *value >= 0.0) {
             Some(value) => self.values.push((name.to_string(), value)),
-            None => self.odd += 1,
+            None => self.invalid_entries += 1,
         }
     }
 
@@ -43,14 +43,14 @@
                 }
             }
             Value::Null => {}
-            _ => report.odd += 1,
+            _ => report.invalid_entries += 1,
         }
         report
     }
 
     /// Reads a report from text such as `TEXT inflight=7, queue=2`. An empty text reports nothing, and any other form
     /// counts as one ignored entry.
-    pub fn text(body: &[u8]) -> Self {
+    pub fn parse_text(body: &[u8]) -> Self {
         let mut report = Report::default();
         let text = String::from_utf8_lossy(body);
         let text = text.trim();
@@ -58,7 +58,7 @@
             return report;
         }
         let Some(entries) = text.strip_prefix(TEXT_FORMAT) else {
-            report.odd += 1;
+            report.invalid_entries += 1;
             return report;
         };
         for entry in entries.split(',').map(str::trim) {
--- a/crates/director/protocol/src/load/tests.rs
+++ b/crates/director/protocol/src/load/tests.rs
@@ -8,8 +8,8 @@
 #[test_case(b"", None, None, 0 ; "nothing")]
 #[test_case(b"\xff\xfe<html>", None, None, 1 ; "no report")]
 fn invalid_entries_of_a_text_are_counted(body: &[u8], q: Option<f64>, time: Option<f64>, odd: u64) {
-    let report = Report::text(body);
-    assert_eq!((report.get("q"), report.get("lat_ms"), report.odd), (q, time, odd));
+    let report = Report::parse_text(body);
+    assert_eq!((report.get("q"), report.get("lat_ms"), report.invalid_entries), (q, time, odd));
 }
 
 #[test_case(r#"{"q":2,"lat_ms":"slow"}"#, Some(2.0), 1 ; "a word for a figure")]
@@ -17,5 +17,5 @@
 #[test_case("null", None, 0 ; "none")]
 fn invalid_entries_of_an_object_are_counted(json: &str, q: Option<f64>, odd: u64) {
     let report = Report::from_json(&serde_json::from_str(json).unwrap());
-    assert_eq!((report.get("q"), report.odd), (q, odd));
+    assert_eq!((report.get("q"), report.invalid_entries), (q, odd));
 }
--- a/crates/director/protocol/src/relay/answer.rs
+++ b/crates/director/protocol/src/relay/answer.rs
@@ -4,9 +4,9 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
     /// This many orders were applied, from the first on.
-    Taken(usize),
+    Applied(usize),
     /// The whole call was rejected for now and may be sent again.
-    Throttling,
+    Throttled,
     /// The relay could not parse the call.
     Invalid,
     /// The line is no answer that is known.
@@ -21,10 +21,10 @@
         };
         let applied = text.strip_prefix("OK ").and_then(|count| count.trim().parse().ok());
         if let Some(count) = applied {
-            return Answer::Taken(count);
+            return Answer::Applied(count);
         }
         if contains_word(text, "Throttling") {
-            return Answer::Throttling;
+            return Answer::Throttled;
         }
         if contains_word(text, "ValidationError") {
             return Answer::Invalid;
--- a/crates/director/protocol/src/relay/order.rs
+++ b/crates/director/protocol/src/relay/order.rs
@@ -5,11 +5,11 @@
 
 /// How often proxies retry a request; written as its number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Again {
+pub enum RetryPolicy {
     /// No retry.
     Never = 0,
     /// One retry where the first attempt did not run.
-    IfNeverRan = 1,
+    IfNotExecuted = 1,
     /// One retry.
     Once = 2,
     /// Two retries.
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order<'a> {
     /// Sets the weight of a host in a slice's table.
-    Line {
+    SetWeight {
         /// Number of the slice.
         slice: u16,
         /// Id of the host.
@@ -29,22 +29,22 @@
         weight: f64,
     },
     /// Removes all hosts from a slice's table.
-    Clear {
+    ClearTable {
         /// Number of the slice.
         slice: u16,
     },
     /// Withdraws a host from all tables, whose weights are kept.
-    Out {
+    Withdraw {
         /// Id of the host.
         host: &'a str,
     },
     /// Reverses `Out`.
-    In {
+    Restore {
         /// Id of the host.
         host: &'a str,
     },
     /// Sets how much is admitted and how it is retried.
-    Admit {
+    SetAdmission {
         /// Number of the slice; none: all slices.
         slice: Option<u16>,
         /// Names of the routes; empty: all routes.
@@ -52,38 +52,40 @@
         /// Share of the requests that is admitted, 0 to 1.
         level: f64,
         /// How the admitted ones are retried.
-        again: Again,
+        retry: RetryPolicy,
     },
     /// Asks the proxies to acknowledge all orders up to here.
-    Mark {
+    RequestAcknowledgement {
         /// Number that the acknowledgements repeat.
-        mark: u16,
+        round: u16,
         /// All proxies acknowledge, also those that none of the orders concerns.
-        all: bool,
+        include_idle_proxies: bool,
     },
 }
 
 impl Order<'_> {
     /// The order as it stands in a call.
-    pub fn text(&self) -> String {
+    pub fn to_text(&self) -> String {
         match self {
-            Order::Line { slice, host, weight } => format!("SET,{slice},{host},{weight}"),
-            Order::Clear { slice } => format!("DEL,{slice}"),
-            Order::Out { host } => format!("OUT,{host}"),
-            Order::In { host } => format!("IN,{host}"),
-            Order::Admit { slice, routes, level, again } => {
+            Order::SetWeight { slice, host, weight } => format!("SET,{slice},{host},{weight}"),
+            Order::ClearTable { slice } => format!("DEL,{slice}"),
+            Order::Withdraw { host } => format!("OUT,{host}"),
+            Order::Restore { host } => format!("IN,{host}"),
+            Order::SetAdmission { slice, routes, level, retry: retry_policy } => {
                 let slice = slice.map_or(ALL.to_string(), |slice| slice.to_string());
                 let routes = if routes.is_empty() { ALL.to_string() } else { routes.join("+") };
-                let retries = *again as u8;
+                let retries = *retry_policy as u8;
                 format!("LIMIT,{slice},{routes},{level},{retries}")
             }
-            Order::Mark { mark, all } => format!("SYNC,{mark},{}", u8::from(*all)),
+            Order::RequestAcknowledgement { round: mark, include_idle_proxies: all } => {
+                format!("SYNC,{mark},{}", u8::from(*all))
+            }
         }
     }
 }
 
 /// One call with these orders, given as their texts.
-pub fn call<'a>(orders: impl Iterator<Item = &'a str>) -> Vec<u8> {
+pub fn write_call<'a>(orders: impl Iterator<Item = &'a str>) -> Vec<u8> {
     let mut line = String::from("txn ");
     for (index, order) in orders.enumerate() {
         if index > 0 {
--- a/crates/director/protocol/src/relay/update.rs
+++ b/crates/director/protocol/src/relay/update.rs
@@ -1,52 +1,52 @@
 //! Updates that the relay sends without being asked again.
 
 use crate::number::non_negative;
-use crate::Fault;
+use crate::ParseError;
 
 /// One update. Names borrow from the line.
 #[derive(Clone, Debug, PartialEq)]
-pub enum News<'a> {
+pub enum RelayEvent<'a> {
     /// The subscription is accepted; the current state follows.
     Start,
     /// A heartbeat.
-    Life,
+    Heartbeat,
     /// A proxy has connected.
-    Joined {
+    ProxyJoined {
         /// Number of the proxy.
         proxy: u16,
         /// Name of its zone.
         zone: &'a str,
         /// Requests per second that it carries.
-        calls_per_s: f64,
+        requests_per_s: f64,
         /// It has had no table from this director since its own start.
-        fresh: bool,
+        without_tables: bool,
     },
     /// A proxy has disconnected.
-    Left {
+    ProxyLeft {
         /// Number of the proxy.
         proxy: u16,
     },
     /// A proxy acknowledges the orders up to a mark.
-    Applied {
+    RoundAcknowledged {
         /// Number of the proxy.
         proxy: u16,
-        /// The number given in `Order::Mark`.
-        mark: u16,
+        /// The number given in `Order::RequestAcknowledgement`.
+        round: u16,
         /// Time from the order to its application, seconds.
-        took: f64,
+        latency: f64,
     },
     /// This director now owns the slice.
-    Given {
+    SliceAssigned {
         /// Number of the slice.
         slice: u16,
     },
     /// This director no longer owns the slice.
-    Taken {
+    SliceRevoked {
         /// Number of the slice.
         slice: u16,
     },
     /// A weight that the relay has stored for a slice.
-    StoredLine {
+    StoredWeight {
         /// Number of the slice.
         slice: u16,
         /// Id of the host.
@@ -56,57 +56,61 @@
     },
 }
 
-impl<'a> News<'a> {
+impl<'a> RelayEvent<'a> {
     /// Parses one line.
     ///
     /// # Errors
     /// The line is not UTF-8, no update that is known, or one of its fields is invalid.
-    pub fn parse(line: &'a [u8]) -> Result<Self, Fault> {
-        let text = std::str::from_utf8(line).map_err(Fault::UpdateNotUtf8)?;
+    pub fn parse(line: &'a [u8]) -> Result<Self, ParseError> {
+        let text = std::str::from_utf8(line).map_err(ParseError::UpdateNotUtf8)?;
         let words: Vec<&str> = text.trim_end().split(' ').collect();
         match words[..] {
-            ["OK"] => Ok(News::Start),
-            ["*"] => Ok(News::Life),
-            ["*", "hello", proxy, zone, share, standing] => Ok(News::Joined {
+            ["OK"] => Ok(RelayEvent::Start),
+            ["*"] => Ok(RelayEvent::Heartbeat),
+            ["*", "hello", proxy, zone, share, standing] => Ok(RelayEvent::ProxyJoined {
                 proxy: parse_number(proxy, "sidecar")?,
                 zone,
-                calls_per_s: parse_amount(share, "share")?,
-                fresh: parse_flag(standing, "standing")?,
+                requests_per_s: parse_amount(share, "share")?,
+                without_tables: parse_flag(standing, "standing")?,
             }),
-            ["*", "bye", proxy] => Ok(News::Left { proxy: parse_number(proxy, "sidecar")? }),
-            ["*", "ack", proxy, version, lag_ms] => Ok(News::Applied {
+            ["*", "bye", proxy] => Ok(RelayEvent::ProxyLeft { proxy: parse_number(proxy, "sidecar")? }),
+            ["*", "ack", proxy, version, lag_ms] => Ok(RelayEvent::RoundAcknowledged {
                 proxy: parse_number(proxy, "sidecar")?,
-                mark: parse_number(version, "version")?,
-                took: parse_amount(lag_ms, "lag_ms")? / 1e3,
+                round: parse_number(version, "version")?,
+                latency: parse_amount(lag_ms, "lag_ms")? / 1e3,
             }),
             ["*", "lease", partition, owned] => {
                 let is_owner = parse_flag(owned, "yes")?;
                 let slice = parse_number(partition, "partition")?;
-                Ok(if is_owner { News::Given { slice } } else { News::Taken { slice } })
+                Ok(if is_owner {
+                    RelayEvent::SliceAssigned { slice }
+                } else {
+                    RelayEvent::SliceRevoked { slice }
+                })
             }
-            ["*", "line", partition, host, weight] => Ok(News::StoredLine {
+            ["*", "line", partition, host, weight] => Ok(RelayEvent::StoredWeight {
                 slice: parse_number(partition, "partition")?,
                 host,
                 weight: parse_amount(weight, "weight")?,
             }),
-            _ => Err(Fault::unknown_update(text)),
+            _ => Err(ParseError::unknown_update(text)),
         }
     }
 }
 
-fn parse_number(text: &str, field: &str) -> Result<u16, Fault> {
-    text.parse().map_err(|_| Fault::invalid(field, text, "a whole number below 65536"))
+fn parse_number(text: &str, field: &str) -> Result<u16, ParseError> {
+    text.parse().map_err(|_| ParseError::invalid(field, text, "a whole number below 65536"))
 }
 
-fn parse_amount(text: &str, field: &str) -> Result<f64, Fault> {
+fn parse_amount(text: &str, field: &str) -> Result<f64, ParseError> {
     let amount = text.parse().unwrap_or(f64::NAN);
-    non_negative(amount, field).map_err(|_| Fault::invalid(field, text, "a number of 0 or more"))
+    non_negative(amount, field).map_err(|_| ParseError::invalid(field, text, "a number of 0 or more"))
 }
 
-fn parse_flag(text: &str, field: &str) -> Result<bool, Fault> {
+fn parse_flag(text: &str, field: &str) -> Result<bool, ParseError> {
     match text {
         "1" => Ok(true),
         "0" => Ok(false),
-        _ => Err(Fault::invalid(field, text, "1 or 0")),
+        _ => Err(ParseError::invalid(field, text, "1 or 0")),
     }
 }
--- a/crates/director/protocol/tests/wire_format.rs
+++ b/crates/director/protocol/tests/wire_format.rs
@@ -1,10 +1,10 @@
 //! These bytes are exchanged with programs that this repository doesn't build: collectors, the relay, discovery, hosts,
 //! and the operators' configuration file. A change here breaks the director against all of them.
-use coppersail_protocol::collector::{self, Line};
+use coppersail_protocol::collector::{self, CollectorMessage};
 use coppersail_protocol::config::{Config, Limits};
-use coppersail_protocol::discovery::{self, List, State};
+use coppersail_protocol::discovery::{self, EndpointList, EndpointState};
 use coppersail_protocol::load::{self, Report};
-use coppersail_protocol::relay::{self, Again, Answer, News, Order};
+use coppersail_protocol::relay::{self, Answer, Order, RelayEvent, RetryPolicy};
 use std::fmt::Debug;
 
 /// The one-line text of the error, as it stands in log lines and in the answers to operators.
@@ -17,29 +17,52 @@
 
     #[test]
     fn the_limits_and_the_answer_to_a_probe_keep_their_bytes() {
-        assert_eq!(collector::MOST, 1_048_576);
-        assert_eq!(collector::ALIVE, b"{\"msg\":\"alive\"}\n");
-        assert_eq!(Line::parse(br#"{"msg":"probe"}"#), Ok(Line::Probe));
+        assert_eq!(collector::MAX_MESSAGE_BYTES, 1_048_576);
+        assert_eq!(collector::HEALTH_CHECK_RESPONSE, b"{\"msg\":\"alive\"}\n");
+        assert_eq!(CollectorMessage::parse(br#"{"msg":"probe"}"#), Ok(CollectorMessage::HealthCheck));
     }
 
     #[test]
     fn each_message_keeps_its_field_names_and_units() {
-        assert_eq!(Line::parse(br#"{"msg":"agent","az":"a"}"#), Ok(Line::Zone("a".into())));
-        let demand = Line::Demand { slice: 88, route: "lookup".into(), calls: 40, dropped: 1, span: 0.5 };
+        assert_eq!(
+            CollectorMessage::parse(br#"{"msg":"agent","az":"a"}"#),
+            Ok(CollectorMessage::Register("a".into()))
+        );
+        let demand = CollectorMessage::DemandReport {
+            slice: 88,
+            route: "lookup".into(),
+            requests: 40,
+            dropped: 1,
+            window: 0.5,
+        };
         let text = br#"{"msg":"hot","partition":88,"kind":"lookup","n":40,"bad":1,"window":500.0}"#;
-        assert_eq!(Line::parse(text), Ok(demand));
+        assert_eq!(CollectorMessage::parse(text), Ok(demand));
         let text = br#"{"msg":"outcomes","az":"a","host":"s-5","n":212,"bad":3,"avg":41.5,"window":1000.0,"report":{"q":7}}"#;
-        let Ok(Line::Tries { zone, host, tries, dropped, rt, span, report }) = Line::parse(text) else {
-            panic!("{:?}", Line::parse(text));
+        let Ok(CollectorMessage::AttemptReport {
+            zone,
+            host,
+            attempts,
+            dropped,
+            mean_response_time,
+            window,
+            report,
+        }) = CollectorMessage::parse(text)
+        else {
+            panic!("{:?}", CollectorMessage::parse(text));
         };
-        assert_eq!((zone.as_ref(), host.as_ref(), tries, dropped), ("a", "s-5", 212, 3));
-        assert_eq!((rt, span, report.get("q"), report.odd), (0.0415, 1.0, Some(7.0), 0));
+        assert_eq!((zone.as_ref(), host.as_ref(), attempts, dropped), ("a", "s-5", 212, 3));
+        assert_eq!(
+            (mean_response_time, window, report.get("q"), report.invalid_entries),
+            (0.0415, 1.0, Some(7.0), 0)
+        );
     }
 
     #[test]
     fn an_average_is_needed_only_where_calls_were_answered() {
         let text = br#"{"msg":"outcomes","az":"a","host":"h","n":3,"bad":3,"avg":7.0,"window":1.0}"#;
-        assert!(matches!(Line::parse(text), Ok(Line::Tries { rt, .. }) if rt == 0.0));
+        assert!(
+            matches!(CollectorMessage::parse(text), Ok(CollectorMessage::AttemptReport { mean_response_time, .. }) if mean_response_time == 0.0)
+        );
     }
 
     #[test]
@@ -68,16 +91,19 @@
             (br#"{"msg":"outcomes","az":"a","n":1,"bad":1,"window":1}"#, "field host: missing"),
         ];
         for (line, text) in table {
-            assert_eq!(error_text(Line::parse(line)), text, "{}", String::from_utf8_lossy(line));
+            assert_eq!(error_text(CollectorMessage::parse(line)), text, "{}", String::from_utf8_lossy(line));
         }
     }
 
     #[test]
     fn errors_of_malformed_json_keep_their_text() {
-        assert_eq!(error_text(Line::parse(b"{")), "EOF while parsing an object at line 1 column 1");
-        assert_eq!(error_text(Line::parse(b"\xff")), "expected value at line 1 column 1");
         assert_eq!(
-            error_text(Line::parse(br#"{"msg":"hot","partition":-1}"#)),
+            error_text(CollectorMessage::parse(b"{")),
+            "EOF while parsing an object at line 1 column 1"
+        );
+        assert_eq!(error_text(CollectorMessage::parse(b"\xff")), "expected value at line 1 column 1");
+        assert_eq!(
+            error_text(CollectorMessage::parse(br#"{"msg":"hot","partition":-1}"#)),
             "invalid value: integer `-1`, expected u16 at line 1 column 27"
         );
     }
@@ -95,14 +121,14 @@
             ),
         ];
         for (line, text) in table {
-            assert_eq!(error_text(Line::parse(line)), text, "{}", String::from_utf8_lossy(line));
+            assert_eq!(error_text(CollectorMessage::parse(line)), text, "{}", String::from_utf8_lossy(line));
         }
     }
 
     #[test]
     fn an_error_that_quotes_a_long_input_is_cut_at_200_characters() {
         let line = format!(r#"{{"msg":"hot","partition":"{}"}}"#, "ä".repeat(500));
-        let text = error_text(Line::parse(line.as_bytes()));
+        let text = error_text(CollectorMessage::parse(line.as_bytes()));
         assert_eq!(text, format!("invalid type: string \"{}", "ä".repeat(178)));
         assert_eq!(text.chars().count(), 200);
     }
@@ -113,46 +139,51 @@
 
     #[test]
     fn the_request_for_updates_and_the_limit_of_a_call_keep_their_bytes() {
-        assert_eq!(relay::FOLLOW, b"follow\r\n");
-        assert_eq!(relay::MOST, 60_000);
+        assert_eq!(relay::WATCH_REQUEST, b"follow\r\n");
+        assert_eq!(relay::MAX_CALL_BYTES, 60_000);
     }
 
     #[test]
     fn each_order_keeps_its_text() {
-        let admit = |slice, routes, level, again| Order::Admit { slice, routes, level, again };
+        let admit = |slice, routes, level, retry_policy| Order::SetAdmission {
+            slice,
+            routes,
+            level,
+            retry: retry_policy,
+        };
         let table = [
-            (Order::Line { slice: 4, host: "s-5", weight: 1.5 }, "SET,4,s-5,1.5"),
-            (Order::Line { slice: 4, host: "s-5", weight: 1.0 }, "SET,4,s-5,1"),
-            (Order::Clear { slice: 4 }, "DEL,4"),
-            (Order::Out { host: "s-5" }, "OUT,s-5"),
-            (Order::In { host: "s-5" }, "IN,s-5"),
-            (admit(Some(4), vec!["a", "b"], 0.9, Again::Never), "LIMIT,4,a+b,0.9,0"),
-            (admit(None, vec!["a"], 1.0, Again::IfNeverRan), "LIMIT,*,a,1,1"),
-            (admit(Some(0), vec![], 0.0, Again::Once), "LIMIT,0,*,0,2"),
-            (admit(None, vec![], 0.5, Again::Twice), "LIMIT,*,*,0.5,3"),
-            (Order::Mark { mark: 905, all: true }, "SYNC,905,1"),
-            (Order::Mark { mark: 905, all: false }, "SYNC,905,0"),
+            (Order::SetWeight { slice: 4, host: "s-5", weight: 1.5 }, "SET,4,s-5,1.5"),
+            (Order::SetWeight { slice: 4, host: "s-5", weight: 1.0 }, "SET,4,s-5,1"),
+            (Order::ClearTable { slice: 4 }, "DEL,4"),
+            (Order::Withdraw { host: "s-5" }, "OUT,s-5"),
+            (Order::Restore { host: "s-5" }, "IN,s-5"),
+            (admit(Some(4), vec!["a", "b"], 0.9, RetryPolicy::Never), "LIMIT,4,a+b,0.9,0"),
+            (admit(None, vec!["a"], 1.0, RetryPolicy::IfNotExecuted), "LIMIT,*,a,1,1"),
+            (admit(Some(0), vec![], 0.0, RetryPolicy::Once), "LIMIT,0,*,0,2"),
+            (admit(None, vec![], 0.5, RetryPolicy::Twice), "LIMIT,*,*,0.5,3"),
+            (Order::RequestAcknowledgement { round: 905, include_idle_proxies: true }, "SYNC,905,1"),
+            (Order::RequestAcknowledgement { round: 905, include_idle_proxies: false }, "SYNC,905,0"),
         ];
         for (order, text) in table {
-            assert_eq!(order.text(), text);
+            assert_eq!(order.to_text(), text);
         }
     }
 
     #[test]
     fn a_call_keeps_its_bytes() {
-        assert_eq!(relay::call(["DEL,4", "IN,s-5"].into_iter()), b"txn DEL,4;IN,s-5\r\n");
-        assert_eq!(relay::call(["DEL,4"].into_iter()), b"txn DEL,4\r\n");
-        assert_eq!(relay::call(std::iter::empty()), b"txn \r\n");
+        assert_eq!(relay::write_call(["DEL,4", "IN,s-5"].into_iter()), b"txn DEL,4;IN,s-5\r\n");
+        assert_eq!(relay::write_call(["DEL,4"].into_iter()), b"txn DEL,4\r\n");
+        assert_eq!(relay::write_call(std::iter::empty()), b"txn \r\n");
     }
 
     #[test]
     fn each_answer_keeps_its_meaning() {
         let table: [(&[u8], Answer); 8] = [
-            (b"OK 0", Answer::Taken(0)),
-            (b"OK 17\r", Answer::Taken(17)),
+            (b"OK 0", Answer::Applied(0)),
+            (b"OK 17\r", Answer::Applied(17)),
             (b"OK", Answer::Unreadable),
             (b"OK -1", Answer::Unreadable),
-            (b"-ERR Throttling: wait", Answer::Throttling),
+            (b"-ERR Throttling: wait", Answer::Throttled),
             (b"ThrottlingX", Answer::Unreadable),
             (b"-ERR ValidationError", Answer::Invalid),
             (b"\xff", Answer::Unreadable),
@@ -164,20 +195,25 @@
 
     #[test]
     fn each_update_keeps_its_words_and_units() {
-        let joined = |fresh| News::Joined { proxy: 17, zone: "a", calls_per_s: 21.5, fresh };
+        let joined = |fresh| RelayEvent::ProxyJoined {
+            proxy: 17,
+            zone: "a",
+            requests_per_s: 21.5,
+            without_tables: fresh,
+        };
         let table = [
-            ("OK", News::Start),
-            ("*", News::Life),
+            ("OK", RelayEvent::Start),
+            ("*", RelayEvent::Heartbeat),
             ("* hello 17 a 21.5 1\r", joined(true)),
             ("* hello 17 a 21.5 0", joined(false)),
-            ("* bye 17", News::Left { proxy: 17 }),
-            ("* ack 17 905 310.5", News::Applied { proxy: 17, mark: 905, took: 0.3105 }),
-            ("* lease 88 1", News::Given { slice: 88 }),
-            ("* lease 88 0", News::Taken { slice: 88 }),
-            ("* line 88 s-5 1.0", News::StoredLine { slice: 88, host: "s-5", weight: 1.0 }),
+            ("* bye 17", RelayEvent::ProxyLeft { proxy: 17 }),
+            ("* ack 17 905 310.5", RelayEvent::RoundAcknowledged { proxy: 17, round: 905, latency: 0.3105 }),
+            ("* lease 88 1", RelayEvent::SliceAssigned { slice: 88 }),
+            ("* lease 88 0", RelayEvent::SliceRevoked { slice: 88 }),
+            ("* line 88 s-5 1.0", RelayEvent::StoredWeight { slice: 88, host: "s-5", weight: 1.0 }),
         ];
         for (line, update) in table {
-            assert_eq!(News::parse(line.as_bytes()), Ok(update), "{line}");
+            assert_eq!(RelayEvent::parse(line.as_bytes()), Ok(update), "{line}");
         }
     }
 
@@ -198,7 +234,7 @@
             (b"* line 88 s-5 -1", "field weight: expected a number of 0 or more"),
         ];
         for (line, text) in table {
-            assert_eq!(error_text(News::parse(line)), text, "{}", String::from_utf8_lossy(line));
+            assert_eq!(error_text(RelayEvent::parse(line)), text, "{}", String::from_utf8_lossy(line));
         }
     }
 }
@@ -214,17 +250,17 @@
 
     #[test]
     fn the_paths_keep_their_text() {
-        assert_eq!(discovery::LIST, "/v1/endpoints");
-        assert_eq!(discovery::watch(Some(41)), "/v1/endpoints?follow=1&since=41");
-        assert_eq!(discovery::watch(None), "/v1/endpoints?follow=1");
+        assert_eq!(discovery::ENDPOINTS_PATH, "/v1/endpoints");
+        assert_eq!(discovery::watch_path(Some(41)), "/v1/endpoints?follow=1&since=41");
+        assert_eq!(discovery::watch_path(None), "/v1/endpoints?follow=1");
     }
 
     #[test]
     fn an_entry_keeps_its_field_names() {
         let text = list(ENTRY);
-        let list = List::parse(text.as_bytes()).unwrap();
-        assert_eq!((list.version, list.full), (43, true));
-        let server = list.servers[0].as_ref().unwrap();
+        let list = EndpointList::parse(text.as_bytes()).unwrap();
+        assert_eq!((list.version, list.is_complete), (43, true));
+        let server = list.entries[0].as_ref().unwrap();
         assert_eq!((server.id.as_ref(), server.zone.as_ref(), server.kind.as_ref()), ("s-5", "a", "m2"));
         assert_eq!((server.cell, server.weight, server.started_ms), (3, 1.5, 7));
         assert_eq!(server.address.to_string(), "127.0.0.1:8000");
@@ -232,11 +268,17 @@
 
     #[test]
     fn each_state_keeps_its_word() {
-        let words =
-            [("in_service", State::Ready), ("terminating", State::Draining), ("terminated", State::Gone)];
+        let words = [
+            ("in_service", EndpointState::Ready),
+            ("terminating", EndpointState::Draining),
+            ("terminated", EndpointState::Gone),
+        ];
         for (word, state) in words {
             let text = list(&ENTRY.replace("in_service", word));
-            assert_eq!(List::parse(text.as_bytes()).unwrap().servers[0].as_ref().unwrap().state, state);
+            assert_eq!(
+                EndpointList::parse(text.as_bytes()).unwrap().entries[0].as_ref().unwrap().state,
+                state
+            );
         }
     }
 
@@ -252,8 +294,8 @@
         ];
         for (from, to, expected) in table {
             let text = list(&ENTRY.replacen(from, to, 1));
-            let list = List::parse(text.as_bytes()).unwrap();
-            assert_eq!(list.servers[0].as_ref().unwrap_err().fault.to_string(), expected);
+            let list = EndpointList::parse(text.as_bytes()).unwrap();
+            assert_eq!(list.entries[0].as_ref().unwrap_err().error.to_string(), expected);
         }
     }
 
@@ -266,21 +308,21 @@
             ("{}", "missing field `id` at line 1 column 2"),
         ] {
             let text = list(entry);
-            let list = List::parse(text.as_bytes()).unwrap();
-            let error = list.servers[0].as_ref().unwrap_err();
-            assert_eq!((error.id.as_deref(), error.fault.to_string().as_str()), (None, expected));
+            let list = EndpointList::parse(text.as_bytes()).unwrap();
+            let error = list.entries[0].as_ref().unwrap_err();
+            assert_eq!((error.id.as_deref(), error.error.to_string().as_str()), (None, expected));
         }
         for (text, expected) in [
             ("7", "invalid type: integer `7`, expected struct RawList at line 1 column 1"),
             ("[]", "invalid length 0, expected struct RawList with 3 elements at line 1 column 2"),
         ] {
-            assert_eq!(error_text(List::parse(text.as_bytes())), expected);
+            assert_eq!(error_text(EndpointList::parse(text.as_bytes())), expected);
         }
     }
 
     #[test]
     fn an_error_of_the_list_keeps_its_text() {
-        let text = error_text(List::parse(b"{\"version\":43}"));
+        let text = error_text(EndpointList::parse(b"{\"version\":43}"));
         assert_eq!(text, "missing field `full` at line 1 column 14");
     }
 }
@@ -290,16 +332,16 @@
 
     #[test]
     fn the_paths_keep_their_text() {
-        assert_eq!((load::HEALTH, load::LOAD), ("/health", "/status/load"));
+        assert_eq!((load::HEALTH_PATH, load::LOAD_PATH), ("/health", "/status/load"));
     }
 
     #[test]
     fn a_report_in_a_body_keeps_its_form() {
-        let report = Report::text(b"TEXT q=2, lat_ms=181.685,rif=x,");
+        let report = Report::parse_text(b"TEXT q=2, lat_ms=181.685,rif=x,");
         let figures = [report.get("q"), report.get("lat_ms"), report.get("rif")];
-        assert_eq!((figures, report.odd), ([Some(2.0), Some(181.685), None], 1));
-        assert_eq!(Report::text(b" \n").odd, 0);
-        assert_eq!(Report::text(b"text q=2").odd, 1);
+        assert_eq!((figures, report.invalid_entries), ([Some(2.0), Some(181.685), None], 1));
+        assert_eq!(Report::parse_text(b" \n").invalid_entries, 0);
+        assert_eq!(Report::parse_text(b"text q=2").invalid_entries, 1);
     }
 }
 
@@ -317,7 +359,7 @@
             discovery: "127.0.0.1:2".parse().unwrap(),
             relay: "127.0.0.1:3".parse().unwrap(),
             seed: 0x8c1f_30d2_7a5b_e964,
-            known: Some(br#"{"full":true,"servers":[],"version":41}"#.to_vec()),
+            known_endpoints: Some(br#"{"full":true,"servers":[],"version":41}"#.to_vec()),
             settings: [("me".to_string(), "3".to_string())].into(),
             limits: Limits { sockets: Some(64), memory_mb: Some(512) },
         };
@@ -348,7 +390,7 @@
 
     #[test]
     fn the_fields_that_only_a_restart_applies_keep_their_names() {
-        let fixed = Config::parse(CONFIG.as_bytes()).unwrap().fixed();
+        let fixed = Config::parse(CONFIG.as_bytes()).unwrap().restart_only_fields();
         assert_eq!(fixed.map(|(name, _)| name), ["name", "listen", "limits", "settings"]);
     }
 
--- a/crates/director/rebalancer/src/board.rs
+++ b/crates/director/rebalancer/src/assignment.rs
@@ -5,29 +5,29 @@
 /// One that may hold slices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
-    /// The weight by which its count is divided, scaled to a mean of 1: see [`units`](crate::units). Above 0.
-    pub unit: f64,
+    /// The weight by which its count is divided, scaled to a mean of 1: see [`normalized_weights`](crate::normalized_weights). Above 0.
+    pub weight: f64,
     /// When it was listed, or its position in the list; none: it is known, but not listed.
     pub listed_at: Option<f64>,
     /// Newly listed: it takes only coldest slices.
-    pub young: bool,
+    pub is_new: bool,
     /// It may take slices; one that may not, but isn't leaving, still gives them.
     pub open: bool,
     /// Draining or gone: its slices move first.
     pub leaving: bool,
     /// The score that it may still take; infinite without a limit.
-    pub room: f64,
+    pub capacity: f64,
 }
 
 impl Default for Holder {
     fn default() -> Self {
         Holder {
-            unit: 1.0,
+            weight: 1.0,
             listed_at: Some(0.0),
-            young: false,
+            is_new: false,
             open: true,
             leaving: false,
-            room: f64::INFINITY,
+            capacity: f64::INFINITY,
         }
     }
 }
@@ -35,7 +35,7 @@
 /// Who holds what. Holders and slices are named by their index. A slice that is being moved counts with the holder that
 /// it goes to, and is pinned.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Board {
+pub struct Assignment {
     /// All that may hold slices.
     pub holders: Vec<Holder>,
     /// The holder of each slice; none: nobody holds it.
@@ -45,9 +45,9 @@
     /// Slices that are not to be moved.
     pub pinned: BTreeSet<usize>,
     /// Pairs of a slice and a holder that must not get it.
-    pub barred: BTreeSet<(usize, usize)>,
+    pub forbidden: BTreeSet<(usize, usize)>,
     /// The share of all slices that is on this board, from 0 to 1; none: all.
-    pub part: Option<f64>,
+    pub slice_share: Option<f64>,
 }
 
 /// A slice that is to go to another holder.
@@ -94,14 +94,14 @@
 
 /// What the mechanism remembers: past a gap of 8 slices it moves them until the gap is under 2.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Balance {
+pub struct Rebalancer {
     /// A gap of more than 8 slices was seen, and has not gone below 2 since.
     pub moving: bool,
 }
 
-impl Board {
+impl Assignment {
     /// What each holder has.
-    pub fn sums(&self) -> Vec<Totals> {
+    pub fn totals(&self) -> Vec<Totals> {
         let mut totals = vec![Totals::default(); self.holders.len()];
         for (owner, score) in self.owners.iter().zip(&self.scores) {
             if let Some(owner) = owner {
@@ -114,7 +114,7 @@
 
     /// Slices per unit of weight that a holder would have with `more` slices.
     pub(crate) fn fill(&self, totals: &[Totals], holder: usize, more: f64) -> f64 {
-        (totals[holder].slices + more) / self.holders[holder].unit
+        (totals[holder].slices + more) / self.holders[holder].weight
     }
 
     /// The slices of a holder.
@@ -134,16 +134,16 @@
 
     /// Whether the slice may be moved to this holder.
     pub(crate) fn may_move(&self, slice: usize, to: usize) -> bool {
-        !self.pinned.contains(&slice) && !self.barred.contains(&(slice, to))
+        !self.pinned.contains(&slice) && !self.forbidden.contains(&(slice, to))
     }
 
     /// Carries a move out.
     pub(crate) fn apply(&mut self, next: &Move) {
         let score = self.scores[next.slice];
         if let Some(from) = next.from {
-            self.holders[from].room += score;
+            self.holders[from].capacity += score;
         }
-        self.holders[next.to].room -= score;
+        self.holders[next.to].capacity -= score;
         self.owners[next.slice] = Some(next.to);
     }
 }
--- a/crates/director/rebalancer/src/mechanism.rs
+++ b/crates/director/rebalancer/src/mechanism.rs
@@ -1,15 +1,15 @@
 //! The paper's mechanism: scores, the gap between the fullest and the emptiest, the next move.
 
-use crate::board::{Balance, Board, CandidateRank, Gap, Move, Totals};
+use crate::assignment::{Assignment, CandidateRank, Gap, Move, Rebalancer, Totals};
 use std::cmp::Ordering;
 
 /// A listed weight, scaled so that the average is 1; a hundredth at least, as counts are divided by it.
-pub fn unit(weight: f64, mean: f64) -> f64 {
+pub fn normalized_weight(weight: f64, mean: f64) -> f64 {
     (weight / mean).max(0.01)
 }
 
 /// Of those that may take a slice the first by its rank; none without candidates.
-pub fn seat<L: PartialOrd, H>(candidates: impl Iterator<Item = (CandidateRank<L>, H)>) -> Option<H> {
+pub fn select_holder<L: PartialOrd, H>(candidates: impl Iterator<Item = (CandidateRank<L>, H)>) -> Option<H> {
     let first = candidates.min_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal));
     first.map(|(_, holder)| holder)
 }
@@ -32,7 +32,7 @@
     scores
 }
 
-impl Board {
+impl Assignment {
     /// Those among whom counts are to be even, emptiest first; the last is the fullest.
     pub(crate) fn ranked(&self, totals: &[Totals]) -> Vec<usize> {
         let is_counted = |h: &usize| self.holders[*h].listed_at.is_some() && !self.holders[*h].leaving;
@@ -44,32 +44,32 @@
     /// The fullest, the emptiest that could take anything of it, and the gap between them, in slices per unit
     /// of weight. One that is full must not hold up all. None where no two holders can be compared.
     pub fn gap(&self) -> Option<Gap> {
-        let totals = self.sums();
+        let totals = self.totals();
         let ranked = self.ranked(&totals);
         let [_, .., fullest] = ranked[..] else { return None };
         let lowest_score = self.lowest_score(fullest);
-        let can_take = |h: &usize| self.holders[*h].open && self.holders[*h].room >= lowest_score;
+        let can_take = |h: &usize| self.holders[*h].open && self.holders[*h].capacity >= lowest_score;
         let emptiest = ranked.into_iter().find(can_take)?;
         let difference = self.fill(&totals, fullest, 0.0) - self.fill(&totals, emptiest, 0.0);
         // Of several boards random gaps add up by the square root.
-        Some(Gap { fullest, emptiest, slices: difference / self.part.unwrap_or(1.0).sqrt() })
+        Some(Gap { fullest, emptiest, slices: difference / self.slice_share.unwrap_or(1.0).sqrt() })
     }
 }
 
-impl Balance {
+impl Rebalancer {
     /// The next move from fullest to emptiest, if one is due.
-    pub fn step(&mut self, board: &Board) -> Option<Move> {
+    pub fn next_move(&mut self, board: &Assignment) -> Option<Move> {
         let Gap { fullest: from, emptiest: to, slices: gap } = board.gap()?;
         self.moving = gap > 8.0 || (self.moving && gap >= 2.0);
-        let totals = board.sums();
+        let totals = board.totals();
         // Per unit of weight a move may overshoot: it must lessen the difference.
         let fill = |holder, more| board.fill(&totals, holder, more);
         let lessens_gap = fill(to, 1.0) - fill(from, -1.0) < fill(from, 0.0) - fill(to, 0.0);
-        let sends_hottest = !board.holders[to].young && totals[from].score > totals[to].score;
+        let sends_hottest = !board.holders[to].is_new && totals[from].score > totals[to].score;
         let key = |slice: usize| if sends_hottest { -board.scores[slice] } else { board.scores[slice] };
         let movable = board.slices_of(from).filter(|slice| board.may_move(*slice, to));
         let slice = movable.min_by(|a, b| key(*a).total_cmp(&key(*b)))?;
-        let is_due = self.moving && lessens_gap && board.holders[to].room >= board.scores[slice];
+        let is_due = self.moving && lessens_gap && board.holders[to].capacity >= board.scores[slice];
         is_due.then_some(Move { slice, from: Some(from), to })
     }
 }
--- a/crates/director/rebalancer/src/placement.rs
+++ b/crates/director/rebalancer/src/placement.rs
@@ -1,18 +1,18 @@
 //! Placing slices beside balancing: an even layout for a start, and slices that nobody holds or whose holder leaves.
 
-use crate::board::{receivers, Balance, Board, CandidateRank, Holder, Move};
-use crate::mechanism::{seat, unit};
+use crate::assignment::{receivers, Assignment, CandidateRank, Holder, Move, Rebalancer};
+use crate::mechanism::{normalized_weight, select_holder};
 use std::cmp::Ordering;
 
 /// Credits that differ by less than this are equal: they are sums of fractions.
 const CREDIT_PRECISION: f64 = 1e-9;
 
 /// Listed weights, scaled to an average of 1; where none is listed, counts are taken plainly.
-pub fn units(weights: &[Option<f64>]) -> Vec<f64> {
+pub fn normalized_weights(weights: &[Option<f64>]) -> Vec<f64> {
     let listed: Vec<f64> = weights.iter().filter_map(|weight| *weight).collect();
     let mean = listed.iter().sum::<f64>() / listed.len().max(1) as f64;
     let scaled = |weight: &Option<f64>| match weight {
-        Some(weight) if mean > 0.0 => unit(*weight, mean),
+        Some(weight) if mean > 0.0 => normalized_weight(*weight, mean),
         _ => 1.0,
     };
     weights.iter().map(scaled).collect()
@@ -22,17 +22,17 @@
 /// that sit close together, go to different holders. All slices have none where no holder may take any.
 ///
 /// ```
-/// use coppersail_rebalancer::{lay, Holder};
+/// use coppersail_rebalancer::{initial_assignment, Holder};
 /// let (one, gone) = (Holder::default(), Holder { open: false, leaving: true, ..Holder::default() });
-/// assert_eq!(lay(3, &[one.clone(), gone, one]), [Some(0), Some(2), Some(0)]);
+/// assert_eq!(initial_assignment(3, &[one.clone(), gone, one]), [Some(0), Some(2), Some(0)]);
 /// ```
-pub fn lay(slices: usize, holders: &[Holder]) -> Vec<Option<usize>> {
+pub fn initial_assignment(slices: usize, holders: &[Holder]) -> Vec<Option<usize>> {
     let mut receivers = receivers(holders);
     let by_listing = |a: &usize, b: &usize| {
         holders[*a].listed_at.partial_cmp(&holders[*b].listed_at).unwrap_or_else(|| a.cmp(b))
     };
     receivers.sort_by(by_listing);
-    let mut rotation = WeightedRotation::new(receivers.iter().map(|h| holders[*h].unit).collect());
+    let mut rotation = WeightedRotation::new(receivers.iter().map(|h| holders[*h].weight).collect());
     let mut owners = Vec::with_capacity(slices);
     for _ in 0..slices {
         owners.push(rotation.next_turn().map(|turn| receivers[turn]));
@@ -67,13 +67,13 @@
     }
 }
 
-impl Balance {
+impl Rebalancer {
     /// At most so many moves: first slices that nobody holds or whose holder leaves, then balancing.
-    pub fn plan(&mut self, board: &Board, most: usize) -> Vec<Move> {
+    pub fn plan_moves(&mut self, board: &Assignment, most: usize) -> Vec<Move> {
         let mut board = board.clone();
         let mut moves = board.place_displaced(most);
         while moves.len() < most {
-            let Some(next) = self.step(&board) else { break };
+            let Some(next) = self.next_move(&board) else { break };
             board.apply(&next);
             moves.push(next);
         }
@@ -81,24 +81,24 @@
     }
 }
 
-impl Board {
+impl Assignment {
     /// Slices that nobody holds or whose holder leaves, hottest first, each to the longest listed holder with
     /// fewest slices per unit of weight, or to any if none is listed. Carries the moves out here.
     fn place_displaced(&mut self, max_moves: usize) -> Vec<Move> {
         let receivers = self.receivers();
-        let mut totals = self.sums();
+        let mut totals = self.totals();
         let mut moves = Vec::new();
         for slice in self.displaced_slices() {
             if moves.len() >= max_moves {
                 break;
             }
             let rank = |h: usize| CandidateRank {
-                lacks_capacity: self.holders[h].room < self.scores[slice],
+                lacks_capacity: self.holders[h].capacity < self.scores[slice],
                 fill: self.fill(&totals, h, 1.0),
                 listed_at: self.holders[h].listed_at,
             };
             let candidates = receivers.iter().copied().filter(|h| self.may_move(slice, *h));
-            let Some(to) = seat(candidates.map(|h| (rank(h), h))) else { continue };
+            let Some(to) = select_holder(candidates.map(|h| (rank(h), h))) else { continue };
             let next = Move { slice, from: self.owners[slice], to };
             if let Some(from) = next.from {
                 totals[from].slices -= 1.0;
--- a/crates/director/rebalancer/src/relief.rs
+++ b/crates/director/rebalancer/src/relief.rs
@@ -1,10 +1,10 @@
 //! Relief of hot holders: an addition to the paper's mechanism, for hot slices at an even count.
 
-use crate::board::{Balance, Board, Move, Totals};
+use crate::assignment::{Assignment, Move, Rebalancer, Totals};
 
 /// A holder is hot from so many times the mean load on: beyond the noise of counts over a few seconds, and
 /// well under twice, at which it would fill while the others are half empty.
-pub const HOT: f64 = 1.3;
+pub const HOT_LOAD_RATIO: f64 = 1.3;
 
 /// The gap in slices per unit of weight at which balancing starts, and would undo what relief did.
 const BALANCING_GAP: f64 = 8.0;
@@ -12,7 +12,7 @@
 /// What a holder is able to do at least, as loads are divided by it.
 const MIN_ABILITY: f64 = 0.01;
 
-impl Balance {
+impl Rebalancer {
     /// At most so many moves off holders that carry far more score than others, for what they can, although
     /// counts are even: a hot slice stays, others go to the least loaded. Counts may come to differ by this,
     /// but by no more than the gap that starts balancing; while that moves slices this waits.
@@ -20,14 +20,14 @@
     /// `able` has for each holder what it can do, in any unit.
     ///
     /// ```
-    /// use coppersail_rebalancer::{Balance, Board, Holder};
+    /// use coppersail_rebalancer::{Assignment, Holder, Rebalancer};
     /// let holders = vec![Holder::default(); 2];
     /// let owners = vec![Some(0), Some(1), Some(0), Some(1)];
-    /// let board = Board { holders, owners, scores: vec![9.0, 1.0, 1.0, 1.0], ..Board::default() };
-    /// let moves = Balance::default().relieve(&board, &[1.0, 1.0], 5);
+    /// let board = Assignment { holders, owners, scores: vec![9.0, 1.0, 1.0, 1.0], ..Assignment::default() };
+    /// let moves = Rebalancer::default().relieve_hot_holders(&board, &[1.0, 1.0], 5);
     /// assert_eq!((moves.len(), moves[0].slice, moves[0].to), (1, 2, 1));
     /// ```
-    pub fn relieve(&self, board: &Board, able: &[f64], most: usize) -> Vec<Move> {
+    pub fn relieve_hot_holders(&self, board: &Assignment, able: &[f64], most: usize) -> Vec<Move> {
         let mut board = board.clone();
         let mut moves = Vec::new();
         while !self.moving && moves.len() < most {
@@ -41,7 +41,7 @@
 
 /// The search for one move.
 struct Relief<'a> {
-    board: &'a Board,
+    board: &'a Assignment,
     /// What each holder can do.
     abilities: Vec<f64>,
     totals: Vec<Totals>,
@@ -50,8 +50,8 @@
 }
 
 impl<'a> Relief<'a> {
-    fn new(board: &'a Board, able: &[f64]) -> Self {
-        let totals = board.sums();
+    fn new(board: &'a Assignment, able: &[f64]) -> Self {
+        let totals = board.totals();
         let ranked = board.ranked(&totals);
         let abilities = able.iter().map(|able| able.max(MIN_ABILITY)).collect();
         Relief { board, abilities, totals, ranked }
@@ -70,7 +70,7 @@
             score += self.totals[*holder].score;
             ability += self.abilities[*holder];
         }
-        HOT * score / ability
+        HOT_LOAD_RATIO * score / ability
     }
 
     /// The next move off the most loaded holder, if it is hot and another can help it.
@@ -108,6 +108,6 @@
         let score = self.board.scores[slice];
         let receiver = &self.board.holders[to];
         let evens = self.load(from, -score) >= self.load(to, score);
-        evens && receiver.open && self.board.may_move(slice, to) && receiver.room >= score
+        evens && receiver.open && self.board.may_move(slice, to) && receiver.capacity >= score
     }
 }
--- a/crates/director/service/src/adapters/admin_socket.rs
+++ b/crates/director/service/src/adapters/admin_socket.rs
@@ -4,8 +4,8 @@
 use super::sockets::{timeout_error, ACCEPT_RETRY_DELAY};
 use super::task::AbortOnDropTask;
 use coppersail_admin_socket::{encode, parse_request, Answer, MAX_LINE_BYTES};
-use coppersail_director::framing::{Framed, Framer};
-use coppersail_director::reducer::{ControlId, Event};
+use coppersail_director::framing::{FramedLine, LineFramer};
+use coppersail_director::reducer::{AdminRequestId, Event};
 use std::collections::BTreeMap;
 use std::fs::Permissions;
 use std::io;
@@ -34,7 +34,7 @@
 #[derive(Default)]
 struct PendingRequests {
     last_id: u64,
-    senders: BTreeMap<ControlId, oneshot::Sender<Answer>>,
+    senders: BTreeMap<AdminRequestId, oneshot::Sender<Answer>>,
 }
 
 /// The requests that all connections have outstanding.
@@ -47,16 +47,16 @@
     }
 
     /// A new request, and where its answer will come.
-    fn add(&self) -> (ControlId, oneshot::Receiver<Answer>) {
+    fn add(&self) -> (AdminRequestId, oneshot::Receiver<Answer>) {
         let (sender, answer) = oneshot::channel();
         let mut pending = self.lock();
         pending.last_id += 1;
-        let id = ControlId(pending.last_id);
+        let id = AdminRequestId(pending.last_id);
         pending.senders.insert(id, sender);
         (id, answer)
     }
 
-    fn remove(&self, id: ControlId) -> Option<oneshot::Sender<Answer>> {
+    fn remove(&self, id: AdminRequestId) -> Option<oneshot::Sender<Answer>> {
         self.lock().senders.remove(&id)
     }
 }
@@ -82,7 +82,7 @@
     }
 
     /// Answers a request, unless whoever asked has gone.
-    pub(crate) fn answer(&self, id: ControlId, answer: Answer) {
+    pub(crate) fn answer(&self, id: AdminRequestId, answer: Answer) {
         if let Some(sender) = self.pending.remove(id) {
             let _ = sender.send(answer);
         }
@@ -136,7 +136,7 @@
     events: Sender<Event>,
     pending: SharedPendingRequests,
 ) -> io::Result<()> {
-    let mut framer = Framer::new(MAX_LINE_BYTES);
+    let mut framer = LineFramer::new(MAX_LINE_BYTES);
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         let read = tokio::time::timeout(IDLE_TIMEOUT, stream.read(&mut buffer)).await;
@@ -144,13 +144,13 @@
         if count == 0 {
             return Ok(());
         }
-        for framed in framer.take(&buffer[..count]) {
+        for framed in framer.push(&buffer[..count]) {
             match framed {
-                Framed::Line(bytes) => {
+                FramedLine::Line(bytes) => {
                     let answer = answer_to(&bytes, &events, &pending).await;
                     stream.write_all(&encode(&answer)).await?;
                 }
-                Framed::TooLong => {
+                FramedLine::TooLong => {
                     let reason = format!("a request: expected at most {MAX_LINE_BYTES} bytes");
                     stream.write_all(&encode(&Answer::Unreadable { reason })).await?;
                     return Ok(());
@@ -167,7 +167,7 @@
         Err(error) => return Answer::Unreadable { reason: error.to_string() },
     };
     let (id, answer) = pending.add();
-    let is_sent = events.send(Event::Asked(id, Box::new(request))).await.is_ok();
+    let is_sent = events.send(Event::AdminRequest(id, Box::new(request))).await.is_ok();
     let answer = tokio::time::timeout(ANSWER_TIMEOUT, answer).await;
     pending.remove(id);
     match answer {
--- a/crates/director/service/src/adapters/change_log_writer.rs
+++ b/crates/director/service/src/adapters/change_log_writer.rs
@@ -1,5 +1,5 @@
-//! Writes the log of operators' changes to a disk, on a thread of its own: a disk that stalls delays only those who wait
-//! for a record to be durable.
+//! Writes the log of operators' changes to a disk, on a thread of its own: a disk that stalls delays only those who
+//! wait for a record to be durable.
 
 use coppersail_append_log::{Log, OpenError};
 use coppersail_changes::Record;
@@ -74,9 +74,9 @@
                 _ => None,
             };
             let event = match (&written, number) {
-                (Ok(()), Some(number)) => Event::Written(number),
+                (Ok(()), Some(number)) => Event::ChangeLogged(number),
                 (Ok(()), None) => continue,
-                (Err(error), number) => Event::Unwritten(number, error.to_string()),
+                (Err(error), number) => Event::ChangeLogFailed(number, error.to_string()),
             };
             events.blocking_send(event).map_err(|_| EventLoopEnded)?;
         }
--- a/crates/director/service/src/adapters/collector_listener.rs
+++ b/crates/director/service/src/adapters/collector_listener.rs
@@ -4,7 +4,7 @@
 
 use super::sockets::ACCEPT_RETRY_DELAY;
 use super::task::AbortOnDropTask;
-use coppersail_director::reducer::{ConnId, Event};
+use coppersail_director::reducer::{ConnectionId, Event};
 use std::collections::BTreeMap;
 use std::io::ErrorKind;
 use std::net::SocketAddr;
@@ -25,7 +25,7 @@
 pub(crate) struct CollectorListener {
     socket: TcpListener,
     events: Sender<Event>,
-    connections: BTreeMap<ConnId, Connection>,
+    connections: BTreeMap<ConnectionId, Connection>,
     next_id: u64,
 }
 
@@ -41,7 +41,7 @@
         loop {
             match self.socket.accept().await {
                 Ok((stream, _)) => {
-                    let id = ConnId(self.next_id);
+                    let id = ConnectionId(self.next_id);
                     self.next_id += 1;
                     let (reader, writer) = stream.into_split();
                     let reader = AbortOnDropTask::spawn(read(id, reader, self.events.clone()));
@@ -55,7 +55,7 @@
     }
 
     /// Writes a few bytes without waiting; a peer that does not read even these is disconnected.
-    pub(crate) fn send(&mut self, id: ConnId, bytes: &[u8]) {
+    pub(crate) fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get(&id) else { return };
         let is_written = connection.writer.try_write(bytes).is_ok_and(|count| count == bytes.len());
         if !is_written {
@@ -64,17 +64,17 @@
     }
 
     /// Closes a connection.
-    pub(crate) fn close(&mut self, id: ConnId) {
+    pub(crate) fn close(&mut self, id: ConnectionId) {
         self.connections.remove(&id);
     }
 }
 
-async fn read(id: ConnId, reader: OwnedReadHalf, events: Sender<Event>) {
+async fn read(id: ConnectionId, reader: OwnedReadHalf, events: Sender<Event>) {
     while reader.readable().await.is_ok() {
         let mut buffer = Vec::with_capacity(READ_BUFFER_BYTES);
         match reader.try_read_buf(&mut buffer) {
             Ok(1..) => {
-                if events.send(Event::Heard(id, buffer)).await.is_err() {
+                if events.send(Event::Received(id, buffer)).await.is_err() {
                     return;
                 }
             }
@@ -82,5 +82,5 @@
             Ok(0) | Err(_) => break,
         }
     }
-    let _ = events.send(Event::Ended(id)).await;
+    let _ = events.send(Event::ConnectionClosed(id)).await;
 }
--- a/crates/director/service/src/adapters/discovery_client.rs
+++ b/crates/director/service/src/adapters/discovery_client.rs
@@ -2,7 +2,7 @@
 
 use super::http_client;
 use super::task::AbortOnDropTask;
-use coppersail_director::framing::Framer;
+use coppersail_director::framing::LineFramer;
 use coppersail_director::reducer::{Event, LinkId};
 use http_body_util::BodyExt;
 use std::collections::BTreeMap;
@@ -33,7 +33,7 @@
         let max_line_bytes = self.max_line_bytes;
         let task = AbortOnDropTask::spawn(async move {
             let cause = follow(id, address, &path, max_line_bytes, &events).await;
-            let _ = events.send(Event::WatchDown(id, cause)).await;
+            let _ = events.send(Event::WatchEnded(id, cause)).await;
         });
         self.watches.insert(id, task);
     }
@@ -61,14 +61,14 @@
         return format!("status {status}");
     }
     let mut body = response.into_body();
-    let mut framer = Framer::new(max_line_bytes);
+    let mut framer = LineFramer::new(max_line_bytes);
     loop {
         let data = match body.frame().await {
             None => return "ended by discovery".to_string(),
             Some(Err(error)) => return error.to_string(),
             Some(Ok(frame)) => frame.into_data().unwrap_or_default(),
         };
-        let lines = framer.take(&data);
+        let lines = framer.push(&data);
         if !lines.is_empty() && events.send(Event::WatchLines(id, lines)).await.is_err() {
             return "the director has ended".to_string();
         }
--- a/crates/director/service/src/adapters/health_prober.rs
+++ b/crates/director/service/src/adapters/health_prober.rs
@@ -2,7 +2,7 @@
 
 use super::http_client::{self, RequestError};
 use coppersail::interface::HostId;
-use coppersail_director::reducer::{Event, ProbeEnd};
+use coppersail_director::reducer::{Event, ProbeOutcome};
 use http_body_util::{BodyExt, Limited};
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -39,35 +39,35 @@
             let started = Instant::now();
             let (end, body) = match tokio::time::timeout(PROBE_TIMEOUT, probe(address, path)).await {
                 Ok(result) => result,
-                Err(_) => (ProbeEnd::TimedOut, Vec::new()),
+                Err(_) => (ProbeOutcome::TimedOut, Vec::new()),
             };
             let took = started.elapsed().as_secs_f64();
-            let _ = events.send(Event::Probed { host, end, took, body }).await;
+            let _ = events.send(Event::ProbeFinished { host, end, took, body }).await;
         });
     }
 }
 
 /// A connection that was established and broke says nothing of the host, as the network resets any: the request is
-/// retried once. A host that died refuses the retry. Without it, two resets in a row would have a healthy host withdrawn
-/// from service and then treated as newly started.
-async fn probe(address: SocketAddr, path: &str) -> (ProbeEnd, Vec<u8>) {
+/// retried once. A host that died refuses the retry. Without it, two resets in a row would have a healthy host
+/// withdrawn from service and then treated as newly started.
+async fn probe(address: SocketAddr, path: &str) -> (ProbeOutcome, Vec<u8>) {
     match request(address, path).await {
-        (ProbeEnd::Broken, _) => request(address, path).await,
+        (ProbeOutcome::Broken, _) => request(address, path).await,
         result => result,
     }
 }
 
-async fn request(address: SocketAddr, path: &str) -> (ProbeEnd, Vec<u8>) {
+async fn request(address: SocketAddr, path: &str) -> (ProbeOutcome, Vec<u8>) {
     let (response, _driver) = match http_client::get(address, path, CONNECT_TIMEOUT).await {
         Ok(response) => response,
-        Err(RequestError::Unreachable) => return (ProbeEnd::Unreachable, Vec::new()),
-        Err(RequestError::Broken) => return (ProbeEnd::Broken, Vec::new()),
-        Err(RequestError::Unreadable) => return (ProbeEnd::Unreadable, Vec::new()),
+        Err(RequestError::Unreachable) => return (ProbeOutcome::Unreachable, Vec::new()),
+        Err(RequestError::Broken) => return (ProbeOutcome::Broken, Vec::new()),
+        Err(RequestError::Unreadable) => return (ProbeOutcome::Unreadable, Vec::new()),
     };
     let status = response.status().as_u16();
     match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
-        Ok(body) => (ProbeEnd::Status(status), body.to_bytes().to_vec()),
+        Ok(body) => (ProbeOutcome::Status(status), body.to_bytes().to_vec()),
         // The status shows that the host is alive; only the load report is lost.
-        Err(_) => (ProbeEnd::Status(status), Vec::new()),
+        Err(_) => (ProbeOutcome::Status(status), Vec::new()),
     }
 }
--- a/crates/director/service/src/adapters/mod.rs
+++ b/crates/director/service/src/adapters/mod.rs
@@ -47,22 +47,22 @@
     /// Performs one effect; breaks when the director is to exit.
     pub(crate) fn perform(&mut self, effect: Effect) -> ControlFlow<()> {
         match effect {
-            Effect::Say(id, bytes) => self.listener.send(id, bytes),
-            Effect::Accept(is_accepting) => self.is_accepting = is_accepting,
-            Effect::Drop(id) => self.listener.close(id),
-            Effect::Dial(id, address) => self.relay.connect(id, address),
-            Effect::Send(id, bytes) => self.relay.send(id, bytes),
-            Effect::HangUp(id) => self.relay.close(id),
-            Effect::Watch(id, address, path) => self.discovery.watch(id, address, path),
-            Effect::Unwatch(id) => self.discovery.unwatch(id),
-            Effect::Probe { host, address, path } => self.prober.start(host, address, path),
-            Effect::Wake(at) => self.timer.set(at),
-            Effect::Record(record) => {
+            Effect::SendToConnection(id, bytes) => self.listener.send(id, bytes),
+            Effect::SetAccepting(is_accepting) => self.is_accepting = is_accepting,
+            Effect::CloseConnection(id) => self.listener.close(id),
+            Effect::ConnectRelay(id, address) => self.relay.connect(id, address),
+            Effect::SendToRelay(id, bytes) => self.relay.send(id, bytes),
+            Effect::CloseRelay(id) => self.relay.close(id),
+            Effect::OpenWatch(id, address, path) => self.discovery.watch(id, address, path),
+            Effect::CloseWatch(id) => self.discovery.unwatch(id),
+            Effect::StartProbe { host, address, path } => self.prober.start(host, address, path),
+            Effect::SetTimer(at) => self.timer.set(at),
+            Effect::AppendToChangeLog(record) => {
                 if let Some(change_log) = &self.change_log {
                     change_log.append(record);
                 }
             }
-            Effect::Answer(id, answer) => {
+            Effect::AnswerAdminRequest(id, answer) => {
                 if let Some(admin_socket) = &self.admin_socket {
                     admin_socket.answer(id, answer);
                 }
--- a/crates/director/service/src/adapters/relay_client.rs
+++ b/crates/director/service/src/adapters/relay_client.rs
@@ -2,7 +2,7 @@
 
 use super::sockets;
 use super::task::AbortOnDropTask;
-use coppersail_director::framing::Framer;
+use coppersail_director::framing::LineFramer;
 use coppersail_director::reducer::{Event, LinkId};
 use std::collections::BTreeMap;
 use std::io;
@@ -65,7 +65,7 @@
         Ok(()) => "closed by the relay".to_string(),
         Err(error) => error.to_string(),
     };
-    let _ = events.send(Event::RelayDown(id, cause)).await;
+    let _ = events.send(Event::RelayDisconnected(id, cause)).await;
 }
 
 fn director_ended() -> io::Error {
@@ -80,9 +80,9 @@
 ) -> io::Result<()> {
     let mut stream = sockets::connect(address, CONNECT_TIMEOUT).await?;
     stream.set_nodelay(true)?;
-    events.send(Event::RelayUp(id)).await.map_err(|_| director_ended())?;
+    events.send(Event::RelayConnected(id)).await.map_err(|_| director_ended())?;
     let (mut reader, mut writer) = stream.split();
-    let mut framer = Framer::new(MAX_LINE_BYTES);
+    let mut framer = LineFramer::new(MAX_LINE_BYTES);
     let mut buffer = vec![0; READ_BUFFER_BYTES];
     loop {
         tokio::select! {
@@ -91,7 +91,7 @@
                 if count == 0 {
                     return Ok(());
                 }
-                let lines = framer.take(&buffer[..count]);
+                let lines = framer.push(&buffer[..count]);
                 if !lines.is_empty() {
                     events.send(Event::RelayLines(id, lines)).await.map_err(|_| director_ended())?;
                 }
--- a/crates/director/service/src/counters.rs
+++ b/crates/director/service/src/counters.rs
@@ -9,7 +9,7 @@
 
         impl Counters {
             /// The log line: `counters` and all of them as `name=count`, in the order of the fields.
-            pub fn line(&self) -> String {
+            pub fn log_line(&self) -> String {
                 let pairs: Vec<String> = vec![$(format!("{}={}", stringify!($name), self.$name)),+];
                 format!("counters {}", pairs.join(" "))
             }
--- a/crates/director/service/src/event_loop.rs
+++ b/crates/director/service/src/event_loop.rs
@@ -46,7 +46,7 @@
 
     /// Runs until the reducer asks for the exit.
     pub(crate) async fn run(mut self) {
-        let mut batch = vec![Event::Time];
+        let mut batch = vec![Event::TimerFired];
         loop {
             // What has come meanwhile is one batch: the reducer decides on it together.
             while let Ok(event) = self.events.try_recv() {
@@ -62,7 +62,7 @@
     /// Hands the batch over as of one moment, and performs what comes of it.
     fn reduce(&mut self, batch: &mut Vec<Event>) -> ControlFlow<()> {
         let now = self.adapters.timer.now();
-        for event in batch.drain(..).chain([Event::Settle]) {
+        for event in batch.drain(..).chain([Event::EndOfBatch]) {
             for effect in self.reducer.reduce(now, event) {
                 self.adapters.perform(effect)?;
             }
@@ -75,10 +75,10 @@
         tokio::select! {
             event = listener.accept(), if *is_accepting => event,
             Some(event) = self.events.recv() => event,
-            _ = timer.elapsed() => Event::Time,
-            _ = self.signals.log_counters.recv() => Event::Count,
+            _ = timer.elapsed() => Event::TimerFired,
+            _ = self.signals.log_counters.recv() => Event::LogCounters,
             _ = self.signals.reload.recv() => self.reload(),
-            _ = self.signals.terminate.recv() => Event::Stop,
+            _ = self.signals.terminate.recv() => Event::Shutdown,
         }
     }
 
@@ -87,12 +87,12 @@
     fn reload(&mut self) -> Event {
         let config = config_file::read().map_err(|error| error.to_string());
         if let Some(path) = self.operator_file_path.clone() {
-            let known = self.reducer.known().clone();
+            let known = self.reducer.settings_names().clone();
             let events = self.event_sender.clone();
             self.operator_file_task = Some(AbortOnDropTask::spawn(async move {
                 let operator_file = operator_file_reader::read(&path, &known).await;
                 let operator_file = operator_file.map_err(|error| error.to_string());
-                let _ = events.send(Event::Sheet(Box::new(operator_file))).await;
+                let _ = events.send(Event::OperatorFile(Box::new(operator_file))).await;
             }));
         }
         Event::Reload(Box::new(config))
--- a/crates/director/service/src/logger.rs
+++ b/crates/director/service/src/logger.rs
@@ -1,9 +1,9 @@
 //! The log on standard error, for tracing's events.
 //!
 //! A line has the seconds since the start, the level and the text, or the same as JSON with the change that it is about
-//! as a field of its own. Warnings, which bad input may cause in floods, are limited to what can be read; what is decided
-//! or asked for is always written, as long as somebody reads the log. A thread of its own writes, so that a reader that
-//! stalls holds nobody up.
+//! as a field of its own. Warnings, which bad input may cause in floods, are limited to what can be read; what is
+//! decided or asked for is always written, as long as somebody reads the log. A thread of its own writes, so that a
+//! reader that stalls holds nobody up.
 
 use coppersail_changes::Version;
 use std::fmt::{Debug, Write as _};
--- a/crates/director/service/src/operator_file_reader.rs
+++ b/crates/director/service/src/operator_file_reader.rs
@@ -3,7 +3,7 @@
 //! Plain JSON is read here. A template is evaluated by `coppersail evaluate` in a process of its own, which has limits
 //! of time and memory and cannot take the director down with it.
 
-use coppersail_operator_config::{sheet, Fault, Known, Sheet};
+use coppersail_operator_config::{read_operator_file, Fault, OperatorFile, SettingsNames};
 use std::fmt::{Arguments, Write as _};
 use std::io;
 use std::path::Path;
@@ -114,7 +114,7 @@
 }
 
 /// The file's settings, or all of its faults, a line each. `known` is what they may refer to.
-pub(crate) async fn read(path: &str, known: &Known) -> Result<Sheet, OperatorFileError> {
+pub(crate) async fn read(path: &str, known: &SettingsNames) -> Result<OperatorFile, OperatorFileError> {
     let metadata = std::fs::metadata(path);
     let metadata =
         metadata.map_err(|source| OperatorFileError::NotFound { path: path.to_string(), source })?;
@@ -125,7 +125,8 @@
     let source = source.map_err(|source| OperatorFileError::NotText { path: path.to_string(), source })?;
     let is_plain_json = Path::new(path).extension().is_some_and(|extension| extension == JSON_EXTENSION);
     let json = if is_plain_json { source.clone() } else { evaluate(path).await? };
-    sheet(path, &source, &json, Some(known)).map_err(|faults| OperatorFileError::Invalid { faults })
+    read_operator_file(path, &source, &json, Some(known))
+        .map_err(|faults| OperatorFileError::Invalid { faults })
 }
 
 /// The JSON that the template evaluates to.
--- a/crates/director/service/src/reducer/collector_connections.rs
+++ b/crates/director/service/src/reducer/collector_connections.rs
@@ -4,12 +4,12 @@
 //! stays unreadable is closed.
 
 use super::effect::Effect;
-use super::ids::ConnId;
+use super::ids::ConnectionId;
 use super::outbox::Outbox;
 use super::rate_limited_log::RateLimitedLog;
-use crate::framing::{Framed, Framer};
+use crate::framing::{FramedLine, LineFramer};
 use coppersail::interface::ZoneId;
-use coppersail_protocol::collector::{hopeless, MOST as MAX_LINE_BYTES};
+use coppersail_protocol::collector::{cannot_become_message, MAX_MESSAGE_BYTES as MAX_LINE_BYTES};
 use std::collections::BTreeMap;
 
 /// A new peer that has not joined by then is no collector, which joins within milliseconds of its connection.
@@ -42,7 +42,7 @@
     zone: Option<ZoneId>,
     /// A `probe` was answered.
     answered: bool,
-    framer: Framer,
+    framer: LineFramer,
     /// Number of unreadable lines in a row.
     unreadable_lines: u32,
     unreadable_tail: Option<UnreadableTail>,
@@ -62,7 +62,7 @@
     max_connections: usize,
     /// Bytes of incomplete lines that all connections together may hold.
     max_incomplete_bytes: usize,
-    peers: BTreeMap<ConnId, Peer>,
+    peers: BTreeMap<ConnectionId, Peer>,
     accepting: bool,
     log: RateLimitedLog,
 }
@@ -79,14 +79,14 @@
     }
 
     /// The listener has accepted a connection.
-    pub(super) fn accepted(&mut self, now: f64, conn: ConnId, outbox: &mut Outbox) {
+    pub(super) fn accepted(&mut self, now: f64, conn: ConnectionId, outbox: &mut Outbox) {
         outbox.counters.connections_taken += 1;
         let peer = Peer {
             accepted_at: now,
             last_activity: now,
             zone: None,
             answered: false,
-            framer: Framer::new(MAX_NEW_LINE_BYTES),
+            framer: LineFramer::new(MAX_NEW_LINE_BYTES),
             unreadable_lines: 0,
             unreadable_tail: None,
         };
@@ -98,10 +98,10 @@
     pub(super) fn next_line(
         &mut self,
         now: f64,
-        conn: ConnId,
+        conn: ConnectionId,
         bytes: &mut &[u8],
         outbox: &mut Outbox,
-    ) -> Option<(Sender, Framed)> {
+    ) -> Option<(Sender, FramedLine)> {
         let sender = self.peers.get(&conn)?.sender();
         let max_line_bytes = match sender {
             Sender::Joined => MAX_LINE_BYTES.min(self.available_bytes(conn)),
@@ -109,9 +109,9 @@
         };
         let peer = self.peers.get_mut(&conn)?;
         peer.last_activity = now;
-        peer.framer.most = max_line_bytes;
+        peer.framer.max_line_bytes = max_line_bytes;
         let tail = bytes.rsplit(|byte| *byte == b'\n').next().unwrap_or_default();
-        if let Some(line) = peer.framer.next(bytes) {
+        if let Some(line) = peer.framer.next_line(bytes) {
             outbox.counters.lines_in += 1;
             peer.unreadable_tail = None;
             return Some((sender, line));
@@ -129,17 +129,17 @@
 
     /// Bytes that a line of this connection may have, so that all incomplete lines together stay within their part of
     /// the memory.
-    fn available_bytes(&self, conn: ConnId) -> usize {
+    fn available_bytes(&self, conn: ConnectionId) -> usize {
         let others = self.peers.iter().filter(|(other, _)| **other != conn);
-        let incomplete_bytes: usize = others.map(|(_, peer)| peer.framer.line().len()).sum();
+        let incomplete_bytes: usize = others.map(|(_, peer)| peer.framer.partial_line().len()).sum();
         self.max_incomplete_bytes.saturating_sub(incomplete_bytes)
     }
 
     /// The peer has joined as the collector of a zone.
-    pub(super) fn joined(&mut self, now: f64, conn: ConnId, zone: ZoneId, outbox: &mut Outbox) {
+    pub(super) fn joined(&mut self, now: f64, conn: ConnectionId, zone: ZoneId, outbox: &mut Outbox) {
         outbox.counters.zones_named += 1;
         let is_stale = |peer: &Peer| peer.zone == Some(zone) && now - peer.last_activity > STALE_AFTER_S;
-        let stale: Vec<ConnId> =
+        let stale: Vec<ConnectionId> =
             self.peers.iter().filter(|(_, peer)| is_stale(peer)).map(|(conn, _)| *conn).collect();
         for old in stale {
             self.drop(now, old, "silent, and another has joined for its zone", outbox);
@@ -151,16 +151,22 @@
     }
 
     /// Answers the `probe` of a new peer. Nothing is ever written to a collector.
-    pub(super) fn answer(&mut self, conn: ConnId, alive: &'static [u8], outbox: &mut Outbox) {
+    pub(super) fn answer(&mut self, conn: ConnectionId, alive: &'static [u8], outbox: &mut Outbox) {
         if let Some(peer) = self.peers.get_mut(&conn).filter(|peer| peer.zone.is_none()) {
             peer.answered = true;
             outbox.counters.alive_answers += 1;
-            outbox.effects.push(Effect::Say(conn, alive));
+            outbox.effects.push(Effect::SendToConnection(conn, alive));
         }
     }
 
     /// A line was a message, sound or not, or was none.
-    pub(super) fn line_checked(&mut self, now: f64, conn: ConnId, is_message: bool, outbox: &mut Outbox) {
+    pub(super) fn line_checked(
+        &mut self,
+        now: f64,
+        conn: ConnectionId,
+        is_message: bool,
+        outbox: &mut Outbox,
+    ) {
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         peer.unreadable_lines = if is_message { 0 } else { peer.unreadable_lines + 1 };
         if peer.unreadable_lines >= MAX_UNREADABLE_LINES {
@@ -169,7 +175,7 @@
     }
 
     /// The peer has closed the connection.
-    pub(super) fn ended(&mut self, conn: ConnId, outbox: &mut Outbox) {
+    pub(super) fn ended(&mut self, conn: ConnectionId, outbox: &mut Outbox) {
         if self.peers.contains_key(&conn) {
             outbox.counters.connections_ended += 1;
             self.release(conn, outbox);
@@ -177,7 +183,7 @@
     }
 
     /// Closes a connection for this reason.
-    pub(super) fn drop(&mut self, now: f64, conn: ConnId, reason: &str, outbox: &mut Outbox) {
+    pub(super) fn drop(&mut self, now: f64, conn: ConnectionId, reason: &str, outbox: &mut Outbox) {
         let Some(peer) = self.peers.get(&conn) else { return };
         let who = match peer.sender() {
             Sender::Joined => {
@@ -194,9 +200,9 @@
     }
 
     /// The only place where an accepted connection is released.
-    fn release(&mut self, conn: ConnId, outbox: &mut Outbox) {
+    fn release(&mut self, conn: ConnectionId, outbox: &mut Outbox) {
         self.peers.remove(&conn);
-        outbox.effects.push(Effect::Drop(conn));
+        outbox.effects.push(Effect::CloseConnection(conn));
     }
 
     /// Closes connections whose time is over, and makes room for one more.
@@ -218,14 +224,14 @@
         let accepting = self.peers.len() < self.max_connections;
         if self.accepting != accepting {
             self.accepting = accepting;
-            outbox.effects.push(Effect::Accept(accepting));
+            outbox.effects.push(Effect::SetAccepting(accepting));
         }
     }
 
     /// Who makes room: a new peer that has its answer or, after a while, one that has said nothing. A collector only if
     /// collectors fill more than half by themselves: then the one that was silent longest, as one that vanished never
     /// closes its connection.
-    fn select_for_eviction(&self, now: f64) -> Option<ConnId> {
+    fn select_for_eviction(&self, now: f64) -> Option<ConnectionId> {
         let new = self.peers.iter().filter(|(_, peer)| peer.zone.is_none());
         let evictable = new.filter(|(_, peer)| peer.answered || now - peer.accepted_at >= NEW_GRACE_S);
         let first = evictable.min_by(|(_, a), (_, b)| {
@@ -282,7 +288,9 @@
         if tail.is_empty() {
             return false;
         }
-        self.unreadable_tail.is_some() || self.framer.passing() || hopeless(self.framer.line(), tail)
+        self.unreadable_tail.is_some()
+            || self.framer.is_discarding()
+            || cannot_become_message(self.framer.partial_line(), tail)
     }
 
     fn deadline(&self) -> Option<Deadline> {
--- a/crates/director/service/src/reducer/collector_reports.rs
+++ b/crates/director/service/src/reducer/collector_reports.rs
@@ -2,22 +2,22 @@
 
 use super::collector_connections::Sender;
 use super::message_fields::{resolved, unexpected};
-use super::{ConnId, Reducer};
-use crate::framing::Framed;
-use coppersail::interface::{Input, Load};
-use coppersail_protocol::collector::{readable, Line, ALIVE};
+use super::{ConnectionId, Reducer};
+use crate::framing::FramedLine;
+use coppersail::interface::{Input, LoadReport};
+use coppersail_protocol::collector::{is_message, CollectorMessage, HEALTH_CHECK_RESPONSE};
 use coppersail_protocol::load::Report;
-use coppersail_protocol::Fault;
-use coppersail_settings::load;
+use coppersail_protocol::ParseError;
+use coppersail_settings::load_from_report;
 
 impl Reducer {
     /// Handles bytes from an accepted connection. A peer that has not joined is dropped at its first fault; a
     /// collector only loses the line.
-    pub(super) fn bytes_received(&mut self, now: f64, conn: ConnId, mut bytes: &[u8]) {
+    pub(super) fn bytes_received(&mut self, now: f64, conn: ConnectionId, mut bytes: &[u8]) {
         while let Some((sender, line)) = self.collectors.next_line(now, conn, &mut bytes, &mut self.outbox) {
             let handled = match &line {
-                Framed::Line(line) => self.handle_collector_line(now, conn, sender, line),
-                Framed::TooLong => Err(Fault::LineTooLong),
+                FramedLine::Line(line) => self.handle_collector_line(now, conn, sender, line),
+                FramedLine::TooLong => Err(ParseError::LineTooLong),
             };
             let Err(fault) = handled else {
                 self.collectors.line_checked(now, conn, true, &mut self.outbox);
@@ -30,7 +30,7 @@
             self.outbox.counters.lines_bad += 1;
             let text = format!("collector: line passed over, {fault}");
             self.bad_lines_log.warn(now, text, &mut self.outbox);
-            let is_message = matches!(&line, Framed::Line(line) if readable(line));
+            let is_message = matches!(&line, FramedLine::Line(line) if is_message(line));
             self.collectors.line_checked(now, conn, is_message, &mut self.outbox);
         }
     }
@@ -38,42 +38,66 @@
     fn handle_collector_line(
         &mut self,
         now: f64,
-        conn: ConnId,
+        conn: ConnectionId,
         sender: Sender,
         line: &[u8],
-    ) -> Result<(), Fault> {
-        match Line::parse(line)? {
-            Line::Probe => self.collectors.answer(conn, ALIVE, &mut self.outbox),
-            Line::Zone(zone) => {
+    ) -> Result<(), ParseError> {
+        match CollectorMessage::parse(line)? {
+            CollectorMessage::HealthCheck => {
+                self.collectors.answer(conn, HEALTH_CHECK_RESPONSE, &mut self.outbox)
+            }
+            CollectorMessage::Register(zone) => {
                 let zone = resolved("az", self.names.zone(&zone))?;
                 self.collectors.joined(now, conn, zone, &mut self.outbox);
             }
             // Peers that have not joined must not influence the decisions.
-            _ if sender == Sender::New => return Err(Fault::ReportBeforeJoining),
-            Line::Tries { zone, host, tries, dropped, rt, span, report } => {
+            _ if sender == Sender::New => return Err(ParseError::ReportBeforeJoining),
+            CollectorMessage::AttemptReport {
+                zone,
+                host,
+                attempts,
+                dropped,
+                mean_response_time,
+                window,
+                report,
+            } => {
                 let zone = resolved("az", self.names.zone(&zone))?;
-                let host = self.names.known_host(&host);
+                let host = self.names.known_host_id(&host);
                 let host = host.ok_or_else(|| unexpected("host", "a host that was listed"))?;
-                let rt = self.plausible.response_time(rt)?;
-                self.plausible.calls(tries, dropped, span)?;
+                let mean_response_time = self.plausible.response_time(mean_response_time)?;
+                self.plausible.calls(attempts, dropped, window)?;
                 let load = self.plausible_load(now, &report);
                 self.outbox.counters.sums_of_tries += 1;
-                self.outbox.inputs.push(Input::Tries { host, zone, span, tries, dropped, rt, load });
+                self.outbox.inputs.push(Input::AttemptStats {
+                    host,
+                    zone,
+                    window,
+                    attempts,
+                    dropped,
+                    mean_response_time,
+                    load,
+                });
             }
-            Line::Demand { slice, route, calls, dropped, span } => {
+            CollectorMessage::DemandReport { slice, route, requests: calls, dropped, window } => {
                 let slice = self.id_ranges.slice(slice)?;
                 let route = resolved("kind", self.names.route(&route))?;
-                self.plausible.calls(calls, dropped, span)?;
+                self.plausible.calls(calls, dropped, window)?;
                 self.outbox.counters.sums_of_calls += 1;
-                self.outbox.inputs.push(Input::Demand { slice, route, calls, dropped, span });
+                self.outbox.inputs.push(Input::SliceDemand {
+                    slice,
+                    route,
+                    requests: calls,
+                    dropped,
+                    window,
+                });
             }
         }
         Ok(())
     }
 
     /// The figures of a load report that are plausible.
-    pub(super) fn plausible_load(&mut self, now: f64, report: &Report) -> Load {
-        let reported = load(|name| report.get(name));
-        self.plausible.load(now, reported, report.odd, &mut self.outbox)
+    pub(super) fn plausible_load(&mut self, now: f64, report: &Report) -> LoadReport {
+        let reported = load_from_report(|name| report.get(name));
+        self.plausible.load(now, reported, report.invalid_entries, &mut self.outbox)
     }
 }
--- a/crates/director/service/src/reducer/configuration.rs
+++ b/crates/director/service/src/reducer/configuration.rs
@@ -2,8 +2,8 @@
 
 use coppersail_protocol::config::Config;
 use coppersail_protocol::discovery;
-use coppersail_protocol::Fault;
-use coppersail_settings::Boot;
+use coppersail_protocol::ParseError;
+use coppersail_settings::DirectorSettings;
 
 /// Slice numbers have two bytes, and the last one stands for all slices.
 const MAX_SLICES: u64 = 65_535;
@@ -36,24 +36,24 @@
     },
     /// The list of hosts that the configuration remembers cannot be read.
     #[error("field known: {0}")]
-    KnownHosts(Fault),
+    KnownHosts(ParseError),
 }
 
 /// A configuration of which every field can be used.
 pub(super) struct CheckedConfig<'a> {
-    pub(super) boot: Boot,
+    pub(super) boot: DirectorSettings,
     /// The list of hosts that the configuration remembers, possibly outdated.
-    pub(super) known_hosts: Option<discovery::List<'a>>,
+    pub(super) known_hosts: Option<discovery::EndpointList<'a>>,
 }
 
 impl<'a> CheckedConfig<'a> {
     pub(super) fn new(config: &'a Config) -> Result<Self, ConfigError> {
         let settings = config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-        let boot = Boot::read(&settings)
+        let boot = DirectorSettings::read(&settings)
             .map_err(|invalid| ConfigError::Setting { field: invalid.field, expected: invalid.expected })?;
         check_maximum("slices", boot.specifics.slices, MAX_SLICES)?;
         check_maximum("proxy-count", boot.specifics.proxy_count, MAX_PROXIES)?;
-        let known_hosts = config.known.as_deref().map(discovery::List::parse).transpose();
+        let known_hosts = config.known_endpoints.as_deref().map(discovery::EndpointList::parse).transpose();
         Ok(CheckedConfig { boot, known_hosts: known_hosts.map_err(ConfigError::KnownHosts)? })
     }
 }
--- a/crates/director/service/src/reducer/decision_timers.rs
+++ b/crates/director/service/src/reducer/decision_timers.rs
@@ -1,21 +1,21 @@
 //! Times at which the decisions have asked to be woken.
 
-use coppersail::interface::WakeId;
+use coppersail::interface::TimerId;
 
 /// The timers that have not fired yet, in the order in which they were set.
 #[derive(Default)]
 pub(super) struct DecisionTimers {
-    pending: Vec<(f64, WakeId)>,
+    pending: Vec<(f64, TimerId)>,
 }
 
 impl DecisionTimers {
     /// Fires `wake` at the time `at`, in seconds since the start.
-    pub(super) fn set(&mut self, at: f64, wake: WakeId) {
+    pub(super) fn set(&mut self, at: f64, wake: TimerId) {
         self.pending.push((at, wake));
     }
 
     /// Removes the timers that are due, in the order in which they were set.
-    pub(super) fn take_due(&mut self, now: f64) -> Vec<WakeId> {
+    pub(super) fn take_due(&mut self, now: f64) -> Vec<TimerId> {
         let mut due = Vec::new();
         self.pending.retain(|(at, wake)| {
             let is_due = *at <= now;
--- a/crates/director/service/src/reducer/decisions.rs
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -12,7 +12,7 @@
         self.discovery.poll(now, &mut self.outbox);
         self.subscription.poll(now, &mut self.outbox);
         for wake in self.timers.take_due(now) {
-            self.outbox.inputs.push(Input::Wake(wake));
+            self.outbox.inputs.push(Input::TimerFired(wake));
         }
         self.poll_operators(now);
         // The first batch that brings no input is decided on all the same, so that a director without any input
@@ -27,7 +27,7 @@
         }
         self.poll_relay_calls(now);
         self.release_forgotten_hosts();
-        self.outbox.effects.push(Effect::Wake(self.next_timeout()));
+        self.outbox.effects.push(Effect::SetTimer(self.next_timeout()));
     }
 
     /// Lets the operators' changes see the inputs, and adds what operators demand if that has changed.
@@ -39,18 +39,18 @@
         self.with_operators(|operators, context, outbox| overrides = operators.poll(now, context, outbox));
         if let Some(overrides) = overrides {
             self.outbox.counters.wishes_given += 1;
-            self.outbox.inputs.push(Input::Wishes(overrides));
+            self.outbox.inputs.push(Input::OverridesChanged(overrides));
         }
     }
 
     fn decide(&mut self, now: f64) {
         let inputs = std::mem::take(&mut self.outbox.inputs);
         self.count_inputs(&inputs);
-        if inputs.iter().any(|input| matches!(input, Input::Joined { .. })) {
+        if inputs.iter().any(|input| matches!(input, Input::ProxyJoined { .. })) {
             self.plausible.proxies_joined(self.subscription.joined_proxies());
         }
         for input in &inputs {
-            if let Input::Given(slice) | Input::Taken(slice) = input {
+            if let Input::SliceAssigned(slice) | Input::SliceRevoked(slice) = input {
                 self.calls.discard_slice(*slice);
             }
         }
@@ -71,11 +71,11 @@
         let counters = &mut self.outbox.counters;
         for input in inputs {
             match input {
-                Input::Joined { .. } => counters.proxies_joined += 1,
-                Input::Left(_) => counters.proxies_left += 1,
-                Input::Given(_) => counters.slices_given += 1,
-                Input::Taken(_) => counters.slices_taken += 1,
-                Input::Applied { .. } => counters.receipts += 1,
+                Input::ProxyJoined { .. } => counters.proxies_joined += 1,
+                Input::ProxyLeft(_) => counters.proxies_left += 1,
+                Input::SliceAssigned(_) => counters.slices_given += 1,
+                Input::SliceRevoked(_) => counters.slices_taken += 1,
+                Input::RoundAcknowledged { .. } => counters.receipts += 1,
                 _ => {}
             }
         }
@@ -94,18 +94,20 @@
         let mut call = Vec::new();
         for order in orders {
             match order {
-                Order::WakeAt { wake, at } => self.timers.set(at, wake),
+                Order::SetTimer { timer: wake, fires_at: at } => self.timers.set(at, wake),
                 Order::Log { text, hosts } => {
-                    let text = self.names.said(&text, &hosts);
+                    let text = self.names.log_line(&text, &hosts);
                     self.outbox.info(format!("decided: {text}"));
                 }
                 Order::Probe(host) => self.start_health_check(now, host),
-                Order::Follow(_) => {}
-                Order::Forget(host) => self.forgotten.insert(host),
-                Order::FetchList => self.discovery.request_full_list(now, &mut self.outbox),
-                Order::Bind { .. } | Order::Tell { .. } => self.outbox.counters.orders_unknown += 1,
+                Order::WatchHostList(_) => {}
+                Order::ReleaseHost(host) => self.forgotten.insert(host),
+                Order::FetchHostList => self.discovery.request_full_list(now, &mut self.outbox),
+                Order::BindTable { .. } | Order::SendToPeers { .. } => {
+                    self.outbox.counters.orders_unknown += 1
+                }
                 order => {
-                    if let (Some(operators), Order::Line { slice, .. }) = (&mut self.operators, &order) {
+                    if let (Some(operators), Order::SetWeight { slice, .. }) = (&mut self.operators, &order) {
                         operators.weight_ordered(now, *slice);
                     }
                     call.extend(self.relay_order(order));
--- a/crates/director/service/src/reducer/discovery_watch.rs
+++ b/crates/director/service/src/reducer/discovery_watch.rs
@@ -5,10 +5,10 @@
 use super::ids::LinkId;
 use super::message_fields::resolved;
 use super::outbox::Outbox;
-use crate::framing::Framed;
-use coppersail::interface::{CellId, HostId, HostState, Input, ListScope, Listing};
-use coppersail_protocol::discovery::{self, Server, State};
-use coppersail_protocol::Fault;
+use crate::framing::FramedLine;
+use coppersail::interface::{CellId, HostId, HostListEntry, HostState, Input, ListScope};
+use coppersail_protocol::discovery::{self, Endpoint, EndpointState};
+use coppersail_protocol::ParseError;
 use coppersail_settings::{Clock, Names};
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
 
 /// A host as it was last listed.
 struct ListedHost {
-    listing: Listing,
+    listing: HostListEntry,
     address: SocketAddr,
 }
 
@@ -54,7 +54,7 @@
 
 /// Tells decisions that fetch their list that this failed.
 pub(super) fn list_failed() -> Input {
-    Input::Hosts { scope: ListScope::Failed, version: 0, entries: Vec::new() }
+    Input::HostListUpdate { scope: ListScope::Failed, version: 0, entries: Vec::new() }
 }
 
 impl DiscoveryWatch {
@@ -100,7 +100,7 @@
     /// The only place where watches are closed.
     fn close_watches(&mut self, is_closed: impl Fn(&Watch) -> bool, outbox: &mut Outbox) {
         for watch in self.watches.iter().filter(|watch| is_closed(watch)) {
-            outbox.effects.push(Effect::Unwatch(watch.link));
+            outbox.effects.push(Effect::CloseWatch(watch.link));
         }
         self.watches.retain(|watch| !is_closed(watch));
     }
@@ -122,13 +122,13 @@
     /// The list that the configuration remembers, possibly outdated.
     pub(super) fn remembered_list(
         &mut self,
-        list: &discovery::List<'_>,
+        list: &discovery::EndpointList<'_>,
         names: &mut Names,
         outbox: &mut Outbox,
     ) -> Input {
         let entries = self.entries(list, names, outbox);
         self.version = Some(list.version);
-        Input::Hosts { scope: ListScope::Remembered, version: list.version, entries }
+        Input::HostListUpdate { scope: ListScope::CachedSnapshot, version: list.version, entries }
     }
 
     /// Gives up silent watches, and opens one if there is none at the current address.
@@ -150,7 +150,7 @@
         self.watches.push(Watch { link, address: self.address, has_answered: false, deadline });
         outbox.counters.watches_opened += 1;
         let since = if self.full_list_wanted { None } else { self.version };
-        outbox.effects.push(Effect::Watch(link, self.address, discovery::watch(since)));
+        outbox.effects.push(Effect::OpenWatch(link, self.address, discovery::watch_path(since)));
     }
 
     /// A watch has ended or is given up.
@@ -169,7 +169,7 @@
         &mut self,
         now: f64,
         link: LinkId,
-        line: Framed,
+        line: FramedLine,
         names: &mut Names,
         outbox: &mut Outbox,
     ) -> Option<Input> {
@@ -180,11 +180,11 @@
             self.close_watches(|watch| watch.link != link, outbox);
         }
         let line = match line {
-            Framed::Line(line) if line.is_empty() => return None,
-            Framed::Line(line) => line,
-            Framed::TooLong => Vec::new(),
+            FramedLine::Line(line) if line.is_empty() => return None,
+            FramedLine::Line(line) => line,
+            FramedLine::TooLong => Vec::new(),
         };
-        let list = match discovery::List::parse(&line) {
+        let list = match discovery::EndpointList::parse(&line) {
             Ok(list) => list,
             Err(fault) => {
                 // The next watch asks for changes since the version that is held, so nothing is missed.
@@ -202,7 +202,12 @@
         Some(self.take_list(&list, names, outbox))
     }
 
-    fn take_list(&mut self, list: &discovery::List<'_>, names: &mut Names, outbox: &mut Outbox) -> Input {
+    fn take_list(
+        &mut self,
+        list: &discovery::EndpointList<'_>,
+        names: &mut Names,
+        outbox: &mut Outbox,
+    ) -> Input {
         outbox.counters.lists += 1;
         self.full_list_wanted = false;
         self.version = Some(list.version);
@@ -210,19 +215,19 @@
             outbox.info(format!("discovery: watch open, version {}", list.version));
         }
         let entries = self.entries(list, names, outbox);
-        let scope = if list.full { ListScope::Whole } else { ListScope::Changes };
-        Input::Hosts { scope, version: list.version, entries }
+        let scope = if list.is_complete { ListScope::Snapshot } else { ListScope::Delta };
+        Input::HostListUpdate { scope, version: list.version, entries }
     }
 
     /// The sound entries. In a full list a host whose entry is unsound stays as it was, or it would seem to be gone.
     fn entries(
         &mut self,
-        list: &discovery::List<'_>,
+        list: &discovery::EndpointList<'_>,
         names: &mut Names,
         outbox: &mut Outbox,
-    ) -> Vec<Listing> {
+    ) -> Vec<HostListEntry> {
         let mut entries = Vec::new();
-        for server in &list.servers {
+        for server in &list.entries {
             let (id, fault) = match server {
                 Ok(server) => match self.listing(server, names) {
                     Ok(listing) => {
@@ -231,12 +236,12 @@
                     }
                     Err(fault) => (Some(server.id.as_ref()), fault),
                 },
-                Err(unsound) => (unsound.id.as_deref(), unsound.fault.clone()),
+                Err(unsound) => (unsound.id.as_deref(), unsound.error.clone()),
             };
             outbox.counters.entries_unsound += 1;
             outbox.warn(format!("discovery: entry passed over, {fault}"));
-            if list.full {
-                let host = id.and_then(|id| names.known_host(id));
+            if list.is_complete {
+                let host = id.and_then(|id| names.known_host_id(id));
                 let held = host.and_then(|host| self.hosts.get(&host));
                 entries.extend(held.map(|listed| listed.listing.clone()));
             }
@@ -244,22 +249,22 @@
         entries
     }
 
-    fn listing(&mut self, server: &Server<'_>, names: &mut Names) -> Result<Listing, Fault> {
+    fn listing(&mut self, server: &Endpoint<'_>, names: &mut Names) -> Result<HostListEntry, ParseError> {
         let zone = resolved("zone", names.zone(&server.zone))?;
-        let kind = resolved("kind", names.kind(&server.kind))?;
+        let kind = resolved("kind", names.machine_kind(&server.kind))?;
         let started_ns = server.started_ms.saturating_mul(NANOSECONDS_PER_MILLISECOND);
-        let listing = Listing {
-            host: names.host(&server.id),
+        let listing = HostListEntry {
+            host: names.host_id(&server.id),
             state: match server.state {
-                State::Ready => HostState::Ready,
-                State::Draining => HostState::Draining,
-                State::Gone => HostState::Gone,
+                EndpointState::Ready => HostState::Ready,
+                EndpointState::Draining => HostState::Draining,
+                EndpointState::Gone => HostState::Removed,
             },
-            born: (started_ns > 0).then(|| self.clock.seconds(started_ns)),
+            started_at: (started_ns > 0).then(|| self.clock.seconds(started_ns)),
             weight: server.weight,
             zone,
             cell: CellId(server.cell),
-            kind,
+            machine_type: kind,
         };
         let listed = ListedHost { listing: listing.clone(), address: server.address };
         self.hosts.insert(listing.host, listed);
--- a/crates/director/service/src/reducer/effect.rs
+++ b/crates/director/service/src/reducer/effect.rs
@@ -1,6 +1,6 @@
 //! What the reducer asks the I/O around it to do.
 
-use super::ids::{ConnId, ControlId, LinkId};
+use super::ids::{AdminRequestId, ConnectionId, LinkId};
 use coppersail::interface::HostId;
 use coppersail_admin_socket::Answer;
 use coppersail_changes::{Record, Version};
@@ -11,23 +11,23 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Write these bytes to an accepted connection.
-    Say(ConnId, &'static [u8]),
+    SendToConnection(ConnectionId, &'static [u8]),
     /// Close an accepted connection.
-    Drop(ConnId),
+    CloseConnection(ConnectionId),
     /// Whether further connections are to be accepted.
-    Accept(bool),
+    SetAccepting(bool),
     /// Connect to the relay at this address.
-    Dial(LinkId, SocketAddr),
+    ConnectRelay(LinkId, SocketAddr),
     /// Write these bytes to a connection to the relay.
-    Send(LinkId, Vec<u8>),
+    SendToRelay(LinkId, Vec<u8>),
     /// Close a connection to the relay.
-    HangUp(LinkId),
+    CloseRelay(LinkId),
     /// Open a watch at the discovery service with this address and request path.
-    Watch(LinkId, SocketAddr, String),
+    OpenWatch(LinkId, SocketAddr, String),
     /// Close a watch.
-    Unwatch(LinkId),
+    CloseWatch(LinkId),
     /// Start a health check.
-    Probe {
+    StartProbe {
         /// The host to check.
         host: HostId,
         /// Its address.
@@ -35,14 +35,14 @@
         /// The path to request.
         path: &'static str,
     },
-    /// Send [`Event::Time`](super::Event::Time) at this time, in seconds since the start. It replaces the time asked
-    /// for before; infinity means never.
-    Wake(f64),
-    /// Append to the history. [`Event::Written`](super::Event::Written) or
-    /// [`Event::Unwritten`](super::Event::Unwritten) follows for a change that was accepted.
-    Record(Record),
+    /// Send [`Event::TimerFired`](super::Event::TimerFired) at this time, in seconds since the start. It replaces the
+    /// time asked for before; infinity means never.
+    SetTimer(f64),
+    /// Append to the history. [`Event::ChangeLogged`](super::Event::ChangeLogged) or
+    /// [`Event::ChangeLogFailed`](super::Event::ChangeLogFailed) follows for a change that was accepted.
+    AppendToChangeLog(Record),
     /// Answer an operator's command.
-    Answer(ControlId, Answer),
+    AnswerAdminRequest(AdminRequestId, Answer),
     /// Write a log line, about this change if any.
     Log(Level, Option<Version>, String),
     /// Exit.
--- a/crates/director/service/src/reducer/event.rs
+++ b/crates/director/service/src/reducer/event.rs
@@ -1,16 +1,16 @@
 //! What the I/O around the reducer reports to it.
 
-use super::ids::{ConnId, ControlId, LinkId};
-use crate::framing::Framed;
+use super::ids::{AdminRequestId, ConnectionId, LinkId};
+use crate::framing::FramedLine;
 use coppersail::interface::HostId;
 use coppersail_admin_socket::Request;
 use coppersail_changes::Version;
-use coppersail_operator_config::Sheet;
+use coppersail_operator_config::OperatorFile;
 use coppersail_protocol::config::Config;
 
 /// How a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum ProbeEnd {
+pub enum ProbeOutcome {
     /// An HTTP answer with this status.
     Status(u16),
     /// No answer came within the probe's timeout.
@@ -23,53 +23,53 @@
     Unreadable,
 }
 
-/// One input of the reducer. The events of a batch are followed by [`Event::Settle`].
+/// One input of the reducer. The events of a batch are followed by [`Event::EndOfBatch`].
 #[derive(Clone, Debug, PartialEq)]
 pub enum Event {
     /// The listener has accepted a connection.
-    Accepted(ConnId),
+    Accepted(ConnectionId),
     /// Bytes have come on an accepted connection.
-    Heard(ConnId, Vec<u8>),
+    Received(ConnectionId, Vec<u8>),
     /// The peer has closed an accepted connection.
-    Ended(ConnId),
+    ConnectionClosed(ConnectionId),
     /// A connection to the relay is established.
-    RelayUp(LinkId),
+    RelayConnected(LinkId),
     /// Lines have come on a connection to the relay.
-    RelayLines(LinkId, Vec<Framed>),
+    RelayLines(LinkId, Vec<FramedLine>),
     /// A connection to the relay has ended or could not be established; the text says why.
-    RelayDown(LinkId, String),
+    RelayDisconnected(LinkId, String),
     /// Lines have come on a watch of discovery.
-    WatchLines(LinkId, Vec<Framed>),
+    WatchLines(LinkId, Vec<FramedLine>),
     /// A watch of discovery has ended or could not be opened; the text says why.
-    WatchDown(LinkId, String),
+    WatchEnded(LinkId, String),
     /// A health check has ended.
-    Probed {
+    ProbeFinished {
         /// The host that was checked.
         host: HostId,
         /// How the check ended.
-        end: ProbeEnd,
+        end: ProbeOutcome,
         /// How long it took, in seconds.
         took: f64,
         /// The body of the answer, empty if there was none.
         body: Vec<u8>,
     },
     /// An operator's command.
-    Asked(ControlId, Box<Request>),
+    AdminRequest(AdminRequestId, Box<Request>),
     /// The history has stored the acceptance of this change.
-    Written(Version),
+    ChangeLogged(Version),
     /// The history failed to store the acceptance of this change or, without a number, another record; the text says
     /// why.
-    Unwritten(Option<Version>, String),
+    ChangeLogFailed(Option<Version>, String),
     /// The operators' file was read again; an error says in one line what is wrong with it.
-    Sheet(Box<Result<Sheet, String>>),
+    OperatorFile(Box<Result<OperatorFile, String>>),
     /// The configuration file was read again; an error says in one line what is wrong with it.
     Reload(Box<Result<Config, String>>),
-    /// The time of the last [`Effect::Wake`](super::Effect::Wake) has come.
-    Time,
+    /// The time of the last [`Effect::SetTimer`](super::Effect::SetTimer) has come.
+    TimerFired,
     /// The batch is complete.
-    Settle,
+    EndOfBatch,
     /// The counters are to be logged.
-    Count,
+    LogCounters,
     /// The director is to exit.
-    Stop,
+    Shutdown,
 }
--- a/crates/director/service/src/reducer/forgotten_hosts.rs
+++ b/crates/director/service/src/reducer/forgotten_hosts.rs
@@ -19,10 +19,10 @@
     pub(super) fn keep_named(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
-                Input::StoredLine { host, .. } => {
+                Input::StoredWeight { host, .. } => {
                     self.hosts.remove(host);
                 }
-                Input::Hosts { entries, .. } => {
+                Input::HostListUpdate { entries, .. } => {
                     for entry in entries {
                         self.hosts.remove(&entry.host);
                     }
--- a/crates/director/service/src/reducer/health_checks.rs
+++ b/crates/director/service/src/reducer/health_checks.rs
@@ -1,6 +1,6 @@
 //! Health checks of hosts: what the decisions ask for, and how the checks end.
 
-use super::{Effect, ProbeEnd, Reducer};
+use super::{Effect, ProbeOutcome, Reducer};
 use coppersail::interface::{HostId, Input, Outcome};
 use coppersail_protocol::load::Report;
 
@@ -13,10 +13,10 @@
         match self.discovery.address(host) {
             Some(address) => {
                 self.outbox.counters.probes_sent += 1;
-                self.outbox.effects.push(Effect::Probe { host, address, path: self.health_check_path });
+                self.outbox.effects.push(Effect::StartProbe { host, address, path: self.health_check_path });
             }
             // A host without a known address cannot be reached.
-            None => self.health_check_ended(now, host, ProbeEnd::Unreachable, 0.0, b""),
+            None => self.health_check_ended(now, host, ProbeOutcome::Unreachable, 0.0, b""),
         }
     }
 
@@ -25,24 +25,26 @@
         &mut self,
         now: f64,
         host: HostId,
-        end: ProbeEnd,
+        end: ProbeOutcome,
         took: f64,
         body: &[u8],
     ) {
         let counters = &mut self.outbox.counters;
         let (outcome, counter) = match end {
-            ProbeEnd::Status(STATUS_OK) => (Outcome::Answered, &mut counters.probes_answered),
-            ProbeEnd::Status(STATUS_SERVICE_UNAVAILABLE) => {
+            ProbeOutcome::Status(STATUS_OK) => (Outcome::Succeeded, &mut counters.probes_answered),
+            ProbeOutcome::Status(STATUS_SERVICE_UNAVAILABLE) => {
                 (Outcome::Throttled, &mut counters.probes_throttled)
             }
-            ProbeEnd::Status(_) | ProbeEnd::Unreadable => (Outcome::Error, &mut counters.probes_failed),
-            ProbeEnd::TimedOut => (Outcome::TimedOut, &mut counters.probes_timed_out),
-            ProbeEnd::Unreachable => (Outcome::Unreachable, &mut counters.probes_unreachable),
-            ProbeEnd::Broken => (Outcome::Broken, &mut counters.probes_broken),
+            ProbeOutcome::Status(_) | ProbeOutcome::Unreadable => {
+                (Outcome::ErrorResponse, &mut counters.probes_failed)
+            }
+            ProbeOutcome::TimedOut => (Outcome::TimedOut, &mut counters.probes_timed_out),
+            ProbeOutcome::Unreachable => (Outcome::ConnectFailed, &mut counters.probes_unreachable),
+            ProbeOutcome::Broken => (Outcome::ConnectionLost, &mut counters.probes_broken),
         };
         *counter += 1;
-        let report = Report::text(if outcome == Outcome::Answered { body } else { b"" });
+        let report = Report::parse_text(if outcome == Outcome::Succeeded { body } else { b"" });
         let load = self.plausible_load(now, &report);
-        self.outbox.inputs.push(Input::Probed { host, outcome, took, load });
+        self.outbox.inputs.push(Input::ProbeFinished { host, outcome, duration: took, load });
     }
 }
--- a/crates/director/service/src/reducer/ids.rs
+++ b/crates/director/service/src/reducer/ids.rs
@@ -2,7 +2,7 @@
 
 /// An accepted connection, numbered by the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ConnId(pub u64);
+pub struct ConnectionId(pub u64);
 
 /// An outgoing connection, numbered by the reducer from 1.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -10,4 +10,4 @@
 
 /// An operator's command that is owed an answer, numbered by the control socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct ControlId(pub u64);
+pub struct AdminRequestId(pub u64);
--- a/crates/director/service/src/reducer/message_fields.rs
+++ b/crates/director/service/src/reducer/message_fields.rs
@@ -1,16 +1,16 @@
 //! Names and numbers in messages, resolved to the ids that the decisions use.
 
 use coppersail::interface::{ProxyId, SliceId};
-use coppersail_protocol::Fault;
+use coppersail_protocol::ParseError;
 use std::fmt::Display;
 
 /// The fault of a field whose value is not what was expected.
-pub(super) fn unexpected(field: &str, expected: impl Display) -> Fault {
-    Fault::expected(field, expected)
+pub(super) fn unexpected(field: &str, expected: impl Display) -> ParseError {
+    ParseError::expected(field, expected)
 }
 
 /// The id for a name in a message; the error of a look-up says what was expected.
-pub(super) fn resolved<T>(field: &str, found: Result<T, impl Display>) -> Result<T, Fault> {
+pub(super) fn resolved<T>(field: &str, found: Result<T, impl Display>) -> Result<T, ParseError> {
     found.map_err(|expected| unexpected(field, expected))
 }
 
@@ -23,7 +23,7 @@
 }
 
 impl IdRanges {
-    pub(super) fn slice(&self, number: u16) -> Result<SliceId, Fault> {
+    pub(super) fn slice(&self, number: u16) -> Result<SliceId, ParseError> {
         if u64::from(number) < self.slices {
             Ok(SliceId(number))
         } else {
@@ -31,7 +31,7 @@
         }
     }
 
-    pub(super) fn proxy(&self, number: u16) -> Result<ProxyId, Fault> {
+    pub(super) fn proxy(&self, number: u16) -> Result<ProxyId, ParseError> {
         if self.proxies == 0 || u64::from(number) < self.proxies {
             Ok(ProxyId(number))
         } else {
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -1,6 +1,6 @@
 //! All state of the director, and all changes to it: `(now, event) -> effects`. It reads no clock and does no I/O;
-//! the effects ask for that. The events up to an [`Event::Settle`] are one batch: the decisions see it as a whole, and
-//! their orders go to the relay as one call.
+//! the effects ask for that. The events up to an [`Event::EndOfBatch`] are one batch: the decisions see it as a
+//! whole, and their orders go to the relay as one call.
 //!
 //! Times are seconds since the start of the director unless a name says otherwise.
 
@@ -30,18 +30,18 @@
 
 pub use configuration::ConfigError;
 pub use effect::Effect;
-pub use event::{Event, ProbeEnd};
-pub use ids::{ConnId, ControlId, LinkId};
+pub use event::{Event, ProbeOutcome};
+pub use ids::{AdminRequestId, ConnectionId, LinkId};
 
-use crate::resource_limits::Bounds;
+use crate::resource_limits::ResourceLimits;
 use collector_connections::CollectorConnections;
 use configuration::CheckedConfig;
-use coppersail_capacity_guard::{Guarded, Mode};
+use coppersail_capacity_guard::{GuardedDirector, Mode};
 use coppersail_changes::{Record, RecordError};
-use coppersail_operator_config::{Known, Sheet};
+use coppersail_operator_config::{OperatorFile, SettingsNames};
 use coppersail_protocol::config::Config;
-use coppersail_protocol::load::{HEALTH, LOAD};
-use coppersail_settings::{known as known_by, settings, Clock, Names};
+use coppersail_protocol::load::{HEALTH_PATH, LOAD_PATH};
+use coppersail_settings::{decision_settings, known_names as known_by, Clock, Names};
 use decision_timers::DecisionTimers;
 use discovery_watch::DiscoveryWatch;
 use forgotten_hosts::ForgottenHosts;
@@ -66,7 +66,7 @@
 
 /// The director without its I/O.
 pub struct Reducer {
-    director: Guarded,
+    director: GuardedDirector,
     names: Names,
     id_ranges: IdRanges,
     /// The decisions fetch the list of hosts themselves, and are told when a watch fails.
@@ -80,7 +80,7 @@
     discovery: DiscoveryWatch,
     /// None while operators' changes are off.
     operators: Option<Operators>,
-    known: Known,
+    known: SettingsNames,
     forgotten: ForgottenHosts,
     timers: DecisionTimers,
     /// A batch without inputs has been decided on.
@@ -101,28 +101,29 @@
     /// A field of the configuration cannot be used.
     pub fn new(config: &Config, wall_ns: u64) -> Result<Self, ConfigError> {
         let CheckedConfig { boot, known_hosts } = CheckedConfig::new(config)?;
-        let settings = settings(&boot);
-        let has_load_reports = boot.top.report_columns.as_ref().is_some_and(|columns| !columns.0.is_empty());
-        let bounds = Bounds::of(&config.limits);
+        let settings = decision_settings(&boot);
+        let has_load_reports =
+            boot.general.report_columns.as_ref().is_some_and(|columns| !columns.0.is_empty());
+        let bounds = ResourceLimits::from_config_limits(&config.limits);
         let mut reducer = Reducer {
-            id_ranges: IdRanges { slices: settings.slices, proxies: settings.proxies },
+            id_ranges: IdRanges { slices: settings.slice_count, proxies: settings.proxy_count },
             plausible: PlausibleFigures::new(&settings),
-            fetches_list: !settings.list_is_pushed,
-            director: Guarded::plain(settings, config.seed),
+            fetches_list: !settings.host_list_is_pushed,
+            director: GuardedDirector::plain(settings, config.seed),
             names: Names::new(&boot),
-            health_check_path: if has_load_reports { LOAD } else { HEALTH },
-            collectors: CollectorConnections::new(bounds.taken, bounds.begun),
+            health_check_path: if has_load_reports { LOAD_PATH } else { HEALTH_PATH },
+            collectors: CollectorConnections::new(bounds.max_connections, bounds.max_buffered_bytes),
             bad_lines_log: RateLimitedLog::default(),
             calls: RelayCalls::new(config.relay),
             subscription: RelaySubscription::new(config.relay),
-            discovery: DiscoveryWatch::new(Clock::starting(wall_ns), config.discovery),
+            discovery: DiscoveryWatch::new(Clock::starting_at(wall_ns), config.discovery),
             operators: None,
             known: known_by(&boot),
             forgotten: ForgottenHosts::default(),
             timers: DecisionTimers::default(),
             decided_without_input: false,
             relay_state_known: false,
-            fixed_at_start: config.fixed(),
+            fixed_at_start: config.restart_only_fields(),
             outbox: Outbox::default(),
         };
         if let Some(list) = known_hosts {
@@ -133,7 +134,7 @@
     }
 
     /// The names in the settings, against which an operators' file is checked.
-    pub fn known(&self) -> &Known {
+    pub fn settings_names(&self) -> &SettingsNames {
         &self.known
     }
 
@@ -143,17 +144,17 @@
     /// # Errors
     ///
     /// The configuration cannot be used, or the records of the history contradict each other.
-    pub fn operate(
+    pub fn enable_operator_changes(
         &mut self,
         config: &Config,
         wall_ns: u64,
-        sheet: &Sheet,
+        sheet: &OperatorFile,
         history: Option<Vec<Record>>,
     ) -> Result<Vec<Effect>, OperateError> {
-        let settings = settings(&CheckedConfig::new(config)?.boot);
+        let settings = decision_settings(&CheckedConfig::new(config)?.boot);
         let mut operators = Operators::new(&config.name, &settings, self.known.clone(), wall_ns);
         // Nothing has been decided yet, so the decisions can begin anew with the guard.
-        self.director = Guarded::new(settings, config.seed, Mode::Off);
+        self.director = GuardedDirector::new(settings, config.seed, Mode::Off);
         // The list that the configuration remembers is all that is known of hosts yet.
         operators.observe(&self.outbox.inputs);
         self.operators = Some(operators);
@@ -182,18 +183,18 @@
     pub fn reduce(&mut self, now: f64, event: Event) -> Vec<Effect> {
         match event {
             Event::Accepted(conn) => self.collectors.accepted(now, conn, &mut self.outbox),
-            Event::Heard(conn, bytes) => self.bytes_received(now, conn, &bytes),
-            Event::Ended(conn) => self.collectors.ended(conn, &mut self.outbox),
-            Event::RelayUp(link) => self.relay_connected(now, link),
+            Event::Received(conn, bytes) => self.bytes_received(now, conn, &bytes),
+            Event::ConnectionClosed(conn) => self.collectors.ended(conn, &mut self.outbox),
+            Event::RelayConnected(link) => self.relay_connected(now, link),
             Event::RelayLines(link, lines) => {
                 for line in lines {
                     self.handle_relay_line(now, link, line);
                 }
             }
-            Event::RelayDown(link, reason) if self.calls.owns(link) => {
+            Event::RelayDisconnected(link, reason) if self.calls.owns(link) => {
                 self.calls.connection_down(now, link, &reason, &mut self.outbox);
             }
-            Event::RelayDown(link, reason) => {
+            Event::RelayDisconnected(link, reason) => {
                 self.subscription.connection_down(now, link, &reason, &mut self.outbox);
             }
             Event::WatchLines(link, lines) => {
@@ -203,18 +204,23 @@
                     self.outbox.inputs.extend(input);
                 }
             }
-            Event::WatchDown(link, reason) => self.watch_down(now, link, &reason),
-            Event::Probed { host, end, took, body } => self.health_check_ended(now, host, end, took, &body),
+            Event::WatchEnded(link, reason) => self.watch_down(now, link, &reason),
+            Event::ProbeFinished { host, end, took, body } => {
+                self.health_check_ended(now, host, end, took, &body)
+            }
             Event::Reload(config) => self.reload(now, *config),
-            Event::Asked(..) | Event::Written(_) | Event::Unwritten(..) | Event::Sheet(_) => {
+            Event::AdminRequest(..)
+            | Event::ChangeLogged(_)
+            | Event::ChangeLogFailed(..)
+            | Event::OperatorFile(_) => {
                 self.with_operators(|operators, context, outbox| {
                     operators.handle_event(now, event, context, outbox);
                 });
             }
-            Event::Time => {}
-            Event::Settle => self.finish_batch(now),
-            Event::Count => self.log_counters(),
-            Event::Stop => {
+            Event::TimerFired => {}
+            Event::EndOfBatch => self.finish_batch(now),
+            Event::LogCounters => self.log_counters(),
+            Event::Shutdown => {
                 self.log_counters();
                 self.outbox.effects.push(Effect::Exit);
             }
@@ -228,7 +234,7 @@
         } else if self.subscription.owns(link) {
             self.subscription.connected(now, link, &mut self.outbox);
         } else {
-            self.outbox.effects.push(Effect::HangUp(link));
+            self.outbox.effects.push(Effect::CloseRelay(link));
         }
     }
 
@@ -244,7 +250,7 @@
 
     fn log_counters(&mut self) {
         self.outbox.counters.lines_may_wait = self.director.may_wait() as u64;
-        let counters = self.outbox.counters.line();
+        let counters = self.outbox.counters.log_line();
         self.outbox.info(counters);
     }
 }
--- a/crates/director/service/src/reducer/operators/commands.rs
+++ b/crates/director/service/src/reducer/operators/commands.rs
@@ -2,17 +2,17 @@
 
 use super::{OperatorContext, Operators};
 use crate::reducer::effect::Effect;
-use crate::reducer::ids::ControlId;
+use crate::reducer::ids::AdminRequestId;
 use crate::reducer::outbox::Outbox;
 use coppersail_admin_socket::{Answer, Difference, Request, Status, Trial, PAGE};
 use coppersail_change_analysis::TrialId;
-use coppersail_changes::{Act, Refusal, Submission, Version};
+use coppersail_changes::{ChangeEffect, Refusal, Submission, Version};
 
 /// What a command comes to: its answer, and what the change log wants done before it.
 struct Outcome {
     /// None if the answer waits for the history.
     answer: Option<Answer>,
-    actions: Vec<Act>,
+    actions: Vec<ChangeEffect>,
 }
 
 impl Outcome {
@@ -20,7 +20,7 @@
         Outcome { answer: Some(answer), actions: Vec::new() }
     }
 
-    fn done(actions: Vec<Act>) -> Self {
+    fn done(actions: Vec<ChangeEffect>) -> Self {
         Outcome { answer: Some(Answer::Done), actions }
     }
 }
@@ -30,7 +30,7 @@
     pub(super) fn handle_command(
         &mut self,
         now: f64,
-        command: ControlId,
+        command: AdminRequestId,
         request: Request,
         context: &OperatorContext,
         outbox: &mut Outbox,
@@ -42,14 +42,14 @@
         });
         self.carry_out(now, outcome.actions, context, outbox);
         if let Some(answer) = outcome.answer {
-            outbox.effects.push(Effect::Answer(command, answer));
+            outbox.effects.push(Effect::AnswerAdminRequest(command, answer));
         }
     }
 
     fn execute(
         &mut self,
         now: f64,
-        command: ControlId,
+        command: AdminRequestId,
         request: Request,
         context: &OperatorContext,
     ) -> Result<Outcome, Refusal> {
@@ -85,7 +85,7 @@
     fn submit_command(
         &mut self,
         now: f64,
-        command: ControlId,
+        command: AdminRequestId,
         submission: Submission,
         context: &OperatorContext,
     ) -> Result<Outcome, Refusal> {
@@ -116,8 +116,8 @@
             trials.push(Trial {
                 number,
                 remaining_seconds: self.change_log.trial_left(now, number).unwrap_or(0.0),
-                reports: self.analysis.heard(TrialId(number.0)),
-                sufficient: self.analysis.believed(TrialId(number.0), trial_s),
+                reports: self.analysis.observed_periods(TrialId(number.0)),
+                sufficient: self.analysis.has_sufficient_reports(TrialId(number.0), trial_s),
             });
         }
         let in_force = self.change_log.document().iter();
@@ -126,7 +126,7 @@
             version: self.change_log.head(),
             durable: self.is_durable,
             frozen: self.change_log.frozen().cloned(),
-            baseline: self.analysis.baseline(),
+            baseline: self.analysis.has_baseline(),
             trials,
             in_force: in_force.map(|(field, value)| (field.clone(), *value)).collect(),
             hosts: self.hosts.len(),
--- a/crates/director/service/src/reducer/operators/effects.rs
+++ b/crates/director/service/src/reducer/operators/effects.rs
@@ -5,7 +5,7 @@
 use crate::reducer::outbox::Outbox;
 use coppersail_admin_socket::Answer;
 use coppersail_change_analysis::TrialId;
-use coppersail_changes::{Act, Record, Refusal, Version};
+use coppersail_changes::{ChangeEffect, Record, Refusal, Version};
 use std::collections::BTreeSet;
 use tracing::Level;
 
@@ -16,24 +16,24 @@
     pub(super) fn carry_out(
         &mut self,
         now: f64,
-        actions: Vec<Act>,
+        actions: Vec<ChangeEffect>,
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
         for action in actions {
             match action {
-                Act::Write(record) => self.write_record(now, record, context, outbox),
-                Act::Give { by, .. } => self.apply(now, by),
-                Act::Watch(number) => {
+                ChangeEffect::Write(record) => self.write_record(now, record, context, outbox),
+                ChangeEffect::ApplyDocument { by, .. } => self.apply(now, by),
+                ChangeEffect::StartAnalysis(number) => {
                     let scope = self.change_scope(number, context);
                     let change = self.change_log.change(number);
                     let expected_loss = change.map_or(0.0, |change| change.submission.expected_loss);
-                    self.analysis.watch(TrialId(number.0), scope, expected_loss);
+                    self.analysis.start_trial(TrialId(number.0), scope, expected_loss);
                 }
-                Act::Unwatch(number) => self.analysis.unwatch(TrialId(number.0)),
-                Act::SetAside(number) => self.analysis.set_aside(TrialId(number.0)),
-                Act::Resume(number) => self.analysis.resume(TrialId(number.0)),
-                Act::Say { about, text } => log_action(about, text, outbox),
+                ChangeEffect::EndAnalysis(number) => self.analysis.end_trial(TrialId(number.0)),
+                ChangeEffect::SuspendAnalysis(number) => self.analysis.suspend(TrialId(number.0)),
+                ChangeEffect::ResumeAnalysis(number) => self.analysis.resume(TrialId(number.0)),
+                ChangeEffect::Log { about, text } => log_action(about, text, outbox),
             }
         }
     }
@@ -41,7 +41,7 @@
     /// Appends to the history. Without one, an accepted change counts as written at once.
     fn write_record(&mut self, now: f64, record: Record, context: &OperatorContext, outbox: &mut Outbox) {
         if self.is_durable {
-            outbox.effects.push(Effect::Record(record));
+            outbox.effects.push(Effect::AppendToChangeLog(record));
         } else if let Record::Accepted { number, .. } = record {
             self.record_written(now, number, context, outbox);
         }
@@ -66,7 +66,7 @@
         let actions = self.change_log.written(self.wall_time(now), number);
         self.carry_out(now, actions, context, outbox);
         if let Some(command) = self.pending_answers.remove(&number) {
-            outbox.effects.push(Effect::Answer(command, self.accepted(number)));
+            outbox.effects.push(Effect::AnswerAdminRequest(command, self.accepted(number)));
         }
     }
 
@@ -88,7 +88,7 @@
         self.carry_out(now, actions, context, outbox);
         if let Some(command) = number.and_then(|number| self.pending_answers.remove(&number)) {
             let reason = Refusal::History(reason.to_string()).to_string();
-            outbox.effects.push(Effect::Answer(command, Answer::Rejected { reason }));
+            outbox.effects.push(Effect::AnswerAdminRequest(command, Answer::Rejected { reason }));
         }
     }
 }
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -12,16 +12,16 @@
 
 use super::effect::Effect;
 use super::event::Event;
-use super::ids::ControlId;
+use super::ids::AdminRequestId;
 use super::outbox::Outbox;
 use super::relay_subscription::RelayState;
 use coppersail::interface::{
-    HostId, HostState, Input, ListScope, Listing, Settings, SliceId, Wishes, ZoneId,
+    HostId, HostListEntry, HostState, Input, ListScope, OperatorOverrides, Settings, SliceId, ZoneId,
 };
-use coppersail_capacity_guard::{Guarded, Mode};
-use coppersail_change_analysis::Judge;
-use coppersail_changes::{Book, Pool, PoolHost, Record, RecordError, Version};
-use coppersail_operator_config::{Field, GuardMode, Known, Sheet, Value};
+use coppersail_capacity_guard::{GuardedDirector, Mode};
+use coppersail_change_analysis::ChangeAnalysis;
+use coppersail_changes::{ChangeLog, HostPool, PoolHost, Record, RecordError, Version};
+use coppersail_operator_config::{Field, GuardMode, OperatorFile, SettingsNames, Value};
 use coppersail_settings::Names;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -54,15 +54,15 @@
     pub(super) relay_state: &'a RelayState,
     /// No call to the relay is in flight or queued.
     pub(super) calls_idle: bool,
-    pub(super) director: &'a Guarded,
+    pub(super) director: &'a GuardedDirector,
 }
 
 /// The change log, the analysis of trials, and what connects them with the decisions.
 pub(super) struct Operators {
     director_name: String,
-    change_log: Book,
-    analysis: Judge,
-    known: Known,
+    change_log: ChangeLog,
+    analysis: ChangeAnalysis,
+    known: SettingsNames,
     slow_start_s: f64,
     zone_count: usize,
     /// A history is kept on disk.
@@ -71,7 +71,7 @@
     wall_start_s: f64,
     hosts: BTreeMap<HostId, ListedHost>,
     /// The overrides that the decisions were last given.
-    sent_overrides: Wishes,
+    sent_overrides: OperatorOverrides,
     /// The configuration in force has changed, or a host has come that it may name.
     overrides_outdated: bool,
     /// Hosts that give up their slices because of an announced shutdown.
@@ -80,25 +80,25 @@
     next_shutdown_phase_at: f64,
     applying: Option<ApplyingChange>,
     /// Commands that are answered once their change is in the history.
-    pending_answers: BTreeMap<Version, ControlId>,
+    pending_answers: BTreeMap<Version, AdminRequestId>,
     next_tick_at: f64,
 }
 
 impl Operators {
-    pub(super) fn new(name: &str, settings: &Settings, known: Known, wall_ns: u64) -> Self {
-        let importance = settings.routes.iter().map(|route| route.importance).collect();
-        let slo = settings.routes.iter().map(|route| route.slo_time).fold(f64::INFINITY, f64::min);
+    pub(super) fn new(name: &str, settings: &Settings, known: SettingsNames, wall_ns: u64) -> Self {
+        let importance = settings.routes.iter().map(|route| route.value).collect();
+        let slo = settings.routes.iter().map(|route| route.latency_target).fold(f64::INFINITY, f64::min);
         Operators {
             director_name: name.to_string(),
-            change_log: Book::default(),
-            analysis: Judge::new(settings.report_interval, importance, slo),
+            change_log: ChangeLog::default(),
+            analysis: ChangeAnalysis::new(settings.report_interval, importance, slo),
             known,
-            slow_start_s: settings.ramp_time,
-            zone_count: settings.zones.len(),
+            slow_start_s: settings.slow_start_duration,
+            zone_count: settings.zone_names.len(),
             is_durable: false,
             wall_start_s: wall_ns as f64 / NANOSECONDS_PER_SECOND,
             hosts: BTreeMap::new(),
-            sent_overrides: Wishes::default(),
+            sent_overrides: OperatorOverrides::default(),
             overrides_outdated: true,
             shutting_down: BTreeSet::new(),
             next_shutdown_phase_at: f64::INFINITY,
@@ -112,7 +112,7 @@
     /// taken is a change like any other.
     pub(super) fn start(
         &mut self,
-        sheet: &Sheet,
+        sheet: &OperatorFile,
         history: Option<Vec<Record>>,
         context: &OperatorContext,
         outbox: &mut Outbox,
@@ -123,13 +123,13 @@
         }
         let records = history.unwrap_or_default();
         if records.is_empty() {
-            let (change_log, record) = Book::found(sheet.document.clone(), self.wall_start_s);
+            let (change_log, record) = ChangeLog::found(sheet.document.clone(), self.wall_start_s);
             self.change_log = change_log;
-            outbox.effects.push(Effect::Record(record));
+            outbox.effects.push(Effect::AppendToChangeLog(record));
             return Ok(());
         }
         outbox.info(format!("operators: {} records in the history", records.len()));
-        self.change_log = Book::recover(records)?;
+        self.change_log = ChangeLog::recover(records)?;
         let pool = self.host_pool(0.0, context);
         let actions = self.change_log.resume(0.0, self.wall_start_s, &pool);
         self.carry_out(0.0, actions, context, outbox);
@@ -146,12 +146,14 @@
         outbox: &mut Outbox,
     ) {
         match event {
-            Event::Asked(command, request) => self.handle_command(now, command, *request, context, outbox),
-            Event::Written(version) => self.record_written(now, version, context, outbox),
-            Event::Unwritten(version, reason) => {
+            Event::AdminRequest(command, request) => {
+                self.handle_command(now, command, *request, context, outbox)
+            }
+            Event::ChangeLogged(version) => self.record_written(now, version, context, outbox),
+            Event::ChangeLogFailed(version, reason) => {
                 self.record_failed(now, version, &reason, context, outbox);
             }
-            Event::Sheet(sheet) => self.submit_file(now, *sheet, context, outbox),
+            Event::OperatorFile(sheet) => self.submit_file(now, *sheet, context, outbox),
             _ => {}
         }
     }
@@ -160,32 +162,32 @@
     pub(super) fn observe(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
-                Input::Demand { slice, route, calls, dropped, .. } => {
-                    self.analysis.demand(*slice, *route, *calls, *dropped);
+                Input::SliceDemand { slice, route, requests: calls, dropped, .. } => {
+                    self.analysis.report_calls(*slice, *route, *calls, *dropped);
                 }
-                Input::Tries { host, tries, dropped, rt, .. } => {
-                    self.analysis.tries(*host, *tries, *dropped, *rt);
+                Input::AttemptStats { host, attempts, dropped, mean_response_time, .. } => {
+                    self.analysis.report_attempts(*host, *attempts, *dropped, *mean_response_time);
                 }
-                Input::Hosts { scope, entries, .. } if *scope != ListScope::Failed => {
+                Input::HostListUpdate { scope, entries, .. } if *scope != ListScope::Failed => {
                     self.hosts_listed(*scope, entries);
                 }
-                Input::StoredLine { .. } => self.overrides_outdated = true,
+                Input::StoredWeight { .. } => self.overrides_outdated = true,
                 _ => {}
             }
         }
     }
 
-    fn hosts_listed(&mut self, scope: ListScope, entries: &[Listing]) {
-        if scope != ListScope::Changes {
+    fn hosts_listed(&mut self, scope: ListScope, entries: &[HostListEntry]) {
+        if scope != ListScope::Delta {
             self.hosts.clear();
         }
         for entry in entries {
-            if entry.state == HostState::Gone {
+            if entry.state == HostState::Removed {
                 self.hosts.remove(&entry.host);
                 continue;
             }
             let is_ready = entry.state == HostState::Ready;
-            let listed = ListedHost { is_ready, started_at: entry.born, zone: entry.zone };
+            let listed = ListedHost { is_ready, started_at: entry.started_at, zone: entry.zone };
             self.hosts.insert(entry.host, listed);
         }
         self.overrides_outdated = true;
@@ -218,11 +220,11 @@
     }
 
     /// The hosts, against which the change log checks that enough stay in service.
-    fn host_pool(&self, now: f64, context: &OperatorContext) -> Pool {
+    fn host_pool(&self, now: f64, context: &OperatorContext) -> HostPool {
         let guard_pool = (self.guard_mode() == Mode::On).then_some(context.director.guard().pool());
         let capacity = |host: &HostId| {
             let pool = guard_pool?;
-            Some(pool.hosts.get(host)?.unit(now, &pool.bounds) * pool.bounds.carries?.low)
+            Some(pool.hosts.get(host)?.unit(now, &pool.bounds) * pool.bounds.capacity?.low)
         };
         let mut hosts = Vec::new();
         for (host, listed) in &self.hosts {
@@ -231,7 +233,7 @@
             let name = context.names.host_name(*host).to_string();
             hosts.push((name, PoolHost { ready: listed.is_ready, warm: is_warm, carries }));
         }
-        Pool { hosts: hosts.into_iter().collect(), calls: context.director.asked() }
+        HostPool { hosts: hosts.into_iter().collect(), calls: context.director.asked() }
     }
 
     /// Does what has become due, and returns the overrides for the decisions if they have changed.
@@ -240,7 +242,7 @@
         now: f64,
         context: &OperatorContext,
         outbox: &mut Outbox,
-    ) -> Option<Wishes> {
+    ) -> Option<OperatorOverrides> {
         self.poll_analysis(now, context, outbox);
         if !self.change_log.idle() && now >= self.next_tick_at {
             self.next_tick_at = now + TICK_S;
@@ -261,6 +263,6 @@
     /// When `poll` may have something to do by itself; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let tick = if self.change_log.idle() { f64::INFINITY } else { self.next_tick_at };
-        self.analysis.next().min(tick).min(self.next_shutdown_phase_at)
+        self.analysis.period_ends_at().min(tick).min(self.next_shutdown_phase_at)
     }
 }
--- a/crates/director/service/src/reducer/operators/scope.rs
+++ b/crates/director/service/src/reducer/operators/scope.rs
@@ -2,14 +2,14 @@
 
 use super::{OperatorContext, Operators};
 use coppersail::interface::{HostId, SliceId};
-use coppersail_change_analysis::Touch;
+use coppersail_change_analysis::ChangeScope;
 use coppersail_changes::Version;
 use coppersail_operator_config::Field;
 
 impl Operators {
     /// The hosts, slices and routes that a change is about, by the tables before it.
-    pub(super) fn change_scope(&self, number: Version, context: &OperatorContext) -> Touch {
-        let mut scope = Touch::default();
+    pub(super) fn change_scope(&self, number: Version, context: &OperatorContext) -> ChangeScope {
+        let mut scope = ChangeScope::default();
         let Some(change) = self.change_log.change(number) else { return scope };
         for field in change.submission.edits.keys() {
             self.add_field_to_scope(&mut scope, field, context);
@@ -22,19 +22,19 @@
         scope
     }
 
-    fn add_field_to_scope(&self, scope: &mut Touch, field: &Field, context: &OperatorContext) {
+    fn add_field_to_scope(&self, scope: &mut ChangeScope, field: &Field, context: &OperatorContext) {
         match field {
-            Field::HostWeight(name) | Field::HostDrained(name) | Field::HostLeaves(name) => {
-                scope.hosts.extend(context.names.known_host(name));
+            Field::HostWeight(name) | Field::HostDrained(name) | Field::HostShutdown(name) => {
+                scope.hosts.extend(context.names.known_host_id(name));
             }
             Field::ZoneWeight(name) => scope.hosts.extend(self.hosts_in_zone(name, context)),
-            Field::Apart(slice, _) => {
+            Field::AntiAffinity(slice, _) => {
                 scope.slices.insert(SliceId(*slice));
             }
-            Field::RouteCeiling(name) | Field::RouteAgain(name) => {
+            Field::RouteAdmissionLimit(name) | Field::RouteRetries(name) => {
                 scope.routes.extend(context.names.route(name).ok());
             }
-            Field::Trial | Field::Judge | Field::Guard => {}
+            Field::Trial | Field::Analysis | Field::Guard => {}
         }
     }
 
--- a/crates/director/service/src/reducer/operators/shutdowns.rs
+++ b/crates/director/service/src/reducer/operators/shutdowns.rs
@@ -3,8 +3,8 @@
 use super::{OperatorContext, Operators};
 use crate::reducer::outbox::Outbox;
 use coppersail::interface::HostId;
-use coppersail_capacity_guard::{Change, Pending};
-use coppersail_changes::{announced, Leaving};
+use coppersail_capacity_guard::{HostEvent, PendingEvent};
+use coppersail_changes::{announced, ShutdownPhase};
 use coppersail_settings::Names;
 use std::collections::BTreeSet;
 
@@ -17,12 +17,12 @@
 impl Operators {
     fn announced_shutdowns<'a>(&'a self, names: &'a Names) -> impl Iterator<Item = Shutdown> + 'a {
         announced(self.change_log.document()).filter_map(|(name, wall_time)| {
-            Some(Shutdown { host: names.known_host(name)?, at: wall_time - self.wall_start_s })
+            Some(Shutdown { host: names.known_host_id(name)?, at: wall_time - self.wall_start_s })
         })
     }
 
-    fn phase(&self, now: f64, shutdown: &Shutdown) -> Leaving {
-        Leaving::of(now, shutdown.at, self.started_at(shutdown.host))
+    fn phase(&self, now: f64, shutdown: &Shutdown) -> ShutdownPhase {
+        ShutdownPhase::of(now, shutdown.at, self.started_at(shutdown.host))
     }
 
     /// Hosts whose announced time has come give up their slices, and may serve again when it is over.
@@ -35,10 +35,10 @@
         let mut shutting_down = BTreeSet::new();
         let mut next_phase_at = f64::INFINITY;
         for shutdown in self.announced_shutdowns(context.names) {
-            if self.phase(now, &shutdown) == Leaving::Moving {
+            if self.phase(now, &shutdown) == ShutdownPhase::Moving {
                 shutting_down.insert(shutdown.host);
             }
-            next_phase_at = f64::min(next_phase_at, Leaving::turns(now, shutdown.at));
+            next_phase_at = f64::min(next_phase_at, ShutdownPhase::turns(now, shutdown.at));
         }
         self.next_shutdown_phase_at = next_phase_at;
         if shutting_down == self.shutting_down {
@@ -55,11 +55,11 @@
     }
 
     /// Announced shutdowns for which the capacity guard has to plan.
-    pub(in super::super) fn pending_shutdowns(&self, now: f64, names: &Names) -> Vec<Pending> {
+    pub(in super::super) fn pending_shutdowns(&self, now: f64, names: &Names) -> Vec<PendingEvent> {
         let mut pending = Vec::new();
         for shutdown in self.announced_shutdowns(names) {
-            if self.phase(now, &shutdown) != Leaving::Over {
-                pending.push(Pending { at: shutdown.at, host: shutdown.host, what: Change::Leaves });
+            if self.phase(now, &shutdown) != ShutdownPhase::Over {
+                pending.push(PendingEvent { at: shutdown.at, host: shutdown.host, what: HostEvent::Leaves });
             }
         }
         pending
