--- a/crates/director/service/src/reducer/operators/submissions.rs
+++ b/crates/director/service/src/reducer/operators/submissions.rs
@@ -3,14 +3,14 @@
 use super::{OperatorContext, Operators};
 use crate::reducer::outbox::Outbox;
 use coppersail_changes::{Refusal, Submission};
-use coppersail_operator_config::{difference, Sheet};
+use coppersail_operator_config::{difference, OperatorFile};
 
 impl Operators {
     /// The file was read: what differs from when it was last taken is submitted as a change.
     pub(super) fn submit_file(
         &mut self,
         now: f64,
-        sheet: Result<Sheet, String>,
+        sheet: Result<OperatorFile, String>,
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
--- a/crates/director/service/src/reducer/operators/trials.rs
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -2,8 +2,8 @@
 
 use super::{OperatorContext, Operators};
 use crate::reducer::outbox::Outbox;
-use coppersail_change_analysis::{Found, Part, TrialId};
-use coppersail_changes::{Ready, Version};
+use coppersail_change_analysis::{HarmFinding, ServicePart, TrialId};
+use coppersail_changes::{AnalysisState, Version};
 use coppersail_operator_config::{Field, Value};
 use coppersail_settings::Names;
 use std::collections::BTreeSet;
@@ -17,18 +17,18 @@
 impl Operators {
     /// Closes the analysis' period if it is over, and reports harm that was found.
     pub(super) fn poll_analysis(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
-        if now < self.analysis.next() {
+        if now < self.analysis.period_ends_at() {
             return;
         }
         let is_enabled = self.is_analysis_enabled();
-        for (TrialId(number), finding) in self.analysis.close(now) {
+        for (TrialId(number), finding) in self.analysis.close_periods(now) {
             if !is_enabled {
                 continue;
             }
             let pool = self.host_pool(now, context);
-            let description = (describe(&finding, context.names), finding.unsure());
+            let description = (describe(&finding, context.names), finding.is_uncertain());
             let wall_time = self.wall_time(now);
-            let actions = self.change_log.harmful(now, wall_time, Version(number), description, &pool);
+            let actions = self.change_log.report_harm(now, wall_time, Version(number), description, &pool);
             self.carry_out(now, actions, context, outbox);
         }
     }
@@ -40,24 +40,25 @@
         let pool = self.host_pool(now, context);
         let analysis = &self.analysis;
         let is_enabled = self.is_analysis_enabled();
-        let baseline = analysis.baseline();
+        let baseline = analysis.has_baseline();
         let mut sufficiently_reported = BTreeSet::new();
         for (number, trial_s) in self.change_log.trials() {
-            if is_enabled && analysis.believed(TrialId(number.0), trial_s) {
+            if is_enabled && analysis.has_sufficient_reports(TrialId(number.0), trial_s) {
                 sufficiently_reported.insert(number);
             }
         }
-        let ready = |number: Option<Version>| Ready {
-            baseline,
-            heard: number.is_some_and(|number| sufficiently_reported.contains(&number)),
-            calm: number.is_some_and(|number| is_enabled && analysis.calm(TrialId(number.0))),
+        let ready = |number: Option<Version>| AnalysisState {
+            has_baseline: baseline,
+            has_reports: number.is_some_and(|number| sufficiently_reported.contains(&number)),
+            has_recovered: number
+                .is_some_and(|number| is_enabled && analysis.has_recovered(TrialId(number.0))),
         };
         let actions = self.change_log.tick(now, wall_time, &pool, &ready);
         self.carry_out(now, actions, context, outbox);
     }
 
     fn is_analysis_enabled(&self) -> bool {
-        self.change_log.document().get(&Field::Judge) != Some(&Value::Flag(false))
+        self.change_log.document().get(&Field::Analysis) != Some(&Value::Flag(false))
     }
 
     /// Tells the change log once the orders of the change that was given last are complete and acknowledged.
@@ -69,17 +70,17 @@
             return;
         }
         let Some(applying) = self.applying.take() else { return };
-        self.analysis.touches(TrialId(applying.version.0), applying.slices);
-        let actions = self.change_log.settled(now, self.wall_time(now), applying.version);
+        self.analysis.extend_scope(TrialId(applying.version.0), applying.slices);
+        let actions = self.change_log.applied(now, self.wall_time(now), applying.version);
         self.carry_out(now, actions, context, outbox);
     }
 }
 
 /// The finding with the name of the route instead of its number.
-fn describe(finding: &Found, names: &Names) -> String {
+fn describe(finding: &HarmFinding, names: &Names) -> String {
     let text = finding.to_string();
     match finding.part {
-        Part::Route(route) => {
+        ServicePart::Route(route) => {
             let by_number = format!("route {}", route.0);
             let by_name = format!("route {}", names.route_name(route));
             text.replacen(&by_number, &by_name, 1)
--- a/crates/director/service/src/reducer/relay_calls/answers.rs
+++ b/crates/director/service/src/reducer/relay_calls/answers.rs
@@ -5,7 +5,7 @@
 use crate::reducer::effect::Effect;
 use crate::reducer::ids::LinkId;
 use crate::reducer::outbox::Outbox;
-use coppersail::interface::{Call, Input};
+use coppersail::interface::{Input, RelayCallEvent};
 use coppersail_protocol::relay::Answer;
 use tracing::Level;
 
@@ -30,12 +30,12 @@
             return Vec::new();
         }
         match Answer::parse(line) {
-            Answer::Taken(accepted) if accepted <= self.queue[0].len() => {
+            Answer::Applied(accepted) if accepted <= self.queue[0].len() => {
                 self.accepted(now, link, accepted, outbox)
             }
-            Answer::Throttling => {
+            Answer::Throttled => {
                 outbox.counters.calls_throttled += 1;
-                outbox.inputs.push(Input::Call(Call::TurnedAway));
+                outbox.inputs.push(Input::RelayCall(RelayCallEvent::Rejected));
                 self.outcome_known(now, link, outbox);
                 self.earliest_write = now + RECONNECT_DELAY_S;
                 Vec::new()
@@ -44,7 +44,7 @@
                 self.invalid(now, link, outbox);
                 Vec::new()
             }
-            Answer::Taken(_) | Answer::Unreadable => {
+            Answer::Applied(_) | Answer::Unreadable => {
                 self.retry(now, "its answer cannot be read", outbox);
                 Vec::new()
             }
--- a/crates/director/service/src/reducer/relay_calls/connections.rs
+++ b/crates/director/service/src/reducer/relay_calls/connections.rs
@@ -25,7 +25,7 @@
         match self {
             Connection::Closed => {}
             Connection::Connecting(link) | Connection::Open { link, .. } => {
-                outbox.effects.push(Effect::HangUp(link));
+                outbox.effects.push(Effect::CloseRelay(link));
             }
         }
     }
@@ -70,7 +70,7 @@
 
     fn dial(&self, outbox: &mut Outbox) -> Connection {
         let link = outbox.allocate_link();
-        outbox.effects.push(Effect::Dial(link, self.address));
+        outbox.effects.push(Effect::ConnectRelay(link, self.address));
         Connection::Connecting(link)
     }
 
--- a/crates/director/service/src/reducer/relay_calls/mod.rs
+++ b/crates/director/service/src/reducer/relay_calls/mod.rs
@@ -1,5 +1,5 @@
-//! The ordered queue of calls to the relay. A call goes out when the one before it is acknowledged: answered, or repeated
-//! until it is. Repeating is safe, as every order sets a state; it only costs the proxies further lines.
+//! The ordered queue of calls to the relay. A call goes out when the one before it is acknowledged: answered, or
+//! repeated until it is. Repeating is safe, as every order sets a state; it only costs the proxies further lines.
 
 mod answers;
 mod connections;
@@ -11,7 +11,7 @@
 use super::ids::LinkId;
 use super::outbox::Outbox;
 use connections::{Connection, RelayConnections};
-use coppersail::interface::{Call, HostId, Input, SliceId};
+use coppersail::interface::{HostId, Input, RelayCallEvent, SliceId};
 use coppersail_protocol::relay;
 use order::{group_by_slice, merge};
 use std::collections::{BTreeSet, VecDeque};
@@ -93,13 +93,13 @@
         let mut call: Vec<RelayOrder> = Vec::new();
         for group in orders.chunk_by(|a, b| a.slice().is_some() && a.slice() == b.slice()) {
             let group_bytes: usize = group.iter().map(RelayOrder::encoded_len).sum();
-            if bytes + group_bytes > relay::MOST && !call.is_empty() {
+            if bytes + group_bytes > relay::MAX_CALL_BYTES && !call.is_empty() {
                 self.queue.push_back(std::mem::take(&mut call));
                 bytes = 0;
             }
             // No table is so long that it fills a call alone; should one be, it is cut, as it could never go out.
             for order in group {
-                if bytes + order.encoded_len() > relay::MOST {
+                if bytes + order.encoded_len() > relay::MAX_CALL_BYTES {
                     self.queue.push_back(std::mem::take(&mut call));
                     bytes = 0;
                 }
@@ -215,13 +215,17 @@
             OrderTarget::Mark(mark) => Some(mark),
             _ => None,
         });
-        let written = Call::Written { mark, orders: call.len(), unheard: self.proxies_unknown };
-        outbox.inputs.push(Input::Call(written));
+        let written = RelayCallEvent::Sent {
+            round: mark,
+            orders: call.len(),
+            unannounced_proxies: self.proxies_unknown,
+        };
+        outbox.inputs.push(Input::RelayCall(written));
         self.answer_deadline = Some(now + ANSWER_TIMEOUT_S);
         self.sent_at = now;
         outbox.counters.calls_sent += 1;
-        let bytes = relay::call(call.iter().map(|order| order.text.as_str()));
-        outbox.effects.push(Effect::Send(link, bytes));
+        let bytes = relay::write_call(call.iter().map(|order| order.text.as_str()));
+        outbox.effects.push(Effect::SendToRelay(link, bytes));
     }
 
     /// Splits the first call so that it has at most `max_orders` orders, if possible not within neighbouring orders of
--- a/crates/director/service/src/reducer/relay_calls/order.rs
+++ b/crates/director/service/src/reducer/relay_calls/order.rs
@@ -1,6 +1,6 @@
 //! Orders as they stand in calls.
 
-use coppersail::interface::{HostId, MarkId, RouteId, SliceId};
+use coppersail::interface::{HostId, RoundId, RouteId, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// What an order sets: of two orders with the same target the later one stands.
@@ -15,14 +15,14 @@
     /// The admission limit and retry policy of these routes, in one slice or everywhere.
     Admit(Option<SliceId>, Vec<RouteId>),
     /// A mark whose receipt proxies acknowledge.
-    Mark(MarkId),
+    Mark(RoundId),
 }
 
 impl OrderTarget {
     /// Orders with the same key are merged; the last mark stands for all.
     fn merge_key(&self) -> OrderTarget {
         match self {
-            OrderTarget::Mark(_) => OrderTarget::Mark(MarkId(0)),
+            OrderTarget::Mark(_) => OrderTarget::Mark(RoundId(0)),
             target => target.clone(),
         }
     }
--- a/crates/director/service/src/reducer/relay_lines.rs
+++ b/crates/director/service/src/reducer/relay_lines.rs
@@ -4,14 +4,14 @@
 use super::relay_calls::OrderTarget;
 use super::relay_subscription::{weight_input, RelayUpdate};
 use super::{LinkId, Reducer};
-use crate::framing::Framed;
-use coppersail::interface::MarkId;
-use coppersail_protocol::relay::News;
-use coppersail_protocol::Fault;
+use crate::framing::FramedLine;
+use coppersail::interface::RoundId;
+use coppersail_protocol::relay::RelayEvent;
+use coppersail_protocol::ParseError;
 
 impl Reducer {
     /// Handles one line of a connection to the relay; lines of connections that were closed are ignored.
-    pub(super) fn handle_relay_line(&mut self, now: f64, link: LinkId, line: Framed) {
+    pub(super) fn handle_relay_line(&mut self, now: f64, link: LinkId, line: FramedLine) {
         if self.calls.owns(link) {
             self.handle_call_answer(now, link, line);
         } else if self.subscription.owns(link) {
@@ -19,11 +19,11 @@
         }
     }
 
-    fn handle_call_answer(&mut self, now: f64, link: LinkId, line: Framed) {
+    fn handle_call_answer(&mut self, now: f64, link: LinkId, line: FramedLine) {
         // A line that is too long is an answer that cannot be read.
         let line = match line {
-            Framed::Line(line) => line,
-            Framed::TooLong => Vec::new(),
+            FramedLine::Line(line) => line,
+            FramedLine::TooLong => Vec::new(),
         };
         let sent_at = self.calls.sent_at;
         for order in self.calls.answer(now, link, &line, &mut self.outbox) {
@@ -43,11 +43,11 @@
         }
     }
 
-    fn handle_update_line(&mut self, now: f64, link: LinkId, line: Framed) {
+    fn handle_update_line(&mut self, now: f64, link: LinkId, line: FramedLine) {
         self.outbox.counters.news_lines += 1;
         let parsed = match &line {
-            Framed::Line(line) => News::parse(line),
-            Framed::TooLong => Err(Fault::UnterminatedLine),
+            FramedLine::Line(line) => RelayEvent::parse(line),
+            FramedLine::TooLong => Err(ParseError::UnterminatedLine),
         };
         let news = match parsed {
             Ok(news) => news,
@@ -67,25 +67,25 @@
         }
     }
 
-    fn resolve_update(&mut self, news: News<'_>) -> Result<RelayUpdate, Fault> {
+    fn resolve_update(&mut self, news: RelayEvent<'_>) -> Result<RelayUpdate, ParseError> {
         let ids = &self.id_ranges;
         Ok(match news {
-            News::Start => RelayUpdate::SnapshotStart,
-            News::Life => RelayUpdate::KeepAlive,
-            News::Joined { proxy, zone, calls_per_s, fresh } => {
+            RelayEvent::Start => RelayUpdate::SnapshotStart,
+            RelayEvent::Heartbeat => RelayUpdate::KeepAlive,
+            RelayEvent::ProxyJoined { proxy, zone, requests_per_s: calls_per_s, without_tables: fresh } => {
                 let proxy = ids.proxy(proxy)?;
                 let zone = resolved("az", self.names.zone(zone))?;
                 RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh }
             }
-            News::Left { proxy } => RelayUpdate::ProxyLeft(ids.proxy(proxy)?),
-            News::Applied { proxy, mark, took } => {
-                RelayUpdate::Applied { proxy: ids.proxy(proxy)?, mark: MarkId(mark), took }
+            RelayEvent::ProxyLeft { proxy } => RelayUpdate::ProxyLeft(ids.proxy(proxy)?),
+            RelayEvent::RoundAcknowledged { proxy, round: mark, latency: took } => {
+                RelayUpdate::Applied { proxy: ids.proxy(proxy)?, mark: RoundId(mark), took }
             }
-            News::Given { slice } => RelayUpdate::SliceAssigned(ids.slice(slice)?),
-            News::Taken { slice } => RelayUpdate::SliceRevoked(ids.slice(slice)?),
-            News::StoredLine { slice, host, weight } => {
+            RelayEvent::SliceAssigned { slice } => RelayUpdate::SliceAssigned(ids.slice(slice)?),
+            RelayEvent::SliceRevoked { slice } => RelayUpdate::SliceRevoked(ids.slice(slice)?),
+            RelayEvent::StoredWeight { slice, host, weight } => {
                 let slice = ids.slice(slice)?;
-                RelayUpdate::WeightStored { slice, host: self.names.host(host), weight }
+                RelayUpdate::WeightStored { slice, host: self.names.host_id(host), weight }
             }
         })
     }
--- a/crates/director/service/src/reducer/relay_orders.rs
+++ b/crates/director/service/src/reducer/relay_orders.rs
@@ -2,24 +2,25 @@
 
 use super::relay_calls::{OrderTarget, RelayOrder};
 use super::Reducer;
-use coppersail::interface::{HostId, Order, Retry, RouteId, Scope, SliceId};
+use coppersail::interface::{HostId, Order, RetryPolicy, RouteId, Scope, SliceId};
 use coppersail_protocol::relay;
 
 impl Reducer {
     /// The order as it stands in a call; none if it is not for the relay.
     pub(super) fn relay_order(&self, order: Order) -> Option<RelayOrder> {
         match order {
-            Order::Line { slice, host, weight } => Some(self.weight_order(slice, host, weight)),
-            Order::Clear(slice) => {
-                let text = relay::Order::Clear { slice: slice.0 }.text();
+            Order::SetWeight { slice, host, weight } => Some(self.weight_order(slice, host, weight)),
+            Order::ClearTable(slice) => {
+                let text = relay::Order::ClearTable { slice: slice.0 }.to_text();
                 Some(RelayOrder { target: OrderTarget::Clear(slice), weight: 0.0, text })
             }
-            Order::Withdraw { host, out } => Some(self.withdraw_order(host, out)),
-            Order::Admit { scope, routes, level, retry } => {
+            Order::SetWithdrawn { host, withdrawn: out } => Some(self.withdraw_order(host, out)),
+            Order::SetAdmission { scope, routes, level, retry } => {
                 Some(self.admit_order(scope, routes, level, retry))
             }
-            Order::Mark { mark, all } => {
-                let text = relay::Order::Mark { mark: mark.0, all }.text();
+            Order::RequestAcknowledgement { round: mark, include_idle_proxies: all } => {
+                let text = relay::Order::RequestAcknowledgement { round: mark.0, include_idle_proxies: all }
+                    .to_text();
                 Some(RelayOrder { target: OrderTarget::Mark(mark), weight: 0.0, text })
             }
             _ => None,
@@ -27,37 +28,38 @@
     }
 
     fn weight_order(&self, slice: SliceId, host: HostId, weight: f64) -> RelayOrder {
-        let order = relay::Order::Line { slice: slice.0, host: self.names.host_name(host), weight };
-        RelayOrder { target: OrderTarget::Weight(slice, host), weight, text: order.text() }
+        let order = relay::Order::SetWeight { slice: slice.0, host: self.names.host_name(host), weight };
+        RelayOrder { target: OrderTarget::Weight(slice, host), weight, text: order.to_text() }
     }
 
     fn withdraw_order(&self, host: HostId, out: bool) -> RelayOrder {
         let name = self.names.host_name(host);
-        let order = if out { relay::Order::Out { host: name } } else { relay::Order::In { host: name } };
-        RelayOrder { target: OrderTarget::Withdraw(host), weight: 0.0, text: order.text() }
+        let order =
+            if out { relay::Order::Withdraw { host: name } } else { relay::Order::Restore { host: name } };
+        RelayOrder { target: OrderTarget::Withdraw(host), weight: 0.0, text: order.to_text() }
     }
 
-    fn admit_order(&self, scope: Scope, routes: Vec<RouteId>, level: f64, retry: Retry) -> RelayOrder {
+    fn admit_order(&self, scope: Scope, routes: Vec<RouteId>, level: f64, retry: RetryPolicy) -> RelayOrder {
         let slice = match scope {
             Scope::Slice(slice) => Some(slice),
-            Scope::Everywhere => None,
+            Scope::AllProxies => None,
         };
-        let order = relay::Order::Admit {
+        let order = relay::Order::SetAdmission {
             slice: slice.map(|slice| slice.0),
             routes: routes.iter().map(|route| self.names.route_name(*route)).collect(),
             level,
-            again: wire_retry(retry),
+            retry: wire_retry(retry),
         };
-        let text = order.text();
+        let text = order.to_text();
         RelayOrder { target: OrderTarget::Admit(slice, routes), weight: 0.0, text }
     }
 }
 
-fn wire_retry(retry: Retry) -> relay::Again {
+fn wire_retry(retry: RetryPolicy) -> relay::RetryPolicy {
     match retry {
-        Retry::Never => relay::Again::Never,
-        Retry::IfNeverRan => relay::Again::IfNeverRan,
-        Retry::Once => relay::Again::Once,
-        Retry::Twice => relay::Again::Twice,
+        RetryPolicy::Never => relay::RetryPolicy::Never,
+        RetryPolicy::IfNotExecuted => relay::RetryPolicy::IfNotExecuted,
+        RetryPolicy::Once => relay::RetryPolicy::Once,
+        RetryPolicy::Twice => relay::RetryPolicy::Twice,
     }
 }
--- a/crates/director/service/src/reducer/relay_subscription/mod.rs
+++ b/crates/director/service/src/reducer/relay_subscription/mod.rs
@@ -9,8 +9,8 @@
 use super::effect::Effect;
 use super::ids::LinkId;
 use super::outbox::Outbox;
-use coppersail::interface::{Call, HostId, Input, SliceId};
-use coppersail_protocol::relay::FOLLOW;
+use coppersail::interface::{HostId, Input, RelayCallEvent, SliceId};
+use coppersail_protocol::relay::WATCH_REQUEST;
 use state::{same_weights, ProxyState, SliceState, Weights};
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -78,7 +78,7 @@
     /// The only place where streams are closed.
     fn close_streams(&mut self, is_closed: impl Fn(&UpdateStream) -> bool, outbox: &mut Outbox) {
         for stream in self.streams.iter().filter(|stream| is_closed(stream)) {
-            outbox.effects.push(Effect::HangUp(stream.link));
+            outbox.effects.push(Effect::CloseRelay(stream.link));
         }
         self.streams.retain(|stream| !is_closed(stream));
     }
@@ -120,14 +120,14 @@
                 state: RelayState::default(),
                 to_compare: BTreeSet::new(),
             });
-            outbox.effects.push(Effect::Dial(link, self.address));
+            outbox.effects.push(Effect::ConnectRelay(link, self.address));
         }
     }
 
     /// A connection is established: subscribes on it.
     pub(super) fn connected(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
         outbox.counters.news_opened += 1;
-        outbox.effects.push(Effect::Send(link, FOLLOW.to_vec()));
+        outbox.effects.push(Effect::SendToRelay(link, WATCH_REQUEST.to_vec()));
         if let Some(index) = self.position(link) {
             self.streams[index].is_connected = true;
             self.streams[index].last_activity = now;
@@ -152,7 +152,7 @@
         }
         if index == 0 {
             // The next stream may have told already of receipts that this one would have told next.
-            outbox.inputs.push(Input::Call(Call::Deaf));
+            outbox.inputs.push(Input::RelayCall(RelayCallEvent::AcknowledgementsLost));
             self.promote_first(now, outbox);
         }
     }
@@ -189,14 +189,14 @@
         reported.proxies.retain(|proxy, _| {
             let is_joined = state.proxies.contains_key(proxy);
             if !is_joined {
-                outbox.inputs.push(Input::Left(*proxy));
+                outbox.inputs.push(Input::ProxyLeft(*proxy));
             }
             is_joined
         });
         reported.slices.retain(|slice, _| {
             let is_assigned = state.slices.contains_key(slice);
             if !is_assigned {
-                outbox.inputs.push(Input::Taken(*slice));
+                outbox.inputs.push(Input::SliceRevoked(*slice));
             }
             is_assigned
         });
@@ -207,7 +207,7 @@
             if reported.slices.get(&slice).is_some_and(is_unchanged) {
                 continue;
             }
-            outbox.inputs.push(Input::Given(slice));
+            outbox.inputs.push(Input::SliceAssigned(slice));
             for (host, weight) in weights {
                 outbox.inputs.push(weight_input(slice, *host, *weight));
             }
@@ -270,5 +270,5 @@
 
 /// Tells the decisions of a weight that stands at the relay.
 pub(super) fn weight_input(slice: SliceId, host: HostId, weight: f64) -> Input {
-    Input::StoredLine { slice, host, weight }
+    Input::StoredWeight { slice, host, weight }
 }
--- a/crates/director/service/src/reducer/relay_subscription/state.rs
+++ b/crates/director/service/src/reducer/relay_subscription/state.rs
@@ -1,6 +1,6 @@
 //! The relay's state as updates tell it: which proxies have joined, which slices are ours, and their weights.
 
-use coppersail::interface::{HostId, Input, MarkId, ProxyId, SliceId, ZoneId};
+use coppersail::interface::{HostId, Input, ProxyId, RoundId, SliceId, ZoneId};
 use std::collections::BTreeMap;
 
 /// One update of the relay, with its names resolved.
@@ -15,7 +15,7 @@
     /// A proxy has left.
     ProxyLeft(ProxyId),
     /// A proxy has applied all orders up to a mark, `took` seconds after they were given.
-    Applied { proxy: ProxyId, mark: MarkId, took: f64 },
+    Applied { proxy: ProxyId, mark: RoundId, took: f64 },
     /// A slice was assigned to this director; its weights follow.
     SliceAssigned(SliceId),
     /// A slice was given to another director.
--- a/crates/director/service/src/reducer/relay_subscription/updates.rs
+++ b/crates/director/service/src/reducer/relay_subscription/updates.rs
@@ -16,18 +16,19 @@
             RelayUpdate::SnapshotStart => {}
             RelayUpdate::KeepAlive => self.keep_alive(now, index, outbox),
             RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh } => {
-                let input = Input::Joined { proxy, zone, calls_per_s, fresh };
+                let input =
+                    Input::ProxyJoined { proxy, zone, requests_per_s: calls_per_s, without_tables: fresh };
                 self.proxy_joined(now, index, proxy, input, outbox);
             }
             RelayUpdate::ProxyLeft(proxy) => {
                 self.streams[index].state.proxies.remove(&proxy);
                 if leads && self.reported.proxies.remove(&proxy).is_some() {
-                    outbox.inputs.push(Input::Left(proxy));
+                    outbox.inputs.push(Input::ProxyLeft(proxy));
                 }
             }
             RelayUpdate::Applied { proxy, mark, took } => {
                 if leads && self.reported.proxies.contains_key(&proxy) {
-                    outbox.inputs.push(Input::Applied { proxy, mark, took });
+                    outbox.inputs.push(Input::RoundAcknowledged { proxy, round: mark, latency: took });
                 }
             }
             RelayUpdate::SliceAssigned(slice) => self.slice_assigned(now, index, slice, outbox),
@@ -35,7 +36,7 @@
                 self.streams[index].state.slices.remove(&slice);
                 self.streams[index].to_compare.remove(&slice);
                 if leads && self.reported.slices.remove(&slice).is_some() {
-                    outbox.inputs.push(Input::Taken(slice));
+                    outbox.inputs.push(Input::SliceRevoked(slice));
                 }
             }
             RelayUpdate::WeightStored { slice, host, weight } => {
@@ -89,7 +90,7 @@
             stream.to_compare.insert(slice);
         } else {
             self.reported.slices.insert(slice, SliceState::assigned(now));
-            outbox.inputs.push(Input::Given(slice));
+            outbox.inputs.push(Input::SliceAssigned(slice));
         }
     }
 
--- a/crates/director/service/src/reducer/reload.rs
+++ b/crates/director/service/src/reducer/reload.rs
@@ -40,7 +40,7 @@
     /// Names of the fields that differ from those at the start and that a running director cannot change.
     fn changes_that_need_a_restart(&self, config: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
-        for (at_start, now) in self.fixed_at_start.iter().zip(config.fixed()) {
+        for (at_start, now) in self.fixed_at_start.iter().zip(config.restart_only_fields()) {
             if *at_start != now {
                 changed.push(at_start.0);
             }
--- a/crates/director/service/src/reducer/tests/channel_model/mod.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/mod.rs
@@ -1,5 +1,5 @@
-//! The decisions and the call queue together against a plain model of the true channel: a queue of messages that pass one
-//! after the other at a speed that nobody tells. Whatever becomes of calls, receipts and proxies, what really waits
+//! The decisions and the call queue together against a plain model of the true channel: a queue of messages that pass
+//! one after the other at a speed that nobody tells. Whatever becomes of calls, receipts and proxies, what really waits
 //! keeps to the backlog, and no withdrawal waits for ever.
 
 mod channel;
@@ -14,7 +14,7 @@
 use test_case::test_case;
 
 /// The orders of a call, and what stands round them.
-const MAX_CALL_BYTES: usize = coppersail_protocol::relay::MOST + "txn \r\n".len();
+const MAX_CALL_BYTES: usize = coppersail_protocol::relay::MAX_CALL_BYTES + "txn \r\n".len();
 /// Host names that make more of a takeover than a call holds.
 const LONG_NAME: usize = 3000;
 /// Names below this length make no call that is split by its length.
--- a/crates/director/service/src/reducer/tests/channel_model/run.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/run.rs
@@ -4,7 +4,7 @@
 use super::channel::Channel;
 use super::random::Random;
 use super::scenario::{CallFate, Exodus, Scenario, HOSTS, MAX_MESSAGES, MESSAGE_WINDOW_S, OVERHEAD, SLICES};
-use crate::reducer::{Effect, Event, LinkId, ProbeEnd, Reducer};
+use crate::reducer::{Effect, Event, LinkId, ProbeOutcome, Reducer};
 use coppersail_protocol::config::Config;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -129,7 +129,7 @@
             taken_over: Vec::new(),
             slowest_drain_s: 0.0,
         };
-        run.events = VecDeque::from([Event::Settle, run.full_list()]);
+        run.events = VecDeque::from([Event::EndOfBatch, run.full_list()]);
         run
     }
 
@@ -198,7 +198,7 @@
         self.channel.restart();
         self.answers.clear();
         self.taken_over.clear();
-        self.events = VecDeque::from([Event::Settle, self.full_list()]);
+        self.events = VecDeque::from([Event::EndOfBatch, self.full_list()]);
     }
 
     /// Proxies leave together and come back one by one.
@@ -246,7 +246,7 @@
         if self.scenario.stream_breaks.get(self.breaks_done).is_some_and(|at| *at <= now) {
             self.breaks_done += 1;
             for link in self.channel.break_streams() {
-                self.events.push_back(Event::RelayDown(link, "broken".to_string()));
+                self.events.push_back(Event::RelayDisconnected(link, "broken".to_string()));
             }
         }
     }
@@ -259,7 +259,7 @@
         self.answers = later;
         let due: Vec<TimedEvent> = due;
         self.events.extend(due.into_iter().map(|answer| answer.event));
-        self.events.extend([Event::Time, Event::Settle]);
+        self.events.extend([Event::TimerFired, Event::EndOfBatch]);
     }
 
     fn answer(&mut self, at: f64, event: Event) {
@@ -268,19 +268,19 @@
 
     fn handle_effect(&mut self, now: f64, effect: Effect) {
         match effect {
-            Effect::Dial(link, _) => self.answer(now + STEP_S, Event::RelayUp(link)),
-            Effect::HangUp(link) => self.channel.close_stream(link),
-            Effect::Probe { host, .. } => {
-                let end = ProbeEnd::Status(200);
-                self.answer(now + STEP_S, Event::Probed { host, end, took: 0.01, body: vec![] });
+            Effect::ConnectRelay(link, _) => self.answer(now + STEP_S, Event::RelayConnected(link)),
+            Effect::CloseRelay(link) => self.channel.close_stream(link),
+            Effect::StartProbe { host, .. } => {
+                let end = ProbeOutcome::Status(200);
+                self.answer(now + STEP_S, Event::ProbeFinished { host, end, took: 0.01, body: vec![] });
             }
-            Effect::Send(link, bytes) if bytes.starts_with(b"txn ") => {
+            Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
                 let call = String::from_utf8(bytes).unwrap();
                 self.take_call(now, link, &call);
             }
-            Effect::Send(link, _) => {
+            Effect::SendToRelay(link, _) => {
                 let snapshot = self.channel.subscribe(link);
-                self.events.extend([Event::RelayLines(link, lines(&snapshot)), Event::Settle]);
+                self.events.extend([Event::RelayLines(link, lines(&snapshot)), Event::EndOfBatch]);
             }
             _ => {}
         }
@@ -304,7 +304,7 @@
                 self.answer(at, Event::RelayLines(link, lines(&[&answer])));
             }
             CallFate::Unanswered | CallFate::Throttled => {}
-            CallFate::Broken => self.answer(now, Event::RelayDown(link, "reset".to_string())),
+            CallFate::Broken => self.answer(now, Event::RelayDisconnected(link, "reset".to_string())),
             CallFate::Corrupt => self.answer(now, Event::RelayLines(link, lines(&["O?"]))),
         }
     }
--- a/crates/director/service/src/reducer/tests/collector_connections.rs
+++ b/crates/director/service/src/reducer/tests/collector_connections.rs
@@ -1,11 +1,11 @@
 //! Accepted connections when there are too many, or when they hold too much.
 
-use crate::framing::Framed;
+use crate::framing::FramedLine;
 use crate::reducer::collector_connections::{CollectorConnections, Sender};
 use crate::reducer::outbox::Outbox;
-use crate::reducer::{ConnId, Effect};
+use crate::reducer::{ConnectionId, Effect};
 use coppersail::interface::ZoneId;
-use coppersail_protocol::collector::ALIVE;
+use coppersail_protocol::collector::HEALTH_CHECK_RESPONSE;
 use test_case::test_case;
 
 /// Connections with these numbers, accepted at time 0, with room for four and memory for a line and a half of the
@@ -14,28 +14,28 @@
     let mut connections = CollectorConnections::new(4, 3 << 19);
     let mut outbox = Outbox::default();
     for id in ids {
-        connections.accepted(0.0, ConnId(*id), &mut outbox);
+        connections.accepted(0.0, ConnectionId(*id), &mut outbox);
     }
     (connections, outbox)
 }
 
 /// Numbers of the connections that were closed, in order.
 fn dropped_connections(outbox: &Outbox) -> Vec<u64> {
-    let drop = |effect: &Effect| if let Effect::Drop(conn) = effect { Some(conn.0) } else { None };
+    let drop = |effect: &Effect| if let Effect::CloseConnection(conn) = effect { Some(conn.0) } else { None };
     outbox.effects.iter().filter_map(drop).collect()
 }
 
 #[test]
 fn flood_of_connections_evicts_no_collector_and_nobody_unheard() {
     let (mut connections, mut outbox) = accepted_connections(&[1, 2, 3, 4]);
-    connections.joined(0.0, ConnId(1), ZoneId(0), &mut outbox);
+    connections.joined(0.0, ConnectionId(1), ZoneId(0), &mut outbox);
     connections.poll(0.1, &mut outbox);
-    assert_eq!(outbox.effects, [Effect::Accept(false)], "nobody has had its chance yet");
-    connections.answer(ConnId(3), ALIVE, &mut outbox);
+    assert_eq!(outbox.effects, [Effect::SetAccepting(false)], "nobody has had its chance yet");
+    connections.answer(ConnectionId(3), HEALTH_CHECK_RESPONSE, &mut outbox);
     connections.poll(0.1, &mut outbox);
     assert_eq!(dropped_connections(&outbox), [3], "it has its answer");
-    assert_eq!(outbox.effects.last(), Some(&Effect::Accept(true)));
-    connections.accepted(0.2, ConnId(5), &mut outbox);
+    assert_eq!(outbox.effects.last(), Some(&Effect::SetAccepting(true)));
+    connections.accepted(0.2, ConnectionId(5), &mut outbox);
     connections.poll(0.25, &mut outbox);
     assert_eq!(dropped_connections(&outbox), [3, 2], "the one that came first and has said nothing");
 }
@@ -44,11 +44,11 @@
 fn vanished_collectors_make_room_at_last() {
     let (mut connections, mut outbox) = accepted_connections(&[1, 2, 3, 4]);
     for id in 1..=4u32 {
-        connections.joined(f64::from(id), ConnId(id.into()), ZoneId(0), &mut outbox);
+        connections.joined(f64::from(id), ConnectionId(id.into()), ZoneId(0), &mut outbox);
     }
     for id in 1..=4u32 {
         let last_activity = 5.0 - f64::from(id);
-        connections.next_line(last_activity, ConnId(id.into()), &mut &b" "[..], &mut outbox);
+        connections.next_line(last_activity, ConnectionId(id.into()), &mut &b" "[..], &mut outbox);
     }
     connections.poll(5.0, &mut outbox);
     assert_eq!(dropped_connections(&outbox), [4], "the one that was silent longest");
@@ -58,9 +58,9 @@
 #[test_case(11.0, &[1] ; "that was silent long")]
 fn returning_collector_replaces_its_stale_connection(at: f64, expected: &[u64]) {
     let (mut connections, mut outbox) = accepted_connections(&[1]);
-    connections.joined(0.0, ConnId(1), ZoneId(0), &mut outbox);
-    connections.accepted(at, ConnId(2), &mut outbox);
-    connections.joined(at, ConnId(2), ZoneId(0), &mut outbox);
+    connections.joined(0.0, ConnectionId(1), ZoneId(0), &mut outbox);
+    connections.accepted(at, ConnectionId(2), &mut outbox);
+    connections.joined(at, ConnectionId(2), ZoneId(0), &mut outbox);
     assert_eq!(dropped_connections(&outbox), expected);
 }
 
@@ -69,10 +69,10 @@
     let (mut connections, mut outbox) = accepted_connections(&[1, 2]);
     let long = [&b"{\"msg\":\""[..], &[b'x'; 1 << 20][..(1 << 20) - 100]].concat();
     let lines = [1, 2].map(|conn| {
-        connections.joined(0.0, ConnId(conn), ZoneId(0), &mut outbox);
-        connections.next_line(0.1, ConnId(conn), &mut &long[..], &mut outbox)
+        connections.joined(0.0, ConnectionId(conn), ZoneId(0), &mut outbox);
+        connections.next_line(0.1, ConnectionId(conn), &mut &long[..], &mut outbox)
     });
-    assert_eq!(lines, [None, Some((Sender::Joined, Framed::TooLong))]);
-    let completed = connections.next_line(0.1, ConnId(1), &mut &b"\"}\n"[..], &mut outbox);
-    assert!(completed.is_some_and(|(_, line)| line != Framed::TooLong));
+    assert_eq!(lines, [None, Some((Sender::Joined, FramedLine::TooLong))]);
+    let completed = connections.next_line(0.1, ConnectionId(1), &mut &b"\"}\n"[..], &mut outbox);
+    assert!(completed.is_some_and(|(_, line)| line != FramedLine::TooLong));
 }
--- a/crates/director/service/src/reducer/tests/collector_reports.rs
+++ b/crates/director/service/src/reducer/tests/collector_reports.rs
@@ -1,14 +1,14 @@
 //! Peers that say what they must not, and reports that are corrupt.
 
 use super::{new_reducer, DEMAND_LINE, JOIN_LINE, PROBE_LINE};
-use crate::reducer::{ConnId, Effect, Event, Reducer};
-use coppersail::interface::{Input, Load, ZoneId};
-use coppersail_protocol::collector::ALIVE;
+use crate::reducer::{ConnectionId, Effect, Event, Reducer};
+use coppersail::interface::{Input, LoadReport, ZoneId};
+use coppersail_protocol::collector::HEALTH_CHECK_RESPONSE;
 use test_case::test_case;
 
 const UNREADABLE_LINE: &[u8] = b"\x01{\"\xff\n";
 
-const CONN: ConnId = ConnId(7);
+const CONN: ConnectionId = ConnectionId(7);
 
 /// A reducer that has accepted a connection at 0 s and got these bytes on it at 0.1 s, and the effects of these.
 fn after_bytes(pieces: &[&[u8]]) -> (Reducer, Vec<Effect>) {
@@ -16,7 +16,7 @@
     reducer.reduce(0.0, Event::Accepted(CONN));
     let mut effects = Vec::new();
     for piece in pieces {
-        effects.extend(reducer.reduce(0.1, Event::Heard(CONN, piece.to_vec())));
+        effects.extend(reducer.reduce(0.1, Event::Received(CONN, piece.to_vec())));
     }
     (reducer, effects)
 }
@@ -33,10 +33,14 @@
 #[test_case(&[b"{\"msg\":\"hello\",\"az\":\"a\",\"sidecar\":0,\"share\":1.0}\n", JOIN_LINE] ; "a proxy")]
 fn anything_but_joining_closes_a_new_connection(pieces: &[&[u8]]) {
     let (mut reducer, effects) = after_bytes(pieces);
-    assert!(effects.contains(&Effect::Drop(CONN)), "{effects:?}");
+    assert!(effects.contains(&Effect::CloseConnection(CONN)), "{effects:?}");
     assert!(reducer.outbox.inputs.is_empty());
     assert_eq!(reducer.collectors.count(), 0);
-    assert_eq!(reducer.reduce(0.2, Event::Heard(CONN, DEMAND_LINE.to_vec())), [], "nothing later is heard");
+    assert_eq!(
+        reducer.reduce(0.2, Event::Received(CONN, DEMAND_LINE.to_vec())),
+        [],
+        "nothing later is heard"
+    );
 }
 
 #[test_case(&[], true ; "that says nothing")]
@@ -45,11 +49,14 @@
 #[test_case(&[PROBE_LINE, &JOIN_LINE[..9], &JOIN_LINE[9..]], false ; "that joins in pieces")]
 fn peer_that_never_joins_is_dropped_after_a_second(pieces: &[&[u8]], dropped: bool) {
     let (mut reducer, effects) = after_bytes(pieces);
-    assert_eq!(effects.contains(&Effect::Say(CONN, ALIVE)), pieces.contains(&PROBE_LINE));
-    assert!(!effects.contains(&Effect::Drop(CONN)));
-    let before = reducer.reduce(0.9, Event::Settle);
-    assert!(matches!(before.last(), Some(Effect::Wake(at)) if *at <= 1.0));
-    assert_eq!(reducer.reduce(1.0, Event::Settle).contains(&Effect::Drop(CONN)), dropped);
+    assert_eq!(
+        effects.contains(&Effect::SendToConnection(CONN, HEALTH_CHECK_RESPONSE)),
+        pieces.contains(&PROBE_LINE)
+    );
+    assert!(!effects.contains(&Effect::CloseConnection(CONN)));
+    let before = reducer.reduce(0.9, Event::EndOfBatch);
+    assert!(matches!(before.last(), Some(Effect::SetTimer(at)) if *at <= 1.0));
+    assert_eq!(reducer.reduce(1.0, Event::EndOfBatch).contains(&Effect::CloseConnection(CONN)), dropped);
 }
 
 #[test]
@@ -67,8 +74,8 @@
 fn stream_that_stays_unreadable_is_closed(pieces: &[&[u8]], at: Option<f64>) {
     let (mut reducer, mut effects) = after_bytes(&[&[JOIN_LINE], pieces].concat());
     for now in [0.1, 0.6, 5.0] {
-        effects.extend(reducer.reduce(now, Event::Settle));
-        assert_eq!(effects.contains(&Effect::Drop(CONN)), at.is_some_and(|at| now >= at), "{now}");
+        effects.extend(reducer.reduce(now, Event::EndOfBatch));
+        assert_eq!(effects.contains(&Effect::CloseConnection(CONN)), at.is_some_and(|at| now >= at), "{now}");
     }
     let reports = pieces.iter().filter(|piece| **piece == DEMAND_LINE).count();
     assert_eq!(reducer.outbox.counters.sums_of_calls, reports as u64, "what stands beside it is used");
@@ -118,20 +125,20 @@
     let fields: Vec<String> = fields.iter().map(|(name, value)| format!("\"{name}\":{value}")).collect();
     let line = format!("{{{}}}\n", fields.join(","));
     let (mut reducer, _) = after_bytes(&[JOIN_LINE]);
-    let host = reducer.names.host("h");
-    reducer.reduce(0.1, Event::Heard(CONN, [line.as_bytes(), DEMAND_LINE].concat()));
+    let host = reducer.names.host_id("h");
+    reducer.reduce(0.1, Event::Received(CONN, [line.as_bytes(), DEMAND_LINE].concat()));
     let mut inputs = reducer.outbox.inputs;
     let following = inputs.pop();
-    assert!(matches!(following, Some(Input::Demand { calls: 4, .. })), "what follows {line} is used");
+    assert!(matches!(following, Some(Input::SliceDemand { requests: 4, .. })), "what follows {line} is used");
     // Of a corrupt load report only that is lost.
-    let without_load = Input::Tries {
+    let without_load = Input::AttemptStats {
         host,
         zone: ZoneId(0),
-        span: 1.0,
-        tries: 2,
+        window: 1.0,
+        attempts: 2,
         dropped: 1,
-        rt: 0.04,
-        load: Load::default(),
+        mean_response_time: 0.04,
+        load: LoadReport::default(),
     };
     let expected = if name == "report" { vec![without_load] } else { vec![] };
     assert_eq!(inputs, expected, "{line}");
--- a/crates/director/service/src/reducer/tests/health_checks.rs
+++ b/crates/director/service/src/reducer/tests/health_checks.rs
@@ -1,7 +1,7 @@
 //! Answers to health checks that are corrupt or none.
 
 use super::new_reducer;
-use crate::reducer::{Event, ProbeEnd};
+use crate::reducer::{Event, ProbeOutcome};
 use coppersail::interface::{Input, Outcome};
 use test_case::test_case;
 
@@ -16,11 +16,11 @@
     service_time: Option<f64>,
 ) {
     let mut reducer = new_reducer();
-    let host = reducer.names.host("h");
+    let host = reducer.names.host_id("h");
     let body = format!("TEXT {figures}").into_bytes();
-    reducer.reduce(0.0, Event::Probed { host, end: ProbeEnd::Status(200), took: 0.1, body });
-    let Some(Input::Probed { load, .. }) = reducer.outbox.inputs.pop() else { panic!("no answer") };
-    assert_eq!((load.waiting, load.service_time), (waiting, service_time));
+    reducer.reduce(0.0, Event::ProbeFinished { host, end: ProbeOutcome::Status(200), took: 0.1, body });
+    let Some(Input::ProbeFinished { load, .. }) = reducer.outbox.inputs.pop() else { panic!("no answer") };
+    assert_eq!((load.queued, load.service_time), (waiting, service_time));
     let is_corrupt = waiting.is_none() || service_time.is_none();
     assert_eq!(reducer.outbox.counters.load_figures_odd, is_corrupt as u64);
 }
@@ -28,7 +28,13 @@
 #[test]
 fn unreadable_probe_answer_does_not_make_the_host_unreachable() {
     let mut reducer = new_reducer();
-    let host = reducer.names.host("h");
-    reducer.reduce(0.0, Event::Probed { host, end: ProbeEnd::Unreadable, took: 0.1, body: Vec::new() });
-    assert!(matches!(reducer.outbox.inputs[..], [Input::Probed { outcome: Outcome::Error, .. }]));
+    let host = reducer.names.host_id("h");
+    reducer.reduce(
+        0.0,
+        Event::ProbeFinished { host, end: ProbeOutcome::Unreadable, took: 0.1, body: Vec::new() },
+    );
+    assert!(matches!(
+        reducer.outbox.inputs[..],
+        [Input::ProbeFinished { outcome: Outcome::ErrorResponse, .. }]
+    ));
 }
--- a/crates/director/service/src/reducer/tests/mass_joining.rs
+++ b/crates/director/service/src/reducer/tests/mass_joining.rs
@@ -63,19 +63,19 @@
         let receipts: Vec<String> = (0..PROXIES).map(|proxy| format!("* ack {proxy} {mark} 90.0")).collect();
         [
             Event::RelayLines(link, lines(&[&format!("OK {orders}")])),
-            Event::Settle,
+            Event::EndOfBatch,
             Event::RelayLines(UPDATES_LINK, lines(&receipts)),
         ]
     }
 
     fn handle_effect(&mut self, now: f64, effect: Effect, events: &mut VecDeque<Event>) {
         match effect {
-            Effect::Dial(link, _) => events.extend([Event::RelayUp(link), Event::Settle]),
-            Effect::Send(link, bytes) if bytes.starts_with(b"txn ") => {
+            Effect::ConnectRelay(link, _) => events.extend([Event::RelayConnected(link), Event::EndOfBatch]),
+            Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
                 let call = String::from_utf8(bytes).unwrap();
                 events.extend(self.take_call(now, link, &call));
             }
-            Effect::Send(link, _) => {
+            Effect::SendToRelay(link, _) => {
                 events.push_back(Event::RelayLines(link, lines(&self.snapshot)));
             }
             _ => {}
@@ -99,10 +99,10 @@
         events.push_back(Event::WatchLines(WATCH_LINK, lines(&[&drain])));
     }
     if step == 0 {
-        events.push_back(Event::RelayUp(UPDATES_LINK));
+        events.push_back(Event::RelayConnected(UPDATES_LINK));
     }
     events.push_back(Event::WatchLines(WATCH_LINK, lines(&[""])));
-    events.extend([Event::Time, Event::Settle]);
+    events.extend([Event::TimerFired, Event::EndOfBatch]);
     for link in (1..=reducer.outbox.last_link).map(LinkId) {
         if reducer.subscription.owns(link) {
             events.push_back(Event::RelayLines(link, lines(&["*"])));
@@ -119,7 +119,7 @@
     let hosts: Vec<String> =
         (0..HOSTS).map(|host| host_entry(&format!("h{host}"), "in_service", 0)).collect();
     let list = host_list(1, true, &hosts);
-    reducer.reduce(0.0, Event::Settle);
+    reducer.reduce(0.0, Event::EndOfBatch);
     reducer.reduce(0.0, Event::WatchLines(WATCH_LINK, lines(&[&list])));
     for step in 0..STEPS {
         let now = f64::from(step) / STEPS_PER_SECOND;
--- a/crates/director/service/src/reducer/tests/mod.rs
+++ b/crates/director/service/src/reducer/tests/mod.rs
@@ -15,7 +15,7 @@
 use super::outbox::Outbox;
 use super::relay_calls::{OrderTarget, RelayCalls, RelayOrder, WriteRequest};
 use super::{Effect, Event, LinkId, Reducer};
-use crate::framing::Framed;
+use crate::framing::FramedLine;
 use coppersail::interface::{HostId, SliceId};
 use coppersail_protocol::config::Config;
 use std::net::SocketAddr;
@@ -74,15 +74,15 @@
 /// What was written to the relay, in order.
 fn sent_calls(outbox: &Outbox) -> Vec<String> {
     let text = |effect: &Effect| match effect {
-        Effect::Send(_, bytes) => Some(String::from_utf8_lossy(bytes).trim_end().to_string()),
+        Effect::SendToRelay(_, bytes) => Some(String::from_utf8_lossy(bytes).trim_end().to_string()),
         _ => None,
     };
     outbox.effects.iter().filter_map(text).collect()
 }
 
 /// Complete lines with these texts.
-fn lines(texts: &[impl AsRef<str>]) -> Vec<Framed> {
-    texts.iter().map(|text| Framed::Line(text.as_ref().as_bytes().to_vec())).collect()
+fn lines(texts: &[impl AsRef<str>]) -> Vec<FramedLine> {
+    texts.iter().map(|text| FramedLine::Line(text.as_ref().as_bytes().to_vec())).collect()
 }
 
 fn new_reducer() -> Reducer {
@@ -92,8 +92,8 @@
 /// A reducer whose first subscription is synchronized and has assigned slice 0 to it.
 fn reducer_with_slice() -> Reducer {
     let mut reducer = new_reducer();
-    reducer.reduce(0.0, Event::Settle);
-    reducer.reduce(0.0, Event::RelayUp(UPDATES_LINK));
+    reducer.reduce(0.0, Event::EndOfBatch);
+    reducer.reduce(0.0, Event::RelayConnected(UPDATES_LINK));
     reducer.reduce(0.1, Event::RelayLines(UPDATES_LINK, lines(&SNAPSHOT)));
     reducer
 }
@@ -101,8 +101,8 @@
 /// The same with a queued call, which sets a weight of the returned host in the slice and withdraws the host.
 fn reducer_with_slice_and_queued_call() -> (Reducer, HostId) {
     let mut reducer = reducer_with_slice();
-    reducer.reduce(0.1, Event::Settle);
-    let host = reducer.names.host("h9");
+    reducer.reduce(0.1, Event::EndOfBatch);
+    let host = reducer.names.host_id("h9");
     let withdraw =
         RelayOrder { target: OrderTarget::Withdraw(host), weight: 0.0, text: "OUT,h9".to_string() };
     let set = RelayOrder {
--- a/crates/director/service/src/reducer/tests/relay_calls.rs
+++ b/crates/director/service/src/reducer/tests/relay_calls.rs
@@ -168,7 +168,7 @@
     );
     calls.set_relay_state_known(1.55, true);
     calls.poll(1.55, unlimited, &mut outbox);
-    assert_eq!(outbox.effects.last(), Some(&Effect::Dial(LinkId(2), relay_address())));
+    assert_eq!(outbox.effects.last(), Some(&Effect::ConnectRelay(LinkId(2), relay_address())));
 }
 
 #[test_case(b"OK 1", &["txn SET,1,h1,1", "txn SET,2,h1,1"] ; "answered")]
@@ -178,17 +178,17 @@
     calls.set_address(new_relay_address(), &mut outbox);
     assert_eq!(
         outbox.effects.last(),
-        Some(&Effect::Dial(LinkId(2), new_relay_address())),
+        Some(&Effect::ConnectRelay(LinkId(2), new_relay_address())),
         "while the old one serves"
     );
     calls.connected(0.01, LinkId(2));
     calls.poll(0.01, unlimited, &mut outbox);
-    assert!(!outbox.effects.contains(&Effect::HangUp(LinkId(1))), "its answer is awaited");
+    assert!(!outbox.effects.contains(&Effect::CloseRelay(LinkId(1))), "its answer is awaited");
     calls.answer(0.02, LinkId(1), answer, &mut outbox);
     calls.poll(0.02, unlimited, &mut outbox);
-    assert!(outbox.effects.contains(&Effect::HangUp(LinkId(1))));
+    assert!(outbox.effects.contains(&Effect::CloseRelay(LinkId(1))));
     assert_eq!(sent_calls(&outbox), expected);
-    assert!(matches!(outbox.effects.last(), Some(Effect::Send(LinkId(2), _))));
+    assert!(matches!(outbox.effects.last(), Some(Effect::SendToRelay(LinkId(2), _))));
 }
 
 #[test]
@@ -198,9 +198,9 @@
     calls.set_address(new_relay_address(), &mut outbox);
     calls.connection_down(0.02, LinkId(2), "refused", &mut outbox);
     calls.poll(0.02, unlimited, &mut outbox);
-    assert!(matches!(outbox.effects.last(), Some(Effect::Send(LinkId(1), _))), "nobody is there yet");
+    assert!(matches!(outbox.effects.last(), Some(Effect::SendToRelay(LinkId(1), _))), "nobody is there yet");
     calls.poll(0.2, unlimited, &mut outbox);
-    let redial = Effect::Dial(LinkId(3), new_relay_address());
+    let redial = Effect::ConnectRelay(LinkId(3), new_relay_address());
     let redials = outbox.effects.iter().filter(|effect| **effect == redial);
     assert_eq!(redials.count(), 1, "it is dialled again");
 }
--- a/crates/director/service/src/reducer/tests/relay_lines.rs
+++ b/crates/director/service/src/reducer/tests/relay_lines.rs
@@ -15,16 +15,16 @@
     reducer.reduce(0.21, Event::RelayLines(UPDATES_LINK, lines(&["* lease 0 0", "* lease 0 1"])));
     reducer.outbox.inputs.clear();
     reducer.reduce(0.22, Event::RelayLines(calls_link, lines(&["OK 2"])));
-    assert_eq!(reducer.outbox.inputs, [Input::StoredLine { slice: SliceId(0), host, weight: 1.0 }]);
+    assert_eq!(reducer.outbox.inputs, [Input::StoredWeight { slice: SliceId(0), host, weight: 1.0 }]);
 }
 
 #[test]
 fn revoked_slice_discards_its_queued_orders() {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     reducer.reduce(0.2, Event::RelayLines(UPDATES_LINK, lines(&["* lease 0 0"])));
-    reducer.reduce(0.2, Event::Settle);
-    reducer.reduce(0.2, Event::RelayUp(LinkId(reducer.outbox.last_link)));
-    reducer.outbox.effects = reducer.reduce(0.2, Event::Settle);
+    reducer.reduce(0.2, Event::EndOfBatch);
+    reducer.reduce(0.2, Event::RelayConnected(LinkId(reducer.outbox.last_link)));
+    reducer.outbox.effects = reducer.reduce(0.2, Event::EndOfBatch);
     assert_eq!(sent_calls(&reducer.outbox), ["txn OUT,h9"]);
 }
 
@@ -33,9 +33,9 @@
 fn lost_subscription_holds_calls_back(lost: bool, dialled: usize) {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     if lost {
-        reducer.reduce(0.2, Event::RelayDown(UPDATES_LINK, "broken".to_string()));
+        reducer.reduce(0.2, Event::RelayDisconnected(UPDATES_LINK, "broken".to_string()));
     }
-    let effects = reducer.reduce(0.2, Event::Settle);
-    let dials = effects.iter().filter(|effect| matches!(effect, Effect::Dial(..)));
+    let effects = reducer.reduce(0.2, Event::EndOfBatch);
+    let dials = effects.iter().filter(|effect| matches!(effect, Effect::ConnectRelay(..)));
     assert_eq!(dials.count(), dialled);
 }
--- a/crates/director/service/src/reducer/tests/relay_subscription.rs
+++ b/crates/director/service/src/reducer/tests/relay_subscription.rs
@@ -4,7 +4,7 @@
 use crate::reducer::outbox::Outbox;
 use crate::reducer::relay_subscription::{RelaySubscription, RelayUpdate};
 use crate::reducer::{Effect, LinkId};
-use coppersail::interface::{Call, HostId, Input, ProxyId, SliceId, ZoneId};
+use coppersail::interface::{HostId, Input, ProxyId, RelayCallEvent, SliceId, ZoneId};
 use test_case::test_case;
 
 fn proxy_joined(proxy: u16) -> RelayUpdate {
@@ -80,11 +80,14 @@
     ];
     let inputs = apply_updates(&mut subscription, 6.0, 2, &second_snapshot);
     let rest = [
-        Input::Left(ProxyId(2)),
-        Input::Given(SliceId(2)),
-        Input::StoredLine { slice: SliceId(2), host: HostId(7), weight: 1.0 },
+        Input::ProxyLeft(ProxyId(2)),
+        Input::SliceAssigned(SliceId(2)),
+        Input::StoredWeight { slice: SliceId(2), host: HostId(7), weight: 1.0 },
     ];
-    assert!(matches!(inputs[0], Input::Joined { proxy: ProxyId(1), .. }), "it may have missed something");
+    assert!(
+        matches!(inputs[0], Input::ProxyJoined { proxy: ProxyId(1), .. }),
+        "it may have missed something"
+    );
     assert_eq!(inputs[1..], rest, "slice 1 stands as it was written");
 }
 
@@ -97,11 +100,15 @@
     let ahead = [RelayUpdate::ProxyLeft(ProxyId(1)), proxy_joined(9), slice_assigned(2)];
     assert_eq!(apply_updates(&mut subscription, 2.0, 2, &ahead), []);
     let inputs = break_stream(&mut subscription, 2.1, 1);
-    assert_eq!(inputs[0], Input::Call(Call::Deaf), "receipts that only the first has told are missed");
-    assert!(matches!(inputs[1], Input::Joined { proxy: ProxyId(9), .. }));
-    assert_eq!(inputs[2..], [Input::Left(ProxyId(1)), Input::Given(SliceId(2))]);
+    assert_eq!(
+        inputs[0],
+        Input::RelayCall(RelayCallEvent::AcknowledgementsLost),
+        "receipts that only the first has told are missed"
+    );
+    assert!(matches!(inputs[1], Input::ProxyJoined { proxy: ProxyId(9), .. }));
+    assert_eq!(inputs[2..], [Input::ProxyLeft(ProxyId(1)), Input::SliceAssigned(SliceId(2))]);
     let revoked = apply_updates(&mut subscription, 2.2, 2, &[RelayUpdate::SliceRevoked(SliceId(2))]);
-    assert_eq!(revoked, [Input::Taken(SliceId(2))]);
+    assert_eq!(revoked, [Input::SliceRevoked(SliceId(2))]);
 }
 
 #[test]
@@ -112,10 +119,10 @@
     subscription.set_address(1.0, new_relay_address(), &mut outbox);
     assert_eq!(apply_updates(&mut subscription, 1.0, 2, &snapshot()[..3]), [], "what it tells is known");
     let left = apply_updates(&mut subscription, 1.1, 1, &[RelayUpdate::ProxyLeft(ProxyId(1))]);
-    assert_eq!(left, [Input::Left(ProxyId(1))], "the old one is heard meanwhile");
+    assert_eq!(left, [Input::ProxyLeft(ProxyId(1))], "the old one is heard meanwhile");
     subscription.apply(1.2, LinkId(2), RelayUpdate::ProxyLeft(ProxyId(1)), &mut outbox);
     subscription.apply(1.3, LinkId(2), RelayUpdate::KeepAlive, &mut outbox);
-    assert!(outbox.effects.contains(&Effect::HangUp(LinkId(1))));
+    assert!(outbox.effects.contains(&Effect::CloseRelay(LinkId(1))));
     assert_eq!(outbox.inputs, []);
     assert!(subscription.is_synchronized());
     assert!(!subscription.owns(LinkId(1)));
@@ -127,7 +134,10 @@
     apply_updates(&mut subscription, 0.0, 1, &snapshot());
     apply_updates(&mut subscription, 1.0, 2, &snapshot());
     subscription.weight_written(SliceId(1), HostId(2), 0.5);
-    assert_eq!(break_stream(&mut subscription, 1.5, 1), [Input::Call(Call::Deaf)]);
+    assert_eq!(
+        break_stream(&mut subscription, 1.5, 1),
+        [Input::RelayCall(RelayCallEvent::AcknowledgementsLost)]
+    );
 }
 
 #[test_case(0.0503073, 0.05, 0 ; "rounded to three decimals")]
--- a/crates/director/service/src/reducer/tests/reload.rs
+++ b/crates/director/service/src/reducer/tests/reload.rs
@@ -24,7 +24,7 @@
 fn unusable_configuration_is_not_taken_in_part(event: Event, expected: &str, dialled: usize) {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     reducer.calls.connected(0.2, LinkId(9));
-    reducer.reduce(0.2, Event::Settle);
+    reducer.reduce(0.2, Event::EndOfBatch);
     let mut effects = reducer.reduce(0.2, event);
     let log_line = effects.iter().position(|effect| matches!(effect, Effect::Log(..))).expect("a log line");
     let Effect::Log(_, _, text) = effects.remove(log_line) else { unreachable!() };
@@ -34,9 +34,9 @@
         dialled,
         "a dial for the calls; the stream that is not synchronized is closed: {effects:?}"
     );
-    let after = reducer.reduce(0.2, Event::Settle);
+    let after = reducer.reduce(0.2, Event::EndOfBatch);
     assert!(
-        !after.iter().any(|effect| matches!(effect, Effect::HangUp(_) | Effect::Unwatch(_))),
+        !after.iter().any(|effect| matches!(effect, Effect::CloseRelay(_) | Effect::CloseWatch(_))),
         "{after:?}"
     );
     assert!(reducer.subscription.is_synchronized(), "nothing learnt is lost");
@@ -48,13 +48,13 @@
     let mut dialled = BTreeSet::new();
     let mut closed = BTreeSet::new();
     for (now, relay_port) in [(0.2, 4), (0.3, 5)] {
-        for event in [reload_event(relay_port, "\"m2\""), Event::Settle] {
+        for event in [reload_event(relay_port, "\"m2\""), Event::EndOfBatch] {
             for effect in reducer.reduce(now, event) {
                 match effect {
-                    Effect::Dial(link, address) => {
+                    Effect::ConnectRelay(link, address) => {
                         dialled.insert((address.port(), link));
                     }
-                    Effect::HangUp(link) => {
+                    Effect::CloseRelay(link) => {
                         closed.insert(link);
                     }
                     _ => {}
@@ -68,28 +68,28 @@
     assert!(!closed.contains(&UPDATES_LINK), "what served first serves on");
     assert!(reducer.subscription.is_synchronized(), "what served first serves on");
     let new = dialled_to(5).find(|link| reducer.subscription.owns(*link)).unwrap();
-    reducer.reduce(0.4, Event::RelayUp(new));
+    reducer.reduce(0.4, Event::RelayConnected(new));
     reducer.reduce(0.4, Event::RelayLines(new, lines(&SNAPSHOT)));
     assert!(!reducer.subscription.owns(UPDATES_LINK));
     assert!(reducer.subscription.owns(new));
-    assert!(!reducer.outbox.inputs.iter().any(|input| matches!(input, Input::Taken(_))));
+    assert!(!reducer.outbox.inputs.iter().any(|input| matches!(input, Input::SliceRevoked(_))));
 }
 
 #[test]
 fn discovery_move_keeps_the_old_watch_until_the_new_one_answers() {
     let mut reducer = new_reducer();
-    reducer.reduce(0.0, Event::Settle);
+    reducer.reduce(0.0, Event::EndOfBatch);
     let watch = LinkId(1);
     reducer.reduce(0.1, Event::WatchLines(watch, lines(&[""])));
     let text = CONFIG.replace("127.0.0.1:2", "127.0.0.1:5");
     reducer.reduce(0.2, Event::Reload(Box::new(Ok(Config::parse(text.as_bytes()).unwrap()))));
-    let effects = reducer.reduce(0.2, Event::Settle);
+    let effects = reducer.reduce(0.2, Event::EndOfBatch);
     let new = effects.iter().find_map(|effect| match effect {
-        Effect::Watch(link, address, _) if address.port() == 5 => Some(*link),
+        Effect::OpenWatch(link, address, _) if address.port() == 5 => Some(*link),
         _ => None,
     });
     let new = new.expect("a watch at the new address");
-    assert!(!effects.contains(&Effect::Unwatch(watch)), "{effects:?}");
+    assert!(!effects.contains(&Effect::CloseWatch(watch)), "{effects:?}");
     let effects = reducer.reduce(0.3, Event::WatchLines(new, lines(&[""])));
-    assert_eq!(effects, [Effect::Unwatch(watch)]);
+    assert_eq!(effects, [Effect::CloseWatch(watch)]);
 }
--- a/crates/director/service/src/reducer/tests/retention.rs
+++ b/crates/director/service/src/reducer/tests/retention.rs
@@ -1,7 +1,7 @@
 //! What is kept for hosts and connections that are gone.
 
 use super::{host_entry, host_list, lines, CONFIG, DEMAND_LINE, JOIN_LINE};
-use crate::reducer::{ConnId, Effect, Event, LinkId, ProbeEnd, Reducer};
+use crate::reducer::{ConnectionId, Effect, Event, LinkId, ProbeOutcome, Reducer};
 use coppersail_protocol::config::Config;
 use std::collections::VecDeque;
 
@@ -15,11 +15,11 @@
 
 /// Handles an event in surroundings that answer every effect at once: a relay and hosts that do what they are asked.
 fn reduce_with_peers(reducer: &mut Reducer, now: f64, event: Event) {
-    let mut events = VecDeque::from([event, Event::Settle]);
+    let mut events = VecDeque::from([event, Event::EndOfBatch]);
     while let Some(event) = events.pop_front() {
         for effect in reducer.reduce(now, event) {
             if let Some(answer) = answer(effect) {
-                events.extend([answer, Event::Settle]);
+                events.extend([answer, Event::EndOfBatch]);
             }
         }
     }
@@ -27,17 +27,17 @@
 
 fn answer(effect: Effect) -> Option<Event> {
     match effect {
-        Effect::Dial(link, _) => Some(Event::RelayUp(link)),
-        Effect::Send(link, bytes) if bytes.starts_with(b"txn ") => {
+        Effect::ConnectRelay(link, _) => Some(Event::RelayConnected(link)),
+        Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
             let orders = bytes.iter().filter(|byte| **byte == b';').count() + 1;
             Some(Event::RelayLines(link, lines(&[&format!("OK {orders}")])))
         }
-        Effect::Send(link, _) => {
+        Effect::SendToRelay(link, _) => {
             let snapshot = ["OK", "* hello 0 a 5.0 0", "* lease 0 1", "* line 0 h0 1.0", "*"];
             Some(Event::RelayLines(link, lines(&snapshot)))
         }
-        Effect::Probe { host, .. } => {
-            Some(Event::Probed { host, end: ProbeEnd::Status(200), took: 0.01, body: Vec::new() })
+        Effect::StartProbe { host, .. } => {
+            Some(Event::ProbeFinished { host, end: ProbeOutcome::Status(200), took: 0.01, body: Vec::new() })
         }
         _ => None,
     }
@@ -57,12 +57,12 @@
 
 /// A collector joins and reports; every second one closes its connection.
 fn connect_collector(reducer: &mut Reducer, now: f64, second: i32) {
-    let conn = ConnId(second as u64);
+    let conn = ConnectionId(second as u64);
     reduce_with_peers(reducer, now, Event::Accepted(conn));
-    reduce_with_peers(reducer, now, Event::Heard(conn, JOIN_LINE.to_vec()));
-    reduce_with_peers(reducer, now, Event::Heard(conn, DEMAND_LINE.to_vec()));
+    reduce_with_peers(reducer, now, Event::Received(conn, JOIN_LINE.to_vec()));
+    reduce_with_peers(reducer, now, Event::Received(conn, DEMAND_LINE.to_vec()));
     if second % 2 == 0 {
-        reduce_with_peers(reducer, now, Event::Ended(conn));
+        reduce_with_peers(reducer, now, Event::ConnectionClosed(conn));
     }
 }
 
@@ -81,7 +81,7 @@
     let text = CONFIG
         .replace("\"slices\"", "\"lines-per-s\":60000.0,\"backlog\":120000.0,\"overhead\":12.0,\"slices\"");
     let mut reducer = Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap();
-    reduce_with_peers(&mut reducer, 0.0, Event::Time);
+    reduce_with_peers(&mut reducer, 0.0, Event::TimerFired);
     for step in 0..5000 {
         let second = step / STEPS_PER_SECOND;
         let now = f64::from(step) / f64::from(STEPS_PER_SECOND);
@@ -91,10 +91,10 @@
         }
         let line = if step % 1000 == 999 { "gone" } else { "*" };
         send_update(&mut reducer, now, line);
-        reduce_with_peers(&mut reducer, now, Event::Time);
+        reduce_with_peers(&mut reducer, now, Event::TimerFired);
     }
     let kept = [
-        reducer.names.count(),
+        reducer.names.host_count(),
         reducer.discovery.count(),
         reducer.forgotten.count(),
         reducer.collectors.count(),
@@ -104,6 +104,6 @@
     assert!(reducer.outbox.counters.hosts_forgotten > 900);
     assert!(reducer.outbox.counters.orders_taken > 1000);
     let gone = br#"{"msg":"outcomes","az":"a","host":"h3","n":1,"bad":0,"avg":1.0,"window":1.0}"#;
-    reducer.reduce(1000.0, Event::Heard(ConnId(999), [&gone[..], b"\n"].concat()));
+    reducer.reduce(1000.0, Event::Received(ConnectionId(999), [&gone[..], b"\n"].concat()));
     assert!(reducer.outbox.inputs.is_empty(), "a late report for a host that is gone changes nothing");
 }
--- a/crates/director/service/src/reducer/tests/truncated_messages.rs
+++ b/crates/director/service/src/reducer/tests/truncated_messages.rs
@@ -1,10 +1,10 @@
 //! Each message cut off at each byte.
 
 use super::{host_entry, host_list, new_reducer, JOIN_LINE};
-use crate::framing::Framed;
-use crate::reducer::{ConnId, Event, LinkId, Reducer};
+use crate::framing::FramedLine;
+use crate::reducer::{ConnectionId, Event, LinkId, Reducer};
 
-const COLLECTOR: ConnId = ConnId(0);
+const COLLECTOR: ConnectionId = ConnectionId(0);
 /// A message goes to so many of the newest outgoing connections.
 const RECENT_LINKS: usize = 6;
 const STEP_S: f64 = 0.5;
@@ -19,7 +19,7 @@
     let mut reducer = new_reducer();
     let list = host_list(3, true, &[host_entry("h", "in_service", 9)]);
     reducer.reduce(0.0, Event::Accepted(COLLECTOR));
-    reducer.reduce(0.0, Event::Heard(COLLECTOR, JOIN_LINE.to_vec()));
+    reducer.reduce(0.0, Event::Received(COLLECTOR, JOIN_LINE.to_vec()));
     let mut now = 0.0;
     for message in [list.as_str(), ATTEMPTS].into_iter().chain(RELAY_LINES) {
         for end in (0..=message.len()).rev() {
@@ -34,17 +34,17 @@
 
 /// Delivers a message to the collector's connection, to a new one and to all outgoing connections that may be in use.
 fn deliver_everywhere(reducer: &mut Reducer, now: f64, message: &[u8]) {
-    reducer.reduce(now, Event::Settle);
-    let line = vec![Framed::Line(message.to_vec())];
-    reducer.reduce(now, Event::Heard(COLLECTOR, [message, b"\n"].concat()));
-    let new = ConnId(message.len() as u64 + 1);
+    reducer.reduce(now, Event::EndOfBatch);
+    let line = vec![FramedLine::Line(message.to_vec())];
+    reducer.reduce(now, Event::Received(COLLECTOR, [message, b"\n"].concat()));
+    let new = ConnectionId(message.len() as u64 + 1);
     reducer.reduce(now, Event::Accepted(new));
-    reducer.reduce(now, Event::Heard(new, message.to_vec()));
+    reducer.reduce(now, Event::Received(new, message.to_vec()));
     reducer.reduce(now, Event::Accepted(COLLECTOR));
-    reducer.reduce(now, Event::Heard(COLLECTOR, JOIN_LINE.to_vec()));
+    reducer.reduce(now, Event::Received(COLLECTOR, JOIN_LINE.to_vec()));
     // Links are numbered from 1; a few go with each step, as some messages cost their connection.
     for link in (0..=reducer.outbox.last_link).rev().take(RECENT_LINKS).map(LinkId) {
-        reducer.reduce(now, Event::RelayUp(link));
+        reducer.reduce(now, Event::RelayConnected(link));
         reducer.reduce(now, Event::RelayLines(link, line.clone()));
         reducer.reduce(now, Event::WatchLines(link, line.clone()));
     }
--- a/crates/director/service/src/resource_limits.rs
+++ b/crates/director/service/src/resource_limits.rs
@@ -7,15 +7,15 @@
 
 /// The share of the process' descriptors and memory that each part may use.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bounds {
+pub struct ResourceLimits {
     /// Accepted connections at a time.
-    pub taken: usize,
+    pub max_connections: usize,
     /// Health probes in flight at a time.
-    pub probes: usize,
+    pub max_probes: usize,
     /// Bytes of incomplete lines that all accepted connections together may buffer.
-    pub begun: usize,
+    pub max_buffered_bytes: usize,
     /// Bytes in a line of discovery.
-    pub list: usize,
+    pub max_list_bytes: usize,
 }
 
 /// Descriptors of a director whose configuration names none.
@@ -33,22 +33,22 @@
 /// In bytes; a full list of ten thousand hosts fits.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
-impl Bounds {
+impl ResourceLimits {
     /// Divides the limits among the parts.
     ///
     /// Half of the descriptors are for accepted connections and a quarter for probes. The last quarter is for the relay
     /// and discovery (twice while they move to another address), for what the runtime holds, and as reserve. Of the
     /// memory a sixteenth each is for what has begun to come in from collectors and from discovery, and an eighth for
     /// probes.
-    pub fn of(limits: &Limits) -> Self {
+    pub fn from_config_limits(limits: &Limits) -> Self {
         let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS) as usize;
         let memory = (limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as usize) << BYTES_PER_MB_SHIFT;
         let probes_by_memory = memory / 8 / PROBE_BYTES;
-        Bounds {
-            taken: (sockets / 2).max(MIN_CONNECTIONS),
-            probes: (sockets / 4).min(probes_by_memory).clamp(MIN_CONNECTIONS, MAX_PROBES),
-            begun: memory / 16,
-            list: (memory / 16).min(MAX_LIST_BYTES),
+        ResourceLimits {
+            max_connections: (sockets / 2).max(MIN_CONNECTIONS),
+            max_probes: (sockets / 4).min(probes_by_memory).clamp(MIN_CONNECTIONS, MAX_PROBES),
+            max_buffered_bytes: memory / 16,
+            max_list_bytes: (memory / 16).min(MAX_LIST_BYTES),
         }
     }
 }
--- a/crates/director/service/src/startup.rs
+++ b/crates/director/service/src/startup.rs
@@ -11,8 +11,8 @@
 use crate::{config_file, operator_file_reader};
 use coppersail_changes::Record;
 use coppersail_director::reducer::{Event, Reducer};
-use coppersail_director::resource_limits::Bounds;
-use coppersail_operator_config::{LogForm, StartConfig};
+use coppersail_director::resource_limits::ResourceLimits;
+use coppersail_operator_config::{LogFormat, StartConfig};
 use coppersail_protocol::config::Config;
 use std::time::Instant;
 use tokio::sync::mpsc::{channel, Sender};
@@ -38,11 +38,11 @@
     let mut adapters = bind_adapters(&config, started, &event_sender).await?;
     let operator_file_path = std::env::var(OPERATOR_FILE_VARIABLE).ok();
     if let Some(path) = &operator_file_path {
-        let operator_file = operator_file_reader::read(path, reducer.known()).await?;
-        logger.set_json(operator_file.start.log == LogForm::Json);
+        let operator_file = operator_file_reader::read(path, reducer.settings_names()).await?;
+        logger.set_json(operator_file.start.log == LogFormat::Json);
         let records = open_operator_adapters(&operator_file.start, &mut adapters, &event_sender)?;
         let effects = reducer
-            .operate(&config, wall_ns, &operator_file, records)
+            .enable_operator_changes(&config, wall_ns, &operator_file, records)
             .map_err(|error| StartError::ChangeRecords(error.into()))?;
         for effect in effects {
             let _ = adapters.perform(effect);
@@ -57,13 +57,13 @@
     started: Instant,
     events: &Sender<Event>,
 ) -> Result<Adapters, StartError> {
-    let limits = Bounds::of(&config.limits);
+    let limits = ResourceLimits::from_config_limits(&config.limits);
     let listener = CollectorListener::bind(config.listen, events.clone()).await;
     Ok(Adapters {
         listener: listener.map_err(StartError::Listen)?,
         relay: RelayClient::new(events.clone()),
-        discovery: DiscoveryClient::new(events.clone(), limits.list),
-        prober: HealthProber::new(events.clone(), limits.probes),
+        discovery: DiscoveryClient::new(events.clone(), limits.max_list_bytes),
+        prober: HealthProber::new(events.clone(), limits.max_probes),
         timer: WakeTimer::new(started),
         is_accepting: true,
         admin_socket: None,
--- a/crates/director/service/tests/director/capacity_guard.rs
+++ b/crates/director/service/tests/director/capacity_guard.rs
@@ -74,8 +74,8 @@
     assert_eq!(testbed.director.counter("guard_refused"), 0, "a sound drain is nothing to refuse");
 }
 
-/// What a host gets of the calls that proxies send by the tables as they are: each slice's calls are divided by the weights
-/// of the hosts that are not withdrawn.
+/// What a host gets of the calls that proxies send by the tables as they are: each slice's calls are divided by the
+/// weights of the hosts that are not withdrawn.
 ///
 /// A table of one line is the relay's own doing and not counted: how long it stands depends on how busy the machine is,
 /// which once made this test fail, and nothing that the director does can undo what was sent by it.
@@ -155,8 +155,8 @@
         });
     });
     // With all slices in its charge it would be 2,182. What is refused again and again is let through up to a quarter
-    // past its bound, which is 1.25 times what it carries, 1,000; and what slices are asked is known to a tenth. With three
-    // hosts, of which each may have twice its fair part, there was hardly room between that and all of it.
+    // past its bound, which is 1.25 times what it carries, 1,000; and what slices are asked is known to a tenth. With
+    // three hosts, of which each may have twice its fair part, there was hardly room between that and all of it.
     assert!(peak <= 1_375.0, "{peak}");
     assert!(testbed.director.counter("guard_judged") > 0);
 }
--- a/crates/director/settings/src/boot.rs
+++ b/crates/director/settings/src/boot.rs
@@ -18,9 +18,9 @@
 
 /// All settings. Each may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Boot {
+pub struct DirectorSettings {
     /// Those without a section.
-    pub top: General,
+    pub general: General,
     /// The classes, by which routes are named and numbered: paths `classes.0.` and so on.
     pub classes: Vec<RouteClass>,
     /// Goals of the service.
@@ -35,7 +35,7 @@
     pub tariffs: Tariffs,
 }
 
-impl Boot {
+impl DirectorSettings {
     /// Reads the settings from their paths; unknown paths are ignored.
     ///
     /// # Errors
@@ -47,8 +47,8 @@
         for index in 0..class_count {
             classes.push(RouteClass::read(paths, &class_prefix(index))?);
         }
-        Ok(Boot {
-            top,
+        Ok(DirectorSettings {
+            general: top,
             classes,
             goals: Goals::read(paths, "goal.")?,
             guarantees: Guarantees::read(paths, "guarantees.")?,
@@ -60,7 +60,7 @@
 
     /// Appends the settings that are present as `path=value`, with a space before each.
     pub fn write(&self, out: &mut String) {
-        self.top.write("", out);
+        self.general.write("", out);
         // Writing to a string cannot fail.
         let _ = write!(out, " classes.count={}", self.classes.len());
         for (index, class) in (0..).zip(&self.classes) {
@@ -89,13 +89,13 @@
 }
 
 /// The settings as the fields of a line, each under its path; the field's own name does not stand on the line.
-impl LineField for Box<Boot> {
+impl LineField for Box<DirectorSettings> {
     fn read(fields: &Fields<'_>, _name: &str) -> Result<Self, InvalidField> {
         let paths = fields.pairs().collect();
-        Boot::read(&paths).map(Box::new)
+        DirectorSettings::read(&paths).map(Box::new)
     }
 
     fn write(&self, _name: &str, out: &mut String) {
-        Boot::write(self, out);
+        DirectorSettings::write(self, out);
     }
 }
--- a/crates/director/settings/src/boot/sections.rs
+++ b/crates/director/settings/src/boot/sections.rs
@@ -203,7 +203,8 @@
     proxy_count: u64 = "proxy-count",
     /// Most messages to one proxy within `update-window-ns`; absent or 0: no limit.
     max_updates: u64 = "reloads-max",
-    /// Retries where no order says otherwise: 1 if the first attempt did not run, 2 once, 3 twice; absent or else: never.
+    /// Retries where no order says otherwise: 1 if the first attempt did not run, 2 once, 3 twice; absent or else:
+    /// never.
     default_retries: u64 = "retry-default",
     /// Number of slices, whose numbers are below it; absent or 0: there are no slices.
     slices: u64 = "slices",
--- a/crates/director/settings/src/clock.rs
+++ b/crates/director/settings/src/clock.rs
@@ -7,8 +7,8 @@
     nanoseconds as f64 / NANOSECONDS_PER_SECOND
 }
 
-/// Outside, points in time are whole nanoseconds of a clock with any origin. Inside they are seconds since the director's
-/// start, which a float holds to the nanosecond for weeks.
+/// Outside, points in time are whole nanoseconds of a clock with any origin. Inside they are seconds since the
+/// director's start, which a float holds to the nanosecond for weeks.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin_ns: u64,
@@ -16,7 +16,7 @@
 
 impl Clock {
     /// A clock whose second 0 is this time of the foreign clock, in nanoseconds.
-    pub fn starting(origin_ns: u64) -> Self {
+    pub fn starting_at(origin_ns: u64) -> Self {
         Clock { origin_ns }
     }
 
--- a/crates/director/settings/src/decisions.rs
+++ b/crates/director/settings/src/decisions.rs
@@ -1,68 +1,69 @@
 //! The settings as the decisions take them, and as operators' files are checked against them.
 
 use crate::boot::{
-    Admission, Boot, Discovery, Flag, KeyScope, List, RouteClass, Semantics, Specifics, WeightSource,
+    Admission, DirectorSettings, Discovery, Flag, KeyScope, List, RouteClass, Semantics, Specifics,
+    WeightSource,
 };
 use crate::seconds;
 use coppersail::interface as api;
-use coppersail_operator_config::{Known, KnownRoute};
+use coppersail_operator_config::{RouteName, SettingsNames};
 
 /// The settings as the decisions take them. An absent setting gets the value under which the director may do least.
-pub fn settings(boot: &Boot) -> api::Settings {
-    let Boot { top, guarantees, limits, specifics, .. } = boot;
+pub fn decision_settings(boot: &DirectorSettings) -> api::Settings {
+    let DirectorSettings { general: top, guarantees, limits, specifics, .. } = boot;
     let zones = names(&top.zones);
     let is_weighted = |source| source != WeightSource::Silent;
     api::Settings {
-        me: api::PeerId(top.director_id.unwrap_or(0)),
-        directors: top.directors.unwrap_or(1),
+        peer_id: api::PeerId(top.director_id.unwrap_or(0)),
+        director_count: top.directors.unwrap_or(1),
         zone: zone_id(top.zone.as_deref(), &zones),
-        zones,
-        kinds: names(&top.kinds),
+        zone_names: zones,
+        machine_types: names(&top.kinds),
         routes: routes(&boot.classes, specifics),
-        list_is_pushed: top.discovery != Some(Discovery::OnRequest),
-        ask_within: optional_seconds(guarantees.notified_within_ns),
+        host_list_is_pushed: top.discovery != Some(Discovery::OnRequest),
+        host_list_max_silence: optional_seconds(guarantees.notified_within_ns),
         listed_weights: top.weight_source.is_some_and(is_weighted),
-        may_probe: is_set(limits.health_checks),
-        may_tell_peers: is_set(limits.peer_messages),
-        cold_from: guarantees.cold_capacity_share.unwrap_or(0.0),
-        ramp_time: optional_seconds(guarantees.slow_start_ns),
-        fall_multiple: guarantees.collapse_multiple.unwrap_or(1.0),
-        fall_time: optional_seconds(guarantees.collapse_time_ns),
-        grace: optional_seconds(guarantees.stop_sending_within_ns),
-        throttled_may_have_run: is_set(guarantees.rejected_may_have_run),
-        gone_is_advice: is_set(guarantees.gone_is_advisory),
-        unserved_most: optional_seconds(specifics.max_unserved_ns),
-        slices: specifics.slices.unwrap_or(0),
-        proxies: specifics.proxy_count.unwrap_or(0),
-        exclusive: is_set(specifics.exclusive),
-        admission: admission(specifics.admission),
-        retry_default: default_retry(specifics.default_retries),
-        ejects_after: specifics.eject_after_failures.unwrap_or(0),
-        message_overhead: specifics.message_overhead.unwrap_or(0.0),
-        lines_per_s: specifics.lines_per_s.unwrap_or(0.0),
-        backlog_lines: specifics.backlog_lines.unwrap_or(0.0),
-        messages_most: specifics.max_updates.unwrap_or(0),
-        messages_span: optional_seconds(specifics.update_window_ns),
-        transit: optional_seconds(specifics.propagation_ns),
-        transit_most: optional_seconds(specifics.max_propagation_ns),
+        probes_allowed: is_set(limits.health_checks),
+        peer_messages_allowed: is_set(limits.peer_messages),
+        cold_capacity_share: guarantees.cold_capacity_share.unwrap_or(0.0),
+        slow_start_duration: optional_seconds(guarantees.slow_start_ns),
+        collapse_multiple: guarantees.collapse_multiple.unwrap_or(1.0),
+        collapse_time: optional_seconds(guarantees.collapse_time_ns),
+        grace_period: optional_seconds(guarantees.stop_sending_within_ns),
+        throttled_may_have_executed: is_set(guarantees.rejected_may_have_run),
+        removal_is_advisory: is_set(guarantees.gone_is_advisory),
+        max_unserved_time: optional_seconds(specifics.max_unserved_ns),
+        slice_count: specifics.slices.unwrap_or(0),
+        proxy_count: specifics.proxy_count.unwrap_or(0),
+        exclusive_ownership: is_set(specifics.exclusive),
+        admission_unit: admission(specifics.admission),
+        default_retry_policy: default_retry(specifics.default_retries),
+        proxy_ejection_threshold: specifics.eject_after_failures.unwrap_or(0),
+        message_overhead_lines: specifics.message_overhead.unwrap_or(0.0),
+        channel_lines_per_s: specifics.lines_per_s.unwrap_or(0.0),
+        channel_backlog_lines: specifics.backlog_lines.unwrap_or(0.0),
+        max_messages_per_window: specifics.max_updates.unwrap_or(0),
+        message_window: optional_seconds(specifics.update_window_ns),
+        typical_transit_time: optional_seconds(specifics.propagation_ns),
+        max_transit_time: optional_seconds(specifics.max_propagation_ns),
         report_interval: optional_seconds(specifics.report_interval_ns),
-        in_flight_most: optional_seconds(specifics.max_in_flight_ns),
-        warm_keys: is_set(specifics.warm_keys),
+        max_write_in_flight_time: optional_seconds(specifics.max_in_flight_ns),
+        hosts_cache_keys: is_set(specifics.warm_keys),
     }
 }
 
 /// The names and limits of the settings, against which an operators' file is checked.
-pub fn known(boot: &Boot) -> Known {
-    let settings = settings(boot);
-    let known_route = |(class, route): (&RouteClass, &api::Route)| KnownRoute {
+pub fn known_names(boot: &DirectorSettings) -> SettingsNames {
+    let settings = decision_settings(boot);
+    let known_route = |(class, route): (&RouteClass, &api::Route)| RouteName {
         name: class.name.clone().unwrap_or_default(),
-        repeatable: route.semantics == api::Semantics::Repeatable,
+        repeatable: route.idempotency == api::Idempotency::Idempotent,
     };
-    Known {
+    SettingsNames {
         routes: boot.classes.iter().zip(&settings.routes).map(known_route).collect(),
-        admits: settings.admission == api::Admission::Share,
-        slices: settings.slices,
-        zones: settings.zones,
+        admits: settings.admission_unit == api::AdmissionUnit::Fraction,
+        slices: settings.slice_count,
+        zones: settings.zone_names,
     }
 }
 
@@ -100,49 +101,49 @@
 
 fn route(class: &RouteClass, mutating: bool, own_zone_only: bool) -> api::Route {
     api::Route {
-        slo_time: optional_seconds(class.latency_target_ns),
-        time_limit: optional_seconds(class.deadline_ns.or(class.latency_target_ns)),
-        importance: class.weight.unwrap_or(1.0),
-        semantics: semantics(class),
-        mutating,
-        own_zone_only,
+        latency_target: optional_seconds(class.latency_target_ns),
+        deadline: optional_seconds(class.deadline_ns.or(class.latency_target_ns)),
+        value: class.weight.unwrap_or(1.0),
+        idempotency: semantics(class),
+        is_write: mutating,
+        zone_local: own_zone_only,
     }
 }
 
-fn semantics(class: &RouteClass) -> api::Semantics {
+fn semantics(class: &RouteClass) -> api::Idempotency {
     match class.semantics {
-        Some(Semantics::Idempotent) => api::Semantics::Repeatable,
-        Some(Semantics::IdempotencyKey) => api::Semantics::Keyed {
-            group: keyed_group(class.key_scope),
+        Some(Semantics::Idempotent) => api::Idempotency::Idempotent,
+        Some(Semantics::IdempotencyKey) => api::Idempotency::Deduplicated {
+            scope: keyed_group(class.key_scope),
             window: optional_seconds(class.key_window_ns),
         },
-        Some(Semantics::NotIdempotent) | None => api::Semantics::MustNotRepeat,
+        Some(Semantics::NotIdempotent) | None => api::Idempotency::NotIdempotent,
     }
 }
 
-fn keyed_group(scope: Option<KeyScope>) -> api::KeyedGroup {
+fn keyed_group(scope: Option<KeyScope>) -> api::DeduplicationScope {
     match scope {
-        Some(KeyScope::All) => api::KeyedGroup::All,
-        Some(KeyScope::Zone) => api::KeyedGroup::Zone,
-        Some(KeyScope::Cell) | None => api::KeyedGroup::Cell,
+        Some(KeyScope::All) => api::DeduplicationScope::Fleet,
+        Some(KeyScope::Zone) => api::DeduplicationScope::Zone,
+        Some(KeyScope::Cell) | None => api::DeduplicationScope::Cell,
     }
 }
 
-fn admission(admission: Option<Admission>) -> api::Admission {
+fn admission(admission: Option<Admission>) -> api::AdmissionUnit {
     match admission {
-        Some(Admission::Fraction) => api::Admission::Share,
-        Some(Admission::PerSecond) => api::Admission::PerSecond,
-        Some(Admission::Silent) | None => api::Admission::None,
+        Some(Admission::Fraction) => api::AdmissionUnit::Fraction,
+        Some(Admission::PerSecond) => api::AdmissionUnit::RequestsPerSecond,
+        Some(Admission::Silent) | None => api::AdmissionUnit::Unsupported,
     }
 }
 
 /// Numbers are those of the relay's `LIMIT`.
-fn default_retry(number: Option<u64>) -> api::Retry {
+fn default_retry(number: Option<u64>) -> api::RetryPolicy {
     match number {
-        Some(1) => api::Retry::IfNeverRan,
-        Some(2) => api::Retry::Once,
-        Some(3) => api::Retry::Twice,
-        _ => api::Retry::Never,
+        Some(1) => api::RetryPolicy::IfNotExecuted,
+        Some(2) => api::RetryPolicy::Once,
+        Some(3) => api::RetryPolicy::Twice,
+        _ => api::RetryPolicy::Never,
     }
 }
 
--- a/crates/director/settings/src/lib.rs
+++ b/crates/director/settings/src/lib.rs
@@ -12,11 +12,11 @@
 mod names;
 mod value;
 
-pub use boot::Boot;
+pub use boot::DirectorSettings;
 pub use clock::{seconds, Clock};
-pub use decisions::{known, settings};
+pub use decisions::{decision_settings, known_names};
 pub use error::InvalidField;
 pub use line::{Fields, LineField};
-pub use load::load;
+pub use load::load_from_report;
 pub use names::{NameKind, Names, UnknownName};
 pub use value::Value;
--- a/crates/director/settings/src/names.rs
+++ b/crates/director/settings/src/names.rs
@@ -1,6 +1,6 @@
 //! Names of zones, machine kinds, routes and hosts, and the numbers by which the decisions know them.
 
-use crate::boot::{Boot, List};
+use crate::boot::{DirectorSettings, List};
 use coppersail::interface as api;
 use std::collections::BTreeMap;
 use std::fmt;
@@ -52,12 +52,12 @@
 
 impl Names {
     /// The names of the settings, and no hosts.
-    pub fn new(boot: &Boot) -> Self {
+    pub fn new(boot: &DirectorSettings) -> Self {
         let list = |names: &Option<List<String>>| names.clone().unwrap_or_default().0;
         let route_name = |class: &crate::boot::RouteClass| class.name.clone().unwrap_or_default();
         Names {
-            zones: list(&boot.top.zones),
-            machine_kinds: list(&boot.top.kinds),
+            zones: list(&boot.general.zones),
+            machine_kinds: list(&boot.general.kinds),
             routes: boot.classes.iter().map(route_name).collect(),
             host_names: BTreeMap::new(),
             host_ids: BTreeMap::new(),
@@ -66,7 +66,7 @@
     }
 
     /// The host's id, a new one when the name is seen for the first time or was forgotten.
-    pub fn host(&mut self, name: &str) -> api::HostId {
+    pub fn host_id(&mut self, name: &str) -> api::HostId {
         if let Some(host) = self.host_ids.get(name) {
             return *host;
         }
@@ -78,7 +78,7 @@
     }
 
     /// The host's id, if the host is known.
-    pub fn known_host(&self, name: &str) -> Option<api::HostId> {
+    pub fn known_host_id(&self, name: &str) -> Option<api::HostId> {
         self.host_ids.get(name).copied()
     }
 
@@ -95,12 +95,12 @@
     }
 
     /// Number of known hosts.
-    pub fn count(&self) -> usize {
+    pub fn host_count(&self) -> usize {
         self.host_names.len()
     }
 
     /// The text of a log line, followed by the names of the hosts that it is about.
-    pub fn said(&self, text: &str, hosts: &[api::HostId]) -> String {
+    pub fn log_line(&self, text: &str, hosts: &[api::HostId]) -> String {
         if hosts.is_empty() {
             return text.to_string();
         }
@@ -120,8 +120,8 @@
     ///
     /// # Errors
     /// The settings give no machine kind of this name.
-    pub fn kind(&self, name: &str) -> Result<api::KindId, UnknownName> {
-        index_of(name, &self.machine_kinds, NameKind::MachineKind).map(api::KindId)
+    pub fn machine_kind(&self, name: &str) -> Result<api::MachineTypeId, UnknownName> {
+        index_of(name, &self.machine_kinds, NameKind::MachineKind).map(api::MachineTypeId)
     }
 
     /// The number of a route.
--- a/crates/director/settings/tests/settings_format.rs
+++ b/crates/director/settings/tests/settings_format.rs
@@ -1,7 +1,9 @@
 //! Settings come from the operators' files and from the bench by these paths, and errors name them; a change here makes
 //! a director pass over what it is told.
-use coppersail::interface::{Admission, KeyedGroup, PeerId, Retry, Route, Semantics, ZoneId};
-use coppersail_settings::{known, settings, Boot, Names};
+use coppersail::interface::{
+    AdmissionUnit, DeduplicationScope, Idempotency, PeerId, RetryPolicy, Route, ZoneId,
+};
+use coppersail_settings::{decision_settings, known_names, DirectorSettings, Names};
 
 /// Every setting, in the order in which they are written.
 const SETTINGS: &str = concat!(
@@ -30,11 +32,12 @@
     " tariffs.late-fail=6.5 tariffs.moves=7.5 tariffs.peer=8.5 tariffs.probe=9.5 tariffs.waste=10.5",
 );
 
-fn read(text: &str) -> Boot {
-    Boot::read(&text.split_whitespace().filter_map(|pair| pair.split_once('=')).collect()).unwrap()
+fn read(text: &str) -> DirectorSettings {
+    DirectorSettings::read(&text.split_whitespace().filter_map(|pair| pair.split_once('=')).collect())
+        .unwrap()
 }
 
-fn written(boot: &Boot) -> String {
+fn written(boot: &DirectorSettings) -> String {
     let mut text = String::new();
     boot.write(&mut text);
     text
@@ -74,7 +77,7 @@
 
 #[test]
 fn lists_are_split_at_commas_or_at_unit_separators() {
-    let unit = Boot::read(&[("zones", "\u{1f}a\u{1f}b, c")].into()).unwrap();
+    let unit = DirectorSettings::read(&[("zones", "\u{1f}a\u{1f}b, c")].into()).unwrap();
     assert_eq!(written(&unit), " zones=a,b, c classes.count=0");
     assert_eq!(written(&read("zones=a,,b,")), " zones=a,b classes.count=0");
     assert_eq!(
@@ -105,7 +108,7 @@
     for (path, text, expected) in table {
         let mut paths = [("classes.count", "1")].into_iter().collect::<std::collections::BTreeMap<_, _>>();
         paths.insert(path, text);
-        match Boot::read(&paths) {
+        match DirectorSettings::read(&paths) {
             Ok(_) => assert_eq!(expected, "", "{path}"),
             Err(invalid) => assert_eq!((invalid.field.as_str(), invalid.expected), (path, expected)),
         }
@@ -117,7 +120,7 @@
     let names = Names::new(&read(SETTINGS));
     let errors = [
         names.zone("x").unwrap_err().to_string(),
-        names.kind("x").unwrap_err().to_string(),
+        names.machine_kind("x").unwrap_err().to_string(),
         names.route("x").unwrap_err().to_string(),
     ];
     let expected = [
@@ -127,56 +130,62 @@
     ];
     assert_eq!(errors, expected);
     assert_eq!(
-        (names.zone("b").unwrap().0, names.kind("k").unwrap().0, names.route("r").unwrap().0),
+        (names.zone("b").unwrap().0, names.machine_kind("k").unwrap().0, names.route("r").unwrap().0),
         (1, 0, 0)
     );
 }
 
 #[test]
 fn a_log_line_names_its_hosts() {
-    let mut names = Names::new(&Boot::default());
-    let (first, second) = (names.host("h:1"), names.host("h:2"));
-    assert_eq!(names.said("gone", &[]), "gone");
+    let mut names = Names::new(&DirectorSettings::default());
+    let (first, second) = (names.host_id("h:1"), names.host_id("h:2"));
+    assert_eq!(names.log_line("gone", &[]), "gone");
     names.forget(second);
-    assert_eq!(names.said("gone", &[first, second]), "gone: h:1 (forgotten)");
+    assert_eq!(names.log_line("gone", &[first, second]), "gone: h:1 (forgotten)");
 }
 
 /// Seconds where the settings say nanoseconds.
 #[test]
 fn each_setting_reaches_the_director_in_its_unit() {
-    let settings = settings(&read(SETTINGS));
-    assert_eq!((settings.me, settings.directors, settings.zone), (PeerId(1), 2, Some(ZoneId(1))));
+    let settings = decision_settings(&read(SETTINGS));
+    assert_eq!((settings.peer_id, settings.director_count, settings.zone), (PeerId(1), 2, Some(ZoneId(1))));
     assert_eq!(
-        (settings.zones, settings.kinds),
+        (settings.zone_names, settings.machine_types),
         (vec!["a".into(), "b".into()], vec!["k".into(), "l".into()])
     );
     let route = Route {
-        slo_time: 2.0,
-        time_limit: 3.0,
-        importance: 2.0,
-        semantics: Semantics::Keyed { group: KeyedGroup::Zone, window: 4.0 },
-        mutating: false,
-        own_zone_only: true,
+        latency_target: 2.0,
+        deadline: 3.0,
+        value: 2.0,
+        idempotency: Idempotency::Deduplicated { scope: DeduplicationScope::Zone, window: 4.0 },
+        is_write: false,
+        zone_local: true,
     };
     assert_eq!(settings.routes, [route]);
-    assert_eq!((settings.list_is_pushed, settings.ask_within, settings.listed_weights), (false, 1.0, true));
-    assert_eq!((settings.may_probe, settings.may_tell_peers), (true, false));
-    assert_eq!((settings.cold_from, settings.ramp_time), (0.15, 3.0));
-    assert_eq!((settings.fall_multiple, settings.fall_time, settings.grace), (1.25, 2.0, 4.0));
-    assert_eq!((settings.throttled_may_have_run, settings.gone_is_advice), (true, false));
-    assert_eq!((settings.unserved_most, settings.slices, settings.proxies), (19.0, 14, 12));
-    assert_eq!((settings.exclusive, settings.warm_keys), (true, false));
-    assert_eq!((settings.admission, settings.retry_default), (Admission::PerSecond, Retry::Once));
-    assert_eq!((settings.ejects_after, settings.message_overhead), (4, 10.5));
-    assert_eq!((settings.lines_per_s, settings.backlog_lines), (9.5, 1.5));
-    assert_eq!((settings.messages_most, settings.messages_span), (13, 20.0));
-    assert_eq!((settings.transit, settings.transit_most), (18.0, 17.0));
-    assert_eq!((settings.report_interval, settings.in_flight_most), (8.0, 6.0));
+    assert_eq!(
+        (settings.host_list_is_pushed, settings.host_list_max_silence, settings.listed_weights),
+        (false, 1.0, true)
+    );
+    assert_eq!((settings.probes_allowed, settings.peer_messages_allowed), (true, false));
+    assert_eq!((settings.cold_capacity_share, settings.slow_start_duration), (0.15, 3.0));
+    assert_eq!((settings.collapse_multiple, settings.collapse_time, settings.grace_period), (1.25, 2.0, 4.0));
+    assert_eq!((settings.throttled_may_have_executed, settings.removal_is_advisory), (true, false));
+    assert_eq!((settings.max_unserved_time, settings.slice_count, settings.proxy_count), (19.0, 14, 12));
+    assert_eq!((settings.exclusive_ownership, settings.hosts_cache_keys), (true, false));
+    assert_eq!(
+        (settings.admission_unit, settings.default_retry_policy),
+        (AdmissionUnit::RequestsPerSecond, RetryPolicy::Once)
+    );
+    assert_eq!((settings.proxy_ejection_threshold, settings.message_overhead_lines), (4, 10.5));
+    assert_eq!((settings.channel_lines_per_s, settings.channel_backlog_lines), (9.5, 1.5));
+    assert_eq!((settings.max_messages_per_window, settings.message_window), (13, 20.0));
+    assert_eq!((settings.typical_transit_time, settings.max_transit_time), (18.0, 17.0));
+    assert_eq!((settings.report_interval, settings.max_write_in_flight_time), (8.0, 6.0));
 }
 
 #[test]
 fn an_operators_file_is_checked_against_the_names_of_the_settings() {
-    let names = known(&read(SETTINGS));
+    let names = known_names(&read(SETTINGS));
     assert_eq!((names.routes[0].name.as_str(), names.routes[0].repeatable), ("r", false));
     assert_eq!(
         (names.admits, names.slices, names.zones),
--- a/crates/tools/bench-adapter/src/fleet.rs
+++ b/crates/tools/bench-adapter/src/fleet.rs
@@ -3,10 +3,10 @@
 use crate::error::InvalidEvent;
 use crate::names::Names;
 use crate::{input, output};
-use coppersail::interface::{Input, Listing};
+use coppersail::interface::{HostListEntry, Input};
 use coppersail_bench_codec::{Batch, Event, InvalidLine, Order, Text};
-use coppersail_capacity_guard::{Guarded, Mode};
-use coppersail_settings::{settings, Boot, Clock};
+use coppersail_capacity_guard::{GuardedDirector, Mode};
+use coppersail_settings::{decision_settings, Clock, DirectorSettings};
 use std::any::Any;
 use std::collections::BTreeMap;
 use std::panic::{catch_unwind, AssertUnwindSafe};
@@ -16,7 +16,7 @@
 
 struct Instance {
     names: Names,
-    director: Guarded,
+    director: GuardedDirector,
     /// The inputs of this batch; none: the instance had no event, so it is not asked for orders.
     inputs: Option<Vec<Input>>,
 }
@@ -29,18 +29,18 @@
 }
 
 impl Instance {
-    fn new(boot: &Boot, seed: u64, guard: Mode, clock_ns: u64) -> Self {
+    fn new(boot: &DirectorSettings, seed: u64, guard: Mode, clock_ns: u64) -> Self {
         let director = match guard {
-            Mode::Off => Guarded::plain(settings(boot), seed),
-            mode => Guarded::new(settings(boot), seed, mode),
+            Mode::Off => GuardedDirector::plain(decision_settings(boot), seed),
+            mode => GuardedDirector::new(decision_settings(boot), seed, mode),
         };
-        Instance { names: Names::new(boot, Clock::starting(clock_ns)), director, inputs: Some(Vec::new()) }
+        Instance { names: Names::new(boot, Clock::starting_at(clock_ns)), director, inputs: Some(Vec::new()) }
     }
 
     fn handle(&mut self, line: u64, event: &Event, items: &[NumberedEvent]) -> Result<(), InvalidLine> {
-        let input = if let Event::Members { scope, rev, count, .. } = event {
+        let input = if let Event::Members { scope, version, count, .. } = event {
             let entries = self.listings(line, count.unwrap_or(0), items)?;
-            Some(Input::Hosts { scope: input::list_scope(*scope), version: *rev, entries })
+            Some(Input::HostListUpdate { scope: input::list_scope(*scope), version: *version, entries })
         } else {
             let input = input::input(event, &mut self.names);
             input.map_err(|invalid| invalid.on_line(line, event.first_word()))?
@@ -57,7 +57,7 @@
         line: u64,
         count: u64,
         items: &[NumberedEvent],
-    ) -> Result<Vec<Listing>, InvalidLine> {
+    ) -> Result<Vec<HostListEntry>, InvalidLine> {
         if items.len() as u64 != count {
             let expected = format!("{count} sound ITEM lines behind it, not {}", items.len());
             return Err(InvalidEvent::order("members-list", expected).on_line(line, "MEMBERS"));
@@ -71,7 +71,7 @@
     }
 
     /// Appends the orders of instance `who`, if it had events; a panic of its decisions becomes its failure.
-    fn decide(&mut self, who: u64, clock_ns: u64, orders: &mut Vec<Order>) {
+    fn decide(&mut self, instance: u64, clock_ns: u64, orders: &mut Vec<Order>) {
         let Some(inputs) = self.inputs.take() else {
             return;
         };
@@ -79,10 +79,10 @@
         match catch_unwind(AssertUnwindSafe(|| self.director.handle(now, &inputs))) {
             Ok(decided) => {
                 for order in decided {
-                    orders.extend(output::order(who, order, &mut self.names));
+                    orders.extend(output::order(instance, order, &mut self.names));
                 }
             }
-            Err(panic) => orders.push(Order::GiveIn { who, reason: Text(panic_text(&*panic)) }),
+            Err(panic) => orders.push(Order::Fail { instance, reason: Text(panic_text(&*panic)) }),
         }
     }
 }
@@ -158,20 +158,20 @@
 fn instance_of(event: &Event) -> Option<u64> {
     match event {
         Event::Item { .. } => None,
-        Event::Configure { who, .. }
-        | Event::Members { who, .. }
-        | Event::Heat { who, .. }
-        | Event::Tenure { who, .. }
-        | Event::Stop { who }
-        | Event::Reminder { who, .. }
-        | Event::CheckedIn { who, .. }
-        | Event::CurrentOwner { who, .. }
-        | Event::Datagram { who, .. }
-        | Event::Pong { who, .. }
-        | Event::Receipt { who, .. }
-        | Event::DroppedOff { who, .. }
-        | Event::Intake { who, .. }
-        | Event::Roundup { who, .. } => Some(*who),
+        Event::Configure { instance, .. }
+        | Event::Members { instance, .. }
+        | Event::Demand { instance, .. }
+        | Event::SliceOwnership { instance, .. }
+        | Event::Stop { instance }
+        | Event::TimerFired { instance, .. }
+        | Event::ProxyJoined { instance, .. }
+        | Event::StoredWeight { instance, .. }
+        | Event::Datagram { instance, .. }
+        | Event::HealthCheckResult { instance, .. }
+        | Event::Acknowledged { instance, .. }
+        | Event::ProxyLeft { instance, .. }
+        | Event::Intake { instance, .. }
+        | Event::AttemptReport { instance, .. } => Some(*instance),
     }
 }
 
--- a/crates/tools/bench-adapter/src/fleet/tests.rs
+++ b/crates/tools/bench-adapter/src/fleet/tests.rs
@@ -31,7 +31,7 @@
     batch(&[CONFIGURE, LIST, &other], &mut fleet);
     let (orders, errors) = batch(&["TENURE who=2 set=1 table=0"], &mut fleet);
     assert!(errors.is_empty());
-    assert!(orders.iter().all(|order| !format!("{order:?}").contains("who: 1")), "{orders:?}");
+    assert!(orders.iter().all(|order| !format!("{order:?}").contains("instance: 1")), "{orders:?}");
 }
 
 #[test]
@@ -54,6 +54,6 @@
     by_itself.retain(|order| both.contains(order));
     assert_eq!(
         by_itself,
-        both.into_iter().filter(|o| format!("{o:?}").contains("who: 1")).collect::<Vec<_>>()
+        both.into_iter().filter(|o| format!("{o:?}").contains("instance: 1")).collect::<Vec<_>>()
     );
 }
--- a/crates/tools/bench-adapter/src/input.rs
+++ b/crates/tools/bench-adapter/src/input.rs
@@ -10,21 +10,21 @@
 ///
 /// # Errors
 /// The event is no `ITEM`, its weight is negative, or the settings do not give its zone or machine kind.
-pub(crate) fn listing(item: &Event, names: &mut Names) -> Result<api::Listing, InvalidEvent> {
-    let Event::Item { sku, born_ns, host, w, block, zone, status } = item else {
+pub(crate) fn listing(item: &Event, names: &mut Names) -> Result<api::HostListEntry, InvalidEvent> {
+    let Event::Item { machine_kind, born_ns, host, weight, cell, zone, status } = item else {
         return Err(InvalidEvent::order("members-list", "as many ITEM lines as it says"));
     };
-    if *w < 0.0 {
-        return Err(InvalidEvent::value("w", w, "a size of 0 or more"));
+    if *weight < 0.0 {
+        return Err(InvalidEvent::value("w", weight, "a size of 0 or more"));
     }
-    Ok(api::Listing {
+    Ok(api::HostListEntry {
         host: names.host(host),
         state: host_state(*status),
-        born: start_time(*born_ns, names.clock),
-        weight: *w,
+        started_at: start_time(*born_ns, names.clock),
+        weight: *weight,
         zone: names.zone(zone)?,
-        cell: api::CellId(*block),
-        kind: names.machine_kind(sku)?,
+        cell: api::CellId(*cell),
+        machine_type: names.machine_kind(machine_kind)?,
     })
 }
 
@@ -37,55 +37,54 @@
         Event::Configure { .. } | Event::Members { .. } | Event::Item { .. } | Event::Stop { .. } => {
             return Ok(None);
         }
-        Event::Heat { covers_ns, grade, bad, many, table, .. } => api::Input::Demand {
-            slice: api::SliceId(*table),
-            route: names.route(grade)?,
-            calls: *many,
-            dropped: *bad,
-            span: seconds(*covers_ns),
+        Event::Demand { window_ns, route, dropped, requests, slice, .. } => api::Input::SliceDemand {
+            slice: api::SliceId(*slice),
+            route: names.route(route)?,
+            requests: *requests,
+            dropped: *dropped,
+            window: seconds(*window_ns),
         },
-        Event::Tenure { set: true, table, .. } => api::Input::Given(api::SliceId(*table)),
-        Event::Tenure { set: false, table, .. } => api::Input::Taken(api::SliceId(*table)),
-        Event::Reminder { token, .. } => api::Input::Wake(api::WakeId(*token)),
-        Event::CheckedIn { proxy, zone, w, set, .. } => api::Input::Joined {
+        Event::SliceOwnership { set, slice, .. } => slice_ownership(*set, api::SliceId(*slice)),
+        Event::TimerFired { token, .. } => api::Input::TimerFired(api::TimerId(*token)),
+        Event::ProxyJoined { proxy, zone, weight, set, .. } => api::Input::ProxyJoined {
             proxy: api::ProxyId(*proxy),
             zone: names.zone(zone)?,
-            calls_per_s: *w,
-            fresh: *set,
+            requests_per_s: *weight,
+            without_tables: *set,
         },
-        Event::CurrentOwner { table, w, host, .. } => {
-            api::Input::StoredLine { slice: api::SliceId(*table), host: names.host(host), weight: *w }
+        Event::StoredWeight { slice, weight, host, .. } => {
+            api::Input::StoredWeight { slice: api::SliceId(*slice), host: names.host(host), weight: *weight }
         }
-        Event::Datagram { src, octets, .. } => {
-            api::Input::Heard { from: api::PeerId(*src), bytes: octets.0.clone() }
+        Event::Datagram { sender, payload, .. } => {
+            api::Input::PeerMessage { from: api::PeerId(*sender), payload: payload.0.clone() }
         }
-        Event::Receipt { proxy, time_taken_ns, rev, .. } => api::Input::Applied {
+        Event::Acknowledged { proxy, duration_ns, version, .. } => api::Input::RoundAcknowledged {
             proxy: api::ProxyId(*proxy),
-            mark: api::MarkId(*rev),
-            took: seconds(*time_taken_ns),
+            round: api::RoundId(*version),
+            latency: seconds(*duration_ns),
         },
-        Event::DroppedOff { proxy, .. } => api::Input::Left(api::ProxyId(*proxy)),
-        Event::Intake { proxy, grade, many, bad, covers_ns, .. } => api::Input::Intake {
+        Event::ProxyLeft { proxy, .. } => api::Input::ProxyLeft(api::ProxyId(*proxy)),
+        Event::Intake { proxy, route, requests, dropped, window_ns, .. } => api::Input::ProxyDemand {
             proxy: api::ProxyId(*proxy),
-            route: names.route(grade)?,
-            calls: *many,
-            dropped: *bad,
-            span: seconds(*covers_ns),
+            route: names.route(route)?,
+            requests: *requests,
+            dropped: *dropped,
+            window: seconds(*window_ns),
         },
-        Event::Pong { host, outcome, time_taken_ns, telemetry, .. } => api::Input::Probed {
+        Event::HealthCheckResult { host, outcome, duration_ns, telemetry, .. } => api::Input::ProbeFinished {
             host: names.known_host(host)?,
             outcome: health_check_outcome(*outcome),
-            took: seconds(*time_taken_ns),
+            duration: seconds(*duration_ns),
             load: load(telemetry.as_ref()),
         },
-        Event::Roundup { time_taken_ns, zone, covers_ns, host, many, bad, telemetry, .. } => {
-            api::Input::Tries {
+        Event::AttemptReport { duration_ns, zone, window_ns, host, requests, dropped, telemetry, .. } => {
+            api::Input::AttemptStats {
                 host: names.known_host(host)?,
                 zone: names.zone(zone)?,
-                span: seconds(*covers_ns),
-                tries: *many,
-                dropped: *bad,
-                rt: seconds(*time_taken_ns),
+                window: seconds(*window_ns),
+                attempts: *requests,
+                dropped: *dropped,
+                mean_response_time: seconds(*duration_ns),
                 load: load(telemetry.as_ref()),
             }
         }
@@ -93,19 +92,27 @@
     Ok(Some(input))
 }
 
+fn slice_ownership(is_owner: bool, slice: api::SliceId) -> api::Input {
+    if is_owner {
+        api::Input::SliceAssigned(slice)
+    } else {
+        api::Input::SliceRevoked(slice)
+    }
+}
+
 /// The meaning of a list's entries.
 pub(crate) fn list_scope(scope: Scope) -> api::ListScope {
     match scope {
-        Scope::Delta => api::ListScope::Changes,
-        Scope::Full => api::ListScope::Whole,
-        Scope::Cached => api::ListScope::Remembered,
+        Scope::Delta => api::ListScope::Delta,
+        Scope::Full => api::ListScope::Snapshot,
+        Scope::Cached => api::ListScope::CachedSnapshot,
         Scope::Failed => api::ListScope::Failed,
     }
 }
 
 fn host_state(status: Status) -> api::HostState {
     match status {
-        Status::Gone => api::HostState::Gone,
+        Status::Gone => api::HostState::Removed,
         Status::Draining => api::HostState::Draining,
         Status::Ready => api::HostState::Ready,
     }
@@ -118,19 +125,19 @@
 
 fn health_check_outcome(outcome: Outcome) -> api::Outcome {
     match outcome {
-        Outcome::Success => api::Outcome::Answered,
-        Outcome::Failure => api::Outcome::Error,
+        Outcome::Success => api::Outcome::Succeeded,
+        Outcome::Failure => api::Outcome::ErrorResponse,
         Outcome::Overloaded => api::Outcome::Throttled,
         Outcome::TimedOut => api::Outcome::TimedOut,
-        Outcome::Unreachable => api::Outcome::Unreachable,
-        Outcome::Broken => api::Outcome::Broken,
+        Outcome::Unreachable => api::Outcome::ConnectFailed,
+        Outcome::Broken => api::Outcome::ConnectionLost,
         Outcome::Withdrawn => api::Outcome::Withdrawn,
-        Outcome::Void => api::Outcome::Void,
+        Outcome::Void => api::Outcome::Discarded,
     }
 }
 
-fn load(telemetry: Option<&Telemetry>) -> api::Load {
-    coppersail_settings::load(|name| telemetry.and_then(|report| report.get(name)))
+fn load(telemetry: Option<&Telemetry>) -> api::LoadReport {
+    coppersail_settings::load_from_report(|name| telemetry.and_then(|report| report.get(name)))
 }
 
 #[cfg(test)]
--- a/crates/tools/bench-adapter/src/names.rs
+++ b/crates/tools/bench-adapter/src/names.rs
@@ -2,7 +2,7 @@
 
 use crate::error::InvalidEvent;
 use coppersail::interface as api;
-use coppersail_settings::{Boot, Clock};
+use coppersail_settings::{Clock, DirectorSettings};
 
 /// Translates between the names on the wire and the numbers of the decisions, for one instance.
 pub(crate) struct Names {
@@ -13,19 +13,19 @@
 
 impl Names {
     /// The names of the settings, and no hosts.
-    pub(crate) fn new(boot: &Boot, clock: Clock) -> Self {
+    pub(crate) fn new(boot: &DirectorSettings, clock: Clock) -> Self {
         Names { clock, names: coppersail_settings::Names::new(boot) }
     }
 
     /// The id of a host, which becomes known if it was not.
     pub(crate) fn host(&mut self, address: &str) -> api::HostId {
-        self.names.host(address)
+        self.names.host_id(address)
     }
 
-    /// The id of a host that is in the list or in a table. Reports about other hosts are of no use, and would keep their
-    /// names for good.
+    /// The id of a host that is in the list or in a table. Reports about other hosts are of no use, and would keep
+    /// their names for good.
     pub(crate) fn known_host(&self, address: &str) -> Result<api::HostId, InvalidEvent> {
-        let host = self.names.known_host(address);
+        let host = self.names.known_host_id(address);
         host.ok_or_else(|| InvalidEvent::value("host", address, "a host that was listed"))
     }
 
@@ -50,13 +50,13 @@
     }
 
     /// The number of a machine kind.
-    pub(crate) fn machine_kind(&self, name: &str) -> Result<api::KindId, InvalidEvent> {
-        self.names.kind(name).map_err(|unknown| InvalidEvent::name("sku", &unknown))
+    pub(crate) fn machine_kind(&self, name: &str) -> Result<api::MachineTypeId, InvalidEvent> {
+        self.names.machine_kind(name).map_err(|unknown| InvalidEvent::name("sku", &unknown))
     }
 
     /// A line of the log, with the addresses of the hosts that it is about.
     pub(crate) fn log_line(&self, text: &str, hosts: &[api::HostId]) -> String {
-        self.names.said(text, hosts)
+        self.names.log_line(text, hosts)
     }
 }
 
--- a/crates/tools/bench-adapter/src/names/tests.rs
+++ b/crates/tools/bench-adapter/src/names/tests.rs
@@ -10,7 +10,7 @@
     let line =
         "CONFIGURE who=3 init-seed=2 kinds=k,l zones=a,b classes.count=2 classes.0.name=r classes.1.name=s";
     let Event::Configure { boot, .. } = Event::parse(line, 1).unwrap() else { panic!() };
-    let mut names = Names::new(&boot, Clock::starting(ORIGIN_NS));
+    let mut names = Names::new(&boot, Clock::starting_at(ORIGIN_NS));
     let item = "ITEM sku=l born-ns=4000000000 host=h:1 w=1.5 block=7 rack-zone=b status=3";
     input::listing(&Event::parse(item, 1).unwrap(), &mut names).unwrap();
     names
--- a/crates/tools/bench-adapter/src/output.rs
+++ b/crates/tools/bench-adapter/src/output.rs
@@ -2,35 +2,47 @@
 
 use crate::names::Names;
 use coppersail::interface as api;
-use coppersail_bench_codec::{Octets, Order, Receiver, Resend, Text, ALL_TABLES};
+use coppersail_bench_codec::{Octets, Order, Receiver, Resend, Text, ALL_SLICES};
 
 /// The order of instance `who` as it stands on the wire; none for one that only concerns the names here.
-pub(crate) fn order(who: u64, order: api::Order, names: &mut Names) -> Option<Order> {
+pub(crate) fn order(instance: u64, order: api::Order, names: &mut Names) -> Option<Order> {
     let order = match order {
-        api::Order::Forget(host) => {
+        api::Order::ReleaseHost(host) => {
             names.forget(host);
             return None;
         }
-        api::Order::Line { slice, host, weight } => {
-            Order::SetLine { who, host: names.address(host), table: slice.0, w: weight }
+        api::Order::SetWeight { slice, host, weight } => {
+            Order::SetWeight { instance, host: names.address(host), slice: slice.0, weight }
         }
-        api::Order::Clear(slice) => Order::ResetTable { who, table: slice.0 },
-        api::Order::Withdraw { host, out } => Order::HoldBack { who, host: names.address(host), set: out },
-        api::Order::Admit { scope, routes, level, retry } => {
-            Order::Admit { who, table: table(scope), only: route_mask(&routes), level, resend: resend(retry) }
+        api::Order::ClearTable(slice) => Order::ClearTable { instance, slice: slice.0 },
+        api::Order::SetWithdrawn { host, withdrawn: out } => {
+            Order::SetWithdrawn { instance, host: names.address(host), set: out }
         }
-        api::Order::Bind { proxy, routes, table } => {
-            Order::UseTable { who, proxy: proxy.0, only: route_mask(&routes), table: table.0 }
+        api::Order::SetAdmission { scope, routes, level, retry } => Order::Admit {
+            instance,
+            slice: table(scope),
+            only: route_mask(&routes),
+            level,
+            resend: resend(retry),
+        },
+        api::Order::BindTable { proxy, routes, table } => {
+            Order::BindTable { instance, proxy: proxy.0, only: route_mask(&routes), slice: table.0 }
         }
-        api::Order::Mark { mark, all } => Order::Nonce { who, rev: mark.0, set: all },
-        api::Order::Follow(on) => Order::Follow { who, set: on },
-        api::Order::FetchList => Order::GetList { who },
-        api::Order::Probe(host) => Order::Sample { who, host: names.address(host) },
-        api::Order::Tell { to, bytes } => Order::Signal { who, dst: receiver(to), octets: Octets(bytes) },
-        api::Order::WakeAt { wake, at } => {
-            Order::WakeAt { who, token: wake.0, time_ns: names.clock.nanoseconds(at) }
+        api::Order::RequestAcknowledgement { round: mark, include_idle_proxies: all } => {
+            Order::RequestAcknowledgement { instance, version: mark.0, set: all }
+        }
+        api::Order::WatchHostList(on) => Order::Follow { instance, set: on },
+        api::Order::FetchHostList => Order::FetchList { instance },
+        api::Order::Probe(host) => Order::HealthCheck { instance, host: names.address(host) },
+        api::Order::SendToPeers { to, payload: bytes } => {
+            Order::SendToPeers { instance, receiver: receiver(to), payload: Octets(bytes) }
+        }
+        api::Order::SetTimer { timer: wake, fires_at: at } => {
+            Order::WakeAt { instance, token: wake.0, time_ns: names.clock.nanoseconds(at) }
+        }
+        api::Order::Log { text, hosts } => {
+            Order::Log { instance, reason: Text(names.log_line(&text, &hosts)) }
         }
-        api::Order::Log { text, hosts } => Order::Trace { who, reason: Text(names.log_line(&text, &hosts)) },
     };
     Some(order)
 }
@@ -38,7 +50,7 @@
 fn table(scope: api::Scope) -> u16 {
     match scope {
         api::Scope::Slice(slice) => slice.0,
-        api::Scope::Everywhere => ALL_TABLES,
+        api::Scope::AllProxies => ALL_SLICES,
     }
 }
 
@@ -51,12 +63,12 @@
     mask
 }
 
-fn resend(retry: api::Retry) -> Resend {
+fn resend(retry: api::RetryPolicy) -> Resend {
     match retry {
-        api::Retry::Never => Resend::None,
-        api::Retry::IfNeverRan => Resend::NeverRan,
-        api::Retry::Once => Resend::One,
-        api::Retry::Twice => Resend::Two,
+        api::RetryPolicy::Never => Resend::None,
+        api::RetryPolicy::IfNotExecuted => Resend::NeverRan,
+        api::RetryPolicy::Once => Resend::One,
+        api::RetryPolicy::Twice => Resend::Two,
     }
 }
 
--- a/crates/tools/bench-codec/src/event.rs
+++ b/crates/tools/bench-codec/src/event.rs
@@ -1,179 +1,179 @@
 //! What the bench sends.
 
 use crate::field::{Octets, Outcome, Scope, Status, Telemetry};
-use coppersail_settings::Boot;
+use coppersail_settings::DirectorSettings;
 
 messages!(
-    /// An event at one director instance, whose number is `who`. Durations and times are in nanoseconds.
+    /// An event at one director instance, whose number is `instance`. Durations and times are in nanoseconds.
     Event,
     /// The instance starts.
     "CONFIGURE" => Configure {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Seed of its random numbers.
         seed: u64 = "init-seed",
         /// Its settings, as fields under their paths.
-        boot: Box<Boot> = "boot-info",
+        boot: Box<DirectorSettings> = "boot-info",
     },
     /// An endpoint list; its entries follow as `Item`s.
     "MEMBERS" => Members {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// What the entries are.
         scope: Scope = "scope",
         /// Version of the list.
-        rev: u64 = "rev",
+        version: u64 = "rev",
         /// Number of entries; absent: none.
         count: Option<u64> = "members-list",
     },
     /// An entry of the endpoint list before it.
     "ITEM" => Item {
         /// Name of the machine kind.
-        sku: String = "sku",
+        machine_kind: String = "sku",
         /// When the process last started, nanoseconds of the bench's clock; absent or 0: unknown, long ago.
         born_ns: Option<u64> = "born-ns",
         /// Address of the host.
         host: String = "host",
         /// Capacity in relation to the others.
-        w: f64 = "w",
+        weight: f64 = "w",
         /// The small group of hosts that it belongs to (cell).
-        block: u64 = "block",
+        cell: u64 = "block",
         /// Name of its zone.
         zone: String = "rack-zone",
         /// Whether it takes requests.
         status: Status = "status",
     },
     /// Requests for one slice in one route.
-    "HEAT" => Heat {
+    "HEAT" => Demand {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Length of the period, nanoseconds.
-        covers_ns: u64 = "covers-ns",
+        window_ns: u64 = "covers-ns",
         /// Name of the route.
-        grade: String = "grade",
+        route: String = "grade",
         /// Requests that were dropped.
-        bad: u64 = "bad",
+        dropped: u64 = "bad",
         /// Requests that came.
-        many: u64 = "many",
+        requests: u64 = "many",
         /// Number of the slice.
-        table: u16 = "table",
+        slice: u16 = "table",
     },
     /// The instance's ownership of a slice changes.
-    "TENURE" => Tenure {
+    "TENURE" => SliceOwnership {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// It owns the slice from now on; else not any more.
         set: bool = "set",
         /// Number of the slice.
-        table: u16 = "table",
+        slice: u16 = "table",
     },
     /// The instance ends.
     "STOP" => Stop {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
     },
-    /// A timer that `Order::WakeAt` set.
-    "REMINDER" => Reminder {
+    /// A timer that `Order::SetTimer` set.
+    "REMINDER" => TimerFired {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// The timer's number.
         token: u64 = "ref",
     },
     /// A proxy has connected.
-    "CHECKED_IN" => CheckedIn {
+    "CHECKED_IN" => ProxyJoined {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the proxy.
         proxy: u16 = "proxy",
         /// Name of its zone.
         zone: String = "rack-zone",
         /// Requests per second that it carries.
-        w: f64 = "w",
+        weight: f64 = "w",
         /// It has had no table from this instance since its own start.
         set: bool = "set",
     },
     /// A weight that is stored for a slice.
-    "CURRENT_OWNER" => CurrentOwner {
+    "CURRENT_OWNER" => StoredWeight {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the slice.
-        table: u16 = "table",
+        slice: u16 = "table",
         /// The weight.
-        w: f64 = "w",
+        weight: f64 = "w",
         /// Address of the host.
         host: String = "host",
     },
     /// A message of another instance.
     "DATAGRAM" => Datagram {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the sender.
-        src: u64 = "src",
+        sender: u64 = "src",
         /// The message.
-        octets: Octets = "octets",
+        payload: Octets = "octets",
     },
     /// The outcome of a health check.
-    "PONG" => Pong {
+    "PONG" => HealthCheckResult {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Address of the host.
         host: String = "host",
         /// How it ended.
         outcome: Outcome = "outcome",
         /// How long it took, nanoseconds.
-        time_taken_ns: u64 = "time-taken-ns",
+        duration_ns: u64 = "time-taken-ns",
         /// The load report in its answer.
         telemetry: Option<Telemetry> = "telemetry",
     },
-    /// A proxy acknowledges the orders up to an `Order::Nonce`.
-    "RECEIPT" => Receipt {
+    /// A proxy acknowledges the orders up to an `Order::RequestAcknowledgement`.
+    "RECEIPT" => Acknowledged {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the proxy.
         proxy: u16 = "proxy",
         /// Time from the order to its application, nanoseconds.
-        time_taken_ns: u64 = "time-taken-ns",
-        /// The number of the `Order::Nonce`.
-        rev: u16 = "rev",
+        duration_ns: u64 = "time-taken-ns",
+        /// The number of the `Order::RequestAcknowledgement`.
+        version: u16 = "rev",
     },
     /// A proxy has disconnected.
-    "DROPPED_OFF" => DroppedOff {
+    "DROPPED_OFF" => ProxyLeft {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the proxy.
         proxy: u16 = "proxy",
     },
     /// Requests of one proxy in one route, where there are no slices.
     "INTAKE" => Intake {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Number of the proxy.
         proxy: u16 = "proxy",
         /// Name of the route.
-        grade: String = "grade",
+        route: String = "grade",
         /// Requests that came.
-        many: u64 = "many",
+        requests: u64 = "many",
         /// Requests that were dropped.
-        bad: u64 = "bad",
+        dropped: u64 = "bad",
         /// Length of the period, nanoseconds.
-        covers_ns: u64 = "covers-ns",
+        window_ns: u64 = "covers-ns",
     },
     /// The outcomes of the attempts that the proxies of one zone made at one host.
-    "ROUNDUP" => Roundup {
+    "ROUNDUP" => AttemptReport {
         /// Number of the instance.
-        who: u64 = "who",
+        instance: u64 = "who",
         /// Mean response time of the answered attempts, nanoseconds; 0 if there were none.
-        time_taken_ns: u64 = "time-taken-ns",
+        duration_ns: u64 = "time-taken-ns",
         /// Name of the proxies' zone.
         zone: String = "rack-zone",
         /// Length of the period, nanoseconds.
-        covers_ns: u64 = "covers-ns",
+        window_ns: u64 = "covers-ns",
         /// Address of the host.
         host: String = "host",
         /// Attempts that ended.
-        many: u64 = "many",
+        requests: u64 = "many",
         /// Attempts without a usable answer.
-        bad: u64 = "bad",
+        dropped: u64 = "bad",
         /// The load report that came with the answers.
         telemetry: Option<Telemetry> = "telemetry",
     },
--- a/crates/tools/bench-codec/src/reader.rs
+++ b/crates/tools/bench-codec/src/reader.rs
@@ -39,8 +39,8 @@
         Reader { input, line: 0, clock_ns: 0 }
     }
 
-    /// The next batch; none at the end of the input. A batch that the end cuts off is not handed out, so that nobody acts
-    /// on half of what happened: its errors are, as the inner error.
+    /// The next batch; none at the end of the input. A batch that the end cuts off is not handed out, so that nobody
+    /// acts on half of what happened: its errors are, as the inner error.
     ///
     /// # Errors
     /// The input cannot be read.
--- a/crates/tools/bench-codec/tests/wire_format.rs
+++ b/crates/tools/bench-codec/tests/wire_format.rs
@@ -1,5 +1,5 @@
 //! The operators' bench writes and reads these bytes; a change here breaks the adapter against every bench.
-use coppersail_bench_codec::{write_reply, Event, Order, Reader, ALL_TABLES};
+use coppersail_bench_codec::{write_reply, Event, Order, Reader, ALL_SLICES};
 use std::fmt::Write;
 
 /// Every event, in the order of its fields when it is written.
@@ -92,17 +92,20 @@
 fn a_line_break_in_a_text_is_written_as_a_space() {
     let mut text = String::new();
     let reason = coppersail_bench_codec::Text("a\nb\rc".to_string());
-    Order::Trace { who: 3, reason }.write(&mut text);
+    Order::Log { instance: 3, reason }.write(&mut text);
     assert_eq!(text, "TRACE who=3 reason-text=a b c");
 }
 
 #[test]
 fn a_reply_keeps_its_bytes() {
-    let orders = [Order::GetList { who: 3 }, Order::Nonce { who: 4, rev: 1, set: false }];
+    let orders = [
+        Order::FetchList { instance: 3 },
+        Order::RequestAcknowledgement { instance: 4, version: 1, set: false },
+    ];
     let mut text = String::new();
     write_reply(&orders, &mut text);
     assert_eq!(text, "GET_LIST who=3\nNONCE who=4 rev=1 set=0\nREADY\n");
-    assert_eq!(ALL_TABLES, 65535);
+    assert_eq!(ALL_SLICES, 65535);
 }
 
 #[test]
--- a/crates/tools/cli/src/commands/announce.rs
+++ b/crates/tools/cli/src/commands/announce.rs
@@ -58,7 +58,7 @@
 
 fn expired_departures(in_force: &[(Field, Value)], now: f64) -> Edits {
     let expired = |(field, value): &&(Field, Value)| match (field, value) {
-        (Field::HostLeaves(_), Value::Number(at)) => now > at + EXPIRES,
+        (Field::HostShutdown(_), Value::Number(at)) => now > at + EXPIRES,
         _ => false,
     };
     in_force.iter().filter(expired).map(|(field, _)| (field.clone(), None)).collect()
--- a/crates/tools/cli/src/commands/check.rs
+++ b/crates/tools/cli/src/commands/check.rs
@@ -2,10 +2,10 @@
 
 use crate::output::print;
 use coppersail_jsonnet::EvaluateError;
-use coppersail_operator_config::{sheet, Fault, Known};
+use coppersail_operator_config::{read_operator_file, Fault, SettingsNames};
 use coppersail_protocol::config::Config;
-use coppersail_protocol::Fault as ConfigFault;
-use coppersail_settings::Boot;
+use coppersail_protocol::ParseError as ConfigFault;
+use coppersail_settings::DirectorSettings;
 use std::path::{Path, PathBuf};
 
 /// What is wrong with the operators' file, or with the configuration that it is checked against.
@@ -38,7 +38,7 @@
     let is_plain_json = path.extension().is_some_and(|extension| extension == "json");
     let text = if is_plain_json { source.clone() } else { coppersail_jsonnet::evaluate(path)? };
     let name = path.display().to_string();
-    let sheet = sheet(&name, &source, &text, known.as_ref()).map_err(CheckError::Faults)?;
+    let sheet = read_operator_file(&name, &source, &text, known.as_ref()).map_err(CheckError::Faults)?;
     let fields = sheet.document.len();
     if json {
         print(&serde_json::json!({"is": "sound", "fields": fields}).to_string());
@@ -49,17 +49,17 @@
 }
 
 /// What a director's configuration names, read by the code that the director reads it with.
-fn read_known(path: &Path) -> Result<Known, CheckError> {
+fn read_known(path: &Path) -> Result<SettingsNames, CheckError> {
     let owned_path = || path.to_path_buf();
     let bytes =
         std::fs::read(path).map_err(|source| CheckError::ReadConfig { path: owned_path(), source })?;
     let config =
         Config::parse(&bytes).map_err(|fault| CheckError::ParseConfig { path: owned_path(), fault })?;
     let settings = config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-    let boot = Boot::read(&settings).map_err(|invalid| CheckError::InvalidSetting {
+    let boot = DirectorSettings::read(&settings).map_err(|invalid| CheckError::InvalidSetting {
         path: owned_path(),
         field: invalid.field,
         expected: invalid.expected.to_string(),
     })?;
-    Ok(coppersail_settings::known(&boot))
+    Ok(coppersail_settings::known_names(&boot))
 }
--- a/crates/tools/cli/src/commands/drain.rs
+++ b/crates/tools/cli/src/commands/drain.rs
@@ -6,7 +6,7 @@
 use crate::names::{Names, UnknownHost};
 use crate::output::print;
 use coppersail::interface::HostId;
-use coppersail_capacity_guard::{drain, Drain, Pool, Step, Table};
+use coppersail_capacity_guard::{drain, DrainPlanStep, DrainRequest, Pool, Table};
 use serde_json::json;
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -26,7 +26,7 @@
     let Fleet { names, pool, tables } = Fleet::read(pool, tables)?;
     let hosts = select_hosts(hosts, &names, &pool)?;
     let calls = tables.values().map(Table::calls).sum();
-    let wanted = Drain { hosts, back_after, most: max_at_once, calls };
+    let wanted = DrainRequest { hosts, return_after: back_after, max_hosts_at_once: max_at_once, calls };
     let steps = drain(&pool, &wanted, 0.0);
     let planned: usize = steps.iter().map(|step| step.hosts.len()).sum();
     let steps = steps.into_iter().map(|step| DrainStep::new(step, &names)).collect();
@@ -63,8 +63,8 @@
 }
 
 impl DrainStep {
-    fn new(step: Step, names: &Names) -> Self {
-        let Step { at, hosts, fill, forced } = step;
+    fn new(step: DrainPlanStep, names: &Names) -> Self {
+        let DrainPlanStep { at, hosts, utilisation: fill, forced } = step;
         let hosts = hosts.into_iter().map(|host| names.host_name(host).to_string()).collect();
         DrainStep { at, hosts, fill, forced }
     }
--- a/crates/tools/cli/src/commands/error.rs
+++ b/crates/tools/cli/src/commands/error.rs
@@ -35,7 +35,8 @@
 }
 
 impl CommandError {
-    /// Whether the input was read and refused, as opposed to input that cannot be used or a director that does not answer.
+    /// Whether the input was read and refused, as opposed to input that cannot be used or a director that does not
+    /// answer.
     pub(crate) fn is_rejection(&self) -> bool {
         match self {
             CommandError::Request(error) => matches!(error, RequestError::Rejected { .. }),
--- a/crates/tools/cli/src/commands/guard.rs
+++ b/crates/tools/cli/src/commands/guard.rs
@@ -5,7 +5,7 @@
 use crate::names::Names;
 use crate::output::print;
 use coppersail::interface::{HostId, Order, SliceId};
-use coppersail_capacity_guard::{Guard, Pool, Refused, Severity, Table, Verdict};
+use coppersail_capacity_guard::{Findings, Guard, Pool, Severity, Table, Verdict};
 use serde_json::json;
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -62,21 +62,24 @@
     tables: &BTreeMap<SliceId, Table>,
     route_count: usize,
 ) -> (Guard, Vec<Vec<Order>>) {
-    let line =
-        |slice: SliceId, (host, weight): (&HostId, &f64)| Order::Line { slice, host: *host, weight: *weight };
+    let line = |slice: SliceId, (host, weight): (&HostId, &f64)| Order::SetWeight {
+        slice,
+        host: *host,
+        weight: *weight,
+    };
     let orders =
-        tables.iter().flat_map(|(slice, table)| table.lines.iter().map(move |entry| line(*slice, entry)));
-    let without_lines = |table: &Table| Table { lines: BTreeMap::new(), ..table.clone() };
+        tables.iter().flat_map(|(slice, table)| table.weights.iter().map(move |entry| line(*slice, entry)));
+    let without_lines = |table: &Table| Table { weights: BTreeMap::new(), ..table.clone() };
     let empty = tables.iter().map(|(slice, table)| (*slice, without_lines(table))).collect();
     (Guard::new(pool, &empty, route_count), vec![orders.collect()])
 }
 
 impl Judgement {
     fn new(verdict: &Verdict, has_orders: bool, names: &Names) -> Self {
-        let none_found = Refused::default();
+        let none_found = Findings::default();
         let (label, found) = match verdict {
             Verdict::Accepted => ("accepted", &none_found),
-            Verdict::Least(found) => ("accepted, as less bad than what stands", found),
+            Verdict::Improvement(found) => ("accepted, as less bad than what stands", found),
             Verdict::Refused(found) => ("refused", found),
         };
         // To a fleet without tables any table is an improvement; then only what is wrong with it counts.
--- a/crates/tools/cli/src/edits.rs
+++ b/crates/tools/cli/src/edits.rs
@@ -47,7 +47,7 @@
     let no_assignment = || ArgumentError::NoAssignment { argument: argument.to_string() };
     let (path, text) = argument.split_once('=').ok_or_else(no_assignment)?;
     let field = parse_field(path)?;
-    match field.value(text) {
+    match field.parse_value(text) {
         Ok(value) => Ok((field, value)),
         Err(expected) => Err(ArgumentError::InvalidValue { field, expected: expected.to_string() }),
     }
--- a/crates/tools/cli/src/fleet_files.rs
+++ b/crates/tools/cli/src/fleet_files.rs
@@ -1,11 +1,14 @@
-//! The files of a fleet that the guard judges without a director: pool, tables, orders and pending events. Their forms are
-//! in `docs/guard.md`; times in them are seconds from now, so that they need no clock.
+//! The files of a fleet that the guard judges without a director: pool, tables, orders and pending events. Their
+//! forms are in `docs/guard.md`; times in them are seconds from now, so that they need no clock.
 //!
-//! serde prints the names of the types `...File` where a value of another type stands, so they are text that operators see.
+//! serde prints the names of the types `...File` where a value of another type stands, so they are text that
+//! operators see.
 
 use crate::names::{intern, Names, UnknownHost};
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
-use coppersail_capacity_guard::{Bounds, Change, Estimate, Host, Pending, Pool, State, Table};
+use coppersail_capacity_guard::{
+    CapacityModel, Estimate, Host, HostEvent, ListedState, PendingEvent, Pool, Table,
+};
 use serde::de::DeserializeOwned;
 use serde::Deserialize;
 use std::collections::BTreeMap;
@@ -158,7 +161,12 @@
 fn build_pool(file: PoolFile, names: &mut Names) -> Pool {
     let BoundsFile { cold_from, ramp_time, fall_multiple, carries } = file.bounds;
     let carries = carries.map(|EstimateFile { low, middle }| Estimate { low, middle });
-    let bounds = Bounds { cold_from, ramp_time, fall_multiple, carries };
+    let bounds = CapacityModel {
+        cold_capacity_share: cold_from,
+        slow_start_duration: ramp_time,
+        collapse_multiple: fall_multiple,
+        capacity: carries,
+    };
     let mut hosts = BTreeMap::new();
     for (name, host) in file.hosts {
         let id = HostId(intern(&mut names.hosts, &name) as u32);
@@ -171,15 +179,15 @@
 fn build_host(file: &HostFile, zone: ZoneId) -> Host {
     Host {
         state: match file.state {
-            StateFile::Ready => State::Ready,
-            StateFile::Draining => State::Draining,
-            StateFile::Gone => State::Gone,
+            StateFile::Ready => ListedState::Ready,
+            StateFile::Draining => ListedState::Draining,
+            StateFile::Gone => ListedState::Removed,
         },
         zone,
         weight: file.weight,
-        born: file.age.map(|age| -age),
+        started_at: file.age.map(|age| -age),
         proven: file.proven,
-        out: file.out,
+        withdrawn: file.out,
         speed: 1.0,
     }
 }
@@ -192,7 +200,7 @@
     }
     let line = |(host, weight): (&String, &f64)| Ok((names.host_id(host)?, *weight));
     let lines = file.lines.iter().map(line).collect::<Result<BTreeMap<HostId, f64>, UnknownHost>>()?;
-    Ok(Table { demand, lines })
+    Ok(Table { demand, weights: lines })
 }
 
 /// Orders in the calls in which a director would send them.
@@ -209,15 +217,17 @@
 fn build_order(file: OrderFile, names: &Names) -> Result<Order, UnknownHost> {
     Ok(match file {
         OrderFile::Line { slice, host, weight } => {
-            Order::Line { slice: SliceId(slice), host: names.host_id(&host)?, weight }
+            Order::SetWeight { slice: SliceId(slice), host: names.host_id(&host)?, weight }
+        }
+        OrderFile::Clear { slice } => Order::ClearTable(SliceId(slice)),
+        OrderFile::Withdraw { host, out } => {
+            Order::SetWithdrawn { host: names.host_id(&host)?, withdrawn: out }
         }
-        OrderFile::Clear { slice } => Order::Clear(SliceId(slice)),
-        OrderFile::Withdraw { host, out } => Order::Withdraw { host: names.host_id(&host)?, out },
     })
 }
 
 /// Events that are known to come.
-pub(crate) fn read_pending(path: &Path, names: &Names) -> Result<Vec<Pending>, FleetFileError> {
+pub(crate) fn read_pending(path: &Path, names: &Names) -> Result<Vec<PendingEvent>, FleetFileError> {
     let events: Vec<PendingFile> = read_json(path)?;
     events
         .into_iter()
@@ -226,10 +236,10 @@
         .map_err(|source| FleetFileError::UnknownHost { path: path.to_path_buf(), source })
 }
 
-fn build_pending(file: &PendingFile, names: &Names) -> Result<Pending, UnknownHost> {
+fn build_pending(file: &PendingFile, names: &Names) -> Result<PendingEvent, UnknownHost> {
     let event = match file.event {
-        ChangeFile::Leaves => Change::Leaves,
-        ChangeFile::Opens => Change::Opens,
+        ChangeFile::Leaves => HostEvent::Leaves,
+        ChangeFile::Opens => HostEvent::Opens,
     };
-    Ok(Pending { at: file.at, host: names.host_id(&file.host)?, what: event })
+    Ok(PendingEvent { at: file.at, host: names.host_id(&file.host)?, what: event })
 }
--- a/crates/tools/cli/src/names.rs
+++ b/crates/tools/cli/src/names.rs
@@ -39,19 +39,19 @@
     /// Why tables are unsafe, for a person.
     pub(crate) fn describe_reason(&self, reason: &Reason) -> String {
         match reason {
-            Reason::Bare { slice } => format!("slice {}: no open host", slice.0),
-            Reason::Falls { host, calls, stands } => {
+            Reason::Uncovered { slice } => format!("slice {}: no open host", slice.0),
+            Reason::ColdOverload { host, calls, stands } => {
                 let host = self.host_name(*host);
                 format!("cold host {host}: {calls:.1} calls a second, it stands {stands:.1}")
             }
-            Reason::Over { host, calls, carries } => {
+            Reason::WarmOverload { host, calls, carries } => {
                 format!("host {}: {calls:.1} calls a second, at most {carries:.1}", self.host_name(*host))
             }
-            Reason::Piled { route, host, share, bound } => {
+            Reason::HostConcentration { route, host, share, bound } => {
                 let (host, route) = (self.host_name(*host), &self.routes[route.0 as usize]);
                 format!("host {host}: {share:.2} of route {route}, at most {bound:.2}")
             }
-            Reason::Crammed { route, zone, share, bound } => {
+            Reason::ZoneConcentration { route, zone, share, bound } => {
                 let (zone, route) = (&self.zones[zone.0 as usize], &self.routes[route.0 as usize]);
                 format!("zone {zone}: {share:.2} of route {route}, at most {bound:.2}")
             }
@@ -61,7 +61,7 @@
     /// An order of a repair, for a person.
     pub(crate) fn describe_order(&self, order: &Order) -> String {
         match order {
-            Order::Line { slice, host, weight } => {
+            Order::SetWeight { slice, host, weight } => {
                 format!("slice {} host {} weight {weight}", slice.0, self.host_name(*host))
             }
             order => format!("{order:?}"),
--- a/crates/tools/cli/tests/cli.rs
+++ b/crates/tools/cli/tests/cli.rs
@@ -1,5 +1,5 @@
-//! The binary as an operator runs it: on files with faults, against a director on loopback, which needs neither relay nor
-//! hosts to accept changes, and against a stand-in that breaks off connections.
+//! The binary as an operator runs it: on files with faults, against a director on loopback, which needs neither relay
+//! nor hosts to accept changes, and against a stand-in that breaks off connections.
 
 use std::io::{BufRead, BufReader, Write};
 use std::os::unix::net::UnixListener;
--- a/crates/tools/lab/src/build.rs
+++ b/crates/tools/lab/src/build.rs
@@ -8,7 +8,7 @@
 
 use crate::platform::Platform;
 use coppersail::interface::{Input, Order};
-pub use registry::{number, path};
+pub use registry::{program_path, register_program};
 use std::io::{self, BufRead, BufReader, Write};
 use std::path::{Path, PathBuf};
 use std::process::{Child, ChildStdin, ChildStdout, Command, Stdio};
@@ -19,7 +19,7 @@
 const END_OF_ORDERS: &str = "READY";
 
 /// A build's process, killed when this is dropped.
-pub struct Build {
+pub struct BuildProcess {
     platform: Platform,
     seed: u64,
     child: Child,
@@ -48,12 +48,12 @@
     },
 }
 
-impl Build {
+impl BuildProcess {
     /// Starts the program, with pipes as its standard input and output.
     ///
     /// # Errors
     /// [`StartError`]: the program cannot be run.
-    pub fn start(program: &Path, platform: Platform, seed: u64) -> Result<Build, StartError> {
+    pub fn start(program: &Path, platform: Platform, seed: u64) -> Result<BuildProcess, StartError> {
         let mut child = Command::new(program)
             .stdin(Stdio::piped())
             .stdout(Stdio::piped())
@@ -63,7 +63,7 @@
         let (Some(stdin), Some(stdout)) = (child.stdin.take(), child.stdout.take()) else {
             return Err(StartError::NoPipes { program: program.to_path_buf() });
         };
-        Ok(Build { platform, seed, child, stdin, stdout: BufReader::new(stdout), configured: false })
+        Ok(BuildProcess { platform, seed, child, stdin, stdout: BufReader::new(stdout), configured: false })
     }
 
     /// Sends a batch of inputs at `now`, in seconds, and returns what the build orders on it. A build that ends in the
@@ -110,7 +110,7 @@
     }
 }
 
-impl Drop for Build {
+impl Drop for BuildProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
--- a/crates/tools/lab/src/build/decode.rs
+++ b/crates/tools/lab/src/build/decode.rs
@@ -1,29 +1,33 @@
 //! Orders of a director as they come over the simulator's wire.
 
 use super::clock::seconds;
-use coppersail::interface::{HostId, MarkId, Order, Retry, RouteId, Scope, SliceId, WakeId};
+use coppersail::interface::{HostId, Order, RetryPolicy, RoundId, RouteId, Scope, SliceId, TimerId};
 use coppersail_bench_codec as wire;
 
-/// The order that a line of the wire names; none if it is no order, or names a host that there is not. `routes`: how many
-/// routes there are.
+/// The order that a line of the wire names; none if it is no order, or names a host that there is not. `routes`: how
+/// many routes there are.
 pub(super) fn parse_order(line: &str, routes: usize) -> Option<Order> {
     let order = wire::Order::parse(line, 0).ok()?;
     Some(match order {
-        wire::Order::SetLine { host, table, w, .. } => {
-            Order::Line { slice: SliceId(table), host: parse_host(&host)?, weight: w }
+        wire::Order::SetWeight { host, slice: table, weight: w, .. } => {
+            Order::SetWeight { slice: SliceId(table), host: parse_host(&host)?, weight: w }
         }
-        wire::Order::ResetTable { table, .. } => Order::Clear(SliceId(table)),
-        wire::Order::HoldBack { host, set, .. } => Order::Withdraw { host: parse_host(&host)?, out: set },
-        wire::Order::Admit { table, only, level, resend, .. } => Order::Admit {
+        wire::Order::ClearTable { slice: table, .. } => Order::ClearTable(SliceId(table)),
+        wire::Order::SetWithdrawn { host, set, .. } => {
+            Order::SetWithdrawn { host: parse_host(&host)?, withdrawn: set }
+        }
+        wire::Order::Admit { slice: table, only, level, resend, .. } => Order::SetAdmission {
             scope: scope(table),
             routes: (0..routes as u16).filter(|route| only >> route & 1 == 1).map(RouteId).collect(),
             level,
             retry: retry(resend),
         },
-        wire::Order::Nonce { rev, set, .. } => Order::Mark { mark: MarkId(rev), all: set },
-        wire::Order::Sample { host, .. } => Order::Probe(parse_host(&host)?),
+        wire::Order::RequestAcknowledgement { version: rev, set, .. } => {
+            Order::RequestAcknowledgement { round: RoundId(rev), include_idle_proxies: set }
+        }
+        wire::Order::HealthCheck { host, .. } => Order::Probe(parse_host(&host)?),
         wire::Order::WakeAt { token, time_ns, .. } => {
-            Order::WakeAt { wake: WakeId(token), at: seconds(time_ns) }
+            Order::SetTimer { timer: TimerId(token), fires_at: seconds(time_ns) }
         }
         _ => return None,
     })
@@ -34,18 +38,18 @@
 }
 
 fn scope(table: u16) -> Scope {
-    if table == wire::ALL_TABLES {
-        Scope::Everywhere
+    if table == wire::ALL_SLICES {
+        Scope::AllProxies
     } else {
         Scope::Slice(SliceId(table))
     }
 }
 
-fn retry(resend: wire::Resend) -> Retry {
+fn retry(resend: wire::Resend) -> RetryPolicy {
     match resend {
-        wire::Resend::None => Retry::Never,
-        wire::Resend::NeverRan => Retry::IfNeverRan,
-        wire::Resend::One => Retry::Once,
-        wire::Resend::Two => Retry::Twice,
+        wire::Resend::None => RetryPolicy::Never,
+        wire::Resend::NeverRan => RetryPolicy::IfNotExecuted,
+        wire::Resend::One => RetryPolicy::Once,
+        wire::Resend::Two => RetryPolicy::Twice,
     }
 }
--- a/crates/tools/lab/src/build/encode.rs
+++ b/crates/tools/lab/src/build/encode.rs
@@ -1,13 +1,13 @@
 //! Inputs of a director as events on the simulator's wire.
 
 use super::clock::{duration_ns, time_ns};
-use crate::platform::{host_name, Places, Platform};
+use crate::platform::{host_name, Platform, ServiceAddresses};
 use coppersail::interface::{
-    HostState, Input, ListScope, Listing, Load, Outcome, ProxyId, RouteId, SliceId, ZoneId,
+    HostListEntry, HostState, Input, ListScope, LoadReport, Outcome, ProxyId, RouteId, SliceId, ZoneId,
 };
 use coppersail_bench_codec as wire;
 use coppersail_protocol::config::Config;
-use coppersail_settings::Boot;
+use coppersail_settings::DirectorSettings;
 use std::net::{Ipv4Addr, SocketAddr};
 
 /// The one director of a process.
@@ -21,34 +21,36 @@
 /// code. Nothing if they cannot be read.
 pub(super) fn write_configuration(platform: &Platform, seed: u64, text: &mut String) {
     let nowhere = SocketAddr::from((Ipv4Addr::LOCALHOST, UNUSED_PORT));
-    let places = Places { listen: nowhere, discovery: nowhere, relay: nowhere };
+    let places = ServiceAddresses { listen: nowhere, discovery: nowhere, relay: nowhere };
     let config = platform.config(DIRECTOR_NAME, seed, &places, "null");
     let Ok(config) = Config::parse(config.as_bytes()) else { return };
     let settings = config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-    let Ok(boot) = Boot::read(&settings) else { return };
-    write(wire::Event::Configure { who: DIRECTOR, seed, boot: Box::new(boot) }, text);
+    let Ok(boot) = DirectorSettings::read(&settings) else { return };
+    write(wire::Event::Configure { instance: DIRECTOR, seed, boot: Box::new(boot) }, text);
 }
 
 /// Writes the events that tell an input.
 pub(super) fn write_input(platform: &Platform, input: &Input, text: &mut String) {
     let event = match input {
-        Input::Hosts { scope, version, entries } => {
+        Input::HostListUpdate { scope, version, entries } => {
             write(membership_header(*scope, *version, entries.len()), text);
             for entry in entries {
                 write(membership_entry(platform, entry), text);
             }
             return;
         }
-        Input::Given(_) | Input::Taken(_) | Input::StoredLine { .. } => table_event(input),
-        Input::Joined { .. } | Input::Left(_) | Input::Applied { .. } => proxy_event(platform, input),
-        Input::Demand { .. } | Input::Tries { .. } => report_event(platform, input),
-        Input::Probed { .. } | Input::Wake(_) => requested_event(input),
+        Input::SliceAssigned(_) | Input::SliceRevoked(_) | Input::StoredWeight { .. } => table_event(input),
+        Input::ProxyJoined { .. } | Input::ProxyLeft(_) | Input::RoundAcknowledged { .. } => {
+            proxy_event(platform, input)
+        }
+        Input::SliceDemand { .. } | Input::AttemptStats { .. } => report_event(platform, input),
+        Input::ProbeFinished { .. } | Input::TimerFired(_) => requested_event(input),
         // The lab's world has no intake and no peers; operators' wishes and refused orders are not on this wire.
-        Input::Intake { .. }
-        | Input::Heard { .. }
-        | Input::Refused { .. }
-        | Input::Wishes(_)
-        | Input::Call(_) => None,
+        Input::ProxyDemand { .. }
+        | Input::PeerMessage { .. }
+        | Input::WeightsRejected { .. }
+        | Input::OverridesChanged(_)
+        | Input::RelayCall(_) => None,
     };
     if let Some(event) = event {
         write(event, text);
@@ -61,31 +63,31 @@
 }
 
 fn zone_name(platform: &Platform, zone: ZoneId) -> String {
-    platform.settings.zones[usize::from(zone.0)].clone()
+    platform.settings.zone_names[usize::from(zone.0)].clone()
 }
 
 fn membership_header(scope: ListScope, version: u64, entries: usize) -> wire::Event {
     let scope = match scope {
-        ListScope::Changes => wire::Scope::Delta,
-        ListScope::Whole => wire::Scope::Full,
-        ListScope::Remembered => wire::Scope::Cached,
+        ListScope::Delta => wire::Scope::Delta,
+        ListScope::Snapshot => wire::Scope::Full,
+        ListScope::CachedSnapshot => wire::Scope::Cached,
         ListScope::Failed => wire::Scope::Failed,
     };
-    wire::Event::Members { who: DIRECTOR, scope, rev: version, count: Some(entries as u64) }
+    wire::Event::Members { instance: DIRECTOR, scope, version, count: Some(entries as u64) }
 }
 
-fn membership_entry(platform: &Platform, entry: &Listing) -> wire::Event {
+fn membership_entry(platform: &Platform, entry: &HostListEntry) -> wire::Event {
     let status = match entry.state {
         HostState::Ready => wire::Status::Ready,
         HostState::Draining => wire::Status::Draining,
-        HostState::Gone => wire::Status::Gone,
+        HostState::Removed => wire::Status::Gone,
     };
     wire::Event::Item {
-        sku: platform.settings.kinds[usize::from(entry.kind.0)].clone(),
-        born_ns: entry.born.map(time_ns),
+        machine_kind: platform.settings.machine_types[usize::from(entry.machine_type.0)].clone(),
+        born_ns: entry.started_at.map(time_ns),
         host: host_name(entry.host),
-        w: entry.weight,
-        block: entry.cell.0,
+        weight: entry.weight,
+        cell: entry.cell.0,
         zone: zone_name(platform, entry.zone),
         status,
     }
@@ -94,12 +96,12 @@
 /// Which slices the director has, and their stored tables.
 fn table_event(input: &Input) -> Option<wire::Event> {
     match input {
-        Input::Given(slice) => Some(slice_assignment(*slice, true)),
-        Input::Taken(slice) => Some(slice_assignment(*slice, false)),
-        Input::StoredLine { slice, host, weight } => Some(wire::Event::CurrentOwner {
-            who: DIRECTOR,
-            table: slice.0,
-            w: *weight,
+        Input::SliceAssigned(slice) => Some(slice_assignment(*slice, true)),
+        Input::SliceRevoked(slice) => Some(slice_assignment(*slice, false)),
+        Input::StoredWeight { slice, host, weight } => Some(wire::Event::StoredWeight {
+            instance: DIRECTOR,
+            slice: slice.0,
+            weight: *weight,
             host: host_name(*host),
         }),
         _ => None,
@@ -107,24 +109,29 @@
 }
 
 fn slice_assignment(slice: SliceId, set: bool) -> wire::Event {
-    wire::Event::Tenure { who: DIRECTOR, set, table: slice.0 }
+    wire::Event::SliceOwnership { instance: DIRECTOR, set, slice: slice.0 }
 }
 
 fn proxy_event(platform: &Platform, input: &Input) -> Option<wire::Event> {
     match input {
-        Input::Joined { proxy: ProxyId(proxy), zone, calls_per_s, fresh } => Some(wire::Event::CheckedIn {
-            who: DIRECTOR,
+        Input::ProxyJoined {
+            proxy: ProxyId(proxy),
+            zone,
+            requests_per_s: calls_per_s,
+            without_tables: fresh,
+        } => Some(wire::Event::ProxyJoined {
+            instance: DIRECTOR,
             proxy: *proxy,
             zone: zone_name(platform, *zone),
-            w: *calls_per_s,
+            weight: *calls_per_s,
             set: *fresh,
         }),
-        Input::Left(proxy) => Some(wire::Event::DroppedOff { who: DIRECTOR, proxy: proxy.0 }),
-        Input::Applied { proxy, mark, took } => Some(wire::Event::Receipt {
-            who: DIRECTOR,
+        Input::ProxyLeft(proxy) => Some(wire::Event::ProxyLeft { instance: DIRECTOR, proxy: proxy.0 }),
+        Input::RoundAcknowledged { proxy, round: mark, latency: took } => Some(wire::Event::Acknowledged {
+            instance: DIRECTOR,
             proxy: proxy.0,
-            time_taken_ns: duration_ns(*took),
-            rev: mark.0,
+            duration_ns: duration_ns(*took),
+            version: mark.0,
         }),
         _ => None,
     }
@@ -133,24 +140,28 @@
 /// What collectors report.
 fn report_event(platform: &Platform, input: &Input) -> Option<wire::Event> {
     match input {
-        Input::Demand { slice, route: RouteId(route), calls, dropped, span } => Some(wire::Event::Heat {
-            who: DIRECTOR,
-            covers_ns: duration_ns(*span),
-            grade: platform.routes[usize::from(*route)].clone(),
-            bad: *dropped,
-            many: *calls,
-            table: slice.0,
-        }),
-        Input::Tries { host, zone, span, tries, dropped, rt, load } => Some(wire::Event::Roundup {
-            who: DIRECTOR,
-            time_taken_ns: duration_ns(*rt),
-            zone: zone_name(platform, *zone),
-            covers_ns: duration_ns(*span),
-            host: host_name(*host),
-            many: *tries,
-            bad: *dropped,
-            telemetry: telemetry(load),
-        }),
+        Input::SliceDemand { slice, route: RouteId(route), requests: calls, dropped, window } => {
+            Some(wire::Event::Demand {
+                instance: DIRECTOR,
+                window_ns: duration_ns(*window),
+                route: platform.routes[usize::from(*route)].clone(),
+                dropped: *dropped,
+                requests: *calls,
+                slice: slice.0,
+            })
+        }
+        Input::AttemptStats { host, zone, window, attempts, dropped, mean_response_time, load } => {
+            Some(wire::Event::AttemptReport {
+                instance: DIRECTOR,
+                duration_ns: duration_ns(*mean_response_time),
+                zone: zone_name(platform, *zone),
+                window_ns: duration_ns(*window),
+                host: host_name(*host),
+                requests: *attempts,
+                dropped: *dropped,
+                telemetry: telemetry(load),
+            })
+        }
         _ => None,
     }
 }
@@ -158,34 +169,36 @@
 /// Answers to what the director has asked for: health checks and timers.
 fn requested_event(input: &Input) -> Option<wire::Event> {
     match input {
-        Input::Probed { host, outcome, took, load } => Some(wire::Event::Pong {
-            who: DIRECTOR,
-            host: host_name(*host),
-            outcome: health_check_outcome(*outcome),
-            time_taken_ns: duration_ns(*took),
-            telemetry: telemetry(load),
-        }),
-        Input::Wake(wake) => Some(wire::Event::Reminder { who: DIRECTOR, token: wake.0 }),
+        Input::ProbeFinished { host, outcome, duration: took, load } => {
+            Some(wire::Event::HealthCheckResult {
+                instance: DIRECTOR,
+                host: host_name(*host),
+                outcome: health_check_outcome(*outcome),
+                duration_ns: duration_ns(*took),
+                telemetry: telemetry(load),
+            })
+        }
+        Input::TimerFired(wake) => Some(wire::Event::TimerFired { instance: DIRECTOR, token: wake.0 }),
         _ => None,
     }
 }
 
 fn health_check_outcome(outcome: Outcome) -> wire::Outcome {
     match outcome {
-        Outcome::Answered => wire::Outcome::Success,
-        Outcome::Error => wire::Outcome::Failure,
+        Outcome::Succeeded => wire::Outcome::Success,
+        Outcome::ErrorResponse => wire::Outcome::Failure,
         Outcome::Throttled => wire::Outcome::Overloaded,
         Outcome::TimedOut => wire::Outcome::TimedOut,
-        Outcome::Unreachable => wire::Outcome::Unreachable,
-        Outcome::Broken => wire::Outcome::Broken,
+        Outcome::ConnectFailed => wire::Outcome::Unreachable,
+        Outcome::ConnectionLost => wire::Outcome::Broken,
         Outcome::Withdrawn => wire::Outcome::Withdrawn,
-        Outcome::Void => wire::Outcome::Void,
+        Outcome::Discarded => wire::Outcome::Void,
     }
 }
 
 /// A host's load as named figures; none if it told nothing.
-fn telemetry(load: &Load) -> Option<wire::Telemetry> {
-    let figures = Platform::report(load);
+fn telemetry(load: &LoadReport) -> Option<wire::Telemetry> {
+    let figures = Platform::load_report(load);
     if figures.is_empty() {
         return None;
     }
--- a/crates/tools/lab/src/build/registry.rs
+++ b/crates/tools/lab/src/build/registry.rs
@@ -10,7 +10,7 @@
 }
 
 /// The number of a build, in this process; the same program has the same one.
-pub fn number(path: &Path) -> u8 {
+pub fn register_program(path: &Path) -> u8 {
     let mut programs = programs();
     let known = programs.iter().position(|program| program == path);
     let index = known.unwrap_or_else(|| {
@@ -21,6 +21,6 @@
 }
 
 /// The path of the build with that number; empty if there is none.
-pub fn path(number: u8) -> PathBuf {
+pub fn program_path(number: u8) -> PathBuf {
     programs().get(usize::from(number)).cloned().unwrap_or_default()
 }
--- a/crates/tools/lab/src/commands/mod.rs
+++ b/crates/tools/lab/src/commands/mod.rs
@@ -1,4 +1,5 @@
-//! A function for each command. Each returns whether all checks hold: the exit status is 0 if so, else 1; an error is 2.
+//! A function for each command. Each returns whether all checks hold: the exit status is 0 if so, else 1; an error is
+//! 2.
 
 mod logs;
 mod play;
--- a/crates/tools/lab/src/commands/play.rs
+++ b/crates/tools/lab/src/commands/play.rs
@@ -15,8 +15,8 @@
     let (outcome, world) = play(&scenario, kind, seed);
     let elapsed_s = start.elapsed().as_secs_f64();
     println!("{}", table(std::slice::from_ref(&outcome)));
-    if kind == Kind::Live {
-        println!("real time, {:.0} ms behind at most", 1e3 * world.behind);
+    if kind == Kind::Process {
+        println!("real time, {:.0} ms behind at most", 1e3 * world.max_lag);
     }
     print_events(&world);
     let events = outcome.events as f64;
@@ -40,11 +40,11 @@
 
 /// What the directors reported to operators, then the rules that were broken.
 fn print_events(world: &World) {
-    for (at, director, text) in world.told() {
+    for (at, director, text) in world.change_log() {
         println!("{at:.1} s: director {director}: {text}");
     }
-    for broken in &world.rules.broken {
-        println!("{:.2} s: rule {}: {}", broken.at, broken.rule, broken.what);
+    for broken in &world.rules.violations {
+        println!("{:.2} s: rule {}: {}", broken.at, broken.rule, broken.subject);
     }
 }
 
--- a/crates/tools/lab/src/experiment.rs
+++ b/crates/tools/lab/src/experiment.rs
@@ -1,5 +1,5 @@
-//! Many plays: grids over scenarios, policies and seeds, comparisons in pairs, agreement of simulated with real time, the
-//! smallest scenario that still fails, and the search for a bad one.
+//! Many plays: grids over scenarios, policies and seeds, comparisons in pairs, agreement of simulated with real time,
+//! the smallest scenario that still fails, and the search for a bad one.
 
 mod agreement;
 mod comparison;
--- a/crates/tools/lab/src/experiment/agreement.rs
+++ b/crates/tools/lab/src/experiment/agreement.rs
@@ -5,7 +5,8 @@
 use crate::policy::Kind;
 use crate::scenario::Scenario;
 
-/// How far the service in real time may lie outside of what the seeds give: reports and orders come at other moments there.
+/// How far the service in real time may lie outside of what the seeds give: reports and orders come at other moments
+/// there.
 const TOLERANCE: f64 = 0.03;
 /// The seed of the play in real time.
 const LIVE_SEED: u64 = 1;
@@ -21,7 +22,7 @@
     /// The play in real time.
     pub live: Outcome,
     /// Seconds by which the play in real time was behind the clock at most.
-    pub behind: f64,
+    pub max_lag: f64,
 }
 
 /// The lowest and the highest of some figures.
@@ -32,9 +33,9 @@
 
 impl Agreement {
     fn play(scenario: &Scenario, seeds: u64) -> Agreement {
-        let simulated = (1..=seeds).map(|seed| play(scenario, Kind::Reduced, seed).0).collect();
-        let (live, world) = play(scenario, Kind::Live, LIVE_SEED);
-        Agreement { scenario: scenario.name.clone(), simulated, live, behind: world.behind }
+        let simulated = (1..=seeds).map(|seed| play(scenario, Kind::Reducer, seed).0).collect();
+        let (live, world) = play(scenario, Kind::Process, LIVE_SEED);
+        Agreement { scenario: scenario.name.clone(), simulated, live, max_lag: world.max_lag }
     }
 
     fn simulated_range(&self, figure: fn(&Outcome) -> f64) -> Range {
@@ -48,14 +49,14 @@
     /// Whether service in real time lies where that of the seeds does, and no rule was violated that they all kept.
     pub fn holds(&self) -> bool {
         let Range { min, max } = self.simulated_range(|outcome| outcome.service);
-        let rules = self.live.broken == 0 || self.simulated.iter().any(|outcome| outcome.broken > 0);
+        let rules = self.live.violations == 0 || self.simulated.iter().any(|outcome| outcome.violations > 0);
         rules && self.live.service >= min - TOLERANCE && self.live.service <= max + TOLERANCE
     }
 
     /// A row of a Markdown table.
     pub fn row(&self) -> String {
         let service = self.simulated_range(|outcome| outcome.service);
-        let worst = self.simulated_range(|outcome| outcome.worst);
+        let worst = self.simulated_range(|outcome| outcome.worst_window);
         format!(
             "| {} | {:.3} to {:.3} | {:.3} | {:.3} to {:.3} | {:.3} | {} | {:.0} ms | {} |",
             self.scenario,
@@ -64,9 +65,9 @@
             self.live.service,
             worst.min,
             worst.max,
-            self.live.worst,
-            self.live.broken,
-            MS_PER_S * self.behind,
+            self.live.worst_window,
+            self.live.violations,
+            MS_PER_S * self.max_lag,
             if self.holds() { "yes" } else { "no" },
         )
     }
--- a/crates/tools/lab/src/experiment/comparison.rs
+++ b/crates/tools/lab/src/experiment/comparison.rs
@@ -30,7 +30,10 @@
             pairs.iter().map(|(first, second)| figure(second) - figure(first)).collect();
         paired(&differences)
     };
-    Difference { service: estimate(|outcome| outcome.service), worst: estimate(|outcome| outcome.worst) }
+    Difference {
+        service: estimate(|outcome| outcome.service),
+        worst: estimate(|outcome| outcome.worst_window),
+    }
 }
 
 /// A Markdown table of means, with a row for each scenario and policy.
@@ -54,12 +57,12 @@
     let mean = |figure: fn(&Outcome) -> f64| {
         outcomes.iter().map(|outcome| figure(outcome)).sum::<f64>() / plays as f64
     };
-    let with_violations = outcomes.iter().filter(|outcome| outcome.broken > 0).count();
+    let with_violations = outcomes.iter().filter(|outcome| outcome.violations > 0).count();
     format!(
         "| {scenario} | {} | {plays} | {:.3} | {:.3} | {:.3} | {with_violations} of {plays} | {:.0} |\n",
         policy.name(),
         mean(|outcome| outcome.service),
-        mean(|outcome| outcome.worst),
+        mean(|outcome| outcome.worst_window),
         mean(|outcome| outcome.worst_route),
         mean(|outcome| outcome.lines),
     )
@@ -72,8 +75,8 @@
     service: f64,
 }
 
-/// Markdown tables of how the lab orders policies beside `scores` that something else gave them: the rank correlation over
-/// all scenarios, and for each one. Scores are by the last word of a policy's name.
+/// Markdown tables of how the lab orders policies beside `scores` that something else gave them: the rank correlation
+/// over all scenarios, and for each one. Scores are by the last word of a policy's name.
 pub fn ranked(outcomes: &[Outcome], scores: &BTreeMap<String, f64>) -> String {
     let everything: Vec<&Outcome> = outcomes.iter().collect();
     let mut all = scored_policies(&everything, scores);
--- a/crates/tools/lab/src/experiment/grid.rs
+++ b/crates/tools/lab/src/experiment/grid.rs
@@ -1,5 +1,5 @@
-//! A grid: every scenario with every policy on every seed. Results are kept in a file as they come, so that a grid that was
-//! killed goes on where it was.
+//! A grid: every scenario with every policy on every seed. Results are kept in a file as they come, so that a grid
+//! that was killed goes on where it was.
 
 use super::outcome::{play, Outcome};
 use crate::policy::Kind;
@@ -51,7 +51,8 @@
 }
 
 /// Plays what is not in the results' file yet, on up to `threads` threads, and appends each result as its play ends.
-/// `progress` is called with the number of plays that are done, and of all. Returns all results in the order of the grid.
+/// `progress` is called with the number of plays that are done, and of all. Returns all results in the order of the
+/// grid.
 ///
 /// # Errors
 /// [`GridError`]: the file cannot be written, or a play panicked.
--- a/crates/tools/lab/src/experiment/hunt.rs
+++ b/crates/tools/lab/src/experiment/hunt.rs
@@ -2,7 +2,7 @@
 
 use super::outcome::play;
 use crate::policy::Kind;
-use crate::scenario::{Fault, Scenario, What};
+use crate::scenario::{Fault, FaultKind, Scenario};
 use fastrand::Rng;
 use std::ops::Range;
 
@@ -44,7 +44,7 @@
     let score = |scenario: &Scenario| {
         let (outcome, _) = play(scenario, policy, seed);
         match objective {
-            HuntObjective::RuleViolations => outcome.broken as f64,
+            HuntObjective::RuleViolations => outcome.violations as f64,
             HuntObjective::ServiceGap => {
                 let (ideal, _) = play(scenario, Kind::TrueState, seed);
                 ideal.service - outcome.service
@@ -87,28 +87,28 @@
     let what = drawn_kind(scenario, rng);
     let at = (0.1 + 0.6 * rng.f64()) * scenario.seconds;
     let lasts = (0.1 + 0.25 * rng.f64()) * scenario.seconds;
-    Fault { at, lasts, what }
+    Fault { at, duration: lasts, kind: what }
 }
 
-fn drawn_kind(scenario: &Scenario, rng: &mut Rng) -> What {
+fn drawn_kind(scenario: &Scenario, rng: &mut Rng) -> FaultKind {
     let fleet = &scenario.fleet;
     // Drawn also for faults that have no share.
     let share = 0.1 + 0.4 * rng.f64();
     match rng.u8(0..FAULT_KINDS) {
-        0 => What::Kill { share },
-        1 => What::KillZone { zone: rng.u16(0..fleet.zones) },
-        2 => What::Hang { share: share / 2.0 },
-        3 => What::Slow { share, factor: 2.0 + 4.0 * rng.f64() },
-        4 => What::Cut { zone: rng.u16(0..fleet.zones) },
-        5 => What::Roll { share: 1.0, at_a_time: 1 + fleet.hosts / 6 },
-        6 => What::ListLate { by: 2.0 + 6.0 * rng.f64() },
-        7 => What::StoreDown,
-        8 => What::KillDirector { director: rng.usize(0..fleet.directors) },
-        9 => What::Flood { factor: 1.3 + 0.7 * rng.f64() },
+        0 => FaultKind::Kill { share },
+        1 => FaultKind::KillZone { zone: rng.u16(0..fleet.zones) },
+        2 => FaultKind::Hang { share: share / 2.0 },
+        3 => FaultKind::Slow { share, factor: 2.0 + 4.0 * rng.f64() },
+        4 => FaultKind::Cut { zone: rng.u16(0..fleet.zones) },
+        5 => FaultKind::Roll { share: 1.0, at_a_time: 1 + fleet.hosts / 6 },
+        6 => FaultKind::ListLate { by: 2.0 + 6.0 * rng.f64() },
+        7 => FaultKind::StoreDown,
+        8 => FaultKind::KillDirector { director: rng.usize(0..fleet.directors) },
+        9 => FaultKind::Flood { factor: 1.3 + 0.7 * rng.f64() },
         10 => {
             let route = rng.usize(0..scenario.load.routes.len());
-            What::Cost { route, factor: 1.5 + 2.0 * rng.f64() }
+            FaultKind::Cost { route, factor: 1.5 + 2.0 * rng.f64() }
         }
-        _ => What::ReportsLost { share: 0.5 + 0.5 * rng.f64() },
+        _ => FaultKind::ReportsLost { share: 0.5 + 0.5 * rng.f64() },
     }
 }
--- a/crates/tools/lab/src/experiment/outcome.rs
+++ b/crates/tools/lab/src/experiment/outcome.rs
@@ -22,12 +22,12 @@
     pub service: f64,
     /// Service in the worst ten seconds.
     #[serde(rename = "worst")]
-    pub worst: f64,
+    pub worst_window: f64,
     /// Service of the worst route.
     pub worst_route: f64,
     /// Violations of the five rules.
     #[serde(rename = "broken")]
-    pub broken: u64,
+    pub violations: u64,
     /// Calls that arrived.
     pub calls: u64,
     /// Events that were simulated.
@@ -39,7 +39,7 @@
 /// Plays a scenario: in real time if the policy is the director's binary, else in simulated time.
 pub fn play(scenario: &Scenario, kind: Kind, seed: u64) -> (Outcome, World) {
     let world = World::new(scenario, kind, seed);
-    let world = if kind == Kind::Live { world.run_live() } else { world.run() };
+    let world = if kind == Kind::Process { world.run_live() } else { world.run() };
     (Outcome::of(&world, kind, seed), world)
 }
 
@@ -52,28 +52,28 @@
             policy: kind,
             seed,
             service: rounded(measured.service()),
-            worst: rounded(measured.worst()),
+            worst_window: rounded(measured.worst_window()),
             worst_route: rounded(measured.worst_route()),
-            broken: world.rules.many,
+            violations: world.rules.many,
             calls: measured.seconds.iter().map(|second| u64::from(second.calls)).sum(),
             events: measured.events,
-            lines: measured.seconds.iter().map(|second| second.lines).sum(),
+            lines: measured.seconds.iter().map(|second| second.table_lines).sum(),
         }
     }
 
     /// The first of the scenario's checks that does not hold, in words.
     pub fn failed(&self, scenario: &Scenario) -> Option<String> {
         let checks = &scenario.checks;
-        if checks.rules && self.broken > 0 {
-            return Some(format!("{} breaks of rules", self.broken));
+        if checks.rules && self.violations > 0 {
+            return Some(format!("{} breaks of rules", self.violations));
         }
-        if self.service < checks.service_least {
-            let least = checks.service_least;
+        if self.service < checks.min_service {
+            let least = checks.min_service;
             return Some(format!("service {:.3}, expected {least:.3} at least", self.service));
         }
-        if self.worst < checks.worst_least {
-            let least = checks.worst_least;
-            return Some(format!("worst ten seconds {:.3}, expected {least:.3} at least", self.worst));
+        if self.worst_window < checks.min_worst_service {
+            let least = checks.min_worst_service;
+            return Some(format!("worst ten seconds {:.3}, expected {least:.3} at least", self.worst_window));
         }
         None
     }
--- a/crates/tools/lab/src/experiment/shrink.rs
+++ b/crates/tools/lab/src/experiment/shrink.rs
@@ -13,8 +13,8 @@
 /// A shorter scenario has at most this share of the former one's time.
 const SHORTER_SHARE: f64 = 0.75;
 
-/// The smallest part of a scenario that still fails: faults are removed, then made shorter, then the scenario itself is,
-/// as long as it fails.
+/// The smallest part of a scenario that still fails: faults are removed, then made shorter, then the scenario itself
+/// is, as long as it fails.
 pub fn shrunk(scenario: &Scenario, fails: &dyn Fn(&Scenario) -> bool) -> Scenario {
     let mut smallest = scenario.clone();
     let mut plays = 0;
@@ -53,8 +53,8 @@
     let mut candidates = Vec::new();
     for index in 0..scenario.faults.len() {
         let mut shorter = scenario.clone();
-        shorter.faults[index].lasts /= 2.0;
-        if shorter.faults[index].lasts >= MIN_FAULT_SECONDS {
+        shorter.faults[index].duration /= 2.0;
+        if shorter.faults[index].duration >= MIN_FAULT_SECONDS {
             candidates.push(shorter);
         }
     }
@@ -62,7 +62,7 @@
 }
 
 fn with_less_time(scenario: &Scenario) -> Option<Scenario> {
-    let last_fault = scenario.faults.iter().map(|fault| fault.at + fault.lasts).fold(0.0, f64::max);
+    let last_fault = scenario.faults.iter().map(|fault| fault.at + fault.duration).fold(0.0, f64::max);
     let seconds = (last_fault + SECONDS_AFTER_FAULTS).min(SHORTER_SHARE * scenario.seconds);
     (seconds >= MIN_SCENARIO_SECONDS).then(|| Scenario { seconds, ..scenario.clone() })
 }
--- a/crates/tools/lab/src/live.rs
+++ b/crates/tools/lab/src/live.rs
@@ -1,6 +1,6 @@
-//! A director's binary in real time on loopback. Fakes of the relay, of discovery, of collectors and of hosts tell it over
-//! sockets what the world tells. Each director has a [`Live`]; the world plays on one thread, and what a director orders, its
-//! health checks included, comes back over a channel.
+//! A director's binary in real time on loopback. Fakes of the relay, of discovery, of collectors and of hosts tell it
+//! over sockets what the world tells. Each director has a [`Live`]; the world plays on one thread, and what a
+//! director orders, its health checks included, comes back over a channel.
 
 mod collectors;
 mod discovery;
@@ -12,7 +12,7 @@
 mod relay;
 mod threads;
 
-use crate::platform::{Places, Platform};
+use crate::platform::{Platform, ServiceAddresses};
 use collectors::Collectors;
 use coppersail::interface::{Input, Order};
 pub use error::StartError;
@@ -56,7 +56,8 @@
         let fakes = Fakes::start(&platform, inputs)?;
         // Bound and given back: the director takes the port next.
         let listen = LoopbackListener::bind()?.address;
-        let places = Places { listen, discovery: fakes.discovery_address, relay: fakes.relay_address };
+        let places =
+            ServiceAddresses { listen, discovery: fakes.discovery_address, relay: fakes.relay_address };
         let config = platform.config(DIRECTOR_NAME, seed, &places, &fakes.membership());
         let folder = WorkFolder::create(&config)?;
         let process = DirectorProcess::spawn(program, &folder)?;
@@ -81,13 +82,13 @@
     }
 
     /// Sends the inputs to the director. `down`: the store is down, and the relay breaks its connections.
-    pub fn hear(&mut self, inputs: &[Input], down: bool) {
+    pub fn deliver(&mut self, inputs: &[Input], down: bool) {
         self.fakes.deliver(inputs, down);
         self.collectors.deliver(inputs);
     }
 
     /// What the director has ordered since the last call, without waiting.
-    pub fn ordered(&self) -> Vec<Order> {
+    pub fn take_orders(&self) -> Vec<Order> {
         self.fakes.take_orders()
     }
 
--- a/crates/tools/lab/src/live/collectors.rs
+++ b/crates/tools/lab/src/live/collectors.rs
@@ -27,7 +27,7 @@
 
     /// Connects the collectors that have no connection; whether all have one now.
     pub(super) fn connect_all(&mut self) -> bool {
-        let zones = self.platform.settings.zones.len();
+        let zones = self.platform.settings.zone_names.len();
         for zone in 0..zones {
             self.connect(ZoneId(zone as u16));
         }
@@ -42,7 +42,7 @@
             return;
         };
         let _ = stream.set_write_timeout(Some(WRITE_TIMEOUT));
-        let hello = self.platform.joining(zone);
+        let hello = self.platform.collector_hello(zone);
         if stream.write_all(hello.as_bytes()).is_ok() {
             self.connections.insert(zone, stream);
         }
@@ -52,7 +52,7 @@
     pub(super) fn deliver(&mut self, inputs: &[Input]) {
         let mut texts: BTreeMap<ZoneId, String> = BTreeMap::new();
         for input in inputs {
-            if let Some((zone, line)) = self.platform.collected(input) {
+            if let Some((zone, line)) = self.platform.collector_report(input) {
                 *texts.entry(zone).or_default() += &line;
             }
         }
--- a/crates/tools/lab/src/live/discovery.rs
+++ b/crates/tools/lab/src/live/discovery.rs
@@ -2,7 +2,7 @@
 
 use super::http;
 use crate::platform::Platform;
-use coppersail::interface::{HostId, Input, Listing};
+use coppersail::interface::{HostId, HostListEntry, Input};
 use std::collections::BTreeMap;
 use std::io::Write;
 use std::net::{SocketAddr, TcpStream};
@@ -19,7 +19,7 @@
 #[derive(Default)]
 struct DiscoveryState {
     version: u64,
-    entries: BTreeMap<HostId, Listing>,
+    entries: BTreeMap<HostId, HostListEntry>,
     watchers: Vec<TcpStream>,
 }
 
@@ -32,7 +32,7 @@
     ) -> Self {
         let mut state = DiscoveryState::default();
         for input in inputs {
-            if let Input::Hosts { version, entries, .. } = input {
+            if let Input::HostListUpdate { version, entries, .. } = input {
                 state.update(*version, entries);
             }
         }
@@ -44,12 +44,12 @@
     }
 
     /// The list as JSON: all entries if `full`, else those that changed.
-    fn encode(&self, version: u64, full: bool, entries: &[Listing]) -> String {
-        self.platform.list(version, full, entries, &|host| self.addresses[&host])
+    fn encode(&self, version: u64, full: bool, entries: &[HostListEntry]) -> String {
+        self.platform.endpoint_list(version, full, entries, &|host| self.addresses[&host])
     }
 
     fn encode_full(&self, state: &DiscoveryState) -> String {
-        let entries: Vec<Listing> = state.entries.values().cloned().collect();
+        let entries: Vec<HostListEntry> = state.entries.values().cloned().collect();
         self.encode(state.version, true, &entries)
     }
 
@@ -76,7 +76,7 @@
     pub(super) fn deliver(&self, inputs: &[Input]) {
         let mut state = self.lock();
         for input in inputs {
-            if let Input::Hosts { version, entries, .. } = input {
+            if let Input::HostListUpdate { version, entries, .. } = input {
                 state.update(*version, entries);
                 let body = self.encode(*version, false, entries) + "\n";
                 state.broadcast(&http::chunk(&body));
@@ -86,7 +86,7 @@
 }
 
 impl DiscoveryState {
-    fn update(&mut self, version: u64, entries: &[Listing]) {
+    fn update(&mut self, version: u64, entries: &[HostListEntry]) {
         self.version = version;
         for entry in entries {
             self.entries.insert(entry.host, entry.clone());
--- a/crates/tools/lab/src/live/fakes.rs
+++ b/crates/tools/lab/src/live/fakes.rs
@@ -85,7 +85,7 @@
 fn bind_hosts(inputs: &[Input]) -> Result<BTreeMap<HostId, LoopbackListener>, StartError> {
     let mut listeners = BTreeMap::new();
     for input in inputs {
-        if let Input::Hosts { entries, .. } = input {
+        if let Input::HostListUpdate { entries, .. } = input {
             for entry in entries {
                 listeners.insert(entry.host, LoopbackListener::bind()?);
             }
--- a/crates/tools/lab/src/live/hosts.rs
+++ b/crates/tools/lab/src/live/hosts.rs
@@ -2,7 +2,7 @@
 
 use super::http;
 use crate::platform::Platform;
-use coppersail::interface::{HostId, Input, Load, Order, Outcome};
+use coppersail::interface::{HostId, Input, LoadReport, Order, Outcome};
 use std::collections::{BTreeMap, VecDeque};
 use std::io::Write;
 use std::net::TcpStream;
@@ -46,7 +46,7 @@
     /// Answers the oldest health check for each outcome among the inputs.
     pub(super) fn deliver(&self, inputs: &[Input]) {
         for input in inputs {
-            if let Input::Probed { host, outcome, load, .. } = input {
+            if let Input::ProbeFinished { host, outcome, load, .. } = input {
                 let oldest = self.lock().get_mut(host).and_then(VecDeque::pop_front);
                 if let Some(stream) = oldest {
                     answer(stream, *outcome, load);
@@ -57,9 +57,9 @@
 }
 
 /// Ends a health check as the world decided.
-fn answer(mut stream: TcpStream, outcome: Outcome, load: &Load) {
+fn answer(mut stream: TcpStream, outcome: Outcome, load: &LoadReport) {
     let status = match outcome {
-        Outcome::Answered => "200 OK",
+        Outcome::Succeeded => "200 OK",
         Outcome::Throttled => "503 Service Unavailable",
         Outcome::TimedOut => {
             close_late(stream);
@@ -68,7 +68,7 @@
         // A connection that was accepted cannot be refused any more; closing it without an answer comes nearest.
         _ => return,
     };
-    let text = http::response(status, &Platform::load_text(load));
+    let text = http::response(status, &Platform::health_check_body(load));
     let _ = stream.write_all(text.as_bytes());
 }
 
--- a/crates/tools/lab/src/live/relay.rs
+++ b/crates/tools/lab/src/live/relay.rs
@@ -1,6 +1,6 @@
 //! The fake of the relay: it accepts table orders, and sends updates to the connections that follow it.
 
-use crate::platform::{Platform, Standing};
+use crate::platform::{Platform, RelayTables};
 use coppersail::interface::{Input, Order};
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpStream};
@@ -27,7 +27,7 @@
 #[derive(Default)]
 struct RelayState {
     /// Proxies and tables, as a new follower is told them.
-    standing: Standing,
+    standing: RelayTables,
     /// Connections that asked for updates.
     followers: Vec<TcpStream>,
     /// All connections, to be broken when the store goes down.
@@ -41,7 +41,7 @@
     pub(super) fn new(platform: Arc<Platform>, orders: Sender<Vec<Order>>, inputs: &[Input]) -> Self {
         let mut state = RelayState::default();
         for input in inputs {
-            state.standing.hear(input);
+            state.standing.apply_input(input);
         }
         Relay { platform, state: Mutex::new(state), orders }
     }
@@ -93,7 +93,7 @@
             return INVALID_CALL.to_string();
         };
         let answer = format!("OK {}\r\n", orders.len());
-        state.standing.carry_out(&orders);
+        state.standing.apply_orders(&orders);
         // The play is over if nobody receives them.
         let _ = self.orders.send(orders);
         answer
@@ -107,8 +107,8 @@
             state.close_connections();
         }
         for input in inputs {
-            state.standing.hear(input);
-            if let Some(line) = self.platform.news(input) {
+            state.standing.apply_input(input);
+            if let Some(line) = self.platform.relay_update(input) {
                 state.broadcast(&line);
             }
         }
@@ -128,7 +128,7 @@
 impl RelayState {
     /// Sends all that is known, and updates from now on. The lock is held meanwhile, so that no update is missed.
     fn follow(&mut self, platform: &Platform, stream: &mut TcpStream) -> Option<()> {
-        let text = self.standing.lines(platform).join("\r\n") + "\r\n";
+        let text = self.standing.snapshot_lines(platform).join("\r\n") + "\r\n";
         stream.write_all(text.as_bytes()).ok()?;
         self.followers.extend(stream.try_clone());
         Some(())
--- a/crates/tools/lab/src/logs.rs
+++ b/crates/tools/lab/src/logs.rs
@@ -1,5 +1,5 @@
-//! Merges the logs of several directors by time and counts their lines by kind, so that something harmless in one director
-//! but harmful in all at once is visible. Pure: text in, text out.
+//! Merges the logs of several directors by time and counts their lines by kind, so that something harmless in one
+//! director but harmful in all at once is visible. Pure: text in, text out.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Write;
@@ -24,8 +24,8 @@
     pub without_time: usize,
 }
 
-/// Parses the log with index `log`, whose clock began at `offset_s` seconds of the shared clock. A line begins with its time;
-/// if a bench has put its own time before it, that one counts and the director's is skipped.
+/// Parses the log with index `log`, whose clock began at `offset_s` seconds of the shared clock. A line begins with
+/// its time; if a bench has put its own time before it, that one counts and the director's is skipped.
 pub fn read(log: usize, text: &str, offset_s: f64) -> ParsedLog {
     let mut parsed = ParsedLog::default();
     for line in text.lines().filter(|line| !line.trim().is_empty()) {
--- a/crates/tools/lab/src/main.rs
+++ b/crates/tools/lab/src/main.rs
@@ -1,5 +1,5 @@
-//! `coppersail-lab`: plays scenarios, compares, shrinks, hunts, reports. Exit status: 0 done, 1 a check failed, 2 what was
-//! given cannot be read or kept.
+//! `coppersail-lab`: plays scenarios, compares, shrinks, hunts, reports. Exit status: 0 done, 1 a check failed, 2
+//! what was given cannot be read or kept.
 
 mod cli;
 mod commands;
--- a/crates/tools/lab/src/measure.rs
+++ b/crates/tools/lab/src/measure.rs
@@ -4,14 +4,14 @@
 
 /// Latencies are recorded up to ten minutes.
 const MAX_LATENCY_MS: u64 = 600_000;
-/// The window of [`Measured::worst`].
+/// The window of [`Measured::worst_window`].
 const WINDOW_SECONDS: usize = 10;
 
 /// Sums over the calls that arrived within one second of simulated time.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Second {
     /// Importance of the calls that arrived.
-    pub asked: f64,
+    pub offered: f64,
     /// Importance of those that were answered within their latency target.
     pub served: f64,
     /// Calls that arrived.
@@ -25,13 +25,13 @@
     /// Calls that failed.
     pub dropped: u32,
     /// Attempts at hosts.
-    pub tries: u32,
+    pub attempts: u32,
     /// Table lines written to proxies, summed over the proxies.
-    pub lines: f64,
+    pub table_lines: f64,
     /// The longest queue at a host, sampled once.
-    pub queue: u32,
+    pub longest_queue: u32,
     /// Hosts that are ready and answer, sampled once.
-    pub open_hosts: u32,
+    pub serving_hosts: u32,
 }
 
 /// What a route got.
@@ -52,7 +52,7 @@
     /// By route, over the whole play.
     pub by_route: Vec<RouteService>,
     /// Calls that wait or run at each host, sampled each second.
-    pub heat: Vec<Vec<u16>>,
+    pub jobs_by_host: Vec<Vec<u16>>,
     /// Events that were processed.
     pub events: u64,
     /// Health checks that hosts received.
@@ -70,7 +70,7 @@
             seconds: vec![Second::default(); seconds.ceil() as usize + 1],
             latency: (0..routes).map(|_| histogram()).collect(),
             by_route: vec![RouteService::default(); routes],
-            heat: Vec::new(),
+            jobs_by_host: Vec::new(),
             events: 0,
             health_checks: 0,
         }
@@ -88,11 +88,11 @@
     }
 
     /// Service in the worst ten seconds in a row.
-    pub fn worst(&self) -> f64 {
+    pub fn worst_window(&self) -> f64 {
         let windows = self
             .seconds
             .windows(WINDOW_SECONDS.min(self.seconds.len()))
-            .filter(|window| window.iter().any(|s| s.asked > 0.0));
+            .filter(|window| window.iter().any(|s| s.offered > 0.0));
         windows.map(share).fold(1.0, f64::min)
     }
 
@@ -106,7 +106,7 @@
 /// Importance served over importance that arrived.
 fn share(seconds: &[Second]) -> f64 {
     let sum = |column: fn(&Second) -> f64| seconds.iter().map(column).sum::<f64>();
-    let asked = sum(|second| second.asked);
+    let asked = sum(|second| second.offered);
     if asked > 0.0 {
         sum(|second| second.served) / asked
     } else {
--- a/crates/tools/lab/src/platform/collector.rs
+++ b/crates/tools/lab/src/platform/collector.rs
@@ -1,7 +1,7 @@
 //! What collectors send to a director, and how hosts answer its health checks.
 
 use super::context::{host_name, Platform};
-use coppersail::interface::{Input, Load, ZoneId};
+use coppersail::interface::{Input, LoadReport, ZoneId};
 use serde_json::json;
 use std::collections::BTreeMap;
 
@@ -12,10 +12,14 @@
 
 impl Platform {
     /// A host's load by the names that the director's configuration gives; times are in milliseconds.
-    pub fn report(load: &Load) -> BTreeMap<&'static str, f64> {
+    pub fn load_report(load: &LoadReport) -> BTreeMap<&'static str, f64> {
         let service_ms = load.service_time.map(|seconds| seconds * MS_PER_SECOND);
-        let figures =
-            [("q", load.waiting), ("lat_ms", service_ms), ("busy", load.busy), ("rate", load.answered_per_s)];
+        let figures = [
+            ("q", load.queued),
+            ("lat_ms", service_ms),
+            ("busy", load.cpu_utilisation),
+            ("rate", load.completions_per_s),
+        ];
         let mut report = BTreeMap::new();
         for (name, figure) in figures {
             if let Some(figure) = figure {
@@ -26,42 +30,42 @@
     }
 
     /// The body of a host's answer to a health check.
-    pub fn load_text(load: &Load) -> String {
-        let report = Self::report(load);
+    pub fn health_check_body(load: &LoadReport) -> String {
+        let report = Self::load_report(load);
         let pairs: Vec<String> = report.iter().map(|(name, figure)| format!("{name}={figure}")).collect();
         format!("TEXT {}", pairs.join(", "))
     }
 
     /// The line with which the collector of a zone begins its connection.
-    pub fn joining(&self, zone: ZoneId) -> String {
+    pub fn collector_hello(&self, zone: ZoneId) -> String {
         let hello = json!({"msg": "agent", "az": self.zone(zone)});
         format!("{hello}\n")
     }
 
     /// The line by which a collector reports an input, and the collector's zone; none if collectors do not report it.
-    pub fn collected(&self, input: &Input) -> Option<(ZoneId, String)> {
+    pub fn collector_report(&self, input: &Input) -> Option<(ZoneId, String)> {
         let (zone, message) = match input {
-            Input::Tries { host, zone, span, tries, dropped, rt, load } => {
+            Input::AttemptStats { host, zone, window, attempts, dropped, mean_response_time, load } => {
                 let message = json!({
                     "msg": "outcomes",
                     "az": self.zone(*zone),
                     "host": host_name(*host),
-                    "n": tries,
+                    "n": attempts,
                     "bad": dropped,
-                    "avg": rt * MS_PER_SECOND,
-                    "window": span * MS_PER_SECOND,
-                    "report": Self::report(load),
+                    "avg": mean_response_time * MS_PER_SECOND,
+                    "window": window * MS_PER_SECOND,
+                    "report": Self::load_report(load),
                 });
                 (*zone, message)
             }
-            Input::Demand { slice, route, calls, dropped, span } => {
+            Input::SliceDemand { slice, route, requests: calls, dropped, window } => {
                 let message = json!({
                     "msg": "hot",
                     "partition": slice.0,
                     "kind": self.routes[route.0 as usize],
                     "n": calls,
                     "bad": dropped,
-                    "window": span * MS_PER_SECOND,
+                    "window": window * MS_PER_SECOND,
                 });
                 (DEMAND_ZONE, message)
             }
--- a/crates/tools/lab/src/platform/context.rs
+++ b/crates/tools/lab/src/platform/context.rs
@@ -10,7 +10,7 @@
 
 /// The addresses of a director and of the services that it uses.
 #[derive(Clone, Copy, Debug)]
-pub struct Places {
+pub struct ServiceAddresses {
     /// Where the director accepts connections of collectors.
     pub listen: SocketAddr,
     /// The discovery service.
@@ -26,13 +26,13 @@
     /// The names of the routes, in the order of the settings.
     pub routes: Vec<String>,
     /// What the wall clock shows at time 0, milliseconds since 1970.
-    pub began_ms: u64,
+    pub start_ms: u64,
 }
 
 impl Platform {
     /// The name of a zone.
     pub(super) fn zone(&self, zone: ZoneId) -> &str {
-        &self.settings.zones[zone.0 as usize]
+        &self.settings.zone_names[zone.0 as usize]
     }
 }
 
