--- a/crates/tools/lab/src/platform/director_config.rs
+++ b/crates/tools/lab/src/platform/director_config.rs
@@ -1,20 +1,20 @@
 //! A director's configuration.
 
-use super::context::{nanoseconds, Places, Platform};
-use coppersail::interface::{Route, Semantics, Settings};
+use super::context::{nanoseconds, Platform, ServiceAddresses};
+use coppersail::interface::{Idempotency, Route, Settings};
 use serde_json::{json, Value};
 
 /// What a director may use of memory, megabytes.
 const MEMORY_LIMIT_MB: u64 = 64;
 /// How many sockets a director may have open.
 const SOCKET_LIMIT: u64 = 256;
-/// How the configuration calls the default retry policy, `Retry::IfNeverRan`.
+/// How the configuration calls the default retry policy, `RetryPolicy::IfNotExecuted`.
 const RETRY_IF_NEVER_RAN: u64 = 1;
 
 impl Platform {
     /// The configuration of a director, as JSON. `known` is the endpoint list that the director has stored, as JSON;
     /// anything else stands for none.
-    pub fn config(&self, name: &str, seed: u64, addresses: &Places, known: &str) -> String {
+    pub fn config(&self, name: &str, seed: u64, addresses: &ServiceAddresses, known: &str) -> String {
         let known: Value = serde_json::from_str(known).unwrap_or_default();
         json!({
             "name": name,
@@ -36,16 +36,16 @@
             classes.push(class_json(name, route));
         }
         json!({
-            "me": settings.me.0,
-            "balancers": settings.directors,
+            "me": settings.peer_id.0,
+            "balancers": settings.director_count,
             "discovery": "pushed",
-            "zones": settings.zones,
-            "kinds": settings.kinds,
+            "zones": settings.zone_names,
+            "kinds": settings.machine_types,
             "az": settings.zone.map(|zone| self.zone(zone)),
             "classes": classes,
             "report": {"columns": ["q", "lat_ms", "busy", "rate"], "source": "piggyback"},
             "guarantees": guarantees_json(settings),
-            "limits": {"may-probe": settings.may_probe},
+            "limits": {"may-probe": settings.probes_allowed},
             "specifics": specifics_json(settings),
         })
     }
@@ -53,16 +53,16 @@
 
 /// A route.
 fn class_json(name: &str, route: &Route) -> Value {
-    let semantics = match route.semantics {
-        Semantics::Repeatable => "safe",
-        Semantics::Keyed { .. } => "keyed",
-        Semantics::MustNotRepeat => "unsafe",
+    let semantics = match route.idempotency {
+        Idempotency::Idempotent => "safe",
+        Idempotency::Deduplicated { .. } => "keyed",
+        Idempotency::NotIdempotent => "unsafe",
     };
     json!({
         "name": name,
-        "aim-ns": nanoseconds(route.slo_time),
-        "give-up-ns": nanoseconds(route.time_limit),
-        "worth": route.importance,
+        "aim-ns": nanoseconds(route.latency_target),
+        "give-up-ns": nanoseconds(route.deadline),
+        "worth": route.value,
         "semantics": semantics,
     })
 }
@@ -70,32 +70,32 @@
 /// What hosts can take during slow start, and the grace period.
 fn guarantees_json(settings: &Settings) -> Value {
     json!({
-        "cold-from": settings.cold_from,
-        "ramp-time-ns": nanoseconds(settings.ramp_time),
-        "fall-multiple": settings.fall_multiple,
-        "fall-ns": nanoseconds(settings.fall_time),
-        "stop-sending-within-ns": nanoseconds(settings.grace),
+        "cold-from": settings.cold_capacity_share,
+        "ramp-time-ns": nanoseconds(settings.slow_start_duration),
+        "fall-multiple": settings.collapse_multiple,
+        "fall-ns": nanoseconds(settings.collapse_time),
+        "stop-sending-within-ns": nanoseconds(settings.grace_period),
     })
 }
 
 /// The fleet's sizes, and the bounds of its channels.
 fn specifics_json(settings: &Settings) -> Value {
-    let mutating: Vec<bool> = settings.routes.iter().map(|route| route.mutating).collect();
+    let mutating: Vec<bool> = settings.routes.iter().map(|route| route.is_write).collect();
     json!({
-        "slices": settings.slices,
-        "proxy-count": settings.proxies,
+        "slices": settings.slice_count,
+        "proxy-count": settings.proxy_count,
         "admission": "fraction",
         "retry-default": RETRY_IF_NEVER_RAN,
-        "ejects": settings.ejects_after,
-        "overhead": settings.message_overhead,
-        "lines-per-s": settings.lines_per_s,
-        "backlog": settings.backlog_lines,
-        "transit-ns": nanoseconds(settings.transit),
-        "transit-max-ns": nanoseconds(settings.transit_most),
+        "ejects": settings.proxy_ejection_threshold,
+        "overhead": settings.message_overhead_lines,
+        "lines-per-s": settings.channel_lines_per_s,
+        "backlog": settings.channel_backlog_lines,
+        "transit-ns": nanoseconds(settings.typical_transit_time),
+        "transit-max-ns": nanoseconds(settings.max_transit_time),
         "interval-ns": nanoseconds(settings.report_interval),
-        "in-flight-max-ns": nanoseconds(settings.in_flight_most),
-        "unserved-max-ns": nanoseconds(settings.unserved_most),
+        "in-flight-max-ns": nanoseconds(settings.max_write_in_flight_time),
+        "unserved-max-ns": nanoseconds(settings.max_unserved_time),
         "mutating": mutating,
-        "warm-keys": settings.warm_keys,
+        "warm-keys": settings.hosts_cache_keys,
     })
 }
--- a/crates/tools/lab/src/platform/relay.rs
+++ b/crates/tools/lab/src/platform/relay.rs
@@ -1,7 +1,7 @@
 //! The relay's protocol: updates to a director, and the calls by which it orders.
 
 use super::context::{host_id, host_name, Platform};
-use coppersail::interface::{Input, MarkId, Order, Retry, RouteId, Scope, SliceId};
+use coppersail::interface::{Input, Order, RetryPolicy, RoundId, RouteId, Scope, SliceId};
 
 /// Before the orders of a call.
 const CALL_PREFIX: &str = "txn ";
@@ -29,18 +29,18 @@
 
 impl Platform {
     /// The line by which the relay tells of an input; none if it does not.
-    pub fn news(&self, input: &Input) -> Option<String> {
+    pub fn relay_update(&self, input: &Input) -> Option<String> {
         let line = match input {
-            Input::Joined { proxy, zone, calls_per_s, fresh } => {
+            Input::ProxyJoined { proxy, zone, requests_per_s: calls_per_s, without_tables: fresh } => {
                 format!("* hello {} {} {calls_per_s} {}", proxy.0, self.zone(*zone), u8::from(*fresh))
             }
-            Input::Left(proxy) => format!("* bye {}", proxy.0),
-            Input::Applied { proxy, mark, took } => {
+            Input::ProxyLeft(proxy) => format!("* bye {}", proxy.0),
+            Input::RoundAcknowledged { proxy, round: mark, latency: took } => {
                 format!("* ack {} {} {}", proxy.0, mark.0, took * MS_PER_SECOND)
             }
-            Input::Given(slice) => format!("* lease {} 1", slice.0),
-            Input::Taken(slice) => format!("* lease {} 0", slice.0),
-            Input::StoredLine { slice, host, weight } => {
+            Input::SliceAssigned(slice) => format!("* lease {} 1", slice.0),
+            Input::SliceRevoked(slice) => format!("* lease {} 0", slice.0),
+            Input::StoredWeight { slice, host, weight } => {
                 format!("* line {} {} {weight}", slice.0, host_name(*host))
             }
             _ => return None,
@@ -67,19 +67,24 @@
     fn parse_order(&self, text: &str) -> Option<Order> {
         let fields: Vec<&str> = text.split(FIELD_SEPARATOR).collect();
         let order = match fields[..] {
-            ["SET", slice, host, weight] => {
-                Order::Line { slice: parse_slice(slice)?, host: host_id(host)?, weight: weight.parse().ok()? }
-            }
-            ["DEL", slice] => Order::Clear(parse_slice(slice)?),
-            ["OUT", host] => Order::Withdraw { host: host_id(host)?, out: true },
-            ["IN", host] => Order::Withdraw { host: host_id(host)?, out: false },
-            ["LIMIT", scope, routes, level, retry] => Order::Admit {
+            ["SET", slice, host, weight] => Order::SetWeight {
+                slice: parse_slice(slice)?,
+                host: host_id(host)?,
+                weight: weight.parse().ok()?,
+            },
+            ["DEL", slice] => Order::ClearTable(parse_slice(slice)?),
+            ["OUT", host] => Order::SetWithdrawn { host: host_id(host)?, withdrawn: true },
+            ["IN", host] => Order::SetWithdrawn { host: host_id(host)?, withdrawn: false },
+            ["LIMIT", scope, routes, level, retry] => Order::SetAdmission {
                 scope: parse_scope(scope)?,
                 routes: self.parse_routes(routes)?,
                 level: level.parse().ok()?,
                 retry: parse_retry(retry)?,
             },
-            ["SYNC", mark, all] => Order::Mark { mark: MarkId(mark.parse().ok()?), all: all == "1" },
+            ["SYNC", mark, all] => Order::RequestAcknowledgement {
+                round: RoundId(mark.parse().ok()?),
+                include_idle_proxies: all == "1",
+            },
             _ => return None,
         };
         Some(order)
@@ -105,17 +110,17 @@
 
 fn parse_scope(text: &str) -> Option<Scope> {
     if text == ALL {
-        return Some(Scope::Everywhere);
+        return Some(Scope::AllProxies);
     }
     parse_slice(text).map(Scope::Slice)
 }
 
-fn parse_retry(text: &str) -> Option<Retry> {
+fn parse_retry(text: &str) -> Option<RetryPolicy> {
     match text {
-        "0" => Some(Retry::Never),
-        "1" => Some(Retry::IfNeverRan),
-        "2" => Some(Retry::Once),
-        "3" => Some(Retry::Twice),
+        "0" => Some(RetryPolicy::Never),
+        "1" => Some(RetryPolicy::IfNotExecuted),
+        "2" => Some(RetryPolicy::Once),
+        "3" => Some(RetryPolicy::Twice),
         _ => None,
     }
 }
--- a/crates/tools/lab/src/platform/relay_state.rs
+++ b/crates/tools/lab/src/platform/relay_state.rs
@@ -11,29 +11,29 @@
 
 /// The proxies that are connected to a relay, and the tables that it stores.
 #[derive(Default)]
-pub struct Standing {
+pub struct RelayTables {
     /// Each proxy as the relay has announced it.
     proxies: BTreeMap<ProxyId, Input>,
     tables: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
 }
 
-impl Standing {
+impl RelayTables {
     /// Applies what the world tells.
-    pub fn hear(&mut self, input: &Input) {
+    pub fn apply_input(&mut self, input: &Input) {
         match input {
-            Input::Joined { proxy, .. } => {
+            Input::ProxyJoined { proxy, .. } => {
                 self.proxies.insert(*proxy, input.clone());
             }
-            Input::Left(proxy) => {
+            Input::ProxyLeft(proxy) => {
                 self.proxies.remove(proxy);
             }
-            Input::Given(slice) => {
+            Input::SliceAssigned(slice) => {
                 self.tables.insert(*slice, BTreeMap::new());
             }
-            Input::Taken(slice) => {
+            Input::SliceRevoked(slice) => {
                 self.tables.remove(slice);
             }
-            Input::StoredLine { slice, host, weight } => {
+            Input::StoredWeight { slice, host, weight } => {
                 self.tables.entry(*slice).or_default().insert(*host, *weight);
             }
             _ => {}
@@ -41,11 +41,11 @@
     }
 
     /// Applies a director's orders; those for slices that it does not have are ignored.
-    pub fn carry_out(&mut self, orders: &[Order]) {
+    pub fn apply_orders(&mut self, orders: &[Order]) {
         for order in orders {
             match order {
-                Order::Line { slice, host, weight } => self.set_weight(*slice, *host, *weight),
-                Order::Clear(slice) => {
+                Order::SetWeight { slice, host, weight } => self.set_weight(*slice, *host, *weight),
+                Order::ClearTable(slice) => {
                     if let Some(table) = self.tables.get_mut(slice) {
                         table.clear();
                     }
@@ -65,14 +65,14 @@
     }
 
     /// The lines that answer a subscription: the state, and a heartbeat that ends it.
-    pub fn lines(&self, platform: &Platform) -> Vec<String> {
+    pub fn snapshot_lines(&self, platform: &Platform) -> Vec<String> {
         let mut lines = vec![ACCEPTED.to_string()];
-        lines.extend(self.proxies.values().filter_map(|joined| platform.news(joined)));
+        lines.extend(self.proxies.values().filter_map(|joined| platform.relay_update(joined)));
         for (slice, table) in &self.tables {
-            lines.extend(platform.news(&Input::Given(*slice)));
+            lines.extend(platform.relay_update(&Input::SliceAssigned(*slice)));
             for (host, weight) in table {
-                let stored = Input::StoredLine { slice: *slice, host: *host, weight: *weight };
-                lines.extend(platform.news(&stored));
+                let stored = Input::StoredWeight { slice: *slice, host: *host, weight: *weight };
+                lines.extend(platform.relay_update(&stored));
             }
         }
         lines.push(HEARTBEAT.to_string());
--- a/crates/tools/lab/src/policy.rs
+++ b/crates/tools/lab/src/policy.rs
@@ -1,5 +1,5 @@
-//! Who writes the tables: the decision module, with or without the guard, in the director's reducer or in a process, or a
-//! baseline on the same interface.
+//! Who writes the tables: the decision module, with or without the guard, in the director's reducer or in a process,
+//! or a baseline on the same interface.
 
 mod baseline;
 mod bounded_hashing;
@@ -10,26 +10,26 @@
 
 pub use baseline::Baseline;
 pub use kind::{Kind, UnknownPolicy};
-pub use process::{director, DirectorProcess};
+pub use process::{director_binary, DirectorProcess};
 
-use crate::build::{self, Build};
+use crate::build::{self, BuildProcess};
 use crate::platform::Platform;
 use crate::reduced::ReducerPolicy;
 use crate::scenario::Scenario;
 use crate::truth::Truth;
 use coppersail::interface::{Input, Order, Settings};
-use coppersail_capacity_guard::{Guarded, Mode};
+use coppersail_capacity_guard::{GuardedDirector, Mode};
 
 /// What decides for a director.
 pub enum Policy {
     /// The decision module alone, or with the capacity guard.
-    Module(Box<Guarded>),
+    Module(Box<GuardedDirector>),
     /// The director's reducer: all of the director but its I/O.
     Reducer(Box<ReducerPolicy>),
     /// The director's binary, in real time.
     Process(Box<DirectorProcess>),
     /// An earlier build on the simulator's wire.
-    Build(Box<Build>),
+    Build(Box<BuildProcess>),
     /// A baseline.
     Baseline(Box<Baseline>),
 }
@@ -43,18 +43,18 @@
         let platform = |settings| Platform {
             settings,
             routes: scenario.load.routes.iter().map(|route| route.name.clone()).collect(),
-            began_ms: start_ms,
+            start_ms,
         };
         match kind {
-            Kind::Module => Policy::Module(Box::new(Guarded::plain(settings, seed))),
-            Kind::Guarded => Policy::Module(Box::new(Guarded::new(settings, seed, Mode::On))),
-            Kind::Reduced => {
+            Kind::Module => Policy::Module(Box::new(GuardedDirector::plain(settings, seed))),
+            Kind::Guarded => Policy::Module(Box::new(GuardedDirector::new(settings, seed, Mode::On))),
+            Kind::Reducer => {
                 let takes_changes = !scenario.changes.is_empty();
                 Policy::Reducer(Box::new(ReducerPolicy::new(platform(settings), seed, takes_changes)))
             }
-            Kind::Live => Policy::Process(Box::new(DirectorProcess::new(platform(settings), seed))),
+            Kind::Process => Policy::Process(Box::new(DirectorProcess::new(platform(settings), seed))),
             Kind::Build(number) => {
-                let started = Build::start(&build::path(number), platform(settings), seed);
+                let started = BuildProcess::start(&build::program_path(number), platform(settings), seed);
                 Policy::Build(Box::new(started.unwrap_or_else(|error| panic!("{error}"))))
             }
             Kind::Even | Kind::PowerOfTwo | Kind::LeastLoaded | Kind::BoundedHashing | Kind::TrueState => {
--- a/crates/tools/lab/src/policy/baseline.rs
+++ b/crates/tools/lab/src/policy/baseline.rs
@@ -5,7 +5,7 @@
 use super::{bounded_hashing, true_state};
 use crate::truth::Truth;
 use coppersail::interface::{
-    HostId, HostState, Input, ListScope, Listing, Load, MarkId, Order, SliceId, WakeId,
+    HostId, HostListEntry, HostState, Input, ListScope, LoadReport, Order, RoundId, SliceId, TimerId,
 };
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -56,32 +56,35 @@
         }
         if !orders.is_empty() {
             self.last_mark = self.last_mark.wrapping_add(1);
-            orders.push(Order::Mark { mark: MarkId(self.last_mark), all: false });
+            orders.push(Order::RequestAcknowledgement {
+                round: RoundId(self.last_mark),
+                include_idle_proxies: false,
+            });
         }
         let wake_at = self.next_update_at.max(now + MIN_WAKE_DELAY);
-        orders.push(Order::WakeAt { wake: WakeId(1), at: wake_at });
+        orders.push(Order::SetTimer { timer: TimerId(1), fires_at: wake_at });
         orders
     }
 
     fn process(&mut self, input: &Input) {
         match input {
-            Input::Hosts { scope, entries, .. } => self.process_hosts(*scope, entries),
-            Input::Given(slice) => {
+            Input::HostListUpdate { scope, entries, .. } => self.process_hosts(*scope, entries),
+            Input::SliceAssigned(slice) => {
                 self.tables.entry(*slice).or_default();
             }
-            Input::StoredLine { slice, host, weight } => {
+            Input::StoredWeight { slice, host, weight } => {
                 self.tables.entry(*slice).or_default().insert(*host, *weight);
             }
-            Input::Tries { host, load, .. } => self.process_load(*host, load),
+            Input::AttemptStats { host, load, .. } => self.process_load(*host, load),
             _ => {}
         }
     }
 
-    fn process_hosts(&mut self, scope: ListScope, entries: &[Listing]) {
+    fn process_hosts(&mut self, scope: ListScope, entries: &[HostListEntry]) {
         match scope {
             ListScope::Failed => return,
-            ListScope::Whole | ListScope::Remembered => self.ready.clear(),
-            ListScope::Changes => {}
+            ListScope::Snapshot | ListScope::CachedSnapshot => self.ready.clear(),
+            ListScope::Delta => {}
         }
         for entry in entries {
             if entry.state == HostState::Ready {
@@ -92,15 +95,15 @@
         }
     }
 
-    fn process_load(&mut self, host: HostId, load: &Load) {
-        let queue_by_cores = load.busy.map(|busy| QUEUE_OF_BUSY_HOST * busy);
-        let reported = load.waiting.or(queue_by_cores).unwrap_or(0.0);
+    fn process_load(&mut self, host: HostId, load: &LoadReport) {
+        let queue_by_cores = load.cpu_utilisation.map(|busy| QUEUE_OF_BUSY_HOST * busy);
+        let reported = load.queued.or(queue_by_cores).unwrap_or(0.0);
         let queue = self.queues.entry(host).or_default();
         *queue = OLD_QUEUE_WEIGHT * *queue + NEW_QUEUE_WEIGHT * reported;
     }
 
-    /// Withdraws the hosts that are not ready any more, and takes back those that are again. All baselines do, as the rule
-    /// on drained hosts is not what they are compared by.
+    /// Withdraws the hosts that are not ready any more, and takes back those that are again. All baselines do, as the
+    /// rule on drained hosts is not what they are compared by.
     fn withdraw_unlisted(&mut self) -> Vec<Order> {
         let mut orders = Vec::new();
         let in_tables: BTreeSet<HostId> =
@@ -115,7 +118,7 @@
             } else {
                 self.withdrawn.remove(&host);
             }
-            orders.push(Order::Withdraw { host, out: is_unlisted });
+            orders.push(Order::SetWithdrawn { host, withdrawn: is_unlisted });
         }
         orders
     }
@@ -127,12 +130,12 @@
             let is_unchanged =
                 table.get(host).is_some_and(|old| UNCHANGED_WEIGHT_RATIO.contains(&(old / weight)));
             if !is_unchanged {
-                orders.push(Order::Line { slice, host: *host, weight: *weight });
+                orders.push(Order::SetWeight { slice, host: *host, weight: *weight });
             }
         }
         for host in table.keys() {
             if !wanted.contains_key(host) {
-                orders.push(Order::Line { slice, host: *host, weight: 0.0 });
+                orders.push(Order::SetWeight { slice, host: *host, weight: 0.0 });
             }
         }
         *table = wanted;
--- a/crates/tools/lab/src/policy/bounded_hashing.rs
+++ b/crates/tools/lab/src/policy/bounded_hashing.rs
@@ -7,8 +7,8 @@
 /// A host gets so many times the mean number of slices at most.
 const LOAD_BOUND: f64 = 1.25;
 
-/// Each slice goes to the first host in the order of its hash that has less than its bound of slices; the next host is the
-/// standby. There must be a ready host.
+/// Each slice goes to the first host in the order of its hash that has less than its bound of slices; the next host
+/// is the standby. There must be a ready host.
 pub(super) fn tables<'a>(
     slices: impl ExactSizeIterator<Item = &'a SliceId>,
     ready: &BTreeSet<HostId>,
--- a/crates/tools/lab/src/policy/kind.rs
+++ b/crates/tools/lab/src/policy/kind.rs
@@ -17,14 +17,17 @@
     /// The decision module with the capacity guard.
     Guarded,
     /// The module in all of the director but its I/O: the director's reducer.
-    Reduced,
+    #[serde(rename = "Reduced")]
+    Reducer,
     /// The director's binary on loopback, in real time; only [`World::run_live`](crate::World::run_live) plays it.
-    Live,
+    #[serde(rename = "Live")]
+    Process,
     /// An earlier build on the simulator's wire, by the number that [`build::number`] gave its path.
     Build(u8),
     /// Baseline: equal weights.
     Even,
-    /// Baseline: equal weights, and each proxy takes of two drawn hosts the one with fewer of its own attempts in flight.
+    /// Baseline: equal weights, and each proxy takes of two drawn hosts the one with fewer of its own attempts in
+    /// flight.
     PowerOfTwo,
     /// Baseline: weights by the queues that hosts report.
     LeastLoaded,
@@ -47,8 +50,8 @@
     pub const ALL: [(&'static str, Kind); 9] = [
         ("module", Kind::Module),
         ("guarded", Kind::Guarded),
-        ("reduced", Kind::Reduced),
-        ("live", Kind::Live),
+        ("reduced", Kind::Reducer),
+        ("live", Kind::Process),
         ("even", Kind::Even),
         ("power-of-two", Kind::PowerOfTwo),
         ("least-loaded", Kind::LeastLoaded),
@@ -62,7 +65,7 @@
     /// [`UnknownPolicy`]: no policy has the name.
     pub fn named(name: &str) -> Result<Kind, UnknownPolicy> {
         if let Some(path) = name.strip_prefix(BUILD_PREFIX) {
-            return Ok(Kind::Build(build::number(Path::new(path))));
+            return Ok(Kind::Build(build::register_program(Path::new(path))));
         }
         let found = Kind::ALL.iter().find(|(known, _)| *known == name);
         match found {
@@ -74,7 +77,7 @@
     /// The name in tables; of a build only the name of its file.
     pub fn name(self) -> String {
         if let Kind::Build(number) = self {
-            let path = build::path(number);
+            let path = build::program_path(number);
             let file = path.file_name().unwrap_or_default();
             return format!("build {}", file.to_string_lossy());
         }
@@ -87,7 +90,7 @@
 impl From<Kind> for String {
     fn from(kind: Kind) -> String {
         match kind {
-            Kind::Build(number) => format!("{BUILD_PREFIX}{}", build::path(number).display()),
+            Kind::Build(number) => format!("{BUILD_PREFIX}{}", build::program_path(number).display()),
             kind => kind.name(),
         }
     }
--- a/crates/tools/lab/src/policy/process.rs
+++ b/crates/tools/lab/src/policy/process.rs
@@ -36,18 +36,18 @@
     /// If the binary cannot be started: there is nothing to play without it.
     pub(super) fn send(&mut self, inputs: &[Input], store_down: bool) {
         if let State::Running(live) = &mut self.state {
-            live.hear(inputs, store_down);
+            live.deliver(inputs, store_down);
             return;
         }
         let State::NotStarted(platform) = std::mem::replace(&mut self.state, State::Failed) else { return };
-        let started = Live::start(&director(), platform, self.seed, inputs);
+        let started = Live::start(&director_binary(), platform, self.seed, inputs);
         self.state = State::Running(started.unwrap_or_else(|error| panic!("{error}")));
     }
 
     /// What the process has ordered since the last time, without waiting.
     pub fn take_orders(&self) -> Vec<Order> {
         match &self.state {
-            State::Running(live) => live.ordered(),
+            State::Running(live) => live.take_orders(),
             State::NotStarted(_) | State::Failed => vec![],
         }
     }
@@ -60,9 +60,9 @@
     }
 }
 
-/// The path of the director's binary: what `COPPERSAIL_DIRECTOR` says, else beside this program, else one folder up, where
-/// it is when tests run.
-pub fn director() -> PathBuf {
+/// The path of the director's binary: what `COPPERSAIL_DIRECTOR` says, else beside this program, else one folder up,
+/// where it is when tests run.
+pub fn director_binary() -> PathBuf {
     if let Some(path) = std::env::var_os(DIRECTOR_VARIABLE) {
         return path.into();
     }
--- a/crates/tools/lab/src/policy/true_state.rs
+++ b/crates/tools/lab/src/policy/true_state.rs
@@ -14,8 +14,8 @@
 /// Keeps the utilization of a host finite, seconds of work a second.
 const MIN_HOST_SPEED: f64 = 1e-6;
 
-/// Assigns slices, the most loaded first: each to the host that is least utilized, or to where it is if that costs little.
-/// No tables if no host serves.
+/// Assigns slices, the most loaded first: each to the host that is least utilized, or to where it is if that costs
+/// little. No tables if no host serves.
 pub(super) fn tables(
     current: &BTreeMap<SliceId, Table>,
     ready: &BTreeSet<HostId>,
--- a/crates/tools/lab/src/reduced.rs
+++ b/crates/tools/lab/src/reduced.rs
@@ -1,22 +1,23 @@
-//! The director's reducer in simulated time. What the world tells comes to it as the bytes that sockets would bring, and what
-//! it sends is read as the relay would read it, so that a play goes through all of the director but its I/O.
+//! The director's reducer in simulated time. What the world tells comes to it as the bytes that sockets would bring,
+//! and what it sends is read as the relay would read it, so that a play goes through all of the director but its I/O.
 
 mod surroundings;
 
-use crate::platform::{Places, Platform};
+use crate::platform::{Platform, ServiceAddresses};
 use crate::truth::Truth;
-use coppersail::interface::{Input, Order, WakeId};
+use coppersail::interface::{Input, Order, TimerId};
 use coppersail_admin_socket::{Answer, Request};
 use coppersail_changes::{Submission, Version};
-use coppersail_director::reducer::{ControlId, Effect, Event, Reducer};
-use coppersail_operator_config::Sheet;
+use coppersail_director::reducer::{AdminRequestId, Effect, Event, Reducer};
+use coppersail_operator_config::OperatorFile;
 use coppersail_protocol::config::Config;
 use std::collections::VecDeque;
 use surroundings::{loopback, Surroundings};
 
 /// The director is woken after so long at least, seconds.
 const MIN_WAKE_DELAY: f64 = 1e-3;
-/// Events that the reducer processes at one time at most. Effects bring new events; a circle among them would be a fault.
+/// Events that the reducer processes at one time at most. Effects bring new events; a circle among them would be a
+/// fault.
 const MAX_EVENTS_AT_ONCE: usize = 10_000;
 /// Nanoseconds in a millisecond.
 const NS_PER_MS: u64 = 1_000_000;
@@ -61,7 +62,7 @@
 enum ConfigError {
     /// By the configuration's codec.
     #[error("{0}")]
-    Syntax(coppersail_protocol::Fault),
+    Syntax(coppersail_protocol::ParseError),
     /// By the director's reducer.
     #[error("{0}")]
     Reducer(#[source] Box<dyn std::error::Error + Send + Sync>),
@@ -100,16 +101,16 @@
     /// Processes inputs at a time in simulated seconds, and returns the orders.
     ///
     /// # Panics
-    /// If the director refuses the lab's configuration or sends a call that the relay cannot read: faults that a play must
-    /// not hide.
+    /// If the director refuses the lab's configuration or sends a call that the relay cannot read: faults that a play
+    /// must not hide.
     pub fn handle(&mut self, now: f64, inputs: &[Input], truth: &Truth) -> Vec<Order> {
-        let mut events = VecDeque::from([Event::Time]);
+        let mut events = VecDeque::from([Event::TimerFired]);
         let mut running = self.running_with(now, inputs, &mut events);
         for submission in self.submissions.drain(..) {
             let submission = Submission { base: Version(self.newest_change), ..submission };
             running.admin_requests += 1;
-            let id = ControlId(running.admin_requests);
-            events.push_back(Event::Asked(id, Box::new(Request::Submit { submission })));
+            let id = AdminRequestId(running.admin_requests);
+            events.push_back(Event::AdminRequest(id, Box::new(Request::Submit { submission })));
         }
         running.surroundings.set_relay_down(truth.store_down, &mut events);
         running.surroundings.send_due_heartbeats(now, &mut events);
@@ -135,13 +136,15 @@
     fn start(&self, now: f64, inputs: &[Input]) -> Result<Running, ConfigError> {
         let surroundings = Surroundings::new(now, inputs);
         let endpoints = surroundings.all_endpoints(&self.platform);
-        let addresses = Places { listen: loopback(1), discovery: loopback(2), relay: loopback(3) };
+        let addresses = ServiceAddresses { listen: loopback(1), discovery: loopback(2), relay: loopback(3) };
         let text = self.platform.config(DIRECTOR_NAME, self.seed, &addresses, &endpoints);
         let config = Config::parse(text.as_bytes()).map_err(ConfigError::Syntax)?;
-        let wall_ns = self.platform.began_ms * NS_PER_MS;
+        let wall_ns = self.platform.start_ms * NS_PER_MS;
         let mut reducer = Reducer::new(&config, wall_ns).map_err(ConfigError::reducer)?;
         if self.takes_changes {
-            reducer.operate(&config, wall_ns, &Sheet::default(), None).map_err(ConfigError::reducer)?;
+            reducer
+                .enable_operator_changes(&config, wall_ns, &OperatorFile::default(), None)
+                .map_err(ConfigError::reducer)?;
         }
         Ok(Running { reducer, surroundings, wake_at: now, admin_requests: 0 })
     }
@@ -154,12 +157,12 @@
             let event = match events.pop_front() {
                 Some(event) => event,
                 None if has_settled => break,
-                None => Event::Settle,
+                None => Event::EndOfBatch,
             };
-            has_settled = event == Event::Settle;
+            has_settled = event == Event::EndOfBatch;
             for effect in running.reducer.reduce(now, event) {
                 self.record_change_log(now, &effect);
-                if let Effect::Wake(at) = effect {
+                if let Effect::SetTimer(at) = effect {
                     running.wake_at = at;
                 } else {
                     running.surroundings.carry_out(&self.platform, effect, &mut events, &mut orders);
@@ -167,7 +170,7 @@
             }
         }
         let due_at = running.wake_at.min(running.surroundings.heartbeat_at());
-        orders.push(Order::WakeAt { wake: WakeId(1), at: due_at.max(now + MIN_WAKE_DELAY) });
+        orders.push(Order::SetTimer { timer: TimerId(1), fires_at: due_at.max(now + MIN_WAKE_DELAY) });
         orders
     }
 
@@ -175,7 +178,7 @@
     fn record_change_log(&mut self, now: f64, effect: &Effect) {
         let (number, text) = match effect {
             Effect::Log(_, Some(number), text) => (number.0, text.clone()),
-            Effect::Answer(_, Answer::Rejected { reason }) => (0, format!("refused: {reason}")),
+            Effect::AnswerAdminRequest(_, Answer::Rejected { reason }) => (0, format!("refused: {reason}")),
             _ => return,
         };
         // Where a change is undone, only the text has the number of the change that does it.
--- a/crates/tools/lab/src/rules.rs
+++ b/crates/tools/lab/src/rules.rs
@@ -37,14 +37,14 @@
     /// Simulated time in seconds.
     pub at: f64,
     /// The host, slice or queue, in words.
-    pub what: String,
+    pub subject: String,
 }
 
 /// The violations of a play.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rules {
     /// The first ones, in order of time.
-    pub broken: Vec<Violation>,
+    pub violations: Vec<Violation>,
     /// How many there were, with those that are not described.
     pub many: u64,
 }
@@ -56,8 +56,8 @@
     /// Records a violation; `what` is called only if it is described.
     pub fn record_violation(&mut self, rule: Rule, at: f64, what: impl FnOnce() -> String) {
         self.many += 1;
-        if self.broken.len() < MAX_DESCRIBED {
-            self.broken.push(Violation { rule, at, what: what() });
+        if self.violations.len() < MAX_DESCRIBED {
+            self.violations.push(Violation { rule, at, subject: what() });
         }
     }
 
--- a/crates/tools/lab/src/run_folder.rs
+++ b/crates/tools/lab/src/run_folder.rs
@@ -1,5 +1,5 @@
-//! Keeps the results of a run as one folder: what was played, figures by second, latencies, tables, charts, and one page of
-//! all of it. The folder appears whole or not at all.
+//! Keeps the results of a run as one folder: what was played, figures by second, latencies, tables, charts, and one
+//! page of all of it. The folder appears whole or not at all.
 
 mod charts;
 mod error;
--- a/crates/tools/lab/src/run_folder/charts.rs
+++ b/crates/tools/lab/src/run_folder/charts.rs
@@ -53,19 +53,19 @@
     ];
     line_chart(&calls, "calls by when they came", "calls a second", &ended)?;
     let numbers = [
-        series("longest queue", |second| f64::from(second.queue)),
-        series("open hosts", |second| f64::from(second.open_hosts)),
+        series("longest queue", |second| f64::from(second.longest_queue)),
+        series("open hosts", |second| f64::from(second.serving_hosts)),
     ];
     line_chart(&queues, "queues and hosts", "number", &numbers)?;
-    let written = [series("lines", |second| second.lines)];
+    let written = [series("lines", |second| second.table_lines)];
     line_chart(&lines, "lines written to proxies", "lines a second", &written)?;
-    heat_map(&heat, &measured.heat)
+    heat_map(&heat, &measured.jobs_by_host)
 }
 
 /// Service of the calls that arrived in a second; 1 if none did.
 fn service_of(second: &Second) -> f64 {
-    if second.asked > 0.0 {
-        second.served / second.asked
+    if second.offered > 0.0 {
+        second.served / second.offered
     } else {
         1.0
     }
--- a/crates/tools/lab/src/run_folder/tables.rs
+++ b/crates/tools/lab/src/run_folder/tables.rs
@@ -17,9 +17,9 @@
 
 /// What was played and what came of it, as JSON. `scenario`: the scenario as it is kept.
 pub(super) fn manifest(world: &World, outcome: &Outcome, scenario: &str) -> serde_json::Value {
-    let violations = world.rules.broken.iter();
+    let violations = world.rules.violations.iter();
     let violations: Vec<String> = violations
-        .map(|broken| format!("{:.2} s: rule {}: {}", broken.at, broken.rule, broken.what))
+        .map(|broken| format!("{:.2} s: rule {}: {}", broken.at, broken.rule, broken.subject))
         .collect();
     serde_json::json!({
         "version": env!("CARGO_PKG_VERSION"),
@@ -41,17 +41,17 @@
         let _ = writeln!(
             text,
             "{number},{},{},{},{},{},{},{},{},{},{},{}",
-            second.asked,
+            second.offered,
             second.served,
             second.calls,
             second.answered,
             second.late,
             second.throttled,
             second.dropped,
-            second.tries,
-            second.lines,
-            second.queue,
-            second.open_hosts
+            second.attempts,
+            second.table_lines,
+            second.longest_queue,
+            second.serving_hosts
         );
     }
     text
--- a/crates/tools/lab/src/scenario.rs
+++ b/crates/tools/lab/src/scenario.rs
@@ -1,5 +1,5 @@
-//! What is played: a fleet, a load, faults and operators' changes at given times, and the checks that must hold. Files are
-//! Jsonnet or JSON; absent fields have the defaults of [`Scenario::default`].
+//! What is played: a fleet, a load, faults and operators' changes at given times, and the checks that must hold.
+//! Files are Jsonnet or JSON; absent fields have the defaults of [`Scenario::default`].
 
 mod changes;
 mod defaults;
@@ -11,5 +11,5 @@
 
 pub use changes::Change;
 pub use errors::{EditError, InvalidScenario, ReadError};
-pub use faults::{Fault, What};
-pub use model::{Channel, Checks, Fleet, List, Load, Reports, Route, Scenario};
+pub use faults::{Fault, FaultKind};
+pub use model::{Channel, Checks, EndpointSettings, Fleet, Load, Reports, Route, Scenario};
--- a/crates/tools/lab/src/scenario/changes.rs
+++ b/crates/tools/lab/src/scenario/changes.rs
@@ -27,7 +27,7 @@
         let mut edits = Edits::default();
         for (path, value) in &self.set {
             let field: Field = path.parse().map_err(|unknown| EditError::Field(Box::from(unknown)))?;
-            let value = field.value(value).map_err(|expected| EditError::Value {
+            let value = field.parse_value(value).map_err(|expected| EditError::Value {
                 path: path.clone(),
                 expected: expected.to_string(),
             })?;
--- a/crates/tools/lab/src/scenario/defaults.rs
+++ b/crates/tools/lab/src/scenario/defaults.rs
@@ -1,6 +1,6 @@
 //! The default scenario, chosen by us: a small fleet at half of its capacity.
 
-use super::model::{Channel, Checks, Fleet, List, Load, Reports, Route, Scenario};
+use super::model::{Channel, Checks, EndpointSettings, Fleet, Load, Reports, Route, Scenario};
 
 /// The name of a scenario that has none.
 pub(super) const UNNAMED: &str = "unnamed";
@@ -14,7 +14,7 @@
             load: Load::default(),
             channel: Channel::default(),
             reports: Reports::default(),
-            list: List::default(),
+            list: EndpointSettings::default(),
             faults: Vec::new(),
             changes: Vec::new(),
             checks: Checks::default(),
@@ -32,44 +32,50 @@
             slices: 84,
             cores: 4,
             speed_spread: 0.1,
-            cold_from: 0.25,
-            ramp_time: 12.0,
-            fall_multiple: 3.0,
-            fall_time: 2.0,
+            slow_start_speed: 0.25,
+            slow_start_duration: 12.0,
+            collapse_multiple: 3.0,
+            collapse_time: 2.0,
             grace: 2.0,
-            near: 0.0003,
-            far: 0.001,
-            memory_saves: 0.4,
-            memory_time: 15.0,
-            keys: 15.0,
-            ejects_after: 6,
-            ejects_for: 4.0,
-            queue_most: 200,
+            intra_zone_latency: 0.0003,
+            inter_zone_latency: 0.001,
+            cache_saving: 0.4,
+            cache_lifetime: 15.0,
+            keys_per_slice: 15.0,
+            eject_after_failures: 6,
+            ejection_time: 4.0,
+            max_queue: 200,
         }
     }
 }
 
 impl Default for Load {
     fn default() -> Self {
-        let read = Route { name: "read".into(), share: 0.75, slo: 0.8, limit: 3.0 * 0.8, ..Route::default() };
+        let read = Route {
+            name: "read".into(),
+            share: 0.75,
+            latency_target: 0.8,
+            deadline: 3.0 * 0.8,
+            ..Route::default()
+        };
         let write = Route {
             name: "write".into(),
             share: 0.25,
-            slo: 1.0,
-            limit: 3.0,
+            latency_target: 1.0,
+            deadline: 3.0,
             importance: 4.0,
-            repeatable: false,
+            idempotent: false,
             ..Route::default()
         };
         Load {
-            fill: 0.5,
+            utilization: 0.5,
             routes: vec![read, write],
-            skew: 0.4,
+            zipf_exponent: 0.4,
             hot_share: 0.05,
             hot_slices: 2,
-            hot_time: 12.0,
-            again: 1,
-            again_after: 0.1,
+            hot_interval: 12.0,
+            client_retries: 1,
+            client_retry_delay: 0.1,
         }
     }
 }
@@ -79,36 +85,36 @@
         Route {
             name: "all".into(),
             share: 1.0,
-            work: 0.1,
-            tail: 0.5,
-            slo: 0.8,
-            limit: 2.4,
+            mean_work: 0.1,
+            work_sigma: 0.5,
+            latency_target: 0.8,
+            deadline: 2.4,
             importance: 1.0,
-            repeatable: true,
+            idempotent: true,
         }
     }
 }
 
 impl Default for Channel {
     fn default() -> Self {
-        Channel { lines_per_s: 40_000.0, backlog: 100_000.0, overhead: 12.0, transit: 0.2 }
+        Channel { lines_per_s: 40_000.0, max_backlog: 100_000.0, message_overhead: 12.0, transit: 0.2 }
     }
 }
 
 impl Default for Reports {
     fn default() -> Self {
-        Reports { interval: 1.0, late: 0.8, cores: false }
+        Reports { interval: 1.0, delay: 0.8, reports_core_usage: false }
     }
 }
 
-impl Default for List {
+impl Default for EndpointSettings {
     fn default() -> Self {
-        List { late: 1.0 }
+        EndpointSettings { delay: 1.0 }
     }
 }
 
 impl Default for Checks {
     fn default() -> Self {
-        Checks { rules: true, service_least: 0.0, worst_least: 0.0 }
+        Checks { rules: true, min_service: 0.0, min_worst_service: 0.0 }
     }
 }
--- a/crates/tools/lab/src/scenario/faults.rs
+++ b/crates/tools/lab/src/scenario/faults.rs
@@ -10,17 +10,17 @@
     pub at: f64,
     /// How long it lasts, in seconds; then what was killed is back, and what was cut off is reachable again.
     #[serde(rename = "for")]
-    pub lasts: f64,
+    pub duration: f64,
     /// What goes wrong.
     #[serde(rename = "what")]
-    pub what: What,
+    pub kind: FaultKind,
 }
 
 /// What goes wrong. Shares are of all hosts, or of all reports, from 0 to 1.
 // The names of the variants and of their fields stand in files, and `{:?}` shows them in the terminal.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(rename_all = "kebab-case", deny_unknown_fields)]
-pub enum What {
+pub enum FaultKind {
     /// Hosts die, and come back cold.
     Kill {
         /// Share of the hosts.
--- a/crates/tools/lab/src/scenario/model.rs
+++ b/crates/tools/lab/src/scenario/model.rs
@@ -24,7 +24,7 @@
     /// What directors are told of calls and hosts.
     pub reports: Reports,
     /// How directors learn of hosts.
-    pub list: List,
+    pub list: EndpointSettings,
     /// What goes wrong, and when.
     pub faults: Vec<Fault>,
     /// What operators submit; only the director's reducer takes it.
@@ -53,42 +53,42 @@
     pub speed_spread: f64,
     /// Share of its speed with which a host starts.
     #[serde(rename = "cold_from")]
-    pub cold_from: f64,
+    pub slow_start_speed: f64,
     /// Seconds until a host that starts has its full speed.
     #[serde(rename = "ramp_time")]
-    pub ramp_time: f64,
+    pub slow_start_duration: f64,
     /// A host in slow start fails when it is sent so many times the work that it can do...
     #[serde(rename = "fall_multiple")]
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// ...in so many seconds.
     #[serde(rename = "fall_time")]
-    pub fall_time: f64,
+    pub collapse_time: f64,
     /// Seconds within which attempts at a draining host must end.
     pub grace: f64,
     /// Mean latency within a zone, one way, in seconds.
     #[serde(rename = "near")]
-    pub near: f64,
+    pub intra_zone_latency: f64,
     /// Mean latency between zones, one way, in seconds.
     #[serde(rename = "far")]
-    pub far: f64,
+    pub inter_zone_latency: f64,
     /// Share of the work that a host saves on a call whose key it has met lately.
     #[serde(rename = "memory_saves")]
-    pub memory_saves: f64,
+    pub cache_saving: f64,
     /// Seconds for which a host remembers a key.
     #[serde(rename = "memory_time")]
-    pub memory_time: f64,
+    pub cache_lifetime: f64,
     /// Keys of a slice.
     #[serde(rename = "keys")]
-    pub keys: f64,
+    pub keys_per_slice: f64,
     /// Failures in a row after which a proxy ejects a host; 0: never.
     #[serde(rename = "ejects_after")]
-    pub ejects_after: u8,
+    pub eject_after_failures: u8,
     /// Seconds for which it ejects it.
     #[serde(rename = "ejects_for")]
-    pub ejects_for: f64,
+    pub ejection_time: f64,
     /// Calls that may wait at a host; further ones are rejected.
     #[serde(rename = "queue_most")]
-    pub queue_most: usize,
+    pub max_queue: usize,
 }
 
 /// The load that clients put on the fleet.
@@ -97,25 +97,25 @@
 pub struct Load {
     /// Share of the fleet's warm capacity that is asked for.
     #[serde(rename = "fill")]
-    pub fill: f64,
+    pub utilization: f64,
     /// The routes of calls.
     pub routes: Vec<Route>,
     /// Slices differ in size: the exponent of a Zipf law.
     #[serde(rename = "skew")]
-    pub skew: f64,
+    pub zipf_exponent: f64,
     /// Share of the calls that goes to a few hot slices.
     pub hot_share: f64,
     /// Number of hot slices.
     pub hot_slices: u16,
     /// Mean seconds after which other slices are hot.
     #[serde(rename = "hot_time")]
-    pub hot_time: f64,
+    pub hot_interval: f64,
     /// How often clients retry by themselves.
     #[serde(rename = "again")]
-    pub again: u32,
+    pub client_retries: u32,
     /// Seconds after which they do.
     #[serde(rename = "again_after")]
-    pub again_after: f64,
+    pub client_retry_delay: f64,
 }
 
 /// Calls of one kind.
@@ -128,21 +128,21 @@
     pub share: f64,
     /// Mean work of a call, in seconds of a core of speed 1.
     #[serde(rename = "work")]
-    pub work: f64,
+    pub mean_work: f64,
     /// Standard deviation of the logarithm of the work.
     #[serde(rename = "tail")]
-    pub tail: f64,
+    pub work_sigma: f64,
     /// Latency target in seconds.
     #[serde(rename = "slo")]
-    pub slo: f64,
+    pub latency_target: f64,
     /// Seconds after which its client gives up.
     #[serde(rename = "limit")]
-    pub limit: f64,
+    pub deadline: f64,
     /// Weight of a call in service.
     pub importance: f64,
     /// A call may be run more than once.
     #[serde(rename = "repeatable")]
-    pub repeatable: bool,
+    pub idempotent: bool,
 }
 
 /// The channel that takes directors' orders to the proxies.
@@ -153,10 +153,10 @@
     pub lines_per_s: f64,
     /// Lines that may wait.
     #[serde(rename = "backlog")]
-    pub backlog: f64,
+    pub max_backlog: f64,
     /// What a message costs beside its orders, in lines.
     #[serde(rename = "overhead")]
-    pub overhead: f64,
+    pub message_overhead: f64,
     /// Mean seconds from the channel to a proxy.
     pub transit: f64,
 }
@@ -169,19 +169,19 @@
     pub interval: f64,
     /// Seconds by which it is late.
     #[serde(rename = "late")]
-    pub late: f64,
+    pub delay: f64,
     /// Hosts report how busy their cores are; else how many calls wait, and service times.
     #[serde(rename = "cores")]
-    pub cores: bool,
+    pub reports_core_usage: bool,
 }
 
 /// The list of hosts.
 #[derive(Clone, Debug, Deserialize, PartialEq, Serialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct List {
+pub struct EndpointSettings {
     /// Seconds by which it is late.
     #[serde(rename = "late")]
-    pub late: f64,
+    pub delay: f64,
 }
 
 /// What must hold.
@@ -192,18 +192,18 @@
     pub rules: bool,
     /// The lowest service, from 0 to 1, of the whole play.
     #[serde(rename = "service_least")]
-    pub service_least: f64,
+    pub min_service: f64,
     /// The lowest service in the worst ten seconds.
     #[serde(rename = "worst_least")]
-    pub worst_least: f64,
+    pub min_worst_service: f64,
 }
 
 impl Scenario {
     /// Calls a second that the load comes to, where hosts remember the keys of what they are sent.
     pub fn calls_per_s(&self) -> f64 {
         let shares: f64 = self.load.routes.iter().map(|route| route.share).sum();
-        let work: f64 = self.load.routes.iter().map(|route| route.share / shares * route.work).sum();
-        let warm_work = work * (1.0 - DEFAULT_HIT_RATIO * self.fleet.memory_saves);
-        self.load.fill * f64::from(self.fleet.hosts) * f64::from(self.fleet.cores) / warm_work
+        let work: f64 = self.load.routes.iter().map(|route| route.share / shares * route.mean_work).sum();
+        let warm_work = work * (1.0 - DEFAULT_HIT_RATIO * self.fleet.cache_saving);
+        self.load.utilization * f64::from(self.fleet.hosts) * f64::from(self.fleet.cores) / warm_work
     }
 }
--- a/crates/tools/lab/src/scenario/validate.rs
+++ b/crates/tools/lab/src/scenario/validate.rs
@@ -1,7 +1,7 @@
 //! Checks that a scenario can be played, and that the play ends.
 
 use super::errors::InvalidScenario;
-use super::faults::What;
+use super::faults::FaultKind;
 use super::model::{Fleet, Scenario};
 
 /// The longest play, in seconds.
@@ -23,31 +23,32 @@
         self.validate_load()?;
         let moves = self.reports.interval > 0.0 && self.channel.lines_per_s > 0.0;
         require(moves, "reports.interval, channel.lines_per_s", "more than 0")?;
-        let times = self.faults.iter().all(|fault| fault.at >= 0.0 && fault.lasts >= 0.0);
+        let times = self.faults.iter().all(|fault| fault.at >= 0.0 && fault.duration >= 0.0);
         require(times, "faults", "times of 0 or more")?;
         for change in &self.changes {
             change.edits().map_err(InvalidScenario::Change)?;
         }
-        let targets = self.faults.iter().all(|fault| self.has_target(&fault.what));
+        let targets = self.faults.iter().all(|fault| self.has_target(&fault.kind));
         require(targets, "faults", "zones, directors and routes that there are")
     }
 
     fn validate_load(&self) -> Result<(), InvalidScenario> {
         let load = &self.load;
         require(!load.routes.is_empty(), "load.routes", "one at least")?;
-        let times =
-            load.routes.iter().all(|route| route.work > 0.0 && route.slo > 0.0 && route.limit >= route.slo);
+        let times = load.routes.iter().all(|route| {
+            route.mean_work > 0.0 && route.latency_target > 0.0 && route.deadline >= route.latency_target
+        });
         require(times, "load.routes", "work and slo above 0, limit not below slo")?;
-        let share = load.fill > 0.0 && load.fill <= MAX_FILL;
+        let share = load.utilization > 0.0 && load.utilization <= MAX_FILL;
         require(share, "load.fill", "a share above 0 and up to 10")
     }
 
     /// Whether the zone, director or route that a fault names exists.
-    fn has_target(&self, fault: &What) -> bool {
+    fn has_target(&self, fault: &FaultKind) -> bool {
         match *fault {
-            What::KillZone { zone } | What::Cut { zone } => zone < self.fleet.zones,
-            What::KillDirector { director } => director < self.fleet.directors,
-            What::Cost { route, .. } => route < self.load.routes.len(),
+            FaultKind::KillZone { zone } | FaultKind::Cut { zone } => zone < self.fleet.zones,
+            FaultKind::KillDirector { director } => director < self.fleet.directors,
+            FaultKind::Cost { route, .. } => route < self.load.routes.len(),
             _ => true,
         }
     }
--- a/crates/tools/lab/src/trials.rs
+++ b/crates/tools/lab/src/trials.rs
@@ -1,5 +1,5 @@
-//! Trials of operators' changes on whole fleets: which changes the director reverts, how soon, and which wrongly. The table
-//! of `coppersail-change-analysis` is made of random sums; here hosts, queues and retries make them.
+//! Trials of operators' changes on whole fleets: which changes the director reverts, how soon, and which wrongly. The
+//! table of `coppersail-change-analysis` is made of random sums; here hosts, queues and retries make them.
 
 mod cases;
 
@@ -35,10 +35,10 @@
 impl Case {
     /// Plays the case through the director's reducer.
     pub fn play(&self, seed: u64) -> TrialResult {
-        let world = World::new(&self.scenario, Kind::Reduced, seed).run();
+        let world = World::new(&self.scenario, Kind::Reducer, seed).run();
         let mut result = TrialResult { service: world.measured.service(), ..TrialResult::default() };
         let mut applied_at = SUBMITTED_AT;
-        for (at, _, text) in world.told() {
+        for (at, _, text) in world.change_log() {
             result.record(at, &text, &mut applied_at);
         }
         result
@@ -75,8 +75,8 @@
     seed: u64,
 }
 
-/// A Markdown table of all cases, played on the seeds from 1 to `seeds`, on up to `threads` threads. `progress` is called
-/// with the number of plays that are done, and of all.
+/// A Markdown table of all cases, played on the seeds from 1 to `seeds`, on up to `threads` threads. `progress` is
+/// called with the number of plays that are done, and of all.
 pub fn table(seeds: u64, threads: usize, progress: &(dyn Fn(usize, usize) + Sync)) -> String {
     let cases = cases();
     let mut jobs = Vec::new();
--- a/crates/tools/lab/src/trials/cases.rs
+++ b/crates/tools/lab/src/trials/cases.rs
@@ -1,6 +1,6 @@
 //! The cases: each of some changes, with each of some faults near it.
 
-use crate::scenario::{Change, Fault, Scenario, What};
+use crate::scenario::{Change, Fault, FaultKind, Scenario};
 
 /// When the change is submitted, in seconds: the director's analysis wants a minute before it.
 pub(super) const SUBMITTED_AT: f64 = 62.0;
@@ -38,7 +38,7 @@
 /// A fault that happens beside a change.
 struct ConcurrentFault {
     name: &'static str,
-    what: Option<What>,
+    what: Option<FaultKind>,
 }
 
 /// All cases, in the order of the table.
@@ -57,8 +57,9 @@
     cases
 }
 
-fn scenario(change: &TriedChange, what: Option<What>) -> Scenario {
-    let fault = what.map(|what| Fault { at: SUBMITTED_AT + FAULT_DELAY, lasts: FAULT_SECONDS, what });
+fn scenario(change: &TriedChange, what: Option<FaultKind>) -> Scenario {
+    let fault =
+        what.map(|what| Fault { at: SUBMITTED_AT + FAULT_DELAY, duration: FAULT_SECONDS, kind: what });
     let set = change.fields.iter().map(|field| (field.clone(), change.value.to_string())).collect();
     let mut scenario = Scenario {
         seconds: PLAY_SECONDS,
@@ -66,7 +67,7 @@
         changes: vec![Change { at: SUBMITTED_AT, set, trial: None }],
         ..Scenario::default()
     };
-    scenario.load.fill = FILL;
+    scenario.load.utilization = FILL;
     scenario
 }
 
@@ -97,9 +98,9 @@
     let fault = |name, what| ConcurrentFault { name, what };
     vec![
         fault("none", None),
-        fault("a quarter dies", Some(What::Kill { share: 0.25 })),
-        fault("a flood", Some(What::Flood { factor: 2.0 })),
-        fault("a zone cut", Some(What::Cut { zone: 1 })),
-        fault("a quarter slow", Some(What::Slow { share: 0.25, factor: 4.0 })),
+        fault("a quarter dies", Some(FaultKind::Kill { share: 0.25 })),
+        fault("a flood", Some(FaultKind::Flood { factor: 2.0 })),
+        fault("a zone cut", Some(FaultKind::Cut { zone: 1 })),
+        fault("a quarter slow", Some(FaultKind::Slow { share: 0.25, factor: 4.0 })),
     ]
 }
--- a/crates/tools/lab/src/watch.rs
+++ b/crates/tools/lab/src/watch.rs
@@ -37,7 +37,7 @@
 /// # Errors
 /// [`WatchError`]: the policy plays in real time only, or there is no terminal.
 pub fn watch(scenario: &Scenario, kind: Kind, seed: u64, speed: f64) -> Result<(), WatchError> {
-    if kind == Kind::Live {
+    if kind == Kind::Process {
         return Err(WatchError::RealTime);
     }
     let world = World::new(scenario, kind, seed);
--- a/crates/tools/lab/src/watch/frame.rs
+++ b/crates/tools/lab/src/watch/frame.rs
@@ -59,7 +59,7 @@
         world.scenario.seconds,
         pace.speed,
         measured.service(),
-        measured.worst(),
+        measured.worst_window(),
         world.rules.many,
     );
     let title = format!(" {} with {} — q ends, space pauses, + and - ", world.scenario.name, policy.name());
@@ -75,8 +75,8 @@
 
 fn service_panel(seconds: &[Second]) -> Sparkline<'static> {
     let service = |second: &Second| {
-        if second.asked > 0.0 {
-            bar_height(second.served / second.asked)
+        if second.offered > 0.0 {
+            bar_height(second.served / second.offered)
         } else {
             BAR_SCALE
         }
@@ -100,7 +100,7 @@
 
 /// How many calls each host has in hand.
 fn hosts_panel(world: &World, shown: u16) -> Paragraph<'static> {
-    let calls_by_host = world.measured.heat.last().map(Vec::as_slice).unwrap_or_default();
+    let calls_by_host = world.measured.jobs_by_host.last().map(Vec::as_slice).unwrap_or_default();
     let highest = f64::from(calls_by_host.iter().copied().max().unwrap_or(1).max(1));
     let mut cells = Vec::new();
     for (host, calls) in calls_by_host.iter().take(shown.into()).enumerate() {
@@ -115,16 +115,16 @@
 /// Violations of rules, faults under way, and the directors' last messages.
 fn events_panel(world: &World) -> Paragraph<'static> {
     let mut lines = Vec::new();
-    for broken in world.rules.broken.iter().rev() {
-        let text = format!("{:.1} s: rule {}: {}", broken.at, broken.rule, broken.what);
+    for broken in world.rules.violations.iter().rev() {
+        let text = format!("{:.1} s: rule {}: {}", broken.at, broken.rule, broken.subject);
         lines.push(Line::styled(text, Color::Red));
     }
     for fault in &world.scenario.faults {
-        if (fault.at..fault.at + fault.lasts).contains(&world.now()) {
-            lines.push(Line::from(format!("now: {:?}", fault.what)));
+        if (fault.at..fault.at + fault.duration).contains(&world.now()) {
+            lines.push(Line::from(format!("now: {:?}", fault.kind)));
         }
     }
-    for (at, _, text) in world.told().iter().rev().take(MAX_MESSAGES) {
+    for (at, _, text) in world.change_log().iter().rev().take(MAX_MESSAGES) {
         lines.push(Line::from(format!("{at:.1} s: {text}")));
     }
     Paragraph::new(lines).block(Block::bordered().title(" what goes on "))
--- a/crates/tools/lab/src/world/arrivals.rs
+++ b/crates/tools/lab/src/world/arrivals.rs
@@ -35,13 +35,13 @@
         let route = self.traffic.draw_route(&mut self.rng);
         let spec = &self.scenario.load.routes[route as usize];
         let importance = spec.importance;
-        let work = self.traffic.draw_work(route, spec.work, spec.tail, &mut self.rng);
+        let work = self.traffic.draw_work(route, spec.mean_work, spec.work_sigma, &mut self.rng);
         let proxy = self.rng.u16(0..self.proxies.len() as u16);
         let arrived_at = self.now;
         let call = self.calls.insert(Call { arrived_at, work, slice, proxy, route, ..Call::default() });
         self.traffic.record_call(slice);
         let second = self.measured.second_at(arrived_at);
-        second.asked += importance;
+        second.offered += importance;
         second.calls += 1;
         self.measured.by_route[route as usize].offered += importance;
         self.client_sends(call);
@@ -70,8 +70,8 @@
         let Some(call) = self.calls.get(id) else { return };
         self.collectors.demand_of(call.slice, call.route).dropped += 1;
         let load = &self.scenario.load;
-        let backoff = load.again_after;
-        let has_retries = u32::from(call.client_attempts) <= load.again;
+        let backoff = load.client_retry_delay;
+        let has_retries = u32::from(call.client_attempts) <= load.client_retries;
         let has_time = self.time_left(&call) > backoff + MIN_TIME_FOR_CLIENT_RETRY;
         if has_retries && has_time {
             // If a call runs twice as its client sent it twice, no director is to blame.
@@ -93,7 +93,7 @@
     pub(super) fn complete_call(&mut self, id: CallId, call: &Call, latency: f64) {
         let route = &self.scenario.load.routes[call.route as usize];
         let importance = route.importance;
-        let in_time = latency <= route.slo;
+        let in_time = latency <= route.latency_target;
         let second = self.measured.second_at(call.arrived_at);
         second.answered += 1;
         if in_time {
@@ -110,7 +110,7 @@
 
     /// Seconds until the call's client gives up; negative once it has.
     pub(super) fn time_left(&self, call: &Call) -> f64 {
-        call.arrived_at + self.scenario.load.routes[call.route as usize].limit - self.now
+        call.arrived_at + self.scenario.load.routes[call.route as usize].deadline - self.now
     }
 
     /// Other slices become hot.
@@ -119,7 +119,7 @@
         let slices = self.scenario.fleet.slices;
         let rng = &mut self.rng;
         self.traffic.hot_slices = (0..load.hot_slices).map(|_| rng.u16(0..slices)).collect();
-        let mean = load.hot_time.max(MIN_HOT_TIME);
+        let mean = load.hot_interval.max(MIN_HOT_TIME);
         let next_at = self.now + self.jittered(mean, HOT_TIME_JITTER);
         if next_at < self.scenario.seconds {
             self.schedule(next_at, Event::HotSlicesChange);
--- a/crates/tools/lab/src/world/assignments.rs
+++ b/crates/tools/lab/src/world/assignments.rs
@@ -1,8 +1,9 @@
-//! What the directors have ordered: tables of slices, withdrawn hosts, admission and retries of routes. Each is kept as a
+//! What the directors have ordered: tables of slices, withdrawn hosts, admission and retries of routes. Each is kept
+//! as a
 //! [`History`] over its director's messages, as proxies lag behind by some of them.
 
 use super::history::History;
-use coppersail::interface::Retry;
+use coppersail::interface::RetryPolicy;
 use std::rc::Rc;
 
 /// A host of a slice's table.
@@ -23,7 +24,7 @@
     /// The share of the calls that is admitted, 0 to 1.
     pub(super) admitted_share: f64,
     /// Which failed attempts are retried.
-    pub(super) retry: Retry,
+    pub(super) retry: RetryPolicy,
 }
 
 /// What the directors have ordered.
@@ -43,7 +44,7 @@
             let entry = TableEntry { host: u32::from(slice) % hosts, weight: 1.0 };
             History::new(Table::new(vec![entry]))
         };
-        let first_policy = RoutePolicy { admitted_share: 1.0, retry: Retry::IfNeverRan };
+        let first_policy = RoutePolicy { admitted_share: 1.0, retry: RetryPolicy::IfNotExecuted };
         Assignments {
             tables: (0..slices).map(first_table).collect(),
             withdrawn: vec![vec![History::new(false); hosts as usize]; directors],
--- a/crates/tools/lab/src/world/attempts.rs
+++ b/crates/tools/lab/src/world/attempts.rs
@@ -8,7 +8,7 @@
 use super::state::World;
 use crate::policy::Kind;
 use crate::rules::Rule;
-use coppersail::interface::Retry;
+use coppersail::interface::RetryPolicy;
 
 /// An attempt is given up after this share of the time that its call has left.
 const ATTEMPT_TIMEOUT_SHARE: f64 = 0.6;
@@ -33,7 +33,7 @@
         entry.attempt_serial += 1;
         entry.host = host;
         let attempt = AttemptId { call: id, serial: entry.attempt_serial };
-        self.measured.second_at(call.arrived_at).tries += 1;
+        self.measured.second_at(call.arrived_at).attempts += 1;
         if self.kind == Kind::PowerOfTwo {
             *self.outstanding.entry((call.proxy, host)).or_default() += 1;
         }
@@ -83,8 +83,8 @@
         usable
     }
 
-    /// Rule 3: after the grace period no attempt goes to a host of which its director knows that it drains or is gone, as
-    /// far as the director can reach the proxy.
+    /// Rule 3: after the grace period no attempt goes to a host of which its director knows that it drains or is
+    /// gone, as far as the director can reach the proxy.
     fn check_not_drained(&mut self, call: &Call, host: u32) {
         let director = &self.directors[self.assignments.director_of(call.slice)];
         let Some(known_since) = director.not_ready_since.get(&host) else { return };
@@ -124,7 +124,7 @@
         self.attempt_ended(call);
         let fleet = &self.scenario.fleet;
         let proxy = &mut self.proxies[call.proxy as usize];
-        proxy.record_failure(call.host, self.now, fleet.ejects_after, fleet.ejects_for);
+        proxy.record_failure(call.host, self.now, fleet.eject_after_failures, fleet.ejection_time);
         self.collectors.record_failed(proxy.zone, call.host);
         self.retry_or_fail(id, call, never_ran);
     }
@@ -149,7 +149,7 @@
     }
 
     /// Which attempts of the call are retried, as its proxy has it from the director.
-    fn retry_policy(&self, call: &Call) -> Retry {
+    fn retry_policy(&self, call: &Call) -> RetryPolicy {
         let director = self.assignments.director_of(call.slice);
         let proxy: &Proxy = &self.proxies[call.proxy as usize];
         let policies = &self.assignments.route_policies[director];
@@ -158,12 +158,12 @@
 }
 
 /// How many attempts a call may have after one has failed.
-fn max_attempts(retry: Retry, never_ran: bool) -> u8 {
+fn max_attempts(retry: RetryPolicy, never_ran: bool) -> u8 {
     match retry {
-        Retry::Never => 1,
-        Retry::IfNeverRan => 1 + u8::from(never_ran),
-        Retry::Once => 2,
-        Retry::Twice => 3,
+        RetryPolicy::Never => 1,
+        RetryPolicy::IfNotExecuted => 1 + u8::from(never_ran),
+        RetryPolicy::Once => 2,
+        RetryPolicy::Twice => 3,
     }
 }
 
--- a/crates/tools/lab/src/world/channel.rs
+++ b/crates/tools/lab/src/world/channel.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::state::{Jitter, World};
 use crate::rules::Rule;
-use coppersail::interface::{Input, MarkId, Order, ProxyId, Retry, RouteId};
+use coppersail::interface::{Input, Order, ProxyId, RetryPolicy, RoundId, RouteId};
 
 /// Of the time that a message is under way.
 const TRANSIT_JITTER: Jitter = Jitter { least: 0.6, spread: 0.8 };
@@ -19,8 +19,8 @@
         for order in &orders {
             self.store_order(director, message, order);
         }
-        let lines = self.scenario.channel.overhead + orders.len() as f64;
-        self.measured.second_at(self.now).lines += lines * self.proxies.len() as f64;
+        let lines = self.scenario.channel.message_overhead + orders.len() as f64;
+        self.measured.second_at(self.now).table_lines += lines * self.proxies.len() as f64;
         let start = self.occupy_channel(director, lines);
         self.send_message(director, message, lines, start);
     }
@@ -29,19 +29,19 @@
     fn store_order(&mut self, director: u16, message: u32, order: &Order) {
         let owner = director as usize;
         match order {
-            Order::Line { slice, host, weight } if self.assignments.director_of(slice.0) == owner => {
+            Order::SetWeight { slice, host, weight } if self.assignments.director_of(slice.0) == owner => {
                 self.assignments.set_entry(slice.0, host.0, *weight, message);
             }
-            Order::Clear(slice) => {
+            Order::ClearTable(slice) => {
                 self.assignments.tables[slice.0 as usize].set(message, Table::default());
             }
-            Order::Withdraw { host, out } => {
+            Order::SetWithdrawn { host, withdrawn: out } => {
                 self.assignments.withdrawn[owner][host.0 as usize].set(message, *out);
             }
-            Order::Admit { routes, level, retry, .. } => {
+            Order::SetAdmission { routes, level, retry, .. } => {
                 self.set_route_policies(owner, message, routes, *level, *retry);
             }
-            Order::Mark { mark, .. } => {
+            Order::RequestAcknowledgement { round: mark, .. } => {
                 self.directors[owner].marks.insert(message, mark.0);
             }
             _ => {}
@@ -55,7 +55,7 @@
         message: u32,
         routes: &[RouteId],
         admitted_share: f64,
-        retry: Retry,
+        retry: RetryPolicy,
     ) {
         let policy = RoutePolicy { admitted_share, retry };
         let policies = &mut self.assignments.route_policies[director];
@@ -70,8 +70,8 @@
         }
     }
 
-    /// Puts so many lines for each proxy into the channel's queue. Returns when the channel begins with them. Rule 5: the
-    /// queue stays within its bound.
+    /// Puts so many lines for each proxy into the channel's queue. Returns when the channel begins with them. Rule 5:
+    /// the queue stays within its bound.
     fn occupy_channel(&mut self, director: u16, lines: f64) -> f64 {
         let channel = &self.scenario.channel;
         let proxies = self.proxies.len() as f64;
@@ -79,7 +79,7 @@
         let start = director.channel_free_at.max(self.now);
         director.channel_free_at = start + lines * proxies / channel.lines_per_s;
         let queued_lines = (director.channel_free_at - self.now) * channel.lines_per_s;
-        if queued_lines > channel.backlog {
+        if queued_lines > channel.max_backlog {
             self.rules
                 .record_violation(Rule::ChannelBacklog, self.now, || format!("{queued_lines:.0} lines wait"));
         }
@@ -113,7 +113,8 @@
         let Some(mark) = self.directors[director as usize].marks.get(&message).copied() else { return };
         let took = self.scenario.channel.transit;
         let delay = self.draw_network_delay(zone, zone);
-        let acknowledgement = Input::Applied { proxy: ProxyId(index), mark: MarkId(mark), took };
+        let acknowledgement =
+            Input::RoundAcknowledged { proxy: ProxyId(index), round: RoundId(mark), latency: took };
         self.send_inputs(director, delay, vec![acknowledgement]);
     }
 }
--- a/crates/tools/lab/src/world/director_inputs.rs
+++ b/crates/tools/lab/src/world/director_inputs.rs
@@ -3,7 +3,7 @@
 use super::delivery::Delivery;
 use super::event::Event;
 use super::state::World;
-use coppersail::interface::{HostState, Input, Listing};
+use coppersail::interface::{HostListEntry, HostState, Input};
 
 impl World {
     /// Sends inputs to a director; they arrive after `delay` seconds.
@@ -23,7 +23,7 @@
             return;
         }
         for input in &inputs {
-            if let Input::Hosts { entries, .. } = input {
+            if let Input::HostListUpdate { entries, .. } = input {
                 self.record_known_states(director, entries);
             }
         }
@@ -31,7 +31,7 @@
     }
 
     /// Remembers since when the director knows that hosts are not ready.
-    fn record_known_states(&mut self, director: u16, entries: &[Listing]) {
+    fn record_known_states(&mut self, director: u16, entries: &[HostListEntry]) {
         let not_ready_since = &mut self.directors[director as usize].not_ready_since;
         for entry in entries {
             if entry.state == HostState::Ready {
--- a/crates/tools/lab/src/world/director_settings.rs
+++ b/crates/tools/lab/src/world/director_settings.rs
@@ -2,7 +2,7 @@
 
 use super::table_check::MAX_UNSERVED;
 use crate::scenario::{self, Scenario};
-use coppersail::interface::{Admission, PeerId, Retry, Route, Semantics, Settings, ZoneId};
+use coppersail::interface::{AdmissionUnit, Idempotency, PeerId, RetryPolicy, Route, Settings, ZoneId};
 
 /// The span in seconds of the limit on messages, which the lab leaves unlimited.
 const MESSAGE_LIMIT_SPAN: f64 = 10.0;
@@ -15,52 +15,52 @@
     let channel = &scenario.channel;
     let routes = &scenario.load.routes;
     Settings {
-        me: PeerId(director.into()),
-        directors: fleet.directors as u64,
+        peer_id: PeerId(director.into()),
+        director_count: fleet.directors as u64,
         zone: Some(ZoneId(director % fleet.zones)),
-        zones: (0..fleet.zones).map(|zone| format!("z{zone}")).collect(),
-        kinds: vec!["k".into()],
+        zone_names: (0..fleet.zones).map(|zone| format!("z{zone}")).collect(),
+        machine_types: vec!["k".into()],
         routes: routes.iter().map(route_settings).collect(),
-        list_is_pushed: true,
-        ask_within: 0.0,
+        host_list_is_pushed: true,
+        host_list_max_silence: 0.0,
         listed_weights: false,
-        may_probe: true,
-        may_tell_peers: false,
-        cold_from: fleet.cold_from,
-        ramp_time: fleet.ramp_time,
-        fall_multiple: fleet.fall_multiple,
-        fall_time: fleet.fall_time,
-        grace: fleet.grace,
-        throttled_may_have_run: false,
-        gone_is_advice: false,
-        unserved_most: MAX_UNSERVED,
-        slices: fleet.slices.into(),
-        proxies: fleet.proxies.into(),
-        exclusive: false,
-        admission: Admission::Share,
-        retry_default: Retry::IfNeverRan,
-        ejects_after: fleet.ejects_after.into(),
-        message_overhead: channel.overhead,
-        lines_per_s: channel.lines_per_s,
-        backlog_lines: channel.backlog,
-        messages_most: 0,
-        messages_span: MESSAGE_LIMIT_SPAN,
-        transit: channel.transit,
-        transit_most: MAX_TRANSIT_FACTOR * channel.transit,
+        probes_allowed: true,
+        peer_messages_allowed: false,
+        cold_capacity_share: fleet.slow_start_speed,
+        slow_start_duration: fleet.slow_start_duration,
+        collapse_multiple: fleet.collapse_multiple,
+        collapse_time: fleet.collapse_time,
+        grace_period: fleet.grace,
+        throttled_may_have_executed: false,
+        removal_is_advisory: false,
+        max_unserved_time: MAX_UNSERVED,
+        slice_count: fleet.slices.into(),
+        proxy_count: fleet.proxies.into(),
+        exclusive_ownership: false,
+        admission_unit: AdmissionUnit::Fraction,
+        default_retry_policy: RetryPolicy::IfNotExecuted,
+        proxy_ejection_threshold: fleet.eject_after_failures.into(),
+        message_overhead_lines: channel.message_overhead,
+        channel_lines_per_s: channel.lines_per_s,
+        channel_backlog_lines: channel.max_backlog,
+        max_messages_per_window: 0,
+        message_window: MESSAGE_LIMIT_SPAN,
+        typical_transit_time: channel.transit,
+        max_transit_time: MAX_TRANSIT_FACTOR * channel.transit,
         report_interval: scenario.reports.interval,
-        in_flight_most: routes.iter().map(|route| route.limit).fold(0.0, f64::max),
-        warm_keys: fleet.memory_saves > 0.0,
+        max_write_in_flight_time: routes.iter().map(|route| route.deadline).fold(0.0, f64::max),
+        hosts_cache_keys: fleet.cache_saving > 0.0,
     }
 }
 
 fn route_settings(route: &scenario::Route) -> Route {
-    let semantics = if route.repeatable { Semantics::Repeatable } else { Semantics::MustNotRepeat };
+    let semantics = if route.idempotent { Idempotency::Idempotent } else { Idempotency::NotIdempotent };
     Route {
-        slo_time: route.slo,
-        time_limit: route.limit,
-        importance: route.importance,
-        semantics,
-        mutating: !route.repeatable,
-        own_zone_only: false,
+        latency_target: route.latency_target,
+        deadline: route.deadline,
+        value: route.importance,
+        idempotency: semantics,
+        is_write: !route.idempotent,
+        zone_local: false,
     }
 }
--- a/crates/tools/lab/src/world/directors.rs
+++ b/crates/tools/lab/src/world/directors.rs
@@ -6,7 +6,7 @@
 use super::host::Host;
 use super::state::World;
 use crate::policy::Policy;
-use coppersail::interface::{HostId, Input, Load, Order, Outcome, ProxyId, SliceId, WakeId, ZoneId};
+use coppersail::interface::{HostId, Input, LoadReport, Order, Outcome, ProxyId, SliceId, TimerId, ZoneId};
 use coppersail_changes::Submission;
 
 /// A director is woken after so long at least, seconds: a hundredth of what the module asks for.
@@ -23,7 +23,8 @@
 const SEED_STEP: u64 = 7;
 
 impl World {
-    /// Starts a director, for the first time or again. It has the list as it stored it, and is told the state of the relay.
+    /// Starts a director, for the first time or again. It has the list as it stored it, and is told the state of the
+    /// relay.
     pub(super) fn start_director(&mut self, index: u16) {
         let earlier = self.directors.get(index as usize);
         let incarnation = earlier.map_or(0, |director| director.incarnation);
@@ -53,11 +54,11 @@
         let calls_per_s = self.traffic.calls_per_second / f64::from(self.scenario.fleet.proxies);
         let mut inputs = Vec::new();
         for (index, proxy) in self.proxies.iter().enumerate() {
-            inputs.push(Input::Joined {
+            inputs.push(Input::ProxyJoined {
                 proxy: ProxyId(index as u16),
                 zone: ZoneId(proxy.zone),
-                calls_per_s,
-                fresh: proxy.applied[director as usize] == 0,
+                requests_per_s: calls_per_s,
+                without_tables: proxy.applied[director as usize] == 0,
             });
         }
         inputs
@@ -68,9 +69,9 @@
         let mut inputs = Vec::new();
         for index in self.assignments.slices_of(director as usize) {
             let slice = SliceId(index as u16);
-            inputs.push(Input::Given(slice));
+            inputs.push(Input::SliceAssigned(slice));
             for entry in self.assignments.tables[index].last().iter() {
-                inputs.push(Input::StoredLine { slice, host: HostId(entry.host), weight: entry.weight });
+                inputs.push(Input::StoredWeight { slice, host: HostId(entry.host), weight: entry.weight });
             }
         }
         inputs
@@ -88,7 +89,7 @@
         let mut inputs = std::mem::take(&mut director.inputs);
         if is_woken {
             director.wake_at = f64::INFINITY;
-            inputs.push(Input::Wake(WakeId(1)));
+            inputs.push(Input::TimerFired(TimerId(1)));
         }
         self.truth.store_down = self.store.is_down;
         let orders = director.policy.handle(self.now, &inputs, &self.truth);
@@ -100,13 +101,13 @@
         let mut for_proxies = Vec::new();
         for order in orders {
             match order {
-                Order::WakeAt { at, .. } => self.wake_director_at(director, at),
+                Order::SetTimer { fires_at: at, .. } => self.wake_director_at(director, at),
                 Order::Probe(host) => self.check_health(director, host),
-                Order::Line { .. }
-                | Order::Clear(_)
-                | Order::Withdraw { .. }
-                | Order::Admit { .. }
-                | Order::Mark { .. } => for_proxies.push(order),
+                Order::SetWeight { .. }
+                | Order::ClearTable(_)
+                | Order::SetWithdrawn { .. }
+                | Order::SetAdmission { .. }
+                | Order::RequestAcknowledgement { .. } => for_proxies.push(order),
                 // The world has no use for the others.
                 _ => {}
             }
@@ -151,10 +152,11 @@
         let director_zone = self.directors[director as usize].zone;
         let checked = &self.hosts[host.0 as usize];
         let is_partitioned = self.are_partitioned(director_zone, checked.zone);
-        let outcome = health_check_outcome(checked, is_partitioned, self.scenario.fleet.queue_most);
+        let outcome = health_check_outcome(checked, is_partitioned, self.scenario.fleet.max_queue);
         let took = if outcome == Outcome::TimedOut { HEALTH_CHECK_TIMEOUT } else { HEALTH_CHECK_TIME };
-        let load = if outcome == Outcome::Answered { self.reported_load(host.0) } else { Load::default() };
-        self.send_inputs(director, took, vec![Input::Probed { host, outcome, took, load }]);
+        let load =
+            if outcome == Outcome::Succeeded { self.reported_load(host.0) } else { LoadReport::default() };
+        self.send_inputs(director, took, vec![Input::ProbeFinished { host, outcome, duration: took, load }]);
     }
 
     /// Operators submit a change to each director whose policy can take one.
@@ -177,7 +179,7 @@
     }
 
     /// What directors have logged of operators' changes: simulated seconds, the director, the text.
-    pub fn told(&self) -> Vec<(f64, usize, String)> {
+    pub fn change_log(&self) -> Vec<(f64, usize, String)> {
         let mut entries = Vec::new();
         for (index, director) in self.directors.iter().enumerate() {
             let Policy::Reducer(reducer) = &director.policy else { continue };
@@ -194,10 +196,10 @@
     if is_partitioned || host.is_hung {
         Outcome::TimedOut
     } else if !host.is_up || host.has_collapsed {
-        Outcome::Unreachable
+        Outcome::ConnectFailed
     } else if host.queue.len() >= queue_limit {
         Outcome::Throttled
     } else {
-        Outcome::Answered
+        Outcome::Succeeded
     }
 }
--- a/crates/tools/lab/src/world/execution.rs
+++ b/crates/tools/lab/src/world/execution.rs
@@ -21,7 +21,7 @@
             self.send_reply(attempt, call.proxy, index, AttemptResult::Refused);
             return;
         }
-        if host.queue.len() >= fleet.queue_most {
+        if host.queue.len() >= fleet.max_queue {
             self.send_reply(attempt, call.proxy, index, AttemptResult::Throttled);
             return;
         }
@@ -32,7 +32,7 @@
             self.stop_host(index);
             return;
         }
-        let deadline = call.arrived_at + self.scenario.load.routes[call.route as usize].limit;
+        let deadline = call.arrived_at + self.scenario.load.routes[call.route as usize].deadline;
         host.queue.push_back(Job { attempt, work: call.work, deadline });
         self.start_jobs(index);
     }
@@ -73,7 +73,7 @@
     fn start_job(&mut self, index: u32, job: Job) {
         let Some(call) = self.calls.get_by_attempt(job.attempt) else { return };
         self.calls.get_mut(job.attempt.call).executions += 1;
-        let repeatable = self.scenario.load.routes[call.route as usize].repeatable;
+        let repeatable = self.scenario.load.routes[call.route as usize].idempotent;
         if call.executions >= 1 && call.retried_by_order && !repeatable {
             self.rules.record_violation(Rule::DuplicateExecution, self.now, || {
                 format!("a call of slice {}", call.slice)
--- a/crates/tools/lab/src/world/faults.rs
+++ b/crates/tools/lab/src/world/faults.rs
@@ -4,7 +4,7 @@
 use super::fault_state::Deployment;
 use super::host::LifecycleState;
 use super::state::World;
-use crate::scenario::What;
+use crate::scenario::FaultKind;
 
 /// Replacing hosts takes so much longer than their grace period and the delay of discovery at least, seconds.
 const DEPLOYMENT_MARGIN: f64 = 0.5;
@@ -12,58 +12,58 @@
 impl World {
     /// A fault begins.
     pub(super) fn fault_begins(&mut self, index: usize) {
-        match self.scenario.faults[index].what {
-            What::Kill { share } => {
+        match self.scenario.faults[index].kind {
+            FaultKind::Kill { share } => {
                 let hosts = self.draw_serving_hosts(share);
                 self.kill_hosts(index, hosts);
             }
-            What::KillZone { zone } => {
+            FaultKind::KillZone { zone } => {
                 let hosts = self.running_hosts_of(zone);
                 self.kill_hosts(index, hosts);
             }
-            What::Hang { share } => {
+            FaultKind::Hang { share } => {
                 self.fault_states[index].affected_hosts = self.draw_serving_hosts(share);
                 self.set_hung(index, true);
             }
-            What::Slow { share, factor } => {
+            FaultKind::Slow { share, factor } => {
                 self.fault_states[index].affected_hosts = self.draw_serving_hosts(share);
                 self.set_slowdown(index, factor);
             }
-            What::Cut { zone } => self.isolated_zones[zone as usize] = true,
-            What::Roll { share, at_a_time } => self.begin_deployment(index, share, at_a_time),
-            What::ListLate { by } => self.discovery_delay += by,
-            What::StoreDown => self.store.is_down = true,
-            What::KillDirector { director } => self.directors[director].stop(),
-            What::Flood { factor } => self.traffic.flood_factor *= factor,
-            What::Cost { route, factor } => self.traffic.cost_factors[route] *= factor,
-            What::ReportsSpoilt { share } => self.collectors.corrupted_share = share,
-            What::ReportsLost { share } => self.collectors.lost_share = share,
+            FaultKind::Cut { zone } => self.isolated_zones[zone as usize] = true,
+            FaultKind::Roll { share, at_a_time } => self.begin_deployment(index, share, at_a_time),
+            FaultKind::ListLate { by } => self.discovery_delay += by,
+            FaultKind::StoreDown => self.store.is_down = true,
+            FaultKind::KillDirector { director } => self.directors[director].stop(),
+            FaultKind::Flood { factor } => self.traffic.flood_factor *= factor,
+            FaultKind::Cost { route, factor } => self.traffic.cost_factors[route] *= factor,
+            FaultKind::ReportsSpoilt { share } => self.collectors.corrupted_share = share,
+            FaultKind::ReportsLost { share } => self.collectors.lost_share = share,
         }
     }
 
     /// A fault ends.
     pub(super) fn fault_ends(&mut self, index: usize) {
-        match self.scenario.faults[index].what {
-            What::Kill { .. } | What::KillZone { .. } => {
+        match self.scenario.faults[index].kind {
+            FaultKind::Kill { .. } | FaultKind::KillZone { .. } => {
                 let hosts = std::mem::take(&mut self.fault_states[index].affected_hosts);
                 for host in hosts {
                     self.schedule(self.now, Event::HostRestarts { host });
                 }
             }
-            What::Hang { .. } => self.set_hung(index, false),
-            What::Slow { .. } => self.set_slowdown(index, 1.0),
-            What::Cut { zone } => self.isolated_zones[zone as usize] = false,
+            FaultKind::Hang { .. } => self.set_hung(index, false),
+            FaultKind::Slow { .. } => self.set_slowdown(index, 1.0),
+            FaultKind::Cut { zone } => self.isolated_zones[zone as usize] = false,
             // A deployment ends with its last host.
-            What::Roll { .. } => {}
-            What::ListLate { by } => self.discovery_delay += -by,
-            What::StoreDown => self.restore_store(),
-            What::KillDirector { director } => {
+            FaultKind::Roll { .. } => {}
+            FaultKind::ListLate { by } => self.discovery_delay += -by,
+            FaultKind::StoreDown => self.restore_store(),
+            FaultKind::KillDirector { director } => {
                 self.schedule(self.now, Event::DirectorRestarts { director: director as u16 });
             }
-            What::Flood { factor } => self.traffic.flood_factor *= 1.0 / factor,
-            What::Cost { route, factor } => self.traffic.cost_factors[route] *= 1.0 / factor,
-            What::ReportsSpoilt { .. } => self.collectors.corrupted_share = 0.0,
-            What::ReportsLost { .. } => self.collectors.lost_share = 0.0,
+            FaultKind::Flood { factor } => self.traffic.flood_factor *= 1.0 / factor,
+            FaultKind::Cost { route, factor } => self.traffic.cost_factors[route] *= 1.0 / factor,
+            FaultKind::ReportsSpoilt { .. } => self.collectors.corrupted_share = 0.0,
+            FaultKind::ReportsLost { .. } => self.collectors.lost_share = 0.0,
         }
     }
 
@@ -146,7 +146,7 @@
         let batches = (remaining as f64 / deployment.batch_size as f64).ceil().max(1.0);
         self.fault_states[fault].deployment = Some(deployment);
         let shortest = self.scenario.fleet.grace + self.discovery_delay + DEPLOYMENT_MARGIN;
-        let interval = (self.scenario.faults[fault].lasts / batches).max(shortest);
+        let interval = (self.scenario.faults[fault].duration / batches).max(shortest);
         self.schedule(self.now + interval, Event::DeploymentAdvances { fault: fault as u32 });
     }
 
--- a/crates/tools/lab/src/world/history.rs
+++ b/crates/tools/lab/src/world/history.rs
@@ -1,6 +1,7 @@
 //! Values that change with a director's messages.
 
-/// A value after each of a director's messages, so that it can be read as a proxy sees it that has applied some of them.
+/// A value after each of a director's messages, so that it can be read as a proxy sees it that has applied some of
+/// them.
 #[derive(Clone, Debug)]
 pub(super) struct History<T> {
     /// The message from which on a value holds, in order; never empty.
--- a/crates/tools/lab/src/world/host.rs
+++ b/crates/tools/lab/src/world/host.rs
@@ -46,7 +46,7 @@
 /// Calls of one slice that a host has executed lately.
 #[derive(Clone, Copy, Debug)]
 struct CachedSlice {
-    /// A count that decays with [`Fleet::memory_time`].
+    /// A count that decays with [`Fleet::cache_lifetime`].
     calls: f64,
     updated_at: f64,
 }
@@ -82,7 +82,7 @@
     pub(super) mean_service_time: f64,
     /// Jobs finished since the last report.
     pub(super) answered_since_report: u32,
-    /// Work sent within [`Fleet::fall_time`], the oldest first.
+    /// Work sent within [`Fleet::collapse_time`], the oldest first.
     recent_work: VecDeque<SentWork>,
     recent_work_sum: f64,
     cached_slices: FxHashMap<u16, CachedSlice>,
@@ -130,7 +130,8 @@
     /// Speed relative to a warm host, up to 1: it rises linearly during slow start.
     pub(super) fn slow_start_speed(&self, now: f64, fleet: &Fleet) -> f64 {
         let age = (now - self.started_at).max(0.0);
-        let speed = fleet.cold_from + (1.0 - fleet.cold_from) * age / fleet.ramp_time.max(MIN_DIVISOR);
+        let speed = fleet.slow_start_speed
+            + (1.0 - fleet.slow_start_speed) * age / fleet.slow_start_duration.max(MIN_DIVISOR);
         speed.clamp(MIN_SLOW_START_SPEED, 1.0)
     }
 
@@ -147,26 +148,27 @@
         let first = CachedSlice { calls: 0.0, updated_at: now };
         let cached = self.cached_slices.entry(slice).or_insert(first);
         let age = now - cached.updated_at;
-        cached.calls *= (-age / fleet.memory_time.max(MIN_DIVISOR)).exp();
-        let hit_ratio = 1.0 - (-cached.calls / fleet.keys.max(MIN_DIVISOR)).exp();
+        cached.calls *= (-age / fleet.cache_lifetime.max(MIN_DIVISOR)).exp();
+        let hit_ratio = 1.0 - (-cached.calls / fleet.keys_per_slice.max(MIN_DIVISOR)).exp();
         cached.calls += 1.0;
         cached.updated_at = now;
-        1.0 - fleet.memory_saves * hit_ratio
+        1.0 - fleet.cache_saving * hit_ratio
     }
 
-    /// Records work that was sent to the host; true if the host collapses under it, which happens during slow start only.
+    /// Records work that was sent to the host; true if the host collapses under it, which happens during slow start
+    /// only.
     pub(super) fn is_overloaded_by(&mut self, now: f64, work: f64, fleet: &Fleet) -> bool {
         self.recent_work.push_back(SentWork { at: now, work });
         self.recent_work_sum += work;
         while let Some(oldest) = self.recent_work.front().copied() {
-            if now - oldest.at <= fleet.fall_time {
+            if now - oldest.at <= fleet.collapse_time {
                 break;
             }
             self.recent_work.pop_front();
             self.recent_work_sum -= oldest.work;
         }
         let in_slow_start = self.slow_start_speed(now, fleet) < 1.0;
-        let limit = fleet.fall_multiple * self.work_per_second(now, fleet) * fleet.fall_time;
+        let limit = fleet.collapse_multiple * self.work_per_second(now, fleet) * fleet.collapse_time;
         in_slow_start && self.recent_work_sum > limit
     }
 
--- a/crates/tools/lab/src/world/mod.rs
+++ b/crates/tools/lab/src/world/mod.rs
@@ -1,10 +1,10 @@
-//! The simulated world around the directors: hosts, proxies, clients, store, discovery and collectors, driven by events in
-//! simulated time.
+//! The simulated world around the directors: hosts, proxies, clients, store, discovery and collectors, driven by
+//! events in simulated time.
 //!
 //! `state` has the [`World`] and `event` the queue that orders what happens. The way of a call is `arrivals` (clients),
-//! `attempts` (proxies), `execution` (hosts). The way of an order is `directors`, `channel`; inputs come to directors by
-//! `reports`, `discovery` and `director_inputs`. `faults` has what goes wrong, `sampling` and `table_check` what is measured and
-//! checked at intervals.
+//! `attempts` (proxies), `execution` (hosts). The way of an order is `directors`, `channel`; inputs come to directors
+//! by `reports`, `discovery` and `director_inputs`. `faults` has what goes wrong, `sampling` and `table_check` what
+//! is measured and checked at intervals.
 
 mod arrivals;
 mod assignments;
--- a/crates/tools/lab/src/world/reports.rs
+++ b/crates/tools/lab/src/world/reports.rs
@@ -4,7 +4,7 @@
 use super::event::Event;
 use super::run::MAX_RUN_ON;
 use super::state::{Jitter, World};
-use coppersail::interface::{HostId, Input, Load, RouteId, SliceId, ZoneId};
+use coppersail::interface::{HostId, Input, LoadReport, RouteId, SliceId, ZoneId};
 
 /// Of the delay of a report.
 const DELAY_JITTER: Jitter = Jitter { least: 0.7, spread: 0.6 };
@@ -28,7 +28,7 @@
             let mut inputs = self.attempt_reports(director);
             inputs.extend(self.demand_reports(director));
             if !inputs.is_empty() {
-                let delay = self.jittered(self.scenario.reports.late, DELAY_JITTER);
+                let delay = self.jittered(self.scenario.reports.delay, DELAY_JITTER);
                 self.send_inputs(director, delay, inputs);
             }
         }
@@ -67,27 +67,35 @@
     fn attempt_report(&self, zone: u16, host: u32, sum: AttemptSum) -> Input {
         let answered = sum.attempts - sum.failed;
         let has_answers = answered > 0;
-        Input::Tries {
+        Input::AttemptStats {
             host: HostId(host),
             zone: ZoneId(zone),
-            span: self.scenario.reports.interval,
-            tries: sum.attempts.into(),
+            window: self.scenario.reports.interval,
+            attempts: sum.attempts.into(),
             dropped: sum.failed.into(),
-            rt: if has_answers { sum.response_time / f64::from(answered) } else { 0.0 },
+            mean_response_time: if has_answers { sum.response_time / f64::from(answered) } else { 0.0 },
             // Hosts tell their load with their answers.
-            load: if has_answers { self.reported_load(host) } else { Load::default() },
+            load: if has_answers { self.reported_load(host) } else { LoadReport::default() },
         }
     }
 
     /// A report that no sound collector sends: counts of a thousand fleets, times up to an hour.
     fn corrupted_report(&mut self, zone: u16, host: u32) -> Input {
-        let tries = self.corrupted_count();
+        let attempts = self.corrupted_count();
         let dropped = self.corrupted_count();
-        let rt = CORRUPTED_MAX_RESPONSE_TIME * self.rng.f64();
+        let mean_response_time = CORRUPTED_MAX_RESPONSE_TIME * self.rng.f64();
         let waiting = Some(CORRUPTED_MAX_QUEUE * self.rng.f64());
-        let load = Load { waiting, ..Load::default() };
-        let span = self.scenario.reports.interval;
-        Input::Tries { host: HostId(host), zone: ZoneId(zone), span, tries, dropped, rt, load }
+        let load = LoadReport { queued: waiting, ..LoadReport::default() };
+        let window = self.scenario.reports.interval;
+        Input::AttemptStats {
+            host: HostId(host),
+            zone: ZoneId(zone),
+            window,
+            attempts,
+            dropped,
+            mean_response_time,
+            load,
+        }
     }
 
     fn corrupted_count(&mut self) -> u64 {
@@ -97,7 +105,7 @@
 
     /// The demand for the director's slices.
     fn demand_reports(&mut self, director: u16) -> Vec<Input> {
-        let span = self.scenario.reports.interval;
+        let window = self.scenario.reports.interval;
         let routes = self.scenario.load.routes.len();
         let mut inputs = Vec::new();
         for index in 0..self.collectors.demand.len() {
@@ -110,31 +118,35 @@
             if !is_own || self.rng.f64() < self.collectors.lost_share {
                 continue;
             }
-            inputs.push(Input::Demand {
+            inputs.push(Input::SliceDemand {
                 slice: SliceId(slice),
                 route: RouteId((index % routes) as u16),
-                calls: sum.calls.into(),
+                requests: sum.calls.into(),
                 dropped: sum.dropped.into(),
-                span,
+                window,
             });
         }
         inputs
     }
 
     /// What a host tells of its load: how busy its cores are or, by default, its queue and service time.
-    pub(super) fn reported_load(&self, index: u32) -> Load {
+    pub(super) fn reported_load(&self, index: u32) -> LoadReport {
         let host = &self.hosts[index as usize];
         let reports = &self.scenario.reports;
-        if reports.cores {
+        if reports.reports_core_usage {
             let busy = f64::from(host.running) / f64::from(self.scenario.fleet.cores);
             let answered_per_s = f64::from(host.answered_since_report) / reports.interval;
-            return Load { busy: Some(busy), answered_per_s: Some(answered_per_s), ..Load::default() };
+            return LoadReport {
+                cpu_utilisation: Some(busy),
+                completions_per_s: Some(answered_per_s),
+                ..LoadReport::default()
+            };
         }
         let has_served = host.mean_service_time > 0.0;
-        Load {
-            waiting: Some(host.queue.len() as f64),
+        LoadReport {
+            queued: Some(host.queue.len() as f64),
             service_time: has_served.then_some(host.mean_service_time),
-            ..Load::default()
+            ..LoadReport::default()
         }
     }
 }
--- a/crates/tools/lab/src/world/run.rs
+++ b/crates/tools/lab/src/world/run.rs
@@ -28,7 +28,7 @@
                 std::thread::sleep(LIVE_POLL_INTERVAL.min(until_next));
                 continue;
             }
-            self.behind = self.behind.max(elapsed - next_at);
+            self.max_lag = self.max_lag.max(elapsed - next_at);
             if !self.step() {
                 break;
             }
--- a/crates/tools/lab/src/world/sampling.rs
+++ b/crates/tools/lab/src/world/sampling.rs
@@ -24,9 +24,9 @@
         let jobs: Vec<u16> =
             self.hosts.iter().map(|host| host.jobs().min(u16::MAX as usize) as u16).collect();
         let second = self.measured.second_at(self.now);
-        second.queue = u32::from(jobs.iter().copied().max().unwrap_or(0));
-        second.open_hosts = self.hosts.iter().filter(|host| host.is_serving()).count() as u32;
-        self.measured.heat.push(jobs);
+        second.longest_queue = u32::from(jobs.iter().copied().max().unwrap_or(0));
+        second.serving_hosts = self.hosts.iter().filter(|host| host.is_serving()).count() as u32;
+        self.measured.jobs_by_host.push(jobs);
     }
 
     fn update_truth(&mut self) {
@@ -48,7 +48,7 @@
     /// The mean work of a call, seconds.
     fn mean_work(&self) -> f64 {
         let routes = &self.scenario.load.routes;
-        let work: f64 = routes.iter().map(|route| route.work * route.share).sum();
+        let work: f64 = routes.iter().map(|route| route.mean_work * route.share).sum();
         let shares: f64 = routes.iter().map(|route| route.share).sum();
         work / shares
     }
--- a/crates/tools/lab/src/world/state.rs
+++ b/crates/tools/lab/src/world/state.rs
@@ -43,7 +43,7 @@
     /// What is played.
     pub scenario: Scenario,
     /// How far a play in real time has lagged behind the clock at most, seconds.
-    pub behind: f64,
+    pub max_lag: f64,
     /// What was measured so far.
     pub measured: Measured,
     /// The operators' rules that were broken so far.
@@ -102,7 +102,7 @@
         let traffic = Traffic::new(scenario, &mut rng);
         let mut world = World {
             scenario: scenario.clone(),
-            behind: 0.0,
+            max_lag: 0.0,
             measured: Measured::new(scenario.seconds, routes),
             rules: Rules::default(),
             now: 0.0,
@@ -110,7 +110,7 @@
             rng,
             kind,
             seed,
-            start_ms: if kind == Kind::Live { wall_clock_ms() } else { SIMULATED_START_MS },
+            start_ms: if kind == Kind::Process { wall_clock_ms() } else { SIMULATED_START_MS },
             hosts,
             proxies: (0..fleet.proxies).map(|n| Proxy::new(n % fleet.zones, fleet.directors)).collect(),
             calls: CallTable::default(),
@@ -121,7 +121,7 @@
             deliveries: Deliveries::default(),
             collectors: Collectors::new(fleet.zones, fleet.hosts, fleet.slices, routes),
             endpoint_list_version: 1,
-            discovery_delay: scenario.list.late,
+            discovery_delay: scenario.list.delay,
             outstanding: FxHashMap::default(),
             isolated_zones: vec![false; fleet.zones as usize],
             fault_states: vec![FaultState::default(); scenario.faults.len()],
@@ -143,7 +143,7 @@
         self.schedule(self.scenario.reports.interval, Event::CollectorsReport);
         for index in 0..self.scenario.faults.len() {
             let fault = &self.scenario.faults[index];
-            let (begins_at, ends_at) = (fault.at, fault.at + fault.lasts);
+            let (begins_at, ends_at) = (fault.at, fault.at + fault.duration);
             self.schedule(begins_at, Event::FaultBegins { fault: index as u32 });
             self.schedule(ends_at, Event::FaultEnds { fault: index as u32 });
         }
@@ -176,7 +176,7 @@
     /// Draws the delay one way between machines of two zones, in seconds.
     pub(super) fn draw_network_delay(&mut self, a: u16, b: u16) -> f64 {
         let fleet = &self.scenario.fleet;
-        let mean = if a == b { fleet.near } else { fleet.far };
+        let mean = if a == b { fleet.intra_zone_latency } else { fleet.inter_zone_latency };
         self.jittered(mean, NETWORK_JITTER)
     }
 }
--- a/crates/tools/lab/src/world/table_check.rs
+++ b/crates/tools/lab/src/world/table_check.rs
@@ -10,7 +10,8 @@
 pub(super) const MAX_UNSERVED: f64 = 5.0;
 
 impl World {
-    /// Rule 1: each table as any proxy may have it has a host that is not withdrawn, while there is a warm host in service.
+    /// Rule 1: each table as any proxy may have it has a host that is not withdrawn, while there is a warm host in
+    /// service.
     pub(super) fn tables_checked(&mut self) {
         if self.now > self.scenario.seconds {
             return;
--- a/crates/tools/lab/src/world/tests.rs
+++ b/crates/tools/lab/src/world/tests.rs
@@ -6,8 +6,8 @@
 use super::World;
 use crate::policy::Kind;
 use crate::rules::Rule;
-use crate::scenario::{Fault, Fleet, Scenario, What};
-use coppersail::interface::Retry;
+use crate::scenario::{Fault, FaultKind, Fleet, Scenario};
+use coppersail::interface::RetryPolicy;
 use std::collections::BinaryHeap;
 use test_case::test_case;
 
@@ -19,16 +19,17 @@
     Scenario { seconds, fleet, faults, ..Scenario::default() }
 }
 
-fn fault(at: f64, lasts: f64, what: What) -> Fault {
-    Fault { at, lasts, what }
+fn fault(at: f64, lasts: f64, what: FaultKind) -> Fault {
+    Fault { at, duration: lasts, kind: what }
 }
 
 #[test]
 fn one_seed_gives_two_different_plays() {
-    let faults = || vec![fault(5.0, 5.0, What::Kill { share: 0.3 }), fault(6.0, 5.0, What::Cut { zone: 1 })];
+    let faults =
+        || vec![fault(5.0, 5.0, FaultKind::Kill { share: 0.3 }), fault(6.0, 5.0, FaultKind::Cut { zone: 1 })];
     let played = |seed| {
         let world = World::new(&small(20.0, faults()), Kind::Module, seed).run();
-        (world.measured.seconds.clone(), world.measured.heat.clone(), world.measured.events)
+        (world.measured.seconds.clone(), world.measured.jobs_by_host.clone(), world.measured.events)
     };
     assert_eq!(played(1), played(1));
     assert_ne!(played(1).0, played(2).0);
@@ -37,9 +38,9 @@
 #[test]
 fn a_call_is_lost_or_counted_twice() {
     let faults = vec![
-        fault(3.0, 6.0, What::Kill { share: 0.4 }),
-        fault(5.0, 5.0, What::Hang { share: 0.2 }),
-        fault(8.0, 4.0, What::Flood { factor: 2.0 }),
+        fault(3.0, 6.0, FaultKind::Kill { share: 0.4 }),
+        fault(5.0, 5.0, FaultKind::Hang { share: 0.2 }),
+        fault(8.0, 4.0, FaultKind::Flood { factor: 2.0 }),
     ];
     let world = World::new(&small(20.0, faults), Kind::Module, 3).run();
     for (at, second) in world.measured.seconds.iter().enumerate() {
@@ -63,18 +64,18 @@
 #[test]
 fn times_drift_over_a_hundred_thousand_seconds() {
     let mut scenario = small(100_000.0, vec![]);
-    scenario.load.fill = 0.0005;
+    scenario.load.utilization = 0.0005;
     scenario.fleet.proxies = 2;
     let world = World::new(&scenario, Kind::Even, 1).run();
     let calls: u32 = world.measured.seconds.iter().map(|second| second.calls).sum();
     let expected = scenario.calls_per_s() * 100_000.0;
     assert!((f64::from(calls) - expected).abs() < 5.0 * expected.sqrt(), "{calls} of {expected}");
-    assert_eq!(world.measured.heat.len(), 100_001, "a sample each second");
+    assert_eq!(world.measured.jobs_by_host.len(), 100_001, "a sample each second");
 }
 
 #[test]
 fn a_play_does_not_end_while_every_host_hangs_for_ever() {
-    let faults = vec![fault(0.0, 1e9, What::Hang { share: 1.0 })];
+    let faults = vec![fault(0.0, 1e9, FaultKind::Hang { share: 1.0 })];
     let world = World::new(&small(10.0, faults), Kind::Module, 1).run();
     assert!(world.now() <= 10.0 + MAX_RUN_ON + 1.0);
     assert!(world.measured.service() < 0.05);
@@ -101,12 +102,12 @@
 
 fn slow_the_channel(world: &mut World) {
     world.scenario.channel.lines_per_s = 5.0;
-    world.scenario.channel.backlog = 10.0;
+    world.scenario.channel.max_backlog = 10.0;
 }
 
 fn retry_calls_that_may_have_run(world: &mut World) {
     for policy in &mut world.assignments.route_policies[0] {
-        policy.set(NEVER_REPLACED, RoutePolicy { admitted_share: 1.0, retry: Retry::Twice });
+        policy.set(NEVER_REPLACED, RoutePolicy { admitted_share: 1.0, retry: RetryPolicy::Twice });
     }
     for proxy in &mut world.proxies {
         proxy.applied[0] = NEVER_REPLACED;
@@ -123,21 +124,21 @@
 #[test_case(Rule::DuplicateExecution, Kind::Even, retry_calls_that_may_have_run)]
 fn a_violation_of_a_rule_is_not_found(rule: Rule, kind: Kind, violate: fn(&mut World)) {
     let mut scenario = small(20.0, vec![]);
-    scenario.load.again = 0;
+    scenario.load.client_retries = 0;
     let mut world = World::new(&scenario, kind, 1);
     while world.now < 3.0 && world.step() {}
-    assert!(world.rules.are_kept(), "sound until then: {:?}", world.rules.broken);
+    assert!(world.rules.are_kept(), "sound until then: {:?}", world.rules.violations);
     violate(&mut world);
     let world = world.run();
-    assert!(world.rules.broken.iter().any(|broken| broken.rule == rule), "{:?}", world.rules);
+    assert!(world.rules.violations.iter().any(|broken| broken.rule == rule), "{:?}", world.rules);
 }
 
 #[test]
 fn a_fault_inside_a_fault_ends_with_the_other() {
     let faults = vec![
-        fault(2.0, 10.0, What::Flood { factor: 2.0 }),
-        fault(4.0, 2.0, What::Flood { factor: 3.0 }),
-        fault(3.0, 8.0, What::ListLate { by: 4.0 }),
+        fault(2.0, 10.0, FaultKind::Flood { factor: 2.0 }),
+        fault(4.0, 2.0, FaultKind::Flood { factor: 3.0 }),
+        fault(3.0, 8.0, FaultKind::ListLate { by: 4.0 }),
     ];
     let mut world = World::new(&small(20.0, faults), Kind::Module, 1);
     let mut seen = Vec::new();
--- a/crates/tools/lab/src/world/traffic.rs
+++ b/crates/tools/lab/src/world/traffic.rs
@@ -33,8 +33,9 @@
     pub(super) fn new(scenario: &Scenario, rng: &mut Rng) -> Self {
         let slices = scenario.fleet.slices as usize;
         let routes = &scenario.load.routes;
-        let slice_shares =
-            shuffled_ranks(slices, rng).into_iter().map(|rank| (1.0 + rank as f64).powf(-scenario.load.skew));
+        let slice_shares = shuffled_ranks(slices, rng)
+            .into_iter()
+            .map(|rank| (1.0 + rank as f64).powf(-scenario.load.zipf_exponent));
         Traffic {
             calls_per_second: scenario.calls_per_s(),
             flood_factor: 1.0,
--- a/crates/tools/lab/tests/live_start_fails.rs
+++ b/crates/tools/lab/tests/live_start_fails.rs
@@ -1,6 +1,8 @@
 //! What a failed start of a director's binary leaves behind. The only test of its program, as it counts the threads.
 
-use coppersail::interface::{CellId, HostId, HostState, Input, KindId, ListScope, Listing, Settings, ZoneId};
+use coppersail::interface::{
+    CellId, HostId, HostListEntry, HostState, Input, ListScope, MachineTypeId, Settings, ZoneId,
+};
 use coppersail_lab::live::{Live, StartError};
 use coppersail_lab::platform::Platform;
 use coppersail_lab::Scenario;
@@ -26,19 +28,19 @@
     let scenario = Scenario::default();
     let settings: Settings = coppersail_lab::world::director_settings(&scenario, 0);
     let routes = scenario.load.routes.iter().map(|route| route.name.clone()).collect();
-    let platform = Platform { settings, routes, began_ms: 0 };
+    let platform = Platform { settings, routes, start_ms: 0 };
     let entries = (0..4)
-        .map(|host| Listing {
+        .map(|host| HostListEntry {
             host: HostId(host),
             state: HostState::Ready,
-            born: None,
+            started_at: None,
             weight: 1.0,
             zone: ZoneId(0),
             cell: CellId(0),
-            kind: KindId(0),
+            machine_type: MachineTypeId(0),
         })
         .collect();
-    let inputs = [Input::Hosts { scope: ListScope::Whole, version: 1, entries }];
+    let inputs = [Input::HostListUpdate { scope: ListScope::Snapshot, version: 1, entries }];
     let before = threads();
 
     let started = Live::start(Path::new("/dev/null/no-such-director"), platform, 1, &inputs);
--- a/crates/tools/lab/tests/scenarios.rs
+++ b/crates/tools/lab/tests/scenarios.rs
@@ -1,8 +1,9 @@
-//! A dozen scenarios of the library in simulated time, held to their checks; grids, shrinking, kept results; other builds.
+//! A dozen scenarios of the library in simulated time, held to their checks; grids, shrinking, kept results; other
+//! builds.
 
 use coppersail_lab::experiment::{agreement, compared, grid, play, ranked, shrunk};
 use coppersail_lab::policy::Kind;
-use coppersail_lab::scenario::{Fault, Scenario, What};
+use coppersail_lab::scenario::{Fault, FaultKind, Scenario};
 use coppersail_lab::{run_folder, World};
 use std::path::{Path, PathBuf};
 use test_case::test_case;
@@ -34,7 +35,7 @@
 fn the_module_violates_no_rule_under_the_faults_of_the_library(name: &str) {
     let scenario = scenario(name);
     let (outcome, world) = play(&scenario, Kind::Module, 1);
-    assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
+    assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.violations);
 }
 
 #[test]
@@ -73,8 +74,8 @@
     // Killed in the middle of a line.
     let text = std::fs::read_to_string(&file).unwrap();
     std::fs::write(&file, &text[..text.len() - 40]).unwrap();
-    let again = grid(&scenarios, &kinds, 1..4, 2, Some(&file), &|_, _| {}).unwrap();
-    assert_eq!(again, whole);
+    let repeated = grid(&scenarios, &kinds, 1..4, 2, Some(&file), &|_, _| {}).unwrap();
+    assert_eq!(repeated, whole);
     let mut played = std::sync::atomic::AtomicUsize::new(0);
     grid(&scenarios, &kinds, 1..4, 2, Some(&file), &|_, _| {
         played.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -106,19 +107,19 @@
 
 #[test]
 fn a_timeline_shrinks_to_the_trouble_that_counts() {
-    let fault = |at, what| Fault { at, lasts: 2.0, what };
+    let fault = |at, what| Fault { at, duration: 2.0, kind: what };
     let mut scenario = short("long");
     scenario.seconds = 20.0;
     scenario.faults = vec![
-        fault(1.0, What::ListLate { by: 1.0 }),
-        fault(4.0, What::Hang { share: 1.0 }),
-        fault(9.0, What::ReportsLost { share: 0.5 }),
+        fault(1.0, FaultKind::ListLate { by: 1.0 }),
+        fault(4.0, FaultKind::Hang { share: 1.0 }),
+        fault(9.0, FaultKind::ReportsLost { share: 0.5 }),
     ];
-    let fails = |scenario: &Scenario| play(scenario, Kind::Even, 1).0.worst < 0.9;
+    let fails = |scenario: &Scenario| play(scenario, Kind::Even, 1).0.worst_window < 0.9;
     assert!(fails(&scenario));
     let small = shrunk(&scenario, &fails);
     assert_eq!(small.faults.len(), 1);
-    assert!(matches!(small.faults[0].what, What::Hang { .. }) && small.seconds < 20.0, "{small:?}");
+    assert!(matches!(small.faults[0].kind, FaultKind::Hang { .. }) && small.seconds < 20.0, "{small:?}");
 }
 
 #[test]
@@ -148,24 +149,24 @@
 #[test_case("reports-spoilt")]
 fn a_play_through_the_reducer_keeps_its_checks_and_is_reproduced_by_its_seed(name: &str) {
     let scenario = scenario(name);
-    let (outcome, world) = play(&scenario, Kind::Reduced, 1);
-    assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.broken);
-    let (again, other) = play(&scenario, Kind::Reduced, 1);
-    assert_eq!((outcome, world.measured.seconds), (again, other.measured.seconds));
+    let (outcome, world) = play(&scenario, Kind::Reducer, 1);
+    assert_eq!(outcome.failed(&scenario), None, "{:?}", world.rules.violations);
+    let (repeated, other) = play(&scenario, Kind::Reducer, 1);
+    assert_eq!((outcome, world.measured.seconds), (repeated, other.measured.seconds));
 }
 
 /// Figures that cannot be are passed over by the reducer, and cost the bare module calls.
 #[test]
 fn impossible_figures_in_reports_cost_the_reducer_nothing() {
     let scenario = scenario("reports-spoilt");
-    assert!(play(&scenario, Kind::Reduced, 1).0.service > 0.99);
+    assert!(play(&scenario, Kind::Reducer, 1).0.service > 0.99);
 }
 
 #[test_case("change-harmful", "undone by change 2", "kept, its trial" ; "harm")]
 #[test_case("change-harmless", "kept, its trial showed no harm", "undone" ; "no harm beside dead hosts")]
 fn an_operators_change_is_judged_by_what_callers_of_the_world_get(name: &str, said: &str, not: &str) {
-    let (_, world) = play(&scenario(name), Kind::Reduced, 1);
-    let told = world.told();
+    let (_, world) = play(&scenario(name), Kind::Reducer, 1);
+    let told = world.change_log();
     let was_told =
         |what: &str| told.iter().any(|(_, _, text)| text.starts_with("change 1: ") && text.contains(what));
     assert!(was_told(said) && !was_told(not), "{told:?}");
@@ -175,20 +176,20 @@
 #[test]
 fn a_play_in_real_time_serves_as_in_simulated_time() {
     // With `--workspace` it is there already; a test of this package alone makes it.
-    if !coppersail_lab::policy::director().exists() {
+    if !coppersail_lab::policy::director_binary().exists() {
         let made = std::process::Command::new(env!("CARGO"))
             .args(["build", "--locked", "-p", "coppersail-director"])
             .status();
         assert!(made.is_ok_and(|status| status.success()));
     }
     let mut scenario = Scenario { name: "live".into(), seconds: 7.0, ..Scenario::default() };
-    scenario.load.fill = 0.3;
+    scenario.load.utilization = 0.3;
     scenario.faults = vec![
-        Fault { at: 2.0, lasts: 2.0, what: What::Kill { share: 0.25 } },
-        Fault { at: 3.0, lasts: 1.0, what: What::KillDirector { director: 0 } },
+        Fault { at: 2.0, duration: 2.0, kind: FaultKind::Kill { share: 0.25 } },
+        Fault { at: 3.0, duration: 1.0, kind: FaultKind::KillDirector { director: 0 } },
     ];
-    // Whether the two agree is for `coppersail-lab agree` on a machine that does nothing else. Here it must have ordered,
-    // before and after it was killed, and served through it.
+    // Whether the two agree is for `coppersail-lab agree` on a machine that does nothing else. Here it must have
+    // ordered, before and after it was killed, and served through it.
     let all = agreement(std::slice::from_ref(&scenario), 1);
     assert!(all[0].live.service > 0.7, "{}", all[0].row());
     assert!(all[0].live.lines > 0.0, "it has ordered something");
--- a/crates/tools/simulator/src/event.rs
+++ b/crates/tools/simulator/src/event.rs
@@ -38,8 +38,8 @@
 
 /// What happens at a moment of simulated time.
 ///
-/// `incarnation` and `stop_count` tell a process or a start from later ones of the same machine: the event is void if the
-/// machine's value has changed. `wake` does the same for the wake-ups of an endpoint or edge.
+/// `incarnation` and `stop_count` tell a process or a start from later ones of the same machine: the event is void if
+/// the machine's value has changed. `wake` does the same for the wake-ups of an endpoint or edge.
 pub(crate) enum SimEvent {
     /// The node's periodic tick.
     Tick {
--- a/crates/tools/simulator/src/fault/text.rs
+++ b/crates/tools/simulator/src/fault/text.rs
@@ -1,7 +1,7 @@
 //! The texts of faults in traces and in the table of statistics.
 //!
-//! Traces of one seed are compared between versions, so these texts are a format of their own: they stay as they are when
-//! a type or a variant is renamed.
+//! Traces of one seed are compared between versions, so these texts are a format of their own: they stay as they are
+//! when a type or a variant is renamed.
 
 use super::{FaultKind, FaultTarget, KnownPeers, PartitionDirection, Trigger};
 use std::fmt;
--- a/crates/tools/simulator/src/invariants/fencing.rs
+++ b/crates/tools/simulator/src/invariants/fencing.rs
@@ -63,8 +63,8 @@
     }
 }
 
-/// The first key that two owners' leases (first key, last key, token) have in common. Ownership is exclusive: there must
-/// be none.
+/// The first key that two owners' leases (first key, last key, token) have in common. Ownership is exclusive: there
+/// must be none.
 pub fn first_overlap(leases: &[(u32, u32, u64)], others: &[(u32, u32, u64)]) -> Option<u32> {
     leases.iter().find_map(|lease| {
         let overlapping = others.iter().find(|other| lease.0 <= other.1 && other.0 <= lease.1);
--- a/crates/tools/simulator/src/invariants/order_history.rs
+++ b/crates/tools/simulator/src/invariants/order_history.rs
@@ -198,7 +198,8 @@
         Ok(())
     }
 
-    /// A read that started when [`min_number`](Self::min_number) was `min_number` was answered. Returns the number that was read, if any.
+    /// A read that started when [`min_number`](Self::min_number) was `min_number` was answered. Returns the number
+    /// that was read, if any.
     ///
     /// # Errors
     /// The invariant that the answer violates.
--- a/crates/tools/simulator/src/world.rs
+++ b/crates/tools/simulator/src/world.rs
@@ -1,7 +1,7 @@
 //! The simulated world: true time, machines, network and callers, and the loop over its events.
 //!
-//! The modules below implement [`World`] by concern. Every random draw, event and trace line depends on the order of the
-//! ones before it: a change of that order changes what a seed stands for.
+//! The modules below implement [`World`] by concern. Every random draw, event and trace line depends on the order of
+//! the ones before it: a change of that order changes what a seed stands for.
 
 mod admin_clients;
 mod availability;
--- a/crates/tools/simulator/src/world/availability.rs
+++ b/crates/tools/simulator/src/world/availability.rs
@@ -12,8 +12,8 @@
         self.schedule_after(CHECK_INTERVAL, SimEvent::CheckTimeLimits);
     }
 
-    /// Whether more than half of the machines run without a partition, no link is slow or noisy, and no more machines are
-    /// impaired than is tolerated.
+    /// Whether more than half of the machines run without a partition, no link is slow or noisy, and no more machines
+    /// are impaired than is tolerated.
     fn is_connected(&self) -> bool {
         let machines = || self.slots.iter().map(|machine_id| &self.machines[*machine_id]);
         let connected = machines().filter(|machine| machine.is_running() && machine.partitions == 0).count();
--- a/crates/tools/simulator/src/world/final_phase.rs
+++ b/crates/tools/simulator/src/world/final_phase.rs
@@ -1,5 +1,5 @@
-//! The end of a run: all faults end, the final fault follows an acknowledgement, and the last acknowledged configuration
-//! is read back through every machine.
+//! The end of a run: all faults end, the final fault follows an acknowledgement, and the last acknowledged
+//! configuration is read back through every machine.
 
 use super::{FinalRead, World, ALL_MACHINES};
 use crate::admin_client::{AdminCall, REQUEST_TIMEOUT};
--- a/crates/tools/simulator/src/world/probes.rs
+++ b/crates/tools/simulator/src/world/probes.rs
@@ -1,5 +1,5 @@
-//! Readers beside the nodes: each node is read at its own machine, past any partition. Two nodes that answer in one round
-//! are two leaders.
+//! Readers beside the nodes: each node is read at its own machine, past any partition. Two nodes that answer in one
+//! round are two leaders.
 
 use super::World;
 use crate::admin_client::AdminCall;
--- a/crates/tools/simulator/tests/seeds.rs
+++ b/crates/tools/simulator/tests/seeds.rs
@@ -17,8 +17,8 @@
     }
 }
 
-/// A leader that could send and not receive, with two backups: both campaigned, each accepted the other's replica write,
-/// and gave up its own campaign by that, for as long as the partition lasted.
+/// A leader that could send and not receive, with two backups: both campaigned, each accepted the other's replica
+/// write, and gave up its own campaign by that, for as long as the partition lasted.
 #[test]
 fn two_backups_that_campaign_at_once_under_a_one_way_partition() {
     for seed in [300_136, 300_185, 300_795] {
--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -3,7 +3,7 @@
 //! acknowledgement. Where it can't know it assumes the worse, so that never more is queued than
 //! [`ChannelBacklog::unacknowledged_lines`]. What follows from it is decided in `logic`.
 
-use crate::interface::{Call, Input, MarkId, ProxyId, RouteId};
+use crate::interface::{Input, ProxyId, RelayCallEvent, RoundId, RouteId};
 use crate::parameters::Parameters;
 use std::collections::{BTreeSet, VecDeque};
 
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub(crate) struct Round {
     /// The id that its acknowledgements name; none: a part of a call, which is not acknowledged.
-    pub(crate) id: Option<MarkId>,
+    pub(crate) id: Option<RoundId>,
     /// When it was written, or ordered if it is not written yet.
     pub(crate) written_at: f64,
     /// It is ordered, and not written yet.
@@ -53,7 +53,7 @@
     }
 
     /// Whether an acknowledgement with this id from this proxy may be one of this round.
-    fn may_be_acknowledged_by(&self, proxy: ProxyId, id: MarkId) -> bool {
+    fn may_be_acknowledged_by(&self, proxy: ProxyId, id: RoundId) -> bool {
         self.id == Some(id) && (self.unknown_proxies > 0.0 || self.awaited.contains(&proxy))
     }
 
@@ -68,9 +68,9 @@
     /// How many orders it has.
     pub(crate) orders: usize,
     /// It may have been carried out before.
-    pub(crate) again: bool,
+    pub(crate) is_repeat: bool,
     /// Proxies may have joined that are not known.
-    pub(crate) unheard: bool,
+    pub(crate) unannounced_proxies: bool,
 }
 
 /// The rounds that may be queued in the channel. Times are in seconds, rates in lines per second.
@@ -114,11 +114,11 @@
         params.message_overhead + self.admission_routes.len() as f64
     }
 
-    /// How many proxies get what is written now. `unheard`: proxies may have joined that are not known, so it is counted
-    /// for as many as there can be.
-    pub(crate) fn receiver_count(&self, params: &Parameters, unheard: bool) -> f64 {
+    /// How many proxies get what is written now. `unheard`: proxies may have joined that are not known, so it is
+    /// counted for as many as there can be.
+    pub(crate) fn receiver_count(&self, params: &Parameters, unannounced_proxies: bool) -> f64 {
         let joined = self.proxies.len() as f64;
-        if unheard {
+        if unannounced_proxies {
             joined.max(params.proxy_count)
         } else {
             joined
@@ -135,24 +135,25 @@
         input: &Input,
     ) {
         match *input {
-            Input::Joined { proxy, .. } => self.add_proxy(now, rules.join_overlap, proxy),
-            Input::Left(proxy) => self.remove_proxy(proxy),
-            Input::Applied { proxy, mark, .. } => {
+            Input::ProxyJoined { proxy, .. } => self.add_proxy(now, rules.join_overlap, proxy),
+            Input::ProxyLeft(proxy) => self.remove_proxy(proxy),
+            Input::RoundAcknowledged { proxy, round: mark, .. } => {
                 self.record_acknowledgement(now, params.max_transit_time, rules.ignored_tail, proxy, mark);
             }
-            Input::Call(Call::Written { mark, orders, unheard }) => {
-                let unknown_proxies = self.receiver_count(params, unheard) - self.proxies.len() as f64;
+            Input::RelayCall(RelayCallEvent::Sent { round: mark, orders, unannounced_proxies }) => {
+                let unknown_proxies =
+                    self.receiver_count(params, unannounced_proxies) - self.proxies.len() as f64;
                 let lines_per_proxy = self.overhead_lines(params) + orders as f64;
                 self.record_write(now, mark, lines_per_proxy, unknown_proxies);
             }
-            Input::Call(Call::TurnedAway) => self.record_rejected_call(),
-            Input::Call(Call::Deaf) => self.record_lost_acknowledgements(now),
+            Input::RelayCall(RelayCallEvent::Rejected) => self.record_rejected_call(),
+            Input::RelayCall(RelayCallEvent::AcknowledgementsLost) => self.record_lost_acknowledgements(now),
             _ => {}
         }
     }
 
     /// A round is ordered. Where nobody tells of calls it counts as written at once.
-    pub(crate) fn record_order(&mut self, now: f64, id: MarkId, lines_per_proxy: f64) {
+    pub(crate) fn record_order(&mut self, now: f64, id: RoundId, lines_per_proxy: f64) {
         let last = self.rounds.len();
         self.insert_round(last, now, Some(id), lines_per_proxy, 0.0);
         self.rounds[last].is_unwritten = true;
@@ -161,7 +162,7 @@
 
     /// A call has been written: for the first time, if its round is unwritten, else again or in part. Unwritten rounds
     /// before it were merged into it.
-    fn record_write(&mut self, now: f64, id: Option<MarkId>, lines_per_proxy: f64, unknown_proxies: f64) {
+    fn record_write(&mut self, now: f64, id: Option<RoundId>, lines_per_proxy: f64, unknown_proxies: f64) {
         let first_unwritten = self.rounds.iter().position(|round| round.is_unwritten);
         let position = first_unwritten.unwrap_or(self.rounds.len());
         let is_first_write = |round: &Round| round.is_unwritten && id.is_some() && round.id == id;
@@ -193,7 +194,7 @@
         &mut self,
         position: usize,
         now: f64,
-        id: Option<MarkId>,
+        id: Option<RoundId>,
         lines_per_proxy: f64,
         unknown_proxies: f64,
     ) {
@@ -254,15 +255,15 @@
         }
     }
 
-    /// An acknowledgement counts for the first copy of the round of which it may be. All rounds before that one have been
-    /// delivered, as the channel keeps the order.
+    /// An acknowledgement counts for the first copy of the round of which it may be. All rounds before that one have
+    /// been delivered, as the channel keeps the order.
     fn record_acknowledgement(
         &mut self,
         now: f64,
         transit_time: f64,
         ignored_tail: f64,
         proxy: ProxyId,
-        id: MarkId,
+        id: RoundId,
     ) {
         self.last_acknowledged_at = now;
         let awaited = self.rounds.iter().position(|round| round.may_be_acknowledged_by(proxy, id));
@@ -275,8 +276,8 @@
         for earlier in self.rounds.iter_mut().take(position) {
             earlier.is_delivered = true;
         }
-        // A copy that has been delivered is kept while others of its id are queued, so that its late acknowledgements are
-        // not taken for theirs.
+        // A copy that has been delivered is kept while others of its id are queued, so that its late acknowledgements
+        // are not taken for theirs.
         self.rounds.retain(|round| !round.is_delivered || round.id == Some(id));
         let Some(first) = self.rounds.iter().find(|round| !round.is_delivered) else { return };
         // The last few may be late for reasons of their own, also where other proxies left and will send none.
--- a/src/channel_backlog/tests.rs
+++ b/src/channel_backlog/tests.rs
@@ -8,13 +8,18 @@
 const RULES: AcknowledgementRules = AcknowledgementRules { join_overlap: 0.1, ignored_tail: 0.1 };
 
 fn params() -> Parameters {
-    Parameters::new(&Settings { proxies: 20, message_overhead: 9.0, transit_most: 0.5, ..settings() })
+    Parameters::new(&Settings {
+        proxy_count: 20,
+        message_overhead_lines: 9.0,
+        max_transit_time: 0.5,
+        ..settings()
+    })
 }
 
 /// Ten proxies, and a round of 20 lines to each: 200 lines.
 fn backlog_with_round() -> ChannelBacklog {
     let mut backlog = ChannelBacklog { proxies: (0..10).map(ProxyId).collect(), ..ChannelBacklog::default() };
-    backlog.record_order(0.0, MarkId(1), 20.0);
+    backlog.record_order(0.0, RoundId(1), 20.0);
     backlog
 }
 
@@ -25,38 +30,38 @@
 }
 
 fn written(orders: usize) -> Input {
-    Input::Call(Call::Written { mark: Some(MarkId(1)), orders, unheard: false })
+    Input::RelayCall(RelayCallEvent::Sent { round: Some(RoundId(1)), orders, unannounced_proxies: false })
 }
 
 fn acknowledged(proxy: u16, mark: u16) -> Input {
-    Input::Applied { proxy: ProxyId(proxy), mark: MarkId(mark), took: 0.1 }
+    Input::RoundAcknowledged { proxy: ProxyId(proxy), round: RoundId(mark), latency: 0.1 }
 }
 
 fn joined(proxy: u16) -> Input {
-    Input::Joined { proxy: ProxyId(proxy), zone: ZoneId(0), calls_per_s: 1.0, fresh: true }
+    Input::ProxyJoined { proxy: ProxyId(proxy), zone: ZoneId(0), requests_per_s: 1.0, without_tables: true }
 }
 
 // The call of a round of 20 lines has 11 orders after its overhead of 9 lines.
 #[test_case(&[written(11)], 200.0 ; "the first write is the round that was ordered")]
 #[test_case(&[written(11), written(11)], 400.0 ; "a repeat may be queued beside it")]
 #[test_case(&[written(5), written(6)], 290.0 ; "a part has its own overhead")]
-#[test_case(&[written(11), Input::Call(Call::TurnedAway), written(11)], 200.0 ; "a rejected call is not queued")]
+#[test_case(&[written(11), Input::RelayCall(RelayCallEvent::Rejected), written(11)], 200.0 ; "a rejected call is not queued")]
 #[test_case(&[joined(30), written(11)], 220.0 ; "a proxy that joined before the write gets it")]
 #[test_case(&[written(11), joined(30)], 220.0 ; "a proxy that joined while it was carried out may get it")]
-#[test_case(&[written(11), Input::Left(ProxyId(3))], 200.0 ; "what is queued for a proxy that left may stay")]
-#[test_case(&[Input::Left(ProxyId(3)), written(11)], 180.0 ; "a proxy that left before the write gets none")]
-#[test_case(&[written(11), acknowledged(3, 1), Input::Left(ProxyId(3))], 180.0 ; "a proxy that left after its acknowledgement is subtracted once")]
+#[test_case(&[written(11), Input::ProxyLeft(ProxyId(3))], 200.0 ; "what is queued for a proxy that left may stay")]
+#[test_case(&[Input::ProxyLeft(ProxyId(3)), written(11)], 180.0 ; "a proxy that left before the write gets none")]
+#[test_case(&[written(11), acknowledged(3, 1), Input::ProxyLeft(ProxyId(3))], 180.0 ; "a proxy that left after its acknowledgement is subtracted once")]
 #[test_case(&[written(11), written(11), acknowledged(3, 1), acknowledged(3, 1)], 180.0 ; "the acknowledgement of a second copy shows that the first was delivered")]
-#[test_case(&[written(11), Input::Call(Call::Deaf), acknowledged(3, 1)], 180.0 ; "after lost acknowledgements later ones still count")]
-#[test_case(&[Input::Call(Call::Written { mark: Some(MarkId(1)), orders: 11, unheard: true })], 400.0 ; "all twenty proxies may have joined unannounced")]
+#[test_case(&[written(11), Input::RelayCall(RelayCallEvent::AcknowledgementsLost), acknowledged(3, 1)], 180.0 ; "after lost acknowledgements later ones still count")]
+#[test_case(&[Input::RelayCall(RelayCallEvent::Sent { round: Some(RoundId(1)), orders: 11, unannounced_proxies: true })], 400.0 ; "all twenty proxies may have joined unannounced")]
 fn queued_lines_are_underestimated(inputs: &[Input], lines: f64) {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.05, inputs);
     assert_eq!(backlog.unacknowledged_lines(), lines);
 }
 
-// Seen against a model of the channel: late acknowledgements of a delivered copy were counted for the next one, and so on,
-// until a whole round that was queued was no longer counted.
+// Seen against a model of the channel: late acknowledgements of a delivered copy were counted for the next one, and
+// so on, until a whole round that was queued was no longer counted.
 #[test]
 fn late_acknowledgements_of_a_copy_count_for_the_next_one() {
     let mut backlog = backlog_with_round();
@@ -77,12 +82,20 @@
 #[test]
 fn rounds_before_an_acknowledged_one_stay_queued() {
     let mut backlog = backlog_with_round();
-    record(&mut backlog, 0.0, &[written(11), written(11), Input::Call(Call::Deaf)]);
-    backlog.record_order(0.2, MarkId(2), 20.0);
+    record(
+        &mut backlog,
+        0.0,
+        &[written(11), written(11), Input::RelayCall(RelayCallEvent::AcknowledgementsLost)],
+    );
+    backlog.record_order(0.2, RoundId(2), 20.0);
     record(
         &mut backlog,
         0.2,
-        &[Input::Call(Call::Written { mark: Some(MarkId(2)), orders: 11, unheard: false })],
+        &[Input::RelayCall(RelayCallEvent::Sent {
+            round: Some(RoundId(2)),
+            orders: 11,
+            unannounced_proxies: false,
+        })],
     );
     record(&mut backlog, 0.9, &[acknowledged(4, 2)]);
     assert_eq!((backlog.unacknowledged_lines(), backlog.rounds.len()), (180.0, 1));
@@ -108,7 +121,7 @@
     record(&mut backlog, 0.7, &[written(11)]);
     assert_eq!(backlog.sent_at, [0.5, 0.7], "a repeat is another");
     // Until a run of the bench begins all calls are rejected: if they counted, no message would be left when it begins.
-    record(&mut backlog, 0.8, &[written(11), Input::Call(Call::TurnedAway)]);
+    record(&mut backlog, 0.8, &[written(11), Input::RelayCall(RelayCallEvent::Rejected)]);
     assert_eq!(backlog.sent_at, [0.5, 0.7], "a rejected one is not counted");
 }
 
@@ -119,7 +132,7 @@
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.0, &[written(11)]);
     for n in 0..left {
-        record(&mut backlog, 0.1, &[Input::Left(ProxyId(9 - n))]);
+        record(&mut backlog, 0.1, &[Input::ProxyLeft(ProxyId(9 - n))]);
     }
     for proxy in 0..in_time {
         record(&mut backlog, 0.6, &[acknowledged(proxy, 1)]);
--- a/src/delivery.rs
+++ b/src/delivery.rs
@@ -1,7 +1,7 @@
 //! Delivery of inputs and messages to the actors of a director. The decisions are in `logic`.
 
 use crate::channel_backlog::CallToWrite;
-use crate::interface::{HostId, HostState, Input, ListScope, Listing, Order, WakeId};
+use crate::interface::{HostId, HostListEntry, HostState, Input, ListScope, Order, TimerId};
 use crate::logic::{TICK_INTERVAL, TICK_SLACK};
 use crate::messages::{Message, Outbox, Recipient};
 use crate::state::Director;
@@ -27,29 +27,37 @@
             }
             self.deliver_messages(now, &mut outbox);
             self.next_tick_at = now + TICK_INTERVAL;
-            outbox.orders.push(Order::WakeAt { wake: WakeId(1), at: self.next_tick_at });
+            outbox.orders.push(Order::SetTimer { timer: TimerId(1), fires_at: self.next_tick_at });
         }
         outbox.orders
     }
 
     /// How many of a call's orders may be written at `now` (seconds), so that the channel's backlog stays within its
     /// limit. `again`: the call may have been carried out before. `unheard`: proxies may have joined of which no
-    /// [`Input::Joined`] has told yet.
-    pub fn writable(&self, now: f64, orders: usize, again: bool, unheard: bool) -> usize {
-        self.channel.writable(now, &self.params, &CallToWrite { orders, again, unheard })
+    /// [`Input::ProxyJoined`] has told yet.
+    pub fn writable_orders(
+        &self,
+        now: f64,
+        orders: usize,
+        is_repeat: bool,
+        unannounced_proxies: bool,
+    ) -> usize {
+        self.channel.writable(now, &self.params, &CallToWrite { orders, is_repeat, unannounced_proxies })
     }
 
     /// Upper bound of the lines that are queued in the channel.
-    pub fn may_wait(&self) -> f64 {
+    pub fn max_pending_lines(&self) -> f64 {
         self.channel.backlog.unacknowledged_lines()
     }
 
     /// Puts an input into the mailboxes of the actors that it concerns.
     fn deliver(&mut self, input: &Input, outbox: &mut Outbox) {
         match input {
-            Input::Hosts { scope, version, entries } => self.update_list(*scope, *version, entries, outbox),
-            Input::StoredLine { host, .. } => self.ensure_host(*host),
-            Input::Tries { host, .. } | Input::Probed { host, .. } => {
+            Input::HostListUpdate { scope, version, entries } => {
+                self.update_list(*scope, *version, entries, outbox)
+            }
+            Input::StoredWeight { host, .. } => self.ensure_host(*host),
+            Input::AttemptStats { host, .. } | Input::ProbeFinished { host, .. } => {
                 outbox.send(Recipient::Host(*host), Message::Input(input.clone()));
                 return;
             }
@@ -65,7 +73,7 @@
         &mut self,
         scope: ListScope,
         version: u64,
-        entries: &[Listing],
+        entries: &[HostListEntry],
         outbox: &mut Outbox,
     ) {
         if self.accepts_list(scope, version) {
@@ -75,17 +83,17 @@
     }
 
     /// Tells the hosts what the list says of them. Hosts that a whole list does not name are no longer listed.
-    fn deliver_list(&mut self, scope: ListScope, entries: &[Listing], outbox: &mut Outbox) {
+    fn deliver_list(&mut self, scope: ListScope, entries: &[HostListEntry], outbox: &mut Outbox) {
         for entry in entries {
             self.entries_read += 1;
             self.ensure_host(entry.host);
             let message = match entry.state {
-                HostState::Gone => Message::Unlisted,
+                HostState::Removed => Message::Unlisted,
                 _ => Message::Listed { entry: entry.clone(), position: self.entries_read },
             };
             outbox.send(Recipient::Host(entry.host), message);
         }
-        if scope == ListScope::Changes {
+        if scope == ListScope::Delta {
             return;
         }
         let named: BTreeSet<HostId> = entries.iter().map(|entry| entry.host).collect();
@@ -123,7 +131,7 @@
     fn remove_expired_host(&mut self, id: HostId, outbox: &mut Outbox) {
         if self.hosts.get(&id).is_some_and(|host| !host.is_listed) {
             self.hosts.remove(&id);
-            outbox.orders.push(Order::Forget(id));
+            outbox.orders.push(Order::ReleaseHost(id));
         }
     }
 }
--- a/src/interface.rs
+++ b/src/interface.rs
@@ -12,10 +12,10 @@
 mod policies;
 mod settings;
 
-pub use hosts::{HostState, ListScope, Listing, Load, Outcome};
-pub use ids::{CellId, HostId, KindId, MarkId, PeerId, ProxyId, RouteId, SliceId, WakeId, ZoneId};
-pub use input::{Call, Input};
+pub use hosts::{HostListEntry, HostState, ListScope, LoadReport, Outcome};
+pub use ids::{CellId, HostId, MachineTypeId, PeerId, ProxyId, RoundId, RouteId, SliceId, TimerId, ZoneId};
+pub use input::{Input, RelayCallEvent};
 pub use order::{Order, Scope};
-pub use overrides::{RouteWish, Wishes};
-pub use policies::{Admission, KeyedGroup, Retry, Semantics};
+pub use overrides::{OperatorOverrides, RouteOverride};
+pub use policies::{AdmissionUnit, DeduplicationScope, Idempotency, RetryPolicy};
 pub use settings::{Route, Settings};
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,7 +1,7 @@
 //! Numbers that stand for names. Names and addresses stay with the caller.
 
-/// A host that answers calls: an endpoint. Numbered by the caller as it first names it. A number stands for one host for
-/// good, also after [`Order::Forget`](super::Order::Forget).
+/// A host that answers calls: an endpoint. Numbered by the caller as it first names it. A number stands for one host
+/// for good, also after [`Order::ReleaseHost`](super::Order::ReleaseHost).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub u32);
 
@@ -18,13 +18,13 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RouteId(pub u16);
 
-/// A zone (failure domain), by its index in [`Settings::zones`](super::Settings::zones).
+/// A zone (failure domain), by its index in [`Settings::zone_names`](super::Settings::zone_names).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ZoneId(pub u16);
 
-/// A machine type, by its index in [`Settings::kinds`](super::Settings::kinds).
+/// A machine type, by its index in [`Settings::machine_types`](super::Settings::machine_types).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct KindId(pub u16);
+pub struct MachineTypeId(pub u16);
 
 /// A small group of hosts in one zone.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(pub u64);
 
-/// A timer: [`Input::Wake`](super::Input::Wake) brings back the id that
-/// [`Order::WakeAt`](super::Order::WakeAt) gave.
+/// A timer: [`Input::TimerFired`](super::Input::TimerFired) brings back the id that
+/// [`Order::SetTimer`](super::Order::SetTimer) gave.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct WakeId(pub u64);
+pub struct TimerId(pub u64);
 
 /// A round of messages to the proxies, whose acknowledgement is asked for. Ids wrap around.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub struct MarkId(pub u16);
+pub struct RoundId(pub u16);
--- a/src/interface/order.rs
+++ b/src/interface/order.rs
@@ -1,12 +1,12 @@
 //! What a director orders.
 
-use super::{HostId, MarkId, PeerId, ProxyId, Retry, RouteId, SliceId, WakeId};
+use super::{HostId, PeerId, ProxyId, RetryPolicy, RoundId, RouteId, SliceId, TimerId};
 
 /// One thing that the caller is to do, in the order given.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Adds, changes or, with weight 0, removes one entry of a slice's table. To the proxies.
-    Line {
+    SetWeight {
         /// The slice.
         slice: SliceId,
         /// The host.
@@ -15,27 +15,27 @@
         weight: f64,
     },
     /// Removes all entries of a slice's table. To the proxies.
-    Clear(SliceId),
+    ClearTable(SliceId),
     /// Withdraws (ejects) a host from all tables of the joined proxies, or lets it back in. To the proxies.
-    Withdraw {
+    SetWithdrawn {
         /// The host.
         host: HostId,
         /// True: it gets no calls, whatever tables name it. False: it is used again.
-        out: bool,
+        withdrawn: bool,
     },
     /// Sets how much is admitted of some routes, and how often their calls are retried. To the proxies.
-    Admit {
+    SetAdmission {
         /// Whose calls.
         scope: Scope,
         /// The routes; none named: all.
         routes: Vec<RouteId>,
-        /// How much is admitted, in the unit of [`Settings::admission`](super::Settings::admission).
+        /// How much is admitted, in the unit of [`Settings::admission_unit`](super::Settings::admission_unit).
         level: f64,
         /// The retry policy.
-        retry: Retry,
+        retry: RetryPolicy,
     },
     /// Makes a proxy use a table for some routes, where there are no slices.
-    Bind {
+    BindTable {
         /// The proxy.
         proxy: ProxyId,
         /// The routes.
@@ -44,34 +44,35 @@
         table: SliceId,
     },
     /// Ends a round of messages, and asks every proxy that gets one of them to acknowledge it.
-    Mark {
+    RequestAcknowledgement {
         /// The round.
-        mark: MarkId,
+        round: RoundId,
         /// Also proxies for which the round has no other order.
-        all: bool,
+        include_idle_proxies: bool,
     },
     /// Starts (true) or stops (false) following the host list. To service discovery.
-    Follow(bool),
+    WatchHostList(bool),
     /// Asks for the whole host list once. To service discovery.
-    FetchList,
-    /// Sends a health check to the host; `Input::Probed` answers.
+    FetchHostList,
+    /// Sends a health check to the host; `Input::ProbeFinished` answers.
     Probe(HostId),
     /// Sends a message to other directors.
-    Tell {
+    SendToPeers {
         /// The director; none: all others.
         to: Option<PeerId>,
         /// The message.
-        bytes: Vec<u8>,
+        payload: Vec<u8>,
     },
-    /// Sets a timer; `Input::Wake` answers.
-    WakeAt {
+    /// Sets a timer; `Input::TimerFired` answers.
+    SetTimer {
         /// Its id.
-        wake: WakeId,
+        timer: TimerId,
         /// When, in seconds on the caller's clock.
-        at: f64,
+        fires_at: f64,
     },
-    /// Nothing refers any more to this host, which is gone. The caller may release its name; its number is not used again.
-    Forget(HostId),
+    /// Nothing refers any more to this host, which is gone. The caller may release its name; its number is not used
+    /// again.
+    ReleaseHost(HostId),
     /// A log line: what was decided, and why.
     Log {
         /// The text.
@@ -87,5 +88,5 @@
     /// Those of one slice.
     Slice(SliceId),
     /// Those of all joined proxies; with slices, of all slices of this director.
-    Everywhere,
+    AllProxies,
 }
--- a/src/interface/overrides.rs
+++ b/src/interface/overrides.rs
@@ -1,28 +1,28 @@
 //! What operators set by hand.
 
-use super::{HostId, Retry, RouteId, SliceId};
+use super::{HostId, RetryPolicy, RouteId, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Operators' overrides. What is absent is as decided.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Wishes {
+pub struct OperatorOverrides {
     /// Factors of hosts' weights.
-    pub hosts: BTreeMap<HostId, f64>,
-    /// Factors of the weights of zones' hosts, by index in [`Settings::zones`](super::Settings::zones).
-    pub zones: Vec<f64>,
+    pub host_weight_factors: BTreeMap<HostId, f64>,
+    /// Factors of the weights of zones' hosts, by index in [`Settings::zone_names`](super::Settings::zone_names).
+    pub zone_weight_factors: Vec<f64>,
     /// Hosts that are to be in no table, as long as others can serve.
-    pub drained: BTreeSet<HostId>,
+    pub drained_hosts: BTreeSet<HostId>,
     /// Slices and hosts that are to be kept apart (anti-affinity), as long as other hosts can serve.
-    pub apart: BTreeSet<(SliceId, HostId)>,
+    pub anti_affinity: BTreeSet<(SliceId, HostId)>,
     /// Overrides by route.
-    pub routes: BTreeMap<RouteId, RouteWish>,
+    pub routes: BTreeMap<RouteId, RouteOverride>,
 }
 
 /// Operators' overrides of one route.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct RouteWish {
+pub struct RouteOverride {
     /// The most that is admitted: a share of the calls, 0 to 1.
-    pub ceiling: Option<f64>,
+    pub admission_limit: Option<f64>,
     /// The retry policy.
-    pub again: Option<Retry>,
+    pub retry_policy: Option<RetryPolicy>,
 }
--- a/src/interface/policies.rs
+++ b/src/interface/policies.rs
@@ -2,11 +2,11 @@
 
 /// Further attempts of a call, always at another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Retry {
+pub enum RetryPolicy {
     /// None.
     Never,
     /// One, if the last attempt provably was not executed.
-    IfNeverRan,
+    IfNotExecuted,
     /// One.
     Once,
     /// Two.
@@ -15,25 +15,25 @@
 
 /// Whether a call may be executed again.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Semantics {
+pub enum Idempotency {
     /// It is idempotent.
-    Repeatable,
+    Idempotent,
     /// It has an idempotency key, by which hosts of the same group drop repeats.
-    Keyed {
+    Deduplicated {
         /// The hosts that know each other's keys.
-        group: KeyedGroup,
+        scope: DeduplicationScope,
         /// For how long they keep a key, in seconds.
         window: f64,
     },
     /// It is not idempotent.
-    MustNotRepeat,
+    NotIdempotent,
 }
 
 /// The hosts that know each other's idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum KeyedGroup {
+pub enum DeduplicationScope {
     /// All hosts.
-    All,
+    Fleet,
     /// Those of one zone.
     Zone,
     /// Those of one cell.
@@ -42,11 +42,11 @@
 
 /// What admission control of the proxies limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Admission {
+pub enum AdmissionUnit {
     /// The share of the calls, 0 to 1.
-    Share,
+    Fraction,
     /// The calls per second.
-    PerSecond,
+    RequestsPerSecond,
     /// Nothing: there is no admission control.
-    None,
+    Unsupported,
 }
--- a/src/interface/settings.rs
+++ b/src/interface/settings.rs
@@ -1,22 +1,22 @@
 //! What a director is told at its start. `coppersail-settings` makes it from the start-up settings and environment.
 
-use super::{Admission, PeerId, Retry, Semantics, ZoneId};
+use super::{AdmissionUnit, Idempotency, PeerId, RetryPolicy, ZoneId};
 
 /// A kind of call.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Latency objective in seconds: an answer within it earns the full importance.
-    pub slo_time: f64,
+    pub latency_target: f64,
     /// Seconds after which a client gives up, over all attempts.
-    pub time_limit: f64,
+    pub deadline: f64,
     /// What an answer in time is worth, in relation to the other routes.
-    pub importance: f64,
+    pub value: f64,
     /// Whether its calls may be executed again.
-    pub semantics: Semantics,
+    pub idempotency: Idempotency,
     /// Its calls write.
-    pub mutating: bool,
+    pub is_write: bool,
     /// Its calls may only go to hosts of the proxy's zone.
-    pub own_zone_only: bool,
+    pub zone_local: bool,
 }
 
 /// What a director is told at its start. What the start-up settings leave out has the reading under which least is
@@ -24,73 +24,73 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Settings {
     /// This director.
-    pub me: PeerId,
+    pub peer_id: PeerId,
     /// Number of directors in the tier.
-    pub directors: u64,
+    pub director_count: u64,
     /// This director's zone, if it has one.
     pub zone: Option<ZoneId>,
     /// Names of the zones.
-    pub zones: Vec<String>,
+    pub zone_names: Vec<String>,
     /// Names of the machine types.
-    pub kinds: Vec<String>,
+    pub machine_types: Vec<String>,
     /// The routes.
     pub routes: Vec<Route>,
     /// Changes of the host list come without being asked for; else it must be followed or fetched.
-    pub list_is_pushed: bool,
+    pub host_list_is_pushed: bool,
     /// Seconds without a fetch of the host list after which the director counts as informed of all changes.
-    pub ask_within: f64,
+    pub host_list_max_silence: f64,
     /// The host list has weights.
     pub listed_weights: bool,
     /// Health checks may be sent.
-    pub may_probe: bool,
+    pub probes_allowed: bool,
     /// Messages may be sent to other directors.
-    pub may_tell_peers: bool,
+    pub peer_messages_allowed: bool,
     /// Share of its capacity, 0 to 1, that a host has at least when it starts. It grows with the host's age.
-    pub cold_from: f64,
+    pub cold_capacity_share: f64,
     /// Seconds after its start by which a host has its full capacity (slow start).
-    pub ramp_time: f64,
+    pub slow_start_duration: f64,
     /// Load, as a multiple of what a host can do, under which it collapses.
-    pub fall_multiple: f64,
+    pub collapse_multiple: f64,
     /// Seconds that it must last for that.
-    pub fall_time: f64,
+    pub collapse_time: f64,
     /// Seconds allowed for stopping to send calls to a host that is gone.
-    pub grace: f64,
+    pub grace_period: f64,
     /// A call that a host rejected as it was full may have been executed.
-    pub throttled_may_have_run: bool,
+    pub throttled_may_have_executed: bool,
     /// A host that the list drops may serve on.
-    pub gone_is_advice: bool,
+    pub removal_is_advisory: bool,
     /// Longest time, in seconds, that a proxy may have no host for a slice.
-    pub unserved_most: f64,
+    pub max_unserved_time: f64,
     /// Number of slices of all directors; 0: there are no slices.
-    pub slices: u64,
+    pub slice_count: u64,
     /// Number of proxies.
-    pub proxies: u64,
+    pub proxy_count: u64,
     /// A slice may have one owner only.
-    pub exclusive: bool,
+    pub exclusive_ownership: bool,
     /// What admission control limits.
-    pub admission: Admission,
+    pub admission_unit: AdmissionUnit,
     /// Retry policy of the proxies for routes of which nothing was ordered.
-    pub retry_default: Retry,
+    pub default_retry_policy: RetryPolicy,
     /// Failures in a row after which a proxy itself ejects a host; 0: it does not.
-    pub ejects_after: u64,
+    pub proxy_ejection_threshold: u64,
     /// Cost of a message to one proxy beside its orders, in lines. An order costs one line for each proxy.
-    pub message_overhead: f64,
+    pub message_overhead_lines: f64,
     /// Lines per second that the channel to the proxies delivers.
-    pub lines_per_s: f64,
+    pub channel_lines_per_s: f64,
     /// Most lines that may be queued in the channel.
-    pub backlog_lines: f64,
+    pub channel_backlog_lines: f64,
     /// Most messages to one proxy within `messages_span`; 0: no limit.
-    pub messages_most: u64,
+    pub max_messages_per_window: u64,
     /// Window of that limit, in seconds.
-    pub messages_span: f64,
+    pub message_window: f64,
     /// Typical time, in seconds, from a message's leaving the channel to its being applied.
-    pub transit: f64,
+    pub typical_transit_time: f64,
     /// Longest such time, in seconds.
-    pub transit_most: f64,
+    pub max_transit_time: f64,
     /// Seconds between two reports of the proxies.
     pub report_interval: f64,
     /// Longest time, in seconds, from a write's coming to its proxy to its end at a host.
-    pub in_flight_most: f64,
+    pub max_write_in_flight_time: f64,
     /// Hosts answer faster for keys that they have served lately.
-    pub warm_keys: bool,
+    pub hosts_cache_keys: bool,
 }
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -47,9 +47,10 @@
         // A second between attempts to follow lets the service recover; once followed, thrice in the allowed time.
         let interval = if self.following { max_silence / 3.0 } else { 1.0 };
         match message {
-            Message::Input(Input::Hosts { scope: ListScope::Failed, .. }) => self.following = false,
+            Message::Input(Input::HostListUpdate { scope: ListScope::Failed, .. }) => self.following = false,
             Message::Tick if self.asked_at.is_none_or(|asked_at| now - asked_at > interval) => {
-                outbox.orders.push(if self.following { Order::FetchList } else { Order::Follow(true) });
+                let order = if self.following { Order::FetchHostList } else { Order::WatchHostList(true) };
+                outbox.orders.push(order);
                 self.following = true;
                 self.asked_at = Some(now);
             }
--- a/src/logic/channel.rs
+++ b/src/logic/channel.rs
@@ -28,10 +28,12 @@
         match message {
             Message::DesiredTable { slice, weights } => self.set_desired(now, slice, weights),
             // A pending withdrawal is sent before the host may return: weights are checked only on return.
-            Message::Send(Order::Withdraw { host, out: false }) if self.is_to_be_withdrawn(host) => {}
+            Message::Send(Order::SetWithdrawn { host, withdrawn: false })
+                if self.is_to_be_withdrawn(host) => {}
             // Proxies that join read the store: a host in none of our tables need not be withdrawn again.
-            Message::Send(Order::Withdraw { host, out: true }) if self.is_withdrawn_and_unused(host) => {}
-            Message::Send(Order::Withdraw { host, out }) => self.set_withdrawal(host, out),
+            Message::Send(Order::SetWithdrawn { host, withdrawn: true })
+                if self.is_withdrawn_and_unused(host) => {}
+            Message::Send(Order::SetWithdrawn { host, withdrawn: out }) => self.set_withdrawal(host, out),
             Message::Send(order) => self.add_admission(order),
             // A host expires when no table names it. Proxies that have it withdrawn are told to let it in before it is
             // forgotten: if its name is used again, they and we must agree.
@@ -49,7 +51,7 @@
     /// All changes that are to be sent, by priority.
     pub(super) fn pending_changes(&self, params: &Parameters) -> Vec<PendingChange<Priority>> {
         let change = |priority, since, orders| PendingChange { priority, since, orders };
-        let withdraw = |host: &HostId, out| vec![Order::Withdraw { host: *host, out }];
+        let withdraw = |host: &HostId, out| vec![Order::SetWithdrawn { host: *host, withdrawn: out }];
         let mut changes = Vec::new();
         let mut blocked_returns = BTreeSet::new();
         for (id, desired) in &self.desired_tables {
@@ -151,7 +153,7 @@
     /// How many of a call's orders may be written to the proxies that are joined now. Where a copy may be queued
     /// already, or the call is too long as a whole, what fits goes as a part.
     pub(crate) fn writable(&self, now: f64, params: &Parameters, call: &CallToWrite) -> usize {
-        let proxies = self.backlog.receiver_count(params, call.unheard);
+        let proxies = self.backlog.receiver_count(params, call.unannounced_proxies);
         let is_silent = self.backlog.is_silent(now, params);
         let limit = if is_silent { params.max_backlog } else { BACKLOG_SHARE * params.max_backlog };
         // Without proxies all fits.
@@ -159,9 +161,9 @@
         let fitting = |used: f64| ((limit - used + 1e-6) / proxies - overhead).max(0.0) as usize;
         let count = fitting(self.backlog.unacknowledged_written_lines()).min(call.orders);
         let is_partial = count < call.orders;
-        let may_be_part = call.again || is_silent || fitting(0.0) < call.orders;
+        let may_be_part = call.is_repeat || is_silent || fitting(0.0) < call.orders;
         let is_worthwhile = is_silent || count as f64 >= params.message_overhead;
-        let is_spent = self.backlog.sent_at.len() >= params.max_messages && (call.again || is_partial);
+        let is_spent = self.backlog.sent_at.len() >= params.max_messages && (call.is_repeat || is_partial);
         if is_spent || is_partial && !(may_be_part && is_worthwhile) {
             return 0;
         }
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -6,7 +6,7 @@
 impl AdmissionControl {
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
-            Message::Input(Input::Wishes(overrides)) if params.admission_by_share => {
+            Message::Input(Input::OverridesChanged(overrides)) if params.admission_by_share => {
                 self.overridden_routes.extend(overrides.routes.keys());
                 self.overrides = overrides.routes;
                 // All routes of which anything is or was overridden: lifted overrides must be sent as well.
@@ -28,13 +28,15 @@
         let Some(old) = self.levels.get_mut(route.0 as usize) else { return };
         *old = level;
         let route_override = self.overrides.get(&route).copied().unwrap_or_default();
-        let retry = match route_override.again.unwrap_or(params.default_retry) {
-            _ if level < 1.0 || !self.overridden_routes.contains(&route) => Retry::Never,
-            Retry::Once | Retry::Twice if !params.idempotent[route.0 as usize] => Retry::IfNeverRan,
+        let retry = match route_override.retry_policy.unwrap_or(params.default_retry) {
+            _ if level < 1.0 || !self.overridden_routes.contains(&route) => RetryPolicy::Never,
+            RetryPolicy::Once | RetryPolicy::Twice if !params.idempotent[route.0 as usize] => {
+                RetryPolicy::IfNotExecuted
+            }
             retry => retry,
         };
-        let level = level.min(route_override.ceiling.unwrap_or(1.0));
-        let order = Order::Admit { scope: Scope::Everywhere, routes: vec![route], level, retry };
+        let level = level.min(route_override.admission_limit.unwrap_or(1.0));
+        let order = Order::SetAdmission { scope: Scope::AllProxies, routes: vec![route], level, retry };
         outbox.send(Recipient::Channel, Message::Send(order));
     }
 
@@ -54,11 +56,11 @@
         if offered < 0.5 * self.offered_rate {
             return;
         }
-        self.update_target(now, params, &rates, &response_times, now - last);
+        self.set_target(now, params, &rates, &response_times, now - last);
         self.update_levels(params, &rates, &response_times, outbox);
     }
 
-    fn update_target(&mut self, now: f64, params: &Parameters, rates: &[f64], times: &Histogram, span: f64) {
+    fn set_target(&mut self, now: f64, params: &Parameters, rates: &[f64], times: &Histogram, window: f64) {
         let offered: f64 = rates.iter().sum();
         let admitted = self.admitted_rate(rates);
         // Overload: a median past 0.43 of the tightest SLO (0.4 acts too early, 0.5 too late), or two in ten calls
@@ -69,7 +71,7 @@
         let period = control_period(params);
         if pressure > 1.0 && (self.target_rate.is_none() || now - self.reduced_at > 2.9 * period) {
             // Less than was answered, so that queues drain. Three periods show the effect of a reduction.
-            self.target_rate = Some((0.85 * times.answered() / span).clamp(0.7 * admitted, 0.9 * admitted));
+            self.target_rate = Some((0.85 * times.answered() / window).clamp(0.7 * admitted, 0.9 * admitted));
             self.reduced_at = now;
             self.recovery_limit = 0.9 * admitted;
         } else if pressure < 0.8 {
--- a/src/logic/hosts.rs
+++ b/src/logic/hosts.rs
@@ -12,17 +12,17 @@
             }
             Message::Unlisted => self.mark_gone(),
             Message::WithdrawnAsSuspect => self.withdrawn_as_suspect = true,
-            Message::Input(Input::Tries { tries, dropped, rt, load, .. }) => {
+            Message::Input(Input::AttemptStats { attempts, dropped, mean_response_time, load, .. }) => {
                 self.record_load(load);
-                let (attempts, dropped) = (tries as f64, dropped.min(tries) as f64);
-                self.record_attempts(now, BINS, rt, attempts, dropped);
+                let (attempts, dropped) = (attempts as f64, dropped.min(attempts) as f64);
+                self.record_attempts(now, BINS, mean_response_time, attempts, dropped);
                 // What a failed host drops is no sign that the fleet is overloaded.
                 if self.view.ready && !self.view.suspect {
-                    let message = Message::Attempts { response_time: rt, attempts, dropped };
+                    let message = Message::Attempts { response_time: mean_response_time, attempts, dropped };
                     outbox.send(Recipient::AdmissionControl, message);
                 }
             }
-            Message::Input(Input::Probed { outcome, load, .. }) => {
+            Message::Input(Input::ProbeFinished { outcome, load, .. }) => {
                 self.record_load(load);
                 self.on_probe(now, params, outcome, outbox);
             }
@@ -52,10 +52,11 @@
         outbox.send(Recipient::Tables, Message::HostView(self.id, self.view.clone()));
     }
 
-    fn record_load(&mut self, load: Load) {
+    fn record_load(&mut self, load: LoadReport) {
         // Where calls are queued all cores are busy. An idle host's figures say nothing of its speed.
-        let utilisation = load.busy.or(load.waiting.map(|calls| if calls >= 1.0 { 1.0 } else { 0.5 }));
-        let (completions, work) = match (load.answered_per_s, load.busy, load.service_time) {
+        let utilisation =
+            load.cpu_utilisation.or(load.queued.map(|calls| if calls >= 1.0 { 1.0 } else { 0.5 }));
+        let (completions, work) = match (load.completions_per_s, load.cpu_utilisation, load.service_time) {
             (Some(rate), Some(busy), _) if busy > 0.1 => (rate, busy),
             (_, _, Some(time)) if time > 0.0 => (1.0, time),
             _ => return,
@@ -69,12 +70,12 @@
         self.next_probe_at = Some(now + 0.5);
         // An error or a rejection comes from a live process, but does not prove that it is one of our hosts.
         let failures = match outcome {
-            Outcome::Unreachable | Outcome::Broken => 2,
+            Outcome::ConnectFailed | Outcome::ConnectionLost => 2,
             Outcome::TimedOut => 1,
             _ => 0,
         };
         self.count_probe(failures);
-        self.has_answered |= outcome == Outcome::Answered;
+        self.has_answered |= outcome == Outcome::Succeeded;
         self.view.verified = self.has_answered || self.view.verified && outcome == Outcome::Throttled;
         // One refused connection may be chance, and a probe may time out queued behind calls that are answered.
         let is_silent = self.probe_failures >= 3 && now - self.last_answer_at > control_period(params);
--- a/src/logic/owners.rs
+++ b/src/logic/owners.rs
@@ -1,12 +1,12 @@
 //! Which host owns a slice: weights, scores, capacities; initial assignment, displaced slices, balancing.
 
 use super::*;
-use coppersail_rebalancer::{Board, CandidateRank, Holder};
+use coppersail_rebalancer::{Assignment, CandidateRank, Holder};
 
 impl Tables {
     /// The weight by which counts are divided: as listed, lower during slow start, times the operators' factor.
     pub(crate) fn effective_weight(&self, host: HostId) -> f64 {
-        let unit = |view: &HostView| coppersail_rebalancer::unit(view.weight, self.mean_weight);
+        let unit = |view: &HostView| coppersail_rebalancer::normalized_weight(view.weight, self.mean_weight);
         let weight = self.views.get(&host).map_or(1.0, |view| unit(view) * view.slow_start);
         weight * self.weight_override(host)
     }
@@ -60,7 +60,7 @@
         let is_allowed = |host: &HostId| Some(*host) != owner && !self.is_excluded(slice.slice, *host);
         let hosts = self.open_hosts().into_iter();
         let candidates = hosts.filter(|host| is_allowed(host) && has_capacity(host));
-        coppersail_rebalancer::seat(candidates.map(|host| (rank(host), host)))
+        coppersail_rebalancer::select_holder(candidates.map(|host| (rank(host), host)))
     }
 
     /// An even layout, but hosts keep, for their caches, up to two over their share. `move_displaced` places the rest.
@@ -130,21 +130,21 @@
         let holder = |host: &HostId| {
             let (listed_at, open) = (self.views[host].seniority.0, self.is_open(*host));
             // Newly listed: after the start of this director, and for the duration of slow start.
-            let young = listed_at > 0.0 && now - listed_at < params.slow_start_duration;
-            let (unit, room) = (self.effective_weight(*host), capacities[host]);
-            Holder { unit, listed_at: Some(listed_at), young, open, leaving: !open, room }
+            let is_new = listed_at > 0.0 && now - listed_at < params.slow_start_duration;
+            let (weight, capacity) = (self.effective_weight(*host), capacities[host]);
+            Holder { weight, listed_at: Some(listed_at), is_new, open, leaving: !open, capacity }
         };
-        let board = Board {
+        let board = Assignment {
             holders: hosts.iter().map(holder).collect(),
             owners: self.slices.values().map(|slice| index_of(&hosts, slice.owner?)).collect(),
             scores: self.slices.values().map(|slice| slice.score).collect(),
-            barred: self.excluded_placements(&ids, &hosts),
+            forbidden: self.excluded_placements(&ids, &hosts),
             // Of several directors each has some of the slices; random gaps add up by the square root.
-            part: Some((ids.len() as f64 / params.slice_count.max(1.0)).min(1.0)),
-            ..Board::default()
+            slice_share: Some((ids.len() as f64 / params.slice_count.max(1.0)).min(1.0)),
+            ..Assignment::default()
         };
         let was_moving = self.rebalancer.moving;
-        let next_move = self.rebalancer.step(&board);
+        let next_move = self.rebalancer.next_move(&board);
         let starts = self.rebalancer.moving && !was_moving;
         if let Some(gap) = board.gap().filter(|_| starts) {
             let text = format!("balancing starts, a gap of {:.1} slices", gap.slices);
--- a/src/logic/tables.rs
+++ b/src/logic/tables.rs
@@ -5,7 +5,7 @@
 impl Tables {
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
-            Message::Input(Input::Wishes(overrides)) => {
+            Message::Input(Input::OverridesChanged(overrides)) => {
                 self.overrides = overrides;
                 // Overridden weights must take effect: balance until the gap is under 2, also if it is not past 8.
                 self.rebalancer.moving = true;
@@ -30,7 +30,7 @@
         // Serving comes before overrides: while no other warm host can serve, hosts drained by operators do.
         let can_serve = |(host, view): (&HostId, &HostView)| {
             let is_sound = view.is_usable() && !view.suspect;
-            is_sound && view.slow_start >= 1.0 && !self.overrides.drained.contains(host)
+            is_sound && view.slow_start >= 1.0 && !self.overrides.drained_hosts.contains(host)
         };
         self.ignore_drain_overrides = !self.views.iter().any(can_serve);
         // Five seconds: by then reports cover what was sent since, and the free capacity of hosts differs.
@@ -109,7 +109,7 @@
             // The channel passes over hosts that no table names. However long a host is gone, the stored table of a
             // newly assigned slice may name it.
             if withdraw != was_withdrawn || resend && withdraw {
-                let order = Order::Withdraw { host: *host, out: withdraw };
+                let order = Order::SetWithdrawn { host: *host, withdrawn: withdraw };
                 outbox.send(Recipient::Channel, Message::Send(order));
             }
             if withdraw && view.suspect && !was_withdrawn {
--- a/src/logic/tests/admission_control.rs
+++ b/src/logic/tests/admission_control.rs
@@ -13,8 +13,8 @@
 #[test_case(0.2, 100.0, None ; "no reduction while answers are quick")]
 #[test_case(0.9, 90.0, Some(76.5) ; "slow answers: less than was answered")]
 #[test_case(0.9, 20.0, Some(70.0) ; "reduced by three tenths at most")]
-fn target_rate_does_not_follow_overload(rt: f64, answered: f64, target: Option<f64>) {
-    let mut admission = admission_control([60.0, 40.0], rt, answered);
+fn target_rate_does_not_follow_overload(mean_response_time: f64, answered: f64, target: Option<f64>) {
+    let mut admission = admission_control([60.0, 40.0], mean_response_time, answered);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert_eq!(admission.target_rate, target);
 }
@@ -34,8 +34,8 @@
     assert_eq!(admission.levels, [1.0, 1.0], "all recover while answers are quick");
 }
 
-// Seen when directors restarted in turn: one that took over slices kept its former target rate, and rejected half of all
-// calls for ten seconds though answers were quick.
+// Seen when directors restarted in turn: one that took over slices kept its former target rate, and rejected half of
+// all calls for ten seconds though answers were quick.
 #[test_case(2, 1.0, 50.0 ; "as many slices")]
 #[test_case(4, 1.0, 100.0 ; "twice as many: twice the calls are admitted")]
 #[test_case(4, 0.5, 50.0 ; "just assigned: only some of their calls were counted")]
@@ -61,9 +61,10 @@
     admission.evaluate(1.0, &params(), &mut outbox);
     let messages: Vec<Message> = outbox.take_next_mailbox().unwrap().1.into_iter().collect();
     assert!(!messages.is_empty());
-    assert!(messages
-        .iter()
-        .all(|message| matches!(message, Message::Send(Order::Admit { retry: Retry::Never, .. }))));
+    assert!(messages.iter().all(|message| matches!(
+        message,
+        Message::Send(Order::SetAdmission { retry: RetryPolicy::Never, .. })
+    )));
 }
 
 #[test]
@@ -78,44 +79,55 @@
 #[test_case(0.2, 0.0, 0.5, None ; "quick answers: a route fails, or connections do")]
 #[test_case(0.35, 0.0, 0.5, Some(76.5) ; "slow answers confirm that hosts are overloaded")]
 #[test_case(0.35, 0.4, 0.5, None ; "idle cores show that they are not")]
-fn dropped_calls_alone_count_as_overload(rt: f64, busy: f64, dropped: f64, target: Option<f64>) {
-    let mut admission = AdmissionControl { utilisation: busy, ..admission_control([60.0, 40.0], rt, 90.0) };
+fn dropped_calls_alone_count_as_overload(
+    mean_response_time: f64,
+    busy: f64,
+    dropped: f64,
+    target: Option<f64>,
+) {
+    let mut admission =
+        AdmissionControl { utilisation: busy, ..admission_control([60.0, 40.0], mean_response_time, 90.0) };
     admission.response_times.dropped = 90.0 * dropped / (1.0 - dropped);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert_eq!(admission.target_rate, target);
 }
 
-fn sent_levels(admission: &mut AdmissionControl, message: Message) -> Vec<(u16, f64, Retry)> {
+fn sent_levels(admission: &mut AdmissionControl, message: Message) -> Vec<(u16, f64, RetryPolicy)> {
     let mut outbox = Outbox::default();
     admission.handle(1.0, &Parameters { idempotent: vec![true, false], ..params() }, message, &mut outbox);
     let level = |message| match message {
-        Message::Send(Order::Admit { routes, level, retry, .. }) => (routes[0].0, level, retry),
+        Message::Send(Order::SetAdmission { routes, level, retry, .. }) => (routes[0].0, level, retry),
         message => panic!("{message:?}"),
     };
     std::iter::from_fn(|| outbox.take_next_mailbox()).flat_map(|(_, messages)| messages).map(level).collect()
 }
 
-fn route_override(route: u16, ceiling: Option<f64>, again: Option<Retry>) -> Message {
-    let routes = [(RouteId(route), RouteWish { ceiling, again })].into();
-    Message::Input(Input::Wishes(Wishes { routes, ..Wishes::default() }))
+fn route_override(route: u16, ceiling: Option<f64>, retry_policy: Option<RetryPolicy>) -> Message {
+    let routes = [(RouteId(route), RouteOverride { admission_limit: ceiling, retry_policy })].into();
+    Message::Input(Input::OverridesChanged(OperatorOverrides { routes, ..OperatorOverrides::default() }))
 }
 
-#[test_case(0, Retry::Twice, Retry::Twice ; "as overridden")]
-#[test_case(1, Retry::Twice, Retry::IfNeverRan ; "never so that a call that is not idempotent could run twice")]
-fn overrides_of_limit_and_retries_are_not_kept(of: u16, wanted: Retry, expected: Retry) {
+#[test_case(0, RetryPolicy::Twice, RetryPolicy::Twice ; "as overridden")]
+#[test_case(1, RetryPolicy::Twice, RetryPolicy::IfNotExecuted ; "never so that a call that is not idempotent could run twice")]
+fn overrides_of_limit_and_retries_are_not_kept(of: u16, wanted: RetryPolicy, expected: RetryPolicy) {
     let mut admission = admission_control([60.0, 40.0], 0.1, 100.0);
     assert_eq!(
         sent_levels(&mut admission, route_override(of, Some(0.6), Some(wanted))),
         [(of, 0.6, expected)]
     );
-    let undone = sent_levels(&mut admission, Message::Input(Input::Wishes(Wishes::default())));
-    assert_eq!(undone, [(of, 1.0, Retry::IfNeverRan)], "once lifted, the default of the settings applies");
+    let undone =
+        sent_levels(&mut admission, Message::Input(Input::OverridesChanged(OperatorOverrides::default())));
+    assert_eq!(
+        undone,
+        [(of, 1.0, RetryPolicy::IfNotExecuted)],
+        "once lifted, the default of the settings applies"
+    );
 }
 
 #[test]
 fn overload_does_not_reduce_below_an_operators_limit() {
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
-    sent_levels(&mut admission, route_override(0, Some(0.9), Some(Retry::Twice)));
+    sent_levels(&mut admission, route_override(0, Some(0.9), Some(RetryPolicy::Twice)));
     let mut outbox = Outbox::default();
     admission.evaluate(1.0, &params(), &mut outbox);
     assert!(admission.levels[0] < 0.9 && admission.levels[1] == 1.0, "{:?}", admission.levels);
@@ -124,6 +136,9 @@
         .unwrap()
         .1
         .into_iter()
-        .find(|message| matches!(message, Message::Send(Order::Admit { .. })));
-    assert!(matches!(message, Some(Message::Send(Order::Admit { retry: Retry::Never, .. }))), "{message:?}");
+        .find(|message| matches!(message, Message::Send(Order::SetAdmission { .. })));
+    assert!(
+        matches!(message, Some(Message::Send(Order::SetAdmission { retry: RetryPolicy::Never, .. }))),
+        "{message:?}"
+    );
 }
--- a/src/logic/tests/channel.rs
+++ b/src/logic/tests/channel.rs
@@ -7,7 +7,7 @@
 use test_case::test_case;
 
 fn sent_weights(outbox: &Outbox) -> usize {
-    outbox.orders.iter().filter(|order| matches!(order, Order::Line { .. })).count()
+    outbox.orders.iter().filter(|order| matches!(order, Order::SetWeight { .. })).count()
 }
 
 /// Each slice was sent with host 7 and should get host 0 as well.
@@ -63,7 +63,7 @@
     channel.withdrawn = BTreeSet::from([id(8)]);
     let changes = channel.pending_changes(&params());
     let slice_of = |change: &PendingChange<Priority>| match change.orders[0] {
-        Order::Line { slice, .. } => Some(slice),
+        Order::SetWeight { slice, .. } => Some(slice),
         _ => None,
     };
     let priorities: Vec<_> = changes.iter().map(|change| (change.priority, slice_of(change))).collect();
@@ -100,8 +100,8 @@
     let mut outbox = Outbox::default();
     channel.sent_tables.insert(SliceId(0), PerHost::from([(id(0), 0.9), (id(1), 1.0), (id(7), 1.0)]));
     channel.flush(0.0, &params(), &mut outbox);
-    assert_eq!(outbox.orders[0], Order::Line { slice: SliceId(0), host: id(1), weight: 0.0 });
-    assert!(matches!(outbox.orders[1..], [Order::Mark { .. }]));
+    assert_eq!(outbox.orders[0], Order::SetWeight { slice: SliceId(0), host: id(1), weight: 0.0 });
+    assert!(matches!(outbox.orders[1..], [Order::RequestAcknowledgement { .. }]));
 }
 
 #[test]
@@ -110,7 +110,7 @@
     let mut outbox = Outbox::default();
     channel.desired_tables.get_mut(&SliceId(29)).unwrap().since = -1.0;
     channel.flush(0.0, &params(), &mut outbox);
-    assert!(matches!(outbox.orders[0], Order::Line { slice: SliceId(29), .. }));
+    assert!(matches!(outbox.orders[0], Order::SetWeight { slice: SliceId(29), .. }));
 }
 
 #[test]
@@ -128,7 +128,8 @@
 #[test_case(1000.0, false ; "a fast channel sends an increase by half")]
 #[test_case(100.0, true ; "a slow one sends only larger changes")]
 fn slow_channel_sends_small_weight_changes(lines_per_s: f64, same: bool) {
-    let params = Parameters::new(&Settings { lines_per_s, proxies: 4, ..settings() });
+    let params =
+        Parameters::new(&Settings { channel_lines_per_s: lines_per_s, proxy_count: 4, ..settings() });
     assert_eq!(is_close_enough(&params, Some(&1.0), 1.5), same);
 }
 
@@ -137,7 +138,7 @@
 fn withdrawal_is_resent_for_a_host_in_no_table(named: bool, sent: bool) {
     let mut channel = channel(0.0, named as u16);
     channel.withdrawn.insert(id(7));
-    let order = Order::Withdraw { host: id(7), out: true };
+    let order = Order::SetWithdrawn { host: id(7), withdrawn: true };
     channel.handle(0.0, &params(), Message::Send(order), &mut Outbox::default());
     assert_eq!(channel.pending_withdrawals.contains_key(&id(7)), sent);
 }
@@ -147,7 +148,7 @@
     let mut channel = channel(0.0, 0);
     channel.withdrawn.insert(id(7));
     channel.set_withdrawal(id(7), false);
-    let order = Order::Withdraw { host: id(7), out: true };
+    let order = Order::SetWithdrawn { host: id(7), withdrawn: true };
     channel.handle(0.0, &params(), Message::Send(order), &mut Outbox::default());
     assert!(channel.pending_withdrawals[&id(7)]);
 }
@@ -157,7 +158,7 @@
     let mut channel = channel(0.0, 0);
     let mut outbox = Outbox::default();
     for out in [true, false] {
-        let order = Order::Withdraw { host: id(7), out };
+        let order = Order::SetWithdrawn { host: id(7), withdrawn: out };
         channel.handle(0.0, &params(), Message::Send(order), &mut outbox);
     }
     assert!(channel.pending_withdrawals[&id(7)]);
@@ -167,7 +168,7 @@
 fn round(mark: u16, at: f64, each: f64) -> Round {
     let lines = 10.0 * each;
     Round {
-        id: Some(MarkId(mark)),
+        id: Some(RoundId(mark)),
         written_at: at,
         lines_per_proxy: each,
         awaited: (0..10).map(ProxyId).collect(),
@@ -178,12 +179,12 @@
 }
 
 fn acknowledge(channel: &mut Channel, now: f64, proxy: u16, mark: u16) {
-    let applied = Input::Applied { proxy: ProxyId(proxy), mark: MarkId(mark), took: now };
+    let applied = Input::RoundAcknowledged { proxy: ProxyId(proxy), round: RoundId(mark), latency: now };
     channel.handle(now, &params(), Message::Input(applied), &mut Outbox::default());
 }
 
-// Seen with a channel at an eighth of its stated rate: rounds that were still being acknowledged were forgotten after ten
-// seconds, and as much was written again.
+// Seen with a channel at an eighth of its stated rate: rounds that were still being acknowledged were forgotten after
+// ten seconds, and as much was written again.
 #[test_case(11.5, 0 ; "it is still being acknowledged")]
 #[test_case(1.0, 1 ; "no acknowledgement for ten seconds")]
 fn queued_round_is_forgotten(last_sample_at: f64, rounds: usize) {
@@ -191,7 +192,7 @@
     channel.backlog.rounds.push_back(round(9, 0.0, 85.0));
     channel.backlog.last_rate_sample_at = last_sample_at;
     channel.flush(12.0, &params(), &mut Outbox::default());
-    let others = channel.backlog.rounds.iter().filter(|round| round.id != Some(MarkId(9)));
+    let others = channel.backlog.rounds.iter().filter(|round| round.id != Some(RoundId(9)));
     assert_eq!(others.count(), rounds);
 }
 
@@ -244,7 +245,7 @@
     set_desired_tables(&mut channel, 0..1);
     channel.flush(0.1, &params(), &mut outbox);
     assert!(
-        matches!(outbox.orders[0], Order::Withdraw { out: true, .. }),
+        matches!(outbox.orders[0], Order::SetWithdrawn { withdrawn: true, .. }),
         "it is sent when slices are assigned"
     );
 }
@@ -264,6 +265,6 @@
     assert_eq!(std::iter::from_fn(|| outbox.take_next_mailbox()).count(), sent);
     set_desired_tables(&mut channel, 0..1);
     channel.flush(2.0, &params(), &mut outbox);
-    let let_in = outbox.orders.contains(&Order::Withdraw { host: id(9), out: false });
+    let let_in = outbox.orders.contains(&Order::SetWithdrawn { host: id(9), withdrawn: false });
     assert_eq!(let_in, withdrawn && !named);
 }
--- a/src/logic/tests/director.rs
+++ b/src/logic/tests/director.rs
@@ -3,14 +3,14 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(true, 1.1, vec![Order::Follow(true)] ; "after a failure it follows the list again")]
+#[test_case(true, 1.1, vec![Order::WatchHostList(true)] ; "after a failure it follows the list again")]
 #[test_case(false, 1.1, vec![] ; "a list that is followed is not fetched")]
-#[test_case(false, 3.1, vec![Order::FetchList] ; "after long silence it fetches the list")]
+#[test_case(false, 3.1, vec![Order::FetchHostList] ; "after long silence it fetches the list")]
 fn host_list_gets_out_of_date(failed: bool, now: f64, expected: Vec<Order>) {
     let mut watch = DiscoveryWatch { following: true, asked_at: Some(0.0) };
     let mut outbox = Outbox::default();
     if failed {
-        let lost = Input::Hosts { scope: ListScope::Failed, version: 0, entries: vec![] };
+        let lost = Input::HostListUpdate { scope: ListScope::Failed, version: 0, entries: vec![] };
         watch.handle(0.5, &params(), Message::Input(lost), &mut outbox);
     }
     watch.handle(now, &params(), Message::Tick, &mut outbox);
@@ -21,8 +21,8 @@
 fn rounding_of_the_time_ends_the_ticks() {
     let mut director = Director::new(settings(), 7);
     director.next_tick_at = 8.200000000000001;
-    let orders = director.handle(8.2, &[Input::Wake(WakeId(1))]);
-    assert!(orders.iter().any(|order| matches!(order, Order::WakeAt { .. })));
+    let orders = director.handle(8.2, &[Input::TimerFired(TimerId(1))]);
+    assert!(orders.iter().any(|order| matches!(order, Order::SetTimer { .. })));
 }
 
 #[test]
@@ -30,46 +30,48 @@
     let mut director = Director::new(settings(), 7);
     director.list_version = Some(5);
     let mut outbox = Outbox::default();
-    director.update_list(ListScope::Whole, 4, &[], &mut outbox);
+    director.update_list(ListScope::Snapshot, 4, &[], &mut outbox);
     assert!(outbox.take_next_mailbox().is_none());
 }
 
-fn listing(n: usize, state: HostState) -> Listing {
-    let (zone, cell, kind) = (ZoneId(0), CellId(0), KindId(0));
-    Listing { host: id(n), state, born: None, weight: 1.0, zone, cell, kind }
+fn listing(n: usize, state: HostState) -> HostListEntry {
+    let (zone, cell, kind) = (ZoneId(0), CellId(0), MachineTypeId(0));
+    HostListEntry { host: id(n), state, started_at: None, weight: 1.0, zone, cell, machine_type: kind }
 }
 
 /// Each second a host comes and another goes; proxies and hosts answer at once.
 #[test]
 fn state_of_removed_hosts_leaks() {
-    let mut director = Director::new(Settings { list_is_pushed: true, ..settings() }, 7);
+    let mut director = Director::new(Settings { host_list_is_pushed: true, ..settings() }, 7);
     let first = (0..5).map(|n| listing(n, HostState::Ready)).collect();
     let (proxy, zone) = (ProxyId(0), ZoneId(0));
     let mut inputs = vec![
-        Input::Hosts { scope: ListScope::Whole, version: 0, entries: first },
-        Input::Joined { proxy, zone, calls_per_s: 9.0, fresh: false },
-        Input::Given(SliceId(0)),
-        Input::StoredLine { slice: SliceId(0), host: id(0), weight: 1.0 },
+        Input::HostListUpdate { scope: ListScope::Snapshot, version: 0, entries: first },
+        Input::ProxyJoined { proxy, zone, requests_per_s: 9.0, without_tables: false },
+        Input::SliceAssigned(SliceId(0)),
+        Input::StoredWeight { slice: SliceId(0), host: id(0), weight: 1.0 },
     ];
     let mut withdrawn = BTreeSet::new();
     let mut forgotten = 0;
     for tick in 0..20_000 {
         let (n, now) = (5 + tick / 10, tick as f64 / 10.0);
         if tick % 10 == 0 {
-            let entries = vec![listing(n, HostState::Ready), listing(n - 5, HostState::Gone)];
-            inputs.push(Input::Hosts { scope: ListScope::Changes, version: n as u64, entries });
+            let entries = vec![listing(n, HostState::Ready), listing(n - 5, HostState::Removed)];
+            inputs.push(Input::HostListUpdate { scope: ListScope::Delta, version: n as u64, entries });
         }
         for order in director.handle(now, &std::mem::take(&mut inputs)) {
             match order {
                 Order::Probe(host) => {
-                    let (outcome, took, load) = (Outcome::Answered, 0.01, Load::default());
-                    inputs.push(Input::Probed { host, outcome, took, load });
+                    let (outcome, took, load) = (Outcome::Succeeded, 0.01, LoadReport::default());
+                    inputs.push(Input::ProbeFinished { host, outcome, duration: took, load });
                 }
-                Order::Mark { mark, .. } => inputs.push(Input::Applied { proxy, mark, took: 0.1 }),
-                Order::Withdraw { host, out } => {
+                Order::RequestAcknowledgement { round: mark, .. } => {
+                    inputs.push(Input::RoundAcknowledged { proxy, round: mark, latency: 0.1 })
+                }
+                Order::SetWithdrawn { host, withdrawn: out } => {
                     assert!(if out { withdrawn.insert(host) } else { withdrawn.remove(&host) })
                 }
-                Order::Forget(host) => {
+                Order::ReleaseHost(host) => {
                     assert!(
                         !withdrawn.contains(&host),
                         "the proxies would keep it out if its name came back"
@@ -96,8 +98,8 @@
 #[test_case(None, true ; "gone")]
 fn listed_host_is_forgotten(listed_again: Option<HostState>, forgotten: bool) {
     let mut director = Director::new(settings(), 7);
-    let list = |version, entries| Input::Hosts { scope: ListScope::Changes, version, entries };
-    director.handle(0.0, &[list(1, vec![listing(3, HostState::Gone)])]);
+    let list = |version, entries| Input::HostListUpdate { scope: ListScope::Delta, version, entries };
+    director.handle(0.0, &[list(1, vec![listing(3, HostState::Removed)])]);
     let entries = listed_again.into_iter().map(|state| listing(3, state)).collect();
     let mut orders = director.handle(5.0, &[list(2, entries)]);
     orders.extend((51..200).flat_map(|tick| director.handle(tick as f64 / 10.0, &[])));
@@ -105,7 +107,10 @@
     let mut outbox = Outbox::default();
     outbox.send(Recipient::Tables, Message::Expired(id(3)));
     director.deliver_messages(21.0, &mut outbox);
-    assert_eq!((orders.contains(&Order::Forget(id(3))), director.hosts.is_empty()), (forgotten, forgotten));
+    assert_eq!(
+        (orders.contains(&Order::ReleaseHost(id(3))), director.hosts.is_empty()),
+        (forgotten, forgotten)
+    );
 }
 
 /// A slice is assigned whose table still names a host that is long gone. Proxies that joined since have not been told
@@ -115,21 +120,30 @@
 #[test_case(Some(3.0), 14.0 ; "expired, and to be let in with other orders")]
 #[test_case(Some(3.0), 30.0 ; "long expired, and to be let in with other orders")]
 fn newly_assigned_slice_names_a_host_that_is_long_gone(gone_at: Option<f64>, given_at: f64) {
-    let mut director = Director::new(Settings { list_is_pushed: true, may_probe: false, ..settings() }, 7);
-    let list = |scope, version, entries| Input::Hosts { scope, version, entries };
-    let stored = |slice, host| Input::StoredLine { slice: SliceId(slice), host: id(host), weight: 1.0 };
+    let mut director =
+        Director::new(Settings { host_list_is_pushed: true, probes_allowed: false, ..settings() }, 7);
+    let list = |scope, version, entries| Input::HostListUpdate { scope, version, entries };
+    let stored = |slice, host| Input::StoredWeight { slice: SliceId(slice), host: id(host), weight: 1.0 };
     let joined = |proxy| {
         let (proxy, zone) = (ProxyId(proxy), ZoneId(0));
-        Input::Joined { proxy, zone, calls_per_s: 9.0, fresh: false }
+        Input::ProxyJoined { proxy, zone, requests_per_s: 9.0, without_tables: false }
     };
     let hosts = (0..5).map(|n| listing(n, HostState::Ready)).collect();
     let mut due = vec![
-        (0.0, vec![list(ListScope::Whole, 0, hosts), joined(0), Input::Given(SliceId(0)), stored(0, 0)]),
-        (1.0, vec![list(ListScope::Changes, 1, vec![listing(0, HostState::Draining)])]),
+        (
+            0.0,
+            vec![
+                list(ListScope::Snapshot, 0, hosts),
+                joined(0),
+                Input::SliceAssigned(SliceId(0)),
+                stored(0, 0),
+            ],
+        ),
+        (1.0, vec![list(ListScope::Delta, 1, vec![listing(0, HostState::Draining)])]),
         (given_at - 2.0, vec![joined(1)]),
-        (given_at, vec![Input::Given(SliceId(1)), stored(1, 0), stored(1, 1)]),
+        (given_at, vec![Input::SliceAssigned(SliceId(1)), stored(1, 0), stored(1, 1)]),
     ];
-    due.extend(gone_at.map(|at| (at, vec![list(ListScope::Changes, 2, vec![listing(0, HostState::Gone)])])));
+    due.extend(gone_at.map(|at| (at, vec![list(ListScope::Delta, 2, vec![listing(0, HostState::Removed)])])));
     let mut inputs = Vec::new();
     let mut named = false;
     let mut withdrawn_at = None;
@@ -138,15 +152,13 @@
         for (_, more) in due.extract_if(.., |(at, _)| *at <= now) {
             inputs.extend(more);
         }
-        named |= inputs.contains(&Input::Given(SliceId(1)));
+        named |= inputs.contains(&Input::SliceAssigned(SliceId(1)));
         for order in director.handle(now, &std::mem::take(&mut inputs)) {
             match order {
-                Order::Mark { mark, .. } => inputs.extend([0, 1].map(|proxy| Input::Applied {
-                    proxy: ProxyId(proxy),
-                    mark,
-                    took: 0.1,
+                Order::RequestAcknowledgement { round: mark, .. } => inputs.extend([0, 1].map(|proxy| {
+                    Input::RoundAcknowledged { proxy: ProxyId(proxy), round: mark, latency: 0.1 }
                 })),
-                Order::Withdraw { host, out } if named && host == id(0) => {
+                Order::SetWithdrawn { host, withdrawn: out } if named && host == id(0) => {
                     assert!(out || withdrawn_at.is_some(), "let in at {now} while a table names it");
                     withdrawn_at = withdrawn_at.or(out.then_some(now));
                 }
--- a/src/logic/tests/hosts.rs
+++ b/src/logic/tests/hosts.rs
@@ -12,18 +12,18 @@
     host
 }
 
-#[test_case(&[Outcome::Unreachable], 0.0, false ; "one refused connection may be chance")]
-#[test_case(&[Outcome::Unreachable, Outcome::Broken], 9.9, true ; "two are not chance")]
+#[test_case(&[Outcome::ConnectFailed], 0.0, false ; "one refused connection may be chance")]
+#[test_case(&[Outcome::ConnectFailed, Outcome::ConnectionLost], 9.9, true ; "two are not chance")]
 #[test_case(&[Outcome::TimedOut; 4], 9.9, false ; "an overloaded host times out but answers calls")]
 #[test_case(&[Outcome::TimedOut; 3], 0.0, true ; "a failed host answers none")]
-#[test_case(&[Outcome::Throttled, Outcome::Error, Outcome::Throttled], 0.0, false ; "an error comes from a live process")]
+#[test_case(&[Outcome::Throttled, Outcome::ErrorResponse, Outcome::Throttled], 0.0, false ; "an error comes from a live process")]
 fn failed_host_is_not_suspected_or_a_live_one_is(outcomes: &[Outcome], answered_at: f64, suspect: bool) {
     assert_eq!(probed_host(outcomes, answered_at).view.suspect, suspect);
 }
 
 #[test]
 fn recovered_host_skips_slow_start() {
-    let (fine, dead) = (Outcome::Answered, Outcome::Unreachable);
+    let (fine, dead) = (Outcome::Succeeded, Outcome::ConnectFailed);
     let mut host = probed_host(&[dead, dead], 0.0);
     host.withdrawn_as_suspect = true;
     for _ in 0..2 {
@@ -50,15 +50,23 @@
 #[test]
 fn restart_shown_by_the_list_skips_slow_start() {
     let mut host = Host::new(id(0), 0.0, true);
-    let (born, zone, cell, kind) = (Some(50.0), ZoneId(0), CellId(0), KindId(0));
-    let listing = Listing { host: id(0), state: HostState::Ready, born, weight: 1.0, zone, cell, kind };
+    let (started_at, zone, cell, kind) = (Some(50.0), ZoneId(0), CellId(0), MachineTypeId(0));
+    let listing = HostListEntry {
+        host: id(0),
+        state: HostState::Ready,
+        started_at,
+        weight: 1.0,
+        zone,
+        cell,
+        machine_type: kind,
+    };
     host.handle(52.0, &params(), Message::Listed { entry: listing, position: 1 }, &mut Outbox::default());
     assert!((host.view.slow_start - (0.2 + 0.8 * 0.2)).abs() < 1e-9);
 }
 
-#[test_case(Outcome::Answered, true ; "an answer verifies it")]
-#[test_case(Outcome::Error, false ; "an error may come from anybody")]
-#[test_case(Outcome::Unreachable, false ; "no process is there")]
+#[test_case(Outcome::Succeeded, true ; "an answer verifies it")]
+#[test_case(Outcome::ErrorResponse, false ; "an error may come from anybody")]
+#[test_case(Outcome::ConnectFailed, false ; "no process is there")]
 fn unverified_host_is_used(outcome: Outcome, open: bool) {
     let mut host = Host::new(id(0), 0.0, false);
     host.on_probe(1.0, &params(), outcome, &mut Outbox::default());
@@ -78,7 +86,7 @@
     host.handle(1.0, &params, Message::Unlisted, &mut Outbox::default());
     assert_eq!(host.view.ready, stays);
     for _ in 0..2 {
-        host.on_probe(2.0, &params, Outcome::Unreachable, &mut Outbox::default());
+        host.on_probe(2.0, &params, Outcome::ConnectFailed, &mut Outbox::default());
     }
     assert!(!host.view.ready || !host.serves_unlisted, "and is gone when its health checks fail");
 }
@@ -90,7 +98,7 @@
     for n in 0..suspects {
         tables.views.get_mut(&id(n)).unwrap().suspect = true;
     }
-    let mut host = probed_host(&[Outcome::Unreachable; 2], 0.0);
+    let mut host = probed_host(&[Outcome::ConnectFailed; 2], 0.0);
     let mut outbox = Outbox::default();
     tables.update_withdrawals(11.0, &mut outbox);
     let sent =
@@ -100,7 +108,7 @@
         host.handle(11.0, &params(), message, &mut Outbox::default());
     }
     for _ in 0..2 {
-        host.on_probe(13.0, &params(), Outcome::Answered, &mut Outbox::default());
+        host.on_probe(13.0, &params(), Outcome::Succeeded, &mut Outbox::default());
     }
     assert_eq!((host.view.suspect, host.started_at.is_some()), (false, in_slow_start));
 }
