--- a/src/logic/tests/overrides.rs
+++ b/src/logic/tests/overrides.rs
@@ -3,8 +3,8 @@
 use super::*;
 use test_case::test_case;
 
-fn apply_overrides(tables: &mut Tables, wishes: Wishes) {
-    tables.handle(1.0, &params(), Message::Input(Input::Wishes(wishes)), &mut Outbox::default());
+fn apply_overrides(tables: &mut Tables, wishes: OperatorOverrides) {
+    tables.handle(1.0, &params(), Message::Input(Input::OverridesChanged(wishes)), &mut Outbox::default());
     tables.tick(1.0, &params(), &mut Outbox::default());
 }
 
@@ -13,20 +13,26 @@
 fn drained_host_keeps_slices(hosts: &[usize], owned: [f64; 3]) {
     let mut tables = tables(&[4, 4, 4]);
     let drained = hosts.iter().map(|host| id(*host)).collect();
-    apply_overrides(&mut tables, Wishes { drained, ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides { drained_hosts: drained, ..OperatorOverrides::default() },
+    );
     assert_eq!([0, 1, 2].map(|host| held(&tables, host)), owned);
     let named = |slice: &Slice| slice.weights.keys().any(|host| hosts == [0] && *host == id(0));
     assert!(!tables.slices.values().any(named), "nor is it a standby");
-    apply_overrides(&mut tables, Wishes::default());
+    apply_overrides(&mut tables, OperatorOverrides::default());
     assert!(tables.is_open(id(0)), "open again when the override is lifted");
 }
 
 #[test]
 fn host_that_is_gone_is_open_when_its_drain_is_lifted() {
     let mut tables = tables(&[4, 4, 4]);
-    apply_overrides(&mut tables, Wishes { drained: [id(0)].into(), ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides { drained_hosts: [id(0)].into(), ..OperatorOverrides::default() },
+    );
     tables.views.get_mut(&id(0)).unwrap().ready = false;
-    apply_overrides(&mut tables, Wishes::default());
+    apply_overrides(&mut tables, OperatorOverrides::default());
     assert_eq!((held(&tables, 0), tables.is_open(id(0))), (0.0, false));
 }
 
@@ -34,14 +40,23 @@
 #[test_case(0.1, 1, 1.0 ; "a tenth of the weight")]
 fn lowered_weight_does_not_move_slices_at_once(weight: f64, host: usize, most: f64) {
     let mut tables = tables(&[4, 4, 4]);
-    apply_overrides(&mut tables, Wishes { hosts: [(id(host), weight)].into(), ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides {
+            host_weight_factors: [(id(host), weight)].into(),
+            ..OperatorOverrides::default()
+        },
+    );
     assert!(held(&tables, host) <= most, "{}", held(&tables, host));
 }
 
 #[test]
 fn raised_zone_weight_does_not_attract_slices() {
     let mut tables = tables(&[4, 4, 4, 4]);
-    apply_overrides(&mut tables, Wishes { zones: vec![1.0, 3.0], ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides { zone_weight_factors: vec![1.0, 3.0], ..OperatorOverrides::default() },
+    );
     for at in 2..40 {
         tables.tick(at as f64, &params(), &mut Outbox::default());
     }
@@ -52,10 +67,16 @@
 fn anti_affinity_is_ignored_or_leaves_a_slice_unserved() {
     let mut tables = tables(&[2, 2, 2]);
     let apart = |hosts: &[usize]| hosts.iter().map(|host| (SliceId(0), id(*host))).collect();
-    apply_overrides(&mut tables, Wishes { apart: apart(&[0, 1]), ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides { anti_affinity: apart(&[0, 1]), ..OperatorOverrides::default() },
+    );
     let slice = &tables.slices[&SliceId(0)];
     assert_eq!((slice.owner, slice.standby), (Some(id(2)), None), "nor is one of them its standby");
-    apply_overrides(&mut tables, Wishes { apart: apart(&[0, 1, 2]), ..Wishes::default() });
+    apply_overrides(
+        &mut tables,
+        OperatorOverrides { anti_affinity: apart(&[0, 1, 2]), ..OperatorOverrides::default() },
+    );
     assert!(tables.slices[&SliceId(0)].owner.is_some());
 }
 
@@ -64,10 +85,10 @@
 fn slice_does_not_return_when_an_override_is_lifted(open: bool, returned: f64) {
     let mut tables = tables(&[2, 2, 2]);
     let apart = [(SliceId(0), id(0)), (SliceId(0), id(1))].into();
-    apply_overrides(&mut tables, Wishes { apart, ..Wishes::default() });
+    apply_overrides(&mut tables, OperatorOverrides { anti_affinity: apart, ..OperatorOverrides::default() });
     assert_eq!(tables.slices[&SliceId(0)].owner, Some(id(2)));
     tables.views.get_mut(&id(0)).unwrap().ready = open;
-    apply_overrides(&mut tables, Wishes::default());
+    apply_overrides(&mut tables, OperatorOverrides::default());
     assert_eq!((tables.slices[&SliceId(0)].owner == Some(id(0)), held(&tables, 0) >= returned), (open, true));
     assert!(open || held(&tables, 0) == 0.0, "a draining host stays out");
     assert_eq!(
--- a/src/logic/tests/tables.rs
+++ b/src/logic/tests/tables.rs
@@ -96,7 +96,8 @@
     }
     let mut outbox = Outbox::default();
     tables.tick(2.0, &params(), &mut outbox);
-    let out = |message: &Message| matches!(message, Message::Send(Order::Withdraw { out: true, .. }));
+    let out =
+        |message: &Message| matches!(message, Message::Send(Order::SetWithdrawn { withdrawn: true, .. }));
     let many = std::iter::from_fn(|| outbox.take_next_mailbox())
         .flat_map(|(_, messages)| messages)
         .filter(out)
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,6 +1,6 @@
 //! Messages that the actors of a director send each other, and the mailboxes in which they wait. Holds no decision.
 
-use crate::interface::{HostId, Input, Listing, Order, SliceId, ZoneId};
+use crate::interface::{HostId, HostListEntry, Input, Order, SliceId, ZoneId};
 use crate::placement::PerHost;
 use std::collections::{BTreeMap, VecDeque};
 
@@ -49,7 +49,7 @@
     /// To the actors that it concerns: what came in.
     Input(Input),
     /// To a host: its entry in the host list, and a number that rises with each entry that is read.
-    Listed { entry: Listing, position: u64 },
+    Listed { entry: HostListEntry, position: u64 },
     /// To a host: the list has dropped it.
     Unlisted,
     /// To a host: it is withdrawn as a suspect.
@@ -60,8 +60,8 @@
     HostView(HostId, HostView),
     /// To the tables: the proxies have been told to use the host again.
     Readmitted(HostId),
-    /// The host is long gone. Sent by the host to the channel, by the channel to the tables once no table names the host,
-    /// and by the tables to the host's actor once nothing refers to it any more.
+    /// The host is long gone. Sent by the host to the channel, by the channel to the tables once no table names the
+    /// host, and by the tables to the host's actor once nothing refers to it any more.
     Expired(HostId),
     /// To admission control: outcome of the attempts at a sound host, with their mean response time in seconds.
     Attempts { response_time: f64, attempts: f64, dropped: f64 },
--- a/src/parameters.rs
+++ b/src/parameters.rs
@@ -1,6 +1,6 @@
 //! What the decisions use of the settings, and what follows from them directly. Holds no decision.
 
-use crate::interface::{Admission, Retry, Semantics, Settings};
+use crate::interface::{AdmissionUnit, Idempotency, RetryPolicy, Settings};
 
 /// Parameters of the decisions. Times are in seconds, shares from 0 to 1.
 pub(crate) struct Parameters {
@@ -27,7 +27,7 @@
     /// Whether calls may run twice, by route.
     pub(crate) idempotent: Vec<bool>,
     /// Retry policy of the proxies for routes without an order of ours.
-    pub(crate) default_retry: Retry,
+    pub(crate) default_retry: RetryPolicy,
     /// Proxies admit a share of the calls as ordered. No other kind of admission control is used.
     pub(crate) admission_by_share: bool,
     /// Cost of a message to one proxy before its first order, in lines.
@@ -58,39 +58,40 @@
     /// The parameters that follow from a director's settings.
     pub(crate) fn new(settings: &Settings) -> Self {
         let routes = &settings.routes;
-        let latency_slos: Vec<f64> = routes.iter().map(|route| route.slo_time).collect();
+        let latency_slos: Vec<f64> = routes.iter().map(|route| route.latency_target).collect();
         let tightest_slo = latency_slos.iter().copied().fold(f64::INFINITY, f64::min);
-        let proxy_count = settings.proxies as f64;
+        let proxy_count = settings.proxy_count as f64;
         // No limit is stated as 0.
-        let max_messages = match settings.messages_most {
+        let max_messages = match settings.max_messages_per_window {
             0 => usize::MAX,
             limit => limit as usize,
         };
         Parameters {
-            cold_capacity_share: settings.cold_from,
-            slow_start_duration: settings.ramp_time,
-            collapse_multiple: settings.fall_multiple,
+            cold_capacity_share: settings.cold_capacity_share,
+            slow_start_duration: settings.slow_start_duration,
+            collapse_multiple: settings.collapse_multiple,
             report_interval: settings.report_interval,
-            probes_allowed: settings.may_probe,
-            removal_is_advisory: settings.gone_is_advice,
-            exclusive_ownership: settings.exclusive,
-            route_values: routes.iter().map(|route| route.importance).collect(),
+            probes_allowed: settings.probes_allowed,
+            removal_is_advisory: settings.removal_is_advisory,
+            exclusive_ownership: settings.exclusive_ownership,
+            route_values: routes.iter().map(|route| route.value).collect(),
             latency_slos,
             tightest_slo,
-            idempotent: routes.iter().map(|route| route.semantics == Semantics::Repeatable).collect(),
-            default_retry: settings.retry_default,
-            admission_by_share: settings.admission == Admission::Share,
-            message_overhead: settings.message_overhead,
+            idempotent: routes.iter().map(|route| route.idempotency == Idempotency::Idempotent).collect(),
+            default_retry: settings.default_retry_policy,
+            admission_by_share: settings.admission_unit == AdmissionUnit::Fraction,
+            message_overhead: settings.message_overhead_lines,
             proxy_count,
-            uses_slices: settings.slices > 0,
-            slice_count: settings.slices as f64,
-            lines_per_s: settings.lines_per_s,
-            round_time: proxy_count * (settings.message_overhead + 1.0) / settings.lines_per_s.max(1.0),
-            max_backlog: settings.backlog_lines,
-            max_transit_time: settings.transit_most,
+            uses_slices: settings.slice_count > 0,
+            slice_count: settings.slice_count as f64,
+            lines_per_s: settings.channel_lines_per_s,
+            round_time: proxy_count * (settings.message_overhead_lines + 1.0)
+                / settings.channel_lines_per_s.max(1.0),
+            max_backlog: settings.channel_backlog_lines,
+            max_transit_time: settings.max_transit_time,
             max_messages,
-            message_window: settings.messages_span,
-            max_list_silence: (!settings.list_is_pushed).then_some(settings.ask_within),
+            message_window: settings.message_window,
+            max_list_silence: (!settings.host_list_is_pushed).then_some(settings.host_list_max_silence),
         }
     }
 }
--- a/src/state/admission_control.rs
+++ b/src/state/admission_control.rs
@@ -1,6 +1,6 @@
 //! What is remembered for admission control.
 
-use crate::interface::{Input, RouteId, RouteWish, SliceId};
+use crate::interface::{Input, RouteId, RouteOverride, SliceId};
 use crate::messages::Message;
 use crate::statistics::{Bins, Histogram};
 use std::collections::{BTreeMap, BTreeSet};
@@ -33,7 +33,7 @@
     /// Rate just below the one that was last too much.
     pub(crate) recovery_limit: f64,
     /// What operators set, by route.
-    pub(crate) overrides: BTreeMap<RouteId, RouteWish>,
+    pub(crate) overrides: BTreeMap<RouteId, RouteOverride>,
     /// Routes for which operators have ever set something.
     pub(crate) overridden_routes: BTreeSet<RouteId>,
 }
@@ -51,12 +51,15 @@
     /// Keeps what messages say that need no decision.
     pub(crate) fn record(&mut self, now: f64, bins: Bins, message: Message) {
         match message {
-            Message::Input(Input::Demand { route, calls, .. } | Input::Intake { route, calls, .. }) => {
+            Message::Input(
+                Input::SliceDemand { route, requests: calls, .. }
+                | Input::ProxyDemand { route, requests: calls, .. },
+            ) => {
                 self.count_calls(route, calls);
             }
-            Message::Input(Input::Joined { .. }) => self.resend = true,
-            Message::Input(Input::Given(slice)) => self.add_slice(now, slice),
-            Message::Input(Input::Taken(slice)) => {
+            Message::Input(Input::ProxyJoined { .. }) => self.resend = true,
+            Message::Input(Input::SliceAssigned(slice)) => self.add_slice(now, slice),
+            Message::Input(Input::SliceRevoked(slice)) => {
                 self.slices.remove(&slice);
             }
             Message::Attempts { response_time, attempts, dropped } => {
@@ -87,10 +90,10 @@
     }
 
     /// Calls per second by route since the last evaluation, `span` seconds ago; starts counting anew.
-    pub(crate) fn take_call_rates(&mut self, span: f64) -> Vec<f64> {
+    pub(crate) fn take_call_rates(&mut self, window: f64) -> Vec<f64> {
         let mut rates = Vec::with_capacity(self.calls.len());
         for calls in &mut self.calls {
-            rates.push(std::mem::take(calls) / span);
+            rates.push(std::mem::take(calls) / window);
         }
         rates
     }
@@ -98,7 +101,7 @@
     /// The share of a route's calls to which operators have limited it; 1 without a limit.
     fn operator_limit(&self, route: usize) -> f64 {
         let route_override = self.overrides.get(&RouteId(route as u16));
-        route_override.and_then(|route_override| route_override.ceiling).unwrap_or(1.0)
+        route_override.and_then(|route_override| route_override.admission_limit).unwrap_or(1.0)
     }
 
     /// What operators' limits leave of the rates of calls, by route.
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -1,7 +1,7 @@
 //! What is remembered of the channel to the proxies.
 
 use crate::channel_backlog::{AcknowledgementRules, ChannelBacklog};
-use crate::interface::{HostId, Input, MarkId, Order, SliceId};
+use crate::interface::{HostId, Input, Order, RoundId, SliceId};
 use crate::messages::{Message, Outbox, Recipient};
 use crate::parameters::Parameters;
 use crate::placement::PerHost;
@@ -73,7 +73,7 @@
 
     /// An admission level for all proxies is to be sent. Messages also bring it to proxies that join later.
     pub(crate) fn add_admission(&mut self, order: Order) {
-        if let Order::Admit { routes, .. } = &order {
+        if let Order::SetAdmission { routes, .. } = &order {
             self.backlog.admission_routes.extend(routes);
         }
         self.pending_admission.push(order);
@@ -107,8 +107,8 @@
 
     /// Ends a round of orders: asks the proxies to acknowledge it, and counts its lines.
     pub(crate) fn finish_round(&mut self, now: f64, lines_per_proxy: f64, outbox: &mut Outbox) {
-        let id = MarkId(self.next_round);
-        outbox.orders.push(Order::Mark { mark: id, all: false });
+        let id = RoundId(self.next_round);
+        outbox.orders.push(Order::RequestAcknowledgement { round: id, include_idle_proxies: false });
         self.backlog.record_order(now, id, lines_per_proxy);
         self.next_round = self.next_round.wrapping_add(1);
     }
@@ -140,13 +140,13 @@
         input: Input,
     ) {
         match input {
-            Input::StoredLine { slice, host, weight } => {
+            Input::StoredWeight { slice, host, weight } => {
                 self.sent_tables.entry(slice).or_default().insert(host, weight);
                 // A table names it once more, so it has not expired.
                 self.expired.remove(&host);
             }
-            Input::Refused { slice, lines, .. } => self.reset_table(slice, Some(lines)),
-            Input::Taken(slice) | Input::Given(slice) => self.reset_table(slice, None),
+            Input::WeightsRejected { slice, weights: lines, .. } => self.reset_table(slice, Some(lines)),
+            Input::SliceRevoked(slice) | Input::SliceAssigned(slice) => self.reset_table(slice, None),
             input => self.backlog.record_input(now, params, rules, &input),
         }
     }
@@ -170,11 +170,11 @@
         };
         for (host, weight) in &desired.weights {
             if !is_close(sent.get(host), *weight) {
-                diff.orders.push(Order::Line { slice, host: *host, weight: *weight });
+                diff.orders.push(Order::SetWeight { slice, host: *host, weight: *weight });
             }
         }
         for host in sent.keys().filter(|host| !desired.weights.contains_key(host)) {
-            let removal = Order::Line { slice, host: *host, weight: 0.0 };
+            let removal = Order::SetWeight { slice, host: *host, weight: 0.0 };
             if self.is_shut(host) {
                 diff.removals_of_shut.push(removal);
                 continue;
@@ -198,8 +198,8 @@
     /// Notes what the proxies know once this order is sent.
     fn record_sent(&mut self, now: f64, order: &Order, outbox: &mut Outbox) {
         match *order {
-            Order::Line { slice, host, weight } => self.record_weight(now, slice, host, weight),
-            Order::Withdraw { host, out } => self.record_withdrawal(host, out, outbox),
+            Order::SetWeight { slice, host, weight } => self.record_weight(now, slice, host, weight),
+            Order::SetWithdrawn { host, withdrawn: out } => self.record_withdrawal(host, out, outbox),
             // Admission levels are sent in the order in which they were asked for.
             _ => {
                 self.pending_admission.remove(0);
--- a/src/state/director.rs
+++ b/src/state/director.rs
@@ -9,7 +9,7 @@
 /// One instance of the decisions. It reads no clock, does no I/O, and gives the same orders for the same inputs.
 ///
 /// Made by [`Director::new`]; [`Director::handle`] is then called with every batch of inputs, and asks for its own
-/// wake-ups by [`Order::WakeAt`](crate::interface::Order::WakeAt).
+/// wake-ups by [`Order::SetTimer`](crate::interface::Order::SetTimer).
 pub struct Director {
     pub(crate) params: Parameters,
     pub(crate) random: Random,
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -1,6 +1,6 @@
 //! What is remembered of one host.
 
-use crate::interface::{HostId, HostState, Listing};
+use crate::interface::{HostId, HostListEntry, HostState};
 use crate::messages::HostView;
 use crate::statistics::{Bins, Histogram};
 
@@ -63,10 +63,10 @@
     }
 
     /// Takes the host's entry in the list.
-    pub(crate) fn update_listing(&mut self, now: f64, entry: Listing, position: u64) {
-        if entry.born > self.started_at {
+    pub(crate) fn update_listing(&mut self, now: f64, entry: HostListEntry, position: u64) {
+        if entry.started_at > self.started_at {
             // A new process: what was measured of the old one is void.
-            self.started_at = entry.born;
+            self.started_at = entry.started_at;
             self.response_times = Histogram::default();
             self.view.derating = 1.0;
             self.view.restarted_at = self.has_answered.then_some(now);
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -1,7 +1,7 @@
 //! What is remembered of all slices and of the hosts for them.
 
 use super::Slice;
-use crate::interface::{HostId, Input, SliceId, Wishes};
+use crate::interface::{HostId, Input, OperatorOverrides, SliceId};
 use crate::messages::{HostView, Message, Outbox, Recipient};
 use crate::parameters::Parameters;
 use crate::placement::{add_to_host, PerHost, PlacementPlan, Relocation};
@@ -17,7 +17,7 @@
     /// A proxy or a slice has missed the withdrawals, so they are to be sent again.
     pub(crate) resend_withdrawals: bool,
     pub(crate) withdrawals_resent_at: f64,
-    pub(crate) rebalancer: coppersail_rebalancer::Balance,
+    pub(crate) rebalancer: coppersail_rebalancer::Rebalancer,
     /// Most hosts that were ready at a time. A host's part is reckoned by these, however many fail.
     pub(crate) max_ready_hosts: usize,
     /// Median response time of the fleet.
@@ -41,7 +41,7 @@
     /// That rate when the fleet last answered quickly.
     pub(crate) sustained_call_rate: f64,
     /// What operators set.
-    pub(crate) overrides: Wishes,
+    pub(crate) overrides: OperatorOverrides,
     /// No other host could serve, so none counts as drained by operators.
     pub(crate) ignore_drain_overrides: bool,
     /// Placements that the capacity guard has rejected, and when.
@@ -79,14 +79,14 @@
 
     fn record_input(&mut self, now: f64, params: &Parameters, input: Input) {
         match input {
-            Input::Given(id) => {
+            Input::SliceAssigned(id) => {
                 let calls = vec![0.0; params.route_values.len()];
                 self.slices.insert(id, Slice { calls, ..Slice::default() });
                 self.slice_assigned_at = now;
                 self.resend_withdrawals = true;
             }
-            Input::Joined { .. } => self.resend_withdrawals = true,
-            Input::Refused { slice: id, host, lines } => {
+            Input::ProxyJoined { .. } => self.resend_withdrawals = true,
+            Input::WeightsRejected { slice: id, host, weights: lines } => {
                 if let Some(host) = host {
                     self.rejected_placements.insert((id, host), now);
                 }
@@ -95,15 +95,15 @@
                     slice.owner = None;
                 }
             }
-            Input::Taken(id) => {
+            Input::SliceRevoked(id) => {
                 self.slices.remove(&id);
             }
-            Input::StoredLine { slice: id, host, weight } => {
+            Input::StoredWeight { slice: id, host, weight } => {
                 if let Some(slice) = self.slices.get_mut(&id) {
                     add_to_host(&mut slice.weights, Some(host), weight);
                 }
             }
-            Input::Demand { slice: id, route, calls, .. } => {
+            Input::SliceDemand { slice: id, route, requests: calls, .. } => {
                 self.new_calls += calls as f64;
                 let slice = self.slices.get_mut(&id);
                 if let Some(sum) = slice.and_then(|slice| slice.calls.get_mut(route.0 as usize)) {
@@ -125,7 +125,7 @@
     /// Whether operators or the guard have excluded a host for a slice.
     pub(crate) fn has_exclusion(&self, slice: SliceId, host: HostId) -> bool {
         let placement = (slice, host);
-        self.overrides.apart.contains(&placement) || self.rejected_placements.contains_key(&placement)
+        self.overrides.anti_affinity.contains(&placement) || self.rejected_placements.contains_key(&placement)
     }
 
     /// Whether the host is in view and ready.
@@ -226,13 +226,16 @@
 
     /// Whether operators have drained the host, and others can serve.
     pub(crate) fn is_drained_by_operator(&self, host: HostId) -> bool {
-        !self.ignore_drain_overrides && self.overrides.drained.contains(&host)
+        !self.ignore_drain_overrides && self.overrides.drained_hosts.contains(&host)
     }
 
     /// Factor of the host's weight that operators set for it and its zone; 1 where they set none.
     pub(crate) fn weight_override(&self, host: HostId) -> f64 {
-        let zone = self.views.get(&host).and_then(|view| self.overrides.zones.get(view.zone.0 as usize));
-        self.overrides.hosts.get(&host).unwrap_or(&1.0) * zone.unwrap_or(&1.0)
+        let zone = self
+            .views
+            .get(&host)
+            .and_then(|view| self.overrides.zone_weight_factors.get(view.zone.0 as usize));
+        self.overrides.host_weight_factors.get(&host).unwrap_or(&1.0) * zone.unwrap_or(&1.0)
     }
 
     /// Reckons the mean weight, and the mean speed of the hosts that report one.
@@ -261,7 +264,7 @@
         hosts: &[HostId],
     ) -> BTreeSet<(usize, usize)> {
         let mut indices = BTreeSet::new();
-        for (slice, host) in self.overrides.apart.iter().chain(self.rejected_placements.keys()) {
+        for (slice, host) in self.overrides.anti_affinity.iter().chain(self.rejected_placements.keys()) {
             if !self.is_excluded(*slice, *host) {
                 continue;
             }
