--- a/crates/tools/bench-codec/src/order.rs
+++ b/crates/tools/bench-codec/src/order.rs
@@ -2,7 +2,7 @@
 
 use crate::field::{Octets, Receiver, Resend, Text};
 
-/// The slice number that stands for all slices in [`Order::SetAdmission`].
+/// The slice number that stands for all slices in [`Order::Admit`].
 pub const ALL_SLICES: u16 = 65535;
 
 /// The last line of a reply.
--- a/crates/tools/lab/src/policy/kind.rs
+++ b/crates/tools/lab/src/policy/kind.rs
@@ -22,7 +22,7 @@
     /// The director's binary on loopback, in real time; only [`World::run_live`](crate::World::run_live) plays it.
     #[serde(rename = "Live")]
     Process,
-    /// An earlier build on the simulator's wire, by the number that [`build::number`] gave its path.
+    /// An earlier build on the simulator's wire, by the number that [`build::register_program`] gave its path.
     Build(u8),
     /// Baseline: equal weights.
     Even,
