--- a/crates/director/operator-config/src/operator_file.rs
+++ b/crates/director/operator-config/src/operator_file.rs
@@ -4,7 +4,7 @@
 use crate::field::{Document, Field, MAX_FIELDS};
 use crate::json::{JsonValue, DUPLICATE_NAME};
 use crate::line_lookup::line_of;
-use crate::validation::{check_value, SettingsNames};
+use crate::validation::{unmet_expectation, SettingsNames};
 use crate::value::Value;
 
 /// The version of the file format that this program reads.
@@ -221,9 +221,9 @@
             _ => None,
         };
         let Some(value) = value else { return self.report(path, field.expected()) };
-        match check_value(&field, &value, self.known) {
-            Ok(()) => drop(self.content.document.insert(field, value)),
-            Err(expected) => self.report(path, expected),
+        match unmet_expectation(&field, &value, self.known) {
+            None => drop(self.content.document.insert(field, value)),
+            Some(expected) => self.report(path, expected),
         }
     }
 
--- a/crates/director/operator-config/src/validation.rs
+++ b/crates/director/operator-config/src/validation.rs
@@ -37,18 +37,22 @@
     known: Option<&SettingsNames>,
 ) -> Result<(), EditError> {
     let Some(value) = value else { return Ok(()) };
-    match check_value(field, value, known) {
-        Ok(()) => Ok(()),
-        Err(expected) => Err(EditError { field: field.clone(), expected }),
+    match unmet_expectation(field, value, known) {
+        None => Ok(()),
+        Some(expected) => Err(EditError { field: field.clone(), expected }),
     }
 }
 
-/// Validates a value; the error says what is expected of the field here.
-pub(crate) fn check_value(field: &Field, value: &Value, known: Option<&SettingsNames>) -> Result<(), String> {
+/// What is expected of the field here, if the value is not that; none for a valid value.
+pub(crate) fn unmet_expectation(
+    field: &Field,
+    value: &Value,
+    known: Option<&SettingsNames>,
+) -> Option<String> {
     if !field.fits(value) {
-        return Err(field.expected().to_string());
+        return Some(field.expected().to_string());
     }
-    known.and_then(|known| expected_by_settings(field, value, known)).map_or(Ok(()), Err)
+    expected_by_settings(field, value, known?)
 }
 
 /// What the settings allow instead, if they do not allow a value that is within the field's bounds.
--- a/crates/director/service/src/config_file.rs
+++ b/crates/director/service/src/config_file.rs
@@ -1,8 +1,8 @@
 //! Reads the director's configuration file.
 
 use coppersail_protocol::config::Config;
+use coppersail_protocol::ParseError;
 use std::env::VarError;
-use std::error::Error;
 use std::io;
 
 /// Names the file.
@@ -10,7 +10,7 @@
 
 /// Why there is no usable configuration.
 #[derive(Debug, thiserror::Error)]
-pub(crate) enum ConfigError {
+pub(crate) enum ConfigFileError {
     /// The environment does not name the file.
     #[error("EDGE_CONFIG is not set")]
     NotSet(#[source] VarError),
@@ -19,12 +19,12 @@
     Unreadable(#[source] io::Error),
     /// The file's content cannot be used.
     #[error("{0}")]
-    Invalid(#[source] Box<dyn Error + Send + Sync>),
+    Invalid(#[source] ParseError),
 }
 
 /// The configuration as the file has it now, all of it checked before any of it is used.
-pub(crate) fn read() -> Result<Config, ConfigError> {
-    let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigError::NotSet)?;
-    let bytes = std::fs::read(&path).map_err(ConfigError::Unreadable)?;
-    Config::parse(&bytes).map_err(|fault| ConfigError::Invalid(fault.to_string().into()))
+pub(crate) fn read() -> Result<Config, ConfigFileError> {
+    let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigFileError::NotSet)?;
+    let bytes = std::fs::read(&path).map_err(ConfigFileError::Unreadable)?;
+    Config::parse(&bytes).map_err(ConfigFileError::Invalid)
 }
--- a/crates/director/service/src/event_loop.rs
+++ b/crates/director/service/src/event_loop.rs
@@ -4,7 +4,7 @@
 use crate::adapters::Adapters;
 use crate::signals::Signals;
 use crate::{config_file, operator_file_reader};
-use coppersail_director::reducer::{Event, Reducer};
+use coppersail_director::reducer::{Event, FileError, Reducer};
 use std::ops::ControlFlow;
 use tokio::sync::mpsc::{Receiver, Sender};
 
@@ -85,13 +85,13 @@
     /// The configuration as it is now. The operators' file follows as a further event: a template takes its time to be
     /// evaluated, and the loop must not wait for it.
     fn reload(&mut self) -> Event {
-        let config = config_file::read().map_err(|error| error.to_string());
+        let config = config_file::read().map_err(FileError::new);
         if let Some(path) = self.operator_file_path.clone() {
             let known = self.reducer.settings_names().clone();
             let events = self.event_sender.clone();
             self.operator_file_task = Some(AbortOnDropTask::spawn(async move {
                 let operator_file = operator_file_reader::read(&path, &known).await;
-                let operator_file = operator_file.map_err(|error| error.to_string());
+                let operator_file = operator_file.map_err(FileError::new);
                 let _ = events.send(Event::OperatorFile(Box::new(operator_file))).await;
             }));
         }
--- a/crates/director/service/src/reducer/configuration.rs
+++ b/crates/director/service/src/reducer/configuration.rs
@@ -1,5 +1,6 @@
 //! Checks that a configuration can be used.
 
+use super::event::FileError;
 use coppersail_protocol::config::Config;
 use coppersail_protocol::discovery;
 use coppersail_protocol::ParseError;
@@ -13,9 +14,9 @@
 /// Why a configuration cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// The file could not be read or parsed; the text says why.
-    #[error("{0}")]
-    Unreadable(String),
+    /// The file could not be read or parsed.
+    #[error(transparent)]
+    Unreadable(#[from] FileError),
     /// A setting has a value that cannot be used.
     #[error("field settings.{field}: expected {expected}")]
     Setting {
@@ -36,7 +37,7 @@
     },
     /// The list of hosts that the configuration remembers cannot be read.
     #[error("field known: {0}")]
-    KnownHosts(ParseError),
+    KnownHosts(#[source] ParseError),
 }
 
 /// A configuration of which every field can be used.
--- a/crates/director/service/src/reducer/event.rs
+++ b/crates/director/service/src/reducer/event.rs
@@ -8,6 +8,21 @@
 use coppersail_operator_config::OperatorFile;
 use coppersail_protocol::config::Config;
 
+/// Why a file that was read again cannot be used. The reason is kept as text, since events are cloned and compared.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+#[error("{reason}")]
+pub struct FileError {
+    /// What is wrong, in one line.
+    pub reason: String,
+}
+
+impl FileError {
+    /// The error whose text is the reason.
+    pub fn new(reason: impl ToString) -> Self {
+        FileError { reason: reason.to_string() }
+    }
+}
+
 /// How a health check ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ProbeOutcome {
@@ -60,10 +75,10 @@
     /// The history failed to store the acceptance of this change or, without a number, another record; the text says
     /// why.
     ChangeLogFailed(Option<Version>, String),
-    /// The operators' file was read again; an error says in one line what is wrong with it.
-    OperatorFile(Box<Result<OperatorFile, String>>),
-    /// The configuration file was read again; an error says in one line what is wrong with it.
-    Reload(Box<Result<Config, String>>),
+    /// The operators' file was read again.
+    OperatorFile(Box<Result<OperatorFile, FileError>>),
+    /// The configuration file was read again.
+    Reload(Box<Result<Config, FileError>>),
     /// The time of the last [`Effect::SetTimer`](super::Effect::SetTimer) has come.
     TimerFired,
     /// The batch is complete.
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -30,7 +30,7 @@
 
 pub use configuration::ConfigError;
 pub use effect::Effect;
-pub use event::{Event, ProbeOutcome};
+pub use event::{Event, FileError, ProbeOutcome};
 pub use ids::{AdminRequestId, ConnectionId, LinkId};
 
 use crate::resource_limits::ResourceLimits;
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -153,7 +153,7 @@
             Event::ChangeLogFailed(version, reason) => {
                 self.record_failed(now, version, &reason, context, outbox);
             }
-            Event::OperatorFile(sheet) => self.submit_file(now, *sheet, context, outbox),
+            Event::OperatorFile(operator_file) => self.submit_file(now, *operator_file, context, outbox),
             _ => {}
         }
     }
--- a/crates/director/service/src/reducer/operators/submissions.rs
+++ b/crates/director/service/src/reducer/operators/submissions.rs
@@ -1,6 +1,7 @@
 //! Changes that come with the operators' file.
 
 use super::{OperatorContext, Operators};
+use crate::reducer::event::FileError;
 use crate::reducer::outbox::Outbox;
 use coppersail_changes::{Refusal, Submission};
 use coppersail_operator_config::{difference, OperatorFile};
@@ -10,19 +11,19 @@
     pub(super) fn submit_file(
         &mut self,
         now: f64,
-        sheet: Result<OperatorFile, String>,
+        operator_file: Result<OperatorFile, FileError>,
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        let sheet = match sheet {
-            Ok(sheet) => sheet,
+        let operator_file = match operator_file {
+            Ok(operator_file) => operator_file,
             Err(error) => {
                 outbox.counters.configurations_bad += 1;
                 outbox.warn(format!("operators' file: all stays as it was, {error}"));
                 return;
             }
         };
-        let edits = difference(self.change_log.file(), &sheet.document);
+        let edits = difference(self.change_log.file(), &operator_file.document);
         if edits.is_empty() {
             return;
         }
@@ -31,7 +32,7 @@
             who: "the operators' file".to_string(),
             why: "it was read anew".to_string(),
             edits,
-            file: Some(sheet.document.into_iter().collect()),
+            file: Some(operator_file.document.into_iter().collect()),
             ..Submission::default()
         };
         if let Err(refusal) = self.submit(now, submission, context, outbox) {
--- a/crates/director/service/src/reducer/reload.rs
+++ b/crates/director/service/src/reducer/reload.rs
@@ -1,19 +1,20 @@
 //! What changes when the configuration file is read again.
 
 use super::configuration::{CheckedConfig, ConfigError};
+use super::event::FileError;
 use super::Reducer;
 use coppersail_protocol::config::Config;
 
 /// The configuration that was read again, if all of it can be used.
-fn usable(config: Result<Config, String>) -> Result<Config, ConfigError> {
-    let config = config.map_err(ConfigError::Unreadable)?;
+fn usable(config: Result<Config, FileError>) -> Result<Config, ConfigError> {
+    let config = config?;
     CheckedConfig::new(&config)?;
     Ok(config)
 }
 
 impl Reducer {
     /// Uses all of a new configuration or none of it. Connections stay until those to the new addresses serve.
-    pub(super) fn reload(&mut self, now: f64, config: Result<Config, String>) {
+    pub(super) fn reload(&mut self, now: f64, config: Result<Config, FileError>) {
         let config = match usable(config) {
             Ok(config) => config,
             Err(error) => {
--- a/crates/director/service/src/reducer/tests/reload.rs
+++ b/crates/director/service/src/reducer/tests/reload.rs
@@ -4,7 +4,7 @@
     lines, new_reducer, reducer_with_slice, reducer_with_slice_and_queued_call, CONFIG, SNAPSHOT,
     UPDATES_LINK,
 };
-use crate::reducer::{Effect, Event, LinkId};
+use crate::reducer::{Effect, Event, FileError, LinkId};
 use coppersail::interface::Input;
 use coppersail_protocol::config::Config;
 use std::collections::BTreeSet;
@@ -13,14 +13,14 @@
 /// The configuration with another port of the relay and other kinds.
 fn reload_event(relay_port: u16, kinds: &str) -> Event {
     let text = CONFIG.replace("127.0.0.1:3", &format!("127.0.0.1:{relay_port}")).replace("\"m2\"", kinds);
-    Event::Reload(Box::new(Config::parse(text.as_bytes()).map_err(|fault| fault.to_string())))
+    Event::Reload(Box::new(Config::parse(text.as_bytes()).map_err(FileError::new)))
 }
 
 #[test_case(reload_event(3, "\"m2\""), "taken, discovery 127.0.0.1:2, relay 127.0.0.1:3", 0 ; "unchanged")]
 #[test_case(reload_event(4, "\"m2\""), "taken, discovery 127.0.0.1:2, relay 127.0.0.1:4", 2 ; "another relay")]
 #[test_case(reload_event(3, "\"m3\""), "only a start takes settings", 0 ; "a setting that only a start takes")]
 #[test_case(reload_event(4, "\"m2\"],\"me\":[\"x\""), "field settings.me", 0 ; "a field that cannot be used")]
-#[test_case(Event::Reload(Box::new(Err("EOF".to_string()))), "all stays as it was, EOF", 0 ; "cut off")]
+#[test_case(Event::Reload(Box::new(Err(FileError::new("EOF")))), "all stays as it was, EOF", 0 ; "cut off")]
 fn unusable_configuration_is_not_taken_in_part(event: Event, expected: &str, dialled: usize) {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     reducer.calls.connected(0.2, LinkId(9));
--- a/crates/director/service/src/start_error.rs
+++ b/crates/director/service/src/start_error.rs
@@ -1,6 +1,6 @@
 //! Why the director does not start.
 
-use crate::config_file::ConfigError;
+use crate::config_file::ConfigFileError;
 use crate::operator_file_reader::OperatorFileError;
 use coppersail_append_log::OpenError;
 use std::error::Error;
@@ -17,7 +17,7 @@
     Signals(#[source] io::Error),
     /// The configuration file cannot be used.
     #[error("configuration: {0}")]
-    Config(#[source] ConfigError),
+    Config(#[source] ConfigFileError),
     /// A field of the configuration has a value that the director cannot work with.
     #[error("configuration: {0}")]
     Settings(#[source] Box<dyn Error + Send + Sync>),
--- a/crates/director/service/src/start_error/tests.rs
+++ b/crates/director/service/src/start_error/tests.rs
@@ -1,5 +1,6 @@
 //! Tests of the module `start_error`.
 use super::*;
+use coppersail_protocol::ParseError;
 use std::env::VarError;
 use test_case::test_case;
 
@@ -11,13 +12,13 @@
 #[test_case(StartError::Runtime(refused()), "not allowed" ; "runtime")]
 #[test_case(StartError::Signals(refused()), "signals cannot be taken" ; "signals")]
 #[test_case(
-    StartError::Config(ConfigError::NotSet(VarError::NotPresent)),
+    StartError::Config(ConfigFileError::NotSet(VarError::NotPresent)),
     "configuration: EDGE_CONFIG is not set" ; "no path")]
 #[test_case(
-    StartError::Config(ConfigError::Unreadable(refused())),
+    StartError::Config(ConfigFileError::Unreadable(refused())),
     "configuration: EDGE_CONFIG: not allowed" ; "unreadable configuration")]
 #[test_case(
-    StartError::Config(ConfigError::Invalid("field seed: missing".into())),
+    StartError::Config(ConfigFileError::Invalid(ParseError::missing("seed"))),
     "configuration: field seed: missing" ; "invalid configuration")]
 #[test_case(
     StartError::Settings("field settings.me: expected a number".into()),
