--- a/crates/data-plane/rollout/src/analysis.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -1,4 +1,4 @@
-//! The analysis of a rollout: the new version against the control group in the same spans of time, in the same zones,
+//! The analysis of a rollout: the new version against the control group in the same windows of time, in the same zones,
 //! on the same routes (canary analysis). Its steps, in order: [`RolloutAnalysis::ingest`] guards against stale reports
 //! (`row_store`); each interval the rows that are over are evaluated, with what counts against a version and what is
 //! one host's trouble (`host_faults`), whether the new version's hosts are overloaded (`overload`) and how crowded
--- a/crates/data-plane/rollout/src/analysis/row_store.rs
+++ b/crates/data-plane/rollout/src/analysis/row_store.rs
@@ -6,18 +6,18 @@
 use std::collections::{BTreeMap, HashMap};
 use std::hash::{Hash, Hasher};
 
-/// A row whose edge has reported no later span is evaluated so long after its arrival (ms).
+/// A row whose edge has reported no later window is evaluated so long after its arrival (ms).
 const EVALUATE_AFTER: Ms = 4000;
 /// An edge that had reported something and reports nothing for so long (ms) is silent: that is not health.
 const STALE_EDGE_AFTER: Ms = 10_000;
-/// A row so many spans older than the newest of its edge is late.
-const LATE_SPANS: u64 = 5;
+/// A row so many windows older than the newest of its edge is late.
+const LATE_WINDOWS: u64 = 5;
 /// For how long after its arrival (ms) an evaluated row is remembered, so that it isn't counted again.
 const EVALUATED_RETENTION: Ms = 120_000;
 /// Evaluated rows are swept so many times in their retention.
 const SWEEPS_PER_RETENTION: Ms = 4;
 
-/// A hash of the edge, its incarnation, the span, the plan's number and the route. Rows are evaluated in its order, so
+/// A hash of the edge, its incarnation, the window, the plan's number and the route. Rows are evaluated in its order, so
 /// that sums of floating-point numbers come out the same in every run.
 type RowKey = u64;
 
@@ -50,7 +50,7 @@
     pub(crate) zone: String,
     pub(crate) row: EvidenceRow,
     pub(crate) first_seen: Ms,
-    /// It came so late that the others of its span have been evaluated.
+    /// It came so late that the others of its window have been evaluated.
     pub(crate) late: bool,
 }
 
@@ -63,7 +63,7 @@
 
 struct EdgeProgress {
     last_report: Ms,
-    newest_span: u64,
+    newest_window: u64,
 }
 
 /// What a row brought.
@@ -99,12 +99,12 @@
     /// Notes that an edge has reported. True if the row is late.
     fn observe_edge(&mut self, now: Ms, edge: &str, window: u64) -> bool {
         if !self.edges.contains_key(edge) {
-            self.edges.insert(edge.into(), EdgeProgress { last_report: now, newest_span: window });
+            self.edges.insert(edge.into(), EdgeProgress { last_report: now, newest_window: window });
         }
         let Some(progress) = self.edges.get_mut(edge) else { return false };
         progress.last_report = now;
-        let late = window + LATE_SPANS < progress.newest_span;
-        progress.newest_span = progress.newest_span.max(window);
+        let late = window + LATE_WINDOWS < progress.newest_window;
+        progress.newest_window = progress.newest_window.max(window);
         late
     }
 
@@ -139,7 +139,7 @@
         Some(DoubledCounts::of(&before))
     }
 
-    /// Takes out the rows that can be evaluated: their edge is past their span or has had its time, and of each host
+    /// Takes out the rows that can be evaluated: their edge is past their window or has had its time, and of each host
     /// that lost an answer it is known whether it died. `host_died` is asked with the host and the row's arrival.
     pub(crate) fn take_due(
         &mut self,
@@ -149,7 +149,7 @@
         self.sweep(now);
         let is_due = |pending: &PendingRow| {
             let edge = self.edges.get(&pending.edge);
-            let is_closed = edge.is_some_and(|edge| edge.newest_span > pending.row.window);
+            let is_closed = edge.is_some_and(|edge| edge.newest_window > pending.row.window);
             let fates_known = |counts: &Counts| {
                 counts.lost_at.iter().all(|(host, _)| host_died(host, pending.first_seen).is_some())
             };
--- a/crates/data-plane/rollout/src/analysis/stratum.rs
+++ b/crates/data-plane/rollout/src/analysis/stratum.rs
@@ -11,13 +11,13 @@
 }
 
 /// A stratum: what is compared with each other. The shares are the same on all edges, so that those of a zone are one
-/// stratum: alone, an edge of many would seldom have a request of both variants in one span. The order of fields is
+/// stratum: alone, an edge of many would seldom have a request of both variants in one window. The order of fields is
 /// that in which strata are summed.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct StratumKey {
     pub(crate) zone: String,
     pub(crate) route: String,
-    /// The edge of a row that arrived late, which is a stratum of its own as the others of its span have been
+    /// The edge of a row that arrived late, which is a stratum of its own as the others of its window have been
     /// evaluated; empty for the rest.
     pub(crate) late_edge: String,
 }
--- a/crates/data-plane/rollout/src/evidence.rs
+++ b/crates/data-plane/rollout/src/evidence.rs
@@ -5,7 +5,7 @@
 
 /// The time that one row covers, in milliseconds: long enough that a few requests a second make a row worth its bytes,
 /// short enough to stop a rollout within seconds.
-pub const REPORT_SPAN: Ms = 2000;
+pub const REPORT_WINDOW: Ms = 2000;
 /// The route under which an edge counts all routes beyond those that it tells apart.
 pub const OTHERS: &str = "*";
 /// Number of variants of [`OutcomeKind`].
@@ -76,7 +76,7 @@
     }
 }
 
-/// What an edge counted of both variants of a plan on one route within one [`REPORT_SPAN`].
+/// What an edge counted of both variants of a plan on one route within one [`REPORT_WINDOW`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceRow {
     /// The plan's name.
@@ -85,7 +85,7 @@
     /// The plan's number while it was counted.
     #[serde(rename = "v")]
     pub number: u64,
-    /// Index of the span: the edge's time divided by [`REPORT_SPAN`].
+    /// Index of the window: the edge's time divided by [`REPORT_WINDOW`].
     #[serde(rename = "b")]
     pub window: u64,
     /// The route's name, or [`OTHERS`].
--- a/crates/data-plane/rollout/src/recorder.rs
+++ b/crates/data-plane/rollout/src/recorder.rs
@@ -1,6 +1,6 @@
 //! How an edge counts evidence of both variants and bounds what it reports: a row a plan, route and window of time, kept
 //! for a minute, reported whenever it has changed.
-use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHERS, REPORT_SPAN};
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHERS, REPORT_WINDOW};
 use crate::load_limit::load_limit;
 use crate::variant::Variant;
 use crate::Ms;
@@ -163,12 +163,12 @@
 
     /// Closes the rows of windows that are over, and drops those whose retention is.
     fn close_windows(&mut self, now: Ms) {
-        let window = now / REPORT_SPAN;
+        let window = now / REPORT_WINDOW;
         if self.open.first().is_some_and(|open| open.row.window != window) {
             self.closed.extend(self.open.drain(..));
             self.urgent = false;
         }
-        let expired = |closed: &RecordedRow| closed.row.window + ROW_RETENTION / REPORT_SPAN < window;
+        let expired = |closed: &RecordedRow| closed.row.window + ROW_RETENTION / REPORT_WINDOW < window;
         while self.closed.front().is_some_and(expired) {
             self.closed.pop_front();
         }
@@ -184,7 +184,7 @@
         let route = if found.is_none() && routes >= MAX_ROUTES { OTHERS } else { route };
         let found = found.or_else(|| find(&self.open, route));
         let at = found.unwrap_or_else(|| {
-            self.open.push(RecordedRow::new(plan, number, now / REPORT_SPAN, route));
+            self.open.push(RecordedRow::new(plan, number, now / REPORT_WINDOW, route));
             self.open.len() - 1
         });
         &mut self.open[at]
@@ -193,7 +193,7 @@
     /// Counts a request that goes to a host with so many slots. True if the host gets so much more than its share of
     /// what this edge sends, beyond chance, that its answers say more about the load than about the version.
     pub fn record_sent(&mut self, now: Ms, host: &str, slots: f64) -> bool {
-        self.load.begin_window(now / REPORT_SPAN);
+        self.load.begin_window(now / REPORT_WINDOW);
         let own = self.load.count(host, slots);
         self.load.is_overloaded(own)
     }
--- a/crates/data-plane/rollout/src/tests/analysis.rs
+++ b/crates/data-plane/rollout/src/tests/analysis.rs
@@ -1,7 +1,7 @@
 //! The analysis: what is bad is found, and what is sound is left alone.
 use super::initial_state;
 use crate::analysis::{FleetCapacity, RolloutAnalysis};
-use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_SPAN};
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_WINDOW};
 use crate::{Ms, Verdict};
 use assert_matches::assert_matches;
 
@@ -51,8 +51,8 @@
     let (mut rng, plan) = (fastrand::Rng::with_seed(seed), initial_state().plan());
     let mut analysis = RolloutAnalysis::new(&plan, 1);
     let mut last = Verdict::Wait("nothing yet".into());
-    for window in 0..seconds * 1000 / REPORT_SPAN {
-        let now = window * REPORT_SPAN;
+    for window in 0..seconds * 1000 / REPORT_WINDOW {
+        let now = window * REPORT_WINDOW;
         for edge in 0..12 {
             let row = |route: &str, rng: &mut fastrand::Rng| {
                 let (new, old) = world(now, edge, route);
@@ -195,9 +195,9 @@
             let mut sent = report(1, window, &[(OutcomeKind::Good, 8), (OutcomeKind::Late, 4)]);
             let at = |n: u32| format!("h{}", (n + window as u32) % hosts);
             sent.rows[0].new.slow_at = (0..4).map(|n| (at(n), 1)).collect();
-            analysis.ingest(window * REPORT_SPAN, "p", &sent);
+            analysis.ingest(window * REPORT_WINDOW, "p", &sent);
             if let Verdict::Pause(_) =
-                analysis.evaluate(window * REPORT_SPAN + 1, 1, fleet(1.0, 1.0), |_, _| None)
+                analysis.evaluate(window * REPORT_WINDOW + 1, 1, fleet(1.0, 1.0), |_, _| None)
             {
                 return true;
             }
@@ -237,8 +237,8 @@
         );
         sent.rows[0].new.slow_at = (0..4).map(|n| (format!("h{n}"), 15)).collect();
         sent.rows[0].control.all[OutcomeKind::Offered as usize] = 100;
-        analysis.ingest(window * REPORT_SPAN, "p", &sent);
-        let verdict = analysis.evaluate(window * REPORT_SPAN + 1, 1, fleet(1.0, 9.0), |_, _| None);
+        analysis.ingest(window * REPORT_WINDOW, "p", &sent);
+        let verdict = analysis.evaluate(window * REPORT_WINDOW + 1, 1, fleet(1.0, 9.0), |_, _| None);
         let paused = matches!(verdict, Verdict::Pause(_));
         assert!(!paused || window > 14, "its hosts have eight times their part to do: {window}");
         if paused {
--- a/crates/data-plane/rollout/src/tests/recorder.rs
+++ b/crates/data-plane/rollout/src/tests/recorder.rs
@@ -1,5 +1,5 @@
 //! What an edge counts and reports.
-use crate::evidence::{EvidenceReport, OutcomeKind, REPORT_SPAN};
+use crate::evidence::{EvidenceReport, OutcomeKind, REPORT_WINDOW};
 use crate::{EvidenceRecorder, Variant};
 
 #[test]
@@ -10,7 +10,7 @@
             let route = format!("route-{}", n % 3);
             let host = format!("host-{n}");
             recorder.record_outcome(
-                window * REPORT_SPAN,
+                window * REPORT_WINDOW,
                 "p",
                 1,
                 &route,
@@ -36,7 +36,7 @@
         recorder.record_outcome(0, "p", 1, &n.to_string(), Variant::New, OutcomeKind::Good, None, None)
     });
     assert!(
-        recorder.report(REPORT_SPAN, 1 << 20).unwrap().rows.len() < 100,
+        recorder.report(REPORT_WINDOW, 1 << 20).unwrap().rows.len() < 100,
         "routes beyond the bound are one"
     );
 }
@@ -46,5 +46,5 @@
     let (mut recorder, others) = (EvidenceRecorder::default(), ["a", "b", "c", "d"]);
     let host = |n: usize| if n.is_multiple_of(2) { "hot" } else { others[n / 2 % 4] };
     assert!((0..400).filter(|n| recorder.record_sent(0, host(*n), 2.0)).count() > 150);
-    assert_eq!((0..400).filter(|n| recorder.record_sent(REPORT_SPAN, others[n % 4], 2.0)).count(), 0);
+    assert_eq!((0..400).filter(|n| recorder.record_sent(REPORT_WINDOW, others[n % 4], 2.0)).count(), 0);
 }
