--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -6,7 +6,7 @@
 use coppersail_peer_protocol::Update;
 use coppersail_retry::{AttemptOutcome, IndeterminateCause};
 use coppersail_rollout::evidence::OutcomeKind;
-use coppersail_rollout::Variant;
+use coppersail_rollout::{AttemptEvidence, Variant};
 use slog::{info, warn};
 
 /// Limit of the evidence in one poll, in bytes: with a rollout there are three polls a second, and a row or two in
@@ -131,7 +131,16 @@
     ) {
         let AssignedVariant { rollout, change_number, variant, .. } = variant;
         let mut evidence = self.rollouts.evidence.borrow_mut();
-        evidence.record_outcome(now, rollout, *change_number, route, *variant, kind, latency, endpoint);
+        let attempt = AttemptEvidence {
+            plan: rollout,
+            number: *change_number,
+            route,
+            variant: *variant,
+            kind,
+            latency,
+            host: endpoint,
+        };
+        evidence.record_outcome(now, &attempt);
     }
 }
 
--- a/crates/data-plane/rollout/examples/evening/traffic.rs
+++ b/crates/data-plane/rollout/examples/evening/traffic.rs
@@ -1,7 +1,7 @@
 //! Requests: which edge, variant and host they get, how long they run, and what is counted of them.
 use crate::scenario::{Mode, Scenario};
 use crate::world::{normal, Attempt, Evening, Event, PLAN_NAME, SERVICE};
-use coppersail_rollout::{Ms, OutcomeKind, Variant};
+use coppersail_rollout::{AttemptEvidence, Ms, OutcomeKind, Variant};
 use fastrand::Rng;
 
 const ROUTES: [&str; 2] = ["book", "look"];
@@ -188,7 +188,9 @@
         let edge = &mut self.edges[attempt.edge];
         if number > 0 && edge.selector.active().any(|rollout| rollout.number >= number) {
             let host = host.map(|at| self.hosts[variant as usize][at].name.as_str());
-            edge.recorder.record_outcome(now, PLAN_NAME, number, ROUTES[route], variant, kind, took, host);
+            let (plan, route, latency) = (PLAN_NAME, ROUTES[route], took);
+            let evidence = AttemptEvidence { plan, number, route, variant, kind, latency, host };
+            edge.recorder.record_outcome(now, &evidence);
         }
     }
 }
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -37,7 +37,7 @@
 pub use coppersail_config::rollout::{RolloutPlan, Version};
 pub use evidence::{EvidenceReport, OutcomeKind};
 pub use lifecycle::{Phase, RolloutCommand, RolloutState};
-pub use recorder::EvidenceRecorder;
+pub use recorder::{AttemptEvidence, EvidenceRecorder};
 pub use selector::VariantSelector;
 pub use variant::Variant;
 pub use verdict::Verdict;
--- a/crates/data-plane/rollout/src/recorder.rs
+++ b/crates/data-plane/rollout/src/recorder.rs
@@ -22,6 +22,25 @@
 /// Among fewer hosts none can be called overloaded.
 const OVERLOAD_MIN_HOSTS: usize = 3;
 
+/// What an attempt tells about the variants of a plan.
+#[derive(Debug, Clone, Copy)]
+pub struct AttemptEvidence<'a> {
+    /// The plan's name.
+    pub plan: &'a str,
+    /// The plan's number when the variant was selected.
+    pub number: u64,
+    /// The route's name.
+    pub route: &'a str,
+    /// The variant that the request was sent to.
+    pub variant: Variant,
+    /// How the attempt ended.
+    pub kind: OutcomeKind,
+    /// The response time in milliseconds, where it was answered.
+    pub latency: Option<Ms>,
+    /// Where it ran, if that is known.
+    pub host: Option<&'a str>,
+}
+
 /// A row and what is needed to report it.
 struct RecordedRow {
     row: EvidenceRow,
@@ -198,24 +217,11 @@
         self.load.is_overloaded(own)
     }
 
-    /// Counts an outcome. `took`: the response time in milliseconds, where it was answered. `host`: where it ran.
-    #[expect(
-        clippy::too_many_arguments,
-        reason = "one attempt's plan, route, variant and outcome, as the edge proxy has them"
-    )]
-    pub fn record_outcome(
-        &mut self,
-        now: Ms,
-        plan: &str,
-        number: u64,
-        route: &str,
-        variant: Variant,
-        kind: OutcomeKind,
-        took: Option<Ms>,
-        host: Option<&str>,
-    ) {
-        self.urgent |= kind == OutcomeKind::Doubled;
-        self.open_row(now, plan, number, route).record(variant, kind, took, host);
+    /// Counts an attempt that has ended at `now`.
+    pub fn record_outcome(&mut self, now: Ms, attempt: &AttemptEvidence) {
+        self.urgent |= attempt.kind == OutcomeKind::Doubled;
+        let row = self.open_row(now, attempt.plan, attempt.number, attempt.route);
+        row.record(attempt.variant, attempt.kind, attempt.latency, attempt.host);
     }
 
     /// A report of the rows that have changed and whose window is over, and at once of the current ones if something ran
--- a/crates/data-plane/rollout/src/tests/recorder.rs
+++ b/crates/data-plane/rollout/src/tests/recorder.rs
@@ -1,6 +1,12 @@
 //! What an edge counts and reports.
 use crate::evidence::{EvidenceReport, OutcomeKind, REPORT_WINDOW};
-use crate::{EvidenceRecorder, Variant};
+use crate::{AttemptEvidence, EvidenceRecorder, Variant};
+
+/// An attempt of the new version, without a latency and a host.
+fn good_attempt(route: &str) -> AttemptEvidence<'_> {
+    let (variant, kind) = (Variant::New, OutcomeKind::Good);
+    AttemptEvidence { plan: "p", number: 1, route, variant, kind, latency: None, host: None }
+}
 
 #[test]
 fn reports_are_bounded_and_repeated_for_a_new_leader() {
@@ -9,16 +15,13 @@
         for n in 0..30u32 {
             let route = format!("route-{}", n % 3);
             let host = format!("host-{n}");
-            recorder.record_outcome(
-                window * REPORT_WINDOW,
-                "p",
-                1,
-                &route,
-                Variant::Control,
-                OutcomeKind::Good,
-                Some(u64::from(n) * 20),
-                Some(&host),
-            );
+            let attempt = AttemptEvidence {
+                variant: Variant::Control,
+                latency: Some(u64::from(n) * 20),
+                host: Some(&host),
+                ..good_attempt(&route)
+            };
+            recorder.record_outcome(window * REPORT_WINDOW, &attempt);
         }
     }
     let mut rows = 0;
@@ -32,9 +35,9 @@
     assert!(recorder.report(60_000, 1_000).is_none());
     recorder.report_all_again();
     assert!(recorder.report(60_000, 1_000).is_some());
-    (0..100).for_each(|n| {
-        recorder.record_outcome(0, "p", 1, &n.to_string(), Variant::New, OutcomeKind::Good, None, None)
-    });
+    for n in 0..100 {
+        recorder.record_outcome(0, &good_attempt(&n.to_string()));
+    }
     assert!(
         recorder.report(REPORT_WINDOW, 1 << 20).unwrap().rows.len() < 100,
         "routes beyond the bound are one"
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -2,7 +2,9 @@
 //! hand them out. A change here breaks rolling upgrades or stored data.
 use coppersail_rollout::evidence::{Counts, EvidenceRow};
 use coppersail_rollout::lifecycle::RolloutCommand;
-use coppersail_rollout::{EvidenceRecorder, EvidenceReport, OutcomeKind, Phase, RolloutState, Variant};
+use coppersail_rollout::{
+    AttemptEvidence, EvidenceRecorder, EvidenceReport, OutcomeKind, Phase, RolloutState, Variant,
+};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
@@ -59,7 +61,9 @@
     for (kind, counts, lists) in table {
         for variant in [Variant::New, Variant::Control] {
             let mut recorder = EvidenceRecorder::new("e", 1, "a");
-            recorder.record_outcome(2000, "p", 3, "r", variant, kind, Some(8), Some("h"));
+            let (latency, host) = (Some(8), Some("h"));
+            let attempt = AttemptEvidence { plan: "p", number: 3, route: "r", variant, kind, latency, host };
+            recorder.record_outcome(2000, &attempt);
             // Slow hosts are reported of the new version only.
             let lists = if variant == Variant::Control && lists.contains("\"s\"") { "" } else { lists };
             let counted = format!(r#"{{"n":{counts}{lists},"t":[[8,1]]}}"#);
