--- a/crates/director/change-analysis/src/judge.rs
+++ b/crates/director/change-analysis/src/judge.rs
@@ -58,7 +58,7 @@
         }
     }
 
-    /// Adds reported attempts at a host. `rt`: mean response time of those that were answered, seconds.
+    /// Adds reported attempts at a host. `mean_response_time`: of those that were answered, in seconds.
     pub fn report_attempts(&mut self, host: HostId, attempts: u64, dropped: u64, mean_response_time: f64) {
         // The share of response times above the SLO time, if they are distributed exponentially, as waiting times are.
         let late_share =
--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -114,8 +114,8 @@
         params.message_overhead + self.admission_routes.len() as f64
     }
 
-    /// How many proxies get what is written now. `unheard`: proxies may have joined that are not known, so it is
-    /// counted for as many as there can be.
+    /// How many proxies get what is written now. `unannounced_proxies`: some may have joined that are not known, so it
+    /// is counted for as many as there can be.
     pub(crate) fn receiver_count(&self, params: &Parameters, unannounced_proxies: bool) -> f64 {
         let joined = self.proxies.len() as f64;
         if unannounced_proxies {
--- a/src/delivery.rs
+++ b/src/delivery.rs
@@ -33,8 +33,8 @@
     }
 
     /// How many of a call's orders may be written at `now` (seconds), so that the channel's backlog stays within its
-    /// limit. `again`: the call may have been carried out before. `unheard`: proxies may have joined of which no
-    /// [`Input::ProxyJoined`] has told yet.
+    /// limit. `is_repeat`: the call may have been carried out before. `unannounced_proxies`: proxies may have joined of
+    /// which no [`Input::ProxyJoined`] has told yet.
     pub fn writable_orders(
         &self,
         now: f64,
