--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -1,15 +1,15 @@
-//! Admission control: the share of each route's calls that the proxies let in.
+//! Admission control: the share of each route's calls that the proxies admit.
 
 use super::*;
 
-/// Admits less of the routes that are worth least per call while the fleet as a whole is overloaded.
+/// Admits less of the routes with the lowest value per call while the fleet as a whole is overloaded.
 impl AdmissionControl {
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
             Message::Input(Input::OverridesChanged(overrides)) if params.admission_by_share => {
                 self.overridden_routes.extend(overrides.routes.keys());
                 self.overrides = overrides.routes;
-                // All routes of which anything is or was overridden: lifted overrides must be sent as well.
+                // All routes that are or were overridden, as the end of an override must be sent as well.
                 for route in self.overridden_routes.clone() {
                     let level = self.levels.get(route.0 as usize).copied().unwrap_or(1.0);
                     self.set_level(params, route, level, outbox);
@@ -22,8 +22,8 @@
         }
     }
 
-    /// Sends a route's level, bounded by the operators' limit, and its retry policy: the operators', but no retries
-    /// while the route is limited for overload, and none by which a call that is not idempotent could run twice.
+    /// Sends a route's level, up to the operators' limit, and its retry policy. Routes that are limited by overload or
+    /// were never overridden get no retries; calls that are not idempotent get none by which they could run twice.
     fn set_level(&mut self, params: &Parameters, route: RouteId, level: f64, outbox: &mut Outbox) {
         let Some(old) = self.levels.get_mut(route.0 as usize) else { return };
         *old = level;
@@ -44,14 +44,14 @@
         let last = std::mem::replace(&mut self.evaluated_at, now);
         let response_times = std::mem::take(&mut self.response_times);
         let rates = self.take_call_rates(now - last);
-        // Of slices assigned since then, or in the second before, only some of the calls were counted.
+        // The counts are incomplete for slices that were assigned since then, or in the second before.
         if self.slice_assigned_at.is_some_and(|at| last < at + 1.0) {
             return;
         }
-        // Slices taken over from another director bring their calls: the rates grow with their number.
+        // Slices taken over from another director add their calls, so the rates are scaled by the number of slices.
         self.scale_to_slices();
         let offered: f64 = rates.iter().sum();
-        // While proxies are unreachable little can be measured; the levels must still hold when they are back.
+        // While proxies are unreachable few calls are counted; the levels must still fit when they are back.
         self.offered_rate = offered.max(0.8 * self.offered_rate);
         if offered < 0.5 * self.offered_rate {
             return;
@@ -63,19 +63,19 @@
     fn set_target(&mut self, now: f64, params: &Parameters, rates: &[f64], times: &Histogram, window: f64) {
         let offered: f64 = rates.iter().sum();
         let admitted = self.admitted_rate(rates);
-        // Overload: a median past 0.43 of the tightest SLO (0.4 acts too early, 0.5 too late), or two in ten calls
-        // dropped, unless hosts are idle or quick: then a route fails, or connections can't be made.
+        // Overload: the median exceeds 0.43 of the tightest SLO (0.4 acts too early, 0.5 too late), or a fifth of the
+        // attempts is dropped by busy or slow hosts. At idle or quick ones a route or connections fail.
         let slowness = times.median(BINS) / params.tightest_slo;
-        let strain = if self.utilisation > 0.0 { self.utilisation / 0.8 } else { slowness / 0.3 };
-        let pressure = (slowness / 0.43).max(strain.min(times.dropped_share() / 0.2));
+        let host_load = if self.utilisation > 0.0 { self.utilisation / 0.8 } else { slowness / 0.3 };
+        let pressure = (slowness / 0.43).max(host_load.min(times.dropped_share() / 0.2));
         let period = control_period(params);
         if pressure > 1.0 && (self.target_rate.is_none() || now - self.reduced_at > 2.9 * period) {
-            // Less than was answered, so that queues drain. Three periods show the effect of a reduction.
+            // Below the answered rate, so that queues drain. The effect of a reduction shows after three periods.
             self.target_rate = Some((0.85 * times.answered() / window).clamp(0.7 * admitted, 0.9 * admitted));
             self.reduced_at = now;
             self.recovery_limit = 0.9 * admitted;
         } else if pressure < 0.8 {
-            // Quickly back to nearly the rate that was too much, then by steps that grow with time.
+            // Recovers quickly to just below the rate that was too high, then in steps that grow with time.
             let calm_periods = ((now - self.reduced_at) / period).min(10.0);
             let factor = |rate| if rate < self.recovery_limit { 1.3 } else { 1.0 + 0.015 * calm_periods };
             let raised = self.target_rate.map(|rate| rate * factor(rate));
@@ -95,7 +95,7 @@
             excess -= reduction;
             let level = if reduction > 0.0 { (limited[route] - reduction) / rates[route] } else { 1.0 };
             let (old, id) = (self.levels[route], RouteId(route as u16));
-            // A change of a twentieth is worth a line to each proxy; full admission is always sent.
+            // Only a change of over 0.05 is worth a line to each proxy, but any to or from full admission is sent.
             let is_missed = resend && (level < 1.0 || self.overrides.contains_key(&id));
             if (level - old).abs() > 0.05 || (level == 1.0) != (old == 1.0) || is_missed {
                 outbox.log(level_log_text(route, level, times.median(BINS), times.dropped_share()), vec![]);
--- a/src/logic/hosts.rs
+++ b/src/logic/hosts.rs
@@ -1,4 +1,4 @@
-//! One host: its response times, its slow start, its health checks and whether it is suspected to have failed.
+//! One host: its response times, its slow start, its health checks (probes) and whether it is suspected of failure.
 
 use super::*;
 
@@ -6,7 +6,7 @@
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
             Message::Listed { entry, position } => self.update_listing(now, entry, position),
-            // Where removal is advisory the list may be wrong: a host that answers stays until it is suspected.
+            // Where removal is advisory the list may be wrong, so a host that answers stays until it is suspected.
             Message::Unlisted if params.removal_is_advisory && self.is_serving() => {
                 self.serves_unlisted = true
             }
@@ -16,7 +16,7 @@
                 self.record_load(load);
                 let (attempts, dropped) = (attempts as f64, dropped.min(attempts) as f64);
                 self.record_attempts(now, BINS, mean_response_time, attempts, dropped);
-                // What a failed host drops is no sign that the fleet is overloaded.
+                // Attempts that a failed host drops are no sign that the fleet is overloaded.
                 if self.view.ready && !self.view.suspect {
                     let message = Message::Attempts { response_time: mean_response_time, attempts, dropped };
                     outbox.send(Recipient::AdmissionControl, message);
@@ -27,17 +27,17 @@
                 self.on_probe(now, params, outcome, outbox);
             }
             Message::FleetMedians { response_time, .. } => {
-                // Relative to the median, as what slows all hosts is not theirs. The power damps delayed reports.
+                // Relative to the median: what slows all hosts is no fault of one. The exponent damps late reports.
                 let limit = (1.6 * response_time).max(0.4 * params.tightest_slo);
                 let slowness = self.response_times.mean(BINS) / limit;
                 let factor = if slowness > 1.0 { slowness.powf(-0.7) } else { 1.2 };
                 self.view.derating = (self.view.derating * factor).clamp(0.05, 1.0);
             }
-            // Ten seconds: its withdrawal may be resent. Hosts known only from stored tables expire as well.
+            // Ten seconds leave time to resend its withdrawal. Hosts known only from stored tables expire too.
             Message::Tick if !self.is_listed && now - *self.unlisted_since.get_or_insert(now) > 10.0 => {
                 outbox.send(Recipient::Channel, Message::Expired(self.id));
             }
-            // Two seconds: long enough for a few reports, short enough to forget a fault that is over.
+            // Two seconds cover a few reports, and a fault that is over is soon forgotten.
             Message::Tick if now - self.halved_at > 2.0 => self.halve_recent(now),
             Message::Tick if params.probes_allowed && self.is_probe_due(now) => {
                 self.next_probe_at = None;
@@ -53,7 +53,7 @@
     }
 
     fn record_load(&mut self, load: LoadReport) {
-        // Where calls are queued all cores are busy. An idle host's figures say nothing of its speed.
+        // Unless utilisation is reported, queued calls mean busy cores. An idle host's figures do not show its speed.
         let utilisation =
             load.cpu_utilisation.or(load.queued.map(|calls| if calls >= 1.0 { 1.0 } else { 0.5 }));
         let (completions, work) = match (load.completions_per_s, load.cpu_utilisation, load.service_time) {
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn on_probe(&mut self, now: f64, params: &Parameters, outcome: Outcome, outbox: &mut Outbox) {
-        // Twice a second: a failure shows within about a second, and the cost is a few hundredths of a point.
+        // Two probes a second show a failure within about a second, and cost little.
         self.next_probe_at = Some(now + 0.5);
         // An error or a rejection comes from a live process, but does not prove that it is one of our hosts.
         let failures = match outcome {
@@ -77,7 +77,7 @@
         self.count_probe(failures);
         self.has_answered |= outcome == Outcome::Succeeded;
         self.view.verified = self.has_answered || self.view.verified && outcome == Outcome::Throttled;
-        // One refused connection may be chance, and a probe may time out queued behind calls that are answered.
+        // One refused connection may be transient, and a probe may time out queued behind calls that are answered.
         let is_silent = self.probe_failures >= 3 && now - self.last_answer_at > control_period(params);
         if !self.view.suspect && (is_silent || failures == 2 && self.probe_failures >= 4) {
             self.view.suspect = true;
@@ -88,8 +88,8 @@
         }
         if self.view.suspect && self.probe_successes >= 2 {
             self.view.suspect = false;
-            // One that was withdrawn is taken to have restarted, before the list says so. Where so many were
-            // suspected that none was withdrawn, our own network path failed, and only the list can say so.
+            // A host that was withdrawn is assumed to have restarted, before the list says so. If too many were
+            // suspected to withdraw any, the director's own network failed, and only the list shows a restart.
             if std::mem::take(&mut self.withdrawn_as_suspect) {
                 self.started_at = Some(now);
                 self.view.restarted_at = Some(now);
--- a/src/logic/standbys.rs
+++ b/src/logic/standbys.rs
@@ -12,7 +12,7 @@
             return;
         }
         let mut plan = PlacementPlan { load: self.loads(), capacity: self.capacities(params) };
-        // An owner with far more load than the mean, and a standby nearly as loaded, can't help each other.
+        // A standby that is nearly as loaded as an owner far above the mean cannot relieve it.
         let load = |host| self.relative_loads.get(&host).copied().unwrap_or(0.0);
         let is_overloaded_pair =
             |owner, standby| load(owner) > 1.6 * self.mean_relative_load && load(standby) > 0.7 * load(owner);
@@ -31,8 +31,8 @@
         }
     }
 
-    /// What a host can carry, by slow start, derating and reported speed; else the root of its relative response time.
-    pub(super) fn ability(&self, host: HostId) -> f64 {
+    /// Relative load that a host can carry, by slow start, derating and speed (reported, or by response times).
+    pub(super) fn throughput(&self, host: HostId) -> f64 {
         let Some(view) = self.views.get(&host) else { return 1.0 };
         let relative_speed = match view.speed {
             _ if view.slow_start < 1.0 => 1.0,
@@ -40,22 +40,22 @@
             None if view.answered >= 1.0 => (self.response_time / view.response_time).sqrt(),
             None => 1.0,
         };
-        // Half to one and a half: the spread of machine types. More is a fault, which derating covers.
+        // Machine types differ by half to one and a half. More is a fault, which derating covers.
         view.slow_start * view.derating * relative_speed.clamp(0.5, 1.5) * self.weight_override(host)
     }
 
-    /// Shifts load to standbys where the owner, for its ability, carries more than the mean and the standby.
+    /// Shifts load to standbys where the owner has more load for its throughput than the mean and the standby.
     pub(super) fn share_load(&mut self) {
         let mut loads = self.loads();
         for (host, load) in &mut loads {
-            *load /= self.ability(*host);
+            *load /= self.throughput(*host);
         }
         let open = || loads.iter().filter(|(host, _)| self.is_open(**host));
         let mean = open().map(|(_, load)| load).sum::<f64>() / open().count().max(1) as f64;
         for slice in self.slices.values_mut() {
             let load = |host: Option<HostId>| host.and_then(|host| loads.get(&host)).copied().unwrap_or(0.0);
             let (owner, standby) = (load(slice.owner), load(slice.standby));
-            // A quarter more than its standby: beyond the noise of the counts.
+            // A quarter more than its standby is beyond the noise of the counts.
             if owner > 1.25 * standby && owner > mean {
                 slice.standby_level = (slice.standby_level + 1).min(Self::STANDBY_SHARES.len() - 1);
             } else if owner < standby {
@@ -68,16 +68,16 @@
 
     /// The weights that a slice's table should have.
     pub(crate) fn desired_weights(&self, slice: &Slice) -> PerHost {
-        // Without a host that may own it the table stays as it is, which is better than none.
+        // Without an owner the table stays as it is, which is better than an empty one.
         let Some(owner) = slice.owner else { return slice.weights.clone() };
-        // The owner keeps the weight that was sent, so that only the standby's need be sent.
-        let standing = slice.weights.get(&owner).copied();
-        let owner_weight = standing.filter(|weight| *weight > 0.01).unwrap_or(1.0);
+        // The owner keeps the weight that was sent, so that only the standby's weight has to be sent.
+        let sent = slice.weights.get(&owner).copied();
+        let owner_weight = sent.filter(|weight| *weight > 0.01).unwrap_or(1.0);
         let mut weights = PerHost::from([(owner, owner_weight)]);
         if let Some(standby) = slice.standby {
             let share =
-                Self::STANDBY_SHARES[slice.standby_level] * self.ability(standby) / self.ability(owner);
-            // An owner in slow start takes no more than that allows; a standby that is further along takes the rest.
+                Self::STANDBY_SHARES[slice.standby_level] * self.throughput(standby) / self.throughput(owner);
+            // An owner in slow start gets no more than its share; a standby further in slow start gets the rest.
             let slow_start = |host| self.views.get(&host).map_or(1.0, |view| view.slow_start);
             let is_further = slow_start(standby) > slow_start(owner);
             let rest = if is_further { 1.0 / slow_start(owner) - 1.0 } else { 0.0 };
--- a/src/logic/tests/standbys.rs
+++ b/src/logic/tests/standbys.rs
@@ -67,7 +67,7 @@
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().speed = fast;
     tables.views.get_mut(&id(1)).unwrap().speed = slow;
-    assert!((tables.ability(id(0)) - expected).abs() < 1e-9);
+    assert!((tables.throughput(id(0)) - expected).abs() < 1e-9);
 }
 
 #[test]
--- a/src/random.rs
+++ b/src/random.rs
@@ -6,13 +6,13 @@
 }
 
 impl Random {
-    /// A generator with this seed; 0, which would give nothing but zeros, stands for 1.
+    /// A generator with this seed. Seed 0 would yield only zeros and is replaced by 1.
     pub(crate) fn new(seed: u64) -> Self {
         Random { state: seed.max(1) }
     }
 
-    /// A number from 0 up to, and not including, 1.
-    pub(crate) fn next_share(&mut self) -> f64 {
+    /// A number in the range [0, 1).
+    pub(crate) fn next_fraction(&mut self) -> f64 {
         let draw = self.state & 0xffff_ffff;
         let carry = self.state >> 32;
         self.state = 4_294_957_665 * draw + carry;
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -25,10 +25,10 @@
 
 /// Difference between a table as sent and as desired.
 pub(crate) struct TableDiff {
-    /// Weights that differ, and removals of hosts that are not shut.
+    /// Weights that differ, and removals of hosts that are not to be withdrawn.
     pub(crate) orders: Vec<Order>,
-    /// Removals of hosts that are shut anyway.
-    pub(crate) removals_of_shut: Vec<Order>,
+    /// Removals of hosts that are, or are about to be, withdrawn anyway.
+    pub(crate) removals_of_withdrawn: Vec<Order>,
     /// Hosts to be removed that are withdrawn and to be let back in.
     pub(crate) returning: Vec<HostId>,
     /// The host with the highest weight as sent.
@@ -94,15 +94,15 @@
         self.pending_withdrawals.insert(host, withdrawn);
     }
 
-    /// Whether the host is withdrawn, or to be withdrawn, and not to be let back in.
-    pub(crate) fn is_shut(&self, host: &HostId) -> bool {
+    /// Whether the host will be withdrawn once all pending changes are sent.
+    pub(crate) fn should_be_withdrawn(&self, host: &HostId) -> bool {
         let is_withdrawn = self.withdrawn.contains(host);
         self.pending_withdrawals.get(host).copied().unwrap_or(is_withdrawn)
     }
 
     /// Whether the host is withdrawn and to be let back in.
     pub(crate) fn is_returning(&self, host: &HostId) -> bool {
-        self.withdrawn.contains(host) && !self.is_shut(host)
+        self.withdrawn.contains(host) && !self.should_be_withdrawn(host)
     }
 
     /// Ends a round of orders: asks the proxies to acknowledge it, and counts its lines.
@@ -113,8 +113,8 @@
         self.next_round = self.next_round.wrapping_add(1);
     }
 
-    /// Whether the host is yet to be withdrawn.
-    pub(crate) fn is_to_be_withdrawn(&self, host: HostId) -> bool {
+    /// Whether a withdrawal of the host has yet to be sent.
+    pub(crate) fn has_pending_withdrawal(&self, host: HostId) -> bool {
         self.pending_withdrawals.get(&host) == Some(&true)
     }
 
@@ -163,10 +163,12 @@
         let heaviest = sent.iter().max_by(|a, b| a.1.total_cmp(b.1));
         let mut diff = TableDiff {
             orders: Vec::new(),
-            removals_of_shut: Vec::new(),
+            removals_of_withdrawn: Vec::new(),
             returning: Vec::new(),
             heaviest: heaviest.map(|(host, _)| *host),
-            has_open_host: sent.keys().any(|host| !self.is_shut(host) && !self.withdrawn.contains(host)),
+            has_open_host: sent
+                .keys()
+                .any(|host| !self.should_be_withdrawn(host) && !self.withdrawn.contains(host)),
         };
         for (host, weight) in &desired.weights {
             if !is_close(sent.get(host), *weight) {
@@ -175,8 +177,8 @@
         }
         for host in sent.keys().filter(|host| !desired.weights.contains_key(host)) {
             let removal = Order::SetWeight { slice, host: *host, weight: 0.0 };
-            if self.is_shut(host) {
-                diff.removals_of_shut.push(removal);
+            if self.should_be_withdrawn(host) {
+                diff.removals_of_withdrawn.push(removal);
                 continue;
             }
             diff.orders.push(removal);
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -150,7 +150,7 @@
     /// Takes a slice from its host and gives it to the emptiest one, in a plan.
     pub(crate) fn relocate(&self, plan: &mut PlacementPlan, slice: &Relocation) -> Option<HostId> {
         plan.remove(slice.current, slice.score);
-        let new = self.emptiest(plan, slice);
+        let new = self.select_host(plan, slice);
         plan.place(new, slice.score);
         new
     }
