--- a/crates/director/rebalancer/src/assignment.rs
+++ b/crates/director/rebalancer/src/assignment.rs
@@ -1,21 +1,22 @@
-//! The types of the mechanism: who holds what, moves, and what is read off a board.
+//! The types of the mechanism: which holder has which slices, moves, and totals of an assignment.
 
 use std::collections::BTreeSet;
 
-/// One that may hold slices.
+/// A host or group of hosts that may hold slices.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Holder {
-    /// The weight by which its count is divided, scaled to a mean of 1: see [`normalized_weights`](crate::normalized_weights). Above 0.
+    /// The weight by which its slice count is divided, above 0 and scaled to a mean of 1: see
+    /// [`normalized_weights`](crate::normalized_weights).
     pub weight: f64,
-    /// When it was listed, or its position in the list; none: it is known, but not listed.
+    /// When it was listed, or its position in the list; `None` if it is known, but not listed.
     pub listed_at: Option<f64>,
-    /// Newly listed: it takes only coldest slices.
+    /// It was listed recently, and receives only the coldest slices.
     pub is_new: bool,
-    /// It may take slices; one that may not, but isn't leaving, still gives them.
+    /// It may receive slices. A holder that may not, but is not leaving either, still gives slices away.
     pub open: bool,
-    /// Draining or gone: its slices move first.
+    /// It is draining or gone, and its slices are moved first.
     pub leaving: bool,
-    /// The score that it may still take; infinite without a limit.
+    /// The sum of scores that it may still receive; infinite without a limit.
     pub capacity: f64,
 }
 
@@ -32,30 +33,30 @@
     }
 }
 
-/// Who holds what. Holders and slices are named by their index. A slice that is being moved counts with the holder that
-/// it goes to, and is pinned.
+/// Which holder has which slices, both identified by index. A slice that is being moved counts for the holder that it
+/// goes to, and is pinned.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Assignment {
-    /// All that may hold slices.
+    /// All holders.
     pub holders: Vec<Holder>,
-    /// The holder of each slice; none: nobody holds it.
+    /// The holder of each slice; `None` if it has none.
     pub owners: Vec<Option<usize>>,
     /// The score of each slice: see [`scores`](crate::scores).
     pub scores: Vec<f64>,
-    /// Slices that are not to be moved.
+    /// Slices that must not be moved.
     pub pinned: BTreeSet<usize>,
-    /// Pairs of a slice and a holder that must not get it.
+    /// Pairs of a slice and a holder that must not receive it.
     pub forbidden: BTreeSet<(usize, usize)>,
-    /// The share of all slices that is on this board, from 0 to 1; none: all.
+    /// The share of all slices that is in this assignment, from 0 to 1; `None` if it has all of them.
     pub slice_share: Option<f64>,
 }
 
-/// A slice that is to go to another holder.
+/// The move of a slice to another holder.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Move {
     /// The slice's index.
     pub slice: usize,
-    /// The holder that it leaves; none: nobody holds it.
+    /// The holder that it leaves; `None` if it has none.
     pub from: Option<usize>,
     /// The holder that it goes to.
     pub to: usize,
@@ -66,13 +67,13 @@
 pub struct Gap {
     /// The holder with the most slices per unit of weight.
     pub fullest: usize,
-    /// The one with the fewest, of those that could take any slice of the fullest.
+    /// The holder with the fewest, of those that could receive any slice of the fullest.
     pub emptiest: usize,
-    /// By how many slices per unit of weight they differ, as an estimate for all boards.
+    /// By how many slices per unit of weight they differ, extrapolated from this assignment to all slices.
     pub slices: f64,
 }
 
-/// What a holder has.
+/// The slices and score of a holder.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Totals {
     /// Number of slices.
@@ -81,26 +82,26 @@
     pub score: f64,
 }
 
-/// Rank of a holder that may take a slice: the lowest gets it. Compared field by field.
+/// Rank of a holder that may receive a slice; the lowest gets it. Compared field by field in this order.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub struct CandidateRank<L> {
-    /// It lacks the room for the slice.
+    /// Its capacity is below the score of the slice.
     pub lacks_capacity: bool,
     /// How many slices per unit of weight it would hold with the slice.
     pub fill: f64,
-    /// When it was listed: whoever was listed first is preferred.
+    /// When it was listed; the one listed first is preferred.
     pub listed_at: L,
 }
 
-/// What the mechanism remembers: past a gap of 8 slices it moves them until the gap is under 2.
+/// State of the mechanism: above a gap of 8 slices it moves slices until the gap is under 2.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Rebalancer {
-    /// A gap of more than 8 slices was seen, and has not gone below 2 since.
+    /// Balancing is in progress: a gap of more than 8 slices was seen, and none under 2 since.
     pub moving: bool,
 }
 
 impl Assignment {
-    /// What each holder has.
+    /// Slices and score of each holder.
     pub fn totals(&self) -> Vec<Totals> {
         let mut totals = vec![Totals::default(); self.holders.len()];
         for (owner, score) in self.owners.iter().zip(&self.scores) {
@@ -112,7 +113,7 @@
         totals
     }
 
-    /// Slices per unit of weight that a holder would have with `more` slices.
+    /// Slices per unit of weight that a holder would have with `more` additional slices.
     pub(crate) fn fill(&self, totals: &[Totals], holder: usize, more: f64) -> f64 {
         (totals[holder].slices + more) / self.holders[holder].weight
     }
@@ -127,7 +128,7 @@
         self.slices_of(holder).map(|slice| self.scores[slice]).fold(f64::INFINITY, f64::min)
     }
 
-    /// Holders that may take slices and stay, by index.
+    /// Holders that may receive slices, by index.
     pub(crate) fn receivers(&self) -> Vec<usize> {
         receivers(&self.holders)
     }
@@ -137,7 +138,7 @@
         !self.pinned.contains(&slice) && !self.forbidden.contains(&(slice, to))
     }
 
-    /// Carries a move out.
+    /// Applies a move.
     pub(crate) fn apply(&mut self, next: &Move) {
         let score = self.scores[next.slice];
         if let Some(from) = next.from {
@@ -148,14 +149,14 @@
     }
 }
 
-/// Holders that may take slices and stay, by index: those that are listed, or all if none is.
+/// Holders that may receive slices and are not leaving, by index: the listed ones, or all if none is listed.
 pub(crate) fn receivers(holders: &[Holder]) -> Vec<usize> {
-    let known = (0..holders.len()).filter(|h| holders[*h].open && !holders[*h].leaving);
-    let known: Vec<usize> = known.collect();
+    let open = (0..holders.len()).filter(|h| holders[*h].open && !holders[*h].leaving);
+    let open: Vec<usize> = open.collect();
     let is_listed = |h: &usize| holders[*h].listed_at.is_some();
-    let listed: Vec<usize> = known.iter().copied().filter(is_listed).collect();
+    let listed: Vec<usize> = open.iter().copied().filter(is_listed).collect();
     if listed.is_empty() {
-        known
+        open
     } else {
         listed
     }
--- a/crates/director/rebalancer/src/lib.rs
+++ b/crates/director/rebalancer/src/lib.rs
@@ -1,9 +1,11 @@
-//! The paper's mechanism, pure: scores of slices and holders, counts per unit of weight, gaps, moves from the
-//! fullest to the emptiest. `assignment` has the types, `mechanism` what all users share; `placement` lays slices out
-//! and takes them off holders that leave; `relief` is our addition for hot slices at an even count. Why:
-//! `docs/design.md`.
+//! Balancing of slices (shards) over holders (hosts) without I/O: scores, slice counts per unit of weight, gaps, and
+//! moves from the fullest to the emptiest holder. It implements sections III A and III B of the paper: Liu, Wang, Jin,
+//! "Research on The Improvement of MongoDB Auto-Sharding in Cloud Environment" (Beijing Jiaotong University).
 //!
-//! A round of one who keeps slices with their holders: scores from counts, then a few moves at a time.
+//! `assignment` has the types, `mechanism` the rules of the paper. `placement` assigns slices initially and moves them
+//! off holders that leave; `relief` extends the paper for hot slices at even counts. `docs/design.md` has the reasons.
+//!
+//! An example that scores slices by their requests and then balances them by a few moves at a time:
 //!
 //! ```
 //! use coppersail_rebalancer::{initial_assignment, normalized_weights, scores, Assignment, Holder, Rebalancer};
@@ -18,15 +20,15 @@
 //! // Counted requests of two classes, the second of them the heavier one.
 //! let counts: Vec<[f64; 2]> = (0..24).map(|slice| [slice as f64, 1.0]).collect();
 //! let holders = vec![holder(0), holder(1), Holder { is_new: true, ..holder(2) }];
-//! let mut board = Assignment { holders, owners, scores: scores(&counts, Some(1), 1.5), ..Assignment::default() };
+//! let mut assignment = Assignment { holders, owners, scores: scores(&counts, Some(1), 1.5), ..Assignment::default() };
 //! let mut rebalancer = Rebalancer::default();
-//! let moves = rebalancer.plan_moves(&board, 2);
+//! let moves = rebalancer.plan_moves(&assignment, 2);
 //! assert_eq!((moves.len(), moves[0].to), (2, 2));
-//! // Carried out a few at a time, they end once the gap is under 2.
-//! while let Some(next) = rebalancer.plan_moves(&board, 1).pop() {
-//!     board.owners[next.slice] = Some(next.to);
+//! // Balancing ends once the gap is under 2.
+//! while let Some(next) = rebalancer.plan_moves(&assignment, 1).pop() {
+//!     assignment.owners[next.slice] = Some(next.to);
 //! }
-//! assert!(board.gap().unwrap().slices < 2.0);
+//! assert!(assignment.gap().unwrap().slices < 2.0);
 //! ```
 
 mod assignment;
--- a/crates/director/rebalancer/src/placement.rs
+++ b/crates/director/rebalancer/src/placement.rs
@@ -1,13 +1,13 @@
-//! Placing slices beside balancing: an even layout for a start, and slices that nobody holds or whose holder leaves.
+//! Placement other than balancing: an even initial assignment, and slices without a holder or whose holder leaves.
 
 use crate::assignment::{receivers, Assignment, CandidateRank, Holder, Move, Rebalancer};
 use crate::mechanism::{normalized_weight, select_holder};
 use std::cmp::Ordering;
 
-/// Credits that differ by less than this are equal: they are sums of fractions.
+/// Credits that differ by less than this count as equal, as sums of fractions are rounded.
 const CREDIT_PRECISION: f64 = 1e-9;
 
-/// Listed weights, scaled to an average of 1; where none is listed, counts are taken plainly.
+/// Scales the listed weights to a mean of 1. A weight that is not listed is 1, as are all if none is above 0.
 pub fn normalized_weights(weights: &[Option<f64>]) -> Vec<f64> {
     let listed: Vec<f64> = weights.iter().filter_map(|weight| *weight).collect();
     let mean = listed.iter().sum::<f64>() / listed.len().max(1) as f64;
@@ -18,8 +18,8 @@
     weights.iter().map(scaled).collect()
 }
 
-/// An even layout for a start: each in turn as its weight says, so that neighbours, and with them busy keys
-/// that sit close together, go to different holders. All slices have none where no holder may take any.
+/// An even initial assignment by weighted round robin, so that neighbouring slices, and with them busy keys that are
+/// close together, go to different holders. Slices have no holder if none may receive any.
 ///
 /// ```
 /// use coppersail_rebalancer::{initial_assignment, Holder};
@@ -40,7 +40,8 @@
     owners
 }
 
-/// Smooth weighted round robin: each turn everybody earns its weight, and the richest pays the total.
+/// Smooth weighted round robin: each turn adds every weight to its credit, selects the highest credit and subtracts the
+/// total of the weights from it.
 struct WeightedRotation {
     weights: Vec<f64>,
     total: f64,
@@ -54,27 +55,27 @@
         WeightedRotation { weights, total, credits }
     }
 
-    /// Index of the weight whose turn it is; of equals the first. None without weights.
+    /// Index of the weight whose turn it is; of equals the first. `None` without weights.
     fn next_turn(&mut self) -> Option<usize> {
         for (credit, weight) in self.credits.iter_mut().zip(&self.weights) {
             *credit += weight;
         }
         let credits = &self.credits;
-        let richer = |a: usize, b: usize| if credits[b] > credits[a] + CREDIT_PRECISION { b } else { a };
-        let richest = (0..credits.len()).reduce(richer)?;
-        self.credits[richest] -= self.total;
-        Some(richest)
+        let higher = |a: usize, b: usize| if credits[b] > credits[a] + CREDIT_PRECISION { b } else { a };
+        let selected = (0..credits.len()).reduce(higher)?;
+        self.credits[selected] -= self.total;
+        Some(selected)
     }
 }
 
 impl Rebalancer {
-    /// At most so many moves: first slices that nobody holds or whose holder leaves, then balancing.
-    pub fn plan_moves(&mut self, board: &Assignment, most: usize) -> Vec<Move> {
-        let mut board = board.clone();
-        let mut moves = board.place_displaced(most);
-        while moves.len() < most {
-            let Some(next) = self.next_move(&board) else { break };
-            board.apply(&next);
+    /// At most `max_moves` moves: first slices without a holder or whose holder leaves, then balancing.
+    pub fn plan_moves(&mut self, assignment: &Assignment, max_moves: usize) -> Vec<Move> {
+        let mut assignment = assignment.clone();
+        let mut moves = assignment.place_displaced(max_moves);
+        while moves.len() < max_moves {
+            let Some(next) = self.next_move(&assignment) else { break };
+            assignment.apply(&next);
             moves.push(next);
         }
         moves
@@ -82,8 +83,9 @@
 }
 
 impl Assignment {
-    /// Slices that nobody holds or whose holder leaves, hottest first, each to the longest listed holder with
-    /// fewest slices per unit of weight, or to any if none is listed. Carries the moves out here.
+    /// Places slices without a holder or whose holder leaves, hottest first, each on the holder with the fewest slices
+    /// per unit of weight (of equals the one listed longest), and applies these moves. Unlisted holders receive slices
+    /// only if none is listed.
     fn place_displaced(&mut self, max_moves: usize) -> Vec<Move> {
         let receivers = self.receivers();
         let mut totals = self.totals();
@@ -110,7 +112,7 @@
         moves
     }
 
-    /// Slices that nobody holds or whose holder leaves, hottest first.
+    /// Slices without a holder or whose holder leaves, hottest first.
     fn displaced_slices(&self) -> Vec<usize> {
         let is_displaced = |slice: &usize| match self.owners[*slice] {
             Some(holder) => self.holders[holder].leaving,
--- a/src/channel_backlog/tests.rs
+++ b/src/channel_backlog/tests.rs
@@ -54,7 +54,7 @@
 #[test_case(&[written(11), written(11), acknowledged(3, 1), acknowledged(3, 1)], 180.0 ; "the acknowledgement of a second copy shows that the first was delivered")]
 #[test_case(&[written(11), Input::RelayCall(RelayCallEvent::AcknowledgementsLost), acknowledged(3, 1)], 180.0 ; "after lost acknowledgements later ones still count")]
 #[test_case(&[Input::RelayCall(RelayCallEvent::Sent { round: Some(RoundId(1)), orders: 11, unannounced_proxies: true })], 400.0 ; "all twenty proxies may have joined unannounced")]
-fn queued_lines_are_underestimated(inputs: &[Input], lines: f64) {
+fn unacknowledged_lines_include_all_that_may_be_queued(inputs: &[Input], lines: f64) {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.05, inputs);
     assert_eq!(backlog.unacknowledged_lines(), lines);
@@ -63,7 +63,7 @@
 // Seen against a model of the channel: late acknowledgements of a delivered copy were counted for the next one, and
 // so on, until a whole round that was queued was no longer counted.
 #[test]
-fn late_acknowledgements_of_a_copy_count_for_the_next_one() {
+fn late_acknowledgements_of_a_copy_do_not_count_for_the_next_one() {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.0, &[written(11), written(11), written(11)]);
     // The first copy is delivered when the second reaches proxy 0; nine of its acknowledgements are late.
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn rounds_before_an_acknowledged_one_stay_queued() {
+fn rounds_before_an_acknowledged_one_are_delivered() {
     let mut backlog = backlog_with_round();
     record(
         &mut backlog,
@@ -105,7 +105,7 @@
 #[test_case(0.9, false, 1 ; "its first acknowledgements may still come")]
 #[test_case(1.2, true, 1 ; "silence for twice the longest transit time")]
 #[test_case(10.2, false, 0 ; "ten seconds of silence: forgotten")]
-fn silence_is_not_noticed(now: f64, is_silent: bool, rounds: usize) {
+fn silence_is_noticed(now: f64, is_silent: bool, rounds: usize) {
     let mut backlog = backlog_with_round();
     let params = params();
     record(&mut backlog, 0.1, &[written(11)]);
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn messages_are_miscounted() {
+fn each_call_counts_as_one_message() {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.5, &[written(11)]);
     assert_eq!(backlog.sent_at, [0.5], "the order and its call are one");
@@ -128,7 +128,7 @@
 // Where half of the proxies left, their lines stay counted; late acknowledgements must not be taken for the rate.
 #[test_case(0, 8 ; "all proxies are joined")]
 #[test_case(5, 4 ; "half have left")]
-fn last_acknowledgements_lower_the_rate(left: u16, in_time: u16) {
+fn last_acknowledgements_do_not_lower_the_rate(left: u16, in_time: u16) {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.0, &[written(11)]);
     for n in 0..left {
@@ -142,7 +142,7 @@
 }
 
 #[test]
-fn admission_levels_sent_along_are_not_counted() {
+fn admission_levels_sent_along_are_counted() {
     let mut backlog = backlog_with_round();
     backlog.admission_routes.insert(RouteId(1));
     record(&mut backlog, 0.0, &[written(11)]);
--- a/src/logic/tests/admission_control.rs
+++ b/src/logic/tests/admission_control.rs
@@ -13,14 +13,14 @@
 #[test_case(0.2, 100.0, None ; "no reduction while answers are quick")]
 #[test_case(0.9, 90.0, Some(76.5) ; "slow answers: less than was answered")]
 #[test_case(0.9, 20.0, Some(70.0) ; "reduced by three tenths at most")]
-fn target_rate_does_not_follow_overload(mean_response_time: f64, answered: f64, target: Option<f64>) {
+fn target_rate_follows_overload(mean_response_time: f64, answered: f64, target: Option<f64>) {
     let mut admission = admission_control([60.0, 40.0], mean_response_time, answered);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert_eq!(admission.target_rate, target);
 }
 
 #[test]
-fn route_of_least_value_is_not_reduced_first_or_does_not_recover() {
+fn route_of_least_value_is_reduced_first_and_recovers() {
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert!((admission.levels[0] - 0.5).abs() < 0.01 && admission.levels[1] == 1.0, "{:?}", admission.levels);
@@ -39,7 +39,7 @@
 #[test_case(2, 1.0, 50.0 ; "as many slices")]
 #[test_case(4, 1.0, 100.0 ; "twice as many: twice the calls are admitted")]
 #[test_case(4, 0.5, 50.0 ; "just assigned: only some of their calls were counted")]
-fn target_rate_does_not_grow_with_the_slices_in_charge(slices: u16, since_assigned: f64, target: f64) {
+fn target_rate_grows_with_the_assigned_slices(slices: u16, since_assigned: f64, target: f64) {
     let mut admission = AdmissionControl {
         target_rate: Some(50.0),
         evaluated_slices: 2,
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn calls_of_a_reduced_route_are_retried() {
+fn calls_of_a_reduced_route_are_not_retried() {
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
     let mut outbox = Outbox::default();
     admission.evaluate(1.0, &params(), &mut outbox);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn levels_change_while_proxies_are_unreachable() {
+fn levels_stay_while_proxies_are_unreachable() {
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     let before = admission.levels.clone();
@@ -79,7 +79,7 @@
 #[test_case(0.2, 0.0, 0.5, None ; "quick answers: a route fails, or connections do")]
 #[test_case(0.35, 0.0, 0.5, Some(76.5) ; "slow answers confirm that hosts are overloaded")]
 #[test_case(0.35, 0.4, 0.5, None ; "idle cores show that they are not")]
-fn dropped_calls_alone_count_as_overload(
+fn dropped_calls_count_as_overload_only_at_busy_or_slow_hosts(
     mean_response_time: f64,
     busy: f64,
     dropped: f64,
@@ -109,7 +109,11 @@
 
 #[test_case(0, RetryPolicy::Twice, RetryPolicy::Twice ; "as overridden")]
 #[test_case(1, RetryPolicy::Twice, RetryPolicy::IfNotExecuted ; "never so that a call that is not idempotent could run twice")]
-fn overrides_of_limit_and_retries_are_not_kept(of: u16, wanted: RetryPolicy, expected: RetryPolicy) {
+fn overrides_of_limit_and_retries_are_applied_and_lifted(
+    of: u16,
+    wanted: RetryPolicy,
+    expected: RetryPolicy,
+) {
     let mut admission = admission_control([60.0, 40.0], 0.1, 100.0);
     assert_eq!(
         sent_levels(&mut admission, route_override(of, Some(0.6), Some(wanted))),
@@ -125,7 +129,7 @@
 }
 
 #[test]
-fn overload_does_not_reduce_below_an_operators_limit() {
+fn overload_reduces_below_an_operators_limit() {
     let mut admission = admission_control([60.0, 40.0], 0.9, 70.0);
     sent_levels(&mut admission, route_override(0, Some(0.9), Some(RetryPolicy::Twice)));
     let mut outbox = Outbox::default();
--- a/src/logic/tests/channel.rs
+++ b/src/logic/tests/channel.rs
@@ -30,7 +30,7 @@
 #[test_case(0.0, 5, 5 ; "all changes are sent where they fit")]
 #[test_case(0.0, 50, 25 ; "a quarter of the backlog for routine lines")]
 #[test_case(300.0, 5, 0 ; "nothing is sent while lines are queued")]
-fn channel_backlog_grows_past_its_share(waiting: f64, slices: u16, sent: usize) {
+fn routine_changes_stay_within_their_share_of_the_backlog(waiting: f64, slices: u16, sent: usize) {
     let mut channel = channel(waiting, slices);
     let mut outbox = Outbox::default();
     channel.flush(0.0, &params(), &mut outbox);
@@ -40,7 +40,7 @@
 #[test_case(10, false, 0 ; "half of the messages for routine lines")]
 #[test_case(10, true, 5 ; "slices without an open host may use more")]
 #[test_case(19, true, 0 ; "the last message is kept")]
-fn message_limit_is_exceeded(before: usize, urgent: bool, sent: usize) {
+fn message_limit_is_respected(before: usize, urgent: bool, sent: usize) {
     let mut channel = channel(0.0, 5);
     let mut outbox = Outbox::default();
     channel.backlog.sent_at.extend(vec![5.0; before]);
@@ -51,7 +51,7 @@
 
 /// Withdrawals first, then slices without an open host; a host returns only after its outdated weights are removed.
 #[test]
-fn changes_are_sent_in_the_wrong_order() {
+fn changes_are_sent_by_priority() {
     let mut channel = channel(0.0, 3);
     for table in channel.desired_tables.values_mut() {
         table.weights.remove(&id(7));
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn many_withdrawals_exceed_the_urgent_share_of_the_backlog() {
+fn many_withdrawals_stay_within_seven_tenths_of_the_backlog() {
     let mut channel = channel(0.0, 0);
     let mut outbox = Outbox::default();
     channel.sent_tables.insert(SliceId(0), PerHost::from([(id(7), 1.0)]));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn unchanged_weights_are_sent_again() {
+fn unchanged_weights_are_not_sent_again() {
     let mut channel = channel(0.0, 1);
     let mut outbox = Outbox::default();
     channel.sent_tables.insert(SliceId(0), PerHost::from([(id(0), 0.9), (id(1), 1.0), (id(7), 1.0)]));
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn older_change_waits_behind_newer_ones() {
+fn older_changes_are_sent_first() {
     let mut channel = channel(0.0, 30);
     let mut outbox = Outbox::default();
     channel.desired_tables.get_mut(&SliceId(29)).unwrap().since = -1.0;
@@ -114,7 +114,7 @@
 }
 
 #[test]
-fn burst_of_urgent_changes_uses_up_all_messages() {
+fn messages_of_a_burst_of_urgent_changes_are_spaced() {
     let mut channel = channel(0.0, 5);
     let mut outbox = Outbox::default();
     channel.backlog.sent_at.extend(vec![8.5; 10]);
@@ -127,7 +127,7 @@
 
 #[test_case(1000.0, false ; "a fast channel sends an increase by half")]
 #[test_case(100.0, true ; "a slow one sends only larger changes")]
-fn slow_channel_sends_small_weight_changes(lines_per_s: f64, same: bool) {
+fn slow_channel_sends_only_large_weight_changes(lines_per_s: f64, same: bool) {
     let params =
         Parameters::new(&Settings { channel_lines_per_s: lines_per_s, proxy_count: 4, ..settings() });
     assert_eq!(is_close_enough(&params, Some(&1.0), 1.5), same);
@@ -135,7 +135,7 @@
 
 #[test_case(true, true ; "a table names it")]
 #[test_case(false, false ; "no table of ours names it")]
-fn withdrawal_is_resent_for_a_host_in_no_table(named: bool, sent: bool) {
+fn withdrawal_is_resent_only_for_a_host_in_a_table(named: bool, sent: bool) {
     let mut channel = channel(0.0, named as u16);
     channel.withdrawn.insert(id(7));
     let order = Order::SetWithdrawn { host: id(7), withdrawn: true };
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn pending_return_is_not_cancelled_by_a_withdrawal() {
+fn withdrawal_cancels_a_pending_return() {
     let mut channel = channel(0.0, 0);
     channel.withdrawn.insert(id(7));
     channel.set_withdrawal(id(7), false);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn return_replaces_a_withdrawal_that_was_not_sent() {
+fn return_does_not_cancel_a_pending_withdrawal() {
     let mut channel = channel(0.0, 0);
     let mut outbox = Outbox::default();
     for out in [true, false] {
@@ -187,7 +187,7 @@
 // ten seconds, and as much was written again.
 #[test_case(11.5, 0 ; "it is still being acknowledged")]
 #[test_case(1.0, 1 ; "no acknowledgement for ten seconds")]
-fn queued_round_is_forgotten(last_sample_at: f64, rounds: usize) {
+fn round_is_forgotten_only_after_ten_seconds_of_silence(last_sample_at: f64, rounds: usize) {
     let mut channel = channel(0.0, 2);
     channel.backlog.rounds.push_back(round(9, 0.0, 85.0));
     channel.backlog.last_rate_sample_at = last_sample_at;
@@ -199,7 +199,7 @@
 // The stated rate is 1,000 lines a second; proxies acknowledge one after the other, with a transit time of a second.
 #[test_case(0.1, 400.0 ; "two fifths of the stated rate")]
 #[test_case(0.4, 100.0 ; "a tenth of the stated rate")]
-fn channel_rate_is_misjudged(apart: f64, rate: f64) {
+fn channel_rate_follows_from_acknowledgements(apart: f64, rate: f64) {
     let mut channel = channel(0.0, 0);
     channel.backlog.rounds.push_back(round(9, 0.0, 40.0));
     for n in 1..8 {
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn last_acknowledgements_of_a_round_lower_the_rate() {
+fn last_acknowledgements_of_a_round_do_not_lower_the_rate() {
     let mut channel = channel(0.0, 0);
     channel.backlog.rounds.push_back(Round { awaited: BTreeSet::from([ProxyId(3)]), ..round(9, 0.0, 40.0) });
     acknowledge(&mut channel, 8.0, 3, 9);
@@ -218,7 +218,7 @@
 }
 
 #[test]
-fn unacknowledged_lines_exceed_the_backlog() {
+fn unacknowledged_lines_stay_within_the_backlog() {
     let mut channel = channel(0.0, 40);
     let mut outbox = Outbox::default();
     channel.withdrawn.insert(id(7));
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn slice_whose_only_host_is_withdrawn_counts_as_served() {
+fn slice_whose_only_host_is_withdrawn_has_no_open_host() {
     let mut channel = channel(0.0, 1);
     (channel.withdrawn, channel.pending_withdrawals) =
         (BTreeSet::from([id(7)]), BTreeMap::from([(id(7), false)]));
@@ -236,7 +236,7 @@
 }
 
 #[test]
-fn director_without_slices_sends_orders() {
+fn director_without_slices_sends_no_orders() {
     let mut channel = channel(0.0, 0);
     let mut outbox = Outbox::default();
     channel.pending_withdrawals.insert(id(7), true);
@@ -253,7 +253,7 @@
 #[test_case(true, true, 0 ; "not while a table names it")]
 #[test_case(false, true, 0 ; "withdrawn, it is let in with other orders")]
 #[test_case(false, false, 1 ; "otherwise at once")]
-fn expired_host_is_kept_or_forgotten_too_early(named: bool, withdrawn: bool, sent: usize) {
+fn expired_host_is_forgotten_once_no_table_names_it(named: bool, withdrawn: bool, sent: usize) {
     let mut channel = channel(0.0, 1);
     let mut outbox = Outbox::default();
     channel.desired_tables.clear();
--- a/src/logic/tests/director.rs
+++ b/src/logic/tests/director.rs
@@ -6,7 +6,7 @@
 #[test_case(true, 1.1, vec![Order::WatchHostList(true)] ; "after a failure it follows the list again")]
 #[test_case(false, 1.1, vec![] ; "a list that is followed is not fetched")]
 #[test_case(false, 3.1, vec![Order::FetchHostList] ; "after long silence it fetches the list")]
-fn host_list_gets_out_of_date(failed: bool, now: f64, expected: Vec<Order>) {
+fn host_list_is_watched_again_or_fetched(failed: bool, now: f64, expected: Vec<Order>) {
     let mut watch = DiscoveryWatch { following: true, asked_at: Some(0.0) };
     let mut outbox = Outbox::default();
     if failed {
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn rounding_of_the_time_ends_the_ticks() {
+fn ticks_continue_despite_rounding_of_the_time() {
     let mut director = Director::new(settings(), 7);
     director.next_tick_at = 8.200000000000001;
     let orders = director.handle(8.2, &[Input::TimerFired(TimerId(1))]);
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn outdated_host_list_is_used() {
+fn outdated_host_list_is_ignored() {
     let mut director = Director::new(settings(), 7);
     director.list_version = Some(5);
     let mut outbox = Outbox::default();
@@ -41,7 +41,7 @@
 
 /// Each second a host comes and another goes; proxies and hosts answer at once.
 #[test]
-fn state_of_removed_hosts_leaks() {
+fn state_of_removed_hosts_is_released() {
     let mut director = Director::new(Settings { host_list_is_pushed: true, ..settings() }, 7);
     let first = (0..5).map(|n| listing(n, HostState::Ready)).collect();
     let (proxy, zone) = (ProxyId(0), ZoneId(0));
@@ -96,7 +96,7 @@
 #[test_case(Some(HostState::Ready), false ; "listed again")]
 #[test_case(Some(HostState::Draining), false ; "draining is not gone")]
 #[test_case(None, true ; "gone")]
-fn listed_host_is_forgotten(listed_again: Option<HostState>, forgotten: bool) {
+fn only_an_unlisted_host_is_released(listed_again: Option<HostState>, forgotten: bool) {
     let mut director = Director::new(settings(), 7);
     let list = |version, entries| Input::HostListUpdate { scope: ListScope::Delta, version, entries };
     director.handle(0.0, &[list(1, vec![listing(3, HostState::Removed)])]);
@@ -119,7 +119,7 @@
 #[test_case(Some(3.0), 11.0 ; "gone, and not expired")]
 #[test_case(Some(3.0), 14.0 ; "expired, and to be let in with other orders")]
 #[test_case(Some(3.0), 30.0 ; "long expired, and to be let in with other orders")]
-fn newly_assigned_slice_names_a_host_that_is_long_gone(gone_at: Option<f64>, given_at: f64) {
+fn removed_host_in_the_table_of_a_newly_assigned_slice_is_withdrawn(gone_at: Option<f64>, given_at: f64) {
     let mut director =
         Director::new(Settings { host_list_is_pushed: true, probes_allowed: false, ..settings() }, 7);
     let list = |scope, version, entries| Input::HostListUpdate { scope, version, entries };
--- a/src/logic/tests/hosts.rs
+++ b/src/logic/tests/hosts.rs
@@ -17,12 +17,12 @@
 #[test_case(&[Outcome::TimedOut; 4], 9.9, false ; "an overloaded host times out but answers calls")]
 #[test_case(&[Outcome::TimedOut; 3], 0.0, true ; "a failed host answers none")]
 #[test_case(&[Outcome::Throttled, Outcome::ErrorResponse, Outcome::Throttled], 0.0, false ; "an error comes from a live process")]
-fn failed_host_is_not_suspected_or_a_live_one_is(outcomes: &[Outcome], answered_at: f64, suspect: bool) {
+fn host_is_suspected_only_if_it_has_failed(outcomes: &[Outcome], answered_at: f64, suspect: bool) {
     assert_eq!(probed_host(outcomes, answered_at).view.suspect, suspect);
 }
 
 #[test]
-fn recovered_host_skips_slow_start() {
+fn recovered_host_repeats_slow_start() {
     let (fine, dead) = (Outcome::Succeeded, Outcome::ConnectFailed);
     let mut host = probed_host(&[dead, dead], 0.0);
     host.withdrawn_as_suspect = true;
@@ -35,7 +35,7 @@
 #[test_case(0.9, 0.2, true ; "slower than the fleet")]
 #[test_case(0.9, 0.9, false ; "as slow as all others")]
 #[test_case(0.2, 0.05, false ; "quicker than four tenths of the objective")]
-fn slow_host_keeps_its_weight(response_time: f64, fleet: f64, is_derated: bool) {
+fn host_slower_than_the_fleet_is_derated(response_time: f64, fleet: f64, is_derated: bool) {
     let mut host = Host::new(id(0), 0.0, true);
     host.response_times.add(BINS, response_time, 10.0, 0.0);
     host.handle(
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn restart_shown_by_the_list_skips_slow_start() {
+fn restart_shown_by_the_list_begins_slow_start() {
     let mut host = Host::new(id(0), 0.0, true);
     let (started_at, zone, cell, kind) = (Some(50.0), ZoneId(0), CellId(0), MachineTypeId(0));
     let listing = HostListEntry {
@@ -67,7 +67,7 @@
 #[test_case(Outcome::Succeeded, true ; "an answer verifies it")]
 #[test_case(Outcome::ErrorResponse, false ; "an error may come from anybody")]
 #[test_case(Outcome::ConnectFailed, false ; "no process is there")]
-fn unverified_host_is_used(outcome: Outcome, open: bool) {
+fn host_is_open_once_it_is_verified(outcome: Outcome, open: bool) {
     let mut host = Host::new(id(0), 0.0, false);
     host.on_probe(1.0, &params(), outcome, &mut Outbox::default());
     let mut tables = tables(&[1, 1]);
@@ -78,7 +78,7 @@
 #[test_case(true, 0, true ; "where removal is advisory a host that answers stays")]
 #[test_case(true, 4, false ; "a suspected one does not")]
 #[test_case(false, 0, false ; "elsewhere removal is binding")]
-fn advisory_removal_is_misjudged(removal_is_advisory: bool, probe_failures: u32, stays: bool) {
+fn advisory_removal_keeps_a_host_that_answers(removal_is_advisory: bool, probe_failures: u32, stays: bool) {
     let mut host = Host { probe_failures, has_answered: true, ..Host::new(id(0), 0.0, true) };
     host.view.ready = true;
     host.view.suspect = probe_failures >= 4;
@@ -93,7 +93,7 @@
 
 #[test_case(4, true ; "few were withdrawn, and are taken to have restarted")]
 #[test_case(5, false ; "past four in ten our own network failed")]
-fn host_that_was_not_withdrawn_repeats_slow_start(suspects: usize, in_slow_start: bool) {
+fn only_a_host_that_was_withdrawn_repeats_slow_start(suspects: usize, in_slow_start: bool) {
     let mut tables = tables(&[1; 10]);
     for n in 0..suspects {
         tables.views.get_mut(&id(n)).unwrap().suspect = true;
--- a/src/logic/tests/overrides.rs
+++ b/src/logic/tests/overrides.rs
@@ -10,7 +10,7 @@
 
 #[test_case(&[0], [0.0, 6.0, 6.0] ; "it keeps no slice, others take them at once")]
 #[test_case(&[0, 1, 2], [4.0, 4.0, 4.0] ; "with all drained some host must serve")]
-fn drained_host_keeps_slices(hosts: &[usize], owned: [f64; 3]) {
+fn drained_host_gives_up_its_slices(hosts: &[usize], owned: [f64; 3]) {
     let mut tables = tables(&[4, 4, 4]);
     let drained = hosts.iter().map(|host| id(*host)).collect();
     apply_overrides(
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn host_that_is_gone_is_open_when_its_drain_is_lifted() {
+fn host_that_is_gone_is_not_open_when_its_drain_is_lifted() {
     let mut tables = tables(&[4, 4, 4]);
     apply_overrides(
         &mut tables,
@@ -38,7 +38,7 @@
 
 #[test_case(0.5, 1, 2.0 ; "half of the weight")]
 #[test_case(0.1, 1, 1.0 ; "a tenth of the weight")]
-fn lowered_weight_does_not_move_slices_at_once(weight: f64, host: usize, most: f64) {
+fn lowered_weight_moves_slices_at_once(weight: f64, host: usize, most: f64) {
     let mut tables = tables(&[4, 4, 4]);
     apply_overrides(
         &mut tables,
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn raised_zone_weight_does_not_attract_slices() {
+fn raised_zone_weight_attracts_slices() {
     let mut tables = tables(&[4, 4, 4, 4]);
     apply_overrides(
         &mut tables,
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn anti_affinity_is_ignored_or_leaves_a_slice_unserved() {
+fn anti_affinity_holds_while_another_host_can_serve() {
     let mut tables = tables(&[2, 2, 2]);
     let apart = |hosts: &[usize]| hosts.iter().map(|host| (SliceId(0), id(*host))).collect();
     apply_overrides(
@@ -82,7 +82,7 @@
 
 #[test_case(true, 2.0 ; "back to its original owner, which is open")]
 #[test_case(false, 0.0 ; "to another host, as its original owner is draining")]
-fn slice_does_not_return_when_an_override_is_lifted(open: bool, returned: f64) {
+fn slice_returns_when_an_override_is_lifted(open: bool, returned: f64) {
     let mut tables = tables(&[2, 2, 2]);
     let apart = [(SliceId(0), id(0)), (SliceId(0), id(1))].into();
     apply_overrides(&mut tables, OperatorOverrides { anti_affinity: apart, ..OperatorOverrides::default() });
--- a/src/logic/tests/owners.rs
+++ b/src/logic/tests/owners.rs
@@ -7,7 +7,11 @@
 #[test_case(&[8, 0, 4], false, 8.0; "a gap of eight does not")]
 #[test_case(&[5, 3, 4], true, 5.0; "while balancing, a gap of two goes on")]
 #[test_case(&[4, 3, 4], true, 4.0; "while balancing, a gap under two ends it")]
-fn balancing_starts_or_ends_at_the_wrong_gap(held_at_first: &[usize], balancing: bool, fullest: f64) {
+fn balancing_starts_above_a_gap_of_eight_and_ends_below_two(
+    held_at_first: &[usize],
+    balancing: bool,
+    fullest: f64,
+) {
     let mut tables = tables(held_at_first);
     tables.rebalancer.moving = balancing;
     let gap = held(&tables, 0) - held(&tables, 1);
@@ -23,7 +27,7 @@
 // new hosts owned nothing until the end of slow start.
 #[test_case(1.0, false ; "all slices: a gap of five is none")]
 #[test_case(4.0, true ; "a quarter of them: it stands for one of ten")]
-fn gap_is_not_scaled_by_the_share_of_slices(of: f64, moves: bool) {
+fn gap_is_scaled_by_the_share_of_slices(of: f64, moves: bool) {
     let mut tables = tables(&[5, 0, 2]);
     let params = Parameters { slice_count: 7.0 * of, ..params() };
     tables.balance(100.0, &params, &mut Outbox::default());
@@ -31,7 +35,7 @@
 }
 
 #[test]
-fn emptiest_host_without_capacity_blocks_balancing() {
+fn emptiest_host_without_capacity_does_not_block_balancing() {
     let mut tables = tables(&[10, 0, 1]);
     tables.views.get_mut(&id(1)).unwrap().slow_start = 0.2;
     tables.response_time = 1.0;
@@ -48,7 +52,7 @@
 #[test_case(1.0, 0.0, 0.0, 1.5 ; "slow from the start")]
 #[test_case(1.0, 0.2, 1.0, 1.5 ; "slow, and proxies are unreachable")]
 #[test_case(0.0, 1.0, 1.0, 1.5 ; "not measured")]
-fn overload_of_few_hosts_takes_capacity_from_those_in_slow_start(
+fn capacity_in_slow_start_follows_response_time_and_call_rate(
     response_time: f64,
     rate: f64,
     sustained_rate: f64,
@@ -66,7 +70,7 @@
 #[test_case(9.0, 0.0, 0 ; "the hottest goes where the fullest scores more")]
 #[test_case(0.1, 0.0, 9 ; "the coldest goes where it scores less")]
 #[test_case(9.0, 95.0, 9 ; "a newly listed host takes only the coldest")]
-fn wrong_slice_is_moved(hot: f64, listed_at: f64, expected: u16) {
+fn scores_decide_which_slice_is_moved(hot: f64, listed_at: f64, expected: u16) {
     let mut tables = tables(&[10, 1]);
     tables.slices.get_mut(&SliceId(0)).unwrap().score = hot.max(1.5);
     tables.slices.get_mut(&SliceId(9)).unwrap().score = 0.5;
@@ -77,7 +81,7 @@
 }
 
 #[test]
-fn slice_counts_ignore_weights() {
+fn gap_divides_slice_counts_by_weights() {
     let mut tables = tables(&[12, 5]);
     tables.views.get_mut(&id(0)).unwrap().weight = 3.0;
     tables.balance(100.0, &params(), &mut Outbox::default());
@@ -85,7 +89,7 @@
 }
 
 #[test]
-fn initial_layout_is_uneven_or_moves_owners() {
+fn initial_assignment_is_even_and_follows_the_stored_tables() {
     let mut tables = tables(&[6, 2, 1]);
     for slice in tables.slices.values_mut() {
         slice.owner = None;
@@ -103,7 +107,7 @@
 
 #[test_case(false, 0 ; "draining or gone at once")]
 #[test_case(true, 2 ; "suspected only when withdrawn for two seconds")]
-fn slices_stay_with_hosts_that_leave(ready: bool, stay: usize) {
+fn slices_leave_hosts_that_are_gone_or_withdrawn(ready: bool, stay: usize) {
     let mut tables = tables(&[2, 2, 1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = ready;
     tables.withdrawn.insert(id(0), 10.0);
@@ -115,7 +119,7 @@
 }
 
 #[test]
-fn newer_host_is_preferred_among_equals() {
+fn longest_listed_host_is_preferred_among_equals() {
     let mut tables = tables(&[1, 0, 0]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     tables.views.get_mut(&id(1)).unwrap().seniority = (5.0, 9);
@@ -124,7 +128,7 @@
 }
 
 #[test]
-fn score_does_not_weigh_the_route_with_the_longest_slo() {
+fn score_weighs_the_route_with_the_longest_latency_objective() {
     let mut tables = tables(&[3]);
     tables.slices.get_mut(&SliceId(0)).unwrap().calls = vec![10.0, 0.0];
     tables.slices.get_mut(&SliceId(1)).unwrap().calls = vec![0.0, 10.0];
@@ -136,7 +140,7 @@
 
 #[test_case(0.2 ; "just started")]
 #[test_case(0.6 ; "half of slow start")]
-fn host_in_slow_start_gets_more_than_its_capacity(slow_start: f64) {
+fn host_in_slow_start_stays_within_its_capacity(slow_start: f64) {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = slow_start;
     tables.response_time = 1.0;
@@ -151,7 +155,7 @@
 }
 
 #[test]
-fn capacity_exceeds_the_collapse_multiple() {
+fn capacity_stays_below_the_collapse_multiple() {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
     tables.response_time = 1.0;
@@ -161,7 +165,7 @@
 }
 
 #[test]
-fn capacity_grows_as_other_hosts_fail() {
+fn capacity_does_not_grow_as_other_hosts_fail() {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.5;
     tables.update_withdrawals(1.0, &mut Outbox::default());
@@ -172,7 +176,7 @@
 }
 
 #[test]
-fn director_started_during_a_loss_overestimates_capacity() {
+fn director_started_during_an_outage_does_not_overestimate_capacity() {
     let mut tables = tables(&[6, 6, 6]);
     for n in 0..2 {
         tables.views.get_mut(&id(n)).unwrap().ready = false;
--- a/src/logic/tests/standbys.rs
+++ b/src/logic/tests/standbys.rs
@@ -4,7 +4,7 @@
 use test_case::test_case;
 
 #[test]
-fn standbys_are_missing_or_concentrated() {
+fn every_slice_has_a_standby_and_standbys_are_spread() {
     let mut tables = tables(&[4, 4, 4, 4]);
     tables.assign_standbys(&params());
     let of = |n: usize| tables.slices.values().filter(move |s| s.owner == Some(id(n)));
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn host_in_slow_start_becomes_a_standby() {
+fn host_in_slow_start_does_not_become_a_standby() {
     let mut tables = tables(&[3, 3, 0]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.2;
     tables.max_ready_hosts = 3;
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn overloaded_standby_of_an_overloaded_owner_is_kept() {
+fn overloaded_standby_of_an_overloaded_owner_is_replaced() {
     let mut tables = tables(&[1, 1, 1, 1]);
     for s in tables.slices.values_mut() {
         s.standby = Some(id(if s.owner == Some(id(1)) { 0 } else { 1 }));
@@ -42,7 +42,11 @@
 #[test_case(1.0, 1.0, 0.1 ; "the lowest share at first")]
 #[test_case(0.25, 1.0, 3.0 ; "an owner in slow start takes no more than that allows")]
 #[test_case(1.0, 0.5, 0.2 ; "a slow owner gets less")]
-fn standby_gets_the_wrong_share(slow_start: f64, derating: f64, expected: f64) {
+fn standby_share_depends_on_the_owners_slow_start_and_derating(
+    slow_start: f64,
+    derating: f64,
+    expected: f64,
+) {
     let mut tables = tables(&[1, 0]);
     let view = tables.views.get_mut(&id(0)).unwrap();
     view.slow_start = slow_start;
@@ -52,7 +56,7 @@
 }
 
 #[test]
-fn overloaded_owner_keeps_all_calls() {
+fn overloaded_owner_shares_calls_with_its_standby() {
     let mut tables = tables(&[6, 1, 1]);
     for s in tables.slices.values_mut() {
         s.standby = Some(id(if s.owner == Some(id(2)) { 1 } else { 2 }));
@@ -63,7 +67,7 @@
 
 #[test_case(Some(20.0), Some(10.0), 1.0 / 1.5 * 2.0 ; "by reported speed")]
 #[test_case(None, None, 1.0 ; "like the others where nothing is known")]
-fn ability_ignores_reported_speed(fast: Option<f64>, slow: Option<f64>, expected: f64) {
+fn throughput_follows_reported_speed(fast: Option<f64>, slow: Option<f64>, expected: f64) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().speed = fast;
     tables.views.get_mut(&id(1)).unwrap().speed = slow;
@@ -71,14 +75,14 @@
 }
 
 #[test]
-fn exclusive_slice_gets_a_standby() {
+fn exclusive_slice_has_no_standby() {
     let mut tables = tables(&[1, 0]);
     tables.assign_standbys(&Parameters { exclusive_ownership: true, ..params() });
     assert_eq!(tables.slices[&SliceId(0)].standby, None);
 }
 
 #[test]
-fn owners_weight_is_sent_again() {
+fn owner_keeps_the_weight_that_was_sent() {
     let mut tables = tables(&[1, 1]);
     let slice = tables.slices.get_mut(&SliceId(0)).unwrap();
     slice.standby = Some(id(1));
--- a/src/logic/tests/tables.rs
+++ b/src/logic/tests/tables.rs
@@ -4,7 +4,7 @@
 use test_case::test_case;
 
 #[test]
-fn unchanged_table_is_sent_again() {
+fn unchanged_table_is_not_sent_again() {
     let mut tables = tables(&[1, 0]);
     tables.slices.get_mut(&SliceId(0)).unwrap().owner = Some(id(1));
     let mut outbox = Outbox::default();
@@ -16,7 +16,7 @@
 
 #[test_case(4, 4 ; "four of ten")]
 #[test_case(5, 0 ; "five of ten: our own network is more likely at fault")]
-fn too_many_suspects_are_withdrawn(suspects: usize, withdrawn: usize) {
+fn suspects_are_withdrawn_up_to_four_in_ten(suspects: usize, withdrawn: usize) {
     let mut tables = tables(&[1; 10]);
     for n in 0..suspects {
         tables.views.get_mut(&id(n)).unwrap().suspect = true;
@@ -28,7 +28,7 @@
 #[test_case(true, 1.0, 1 ; "a proxy has joined")]
 #[test_case(false, 1.0, 0 ; "not to the others")]
 #[test_case(true, 20.0, 1 ; "however long gone: the channel knows whether a table names it")]
-fn withdrawals_are_not_resent_to_proxies_that_join(resend: bool, later: f64, sent: usize) {
+fn withdrawals_are_resent_to_proxies_that_join(resend: bool, later: f64, sent: usize) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     tables.update_withdrawals(1.0, &mut Outbox::default());
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn tables_are_emptied_without_an_open_host() {
+fn tables_are_kept_without_an_open_host() {
     let mut tables = tables(&[1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     for slice in tables.slices.values_mut() {
@@ -53,7 +53,7 @@
 
 #[test_case(0.5, 1 ; "just restarted with full weights: withdrawn")]
 #[test_case(1.5, 0 ; "a second later it may return")]
-fn unannounced_restart_does_not_withdraw_a_host(later: f64, withdrawn: usize) {
+fn unannounced_restart_withdraws_a_host_for_a_second(later: f64, withdrawn: usize) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().restarted_at = Some(5.0);
     tables.update_withdrawals(5.0 + later, &mut Outbox::default());
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn host_is_open_before_the_proxies_use_it_again() {
+fn host_is_open_only_once_the_proxies_use_it_again() {
     let mut tables = tables(&[1, 1]);
     tables.withdrawn.insert(id(0), 1.0);
     tables.update_withdrawals(5.0, &mut Outbox::default());
@@ -72,7 +72,7 @@
 
 // Seen when 1,800 proxies joined within three seconds: ninety withdrawals were sent to all of them in each round.
 #[test]
-fn withdrawals_are_resent_for_every_proxy_that_joins() {
+fn withdrawals_are_resent_at_most_once_a_second() {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
     let mut sent = 0;
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn hosts_are_not_withdrawn_when_none_is_ready() {
+fn hosts_are_withdrawn_when_none_is_ready() {
     let mut tables = tables(&[2, 2]);
     tables.tick(1.0, &params(), &mut Outbox::default());
     for view in tables.views.values_mut() {
