--- a/src/channel_backlog.rs
+++ b/src/channel_backlog.rs
@@ -1,7 +1,7 @@
-//! Upper bound of what is queued in the channel to the proxies. It hears of every round of messages that is ordered, of
-//! every call that is really written (first, repeated, in part), of proxies that join and leave, and of every
-//! acknowledgement. Where it can't know it assumes the worse, so that never more is queued than
-//! [`ChannelBacklog::unacknowledged_lines`]. What follows from it is decided in `logic`.
+//! Upper bound of the lines that are queued in the channel to the proxies. It is told of every round of messages that
+//! is ordered, of every call that is actually written (the first time, again, or in part), of proxies that join and
+//! leave, and of every acknowledgement. Whatever is uncertain is assumed to be queued, so that never more lines are
+//! queued than [`ChannelBacklog::unacknowledged_lines`]. What to do about it is decided in `logic`.
 
 use crate::interface::{Input, ProxyId, RelayCallEvent, RoundId, RouteId};
 use crate::parameters::Parameters;
@@ -10,41 +10,41 @@
 #[cfg(test)]
 mod tests;
 
-/// How acknowledgements are judged; `logic` gives the values.
+/// How acknowledgements are interpreted; `logic` sets the values.
 #[derive(Clone, Copy)]
 pub(crate) struct AcknowledgementRules {
-    /// Seconds after a write in which a proxy that joins may have got it.
+    /// Seconds after a write within which a proxy that joins may have received it.
     pub(crate) join_overlap: f64,
-    /// Share of a round's lines below which its last acknowledgements say nothing of the channel's rate.
+    /// Share of a round's lines below which its last acknowledgements are not used to measure the channel's rate.
     pub(crate) ignored_tail: f64,
 }
 
-/// A message to every proxy, as far as it is not known to have been delivered. Times are in seconds.
+/// A message to every proxy that is not known to have been delivered to all of them. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct Round {
-    /// The id that its acknowledgements name; none: a part of a call, which is not acknowledged.
+    /// The id that its acknowledgements name; `None` for a part of a call, which is not acknowledged.
     pub(crate) id: Option<RoundId>,
     /// When it was written, or ordered if it is not written yet.
     pub(crate) written_at: f64,
-    /// It is ordered, and not written yet.
+    /// It has been ordered, but not written yet.
     pub(crate) is_unwritten: bool,
-    /// Nothing of it is queued, though acknowledgements may still come.
+    /// None of it is queued any more, although acknowledgements may still arrive.
     pub(crate) is_delivered: bool,
-    /// Lines of the message to one proxy, its overhead among them.
+    /// Lines of the message to one proxy, including its overhead.
     pub(crate) lines_per_proxy: f64,
     /// Proxies that have not acknowledged it.
     pub(crate) awaited: BTreeSet<ProxyId>,
-    /// How many more proxies may have it to come: they left, were not known to have joined, or may have sent an
-    /// acknowledgement that was lost.
+    /// How many further proxies it may still be queued for: they left, were not known to have joined, or may have sent
+    /// an acknowledgement that was lost.
     pub(crate) unknown_proxies: f64,
-    /// Its lines when it was written.
+    /// Its lines to all proxies when it was written.
     pub(crate) initial_lines: f64,
-    /// Its lines and those of all before it that had not been delivered when it was written.
+    /// Its lines, and those of earlier rounds that had not been delivered when it was written.
     pub(crate) lines_with_earlier: f64,
 }
 
 impl Round {
-    /// Lines of it that may be queued.
+    /// Lines of this round that may be queued.
     pub(crate) fn queued_lines(&self) -> f64 {
         if self.is_delivered {
             return 0.0;
@@ -52,12 +52,12 @@
         self.lines_per_proxy * (self.awaited.len() as f64 + self.unknown_proxies)
     }
 
-    /// Whether an acknowledgement with this id from this proxy may be one of this round.
+    /// Whether an acknowledgement with this id from this proxy may belong to this round.
     fn may_be_acknowledged_by(&self, proxy: ProxyId, id: RoundId) -> bool {
         self.id == Some(id) && (self.unknown_proxies > 0.0 || self.awaited.contains(&proxy))
     }
 
-    /// One of the unknown proxies is accounted for.
+    /// Records that one of the unknown proxies has been identified.
     fn remove_unknown_proxy(&mut self) {
         self.unknown_proxies = (self.unknown_proxies - 1.0).max(0.0);
     }
@@ -65,11 +65,11 @@
 
 /// A call that may be written.
 pub(crate) struct CallToWrite {
-    /// How many orders it has.
+    /// Number of its orders.
     pub(crate) orders: usize,
-    /// It may have been carried out before.
+    /// It may have been executed before.
     pub(crate) is_repeat: bool,
-    /// Proxies may have joined that are not known.
+    /// Proxies may have joined that were not announced yet.
     pub(crate) unannounced_proxies: bool,
 }
 
@@ -78,21 +78,21 @@
 pub(crate) struct ChannelBacklog {
     /// Proxies that have joined.
     pub(crate) proxies: BTreeSet<ProxyId>,
-    /// Routes of which an admission level was sent to all proxies.
+    /// Routes whose admission level was sent to all proxies.
     pub(crate) admission_routes: BTreeSet<RouteId>,
-    /// In the order of delivery: those that are written, then those that are not.
+    /// Rounds in the order of delivery: first the written ones, then the others.
     pub(crate) rounds: VecDeque<Round>,
-    /// When an acknowledgement last came, or could first come again.
+    /// When an acknowledgement last arrived, or when acknowledgements were last lost.
     pub(crate) last_acknowledged_at: f64,
-    /// When an acknowledgement last came of a round that was far from delivered to all.
+    /// When an acknowledgement last arrived while the oldest round was still far from complete.
     pub(crate) last_rate_sample_at: f64,
-    /// Rate of the channel when acknowledgements last showed it to be lower than stated.
+    /// Rate of the channel as last measured from acknowledgements, if they were delayed.
     pub(crate) measured_rate: Option<f64>,
-    /// Lines queued as estimated by the rate; no upper bound.
+    /// Estimate of the queued lines by the channel's rate; not an upper bound.
     pub(crate) estimated_lines: f64,
     /// When that estimate was made.
     pub(crate) estimated_at: f64,
-    /// When messages were sent, within the window of the limit on messages.
+    /// When messages were sent within the window of the message limit.
     pub(crate) sent_at: VecDeque<f64>,
 }
 
@@ -102,20 +102,20 @@
         self.rounds.iter().map(Round::queued_lines).sum()
     }
 
-    /// Those of them that were written.
+    /// The unacknowledged lines that have been written.
     pub(crate) fn unacknowledged_written_lines(&self) -> f64 {
         let written = self.rounds.iter().filter(|round| !round.is_unwritten);
         written.map(Round::queued_lines).sum()
     }
 
-    /// Lines of a message to one proxy before any order of its own. The channel may add each admission level that was
-    /// set for all proxies; whether it does so only for those that joined since is not stated.
+    /// Lines of a message to one proxy apart from its orders. The channel may add every admission level that was set
+    /// for all proxies; it does not state whether it does so only for proxies that joined since.
     pub(crate) fn overhead_lines(&self, params: &Parameters) -> f64 {
         params.message_overhead + self.admission_routes.len() as f64
     }
 
-    /// How many proxies get what is written now. `unannounced_proxies`: some may have joined that are not known, so it
-    /// is counted for as many as there can be.
+    /// How many proxies receive what is written now. With `unannounced_proxies`, some may have joined that are not
+    /// known yet, so the highest possible number is assumed.
     pub(crate) fn receiver_count(&self, params: &Parameters, unannounced_proxies: bool) -> f64 {
         let joined = self.proxies.len() as f64;
         if unannounced_proxies {
@@ -125,8 +125,8 @@
         }
     }
 
-    /// Keeps what an input says of the channel. A proxy that joins within the rules' overlap after a write may have
-    /// been there when the call was carried out.
+    /// Records an input that concerns the channel. A proxy that joins within the rules' overlap after a write may have
+    /// been joined when the call was executed.
     pub(crate) fn record_input(
         &mut self,
         now: f64,
@@ -137,14 +137,14 @@
         match *input {
             Input::ProxyJoined { proxy, .. } => self.add_proxy(now, rules.join_overlap, proxy),
             Input::ProxyLeft(proxy) => self.remove_proxy(proxy),
-            Input::RoundAcknowledged { proxy, round: mark, .. } => {
-                self.record_acknowledgement(now, params.max_transit_time, rules.ignored_tail, proxy, mark);
+            Input::RoundAcknowledged { proxy, round, .. } => {
+                self.record_acknowledgement(now, params.max_transit_time, rules.ignored_tail, proxy, round);
             }
-            Input::RelayCall(RelayCallEvent::Sent { round: mark, orders, unannounced_proxies }) => {
+            Input::RelayCall(RelayCallEvent::Sent { round, orders, unannounced_proxies }) => {
                 let unknown_proxies =
                     self.receiver_count(params, unannounced_proxies) - self.proxies.len() as f64;
                 let lines_per_proxy = self.overhead_lines(params) + orders as f64;
-                self.record_write(now, mark, lines_per_proxy, unknown_proxies);
+                self.record_write(now, round, lines_per_proxy, unknown_proxies);
             }
             Input::RelayCall(RelayCallEvent::Rejected) => self.record_rejected_call(),
             Input::RelayCall(RelayCallEvent::AcknowledgementsLost) => self.record_lost_acknowledgements(now),
@@ -152,7 +152,7 @@
         }
     }
 
-    /// A round is ordered. Where nobody tells of calls it counts as written at once.
+    /// Records that a round is ordered. Without events about relay calls, it counts as written at once.
     pub(crate) fn record_order(&mut self, now: f64, id: RoundId, lines_per_proxy: f64) {
         let last = self.rounds.len();
         self.insert_round(last, now, Some(id), lines_per_proxy, 0.0);
@@ -160,8 +160,8 @@
         self.sent_at.push_back(now);
     }
 
-    /// A call has been written: for the first time, if its round is unwritten, else again or in part. Unwritten rounds
-    /// before it were merged into it.
+    /// Records that a call has been written: for the first time if its round is unwritten, else again or in part.
+    /// Unwritten rounds before it were merged into it.
     fn record_write(&mut self, now: f64, id: Option<RoundId>, lines_per_proxy: f64, unknown_proxies: f64) {
         let first_unwritten = self.rounds.iter().position(|round| round.is_unwritten);
         let position = first_unwritten.unwrap_or(self.rounds.len());
@@ -180,7 +180,7 @@
         self.update_unwritten_rounds(position + 1);
     }
 
-    /// A write before unwritten rounds means that more is ahead of them than when they were ordered.
+    /// Recomputes how many lines are ahead of unwritten rounds after a write before them.
     fn update_unwritten_rounds(&mut self, first: usize) {
         let mut lines_with_earlier = self.unacknowledged_written_lines();
         for round in self.rounds.iter_mut().skip(first) {
@@ -189,7 +189,7 @@
         }
     }
 
-    /// Adds a round to all proxies that have joined.
+    /// Inserts a round to all proxies that have joined.
     fn insert_round(
         &mut self,
         position: usize,
@@ -213,7 +213,7 @@
         self.rounds.insert(position, round);
     }
 
-    /// The call that was written last was rejected as a whole: nothing of it is queued.
+    /// Records that the call that was written last was rejected as a whole, so that none of it is queued.
     fn record_rejected_call(&mut self) {
         let Some(position) = self.rounds.iter().rposition(|round| !round.is_unwritten) else { return };
         self.sent_at.pop_back();
@@ -236,7 +236,7 @@
         }
     }
 
-    /// What is queued for a proxy that left stays counted, as nobody tells whether it goes with the proxy.
+    /// Lines queued for a proxy that left remain counted, as it is unknown whether the channel drops them.
     fn remove_proxy(&mut self, proxy: ProxyId) {
         self.proxies.remove(&proxy);
         for round in &mut self.rounds {
@@ -246,7 +246,7 @@
         }
     }
 
-    /// Acknowledgements may have been lost, so any proxy may have sent its own.
+    /// Records that acknowledgements may have been lost, so that any proxy may have sent one.
     fn record_lost_acknowledgements(&mut self, now: f64) {
         self.last_acknowledged_at = now;
         for round in &mut self.rounds {
@@ -255,8 +255,8 @@
         }
     }
 
-    /// An acknowledgement counts for the first copy of the round of which it may be. All rounds before that one have
-    /// been delivered, as the channel keeps the order.
+    /// Records an acknowledgement, which counts for the first copy of the round that it may belong to. All rounds
+    /// before that copy have been delivered, as the channel keeps the order.
     fn record_acknowledgement(
         &mut self,
         now: f64,
@@ -276,11 +276,11 @@
         for earlier in self.rounds.iter_mut().take(position) {
             earlier.is_delivered = true;
         }
-        // A copy that has been delivered is kept while others of its id are queued, so that its late acknowledgements
-        // are not taken for theirs.
+        // A delivered copy is kept while other copies with its id are queued, so that its late acknowledgements are not
+        // attributed to those.
         self.rounds.retain(|round| !round.is_delivered || round.id == Some(id));
         let Some(first) = self.rounds.iter().find(|round| !round.is_delivered) else { return };
-        // The last few may be late for reasons of their own, also where other proxies left and will send none.
+        // The last acknowledgements may be late for other reasons. Proxies that left are not counted: they send none.
         let awaited_lines = first.lines_per_proxy * first.awaited.len() as f64;
         if awaited_lines > ignored_tail * first.initial_lines {
             self.last_rate_sample_at = now;
@@ -288,14 +288,14 @@
         }
     }
 
-    /// Rate at which the oldest round and what was before it was delivered; none while that round waits no longer than
-    /// its transit time.
+    /// Rate at which the oldest round and the lines before it were delivered; `None` while that round has not waited
+    /// longer than the transit time.
     pub(crate) fn current_rate(&self, transit_time: f64) -> Option<f64> {
         let first = self.rounds.iter().find(|round| !round.is_delivered)?;
         if self.last_rate_sample_at <= first.written_at + transit_time {
             return None;
         }
-        // Proxies that are not known say nothing new.
+        // Without awaited proxies there is no new measurement.
         if first.awaited.is_empty() {
             return self.measured_rate;
         }
@@ -303,15 +303,16 @@
         Some(delivered_lines / (self.last_rate_sample_at - first.written_at - transit_time))
     }
 
-    /// No acknowledgement comes any more, whatever is awaited: it was not queued, or no proxy is there to send one. A
-    /// message that is queued is acknowledged within the transit time of the one before it.
+    /// Whether no acknowledgement will arrive any more, whatever is awaited: nothing was queued, or no proxy is there
+    /// to acknowledge it. A queued message is acknowledged within the transit time of the one before it.
     pub(crate) fn is_silent(&self, now: f64, params: &Parameters) -> bool {
         let Some(last) = self.rounds.iter().rfind(|round| !round.is_unwritten) else { return false };
         now - last.written_at.max(self.last_acknowledged_at) > 2.0 * params.max_transit_time
     }
 
-    /// Advances the estimate to `now` and gives the channel's rate, which is not taken to be below `min_rate_share` of
-    /// the stated one. After `forget_after` seconds without an acknowledgement, older rounds are dropped.
+    /// Advances the estimate to `now` and returns the channel's rate, which is assumed to be at least
+    /// `min_rate_share` of the stated one. After `forget_after` seconds without an acknowledgement, older rounds are
+    /// dropped.
     pub(crate) fn advance(
         &mut self,
         now: f64,
--- a/src/delivery.rs
+++ b/src/delivery.rs
@@ -1,4 +1,4 @@
-//! Delivery of inputs and messages to the actors of a director. The decisions are in `logic`.
+//! Delivery of inputs and messages to the actors of a director. Decisions are made in `logic`.
 
 use crate::channel_backlog::CallToWrite;
 use crate::interface::{HostId, HostListEntry, HostState, Input, ListScope, Order, TimerId};
@@ -7,13 +7,13 @@
 use crate::state::Director;
 use std::collections::BTreeSet;
 
-/// The actors that exist once, in the order in which their mailboxes are emptied.
+/// The actors of which there is one each, in the order in which their mailboxes are emptied.
 const SINGLE_ACTORS: [Recipient; 4] =
     [Recipient::Tables, Recipient::AdmissionControl, Recipient::DiscoveryWatch, Recipient::Channel];
 
 impl Director {
-    /// Takes what came in since the last call, and gives the orders that follow. `now` is in seconds, never decreases,
-    /// and is on the same clock as the times in the inputs.
+    /// Processes the inputs since the last call and returns the resulting orders. `now` is in seconds on the same
+    /// clock as the times in the inputs, and never decreases.
     pub fn handle(&mut self, now: f64, inputs: &[Input]) -> Vec<Order> {
         let mut outbox = Outbox::default();
         for input in inputs {
@@ -33,8 +33,8 @@
     }
 
     /// How many of a call's orders may be written at `now` (seconds), so that the channel's backlog stays within its
-    /// limit. `is_repeat`: the call may have been carried out before. `unannounced_proxies`: proxies may have joined of
-    /// which no [`Input::ProxyJoined`] has told yet.
+    /// limit. `is_repeat`: the call may have been executed before. `unannounced_proxies`: proxies may have joined for
+    /// which no [`Input::ProxyJoined`] has been given yet.
     pub fn writable_orders(
         &self,
         now: f64,
@@ -45,7 +45,7 @@
         self.channel.writable(now, &self.params, &CallToWrite { orders, is_repeat, unannounced_proxies })
     }
 
-    /// Upper bound of the lines that are queued in the channel.
+    /// Upper bound of the lines that are queued in the channel to the proxies.
     pub fn max_pending_lines(&self) -> f64 {
         self.channel.backlog.unacknowledged_lines()
     }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// Takes what was heard of the host list.
+    /// Applies an update of the host list, unless it failed or is outdated.
     pub(crate) fn update_list(
         &mut self,
         scope: ListScope,
@@ -82,7 +82,7 @@
         }
     }
 
-    /// Tells the hosts what the list says of them. Hosts that a whole list does not name are no longer listed.
+    /// Sends the entries of a list to their hosts. Hosts that a whole list does not name are no longer listed.
     fn deliver_list(&mut self, scope: ListScope, entries: &[HostListEntry], outbox: &mut Outbox) {
         for entry in entries {
             self.entries_read += 1;
@@ -127,7 +127,7 @@
         }
     }
 
-    /// Removes the actor of a host to which nothing refers any more, unless it has been listed again meanwhile.
+    /// Removes the actor of a host that nothing refers to any more, unless it has been listed again in the meantime.
     fn remove_expired_host(&mut self, id: HostId, outbox: &mut Outbox) {
         if self.hosts.get(&id).is_some_and(|host| !host.is_listed) {
             self.hosts.remove(&id);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,9 +1,9 @@
-//! coppersail, a controller that assigns hosts to proxies.
+//! coppersail, a controller that tells proxies which hosts to send calls to.
 //!
-//! [`interface`] holds the plain types that go into a [`Director`] and come out of it, [`logic`] all decisions. The
-//! other modules hold no decision: `delivery` brings inputs and messages to the actors, `state` is what each actor
-//! remembers, `messages` what they send each other, `channel_backlog` what may still be queued in the channel to the
-//! proxies, `parameters` what is derived from the settings; `placement`, `random` and `statistics` are tools.
+//! [`interface`] has the plain types of a [`Director`]'s inputs and orders, [`logic`] makes all decisions. The other
+//! modules make none: `delivery` delivers inputs and messages to the actors, `state` has the state of each actor,
+//! `messages` what they send each other, `channel_backlog` an upper bound of what is queued in the channel to the
+//! proxies, `parameters` what is derived from the settings; `placement`, `random` and `statistics` are utilities.
 
 mod channel_backlog;
 mod delivery;
--- a/src/messages.rs
+++ b/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that the actors of a director send each other, and the mailboxes in which they wait. Holds no decision.
+//! Messages that the actors of a director send each other, and their mailboxes. Makes no decisions.
 
 use crate::interface::{HostId, HostListEntry, Input, Order, SliceId, ZoneId};
 use crate::placement::PerHost;
@@ -7,35 +7,35 @@
 /// A host as the tables see it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct HostView {
-    /// Listed, and neither draining nor gone.
+    /// It is listed, and neither draining nor gone.
     pub(crate) ready: bool,
-    /// When it was listed, in seconds, and its position among those listed then: lower is longer listed.
+    /// When it was listed, in seconds, and its position among the list entries; lower values were listed earlier.
     pub(crate) seniority: (f64, u64),
     /// Weight as listed.
     pub(crate) weight: f64,
     pub(crate) zone: ZoneId,
-    /// Share of its capacity that may be counted on at its age; 1 once it is warm.
+    /// Share of its capacity that it has in slow start; 1 once it is warm.
     pub(crate) slow_start: f64,
-    /// Share of its weight that its response times let it keep; 1 unless it is slow.
+    /// Share of its weight that remains because of slow responses; 1 unless it is slower than the fleet.
     pub(crate) derating: f64,
-    /// Calls that it answers in a second of full work; none: not reported.
+    /// Calls that it answers per second at full utilisation; `None` if not reported.
     pub(crate) speed: Option<f64>,
-    /// It has answered a call or a health check, or was there from the start and has not failed one.
+    /// It has answered a call or a health check, or was known from the start and has not failed a health check.
     pub(crate) verified: bool,
     /// When it was noticed to have restarted while tables named it.
     pub(crate) restarted_at: Option<f64>,
-    /// It seems dead or stuck, though listed.
+    /// It appears to be dead or stuck, although it is listed.
     pub(crate) suspect: bool,
     /// Mean of its recent response times, in seconds.
     pub(crate) response_time: f64,
     /// Attempts that it answered recently.
     pub(crate) answered: f64,
-    /// Share of its cores that is busy, as last reported.
+    /// Utilisation of its cores, 0 to 1, as last reported.
     pub(crate) utilisation: Option<f64>,
 }
 
 impl HostView {
-    /// Whether the host may serve: it is ready, and known to be one of ours.
+    /// Whether the host may serve: it is ready, and verified to belong to the fleet.
     pub(crate) fn is_usable(&self) -> bool {
         self.ready && self.verified
     }
@@ -44,26 +44,26 @@
 /// A message to an actor.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) enum Message {
-    /// To all, ten times a second.
+    /// To all actors, ten times a second.
     Tick,
-    /// To the actors that it concerns: what came in.
+    /// To the actors that it concerns: an input of the director.
     Input(Input),
-    /// To a host: its entry in the host list, and a number that rises with each entry that is read.
+    /// To a host: its entry in the host list, and a number that increases with each entry that is read.
     Listed { entry: HostListEntry, position: u64 },
     /// To a host: the list has dropped it.
     Unlisted,
-    /// To a host: it is withdrawn as a suspect.
+    /// To a host: it is being withdrawn because it is suspected.
     WithdrawnAsSuspect,
-    /// To hosts and admission control: medians over the fleet of response times, in seconds, and of busy cores.
+    /// To hosts and admission control: the fleet's median response time, in seconds, and median utilisation.
     FleetMedians { response_time: f64, utilisation: f64 },
-    /// To the tables: what a host is now.
+    /// To the tables: the current view of a host.
     HostView(HostId, HostView),
     /// To the tables: the proxies have been told to use the host again.
     Readmitted(HostId),
-    /// The host is long gone. Sent by the host to the channel, by the channel to the tables once no table names the
-    /// host, and by the tables to the host's actor once nothing refers to it any more.
+    /// The host has been gone for long. Sent by the host to the channel, by the channel to the tables once no table
+    /// names the host, and by the tables to the host's actor, which is then removed.
     Expired(HostId),
-    /// To admission control: outcome of the attempts at a sound host, with their mean response time in seconds.
+    /// To admission control: attempts at a host that is not suspected, with their mean response time in seconds.
     Attempts { response_time: f64, attempts: f64, dropped: f64 },
     /// To the channel: the weights that a slice's table should have.
     DesiredTable { slice: SliceId, weights: PerHost },
@@ -81,11 +81,11 @@
     Channel,
 }
 
-/// The mailboxes of all actors, and the orders that they have given.
+/// The mailboxes of all actors, and the orders given so far.
 #[derive(Default)]
 pub(crate) struct Outbox {
     mailboxes: BTreeMap<Recipient, VecDeque<Message>>,
-    /// Orders to return to the caller, in the order in which they were given.
+    /// Orders to return to the caller, in this sequence.
     pub(crate) orders: Vec<Order>,
 }
 
@@ -95,7 +95,7 @@
         self.mailboxes.entry(recipient).or_default().push_back(message);
     }
 
-    /// Gives an order to log a decision that concerns these hosts.
+    /// Adds an order to log a decision that concerns these hosts.
     pub(crate) fn log(&mut self, text: String, hosts: Vec<HostId>) {
         self.orders.push(Order::Log { text, hosts });
     }
--- a/src/placement.rs
+++ b/src/placement.rs
@@ -1,4 +1,4 @@
-//! Amounts kept for each host, and the plan in which slices are placed before the placements take effect.
+//! Amounts per host, and the plan in which slices are placed before the placements take effect.
 
 use crate::interface::{HostId, SliceId};
 use std::collections::BTreeMap;
@@ -6,7 +6,7 @@
 /// An amount for each host: slices, a score, a weight or a time.
 pub(crate) type PerHost = BTreeMap<HostId, f64>;
 
-/// Adds to a host's amount; without a host nothing happens.
+/// Adds to a host's amount, if there is a host.
 pub(crate) fn add_to_host(amounts: &mut PerHost, host: Option<HostId>, amount: f64) {
     if let Some(host) = host {
         *amounts.entry(host).or_default() += amount;
@@ -17,28 +17,28 @@
 pub(crate) struct Relocation {
     pub(crate) slice: SliceId,
     pub(crate) score: f64,
-    /// The host that has it.
+    /// The host that has it now, if any.
     pub(crate) current: Option<HostId>,
-    /// Its owner, where it is a standby that is needed; none: it is an owner.
+    /// The slice's owner if a standby is needed; `None` if an owner is needed.
     pub(crate) owner: Option<HostId>,
 }
 
-/// What the hosts would carry if the slices placed so far were theirs.
+/// Load and remaining capacity of the hosts after the placements planned so far.
 pub(crate) struct PlacementPlan {
-    /// Slices that each host owns; for standbys the load of each host, in slices of the average score.
+    /// Number of slices that each host owns; when placing standbys, its load in slices of the average score.
     pub(crate) load: PerHost,
-    /// The score that each host may still take; below 0 it has more than it should.
+    /// The score that each host may still take; negative if it exceeds its limit.
     pub(crate) capacity: PerHost,
 }
 
 impl PlacementPlan {
-    /// Gives a slice of this score to the host.
+    /// Places a slice of this score on the host, if there is one.
     pub(crate) fn place(&mut self, host: Option<HostId>, score: f64) {
         add_to_host(&mut self.load, host, 1.0);
         add_to_host(&mut self.capacity, host, -score);
     }
 
-    /// Takes a slice of this score from the host.
+    /// Removes a slice of this score from the host, if there is one.
     pub(crate) fn remove(&mut self, host: Option<HostId>, score: f64) {
         add_to_host(&mut self.load, host, -1.0);
         add_to_host(&mut self.capacity, host, score);
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,5 +1,5 @@
-//! What each actor of a director remembers, what can be read off it, and the bookkeeping that needs no decision. What
-//! is made of it is decided in `logic`; some helpers here sum up what those methods give for each slice or host.
+//! The state of each actor of a director, queries on it, and the bookkeeping that needs no decision. Decisions are made
+//! in `logic`; some helpers here add up for all slices or hosts what those methods return for one.
 
 mod admission_control;
 mod channel;
@@ -17,11 +17,11 @@
 pub(crate) use slice::Slice;
 pub(crate) use tables::{index_of, Tables};
 
-/// Keeps the host list up to date, where it has to be asked for.
+/// Keeps the host list up to date where it is not pushed but has to be requested.
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
-    /// The list is followed, as far as is known.
+    /// The list is being watched, as far as is known.
     pub(crate) following: bool,
-    /// When the list was last asked for or followed, in seconds.
+    /// When a watch or fetch of the list was last ordered, in seconds.
     pub(crate) asked_at: Option<f64>,
 }
--- a/src/state/admission_control.rs
+++ b/src/state/admission_control.rs
@@ -1,4 +1,4 @@
-//! What is remembered for admission control.
+//! State of admission control.
 
 use crate::interface::{Input, RouteId, RouteOverride, SliceId};
 use crate::messages::Message;
@@ -8,7 +8,7 @@
 /// Admission control of the whole fleet. Rates are in calls per second, levels are shares from 0 to 1.
 #[derive(Default)]
 pub(crate) struct AdmissionControl {
-    /// Rate that is to be admitted; none: all.
+    /// Rate that is to be admitted; `None` admits all calls.
     pub(crate) target_rate: Option<f64>,
     /// Calls by route since the last evaluation.
     pub(crate) calls: Vec<f64>,
@@ -16,30 +16,30 @@
     pub(crate) response_times: Histogram,
     /// Share of the calls that is admitted, by route, without regard to operators' limits.
     pub(crate) levels: Vec<f64>,
-    /// Busy share of the median host's cores; 0 where nothing is reported.
+    /// Median utilisation of the hosts, 0 to 1; 0 if none is reported.
     pub(crate) utilisation: f64,
-    /// A proxy may have missed the levels, so they are to be sent again.
+    /// A proxy may have missed the levels, so they have to be sent again.
     pub(crate) resend: bool,
     pub(crate) evaluated_at: f64,
-    /// Slices in charge.
+    /// Slices that are assigned to this director.
     pub(crate) slices: BTreeSet<SliceId>,
-    /// How many slices were in charge at the last evaluation; 0: none yet.
+    /// Number of assigned slices at the last evaluation; 0 before the first one.
     pub(crate) evaluated_slices: usize,
     pub(crate) slice_assigned_at: Option<f64>,
     /// When the admitted rate was last reduced.
     pub(crate) reduced_at: f64,
-    /// Rate that was offered recently.
+    /// Recent rate of offered calls; it falls by a fifth per evaluation at most.
     pub(crate) offered_rate: f64,
-    /// Rate just below the one that was last too much.
+    /// Rate just below the one that last caused overload.
     pub(crate) recovery_limit: f64,
-    /// What operators set, by route.
+    /// Operators' overrides, by route.
     pub(crate) overrides: BTreeMap<RouteId, RouteOverride>,
-    /// Routes for which operators have ever set something.
+    /// Routes that operators have ever overridden.
     pub(crate) overridden_routes: BTreeSet<RouteId>,
 }
 
 impl AdmissionControl {
-    /// Admission control of this many routes, all of which are admitted in full.
+    /// Admission control that admits all calls of `route_count` routes.
     pub(crate) fn new(route_count: usize) -> Self {
         AdmissionControl {
             calls: vec![0.0; route_count],
@@ -48,7 +48,7 @@
         }
     }
 
-    /// Keeps what messages say that need no decision.
+    /// Records messages that need no decision.
     pub(crate) fn record(&mut self, now: f64, bins: Bins, message: Message) {
         match message {
             Message::Input(
@@ -70,26 +70,26 @@
         }
     }
 
-    /// Counts calls of a route; unknown routes are passed over.
+    /// Counts calls of a route; unknown routes are ignored.
     fn count_calls(&mut self, route: RouteId, calls: u64) {
         if let Some(sum) = self.calls.get_mut(route.0 as usize) {
             *sum += calls as f64;
         }
     }
 
-    /// Whether the last evaluation is a period ago, in seconds.
+    /// Whether the last evaluation is at least `period` seconds ago.
     pub(crate) fn is_due(&self, now: f64, period: f64) -> bool {
         now - self.evaluated_at >= period
     }
 
-    /// A slice has been assigned to this director.
+    /// Records that a slice has been assigned to this director.
     pub(crate) fn add_slice(&mut self, now: f64, slice: SliceId) {
         self.resend = true;
         self.slice_assigned_at = Some(now);
         self.slices.insert(slice);
     }
 
-    /// Calls per second by route since the last evaluation, `span` seconds ago; starts counting anew.
+    /// Returns the calls per second by route since the last evaluation, `window` seconds ago, and resets the counts.
     pub(crate) fn take_call_rates(&mut self, window: f64) -> Vec<f64> {
         let mut rates = Vec::with_capacity(self.calls.len());
         for calls in &mut self.calls {
@@ -98,24 +98,24 @@
         rates
     }
 
-    /// The share of a route's calls to which operators have limited it; 1 without a limit.
+    /// The operators' limit on the admitted share of a route's calls; 1 without a limit.
     fn operator_limit(&self, route: usize) -> f64 {
         let route_override = self.overrides.get(&RouteId(route as u16));
         route_override.and_then(|route_override| route_override.admission_limit).unwrap_or(1.0)
     }
 
-    /// What operators' limits leave of the rates of calls, by route.
+    /// The call rates by route that remain within the operators' limits.
     pub(crate) fn limited_rates(&self, rates: &[f64]) -> Vec<f64> {
         rates.iter().enumerate().map(|(route, rate)| rate * self.operator_limit(route)).collect()
     }
 
-    /// What the levels and operators' limits admit of the rates of calls, over all routes.
+    /// The call rate over all routes that the levels and the operators' limits admit.
     pub(crate) fn admitted_rate(&self, rates: &[f64]) -> f64 {
         let admitted_share = |route: usize| self.levels[route].min(self.operator_limit(route));
         rates.iter().enumerate().map(|(route, rate)| rate * admitted_share(route)).sum()
     }
 
-    /// Scales the rates to the slices in charge now, if they were others at the last evaluation.
+    /// Scales the remembered rates by the change in the number of assigned slices since the last evaluation.
     pub(crate) fn scale_to_slices(&mut self) {
         let previous = self.evaluated_slices;
         self.evaluated_slices = self.slices.len().max(1);
--- a/src/state/channel.rs
+++ b/src/state/channel.rs
@@ -1,4 +1,4 @@
-//! What is remembered of the channel to the proxies.
+//! State of the channel to the proxies.
 
 use crate::channel_backlog::{AcknowledgementRules, ChannelBacklog};
 use crate::interface::{HostId, Input, Order, RoundId, SliceId};
@@ -9,7 +9,7 @@
 
 /// A table as the proxies should have it.
 pub(crate) struct DesiredTable {
-    /// When it was first asked for after the last order of the slice was sent, in seconds.
+    /// When a change was first requested after the last order for the slice was sent, in seconds.
     pub(crate) since: f64,
     pub(crate) weights: PerHost,
 }
@@ -18,7 +18,7 @@
 pub(crate) struct PendingChange<P> {
     /// The order in which changes are sent.
     pub(crate) priority: P,
-    /// Since when it waits, in seconds: of equal priority the oldest goes first.
+    /// When the change was first requested, in seconds; of equal priority the oldest is sent first.
     pub(crate) since: f64,
     pub(crate) orders: Vec<Order>,
 }
@@ -29,28 +29,28 @@
     pub(crate) orders: Vec<Order>,
     /// Removals of hosts that are, or are about to be, withdrawn anyway.
     pub(crate) removals_of_withdrawn: Vec<Order>,
-    /// Hosts to be removed that are withdrawn and to be let back in.
+    /// Hosts to be removed that are withdrawn and about to be readmitted.
     pub(crate) returning: Vec<HostId>,
-    /// The host with the highest weight as sent.
+    /// The host with the highest weight in the table as sent.
     pub(crate) heaviest: Option<HostId>,
-    /// A host of the table as sent is neither withdrawn nor to be.
+    /// A host of the table as sent is neither withdrawn nor about to be.
     pub(crate) has_open_host: bool,
 }
 
-/// The channel to the proxies: what they have been sent, and what is to be sent.
+/// The channel to the proxies: what was sent to them, and what has yet to be sent.
 #[derive(Default)]
 pub(crate) struct Channel {
-    /// Tables as sent so far, or as found in the store.
+    /// Tables as sent so far, or as found in the relay's store.
     pub(crate) sent_tables: BTreeMap<SliceId, PerHost>,
-    /// Tables as they should be.
+    /// Tables as they should become.
     pub(crate) desired_tables: BTreeMap<SliceId, DesiredTable>,
-    /// Hosts of which the proxies were last told that they are withdrawn.
+    /// Hosts that are withdrawn according to the last order sent to the proxies.
     pub(crate) withdrawn: BTreeSet<HostId>,
-    /// Hosts that are to be withdrawn (true) or let back in (false).
+    /// Hosts whose withdrawal (true) or readmission (false) has yet to be sent.
     pub(crate) pending_withdrawals: BTreeMap<HostId, bool>,
-    /// Withdrawn hosts that are gone and in no table, to be let in with other orders and then forgotten.
+    /// Withdrawn hosts that are gone and in no table: they are readmitted along with other orders, then forgotten.
     pub(crate) expired: BTreeSet<HostId>,
-    /// Admission levels to be sent.
+    /// Admission levels that have yet to be sent.
     pub(crate) pending_admission: Vec<Order>,
     /// What was sent and may still be queued.
     pub(crate) backlog: ChannelBacklog,
@@ -59,19 +59,19 @@
 }
 
 impl Channel {
-    /// Whether a table names the host, or should.
+    /// Whether a table as sent or as desired names the host.
     pub(crate) fn has_table_with(&self, host: HostId) -> bool {
         let desired = self.desired_tables.values().map(|table| &table.weights);
         self.sent_tables.values().chain(desired).any(|weights| weights.contains_key(&host))
     }
 
-    /// A slice's table should have these weights.
+    /// Sets the weights that a slice's table should have.
     pub(crate) fn set_desired(&mut self, now: f64, slice: SliceId, weights: PerHost) {
         let since = self.desired_tables.get(&slice).map_or(now, |table| table.since);
         self.desired_tables.insert(slice, DesiredTable { since, weights });
     }
 
-    /// An admission level for all proxies is to be sent. Messages also bring it to proxies that join later.
+    /// Queues an admission level for all proxies. The channel also adds it to messages to proxies that join later.
     pub(crate) fn add_admission(&mut self, order: Order) {
         if let Order::SetAdmission { routes, .. } = &order {
             self.backlog.admission_routes.extend(routes);
@@ -79,7 +79,7 @@
         self.pending_admission.push(order);
     }
 
-    /// A table is as given here, or is not known; nothing is desired of it.
+    /// Records a table as it is now, or as unknown, and drops the desired table.
     pub(crate) fn reset_table(&mut self, slice: SliceId, weights: Option<PerHost>) {
         self.desired_tables.remove(&slice);
         self.sent_tables.remove(&slice);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// A host is to be withdrawn or let back in.
+    /// Queues the withdrawal or readmission of a host.
     pub(crate) fn set_withdrawal(&mut self, host: HostId, withdrawn: bool) {
         self.expired.remove(&host);
         self.pending_withdrawals.insert(host, withdrawn);
@@ -100,12 +100,12 @@
         self.pending_withdrawals.get(host).copied().unwrap_or(is_withdrawn)
     }
 
-    /// Whether the host is withdrawn and to be let back in.
+    /// Whether the host is withdrawn and its readmission has yet to be sent.
     pub(crate) fn is_returning(&self, host: &HostId) -> bool {
         self.withdrawn.contains(host) && !self.should_be_withdrawn(host)
     }
 
-    /// Ends a round of orders: asks the proxies to acknowledge it, and counts its lines.
+    /// Ends a round of orders: requests acknowledgements from the proxies, and records its lines in the backlog.
     pub(crate) fn finish_round(&mut self, now: f64, lines_per_proxy: f64, outbox: &mut Outbox) {
         let id = RoundId(self.next_round);
         outbox.orders.push(Order::RequestAcknowledgement { round: id, include_idle_proxies: false });
@@ -118,20 +118,20 @@
         self.pending_withdrawals.get(&host) == Some(&true)
     }
 
-    /// Whether the host is withdrawn, nothing else is to be told of it, and no table names it or should.
+    /// Whether the host is withdrawn without pending changes, and no table as sent or as desired names it.
     pub(crate) fn is_withdrawn_and_unused(&self, host: HostId) -> bool {
         let is_pending = self.pending_withdrawals.contains_key(&host);
         self.withdrawn.contains(&host) && !is_pending && !self.has_table_with(host)
     }
 
-    /// Nothing refers to an expired host here any more, which the tables are told.
+    /// Forgets an expired host, and tells the tables that the channel does not refer to it any more.
     pub(crate) fn forget_host(&mut self, host: HostId, outbox: &mut Outbox) {
         self.pending_withdrawals.remove(&host);
         self.withdrawn.remove(&host);
         outbox.send(Recipient::Tables, Message::Expired(host));
     }
 
-    /// Keeps what an input says that needs no decision. `rules`: see [`ChannelBacklog::record_input`].
+    /// Records an input that needs no decision. `rules`: see [`ChannelBacklog::record_input`].
     pub(crate) fn record_input(
         &mut self,
         now: f64,
@@ -142,16 +142,16 @@
         match input {
             Input::StoredWeight { slice, host, weight } => {
                 self.sent_tables.entry(slice).or_default().insert(host, weight);
-                // A table names it once more, so it has not expired.
+                // A table names the host again, so it has not expired.
                 self.expired.remove(&host);
             }
-            Input::WeightsRejected { slice, weights: lines, .. } => self.reset_table(slice, Some(lines)),
+            Input::WeightsRejected { slice, weights, .. } => self.reset_table(slice, Some(weights)),
             Input::SliceRevoked(slice) | Input::SliceAssigned(slice) => self.reset_table(slice, None),
             input => self.backlog.record_input(now, params, rules, &input),
         }
     }
 
-    /// What is to be sent of a table, as far as the weights sent are not `close` enough to those desired.
+    /// Compares a table as sent with the desired one; weights for which `is_close` holds count as equal.
     pub(crate) fn table_diff(
         &self,
         slice: SliceId,
@@ -189,7 +189,7 @@
         diff
     }
 
-    /// Gives orders for the proxies, and notes what these know then.
+    /// Gives orders for the proxies, and records what they know afterwards.
     pub(crate) fn give_orders(&mut self, now: f64, orders: Vec<Order>, outbox: &mut Outbox) {
         for order in &orders {
             self.record_sent(now, order, outbox);
@@ -197,12 +197,12 @@
         outbox.orders.extend(orders);
     }
 
-    /// Notes what the proxies know once this order is sent.
+    /// Records what the proxies know once this order is sent.
     fn record_sent(&mut self, now: f64, order: &Order, outbox: &mut Outbox) {
         match *order {
             Order::SetWeight { slice, host, weight } => self.record_weight(now, slice, host, weight),
-            Order::SetWithdrawn { host, withdrawn: out } => self.record_withdrawal(host, out, outbox),
-            // Admission levels are sent in the order in which they were asked for.
+            Order::SetWithdrawn { host, withdrawn } => self.record_withdrawal(host, withdrawn, outbox),
+            // Admission levels are sent in the order in which they were queued.
             _ => {
                 self.pending_admission.remove(0);
             }
--- a/src/state/host.rs
+++ b/src/state/host.rs
@@ -1,4 +1,4 @@
-//! What is remembered of one host.
+//! State of one host.
 
 use crate::interface::{HostId, HostListEntry, HostState};
 use crate::messages::HostView;
@@ -8,44 +8,45 @@
 #[derive(Default)]
 pub(crate) struct Host {
     pub(crate) id: HostId,
-    /// What the tables are told of it.
+    /// What the tables are told about it.
     pub(crate) view: HostView,
-    /// When it started, as listed, or as concluded from its silence; none: long ago.
+    /// When it started, as listed, or as inferred from a withdrawal and recovery; `None` if long ago.
     pub(crate) started_at: Option<f64>,
     pub(crate) response_times: Histogram,
-    /// When a report last showed that it answers calls.
+    /// When a report last showed answered calls.
     pub(crate) last_answer_at: f64,
-    /// Calls that load reports say were completed, and the work that they took: busy time of a core, or of all cores.
+    /// Recently completed calls, by its load reports.
     pub(crate) completions: f64,
+    /// Work that these took, in seconds of busy time of one core or of all cores.
     pub(crate) work: f64,
-    /// When the recent figures were last halved.
+    /// When the recent measurements were last halved.
     pub(crate) halved_at: f64,
-    /// When the next health check is due; none: one is under way.
+    /// When the next health check is due; `None` while one is in progress.
     pub(crate) next_probe_at: Option<f64>,
-    /// Health checks passed in a row.
+    /// Consecutive health checks that passed.
     pub(crate) probe_successes: u32,
-    /// Health checks failed in a row: a time-out counts one, a failed or broken connection two.
+    /// Consecutive failures of health checks: a time-out counts as one, a failed or lost connection as two.
     pub(crate) probe_failures: u32,
     /// It was withdrawn as a suspect.
     pub(crate) withdrawn_as_suspect: bool,
     /// It has answered a call or a health check.
     pub(crate) has_answered: bool,
-    /// The list has dropped it, but it serves on, as removal is advisory.
+    /// The list has dropped it, but it continues to serve, as removal is advisory.
     pub(crate) serves_unlisted: bool,
     /// The list names it.
     pub(crate) is_listed: bool,
-    /// Since when it is known that the list does not name it.
+    /// When it was first noticed that the list does not name it.
     pub(crate) unlisted_since: Option<f64>,
 }
 
 impl Host {
-    /// A host that is first heard of; `verified`: it counts as usable before it has answered.
+    /// A host that was not known before. `verified`: it counts as usable before it has answered.
     pub(crate) fn new(id: HostId, first_probe_at: f64, verified: bool) -> Self {
         let view = HostView { weight: 1.0, slow_start: 1.0, derating: 1.0, verified, ..HostView::default() };
         Host { id, view, next_probe_at: Some(first_probe_at), ..Host::default() }
     }
 
-    /// The host is gone, as far as the list tells.
+    /// Records that the host is gone according to the list.
     pub(crate) fn mark_gone(&mut self) {
         self.view.ready = false;
         self.view.suspect = false;
@@ -54,7 +55,7 @@
         self.is_listed = false;
     }
 
-    /// Halves the recent figures, so that newer ones weigh more.
+    /// Halves the recent measurements, so that newer ones weigh more.
     pub(crate) fn halve_recent(&mut self, now: f64) {
         self.response_times.halve();
         self.completions /= 2.0;
@@ -62,10 +63,10 @@
         self.halved_at = now;
     }
 
-    /// Takes the host's entry in the list.
+    /// Applies the host's entry in the list.
     pub(crate) fn update_listing(&mut self, now: f64, entry: HostListEntry, position: u64) {
         if entry.started_at > self.started_at {
-            // A new process: what was measured of the old one is void.
+            // A new process: measurements of the previous one do not apply to it.
             self.started_at = entry.started_at;
             self.response_times = Histogram::default();
             self.view.derating = 1.0;
@@ -82,7 +83,7 @@
         self.view.zone = entry.zone;
     }
 
-    /// Takes how attempts at the host went, with the mean response time in seconds of those that were answered.
+    /// Records attempts at the host, with the mean response time in seconds of those that were answered.
     pub(crate) fn record_attempts(
         &mut self,
         now: f64,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Counts a health check; `failures`: by how much it failed, 0 if it was passed.
+    /// Counts a health check; `failures` is its weight as a failure, or 0 if it passed.
     pub(crate) fn count_probe(&mut self, failures: u32) {
         if failures > 0 {
             self.probe_failures += failures;
@@ -110,14 +111,14 @@
         }
     }
 
-    /// Adds to the work that load reports tell of, and reckons the speed from it.
+    /// Adds reported completions and work, and computes the speed from their sums.
     pub(crate) fn add_work(&mut self, completions: f64, work: f64) {
         self.completions += completions;
         self.work += work;
         self.view.speed = Some(self.completions / self.work);
     }
 
-    /// Whether the host is ready and answers, as far as is known.
+    /// Whether the host is ready, has answered and is not suspected.
     pub(crate) fn is_serving(&self) -> bool {
         self.view.ready && self.has_answered && !self.view.suspect
     }
@@ -132,7 +133,7 @@
         self.started_at.map_or(f64::INFINITY, |started_at| (now - started_at).max(0.0))
     }
 
-    /// Brings the view up to date with the measured response times.
+    /// Copies the measured response times into the view.
     pub(crate) fn update_measurements(&mut self, bins: Bins) {
         self.view.response_time = self.response_times.mean(bins);
         self.view.answered = self.response_times.answered();
--- a/src/state/slice.rs
+++ b/src/state/slice.rs
@@ -1,32 +1,32 @@
-//! What is remembered of one slice.
+//! State of one slice.
 
 use crate::interface::HostId;
 use crate::placement::PerHost;
 
-/// A slice in charge.
+/// A slice that is assigned to this director.
 #[derive(Clone, Default)]
 pub(crate) struct Slice {
     pub(crate) owner: Option<HostId>,
     pub(crate) standby: Option<HostId>,
-    /// The owner before an operator's override had the slice moved.
+    /// The owner before an operator's override caused the slice to move.
     pub(crate) original_owner: Option<HostId>,
-    /// Weights of the table as ordered so far, or as found in the store.
+    /// Weights of the table as requested so far, or as found in the relay's store.
     pub(crate) weights: PerHost,
     /// Recent calls by route.
     pub(crate) calls: Vec<f64>,
     pub(crate) score: f64,
-    /// Standby's weight against the owner's, as an index of `Tables::STANDBY_SHARES`.
+    /// Weight of the standby relative to the owner's, as an index of `Tables::STANDBY_SHARES`.
     pub(crate) standby_level: usize,
 }
 
 impl Slice {
-    /// Gives the slice to an owner. `original_owner`: whose it was before an override had it moved, if one has.
+    /// Sets the owner. `original_owner` is the one before an override caused the slice to move, if one has.
     pub(crate) fn set_owner(&mut self, owner: Option<HostId>, original_owner: Option<HostId>) {
         self.owner = owner;
         self.original_owner = original_owner;
     }
 
-    /// Whether the table has these hosts, with weights that are close enough to these.
+    /// Whether the table has exactly the desired hosts, with weights for which `is_close` holds.
     pub(crate) fn has_weights(
         &self,
         desired: &PerHost,
@@ -36,13 +36,13 @@
         same_count && desired.iter().all(|(host, weight)| is_close(self.weights.get(host), *weight))
     }
 
-    /// The host with the highest weight in the table, of those that may own the slice.
+    /// The host with the highest weight in the table among those that may own the slice.
     pub(crate) fn heaviest_host(&self, may_own: impl Fn(HostId) -> bool) -> Option<HostId> {
         let candidates = self.weights.iter().filter(|(host, _)| may_own(**host));
         candidates.max_by(|a, b| a.1.total_cmp(b.1)).map(|(host, _)| *host)
     }
 
-    /// Gives the slice another standby, which starts with the least weight.
+    /// Sets another standby, which starts with the lowest share.
     pub(crate) fn set_standby(&mut self, standby: Option<HostId>) {
         self.standby = standby;
         self.standby_level = 0;
--- a/src/state/tables.rs
+++ b/src/state/tables.rs
@@ -1,4 +1,4 @@
-//! What is remembered of all slices and of the hosts for them.
+//! State of the slices and of the hosts that serve them.
 
 use super::Slice;
 use crate::interface::{HostId, Input, OperatorOverrides, SliceId};
@@ -7,28 +7,28 @@
 use crate::placement::{add_to_host, PerHost, PlacementPlan, Relocation};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// All slices in charge, and the hosts as the tables see them. Times are in seconds.
+/// All slices assigned to this director, and the hosts as the tables see them. Times are in seconds.
 #[derive(Default)]
 pub(crate) struct Tables {
     pub(crate) slices: BTreeMap<SliceId, Slice>,
     pub(crate) views: BTreeMap<HostId, HostView>,
-    /// Withdrawn hosts, and since when.
+    /// When each withdrawn host was withdrawn.
     pub(crate) withdrawn: PerHost,
-    /// A proxy or a slice has missed the withdrawals, so they are to be sent again.
+    /// A proxy joined or a slice was assigned, so the withdrawals have to be sent again.
     pub(crate) resend_withdrawals: bool,
     pub(crate) withdrawals_resent_at: f64,
     pub(crate) rebalancer: coppersail_rebalancer::Rebalancer,
-    /// Most hosts that were ready at a time. A host's part is reckoned by these, however many fail.
+    /// Highest number of usable hosts so far. A host's share of the load is based on it, however many fail.
     pub(crate) max_ready_hosts: usize,
     /// Median response time of the fleet.
     pub(crate) response_time: f64,
     /// Mean of the listed weights.
     pub(crate) mean_weight: f64,
-    /// Mean speed of the hosts that report one, in calls per second of full work.
+    /// Mean speed of the hosts that report one, in calls per second at full utilisation.
     pub(crate) mean_speed: f64,
-    /// Load of each host divided by what it can carry, in slices of the average score, when last reckoned.
+    /// Load of each host at the last evaluation, in slices of the average score, divided by its throughput.
     pub(crate) relative_loads: PerHost,
-    /// Mean of these over the open hosts.
+    /// Mean of the relative loads of the open hosts.
     pub(crate) mean_relative_load: f64,
     pub(crate) slice_assigned_at: f64,
     pub(crate) calls_halved_at: f64,
@@ -36,15 +36,15 @@
     pub(crate) compared_at: f64,
     /// Calls since the hosts were last compared.
     pub(crate) new_calls: f64,
-    /// Calls per second and slice in the period before that.
+    /// Calls per second and slice in the period before the last comparison.
     pub(crate) call_rate: f64,
-    /// That rate when the fleet last answered quickly.
+    /// Calls per second and slice when the fleet last answered quickly.
     pub(crate) sustained_call_rate: f64,
-    /// What operators set.
+    /// Operators' overrides.
     pub(crate) overrides: OperatorOverrides,
-    /// No other host could serve, so none counts as drained by operators.
+    /// No other host could serve, so the operators' drains are ignored.
     pub(crate) ignore_drain_overrides: bool,
-    /// Placements that the capacity guard has rejected, and when.
+    /// When the capacity guard rejected placements.
     pub(crate) rejected_placements: BTreeMap<(SliceId, HostId), f64>,
 }
 
@@ -58,7 +58,7 @@
         counts
     }
 
-    /// Keeps what messages say that need no decision.
+    /// Records messages that need no decision.
     pub(crate) fn record(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         match message {
             Message::HostView(host, view) => {
@@ -86,12 +86,12 @@
                 self.resend_withdrawals = true;
             }
             Input::ProxyJoined { .. } => self.resend_withdrawals = true,
-            Input::WeightsRejected { slice: id, host, weights: lines } => {
+            Input::WeightsRejected { slice: id, host, weights } => {
                 if let Some(host) = host {
                     self.rejected_placements.insert((id, host), now);
                 }
                 if let Some(slice) = self.slices.get_mut(&id) {
-                    slice.weights = lines;
+                    slice.weights = weights;
                     slice.owner = None;
                 }
             }
@@ -114,7 +114,7 @@
         }
     }
 
-    /// Tells the hosts and admission control the fleet's median response time, in seconds, and share of busy cores.
+    /// Sends the fleet's median response time in seconds and median utilisation to the hosts and admission control.
     pub(crate) fn send_fleet_medians(&self, response_time: f64, utilisation: f64, outbox: &mut Outbox) {
         let hosts = self.views.keys().map(|host| Recipient::Host(*host));
         for recipient in hosts.chain([Recipient::AdmissionControl]) {
@@ -122,13 +122,13 @@
         }
     }
 
-    /// Whether operators or the guard have excluded a host for a slice.
+    /// Whether operators or the capacity guard have excluded a host for a slice.
     pub(crate) fn has_exclusion(&self, slice: SliceId, host: HostId) -> bool {
         let placement = (slice, host);
         self.overrides.anti_affinity.contains(&placement) || self.rejected_placements.contains_key(&placement)
     }
 
-    /// Whether the host is in view and ready.
+    /// Whether the host is known and ready.
     pub(crate) fn is_ready(&self, host: HostId) -> bool {
         self.views.get(&host).is_some_and(|view| view.ready)
     }
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Takes a slice from its host and gives it to the emptiest one, in a plan.
+    /// Moves a slice in a plan from its current host to the one that is selected for it.
     pub(crate) fn relocate(&self, plan: &mut PlacementPlan, slice: &Relocation) -> Option<HostId> {
         plan.remove(slice.current, slice.score);
         let new = self.select_host(plan, slice);
@@ -165,7 +165,7 @@
         self.open_hosts().into_iter().map(|host| self.effective_weight(host)).sum()
     }
 
-    /// What is left of limits on hosts' scores, when all that they own and stand by for is taken off.
+    /// What remains of the hosts' score limits after the scores of the slices that they own or are standby for.
     pub(crate) fn remaining(&self, mut limits: PerHost) -> PerHost {
         for slice in self.slices.values() {
             add_to_host(&mut limits, slice.owner, -slice.score);
@@ -174,7 +174,7 @@
         limits
     }
 
-    /// How many slices of an owner each host stands by for; none without an owner.
+    /// For how many slices of an owner each host is the standby; empty without an owner.
     pub(crate) fn standby_counts(&self, owner: Option<HostId>) -> PerHost {
         let mut counts = PerHost::new();
         for slice in self.slices.values().filter(|slice| owner.is_some() && slice.owner == owner) {
@@ -183,7 +183,7 @@
         counts
     }
 
-    /// What each host's weights bring it, in slices of the average score.
+    /// The load that its weights give each host, in slices of the average score.
     pub(crate) fn loads(&self) -> PerHost {
         let average = self.total_score() / self.slices.len().max(1) as f64;
         let mut loads: PerHost = self.views.keys().map(|host| (*host, 0.0)).collect();
@@ -197,20 +197,20 @@
         loads
     }
 
-    /// Withdrawals are sent again to all that missed them.
+    /// Records that withdrawals are being sent again.
     pub(crate) fn start_resend(&mut self, now: f64) {
         self.resend_withdrawals = false;
         self.withdrawals_resent_at = now;
     }
 
-    /// Reckons the calls per second and slice since the hosts were last compared, and starts counting anew.
+    /// Computes the calls per second and slice since the hosts were last compared, and resets the count.
     pub(crate) fn update_call_rate(&mut self, now: f64) {
         let calls = std::mem::take(&mut self.new_calls);
         self.call_rate = calls / (now - self.compared_at) / self.slices.len() as f64;
         self.compared_at = now;
     }
 
-    /// Gives slices other owners: for each slice the owner, and its original owner, as in [`Slice::set_owner`].
+    /// Sets the owner and the original owner of slices, as in [`Slice::set_owner`].
     pub(crate) fn set_owners(&mut self, moves: Vec<(SliceId, Option<HostId>, Option<HostId>)>) {
         for (id, owner, original_owner) in moves {
             if let Some(slice) = self.slices.get_mut(&id) {
@@ -219,17 +219,17 @@
         }
     }
 
-    /// Hosts that may hold slices.
+    /// Hosts that may own slices.
     pub(crate) fn open_hosts(&self) -> Vec<HostId> {
         self.views.keys().copied().filter(|host| self.is_open(*host)).collect()
     }
 
-    /// Whether operators have drained the host, and others can serve.
+    /// Whether operators have drained the host while others can serve.
     pub(crate) fn is_drained_by_operator(&self, host: HostId) -> bool {
         !self.ignore_drain_overrides && self.overrides.drained_hosts.contains(&host)
     }
 
-    /// Factor of the host's weight that operators set for it and its zone; 1 where they set none.
+    /// The operators' factor for the host's weight, including that of its zone; 1 without one.
     pub(crate) fn weight_override(&self, host: HostId) -> f64 {
         let zone = self
             .views
@@ -238,7 +238,7 @@
         self.overrides.host_weight_factors.get(&host).unwrap_or(&1.0) * zone.unwrap_or(&1.0)
     }
 
-    /// Reckons the mean weight, and the mean speed of the hosts that report one.
+    /// Computes the mean weight, and the mean speed of the hosts that report one.
     pub(crate) fn update_means(&mut self) {
         let ready = self.views.values().filter(|view| view.ready);
         let speeds: Vec<f64> = ready.filter_map(|view| view.speed).collect();
@@ -257,7 +257,7 @@
         self.calls_halved_at = now;
     }
 
-    /// Placements from which operators or the guard keep slices, by index in sorted lists of slices and hosts.
+    /// Placements that operators or the capacity guard exclude, as indices into sorted lists of slices and hosts.
     pub(crate) fn excluded_placements(
         &self,
         slices: &[SliceId],
@@ -276,7 +276,7 @@
     }
 }
 
-/// Index of an element in a sorted list.
+/// Index of an element in a sorted list, if present.
 pub(crate) fn index_of<T: Ord>(sorted: &[T], element: T) -> Option<usize> {
     sorted.binary_search(&element).ok()
 }
