--- a/src/interface.rs
+++ b/src/interface.rs
@@ -1,8 +1,8 @@
-//! What goes into a director and what comes out: plain types without behaviour.
+//! The inputs and orders of a director: plain types without behaviour.
 //!
-//! Times are seconds with fractions on the caller's clock, durations are seconds, rates are per second, shares go from
-//! 0 to 1. The adapters (`crates/director/service` for real sockets, `crates/tools/bench-adapter` for the simulator)
-//! make inputs of what they hear, and carry orders out.
+//! Times are fractional seconds on the caller's clock, durations are seconds, rates are per second, shares go from 0
+//! to 1. The adapters (`crates/director/service` for real sockets, `crates/tools/bench-adapter` for the simulator)
+//! translate what they receive into inputs, and execute orders.
 
 mod hosts;
 mod ids;
--- a/src/interface/hosts.rs
+++ b/src/interface/hosts.rs
@@ -1,4 +1,4 @@
-//! What is known of hosts: their entries in the host list, their load, the outcome of health checks.
+//! Hosts: their entries in the host list, their load, and the outcomes of health checks.
 
 use super::{CellId, HostId, MachineTypeId, ZoneId};
 
@@ -7,7 +7,7 @@
 pub enum HostState {
     /// It serves.
     Ready,
-    /// It is about to stop, and shall get no new calls.
+    /// It is about to stop, and must get no new calls.
     Draining,
     /// It has been removed from the list.
     Removed,
@@ -20,9 +20,9 @@
     pub host: HostId,
     /// Whether it serves.
     pub state: HostState,
-    /// When its process last started, in seconds on the caller's clock; none: long ago, or not listed.
+    /// When its process last started, in seconds on the caller's clock; `None` if long ago or not listed.
     pub started_at: Option<f64>,
-    /// Its size in relation to the others; 1 where weights are not listed.
+    /// Its size relative to the others; 1 if weights are not listed.
     pub weight: f64,
     /// Its zone.
     pub zone: ZoneId,
@@ -32,27 +32,27 @@
     pub machine_type: MachineTypeId,
 }
 
-/// What an update of the host list holds.
+/// What an update of the host list contains.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListScope {
     /// Only the entries that changed.
     Delta,
-    /// The whole list; what is not in it is gone.
+    /// The whole list; hosts that are not in it are gone.
     Snapshot,
-    /// The whole list as the director last had it, which may be out of date.
+    /// The whole list as the director last received it, which may be outdated.
     CachedSnapshot,
-    /// Nothing: following or fetching the list failed, and the last list stands.
+    /// Nothing: watching or fetching the list failed, and the last list remains valid.
     Failed,
 }
 
-/// What a host reports of its own load; figures that it does not report are absent.
+/// A host's report of its own load; values that it does not report are `None`.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct LoadReport {
-    /// Calls that it is serving.
+    /// Number of calls in progress.
     pub in_flight: Option<f64>,
-    /// Calls in its queue.
+    /// Number of calls in its queue.
     pub queued: Option<f64>,
-    /// Share of its cores that is busy, 0 to 1.
+    /// Utilisation of its cores, 0 to 1.
     pub cpu_utilisation: Option<f64>,
     /// Recent service time of a call, in seconds.
     pub service_time: Option<f64>,
@@ -62,23 +62,23 @@
     pub errors_per_s: Option<f64>,
 }
 
-/// Outcome of a health check, in the terms of an attempt of a call.
+/// Outcome of a health check, with the outcomes of an attempt of a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    /// It was answered well.
+    /// A response without an error.
     Succeeded,
-    /// It was answered with an error.
+    /// A response with an error.
     ErrorResponse,
-    /// The host rejected it, as it is full.
+    /// The host rejected it because it is at its limit.
     Throttled,
-    /// No answer came in time.
+    /// No response arrived in time.
     TimedOut,
     /// No connection could be made.
     ConnectFailed,
-    /// The connection was lost before the answer.
+    /// The connection was lost before the response.
     ConnectionLost,
-    /// Known from the simulator's wire only: the host had been withdrawn.
+    /// Only on the simulator's wire: the host had been withdrawn.
     Withdrawn,
-    /// Known from the simulator's wire only: there is no outcome.
+    /// Only on the simulator's wire: there is no outcome.
     Discarded,
 }
--- a/src/interface/ids.rs
+++ b/src/interface/ids.rs
@@ -1,7 +1,7 @@
-//! Numbers that stand for names. Names and addresses stay with the caller.
+//! Numeric identifiers. The caller maps them to names and addresses.
 
-/// A host that answers calls: an endpoint. Numbered by the caller as it first names it. A number stands for one host
-/// for good, also after [`Order::ReleaseHost`](super::Order::ReleaseHost).
+/// A host (endpoint) that answers calls. The caller assigns the number when it first names the host, and never reuses
+/// it, not even after [`Order::ReleaseHost`](super::Order::ReleaseHost).
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct HostId(pub u32);
 
@@ -9,8 +9,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct ProxyId(pub u16);
 
-/// A slice (shard) of the key space, which has a table of hosts with weights; or, where there are no slices, a table of
-/// the director's own numbering.
+/// A slice (shard) of the key space, which has a table of hosts with weights; without slices, a table that the director
+/// numbers itself.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct SliceId(pub u16);
 
@@ -34,11 +34,11 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PeerId(pub u64);
 
-/// A timer: [`Input::TimerFired`](super::Input::TimerFired) brings back the id that
-/// [`Order::SetTimer`](super::Order::SetTimer) gave.
+/// A timer: [`Input::TimerFired`](super::Input::TimerFired) returns the id that
+/// [`Order::SetTimer`](super::Order::SetTimer) has set.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct TimerId(pub u64);
 
-/// A round of messages to the proxies, whose acknowledgement is asked for. Ids wrap around.
+/// A round of messages to the proxies that acknowledge it. Ids wrap around.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RoundId(pub u16);
--- a/src/interface/input.rs
+++ b/src/interface/input.rs
@@ -1,4 +1,4 @@
-//! What a director is told.
+//! Inputs of a director.
 
 use super::{
     HostId, HostListEntry, ListScope, LoadReport, Outcome, PeerId, ProxyId, RoundId, RouteId, SliceId,
@@ -6,23 +6,23 @@
 use super::{OperatorOverrides, TimerId, ZoneId};
 use std::collections::BTreeMap;
 
-/// One thing that a director is told. Counts are those since the last report of the same kind, over the given span.
+/// One input of a director. Counts cover the given window since the last report of the same kind.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Input {
-    /// The host list, its changes, or that it could not be had. From service discovery.
+    /// The host list, its changes, or a failure to obtain it. From service discovery.
     HostListUpdate {
-        /// What the update holds.
+        /// What the update contains.
         scope: ListScope,
-        /// Version of the list; one older than the last is passed over.
+        /// Version of the list; a version older than the last one is ignored.
         version: u64,
         /// Entries of the list.
         entries: Vec<HostListEntry>,
     },
-    /// A slice has been assigned to this director; `StoredLine`s follow. From the relay.
+    /// A slice has been assigned to this director; [`StoredWeight`](Self::StoredWeight)s follow. From the relay.
     SliceAssigned(SliceId),
-    /// A slice is no longer this director's. From the relay.
+    /// A slice is no longer assigned to this director. From the relay.
     SliceRevoked(SliceId),
-    /// A weight that a slice's table has already. From the relay's store.
+    /// A weight that is already in a slice's table. From the relay's store.
     StoredWeight {
         /// The slice.
         slice: SliceId,
@@ -31,28 +31,28 @@
         /// The host's weight there.
         weight: f64,
     },
-    /// What all joined proxies were asked for one slice on one route. From the proxies' reports.
+    /// Calls to all joined proxies for one slice on one route. From the proxies' reports.
     SliceDemand {
         /// The slice.
         slice: SliceId,
         /// The route.
         route: RouteId,
-        /// Calls that came, admitted or not.
+        /// Calls received, whether admitted or not.
         requests: u64,
-        /// How many of them were not answered.
+        /// How many of them got no response.
         dropped: u64,
         /// Seconds that the report covers.
         window: f64,
     },
-    /// What one proxy was asked on one route, where there are no slices. From the proxies' reports.
+    /// Calls to one proxy on one route, if there are no slices. From the proxies' reports.
     ProxyDemand {
         /// The proxy.
         proxy: ProxyId,
         /// The route.
         route: RouteId,
-        /// Calls that came, admitted or not.
+        /// Calls received, whether admitted or not.
         requests: u64,
-        /// How many of them were not answered.
+        /// How many of them got no response.
         dropped: u64,
         /// Seconds that the report covers.
         window: f64,
@@ -67,11 +67,11 @@
         window: f64,
         /// Attempts that ended.
         attempts: u64,
-        /// How many of them were not answered well.
+        /// How many of them did not get a successful response.
         dropped: u64,
         /// Mean response time of the others, in seconds; 0 if there are none.
         mean_response_time: f64,
-        /// What the host reports of its load.
+        /// The host's report of its load.
         load: LoadReport,
     },
     /// A proxy has joined the channel. From the relay.
@@ -80,9 +80,9 @@
         proxy: ProxyId,
         /// Its zone.
         zone: ZoneId,
-        /// Calls per second that it gets.
+        /// Calls per second that it receives.
         requests_per_s: f64,
-        /// It has had no table from this director since its own start.
+        /// It has received no table from this director since it started.
         without_tables: bool,
     },
     /// A proxy has left the channel. From the relay.
@@ -93,7 +93,7 @@
         proxy: ProxyId,
         /// The round, as `Order::RequestAcknowledgement` named it.
         round: RoundId,
-        /// Seconds that this took, as the channel says; not used by the decisions.
+        /// Seconds that this took, according to the channel; not used by the decisions.
         latency: f64,
     },
     /// A health check that `Order::Probe` asked for has ended.
@@ -104,7 +104,7 @@
         outcome: Outcome,
         /// How long it took, in seconds.
         duration: f64,
-        /// What the host reported of its load with the answer.
+        /// The host's report of its load with the response.
         load: LoadReport,
     },
     /// A message from another director.
@@ -114,37 +114,37 @@
         /// What it sent.
         payload: Vec<u8>,
     },
-    /// The time of a `WakeAt` has come.
+    /// A timer that `Order::SetTimer` set has fired.
     TimerFired(TimerId),
-    /// The capacity guard has rejected weights of a slice that were ordered.
+    /// The capacity guard has rejected ordered weights of a slice.
     WeightsRejected {
         /// The slice.
         slice: SliceId,
-        /// The host to which the weights went, if one can be named.
+        /// The host that the weights were for, if it can be named.
         host: Option<HostId>,
-        /// The weights that the slice's table therefore still has.
+        /// The weights that the slice's table still has as a result.
         weights: BTreeMap<HostId, f64>,
     },
-    /// Operators' overrides of what would be decided; all of them, each time.
+    /// Operators' overrides of decisions; always the complete set.
     OverridesChanged(OperatorOverrides),
-    /// What became of a call to the relay. Where none is told of, orders count as carried out at once.
+    /// The result of a call to the relay. Without such inputs, orders count as executed at once.
     RelayCall(RelayCallEvent),
 }
 
-/// What became of a call to the relay. Orders given together are written as one call, which may have to be written
-/// again, or in parts.
+/// The result of a call to the relay. Orders given together are written as one call, which may have to be written again
+/// or in parts.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum RelayCallEvent {
     /// It has been written, for the first time or again.
     Sent {
-        /// The round of messages; a part of a call has none.
+        /// The round of messages; `None` for a part of a call.
         round: Option<RoundId>,
         /// Number of its orders.
         orders: usize,
-        /// Proxies may have joined of which nothing has been told yet.
+        /// Proxies may have joined that have not been announced by `Input::ProxyJoined` yet.
         unannounced_proxies: bool,
     },
-    /// The call that was written last was rejected as a whole, and not carried out.
+    /// The call that was written last was rejected as a whole, and not executed.
     Rejected,
     /// Acknowledgements may have been lost.
     AcknowledgementsLost,
--- a/src/interface/order.rs
+++ b/src/interface/order.rs
@@ -1,8 +1,8 @@
-//! What a director orders.
+//! Orders of a director.
 
 use super::{HostId, PeerId, ProxyId, RetryPolicy, RoundId, RouteId, SliceId, TimerId};
 
-/// One thing that the caller is to do, in the order given.
+/// One action that the caller has to execute. Orders are executed in the given sequence.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Order {
     /// Adds, changes or, with weight 0, removes one entry of a slice's table. To the proxies.
@@ -11,30 +11,30 @@
         slice: SliceId,
         /// The host.
         host: HostId,
-        /// The host's weight in relation to the others of the table.
+        /// The host's weight relative to the others in the table.
         weight: f64,
     },
     /// Removes all entries of a slice's table. To the proxies.
     ClearTable(SliceId),
-    /// Withdraws (ejects) a host from all tables of the joined proxies, or lets it back in. To the proxies.
+    /// Withdraws (ejects) a host from all tables of the joined proxies, or readmits it. To the proxies.
     SetWithdrawn {
         /// The host.
         host: HostId,
-        /// True: it gets no calls, whatever tables name it. False: it is used again.
+        /// True: it gets no calls, whichever tables name it. False: it is used again.
         withdrawn: bool,
     },
-    /// Sets how much is admitted of some routes, and how often their calls are retried. To the proxies.
+    /// Sets the admission level of some routes, and how often their calls are retried. To the proxies.
     SetAdmission {
-        /// Whose calls.
+        /// The calls that it applies to.
         scope: Scope,
-        /// The routes; none named: all.
+        /// The routes; an empty list means all.
         routes: Vec<RouteId>,
-        /// How much is admitted, in the unit of [`Settings::admission_unit`](super::Settings::admission_unit).
+        /// The admission level, in the unit of [`Settings::admission_unit`](super::Settings::admission_unit).
         level: f64,
         /// The retry policy.
         retry: RetryPolicy,
     },
-    /// Makes a proxy use a table for some routes, where there are no slices.
+    /// Makes a proxy use a table for some routes, if there are no slices.
     BindTable {
         /// The proxy.
         proxy: ProxyId,
@@ -43,22 +43,22 @@
         /// The table.
         table: SliceId,
     },
-    /// Ends a round of messages, and asks every proxy that gets one of them to acknowledge it.
+    /// Ends a round of messages, and requests an acknowledgement from every proxy that receives one of them.
     RequestAcknowledgement {
         /// The round.
         round: RoundId,
-        /// Also proxies for which the round has no other order.
+        /// Includes proxies for which the round has no other order.
         include_idle_proxies: bool,
     },
-    /// Starts (true) or stops (false) following the host list. To service discovery.
+    /// Starts (true) or stops (false) watching the host list. To service discovery.
     WatchHostList(bool),
-    /// Asks for the whole host list once. To service discovery.
+    /// Fetches the whole host list once. To service discovery.
     FetchHostList,
     /// Sends a health check to the host; `Input::ProbeFinished` answers.
     Probe(HostId),
     /// Sends a message to other directors.
     SendToPeers {
-        /// The director; none: all others.
+        /// The recipient; `None` means all other directors.
         to: Option<PeerId>,
         /// The message.
         payload: Vec<u8>,
@@ -70,23 +70,23 @@
         /// When, in seconds on the caller's clock.
         fires_at: f64,
     },
-    /// Nothing refers any more to this host, which is gone. The caller may release its name; its number is not used
-    /// again.
+    /// Nothing refers to this host any more, which is gone. The caller may release its name, but must not reuse its
+    /// number.
     ReleaseHost(HostId),
     /// A log line: what was decided, and why.
     Log {
         /// The text.
         text: String,
-        /// The hosts that it is about, whose names the caller adds.
+        /// The hosts concerned, whose names the caller appends.
         hosts: Vec<HostId>,
     },
 }
 
-/// Whose calls an admission order is about.
+/// The calls that an admission order applies to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Scope {
-    /// Those of one slice.
+    /// Calls of one slice.
     Slice(SliceId),
-    /// Those of all joined proxies; with slices, of all slices of this director.
+    /// Calls of all joined proxies; with slices, of all slices of this director.
     AllProxies,
 }
--- a/src/interface/policies.rs
+++ b/src/interface/policies.rs
@@ -1,15 +1,15 @@
 //! How calls may be retried and limited.
 
-/// Further attempts of a call, always at another host.
+/// Number of further attempts of a call, each at another host.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RetryPolicy {
-    /// None.
+    /// No retry.
     Never,
-    /// One, if the last attempt provably was not executed.
+    /// One retry, if the last attempt provably was not executed.
     IfNotExecuted,
-    /// One.
+    /// One retry.
     Once,
-    /// Two.
+    /// Two retries.
     Twice,
 }
 
@@ -18,9 +18,9 @@
 pub enum Idempotency {
     /// It is idempotent.
     Idempotent,
-    /// It has an idempotency key, by which hosts of the same group drop repeats.
+    /// It has an idempotency key, by which hosts of the same group discard duplicates.
     Deduplicated {
-        /// The hosts that know each other's keys.
+        /// The hosts that share their keys.
         scope: DeduplicationScope,
         /// For how long they keep a key, in seconds.
         window: f64,
@@ -29,18 +29,18 @@
     NotIdempotent,
 }
 
-/// The hosts that know each other's idempotency keys.
+/// The hosts that share their idempotency keys.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DeduplicationScope {
     /// All hosts.
     Fleet,
-    /// Those of one zone.
+    /// The hosts of one zone.
     Zone,
-    /// Those of one cell.
+    /// The hosts of one cell.
     Cell,
 }
 
-/// What admission control of the proxies limits.
+/// What the proxies' admission control limits.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AdmissionUnit {
     /// The share of the calls, 0 to 1.
