--- a/src/channel_backlog/tests.rs
+++ b/src/channel_backlog/tests.rs
@@ -1,4 +1,4 @@
-//! Each test feeds calls and acknowledgements to the backlog and checks how many lines it takes to be queued.
+//! Each test gives calls and acknowledgements to the backlog, and checks how many lines it assumes to be queued.
 
 use super::*;
 use crate::interface::{Settings, ZoneId};
@@ -33,8 +33,8 @@
     Input::RelayCall(RelayCallEvent::Sent { round: Some(RoundId(1)), orders, unannounced_proxies: false })
 }
 
-fn acknowledged(proxy: u16, mark: u16) -> Input {
-    Input::RoundAcknowledged { proxy: ProxyId(proxy), round: RoundId(mark), latency: 0.1 }
+fn acknowledged(proxy: u16, round: u16) -> Input {
+    Input::RoundAcknowledged { proxy: ProxyId(proxy), round: RoundId(round), latency: 0.1 }
 }
 
 fn joined(proxy: u16) -> Input {
@@ -46,10 +46,10 @@
 #[test_case(&[written(11), written(11)], 400.0 ; "a repeat may be queued beside it")]
 #[test_case(&[written(5), written(6)], 290.0 ; "a part has its own overhead")]
 #[test_case(&[written(11), Input::RelayCall(RelayCallEvent::Rejected), written(11)], 200.0 ; "a rejected call is not queued")]
-#[test_case(&[joined(30), written(11)], 220.0 ; "a proxy that joined before the write gets it")]
-#[test_case(&[written(11), joined(30)], 220.0 ; "a proxy that joined while it was carried out may get it")]
-#[test_case(&[written(11), Input::ProxyLeft(ProxyId(3))], 200.0 ; "what is queued for a proxy that left may stay")]
-#[test_case(&[Input::ProxyLeft(ProxyId(3)), written(11)], 180.0 ; "a proxy that left before the write gets none")]
+#[test_case(&[joined(30), written(11)], 220.0 ; "a proxy that joined before the write receives it")]
+#[test_case(&[written(11), joined(30)], 220.0 ; "a proxy that joined during the call may receive it")]
+#[test_case(&[written(11), Input::ProxyLeft(ProxyId(3))], 200.0 ; "lines queued for a proxy that left may remain")]
+#[test_case(&[Input::ProxyLeft(ProxyId(3)), written(11)], 180.0 ; "a proxy that left before the write receives nothing")]
 #[test_case(&[written(11), acknowledged(3, 1), Input::ProxyLeft(ProxyId(3))], 180.0 ; "a proxy that left after its acknowledgement is subtracted once")]
 #[test_case(&[written(11), written(11), acknowledged(3, 1), acknowledged(3, 1)], 180.0 ; "the acknowledgement of a second copy shows that the first was delivered")]
 #[test_case(&[written(11), Input::RelayCall(RelayCallEvent::AcknowledgementsLost), acknowledged(3, 1)], 180.0 ; "after lost acknowledgements later ones still count")]
@@ -60,8 +60,8 @@
     assert_eq!(backlog.unacknowledged_lines(), lines);
 }
 
-// Seen against a model of the channel: late acknowledgements of a delivered copy were counted for the next one, and
-// so on, until a whole round that was queued was no longer counted.
+// Late acknowledgements of a delivered copy were counted for the next copy, and so on, until a whole round that was
+// still queued was no longer counted. Found by comparison with a model of the channel.
 #[test]
 fn late_acknowledgements_of_a_copy_do_not_count_for_the_next_one() {
     let mut backlog = backlog_with_round();
@@ -72,7 +72,7 @@
     for proxy in 1..10 {
         record(&mut backlog, 1.1, &[acknowledged(proxy, 1)]);
     }
-    assert_eq!(backlog.unacknowledged_lines(), 380.0, "they say nothing of the second");
+    assert_eq!(backlog.unacknowledged_lines(), 380.0, "they do not concern the second copy");
     for proxy in 1..10 {
         record(&mut backlog, 1.2, &[acknowledged(proxy, 1)]);
     }
@@ -101,8 +101,8 @@
     assert_eq!((backlog.unacknowledged_lines(), backlog.rounds.len()), (180.0, 1));
 }
 
-// A repeat of a call that was never carried out would for ever await acknowledgements of its first copy.
-#[test_case(0.9, false, 1 ; "its first acknowledgements may still come")]
+// A repeat of a call that was never executed would wait forever for acknowledgements of its first copy.
+#[test_case(0.9, false, 1 ; "its first acknowledgements may still arrive")]
 #[test_case(1.2, true, 1 ; "silence for twice the longest transit time")]
 #[test_case(10.2, false, 0 ; "ten seconds of silence: forgotten")]
 fn silence_is_noticed(now: f64, is_silent: bool, rounds: usize) {
@@ -117,15 +117,15 @@
 fn each_call_counts_as_one_message() {
     let mut backlog = backlog_with_round();
     record(&mut backlog, 0.5, &[written(11)]);
-    assert_eq!(backlog.sent_at, [0.5], "the order and its call are one");
+    assert_eq!(backlog.sent_at, [0.5], "the order and its call count as one message");
     record(&mut backlog, 0.7, &[written(11)]);
-    assert_eq!(backlog.sent_at, [0.5, 0.7], "a repeat is another");
-    // Until a run of the bench begins all calls are rejected: if they counted, no message would be left when it begins.
+    assert_eq!(backlog.sent_at, [0.5, 0.7], "a repeat is another message");
+    // Before a benchmark run starts, all calls are rejected: if they counted, no message would be left at its start.
     record(&mut backlog, 0.8, &[written(11), Input::RelayCall(RelayCallEvent::Rejected)]);
     assert_eq!(backlog.sent_at, [0.5, 0.7], "a rejected one is not counted");
 }
 
-// Where half of the proxies left, their lines stay counted; late acknowledgements must not be taken for the rate.
+// If half of the proxies left, their lines remain counted; late acknowledgements must not be used to measure the rate.
 #[test_case(0, 8 ; "all proxies are joined")]
 #[test_case(5, 4 ; "half have left")]
 fn last_acknowledgements_do_not_lower_the_rate(left: u16, in_time: u16) {
--- a/src/logic/tests.rs
+++ b/src/logic/tests.rs
@@ -12,10 +12,10 @@
 mod tables;
 
 pub(crate) fn settings() -> Settings {
-    let route = |slo_time, importance| Route {
-        latency_target: slo_time,
-        deadline: 4.0 * slo_time,
-        value: importance,
+    let route = |latency_target, value| Route {
+        latency_target,
+        deadline: 4.0 * latency_target,
+        value,
         idempotency: Idempotency::Idempotent,
         is_write: false,
         zone_local: false,
@@ -80,12 +80,12 @@
     }
 }
 
-/// Host n owns `held[n]` slices, each scoring 1 and standing in its table.
+/// Host n owns `held[n]` slices, each with score 1 and a table that has only that host.
 fn tables(held: &[usize]) -> Tables {
     let mut tables = Tables { mean_weight: 1.0, mean_speed: 15.0, ..Tables::default() };
-    for (n, many) in held.iter().enumerate() {
+    for (n, count) in held.iter().enumerate() {
         tables.views.insert(id(n), usable_view(n));
-        for _ in 0..*many {
+        for _ in 0..*count {
             let slice = Slice {
                 owner: Some(id(n)),
                 weights: PerHost::from([(id(n), 1.0)]),
@@ -99,11 +99,12 @@
     tables
 }
 
+/// The number of slices that host n owns.
 fn held(tables: &Tables, n: usize) -> f64 {
     tables.slice_counts()[&id(n)]
 }
 
-/// The tables that the channel was asked for.
+/// The desired tables that were sent to the channel.
 fn desired_tables(outbox: &mut Outbox) -> Vec<(SliceId, PerHost)> {
     let messages = std::iter::from_fn(|| outbox.take_next_mailbox()).flat_map(|(_, messages)| messages);
     let table = |message| match message {
--- a/src/logic/tests/admission_control.rs
+++ b/src/logic/tests/admission_control.rs
@@ -1,4 +1,4 @@
-//! Admission levels.
+//! Tests of admission control.
 
 use super::*;
 use test_case::test_case;
@@ -11,8 +11,8 @@
 }
 
 #[test_case(0.2, 100.0, None ; "no reduction while answers are quick")]
-#[test_case(0.9, 90.0, Some(76.5) ; "slow answers: less than was answered")]
-#[test_case(0.9, 20.0, Some(70.0) ; "reduced by three tenths at most")]
+#[test_case(0.9, 90.0, Some(76.5) ; "slow answers: below the answered rate")]
+#[test_case(0.9, 20.0, Some(70.0) ; "reduced by at most three tenths")]
 fn target_rate_follows_overload(mean_response_time: f64, answered: f64, target: Option<f64>) {
     let mut admission = admission_control([60.0, 40.0], mean_response_time, answered);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
@@ -34,11 +34,11 @@
     assert_eq!(admission.levels, [1.0, 1.0], "all recover while answers are quick");
 }
 
-// Seen when directors restarted in turn: one that took over slices kept its former target rate, and rejected half of
-// all calls for ten seconds though answers were quick.
-#[test_case(2, 1.0, 50.0 ; "as many slices")]
-#[test_case(4, 1.0, 100.0 ; "twice as many: twice the calls are admitted")]
-#[test_case(4, 0.5, 50.0 ; "just assigned: only some of their calls were counted")]
+// In a rolling restart, a director that took over slices kept its previous target rate, and rejected half of all calls
+// for ten seconds although answers were quick.
+#[test_case(2, 1.0, 50.0 ; "same number of slices")]
+#[test_case(4, 1.0, 100.0 ; "twice as many slices: twice the calls are admitted")]
+#[test_case(4, 0.5, 50.0 ; "just assigned: the calls are not fully counted")]
 fn target_rate_grows_with_the_assigned_slices(slices: u16, since_assigned: f64, target: f64) {
     let mut admission = AdmissionControl {
         target_rate: Some(50.0),
@@ -76,17 +76,17 @@
     assert_eq!(admission.levels, before);
 }
 
-#[test_case(0.2, 0.0, 0.5, None ; "quick answers: a route fails, or connections do")]
+#[test_case(0.2, 0.0, 0.5, None ; "quick answers: a route or connections fail")]
 #[test_case(0.35, 0.0, 0.5, Some(76.5) ; "slow answers confirm that hosts are overloaded")]
-#[test_case(0.35, 0.4, 0.5, None ; "idle cores show that they are not")]
+#[test_case(0.35, 0.4, 0.5, None ; "idle cores show that hosts are not overloaded")]
 fn dropped_calls_count_as_overload_only_at_busy_or_slow_hosts(
     mean_response_time: f64,
-    busy: f64,
+    utilisation: f64,
     dropped: f64,
     target: Option<f64>,
 ) {
     let mut admission =
-        AdmissionControl { utilisation: busy, ..admission_control([60.0, 40.0], mean_response_time, 90.0) };
+        AdmissionControl { utilisation, ..admission_control([60.0, 40.0], mean_response_time, 90.0) };
     admission.response_times.dropped = 90.0 * dropped / (1.0 - dropped);
     admission.evaluate(1.0, &params(), &mut Outbox::default());
     assert_eq!(admission.target_rate, target);
@@ -102,28 +102,28 @@
     std::iter::from_fn(|| outbox.take_next_mailbox()).flat_map(|(_, messages)| messages).map(level).collect()
 }
 
-fn route_override(route: u16, ceiling: Option<f64>, retry_policy: Option<RetryPolicy>) -> Message {
-    let routes = [(RouteId(route), RouteOverride { admission_limit: ceiling, retry_policy })].into();
+fn route_override(route: u16, admission_limit: Option<f64>, retry_policy: Option<RetryPolicy>) -> Message {
+    let routes = [(RouteId(route), RouteOverride { admission_limit, retry_policy })].into();
     Message::Input(Input::OverridesChanged(OperatorOverrides { routes, ..OperatorOverrides::default() }))
 }
 
 #[test_case(0, RetryPolicy::Twice, RetryPolicy::Twice ; "as overridden")]
-#[test_case(1, RetryPolicy::Twice, RetryPolicy::IfNotExecuted ; "never so that a call that is not idempotent could run twice")]
+#[test_case(1, RetryPolicy::Twice, RetryPolicy::IfNotExecuted ; "no retry that could run a non-idempotent call twice")]
 fn overrides_of_limit_and_retries_are_applied_and_lifted(
-    of: u16,
-    wanted: RetryPolicy,
+    route: u16,
+    requested: RetryPolicy,
     expected: RetryPolicy,
 ) {
     let mut admission = admission_control([60.0, 40.0], 0.1, 100.0);
     assert_eq!(
-        sent_levels(&mut admission, route_override(of, Some(0.6), Some(wanted))),
-        [(of, 0.6, expected)]
+        sent_levels(&mut admission, route_override(route, Some(0.6), Some(requested))),
+        [(route, 0.6, expected)]
     );
-    let undone =
+    let lifted =
         sent_levels(&mut admission, Message::Input(Input::OverridesChanged(OperatorOverrides::default())));
     assert_eq!(
-        undone,
-        [(of, 1.0, RetryPolicy::IfNotExecuted)],
+        lifted,
+        [(route, 1.0, RetryPolicy::IfNotExecuted)],
         "once lifted, the default of the settings applies"
     );
 }
--- a/src/logic/tests/overrides.rs
+++ b/src/logic/tests/overrides.rs
@@ -1,15 +1,15 @@
-//! Operators' overrides.
+//! Tests of operators' overrides.
 
 use super::*;
 use test_case::test_case;
 
-fn apply_overrides(tables: &mut Tables, wishes: OperatorOverrides) {
-    tables.handle(1.0, &params(), Message::Input(Input::OverridesChanged(wishes)), &mut Outbox::default());
+fn apply_overrides(tables: &mut Tables, overrides: OperatorOverrides) {
+    tables.handle(1.0, &params(), Message::Input(Input::OverridesChanged(overrides)), &mut Outbox::default());
     tables.tick(1.0, &params(), &mut Outbox::default());
 }
 
-#[test_case(&[0], [0.0, 6.0, 6.0] ; "it keeps no slice, others take them at once")]
-#[test_case(&[0, 1, 2], [4.0, 4.0, 4.0] ; "with all drained some host must serve")]
+#[test_case(&[0], [0.0, 6.0, 6.0] ; "it keeps no slice, and others own them at once")]
+#[test_case(&[0, 1, 2], [4.0, 4.0, 4.0] ; "if all are drained, hosts must still serve")]
 fn drained_host_gives_up_its_slices(hosts: &[usize], owned: [f64; 3]) {
     let mut tables = tables(&[4, 4, 4]);
     let drained = hosts.iter().map(|host| id(*host)).collect();
@@ -19,7 +19,7 @@
     );
     assert_eq!([0, 1, 2].map(|host| held(&tables, host)), owned);
     let named = |slice: &Slice| slice.weights.keys().any(|host| hosts == [0] && *host == id(0));
-    assert!(!tables.slices.values().any(named), "nor is it a standby");
+    assert!(!tables.slices.values().any(named), "it is no standby either");
     apply_overrides(&mut tables, OperatorOverrides::default());
     assert!(tables.is_open(id(0)), "open again when the override is lifted");
 }
@@ -38,7 +38,7 @@
 
 #[test_case(0.5, 1, 2.0 ; "half of the weight")]
 #[test_case(0.1, 1, 1.0 ; "a tenth of the weight")]
-fn lowered_weight_moves_slices_at_once(weight: f64, host: usize, most: f64) {
+fn lowered_weight_moves_slices_at_once(weight: f64, host: usize, max_slices: f64) {
     let mut tables = tables(&[4, 4, 4]);
     apply_overrides(
         &mut tables,
@@ -47,7 +47,7 @@
             ..OperatorOverrides::default()
         },
     );
-    assert!(held(&tables, host) <= most, "{}", held(&tables, host));
+    assert!(held(&tables, host) <= max_slices, "{}", held(&tables, host));
 }
 
 #[test]
@@ -66,34 +66,34 @@
 #[test]
 fn anti_affinity_holds_while_another_host_can_serve() {
     let mut tables = tables(&[2, 2, 2]);
-    let apart = |hosts: &[usize]| hosts.iter().map(|host| (SliceId(0), id(*host))).collect();
+    let excluded = |hosts: &[usize]| hosts.iter().map(|host| (SliceId(0), id(*host))).collect();
     apply_overrides(
         &mut tables,
-        OperatorOverrides { anti_affinity: apart(&[0, 1]), ..OperatorOverrides::default() },
+        OperatorOverrides { anti_affinity: excluded(&[0, 1]), ..OperatorOverrides::default() },
     );
     let slice = &tables.slices[&SliceId(0)];
-    assert_eq!((slice.owner, slice.standby), (Some(id(2)), None), "nor is one of them its standby");
+    assert_eq!((slice.owner, slice.standby), (Some(id(2)), None), "neither of them is its standby");
     apply_overrides(
         &mut tables,
-        OperatorOverrides { anti_affinity: apart(&[0, 1, 2]), ..OperatorOverrides::default() },
+        OperatorOverrides { anti_affinity: excluded(&[0, 1, 2]), ..OperatorOverrides::default() },
     );
     assert!(tables.slices[&SliceId(0)].owner.is_some());
 }
 
-#[test_case(true, 2.0 ; "back to its original owner, which is open")]
+#[test_case(true, 2.0 ; "to its original owner, which is open")]
 #[test_case(false, 0.0 ; "to another host, as its original owner is draining")]
 fn slice_returns_when_an_override_is_lifted(open: bool, returned: f64) {
     let mut tables = tables(&[2, 2, 2]);
-    let apart = [(SliceId(0), id(0)), (SliceId(0), id(1))].into();
-    apply_overrides(&mut tables, OperatorOverrides { anti_affinity: apart, ..OperatorOverrides::default() });
+    let anti_affinity = [(SliceId(0), id(0)), (SliceId(0), id(1))].into();
+    apply_overrides(&mut tables, OperatorOverrides { anti_affinity, ..OperatorOverrides::default() });
     assert_eq!(tables.slices[&SliceId(0)].owner, Some(id(2)));
     tables.views.get_mut(&id(0)).unwrap().ready = open;
     apply_overrides(&mut tables, OperatorOverrides::default());
     assert_eq!((tables.slices[&SliceId(0)].owner == Some(id(0)), held(&tables, 0) >= returned), (open, true));
-    assert!(open || held(&tables, 0) == 0.0, "a draining host stays out");
+    assert!(open || held(&tables, 0) == 0.0, "a draining host gets no slices back");
     assert_eq!(
         tables.slices[&SliceId(0)].original_owner,
         None,
-        "either way its owner is no longer overridden"
+        "in either case no override applies to the owner any more"
     );
 }
--- a/src/logic/tests/owners.rs
+++ b/src/logic/tests/owners.rs
@@ -1,18 +1,18 @@
-//! Which host owns a slice.
+//! Tests of which host owns a slice.
 
 use super::*;
 use test_case::test_case;
 
-#[test_case(&[9, 0, 4], false, 9.0; "a gap of nine starts moves, though the receiver is the emptiest")]
+#[test_case(&[9, 0, 4], false, 9.0; "a gap of nine starts moves to the emptiest")]
 #[test_case(&[8, 0, 4], false, 8.0; "a gap of eight does not")]
 #[test_case(&[5, 3, 4], true, 5.0; "while balancing, a gap of two goes on")]
 #[test_case(&[4, 3, 4], true, 4.0; "while balancing, a gap under two ends it")]
 fn balancing_starts_above_a_gap_of_eight_and_ends_below_two(
-    held_at_first: &[usize],
+    initially_held: &[usize],
     balancing: bool,
     fullest: f64,
 ) {
-    let mut tables = tables(held_at_first);
+    let mut tables = tables(initially_held);
     tables.rebalancer.moving = balancing;
     let gap = held(&tables, 0) - held(&tables, 1);
     let params = Parameters { slice_count: tables.slices.len() as f64, ..params() };
@@ -23,13 +23,13 @@
     assert_eq!(held(&tables, 2), 4.0);
 }
 
-// Seen on a release with five directors: each had about a slice for each host, so that there was never a gap of 8, and
-// new hosts owned nothing until the end of slow start.
-#[test_case(1.0, false ; "all slices: a gap of five is none")]
-#[test_case(4.0, true ; "a quarter of them: it stands for one of ten")]
-fn gap_is_scaled_by_the_share_of_slices(of: f64, moves: bool) {
+// With five directors each had about one slice for each host, so that no gap reached 8, and new hosts owned nothing
+// until the end of slow start.
+#[test_case(1.0, false ; "all slices: a gap of five starts no moves")]
+#[test_case(4.0, true ; "a quarter of the slices: it stands for a gap of ten")]
+fn gap_is_scaled_by_the_share_of_slices(directors: f64, moves: bool) {
     let mut tables = tables(&[5, 0, 2]);
-    let params = Parameters { slice_count: 7.0 * of, ..params() };
+    let params = Parameters { slice_count: 7.0 * directors, ..params() };
     tables.balance(100.0, &params, &mut Outbox::default());
     assert_eq!(tables.rebalancer.moving, moves);
 }
@@ -42,12 +42,13 @@
     tables.max_ready_hosts = 10;
     let params = Parameters { slice_count: 11.0, ..params() };
     tables.balance(100.0, &params, &mut Outbox::default());
-    assert_eq!(held(&tables, 2), 2.0, "the one in slow start has no capacity for any");
+    assert_eq!(held(&tables, 2), 2.0, "the host in slow start has no capacity");
 }
 
-// Capacity of a host at half of slow start, by the median response time, and the call rate against the sustained one.
-#[test_case(1.0, 2.0, 1.0, 1.5 ; "slow, and twice the calls come")]
-#[test_case(1.0, 1.0, 1.0, 3.0 ; "slow, but no more calls come: few hosts carry them")]
+// Capacity of a host halfway through slow start, by the fleet's median response time, the call rate and the sustained
+// call rate.
+#[test_case(1.0, 2.0, 1.0, 1.5 ; "slow at twice the sustained rate")]
+#[test_case(1.0, 1.0, 1.0, 3.0 ; "slow at the sustained rate, as few hosts carry the calls")]
 #[test_case(0.2, 2.0, 1.0, 3.0 ; "quick")]
 #[test_case(1.0, 0.0, 0.0, 1.5 ; "slow from the start")]
 #[test_case(1.0, 0.2, 1.0, 1.5 ; "slow, and proxies are unreachable")]
@@ -85,7 +86,7 @@
     let mut tables = tables(&[12, 5]);
     tables.views.get_mut(&id(0)).unwrap().weight = 3.0;
     tables.balance(100.0, &params(), &mut Outbox::default());
-    assert!(!tables.rebalancer.moving, "8 per unit against 10 per unit");
+    assert!(!tables.rebalancer.moving, "8 slices per unit of weight against 10");
 }
 
 #[test]
@@ -98,24 +99,28 @@
     assert_eq!(
         (held(&tables, 1), held(&tables, 2)),
         (2.0, 1.0),
-        "they stay with the hosts of the stored tables"
+        "slices stay with the hosts of the stored tables"
     );
-    assert_eq!(held(&tables, 0), 5.0, "three is its even share, two more are kept");
+    assert_eq!(held(&tables, 0), 5.0, "its even share of three, and two more");
     tables.move_displaced(1.0, &params());
-    assert_eq!(held(&tables, 2), 2.0, "the rest go to the emptiest");
+    assert_eq!(held(&tables, 2), 2.0, "the rest goes to the emptiest host");
 }
 
-#[test_case(false, 0 ; "draining or gone at once")]
-#[test_case(true, 2 ; "suspected only when withdrawn for two seconds")]
-fn slices_leave_hosts_that_are_gone_or_withdrawn(ready: bool, stay: usize) {
+#[test_case(false, 0 ; "at once if draining or gone")]
+#[test_case(true, 2 ; "if suspected, after two seconds of withdrawal")]
+fn slices_leave_hosts_that_are_gone_or_withdrawn(ready: bool, kept: usize) {
     let mut tables = tables(&[2, 2, 1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = ready;
     tables.withdrawn.insert(id(0), 10.0);
     tables.move_displaced(11.0, &params());
-    assert_eq!(held(&tables, 0), stay as f64);
+    assert_eq!(held(&tables, 0), kept as f64);
     tables.move_displaced(12.5, &params());
     assert_eq!(held(&tables, 0), 0.0);
-    assert_eq!((held(&tables, 2), held(&tables, 3)), (2.0, 2.0), "each to the host holding fewest");
+    assert_eq!(
+        (held(&tables, 2), held(&tables, 3)),
+        (2.0, 2.0),
+        "each slice goes to the host with the fewest"
+    );
 }
 
 #[test]
@@ -135,11 +140,11 @@
     tables.score_slices(&params());
     let score = |n| tables.slices[&SliceId(n)].score;
     assert_eq!((score(0), score(1)), (1.0, 1.5));
-    assert_eq!(score(2), 1.25, "one without counts scores as the average");
+    assert_eq!(score(2), 1.25, "a slice without counted calls gets the average score");
 }
 
 #[test_case(0.2 ; "just started")]
-#[test_case(0.6 ; "half of slow start")]
+#[test_case(0.6 ; "in the middle of slow start")]
 fn host_in_slow_start_stays_within_its_capacity(slow_start: f64) {
     let mut tables = tables(&[6, 6, 6]);
     tables.views.get_mut(&id(2)).unwrap().slow_start = slow_start;
@@ -148,10 +153,10 @@
     let capacity = tables.capacities(&params())[&id(2)] + 6.0;
     assert!(
         (capacity - 1.5 * slow_start * 6.0).abs() < 1e-9,
-        "0.6 of the collapse multiple, all calls of its tables counted"
+        "0.6 of the collapse multiple for all calls of its tables"
     );
     tables.move_displaced(1.0, &params());
-    assert!(held(&tables, 2) <= capacity, "what exceeds its capacity goes elsewhere");
+    assert!(held(&tables, 2) <= capacity, "slices beyond its capacity go to other hosts");
 }
 
 #[test]
@@ -184,5 +189,5 @@
     tables.views.get_mut(&id(2)).unwrap().slow_start = 0.2;
     tables.update_withdrawals(1.0, &mut Outbox::default());
     let capacity = tables.capacities(&params())[&id(2)] + 6.0;
-    assert!(capacity < 1.5 * 0.2 * 6.0, "nothing is known to be spare");
+    assert!(capacity < 1.5 * 0.2 * 6.0, "no spare capacity is assumed");
 }
--- a/src/logic/tests/standbys.rs
+++ b/src/logic/tests/standbys.rs
@@ -1,4 +1,4 @@
-//! Which host stands by, and how much it gets.
+//! Tests of which host is the standby of a slice, and which share of the calls it gets.
 
 use super::*;
 use test_case::test_case;
@@ -39,8 +39,8 @@
     assert!(tables.slices.values().all(|s| s.owner != Some(id(0)) || s.standby != Some(id(1))));
 }
 
-#[test_case(1.0, 1.0, 0.1 ; "the lowest share at first")]
-#[test_case(0.25, 1.0, 3.0 ; "an owner in slow start takes no more than that allows")]
+#[test_case(1.0, 1.0, 0.1 ; "the lowest share initially")]
+#[test_case(0.25, 1.0, 3.0 ; "an owner in slow start gets no more than its share")]
 #[test_case(1.0, 0.5, 0.2 ; "a slow owner gets less")]
 fn standby_share_depends_on_the_owners_slow_start_and_derating(
     slow_start: f64,
@@ -66,7 +66,7 @@
 }
 
 #[test_case(Some(20.0), Some(10.0), 1.0 / 1.5 * 2.0 ; "by reported speed")]
-#[test_case(None, None, 1.0 ; "like the others where nothing is known")]
+#[test_case(None, None, 1.0 ; "equal if no speed is known")]
 fn throughput_follows_reported_speed(fast: Option<f64>, slow: Option<f64>, expected: f64) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().speed = fast;
--- a/src/logic/tests/tables.rs
+++ b/src/logic/tests/tables.rs
@@ -1,4 +1,4 @@
-//! Withdrawals, and the tables that are sent.
+//! Tests of withdrawals, and of the tables that are sent.
 
 use super::*;
 use test_case::test_case;
@@ -11,11 +11,11 @@
     tables.send_tables(&params(), &mut outbox);
     assert_eq!(desired_tables(&mut outbox), [(SliceId(0), PerHost::from([(id(1), 1.0)]))]);
     tables.send_tables(&params(), &mut outbox);
-    assert!(desired_tables(&mut outbox).is_empty(), "only differences");
+    assert!(desired_tables(&mut outbox).is_empty(), "only differences are sent");
 }
 
 #[test_case(4, 4 ; "four of ten")]
-#[test_case(5, 0 ; "five of ten: our own network is more likely at fault")]
+#[test_case(5, 0 ; "five of ten: the director's own network is more likely at fault")]
 fn suspects_are_withdrawn_up_to_four_in_ten(suspects: usize, withdrawn: usize) {
     let mut tables = tables(&[1; 10]);
     for n in 0..suspects {
@@ -26,8 +26,8 @@
 }
 
 #[test_case(true, 1.0, 1 ; "a proxy has joined")]
-#[test_case(false, 1.0, 0 ; "not to the others")]
-#[test_case(true, 20.0, 1 ; "however long gone: the channel knows whether a table names it")]
+#[test_case(false, 1.0, 0 ; "no proxy has joined")]
+#[test_case(true, 20.0, 1 ; "for a host that is gone for long, as a table may still name it")]
 fn withdrawals_are_resent_to_proxies_that_join(resend: bool, later: f64, sent: usize) {
     let mut tables = tables(&[1, 1]);
     tables.views.get_mut(&id(0)).unwrap().ready = false;
@@ -70,7 +70,7 @@
     assert!(tables.is_open(id(0)));
 }
 
-// Seen when 1,800 proxies joined within three seconds: ninety withdrawals were sent to all of them in each round.
+// When 1,800 proxies joined within three seconds, ninety withdrawals were sent to all of them in each round.
 #[test]
 fn withdrawals_are_resent_at_most_once_a_second() {
     let mut tables = tables(&[1, 1]);
@@ -96,11 +96,11 @@
     }
     let mut outbox = Outbox::default();
     tables.tick(2.0, &params(), &mut outbox);
-    let out =
+    let is_withdrawal =
         |message: &Message| matches!(message, Message::Send(Order::SetWithdrawn { withdrawn: true, .. }));
-    let many = std::iter::from_fn(|| outbox.take_next_mailbox())
+    let count = std::iter::from_fn(|| outbox.take_next_mailbox())
         .flat_map(|(_, messages)| messages)
-        .filter(out)
+        .filter(is_withdrawal)
         .count();
-    assert_eq!(many, 2, "no calls may go to them, whatever tables the proxies have");
+    assert_eq!(count, 2, "no calls may go to them, whatever tables the proxies have");
 }
