--- a/crates/director/rebalancer/src/mechanism.rs
+++ b/crates/director/rebalancer/src/mechanism.rs
@@ -20,12 +20,12 @@
 }
 
 /// The paper's score of each slice (equations 1 and 2), from its counts of requests by class: its shares of all
-/// classes, added up, with the share of the heavy class times `inc`. A slice without requests gets the average score.
-pub fn scores<R: AsRef<[f64]>>(rows: &[R], heavy: Option<usize>, inc: f64) -> Vec<f64> {
+/// classes, added up, that of the heavy class times `heavy_factor`. Without requests a slice gets the average score.
+pub fn scores<R: AsRef<[f64]>>(rows: &[R], heavy: Option<usize>, heavy_factor: f64) -> Vec<f64> {
     let classes = rows.iter().map(|row| row.as_ref().len()).max().unwrap_or(0);
     // At least 1, as classes without requests would divide by zero.
     let total = |class: usize| rows.iter().filter_map(|row| row.as_ref().get(class)).sum::<f64>().max(1.0);
-    let factor = |class: usize| if Some(class) == heavy { inc } else { 1.0 } / total(class);
+    let factor = |class: usize| if Some(class) == heavy { heavy_factor } else { 1.0 } / total(class);
     let factors: Vec<f64> = (0..classes).map(factor).collect();
     let score = |row: &R| row.as_ref().iter().zip(&factors).map(|(count, factor)| count * factor).sum();
     let mut scores: Vec<f64> = rows.iter().map(score).collect();
--- a/src/logic.rs
+++ b/src/logic.rs
@@ -45,14 +45,14 @@
     pub(crate) fn handle(&mut self, now: f64, params: &Parameters, message: Message, outbox: &mut Outbox) {
         let Some(max_silence) = params.max_list_silence else { return };
         // A second between attempts to watch the list lets the service recover; three fetches fit the allowed silence.
-        let interval = if self.following { max_silence / 3.0 } else { 1.0 };
+        let interval = if self.watching { max_silence / 3.0 } else { 1.0 };
         match message {
-            Message::Input(Input::HostListUpdate { scope: ListScope::Failed, .. }) => self.following = false,
-            Message::Tick if self.asked_at.is_none_or(|asked_at| now - asked_at > interval) => {
-                let order = if self.following { Order::FetchHostList } else { Order::WatchHostList(true) };
+            Message::Input(Input::HostListUpdate { scope: ListScope::Failed, .. }) => self.watching = false,
+            Message::Tick if self.requested_at.is_none_or(|requested_at| now - requested_at > interval) => {
+                let order = if self.watching { Order::FetchHostList } else { Order::WatchHostList(true) };
                 outbox.orders.push(order);
-                self.following = true;
-                self.asked_at = Some(now);
+                self.watching = true;
+                self.requested_at = Some(now);
             }
             _ => {}
         }
--- a/src/logic/gate.rs
+++ b/src/logic/gate.rs
@@ -64,7 +64,7 @@
         let offered: f64 = rates.iter().sum();
         let admitted = self.admitted_rate(rates);
         // Overload: the median exceeds 0.43 of the tightest SLO (0.4 acts too early, 0.5 too late), or a fifth of the
-        // attempts is dropped by busy or slow hosts. At idle or quick ones a route or connections fail.
+        // attempts is dropped by busy or slow hosts. At idle or quick hosts, a route or connections fail instead.
         let slowness = times.median(BINS) / params.tightest_slo;
         let host_load = if self.utilisation > 0.0 { self.utilisation / 0.8 } else { slowness / 0.3 };
         let pressure = (slowness / 0.43).max(host_load.min(times.dropped_share() / 0.2));
--- a/src/logic/hosts.rs
+++ b/src/logic/hosts.rs
@@ -27,7 +27,7 @@
                 self.on_probe(now, params, outcome, outbox);
             }
             Message::FleetMedians { response_time, .. } => {
-                // Relative to the median: what slows all hosts is no fault of one. The exponent damps late reports.
+                // A slowdown of the whole fleet is no fault of one host. The exponent damps reactions to late reports.
                 let limit = (1.6 * response_time).max(0.4 * params.tightest_slo);
                 let slowness = self.response_times.mean(BINS) / limit;
                 let factor = if slowness > 1.0 { slowness.powf(-0.7) } else { 1.2 };
--- a/src/logic/owners.rs
+++ b/src/logic/owners.rs
@@ -1,4 +1,4 @@
-//! Which host owns a slice: weights, scores, capacities, placement, balancing. `coppersail-rebalancer` cites the paper.
+//! Which host owns a slice: weights, scores, capacities, placement, balancing ("the paper": see coppersail-rebalancer).
 
 use super::*;
 use coppersail_rebalancer::{Assignment, CandidateRank, Holder};
@@ -22,13 +22,13 @@
     }
 
     /// The score that each host may still take; only slow start limits it. If the other hosts of its tables fail, such
-    /// a host gets at most 0.6 of the collapse multiple, and twice what it can do. Up to double that is allowed while
-    /// the fleet answers quickly, or gets no more calls than when it last did: then it is slow for lack of hosts.
+    /// a host gets at most 0.6 of the collapse multiple, or 2 if that is less, times its regular load. It may be up to
+    /// doubled while the fleet answers quickly, or is slow at a call rate that it sustained, as hosts are missing then.
     pub(super) fn capacities(&self, params: &Parameters) -> PerHost {
         // With less than four fifths of the fleet open, retries add calls, so hosts in slow start may take less.
         let (max_ready, open) = (self.max_ready_hosts.max(1) as f64, self.open_hosts().len() as f64);
         let score_per_host = self.total_score() / max_ready * (open / max_ready / 0.8).min(1.0);
-        // Up to half the sustained rate, proxies are unreachable and will return at once. Unmeasured is not quick.
+        // Below half the sustained rate, proxies are unreachable and return all at once. Unmeasured is not quick.
         let sustained = self.sustained_call_rate;
         let margin = if self.call_rate > 0.5 * sustained { 2.0 * sustained / self.call_rate } else { 0.0 };
         let measured = self.response_time > 0.0;
@@ -42,7 +42,7 @@
     }
 
     /// The open host with the fewest slices per unit of weight, preferably with capacity; of equals the longest listed.
-    /// A standby must have capacity; the owner's zone counts two slices, each that it backs up for that owner 0.7.
+    /// For standbys capacity is required, the owner's zone counts as 2 slices, and a slice backed up for it as 0.7.
     pub(crate) fn select_host(&self, plan: &PlacementPlan, slice: &Relocation) -> Option<HostId> {
         let (score, owner) = (slice.score, slice.owner);
         let owner_zone = owner.and_then(|owner| self.views.get(&owner)).map(|view| view.zone);
--- a/src/logic/tables.rs
+++ b/src/logic/tables.rs
@@ -23,7 +23,7 @@
         if now - self.compared_at >= control_period(params) {
             self.evaluate_loads(now, params, outbox);
         }
-        // The stored weights of a newly assigned slice arrive within a fifth of a second.
+        // Waits for the stored weights of a newly assigned slice, which arrive within a fifth of a second.
         if now - self.slice_assigned_at < 0.2 {
             return;
         }
@@ -94,7 +94,7 @@
         // A director that starts during an outage knows the failed hosts from the stored tables.
         let known_hosts = if self.max_ready_hosts == 0 { self.views.len() } else { usable.len() };
         self.max_ready_hosts = self.max_ready_hosts.max(known_hosts);
-        // At most 40 %: one zone of three and a host. Beyond that the director's own network more likely failed.
+        // Suspects are withdrawn up to 40 %, a zone of three and a host. Above, the director's network likely failed.
         let few_suspects = suspects as f64 <= 0.4 * usable.len() as f64;
         // Once a second for all proxies that joined since: many that rejoin at once would fill the channel.
         let resend = self.resend_withdrawals && now - self.withdrawals_resent_at >= 1.0;
--- a/src/logic/tests/director.rs
+++ b/src/logic/tests/director.rs
@@ -7,7 +7,7 @@
 #[test_case(false, 1.1, vec![] ; "a list that is watched is not fetched at once")]
 #[test_case(false, 3.1, vec![Order::FetchHostList] ; "after a third of the allowed silence the list is fetched")]
 fn host_list_is_watched_again_or_fetched(failed: bool, now: f64, expected: Vec<Order>) {
-    let mut watch = DiscoveryWatch { following: true, asked_at: Some(0.0) };
+    let mut watch = DiscoveryWatch { watching: true, requested_at: Some(0.0) };
     let mut outbox = Outbox::default();
     if failed {
         let failure = Input::HostListUpdate { scope: ListScope::Failed, version: 0, entries: vec![] };
--- a/src/state.rs
+++ b/src/state.rs
@@ -21,7 +21,7 @@
 #[derive(Default)]
 pub(crate) struct DiscoveryWatch {
     /// The list is being watched, as far as is known.
-    pub(crate) following: bool,
+    pub(crate) watching: bool,
     /// When a watch or fetch of the list was last ordered, in seconds.
-    pub(crate) asked_at: Option<f64>,
+    pub(crate) requested_at: Option<f64>,
 }
