--- a/crates/control-plane/peer-protocol/src/status.rs
+++ b/crates/control-plane/peer-protocol/src/status.rs
@@ -21,12 +21,12 @@
     #[serde(skip_serializing_if = "is_default")]
     #[serde(rename = "leaving")]
     pub draining: bool,
-    /// [`MemberDetail::sum`] of the sender.
+    /// [`MemberDetail::checksum`] of the sender.
     #[serde(rename = "sum")]
-    pub detail_sum: u64,
-    /// The sum of the receiver's detail that the sender has; 0 for none.
+    pub detail_checksum: u64,
+    /// The checksum of the receiver's detail that the sender has; 0 if it has none.
     #[serde(rename = "seen")]
-    pub acknowledged_sum: u64,
+    pub acknowledged_checksum: u64,
     /// The sender's detail, unless the receiver has it already.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub detail: Option<MemberDetail>,
@@ -56,16 +56,16 @@
 /// Parameters of the 64-bit FNV-1a hash.
 const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
 const FNV_PRIME: u64 = 0x100_0000_01b3;
-/// What is shifted out, so that a sum is below 2^53 - 1 and every JSON reader has it exactly.
+/// Low bits shifted out of the hash: the checksum stays below 2^53, so every JSON reader reads it exactly.
 const UNUSED_BITS: u32 = 12;
 
 impl MemberDetail {
-    /// A checksum of the JSON form: FNV-1a, below 2^53 and never 0. Nodes of all versions have to come to the same number.
-    pub fn sum(&self) -> u64 {
+    /// A checksum of the JSON form: FNV-1a, below 2^53 and never 0. Nodes of all versions must compute the same number.
+    pub fn checksum(&self) -> u64 {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let add = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
         let hash = text.iter().fold(FNV_OFFSET_BASIS, add);
-        // 0 says that no detail is known.
+        // 0 is reserved for "no detail known".
         (hash >> UNUSED_BITS) | 1
     }
 }
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -64,8 +64,8 @@
         holds_lease: true,
         disk_healthy: true,
         draining: true,
-        detail_sum: 9,
-        acknowledged_sum: 8,
+        detail_checksum: 9,
+        acknowledged_checksum: 8,
         detail,
     }
 }
@@ -174,9 +174,9 @@
 }
 
 #[test]
-fn the_sum_of_a_detail_stays_the_same_number() {
-    // Members tell each other sums instead of details: two versions must come to the same one.
-    assert_eq!(detail().sum(), 1297264702309585);
+fn the_checksum_of_a_detail_stays_the_same() {
+    // Members send checksums in place of details, so all versions must compute the same checksum.
+    assert_eq!(detail().checksum(), 1297264702309585);
 }
 
 #[test]
--- a/crates/control-plane/server/src/members.rs
+++ b/crates/control-plane/server/src/members.rs
@@ -47,16 +47,16 @@
             edges,
             zone: own.zone,
         };
-        let detail_sum = detail.sum();
+        let detail_checksum = detail.checksum();
         let theirs = self.statuses.get(peer);
-        let is_known = theirs.is_some_and(|status| status.acknowledged_sum == detail_sum);
+        let is_known = theirs.is_some_and(|status| status.acknowledged_checksum == detail_checksum);
         MemberStatus {
             id: own.id,
             holds_lease: own.holds_lease,
             disk_healthy: own.disk_healthy,
             draining: own.draining,
-            detail_sum,
-            acknowledged_sum: theirs.filter(|s| s.detail.is_some()).map_or(0, |s| s.detail_sum),
+            detail_checksum,
+            acknowledged_checksum: theirs.filter(|s| s.detail.is_some()).map_or(0, |s| s.detail_checksum),
             detail: (!is_known).then_some(detail),
         }
     }
@@ -67,7 +67,7 @@
         let kept = self.statuses.entry(status.id.clone()).or_default();
         let mut new = status.clone();
         if new.detail.is_none() {
-            new.detail = kept.detail.take().filter(|_| kept.detail_sum == new.detail_sum);
+            new.detail = kept.detail.take().filter(|_| kept.detail_checksum == new.detail_checksum);
         }
         *kept = new;
         kept.detail.clone()
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -80,7 +80,7 @@
         let status = Some(MemberStatus {
             id: to.into(),
             disk_healthy: true,
-            detail_sum: 9,
+            detail_checksum: 9,
             detail,
             ..MemberStatus::default()
         });
@@ -130,7 +130,8 @@
 
     /// The update for a follower that has nothing yet: an edge, or another member.
     fn poll(&mut self, from: Option<&str>) -> Update {
-        let status = from.map(|id| MemberStatus { id: id.into(), detail_sum: 5, ..MemberStatus::default() });
+        let status =
+            from.map(|id| MemberStatus { id: id.into(), detail_checksum: 5, ..MemberStatus::default() });
         let watch = WatchRequest { edge: "e".into(), wait_ms: 1, status, ..WatchRequest::default() };
         self.step(Event::Peer { request_id: 1, request: PeerRequest::Watch(Box::new(watch)) });
         self.updates.pop().expect("a follower that has nothing is answered at once")
