--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 /// The environment variable that holds the path of the settings file.
-pub const VARIABLE: &str = "COPPERSAIL_SETTINGS";
+pub const SETTINGS_VARIABLE: &str = "COPPERSAIL_SETTINGS";
 
 table! {
     /// The settings that the programs use; others in the file are skipped.
@@ -60,13 +60,13 @@
     /// safe side: short where the system has to act, long where it has to wait.
     pub struct TimeLimits {
         /// How old the list of control-plane nodes may be by which the operator and endpoints call them.
-        peer_delay: Duration = "peerDelay", time, default_ms(3000), accept_any, apply;
+        member_list_max_age: Duration = "peerDelay", time, default_ms(3000), accept_any, apply;
         /// How long after an endpoint's end its address may be given to one of another service.
-        recycle_after: Duration = "recycleAfter", time, default_ms(1000), accept_any, apply;
+        address_reuse_delay: Duration = "recycleAfter", time, default_ms(1000), accept_any, apply;
         /// How long a machine has to have been connected and running to be asked to keep the guarantees.
-        contact_time: Duration = "inContact", time, default_ms(3000), accept_any, apply;
+        min_contact_time: Duration = "inContact", time, default_ms(3000), accept_any, apply;
         /// Within this an operator's order is acknowledged.
-        confirm: Duration = "confirm", time, default_ms(5000), accept_any, apply;
+        order_ack_timeout: Duration = "confirm", time, default_ms(5000), accept_any, apply;
         /// How long after its return a machine still counts as lost.
         sync_time: Duration = "sync_time", time, default_ms(5000), accept_any, apply;
         /// Within this of its draining an endpoint gets no more requests.
@@ -74,13 +74,13 @@
         /// The time between SIGTERM and SIGKILL.
         shutdown_grace: Duration = "leeway", time, default_ms(5000), accept_any, apply;
         /// How long after a request began it may still be closed without an answer, if no endpoint got it.
-        missing: Duration = "missing", time, default_ms(200), accept_any, apply;
+        unanswered_close_window: Duration = "missing", time, default_ms(200), accept_any, apply;
         /// Within this of its acknowledgement a configuration is in force at all edges.
-        apply: Duration = "apply", time, default_ms(2000), accept_any, apply;
+        config_apply_timeout: Duration = "apply", time, default_ms(2000), accept_any, apply;
         /// How much later than a newer configuration an older one may still be seen within one run of an edge.
-        revert: Duration = "revert", time, default_ms(200), accept_any, apply;
+        config_regression_window: Duration = "revert", time, default_ms(200), accept_any, apply;
         /// How much later a configuration may be in force at an edge while the control plane is unsettled.
-        stretch_time: Duration = "stretch_time", time, default_ms(5000), accept_any, apply;
+        extra_config_apply_time: Duration = "stretch_time", time, default_ms(5000), accept_any, apply;
         /// Further attempts in each window, as a share of the requests.
         retry_ratio: f64 = "retryRatio", non_negative, default_to(0.1), accept_any, apply;
         /// The window over which further attempts are counted.
@@ -88,26 +88,26 @@
         /// Further attempts in each window beyond the share; of all edges, so that it may be a fraction.
         extra_attempts: f64 = "extraTries", non_negative, default_to(0.0), accept_any, apply;
         /// How long after the loss and return of machines most requests may still fail.
-        heal: Duration = "heal", time, default_ms(10000), accept_any, apply;
+        recovery_time: Duration = "heal", time, default_ms(10000), accept_any, apply;
         /// The longest lease duration of a slice, by the endpoint's clock.
         max_lease_duration: Duration = "keepMax", time, default_ms(5000), accept_any, apply;
         /// What is received within this after a process was frozen, or a link cut, is not counted.
-        unfreeze: Duration = "unfreeze", time, default_ms(0), accept_any, apply;
+        post_freeze_exclusion: Duration = "unfreeze", time, default_ms(0), accept_any, apply;
     }
 }
 
 impl ProcessSettings {
-    /// Reads the file that the environment variable [`VARIABLE`] names.
+    /// Reads the file that the environment variable [`SETTINGS_VARIABLE`] names.
     ///
     /// # Errors
     /// The variable is not set, the file can't be read, or a field is not valid.
     pub fn read() -> Result<ProcessSettings, FieldError> {
-        let path = std::env::var(VARIABLE).unwrap_or_default();
+        let path = std::env::var(SETTINGS_VARIABLE).unwrap_or_default();
         if path.is_empty() {
-            return Err(FieldError::missing("the path of the settings file").within(VARIABLE));
+            return Err(FieldError::missing("the path of the settings file").within(SETTINGS_VARIABLE));
         }
         let text = std::fs::read_to_string(&path)
-            .map_err(|error| FieldError::unreadable_file(VARIABLE, &path, &error))?;
+            .map_err(|error| FieldError::unreadable_file(SETTINGS_VARIABLE, &path, &error))?;
         ProcessSettings::from_json(&text)
     }
 
--- a/crates/control-plane/config/src/lib.rs
+++ b/crates/control-plane/config/src/lib.rs
@@ -21,4 +21,4 @@
 pub use error::FieldError;
 pub use reload::reload;
 pub use sessions::SessionSettings;
-pub use time::{duration, format_duration};
+pub use time::{format_duration, parse_duration};
--- a/crates/control-plane/config/src/readers.rs
+++ b/crates/control-plane/config/src/readers.rs
@@ -1,6 +1,6 @@
 //! Readers: from a JSON value to the type of a field, or the error that says what was expected.
 use crate::error::FieldError;
-use crate::time::duration;
+use crate::time::parse_duration;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -38,7 +38,7 @@
 
 /// A duration with its unit, `"1500ms"` or `"2.5s"`.
 pub(crate) fn time(value: &Value) -> Result<Duration, FieldError> {
-    let time = value.as_str().and_then(duration);
+    let time = value.as_str().and_then(parse_duration);
     time.ok_or_else(|| FieldError::new(value, "a time such as \"1500ms\" or \"2.5s\""))
 }
 
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -60,7 +60,7 @@
         /// The least number of answers of the new version in this step.
         min_answers: u64 = "evidence", unsigned, default_to(200), accept_any;
         /// What ends the step.
-        approval: StepApproval = "pass", pass, default_to(StepApproval::Itself), accept_any;
+        approval: StepApproval = "pass", pass, default_to(StepApproval::Automatic), accept_any;
     }
 }
 
@@ -96,7 +96,7 @@
 pub enum StepApproval {
     /// Its least duration and evidence.
     #[default]
-    Itself,
+    Automatic,
     /// The operator, after these.
     Operator,
 }
@@ -131,7 +131,7 @@
 fn pass(value: &Value) -> Result<StepApproval, FieldError> {
     one_of(
         value,
-        &[("itself", StepApproval::Itself), ("operator", StepApproval::Operator)],
+        &[("itself", StepApproval::Automatic), ("operator", StepApproval::Operator)],
         "\"itself\" or \"operator\"",
     )
 }
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -50,7 +50,7 @@
         /// The domain of the route.
         domain: String = "domain", text, required(), not_blank;
         /// The path prefix of the route.
-        path_start: String = "pathStart", text, required(), not_blank;
+        path_prefix: String = "pathStart", text, required(), not_blank;
         /// Its requests carry an `Idempotency-Key` and run once.
         confirms: bool = "confirms", boolean, default_to(false), accept_any;
     }
--- a/crates/control-plane/config/src/time.rs
+++ b/crates/control-plane/config/src/time.rs
@@ -7,12 +7,12 @@
 ///
 /// ```
 /// use std::time::Duration;
-/// assert_eq!(coppersail_config::duration("1500ms"), Some(Duration::from_millis(1500)));
-/// assert_eq!(coppersail_config::duration("2.5s"), Some(Duration::from_millis(2500)));
-/// assert_eq!(coppersail_config::duration("-1s"), None);
-/// assert_eq!(coppersail_config::duration("1500"), None);
+/// assert_eq!(coppersail_config::parse_duration("1500ms"), Some(Duration::from_millis(1500)));
+/// assert_eq!(coppersail_config::parse_duration("2.5s"), Some(Duration::from_millis(2500)));
+/// assert_eq!(coppersail_config::parse_duration("-1s"), None);
+/// assert_eq!(coppersail_config::parse_duration("1500"), None);
 /// ```
-pub fn duration(text: &str) -> Option<Duration> {
+pub fn parse_duration(text: &str) -> Option<Duration> {
     let (number, units_per_second) = match text.strip_suffix("ms") {
         Some(number) => (number, MS_PER_SECOND),
         None => (text.strip_suffix('s')?, 1.0),
--- a/crates/control-plane/config/tests/parsing.rs
+++ b/crates/control-plane/config/tests/parsing.rs
@@ -163,16 +163,19 @@
 fn durations_are_exact_and_other_texts_are_rejected() {
     for ms in 0..20_000 {
         let time = Duration::from_millis(ms);
-        assert_eq!(coppersail_config::duration(&format!("{ms}ms")), Some(time));
-        assert_eq!(coppersail_config::duration(&format!("{}.{:03}s", ms / 1000, ms % 1000)), Some(time));
-        assert_eq!(coppersail_config::duration(&coppersail_config::format_duration(time)), Some(time));
+        assert_eq!(coppersail_config::parse_duration(&format!("{ms}ms")), Some(time));
+        assert_eq!(
+            coppersail_config::parse_duration(&format!("{}.{:03}s", ms / 1000, ms % 1000)),
+            Some(time)
+        );
+        assert_eq!(coppersail_config::parse_duration(&coppersail_config::format_duration(time)), Some(time));
     }
     for text in
         ["", "s", "ms", "5", "-5s", "+5s", "5 s", " 5s", "5m", "1e3s", "infs", "nans", "1.2.3s", ".s", "5S"]
     {
-        assert_eq!(coppersail_config::duration(text), None, "{text}");
+        assert_eq!(coppersail_config::parse_duration(text), None, "{text}");
     }
-    assert_eq!(coppersail_config::duration(&format!("{}s", "9".repeat(400))), None);
+    assert_eq!(coppersail_config::parse_duration(&format!("{}s", "9".repeat(400))), None);
 }
 
 const SETTINGS: &str = r#"{"permits": "pulse",
--- a/crates/control-plane/server/src/assignments.rs
+++ b/crates/control-plane/server/src/assignments.rs
@@ -68,7 +68,7 @@
     }
 
     fn publish_row(&self, term: u64, service: &str, shard: u32, owner: &str, feed: &mut ChangeFeed) {
-        let shard_count = self.leases.slices(service);
+        let shard_count = self.leases.slice_count(service);
         let number = (term << TERM_SHIFT) + self.last_row_number;
         feed.put_owner(service, shard_count, shard, owner, number);
     }
@@ -81,13 +81,13 @@
         candidates: &[Candidate],
         timeouts: &Timeouts,
     ) -> Option<Vec<KeyValue>> {
-        if self.leases.slices(service) == 0 {
+        if self.leases.slice_count(service) == 0 {
             return self.assign_initially(now, service, candidates, timeouts);
         }
         // At most half of what an endpoint has at first is transferred at a time.
         let max_transfers = initial_range_count(candidates.len()) as usize / candidates.len().max(1) / 2 + 1;
         let endpoints_known = now >= self.endpoints_known_at;
-        self.leases.plan(now, service, candidates, max_transfers, endpoints_known);
+        self.leases.plan_transfers(now, service, candidates, max_transfers, endpoints_known);
         let writes = self.leases.expire(now, service);
         (!writes.is_empty()).then_some(writes)
     }
--- a/crates/control-plane/server/src/endpoint_requests.rs
+++ b/crates/control-plane/server/src/endpoint_requests.rs
@@ -32,7 +32,7 @@
 
 impl HeartbeatRequest {
     fn slow_start_ms(&self) -> u64 {
-        let slow_start = self.slow_start.as_deref().and_then(coppersail_config::duration);
+        let slow_start = self.slow_start.as_deref().and_then(coppersail_config::parse_duration);
         slow_start.map_or(0, |duration| duration.as_millis() as u64)
     }
 }
--- a/crates/control-plane/server/src/endpoints.rs
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -21,7 +21,7 @@
     /// The number of the heartbeat, as the endpoint counts.
     pub(crate) sequence: u64,
     /// The place of the endpoint in the order of their first heartbeats.
-    listing_order: u64,
+    registration_order: u64,
     first_seen_at: Ms,
     pub(crate) capacity: f64,
 }
@@ -40,8 +40,8 @@
 
     /// The record of an endpoint, a new one if it is not known.
     pub(crate) fn entry(&mut self, now: Ms, endpoint: &str) -> &mut HeartbeatRecord {
-        let listing_order = self.records.len() as u64;
-        let new = HeartbeatRecord { listing_order, first_seen_at: now, ..HeartbeatRecord::default() };
+        let registration_order = self.records.len() as u64;
+        let new = HeartbeatRecord { registration_order, first_seen_at: now, ..HeartbeatRecord::default() };
         self.records.entry(endpoint.into()).or_insert(new)
     }
 
@@ -140,7 +140,7 @@
             let suspect = endpoint.suspect || now > record.received_at + timeouts.suspect_after();
             Some(Candidate {
                 id: endpoint.id.clone(),
-                listing_order: record.listing_order,
+                registration_order: record.registration_order,
                 capacity: record.capacity.max(1.0),
                 is_new: now < record.first_seen_at + 2 * timeouts.lease_duration,
                 draining: endpoint.state > EndpointState::Ready || suspect,
--- a/crates/control-plane/server/src/replication.rs
+++ b/crates/control-plane/server/src/replication.rs
@@ -36,7 +36,7 @@
     pub(crate) fn committed(&mut self, now: Ms, changes: &[Change]) {
         for change in changes {
             self.assignments.leases.apply(now, &change.writes);
-            for rollout in change.writes.iter().filter_map(rollouts::read) {
+            for rollout in change.writes.iter().filter_map(rollouts::state_of_entry) {
                 self.feed.put_rollout(&rollout);
             }
             let config = change.writes.iter().find(|(key, _)| key == CONFIG_KEY);
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -24,7 +24,7 @@
 }
 
 /// The state of a rollout in an entry of the replicated state, if it is one.
-pub fn read((key, value): &KeyValue) -> Option<RolloutState> {
+pub fn state_of_entry((key, value): &KeyValue) -> Option<RolloutState> {
     if !key.starts_with(ROLLOUT_KEY_PREFIX) {
         return None;
     }
@@ -140,7 +140,7 @@
         state: impl Iterator<Item = (&'a String, &'a String)>,
     ) -> Vec<RolloutState> {
         let states: Vec<RolloutState> =
-            state.filter_map(|(key, value)| read(&(key.clone(), value.clone()))).collect();
+            state.filter_map(|(key, value)| state_of_entry(&(key.clone(), value.clone()))).collect();
         self.rollouts = states.iter().map(|s| (s.name.clone(), Rollout::new(now, s.clone()))).collect();
         states
     }
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -42,7 +42,7 @@
     let mut rollouts = Rollouts::default();
     rollouts.submit(0, "p", BODY, None).unwrap();
     let changes = advance(&mut rollouts, 1, "b");
-    assert_eq!(read(&changes[0].write).unwrap().phase, Phase::Ended);
+    assert_eq!(state_of_entry(&changes[0].write).unwrap().phase, Phase::Ended);
     assert!(advance(&mut rollouts, 2, "b").is_empty());
 }
 
@@ -53,7 +53,7 @@
     let state: BTreeMap<String, String> = puts.into_iter().collect();
     first.record_reports(1, true, &[doubled(1)]);
     // It decides, and is lost before that is on both disks.
-    assert_eq!(read(&advance(&mut first, 2, "a")[0].write).unwrap().phase, Phase::Withdrawn);
+    assert_eq!(state_of_entry(&advance(&mut first, 2, "a")[0].write).unwrap().phase, Phase::Withdrawn);
     let mut second = Rollouts::default();
     // What came in between is passed on, and edges tell again what they have.
     second.record_reports(3, false, &[doubled(1)]);
@@ -62,7 +62,7 @@
     assert!(advance(&mut second, 11, "a").is_empty());
     second.record_reports(12, true, &unforwarded);
     let changes = advance(&mut second, 13, "a");
-    assert_eq!(read(&changes[0].write).map(|s| (s.phase, s.number)), Some((Phase::Withdrawn, 2)));
+    assert_eq!(state_of_entry(&changes[0].write).map(|s| (s.phase, s.number)), Some((Phase::Withdrawn, 2)));
     assert_eq!(serde_json::to_value(second.view(13, "p").unwrap()).unwrap()["phase"], "withdrawn");
 }
 
--- a/crates/control-plane/server/src/settings_file.rs
+++ b/crates/control-plane/server/src/settings_file.rs
@@ -15,7 +15,7 @@
 impl SettingsFileVersion {
     /// The version of the file that `COPPERSAIL_SETTINGS` names.
     pub(crate) fn current() -> SettingsFileVersion {
-        let path = std::env::var(coppersail_config::boot::VARIABLE).unwrap_or_default();
+        let path = std::env::var(coppersail_config::boot::SETTINGS_VARIABLE).unwrap_or_default();
         let metadata = std::fs::metadata(path)
             .and_then(|file| Ok(Metadata { modified: file.modified()?, length: file.len() }));
         SettingsFileVersion(metadata.ok())
--- a/crates/control-plane/server/src/timeouts.rs
+++ b/crates/control-plane/server/src/timeouts.rs
@@ -23,7 +23,7 @@
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         let limits = &settings.limits;
         // A failover and the heartbeats after it have to end within the time after which members count as in contact.
-        let lease = (ms(limits.contact_time) * 2 / 5).clamp(300, 3000);
+        let lease = (ms(limits.min_contact_time) * 2 / 5).clamp(300, 3000);
         let core = coppersail_consensus::Timeouts {
             lease,
             heartbeat_interval: lease / 3,
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -317,7 +317,7 @@
     assert_eq!(digest("no json"), "5ad3040044b6d872316bf4312926c3b9");
     let rows = [("row/s/t/00001", "7 i-1 h 1"), ("row/s/t/00000", "6 i-2")];
     let mut keys = LeaseTable::recover(1000, 0, rows.into_iter());
-    assert_eq!((keys.slices("s/t"), keys.all_owners()[0].owner.as_str()), (2, "i-2"));
+    assert_eq!((keys.slice_count("s/t"), keys.all_owners()[0].owner.as_str()), (2, "i-2"));
     let grant = &keys.renew(0, "s/t", "i-1", &[], 0)[0];
     assert_eq!(
         (grant.from, grant.to, grant.fencing_token, grant.handover.as_str()),
@@ -336,7 +336,7 @@
         reason: why,
         body,
     };
-    assert_eq!(rollouts::read(&put("plan/p", text)), Some(stand));
+    assert_eq!(rollouts::state_of_entry(&put("plan/p", text)), Some(stand));
 }
 
 fn open(folder: &Path) -> (DiskWriter, coppersail_control_plane::store::RecoveredState) {
--- a/crates/control-plane/shard-leases/src/candidate.rs
+++ b/crates/control-plane/shard-leases/src/candidate.rs
@@ -12,7 +12,7 @@
     /// The id of the endpoint.
     pub id: String,
     /// Its position in the order in which endpoints registered.
-    pub listing_order: u64,
+    pub registration_order: u64,
     /// Its weight relative to the other endpoints; above 0.
     pub capacity: f64,
     /// It has registered only recently: it is given the coldest slices only.
@@ -27,10 +27,10 @@
 
 impl Candidate {
     /// A healthy endpoint of capacity 1 that is not new.
-    pub fn new(id: &str, listing_order: u64) -> Candidate {
+    pub fn new(id: &str, registration_order: u64) -> Candidate {
         Candidate {
             id: id.into(),
-            listing_order,
+            registration_order,
             capacity: 1.0,
             is_new: false,
             draining: false,
@@ -102,7 +102,7 @@
     let open = candidate.accepts_slices();
     Holder {
         weight: (candidate.capacity / mean_capacity).max(MIN_WEIGHT),
-        listed_at: Some(candidate.listing_order as f64),
+        listed_at: Some(candidate.registration_order as f64),
         is_new: candidate.is_new,
         open,
         leaving: !open,
--- a/crates/control-plane/shard-leases/src/rebalance.rs
+++ b/crates/control-plane/shard-leases/src/rebalance.rs
@@ -14,7 +14,7 @@
     ///
     /// At most `max_transfers` ranges are transferred at a time, except for those whose owner is lost or draining, which can't wait.
     /// `all_reported`: every endpoint has had the time for a heartbeat to this leader, so that an unknown one is gone.
-    pub fn plan(
+    pub fn plan_transfers(
         &mut self,
         now: Ms,
         service: &str,
--- a/crates/control-plane/shard-leases/src/table.rs
+++ b/crates/control-plane/shard-leases/src/table.rs
@@ -120,7 +120,7 @@
     }
 
     /// How many slices a service has; 0 before its initial assignment.
-    pub fn slices(&self, service: &str) -> u32 {
+    pub fn slice_count(&self, service: &str) -> u32 {
         self.services.get(service).map_or(0, |table| table.leases.len() as u32)
     }
 
--- a/crates/control-plane/shard-leases/src/tests.rs
+++ b/crates/control-plane/shard-leases/src/tests.rs
@@ -27,7 +27,7 @@
     let (mut leases, mut endpoints) = assigned(2, 64);
     let before = leases.renew(0, "s", "i-0", &[], 5000);
     endpoints[0].draining = true;
-    leases.plan(5, "s", &endpoints, 4, true);
+    leases.plan_transfers(5, "s", &endpoints, 4, true);
     let left = leases.renew(10, "s", "i-0", &["i-1".into()], 5000);
     assert!(left.is_empty(), "what is to be transferred is left out once its target can be granted it");
     assert!(leases.release("s", "i-1", &[released(0, 65535, "x")]).is_empty(), "only the owner may release");
@@ -44,7 +44,7 @@
     let (mut leases, mut endpoints) = assigned(2, 64);
     leases.renew(100, "s", "i-0", &[], 5000);
     endpoints[0].suspect = true;
-    leases.plan(500, "s", &endpoints, 4, true);
+    leases.plan_transfers(500, "s", &endpoints, 4, true);
     assert!(leases.expire(100 + 1020, "s").is_empty(), "its clock may be 2% slow");
     let writes = leases.expire(100 + 1030, "s");
     assert_eq!(writes.len(), 32);
@@ -59,7 +59,7 @@
     let all = state(&leases);
     let mut next = LeaseTable::recover(1000, 1000, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
     endpoints[0].suspect = true;
-    next.plan(1000, "s", &endpoints, 4, true);
+    next.plan_transfers(1000, "s", &endpoints, 4, true);
     assert!(next.expire(2020, "s").is_empty());
     let writes = next.expire(2030, "s");
     let token = |v: &str| v.split(' ').next().unwrap().parse::<u64>().unwrap();
@@ -75,15 +75,15 @@
     let (mut leases, mut endpoints) = assigned(3, 96);
     let owned = leases.renew(0, "s", "i-0", &[], 5000);
     endpoints[0].draining = true;
-    leases.plan(0, "s", &endpoints, 96, true);
+    leases.plan_transfers(0, "s", &endpoints, 96, true);
     leases.renew(10, "s", "i-0", &["i-1".into(), "i-2".into()], 5000);
     endpoints[1].suspect = true;
-    leases.plan(20, "s", &endpoints, 96, true);
+    leases.plan_transfers(20, "s", &endpoints, 96, true);
     let ranges: Vec<_> = owned.iter().map(|g| released(g.from, g.to, "t")).collect();
     let writes = leases.release("s", "i-0", &ranges);
     leases.apply(30, &writes);
     assert!(leases.services["s"].leases.iter().all(|r| r.owner != "i-0"));
-    leases.plan(40, "s", &endpoints, 96, true);
+    leases.plan_transfers(40, "s", &endpoints, 96, true);
     let writes = leases.expire(40, "s");
     leases.apply(40, &writes);
     assert!(
@@ -115,7 +115,7 @@
                         LeaseTable::recover(1000, now, all.iter().map(|(n, v)| (n.as_str(), v.as_str())));
                 }
                 3 => {
-                    leases.plan(now, "s", &endpoints, 8, random.bool());
+                    leases.plan_transfers(now, "s", &endpoints, 8, random.bool());
                     let writes = leases.expire(now, "s");
                     leases.apply(now, &writes);
                 }
@@ -152,11 +152,11 @@
     let (mut leases, mut endpoints) = assigned(3, 96);
     leases.renew(0, "s", "i-0", &[], 5000);
     endpoints[0].draining = true;
-    leases.plan(0, "s", &endpoints, 96, true);
+    leases.plan_transfers(0, "s", &endpoints, 96, true);
     // Its target's heartbeat is not due, so it is not asked yet; then it is removed.
     assert_eq!(leases.renew(10, "s", "i-0", &[], 5000).len(), 32);
     let left = &endpoints[1..];
-    leases.plan(20, "s", left, 96, true);
+    leases.plan_transfers(20, "s", left, 96, true);
     let writes = leases.expire(2000, "s");
     assert_eq!(writes.len(), 32);
 }
@@ -164,9 +164,9 @@
 #[test]
 fn a_new_leader_waits_for_the_first_heartbeat_of_an_owner() {
     let (mut leases, endpoints) = assigned(3, 96);
-    leases.plan(0, "s", &endpoints[..1], 96, false);
+    leases.plan_transfers(0, "s", &endpoints[..1], 96, false);
     assert!(leases.expire(5000, "s").is_empty(), "an owner that has not reported yet is not gone");
-    leases.plan(0, "s", &endpoints[..1], 96, true);
+    leases.plan_transfers(0, "s", &endpoints[..1], 96, true);
     assert_eq!(leases.expire(5000, "s").len(), 64);
 }
 
@@ -174,7 +174,7 @@
 fn the_grants_of_an_answer_stay_within_the_size_that_an_endpoint_reads() {
     let (mut leases, mut endpoints) = assigned(2, 512);
     endpoints[0].suspect = true;
-    leases.plan(0, "s", &endpoints, 512, true);
+    leases.plan_transfers(0, "s", &endpoints, 512, true);
     let writes = leases.expire(5000, "s");
     leases.apply(5000, &writes);
     let text =
@@ -194,7 +194,7 @@
     leases.record_requests("s", &counts);
     for round in 0..60 {
         let now = round * 10;
-        leases.plan(now, "s", &endpoints, 16, true);
+        leases.plan_transfers(now, "s", &endpoints, 16, true);
         for host in &endpoints {
             let owned = leases.services["s"].leases.iter().enumerate();
             let moving: Vec<_> = owned.filter(|(_, r)| r.owner == host.id && r.target.is_some()).collect();
--- a/crates/control-plane/shard-leases/tests/stored_format.rs
+++ b/crates/control-plane/shard-leases/tests/stored_format.rs
@@ -15,7 +15,7 @@
     leases.apply(0, &writes);
 
     let candidates = [Candidate { draining: true, ..endpoints[0].clone() }, Candidate::new("i-2", 1)];
-    leases.plan(0, "a/b", &candidates, 2, true);
+    leases.plan_transfers(0, "a/b", &candidates, 2, true);
     leases.renew(0, "a/b", "i-1", &["i-2".into()], 0);
     let released = ReleasedRange { from: 0, to: 32767, handover: "two words".into() };
     assert_eq!(leases.release("a/b", "i-1", &[released]), [write("row/a/b/00000", "2 i-2 two words")]);
@@ -31,7 +31,7 @@
         ("config", "8 i-4 "),
     ];
     let mut leases = LeaseTable::recover(1000, 0, rows.into_iter());
-    assert_eq!(leases.slices("a/b"), 2);
+    assert_eq!(leases.slice_count("a/b"), 2);
     let grants = leases.renew(0, "a/b", "i-1", &[], 0);
     assert_eq!((grants[0].fencing_token, grants[0].handover.as_str()), (7, "two words"));
     let grants = leases.renew(0, "a/b", "i-2", &[], 0);
--- a/crates/data-plane/edge-proxy/src/server.rs
+++ b/crates/data-plane/edge-proxy/src/server.rs
@@ -115,6 +115,6 @@
 
 /// When the settings file was last written to.
 fn settings_modified() -> Option<SystemTime> {
-    let path = PathBuf::from(std::env::var_os(coppersail_config::boot::VARIABLE)?);
+    let path = PathBuf::from(std::env::var_os(coppersail_config::boot::SETTINGS_VARIABLE)?);
     std::fs::metadata(path).ok()?.modified().ok()
 }
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -122,7 +122,7 @@
     /// None: sessions do not cover the route.
     fn route_kind(&self, route: &Route) -> Option<RouteKind> {
         let is_same = |site: &&SessionRoute| {
-            site.domain.eq_ignore_ascii_case(&route.domain) && site.path_start == route.path_prefix
+            site.domain.eq_ignore_ascii_case(&route.domain) && site.path_prefix == route.path_prefix
         };
         let site = self.settings.routes.iter().find(is_same)?;
         Some(if site.confirms { RouteKind::Confirmation } else { RouteKind::Lookup })
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -255,7 +255,7 @@
 
     fn advanced(&self, plan: &RolloutPlan, elapsed: Ms) -> Option<RolloutState> {
         let may_pass = |step: &&Step| {
-            elapsed as u128 >= step.min_duration.as_millis() && step.approval == StepApproval::Itself
+            elapsed as u128 >= step.min_duration.as_millis() && step.approval == StepApproval::Automatic
         };
         plan.steps.get(self.step).filter(may_pass).map(|_| self.passed(elapsed, REASON_SOUND))
     }
--- a/crates/tools/simulator/src/world/endpoints.rs
+++ b/crates/tools/simulator/src/world/endpoints.rs
@@ -171,7 +171,7 @@
         let endpoint = &mut self.endpoints[endpoint_id];
         let (true, Some(leases)) = (endpoint.sharded, &reply.leases) else { return };
         let lease_time =
-            reply.lease_duration.as_deref().and_then(coppersail_config::duration).unwrap_or_default();
+            reply.lease_duration.as_deref().and_then(coppersail_config::parse_duration).unwrap_or_default();
         let (now, sent_at) = (endpoint.clock(self.now), endpoint.clock(sent_at));
         endpoint.keys.apply_grants(now, sent_at, lease_time, leases);
         self.statistics.grants += 1;
--- a/crates/tools/stub-backend/src/endpoint.rs
+++ b/crates/tools/stub-backend/src/endpoint.rs
@@ -228,7 +228,8 @@
         }
         self.leases.acknowledge_report();
         if let (true, Some(grants)) = (self.config.sharded, &response.leases) {
-            let lease_duration = response.lease_duration.as_deref().and_then(coppersail_config::duration);
+            let lease_duration =
+                response.lease_duration.as_deref().and_then(coppersail_config::parse_duration);
             self.leases.apply_grants(now, sent.at, lease_duration.unwrap_or_default(), grants);
         }
     }
