--- a/crates/control-plane/server/src/admin.rs
+++ b/crates/control-plane/server/src/admin.rs
@@ -1,5 +1,5 @@
-//! Requests of endpoints and operators: which part of the state handles which, and where a request goes that only the
-//! leader may answer. No I/O.
+//! Dispatch of the requests of endpoints and operators, and the redirect of those that only the leader may
+//! answer. No I/O.
 use crate::messages::{AdminRequest, Effect};
 use crate::responses::{Rejection, Reply, Response};
 use crate::state::State;
@@ -15,24 +15,24 @@
         effects: &mut Vec<Effect>,
     ) {
         match request {
-            AdminRequest::Heartbeat { endpoint_id: ident, body } => {
-                self.handle_heartbeat(now, request_id, &ident, &body, replies)
+            AdminRequest::Heartbeat { endpoint_id, body } => {
+                self.handle_heartbeat(now, request_id, &endpoint_id, &body, replies)
             }
-            AdminRequest::SignOff { endpoint_id: ident } => self.sign_off(now, request_id, &ident, replies),
+            AdminRequest::SignOff { endpoint_id } => self.sign_off(now, request_id, &endpoint_id, replies),
             AdminRequest::ReplaceConfig { body } => {
                 self.replace_config(now, request_id, body, replies, effects)
             }
             AdminRequest::ReadConfig => replies.push(Reply::Admin(request_id, self.read_config(now))),
-            AdminRequest::Rollouts { post: false, path: rest, .. } => {
-                replies.push(Reply::Admin(request_id, self.read_rollouts(now, &rest)))
+            AdminRequest::Rollouts { post: false, path, .. } => {
+                replies.push(Reply::Admin(request_id, self.read_rollouts(now, &path)))
             }
-            AdminRequest::Rollouts { post: true, path: rest, body } => {
-                self.change_rollout(now, request_id, &rest, &body, replies, effects)
+            AdminRequest::Rollouts { post: true, path, body } => {
+                self.change_rollout(now, request_id, &path, &body, replies, effects)
             }
         }
     }
 
-    /// For a request that only the leader may answer.
+    /// The response to a request that only the leader may answer: a redirect, or 503 if no leader is known.
     pub(crate) fn redirect_to_leader(&self, now: Ms, path: &str) -> Response {
         match self.known_leader(now).filter(|_| !self.is_isolated(now)) {
             Some(leader) => Response::redirect(format!("http://{leader}{path}")),
--- a/crates/control-plane/server/src/assignments.rs
+++ b/crates/control-plane/server/src/assignments.rs
@@ -1,5 +1,6 @@
-//! Assignments of shards to endpoints: the leases, when a service gets its first ones, and how followers learn of
-//! changes. Rows that followers get are numbered by the term (upper 32 bits) and a count within it.
+//! Assignments of shards to endpoints: the shard leases, the initial assignment of a service, and the
+//! publication of changes to followers. Each published row has a number: the leader's term in the upper 32
+//! bits and a counter within the term in the lower.
 use crate::feed::ChangeFeed;
 use crate::placement_gate::PlacementGate;
 use crate::store::KeyValue;
@@ -9,7 +10,7 @@
 use coppersail_shard_leases::{initial_range_count, slice_count_for, Candidate, LeaseTable, OwnerChange};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The bits of a row's number below the term.
+/// The number of bits below the term in a row's number.
 const TERM_SHIFT: u32 = 32;
 
 pub(crate) struct Assignments {
@@ -20,7 +21,7 @@
     endpoints_known_at: Ms,
     /// The number of the last row, within the term, that was published to followers.
     last_row_number: u64,
-    /// Requests by service and shard that the leader is still to be sent.
+    /// Request counts by service and shard that have not been sent to the leader yet.
     unforwarded_counts: BTreeMap<String, BTreeMap<u32, u32>>,
 }
 
@@ -35,7 +36,8 @@
         }
     }
 
-    /// A new leader begins with the replicated state, and publishes all of it under its term.
+    /// Recovers the leases of a new leader from the replicated state, and publishes all owners under its
+    /// term.
     pub(crate) fn recover<'a>(
         &mut self,
         now: Ms,
@@ -49,13 +51,13 @@
         for OwnerChange { service, slice: shard, owner } in self.leases.all_owners() {
             self.publish_row(term, &service, shard, &owner, feed);
         }
-        // By then every live endpoint has sent a heartbeat here.
+        // By then every live endpoint has sent a heartbeat to this leader.
         self.endpoints_known_at = now + timeouts.suspect_after();
         self.gates.clear();
     }
 
-    /// Publishes changes of owners. Neighbours under one number go out as one row; a shard that changes twice needs two
-    /// numbers.
+    /// Publishes changes of owners. Neighbouring shards with the same number are sent as one row; a shard
+    /// that changes twice needs two numbers.
     pub(crate) fn publish_changes(&mut self, term: u64, feed: &mut ChangeFeed) {
         let mut published = BTreeSet::new();
         for OwnerChange { service, slice: shard, owner } in self.leases.take_owner_changes() {
@@ -73,7 +75,7 @@
         feed.put_owner(service, shard_count, shard, owner, number);
     }
 
-    /// The writes by which the assignments of a service come closer to what they should be, if any are due.
+    /// Plans transfers of a service's shards and returns the writes that are due, if any.
     pub(crate) fn reconcile(
         &mut self,
         now: Ms,
@@ -84,7 +86,7 @@
         if self.leases.slice_count(service) == 0 {
             return self.assign_initially(now, service, candidates, timeouts);
         }
-        // At most half of what an endpoint has at first is transferred at a time.
+        // At most half of the ranges that an endpoint initially owns are transferred at a time.
         let max_transfers = initial_range_count(candidates.len()) as usize / candidates.len().max(1) / 2 + 1;
         let endpoints_known = now >= self.endpoints_known_at;
         self.leases.plan_transfers(now, service, candidates, max_transfers, endpoints_known);
@@ -113,7 +115,8 @@
         ))
     }
 
-    /// Request counts of edges: the leader balances by them, other members keep them for it.
+    /// Records request counts of edges. The leader rebalances by them; other members keep them for the
+    /// leader.
     pub(crate) fn record_requests(&mut self, is_leader: bool, requests: &[RequestCounts]) {
         for service in requests {
             if is_leader {
@@ -127,7 +130,7 @@
         }
     }
 
-    /// The counts that are to be sent to the leader now.
+    /// Takes the counts that have to be sent to the leader.
     pub(crate) fn take_unforwarded_counts(&mut self) -> Vec<RequestCounts> {
         let services = std::mem::take(&mut self.unforwarded_counts).into_iter();
         let counts = |(service, sums): (String, BTreeMap<u32, u32>)| RequestCounts {
--- a/crates/control-plane/server/src/due_replies.rs
+++ b/crates/control-plane/server/src/due_replies.rs
@@ -1,5 +1,5 @@
-//! Replies that are due: each pending request is checked for what it waits for, and answered once that has come or its
-//! deadline has passed.
+//! Replies that are due: each pending request is answered once its condition is met or its deadline has
+//! passed.
 use crate::pending_replies::{PendingReply, ReplyKind};
 use crate::proposals::ProposalStatus;
 use crate::responses::{
@@ -10,7 +10,7 @@
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::EndpointState;
 
-/// A follower that was silent for longer than a poll lasts and this time, in ms, is not waited for.
+/// Replies do not wait for a follower that has not polled for the length of a poll and this time, in ms.
 const FOLLOWER_TIMEOUT: Ms = 1000;
 
 enum Readiness {
@@ -20,8 +20,8 @@
 }
 
 impl State {
-    /// Publishes what has changed, answers requests that have waited for what has come, or for too long, and then the
-    /// polls of followers.
+    /// Publishes changes of assignments, answers the pending requests whose condition is met or whose
+    /// deadline has passed, and then the polls of followers that are due.
     pub(crate) fn send_due_replies(&mut self, now: Ms, replies: &mut Vec<Reply>) {
         self.pending_replies.check_due = false;
         self.publish_assignments();
@@ -40,7 +40,7 @@
         self.answer_due_polls(now, replies);
     }
 
-    /// After a commit, a failed proposal or a change of leadership.
+    /// Sends due replies after a commit, a failed proposal or a change of leadership.
     pub(crate) fn send_replies_if_check_due(&mut self, now: Ms, replies: &mut Vec<Reply>) {
         if self.pending_replies.check_due {
             self.send_due_replies(now, replies);
@@ -72,19 +72,21 @@
         pending.sequence.is_some_and(|sequence| !self.followers.have_acknowledged(now, sequence, timeout))
     }
 
-    /// Whether shards are on their way to the endpoint whose holders are to release them before the deadline.
+    /// Whether shards are being transferred to the endpoint that their owners can release before the
+    /// deadline.
     fn awaits_lease_transfer(&self, pending: &PendingReply) -> bool {
         let ReplyKind::Heartbeat { endpoint, sharded_service: Some(service) } = &pending.kind else {
             return false;
         };
         let releases_in_time =
-            |holder: &str| self.heartbeats.is_due_by(holder, pending.deadline, &self.timeouts);
+            |owner: &str| self.heartbeats.is_due_by(owner, pending.deadline, &self.timeouts);
         self.assignments.leases.has_pending_transfer(service, endpoint, releases_in_time)
     }
 
     fn final_response(&mut self, now: Ms, kind: &ReplyKind) -> Response {
         match kind {
-            // A process that was frozen since the commit must not acknowledge: there may be another leader.
+            // The process may have been suspended since the commit. It must not acknowledge then, because
+            // another leader may have been elected.
             ReplyKind::Order | ReplyKind::ConflictingOrder if !self.holds_leader_lease(now) => {
                 Response::indeterminate()
             }
@@ -110,7 +112,7 @@
         let waiting = self.pending_replies.waiting_endpoints();
         let about_to_report: Vec<String> =
             waiting.chain(self.heartbeats.due_soon(now, &self.timeouts)).cloned().collect();
-        // The shards of an endpoint that drains have to be transferred before it ends.
+        // The shards of a draining endpoint have to be transferred before it shuts down.
         let is_draining = self.feed.endpoint(endpoint).is_some_and(|e| e.state > EndpointState::Ready);
         let interval = self.timeouts.heartbeat_interval;
         let transfer_wait = if is_draining { interval / 2 } else { interval * 3 / 2 };
--- a/crates/control-plane/server/src/endpoint_requests.rs
+++ b/crates/control-plane/server/src/endpoint_requests.rs
@@ -7,7 +7,7 @@
 use coppersail_shard_leases::ReleasedRange;
 use serde::Deserialize;
 
-/// The body of a heartbeat. Endpoints of other builds may leave out what has a default.
+/// The body of a heartbeat. Endpoints of other versions may leave out the fields that have a default.
 #[derive(Deserialize)]
 struct HeartbeatRequest {
     #[serde(rename = "backend")]
@@ -25,7 +25,7 @@
     slow_start: Option<String>,
     #[serde(default, rename = "callCount")]
     sequence: u64,
-    /// First and last shard, and the state transfer to the next owner.
+    /// The released ranges of keys, each with the handover state for its next owner.
     #[serde(default)]
     released: Option<Vec<ReleasedRange>>,
 }
@@ -85,7 +85,8 @@
         Ok(heartbeat)
     }
 
-    /// False for one that was sent before another which has come already: that one said more.
+    /// Records a heartbeat. Returns false, and records nothing, if a later heartbeat has already arrived:
+    /// that one is more current.
     fn record_heartbeat(&mut self, now: Ms, endpoint: &str, heartbeat: &HeartbeatRequest) -> bool {
         let record = self.heartbeats.entry(now, endpoint);
         if heartbeat.sequence < record.sequence {
@@ -117,14 +118,16 @@
         });
     }
 
-    /// Proposes what becomes of the shards that an endpoint has released; the ticket, if that changes anything.
+    /// Proposes the transfers of the shards that an endpoint has released. Returns the ticket of the
+    /// proposal, if there is one.
     fn release_leases(&mut self, endpoint: &str, heartbeat: &HeartbeatRequest) -> Option<u64> {
         let released = heartbeat.released.as_deref().unwrap_or_default();
         let writes = self.assignments.leases.release(&heartbeat.service, endpoint, released);
         (!writes.is_empty()).then(|| self.proposals.submit(writes))
     }
 
-    /// The endpoint ends. It is acknowledged once followers know, as they send requests there until then.
+    /// Removes an endpoint that shuts down. The reply waits until followers have acknowledged the removal,
+    /// because they send requests to the endpoint until then.
     pub(crate) fn sign_off(
         &mut self,
         now: Ms,
--- a/crates/control-plane/server/src/endpoints.rs
+++ b/crates/control-plane/server/src/endpoints.rs
@@ -1,7 +1,8 @@
-//! Heartbeats of endpoints, and which endpoints are suspect for the lack of them: a failure detector by timeout.
+//! Heartbeats of endpoints, and the failure detector: an endpoint without heartbeats for a timeout is
+//! suspect.
 //!
-//! The member that an endpoint sends its heartbeats to detects its failure. If that member is gone, every other one does
-//! after twice the time, and the change feeds converge.
+//! The member that an endpoint sends its heartbeats to detects its failure. If that member has failed too,
+//! every other one does after twice the timeout, and the change feeds converge.
 use crate::feed::ChangeFeed;
 use crate::timeouts::Timeouts;
 use coppersail_consensus::{Core, Ms};
@@ -9,18 +10,19 @@
 use coppersail_shard_leases::Candidate;
 use std::collections::BTreeMap;
 
-/// An endpoint is forgotten after so long without a heartbeat, in ms.
+/// An endpoint is forgotten after this time without a heartbeat, in ms.
 const FORGET_AFTER: Ms = 60_000;
-/// A heartbeat that is due within this time, in ms, counts as one that waits for leases already.
+/// An endpoint whose heartbeat is due within this time, in ms, is treated like one whose heartbeat already
+/// waits for leases.
 const DUE_SOON: Ms = 150;
 
 /// The last heartbeat of an endpoint.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct HeartbeatRecord {
     pub(crate) received_at: Ms,
-    /// The number of the heartbeat, as the endpoint counts.
+    /// The sequence number that the endpoint gave the heartbeat.
     pub(crate) sequence: u64,
-    /// The place of the endpoint in the order of their first heartbeats.
+    /// The position of the endpoint in the order of first heartbeats.
     registration_order: u64,
     first_seen_at: Ms,
     pub(crate) capacity: f64,
@@ -38,20 +40,21 @@
         self.records.get(endpoint)
     }
 
-    /// The record of an endpoint, a new one if it is not known.
+    /// The record of an endpoint; an unknown endpoint gets a new one.
     pub(crate) fn entry(&mut self, now: Ms, endpoint: &str) -> &mut HeartbeatRecord {
         let registration_order = self.records.len() as u64;
         let new = HeartbeatRecord { registration_order, first_seen_at: now, ..HeartbeatRecord::default() };
         self.records.entry(endpoint.into()).or_insert(new)
     }
 
-    /// An isolated member would take its own lost connections for failures of endpoints, and would spread that once it
-    /// is back.
+    /// Records whether this member has quorum contact. An isolated member must not suspect endpoints: it
+    /// would take its own lost connections for failures of endpoints, and spread that once it is connected
+    /// again.
     pub(crate) fn record_quorum_contact(&mut self, now: Ms, has_contact: bool) {
         self.quorum_contact_since = has_contact.then(|| self.quorum_contact_since.unwrap_or(now));
     }
 
-    /// Endpoints that have become suspect.
+    /// Updates of the endpoints that have become suspect.
     pub(crate) fn new_suspects(
         &self,
         now: Ms,
@@ -83,7 +86,7 @@
         candidates.filter_map(suspect).collect()
     }
 
-    /// Endpoints that live members report count as if their heartbeats came here.
+    /// Treats endpoints that live members report as if their heartbeats had come to this member.
     pub(crate) fn record_reports_of_live_members(
         &mut self,
         now: Ms,
@@ -101,7 +104,7 @@
         }
     }
 
-    /// Drops the records of endpoints that were silent for long; their ids.
+    /// Drops the records of endpoints without a heartbeat for [`FORGET_AFTER`]; returns their ids.
     pub(crate) fn remove_expired(&mut self, now: Ms) -> Vec<String> {
         let expired = |record: &HeartbeatRecord| now > record.received_at + FORGET_AFTER;
         let ids: Vec<String> =
@@ -112,13 +115,13 @@
         ids
     }
 
-    /// Whether the next heartbeat of an endpoint is due by then.
+    /// Whether the next heartbeat of an endpoint is due by `deadline`.
     pub(crate) fn is_due_by(&self, endpoint: &str, deadline: Ms, timeouts: &Timeouts) -> bool {
         let record = self.records.get(endpoint);
         record.is_some_and(|r| r.received_at + timeouts.heartbeat_interval <= deadline)
     }
 
-    /// Endpoints whose heartbeat is due any moment, or late by less than an interval.
+    /// Endpoints whose heartbeat is due within [`DUE_SOON`], or late by less than an interval.
     pub(crate) fn due_soon(&self, now: Ms, timeouts: &Timeouts) -> impl Iterator<Item = &String> {
         let interval = timeouts.heartbeat_interval;
         let is_due = move |r: &HeartbeatRecord| {
@@ -127,7 +130,7 @@
         self.records.iter().filter(move |(_, record)| is_due(record)).map(|(id, _)| id)
     }
 
-    /// The endpoints of a sharded service, as placement takes them.
+    /// The endpoints of a sharded service, as candidates for its shards.
     pub(crate) fn candidates(
         &self,
         now: Ms,
@@ -152,8 +155,9 @@
         endpoints.filter_map(candidate).collect()
     }
 
-    /// Whether an endpoint has died since a request to it was lost, at `lost_at`; none while that is not known.
-    pub(crate) fn has_died_since(
+    /// Whether an endpoint has failed since a request to it was lost at `lost_at`; `None` while that is not
+    /// known.
+    pub(crate) fn has_failed_since(
         &self,
         now: Ms,
         endpoint: &str,
@@ -166,7 +170,8 @@
         if update.suspect || update.state == EndpointState::Removed {
             return Some(true);
         }
-        // One that reports to another member is known to live once it would have become suspect there.
+        // An endpoint that reports to another member is known to be alive after the time in which that member
+        // would have suspected it.
         let has_sent_heartbeat = update.reported_by == core.id
             && self.records.get(endpoint).is_some_and(|r| r.received_at > lost_at);
         let is_alive = has_sent_heartbeat || now > lost_at + 3 * timeouts.heartbeat_interval;
--- a/crates/control-plane/server/src/failure.rs
+++ b/crates/control-plane/server/src/failure.rs
@@ -1,10 +1,10 @@
-//! How the program ends when it can't do what it was started for: one line on standard error, and an exit status.
+//! Failures that end the program: one line on standard error, and an exit status.
 use std::path::PathBuf;
 use std::process::ExitCode;
 
-/// The arguments or the settings are wrong: starting it again changes nothing.
+/// The exit status for invalid arguments or settings, with which a restart would fail again.
 const USAGE_STATUS: u8 = 2;
-/// Something that may be different at the next start.
+/// The exit status for failures that may not recur at the next start.
 const RUNTIME_STATUS: u8 = 1;
 
 /// Wrong command line arguments. The texts are part of the interface.
@@ -13,7 +13,7 @@
     /// `--inspect` without its argument.
     #[error("--inspect: nothing, expected a folder")]
     MissingFolder,
-    /// `--inspect` with something that is no folder.
+    /// `--inspect` with a path that is not a folder.
     #[error("--inspect: {}, expected the data folder of a stopped centre", .0.display())]
     NotADataFolder(PathBuf),
     /// More arguments than one folder.
@@ -22,7 +22,7 @@
         /// The argument, as the parser shows it.
         found: String,
     },
-    /// An argument that the program does not have.
+    /// An unknown argument.
     #[error("word: {found}, expected none, --inspect FOLDER or --help")]
     UnknownArgument {
         /// The argument, as the parser shows it.
@@ -38,12 +38,12 @@
 }
 
 impl Failure {
-    /// Arguments or settings are wrong.
+    /// A failure because of invalid arguments or settings.
     pub(crate) fn usage(error: impl Into<eyre::Report>) -> Failure {
         Failure { status: USAGE_STATUS, report: error.into() }
     }
 
-    /// The machine or its state is at fault.
+    /// A failure because of the machine or its state.
     pub(crate) fn runtime(error: impl Into<eyre::Report>) -> Failure {
         Failure { status: RUNTIME_STATUS, report: error.into() }
     }
--- a/crates/control-plane/server/src/feed.rs
+++ b/crates/control-plane/server/src/feed.rs
@@ -1,16 +1,17 @@
-//! The change feed: endpoints, shard assignments, rollouts and the configuration, as followers are sent them. Pure.
+//! The change feed: the endpoints, shard assignments, rollouts and configuration that followers are sent. No
+//! I/O.
 //!
-//! Everything in it only goes forward (revision, number, state, count of heartbeats), so updates may be merged twice, in
-//! any order and from any member: the feeds converge. Members follow each other as edge proxies follow them, and send on
-//! what was new to them. `feed/updates.rs` makes the updates that they are sent.
+//! Each value has a version that only increases (revision, number, state, heartbeat sequence), so updates may
+//! be merged more than once, in any order and from any member, and the feeds converge. Members follow each
+//! other as edge proxies follow them, and forward what was new to them. `feed/updates.rs` builds the updates.
 use coppersail_peer_protocol::{AssignmentRow, ConfigDocument, EndpointState, EndpointUpdate, Update};
 use coppersail_rollout::{Phase, RolloutState};
 use std::collections::{BTreeMap, VecDeque};
 
 mod updates;
 
-/// How many departures of endpoints are sent ahead of older changes: as many as a deployment has in some seconds, and few
-/// enough to leave most of an update to other changes.
+/// The number of departures of endpoints that are sent ahead of older changes: as many as a deployment has in
+/// a few seconds, and few enough to leave most of an update to other changes.
 const MAX_DEPARTURES: usize = 24;
 
 /// A value and the sequence number with which it entered the feed.
@@ -31,12 +32,12 @@
 
 #[derive(Debug, Default)]
 pub(crate) struct ChangeFeed {
-    /// Differs with each start of the process: sequence numbers begin anew.
+    /// Different after each start of the process, because sequence numbers then start again.
     pub(crate) id: u64,
     pub(crate) sequence: u64,
     config: Option<Versioned<ConfigDocument>>,
     endpoints: BTreeMap<String, Versioned<EndpointUpdate>>,
-    /// The ids of the endpoints that began to drain or were removed last, the latest at the end.
+    /// The ids of the endpoints that most recently began to drain or were removed, the latest last.
     departures: VecDeque<String>,
     /// By service, the owner of each shard.
     assignments: BTreeMap<String, Vec<ShardOwner>>,
@@ -69,7 +70,8 @@
         self.rollouts.values().any(|rollout| rollout.value.phase != Phase::Ended)
     }
 
-    /// Something is new that is not kept here: followers get an update. Its sequence number.
+    /// Returns the sequence number of a change that is not kept in the feed itself, so that followers get an
+    /// update.
     pub(crate) fn advance(&mut self) -> u64 {
         self.sequence += 1;
         self.sequence
@@ -79,7 +81,8 @@
         Versioned { value, sequence: self.advance() }
     }
 
-    /// A committed configuration. An older one changes nothing. Whether it was new.
+    /// Puts a committed configuration, unless the feed has the same or a newer revision. Returns whether it
+    /// was new.
     pub(crate) fn put_config(&mut self, new: &ConfigDocument) -> bool {
         if self.config().is_some_and(|old| old.revision >= new.revision) {
             return false;
@@ -88,7 +91,8 @@
         true
     }
 
-    /// An endpoint. Its state never goes back; besides that, the later heartbeat counts. Whether anything is new.
+    /// Merges an endpoint. Its state never goes back; of the other fields the later heartbeat wins. Returns
+    /// whether followers need an update.
     pub(crate) fn put_endpoint(&mut self, new: &EndpointUpdate) -> bool {
         let merged = match self.endpoint(&new.id) {
             Some(old) => {
@@ -117,12 +121,13 @@
         self.departures.push_back(id.into());
     }
 
-    /// Removes an endpoint that ended long ago. Followers are not told.
+    /// Drops an endpoint that has been gone for long. Followers get no update.
     pub(crate) fn forget_endpoint(&mut self, id: &str) {
         self.endpoints.remove(id);
     }
 
-    /// The owner of a shard. A lower number changes nothing. Whether it was new.
+    /// Puts the owner of a shard, unless the feed has the same or a higher number for it. Returns whether it
+    /// was new.
     pub(crate) fn put_owner(
         &mut self,
         service: &str,
@@ -143,7 +148,8 @@
         true
     }
 
-    /// The committed state of a rollout. An older one changes nothing. Whether it was new.
+    /// Puts the committed state of a rollout, unless the feed has the same or a newer one. Returns whether it
+    /// was new.
     pub(crate) fn put_rollout(&mut self, new: &RolloutState) -> bool {
         if self.rollouts.get(&new.name).is_some_and(|old| old.value.number >= new.number) {
             return false;
@@ -153,7 +159,7 @@
         true
     }
 
-    /// Takes an update of another member's feed.
+    /// Merges an update of another member's feed.
     pub(crate) fn merge(&mut self, update: &Update) {
         if let Some(config) = &update.config {
             self.put_config(config);
@@ -175,8 +181,9 @@
 }
 
 fn merge_endpoint(old: &EndpointUpdate, new: &EndpointUpdate) -> EndpointUpdate {
-    // One heartbeat may come to two members, if the first redirected it to the other. All have to agree on one of them:
-    // else each would take the endpoint for its own, and the first would soon miss its heartbeats.
+    // One heartbeat may reach two members, if the first redirects it to the second. All members have to agree
+    // on one of them as the reporter: otherwise each of the two would expect the endpoint's heartbeats, and
+    // the first would soon suspect the endpoint.
     let is_same_heartbeat = new.heartbeat_sequence == old.heartbeat_sequence
         && new.reported_by != old.reported_by
         && !new.suspect;
@@ -186,7 +193,7 @@
     EndpointUpdate { state: old.state.max(new.state), ..latest.clone() }
 }
 
-/// A heartbeat alone is nothing new to followers.
+/// Whether only the heartbeat differs, of which followers need no update.
 fn differs_only_by_heartbeat(old: &EndpointUpdate, new: &EndpointUpdate) -> bool {
     let comparable = EndpointUpdate {
         heartbeat_sequence: old.heartbeat_sequence,
--- a/crates/control-plane/server/src/feed/updates.rs
+++ b/crates/control-plane/server/src/feed/updates.rs
@@ -1,33 +1,35 @@
-//! The updates that followers are sent, in parts of the length that they ask for.
+//! Builds the updates for followers, in parts of at most the length that they ask for.
 //!
-//! A part has the oldest changes that a follower lacks, so that its sequence number acknowledges all up to it and a poll that
-//! fails costs one part. Two kinds of changes do not wait for their turn: the configuration comes with the first answer to a
-//! follower that does not have it, and the last departures of endpoints come with every part until their turn is over. An
-//! edge that lacks the one serves what is no longer allowed; one that lacks the other sends requests to endpoints that end.
+//! A part has the oldest changes that a follower lacks, so that its sequence number acknowledges all changes
+//! up to it, and a failed poll costs only one part. Two kinds of changes are sent out of order: the
+//! configuration comes with the first answer to a follower that does not have it, and the latest departures
+//! of endpoints come with every part up to the one that they belong to. An edge without the new configuration
+//! serves what is no longer allowed; an edge without the departures sends requests to endpoints that shut
+//! down.
 use super::{ChangeFeed, ShardOwner, Versioned};
 use crate::followers::{AnswerOptions, FeedPosition};
 use coppersail_peer_protocol::{
     AssignmentRow, AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, Update,
 };
 
-/// What the fields of an update take beside its changes, in bytes of JSON; the addresses of members among them.
+/// The size of an update without its changes, in bytes of JSON; the addresses of members are included.
 const ENVELOPE_BYTES: usize = 1024;
-/// What an endpoint takes beside its texts.
+/// The size of an endpoint without its texts, in bytes of JSON.
 const ENDPOINT_BYTES: usize = 210;
-/// What an assignment takes beside the name of its service and its rows.
+/// The size of an assignment without the name of its service and its rows, in bytes of JSON.
 const ASSIGNMENT_BYTES: usize = 50;
-/// What a row of an assignment takes beside the id of its owner.
+/// The size of a row of an assignment without the id of its owner, in bytes of JSON.
 const ROW_BYTES: usize = 40;
 
 /// A change that a follower lacks.
 struct Change {
     sequence: u64,
-    /// What it adds to the length of the update, at most.
+    /// The most that it adds to the length of the update.
     bytes: usize,
 }
 
 impl ChangeFeed {
-    /// What is new to a follower at this position; a snapshot if it has another feed or none.
+    /// The update for a follower at this position; a snapshot if the position is in another feed or in none.
     pub(crate) fn updates_since(&self, position: FeedPosition, options: AnswerOptions) -> Update {
         let is_snapshot = position.feed_id != self.id || position.sequence > self.sequence;
         let since = if is_snapshot { 0 } else { position.sequence };
@@ -62,13 +64,13 @@
         is_new.then_some(&config.value)
     }
 
-    /// The last departures with a higher sequence number.
+    /// The latest departures with a higher sequence number.
     fn departures_after(&self, sequence: u64) -> impl Iterator<Item = &Versioned<EndpointUpdate>> {
         let endpoints = self.departures.iter().filter_map(|id| self.endpoints.get(id));
         endpoints.filter(move |endpoint| endpoint.sequence > sequence)
     }
 
-    /// A follower that begins needs no endpoint that has ended.
+    /// The endpoints that a follower needs. A snapshot leaves out the removed ones.
     fn needed_endpoints(&self, is_snapshot: bool) -> impl Iterator<Item = &Versioned<EndpointUpdate>> {
         let is_needed = move |endpoint: &&Versioned<EndpointUpdate>| {
             !is_snapshot || endpoint.value.state != EndpointState::Removed
@@ -76,7 +78,8 @@
         self.endpoints.values().filter(is_needed)
     }
 
-    /// The sequence number up to which the changes after `since` fit: at least one of them, so that each part is an advance.
+    /// The sequence number up to which the changes after `since` fit into a part. Each part has at least one
+    /// change, so that it advances the follower.
     fn end_of_part(
         &self,
         since: u64,
@@ -98,7 +101,7 @@
             }
             end = change.sequence;
         }
-        // Sequence numbers above have nothing that could be sent.
+        // All changes fit. Higher sequence numbers have nothing to send.
         self.sequence
     }
 
@@ -124,7 +127,7 @@
     }
 }
 
-/// Runs of neighbouring shards with the same owner and number.
+/// Joins runs of neighbouring shards with the same owner and number into rows.
 fn rows_where(owners: &[ShardOwner], is_due: impl Fn(u64) -> bool) -> Vec<AssignmentRow> {
     let mut rows: Vec<AssignmentRow> = Vec::new();
     for (shard, owner) in owners.iter().enumerate().filter(|(_, owner)| is_due(owner.sequence)) {
@@ -140,7 +143,8 @@
     rows
 }
 
-/// A shard that follows its neighbour of the same owner, number and time needs no row of its own.
+/// The changes of a service's owners. A shard with the owner and number of its neighbour and the next
+/// sequence number is sent in the neighbour's row, so it adds no bytes.
 fn owner_changes(owners: &[ShardOwner]) -> impl Iterator<Item = Change> + '_ {
     let mut previous: Option<&ShardOwner> = None;
     owners.iter().map(move |owner| {
--- a/crates/control-plane/server/src/followers.rs
+++ b/crates/control-plane/server/src/followers.rs
@@ -2,11 +2,11 @@
 use coppersail_consensus::{Id, Ms, RequestId};
 use std::collections::BTreeMap;
 
-/// An edge counts as a follower of this member for so long after its last poll, in ms.
+/// An edge counts as a follower of this member for this time after its last poll, in ms.
 const LIVE_FOLLOWER_AGE: Ms = 10_000;
-/// An edge counts as running for so long after some member last heard from it, in ms.
+/// An edge counts as running for this time after any member last heard from it, in ms.
 const LIVE_EDGE_AGE: Ms = 30_000;
-/// A follower is forgotten after so long without a poll, in ms.
+/// A follower is forgotten after this time without a poll, in ms.
 const FORGET_AFTER: Ms = 60_000;
 
 /// A position in the change feed of one member.
@@ -21,16 +21,16 @@
 pub(crate) struct AnswerOptions {
     /// The revision of the configuration that the follower has, if it says so.
     pub(crate) known_revision: Option<u64>,
-    /// The longest answer that it takes, in bytes; without one all comes at once.
+    /// The longest answer that it accepts, in bytes; `None` for no limit.
     pub(crate) max_bytes: Option<u64>,
 }
 
-/// An answer that a follower was given.
+/// An answer that was sent to a follower.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) struct GivenAnswer {
-    /// The follower has taken it over if it polls with this position.
+pub(crate) struct SentAnswer {
+    /// The follower has applied the answer if it polls with this position.
     pub(crate) position: FeedPosition,
-    /// The revision in force when it was given.
+    /// The revision in force when it was sent.
     pub(crate) revision: Option<u64>,
 }
 
@@ -39,7 +39,7 @@
     pub(crate) request_id: RequestId,
     /// The name of the follower.
     pub(crate) follower: String,
-    /// What the follower has; the same is sent back to it if there is nothing to send.
+    /// The position up to which the follower has the feed; it is sent back unchanged if nothing is new.
     pub(crate) position: FeedPosition,
     pub(crate) options: AnswerOptions,
     pub(crate) deadline: Ms,
@@ -51,7 +51,7 @@
     acknowledged_sequence: u64,
     last_seen: Ms,
     is_edge: bool,
-    last_answer: Option<GivenAnswer>,
+    last_answer: Option<SentAnswer>,
 }
 
 #[derive(Default)]
@@ -63,26 +63,26 @@
 }
 
 impl Followers {
-    /// A follower has polled; the position of its poll acknowledges the update before.
+    /// Records a poll of a follower; its position acknowledges the previous update.
     pub(crate) fn record_poll(&mut self, now: Ms, name: &str, acknowledged_sequence: u64, is_edge: bool) {
         let last_answer = self.by_name.get(name).and_then(|follower| follower.last_answer);
         let follower = Follower { acknowledged_sequence, last_seen: now, is_edge, last_answer };
         self.by_name.insert(name.into(), follower);
     }
 
-    /// A follower is given this answer.
-    pub(crate) fn record_answer(&mut self, name: &str, answer: GivenAnswer) {
+    /// Records an answer that is sent to a follower.
+    pub(crate) fn record_answer(&mut self, name: &str, answer: SentAnswer) {
         if let Some(follower) = self.by_name.get_mut(name) {
             follower.last_answer = Some(answer);
         }
     }
 
-    /// The last answer that a follower was given.
-    pub(crate) fn last_answer(&self, name: &str) -> Option<GivenAnswer> {
+    /// The last answer that was sent to a follower.
+    pub(crate) fn last_answer(&self, name: &str) -> Option<SentAnswer> {
         self.by_name.get(name)?.last_answer
     }
 
-    /// An edge is running, as its poll or another member says.
+    /// Records that an edge is running, as its poll or another member shows.
     pub(crate) fn record_edge(&mut self, now: Ms, name: String) {
         self.edges.insert(name, now);
     }
@@ -97,8 +97,8 @@
         self.by_name.iter().filter(|(_, f)| live(f)).map(|(name, _)| name.clone()).collect()
     }
 
-    /// Whether all followers have this sequence number. One that was silent for longer than `timeout` (ms) is not in
-    /// contact, and knows that itself.
+    /// Whether all followers have acknowledged this sequence number. A follower that has not polled for
+    /// `timeout` (ms) does not count: it has lost contact, and knows that itself.
     pub(crate) fn have_acknowledged(&self, now: Ms, sequence: u64, timeout: Ms) -> bool {
         let mut live = self.by_name.values().filter(|f| now < f.last_seen + timeout);
         live.all(|f| f.acknowledged_sequence >= sequence)
@@ -112,7 +112,7 @@
         self.long_polls.push(poll);
     }
 
-    /// Takes the polls that are due out, in the order in which they came.
+    /// Removes and returns the polls that are due, in the order of their arrival.
     pub(crate) fn take_polls(&mut self, is_due: impl Fn(&LongPoll) -> bool) -> Vec<LongPoll> {
         let (due, held) = std::mem::take(&mut self.long_polls).into_iter().partition(is_due);
         self.long_polls = held;
--- a/crates/control-plane/server/src/inspect.rs
+++ b/crates/control-plane/server/src/inspect.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::process::ExitCode;
 
-/// Prints one line a fact. Succeeds if everything that was acknowledged is there.
+/// Prints one line for each fact. Succeeds if every acknowledged batch is there.
 pub(crate) fn run(folder: &Path) -> Result<ExitCode, Failure> {
     if !folder.is_dir() {
         return Err(Failure::usage(UsageError::NotADataFolder(folder.to_path_buf())));
--- a/crates/control-plane/server/src/invariants.rs
+++ b/crates/control-plane/server/src/invariants.rs
@@ -1,15 +1,15 @@
-//! Invariants that a node checks while it runs. A violation is a fault of this program: it is counted and logged, and tests
-//! and the simulator fail on the first.
+//! Invariants that a node checks while it runs. A violation is a bug of this program: it is counted and
+//! logged, and tests and the simulator fail on the first.
 use std::fmt;
 
-/// What must hold.
+/// The invariant that is violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum Violation {
-    /// A configuration that is read back is that of the replicated state.
+    /// A configuration that operators read is that of the replicated state.
     ReadDiffersFromState { read: Option<u64>, stored: Option<u64> },
-    /// A follower that has taken over an answer has the configuration that was in force here when it was given.
+    /// A follower that has applied an answer has the configuration that was in force here when it was sent.
     FollowerLacksConfig { follower: String, known: u64, answered: u64 },
-    /// An incomplete update takes its follower further: else it would be sent for ever.
+    /// An incomplete update advances its follower: otherwise the same part would be sent forever.
     PartDoesNotAdvance { follower: String, sequence: u64 },
 }
 
@@ -45,7 +45,7 @@
         }
     }
 
-    /// How many there were since the process started.
+    /// The number of violations since the process started.
     pub(crate) fn count(&self) -> u64 {
         self.count
     }
--- a/crates/control-plane/server/src/lib.rs
+++ b/crates/control-plane/server/src/lib.rs
@@ -1,7 +1,13 @@
-//! A node of the control plane: configuration, endpoints and shard leases, on two disks before it answers.
+//! A node of the control plane: it keeps the configuration, the endpoints and the shard leases, and
+//! acknowledges a change once it is on two disks.
 //!
-//! `docs/system.md` and `docs/control.md` are the design. [`node::Node`] decides, without I/O; [`Server`] and the modules
-//! below it are the adapters: HTTP in `listener` and `resources`, other nodes in `peer_rpc`, the disk in [`store`].
+//! `docs/system.md` and `docs/control.md` describe the design. [`node::Node`] makes all decisions, without
+//! I/O; [`Server`] and the modules below it are the adapters: HTTP in `listener` and `resources`, other nodes
+//! in `peer_rpc`, the disk in [`store`].
+//!
+//! Terms: a member is one node of the control plane. A follower polls the change feed of a member; it is an
+//! edge proxy or another member. An order is an operator's request to put a configuration in force or to
+//! change a rollout.
 mod admin;
 mod assignments;
 mod due_replies;
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -1,5 +1,6 @@
-//! A member of the control plane as a pure state machine: events go in, effects come out. Threads, sockets and the disk
-//! are adapters (`lib.rs`, `peer_rpc.rs`, `store.rs`) that decide nothing; the simulator drives the same machine.
+//! A member of the control plane as a pure state machine: it takes events and returns effects. Threads,
+//! sockets and the disk are adapters (`server.rs`, `peer_rpc.rs`, `store.rs`) that make no decisions; the
+//! simulator drives the same state machine.
 pub use crate::messages::{AdminRequest, Effect, Event, PeerRequest, PeerResponse, Startup};
 use crate::peer_links::PeerLinks;
 use crate::responses::{Rejection, Reply, SHUTS_DOWN};
@@ -16,12 +17,12 @@
 const COUNT_DECAY_TICKS: u64 = 100;
 const PEER_SELECTION_TICKS: u64 = 10;
 
-/// How far a shutdown has come.
+/// The progress of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ExitPhase {
-    /// No shutdown, or the node has duties left.
+    /// Not shutting down, or still handing over its duties: leadership and its copy of the replicated state.
     Running,
-    /// The duties are over; requests that were taken are still to be answered, and no more are taken.
+    /// The duties are handed over. Accepted requests are still answered; new ones are refused.
     Finishing,
     Exited,
 }
@@ -33,13 +34,13 @@
     settings: ProcessSettings,
     ticks: u64,
     had_quorum_contact: bool,
-    /// The revision of the configuration that was last seen in force, for the log.
+    /// The last revision that was logged as in force.
     logged_revision: Option<u64>,
     exit: ExitPhase,
 }
 
 impl Node {
-    /// A node that starts at `now` (ms), and the first effects.
+    /// Starts a node at `now` (ms); returns it with its first effects.
     pub fn start(now: Ms, startup: Startup) -> (Node, Vec<Effect>) {
         let Startup { settings, recovered, feed_and_disk_incarnation: new_incarnation } = startup;
         let timeouts = Timeouts::new(&settings);
@@ -79,7 +80,8 @@
         }
     }
 
-    /// Takes one event at `now` (ms); the effects are appended in the order in which they are to be carried out.
+    /// Handles one event at `now` (ms) and appends the effects in the order in which they have to be carried
+    /// out.
     pub fn step(&mut self, now: Ms, event: Event, effects: &mut Vec<Effect>) {
         let (mut outputs, mut replies) = (Vec::new(), Vec::new());
         let is_tick = matches!(event, Event::Tick);
@@ -91,17 +93,17 @@
             Event::Admin { request_id, request } => {
                 self.state.handle_admin_request(now, request_id, request, &mut replies, effects)
             }
-            Event::Peer { request_id: caller, request: PeerRequest::Watch(request) } => {
-                self.watch(now, caller, &request, &mut replies, &mut outputs)
+            Event::Peer { request_id, request: PeerRequest::Watch(request) } => {
+                self.watch(now, request_id, &request, &mut replies, &mut outputs)
             }
-            Event::Peer { request_id: caller, request: PeerRequest::Consensus(request) } => {
-                self.state.core.handle_request(now, caller, request, &mut outputs)
+            Event::Peer { request_id, request: PeerRequest::Consensus(request) } => {
+                self.state.core.handle_request(now, request_id, request, &mut outputs)
             }
             Event::PeerResponded { operation_id, response } => {
-                self.take_response(now, operation_id, response, &mut replies, &mut outputs, effects)
+                self.handle_peer_response(now, operation_id, response, &mut replies, &mut outputs, effects)
             }
-            Event::WriteFinished { operation_id: token, ok } => {
-                self.state.core.handle_write_result(now, token, ok, &mut outputs)
+            Event::WriteFinished { operation_id, ok } => {
+                self.state.core.handle_write_result(now, operation_id, ok, &mut outputs)
             }
             Event::Shutdown => self.begin_shutdown(now, &mut replies, effects),
             Event::SettingsChanged(settings) => self.change_settings(now, *settings, &mut outputs, effects),
@@ -117,7 +119,7 @@
         }
     }
 
-    /// With the same line of the edges, it tells where a configuration is late.
+    /// Logs a new revision. Edges log the same line, so the logs show where a configuration arrives late.
     fn log_new_revision(&mut self, effects: &mut Vec<Effect>) {
         let revision = self.state.feed.revision();
         if revision == self.logged_revision {
@@ -154,7 +156,7 @@
         self.peer_links.start_due_polls(now, &mut self.state, effects);
     }
 
-    /// Once quorum contact is lost, edges are sent to other members at once.
+    /// When quorum contact is lost, answers the polls of edges at once, so that they move to other members.
     fn answer_edges_if_isolated(&mut self, now: Ms, replies: &mut Vec<Reply>) {
         let has_quorum_contact = self.state.core.has_quorum_contact(now);
         if self.had_quorum_contact && !has_quorum_contact {
@@ -163,8 +165,8 @@
         self.had_quorum_contact = has_quorum_contact;
     }
 
-    /// Whether the process may end now. Once its duties are over the node takes no more requests of endpoints and
-    /// operators, and first answers those that it has taken.
+    /// Advances the shutdown; returns whether the process may exit now. Once its duties are handed over, the
+    /// node refuses new requests of endpoints and operators, and answers the accepted ones before it exits.
     fn advance_exit(&mut self, now: Ms, replies: &mut Vec<Reply>) -> bool {
         if self.exit == ExitPhase::Running && self.state.core.may_exit(now) {
             self.exit = ExitPhase::Finishing;
@@ -186,13 +188,13 @@
         outputs: &mut Vec<Output>,
     ) {
         self.state.watch(now, request, request_id, replies, outputs);
-        // The poll acknowledges the update before it.
+        // A poll acknowledges the previous update.
         if self.state.pending_replies.any_awaits_followers() {
             self.state.send_due_replies(now, replies);
         }
     }
 
-    fn take_response(
+    fn handle_peer_response(
         &mut self,
         now: Ms,
         operation_id: OperationId,
@@ -221,12 +223,13 @@
         if !self.state.core.is_shutting_down() {
             effects.push(Effect::Log("Leaving: hands over what it holds.".into()));
             self.state.core.begin_shutdown(now);
-            // Other members learn of it by this member's status.
+            // The answers carry this member's status, by which the other members learn of the shutdown.
             self.state.answer_all_polls(now, replies);
         }
     }
 
-    /// Applies what can be applied without a restart; one line for each field, one for what needs a restart.
+    /// Applies the settings that can change without a restart. Logs a line for each changed field, also for
+    /// those that need a restart.
     fn change_settings(
         &mut self,
         now: Ms,
@@ -242,7 +245,8 @@
         self.state.core.add_members(now, self.settings.known_peers.iter(), outputs);
     }
 
-    /// Applies the outputs of the consensus core, and those that follow from them, until nothing is left to be proposed.
+    /// Applies the outputs of the consensus core and the further outputs that they cause, until no change is
+    /// left to propose.
     fn apply_outputs(&mut self, now: Ms, outputs: Vec<Output>, effects: &mut Vec<Effect>) {
         let (mut queue, mut replies): (VecDeque<Output>, Vec<Reply>) = (outputs.into(), Vec::new());
         loop {
@@ -262,17 +266,17 @@
 
     fn apply_output(&mut self, now: Ms, output: Output, effects: &mut Vec<Effect>) {
         match output {
-            Output::Send { operation_id, to, request: call, timeout } => effects.push(Effect::SendToPeer {
+            Output::Send { operation_id, to, request, timeout } => effects.push(Effect::SendToPeer {
                 operation_id,
                 peer: to,
-                request: PeerRequest::Consensus(call),
+                request: PeerRequest::Consensus(request),
                 timeout,
             }),
             Output::Respond { request_id, response } => effects
                 .push(Effect::RespondToPeer { request_id, response: PeerResponse::Consensus(response) }),
-            Output::Persist { operation_id: token, state, replace, metadata } => {
+            Output::Persist { operation_id, state, replace, metadata } => {
                 let write = WriteBatch { state, replace_state: replace, metadata };
-                effects.push(Effect::Persist { operation_id: token, write });
+                effects.push(Effect::Persist { operation_id, write });
             }
             Output::Log(line) => effects.push(Effect::Log(line)),
             Output::BecameLeader { newly_elected } => self.state.became_leader(now, newly_elected),
@@ -282,12 +286,12 @@
         }
     }
 
-    /// How many violations of its invariants it has seen; each is logged.
+    /// The number of invariant violations since the start; each is logged.
     pub fn violations(&self) -> u64 {
         self.state.violations.count()
     }
 
-    /// Whether this member leads, as far as it knows. It may have lost its lease meanwhile.
+    /// Whether this member considers itself the leader. Its leader lease may have expired meanwhile.
     pub fn is_leader(&self) -> bool {
         self.state.is_leader()
     }
--- a/crates/control-plane/server/src/peer_rpc.rs
+++ b/crates/control-plane/server/src/peer_rpc.rs
@@ -1,8 +1,8 @@
 //! Sends requests to other control-plane nodes.
 //!
-//! There is a thread with a queue and one persistent connection for each peer and kind of request, so that a long poll
-//! or a large snapshot holds up nothing else. A queue is bounded by time: a request that has waited in it for as long
-//! as its timeout fails without being sent.
+//! Each peer and kind of request has a thread with a queue and one persistent connection, so that a long poll
+//! or a large snapshot does not delay other requests. A queue is bounded by time: a request that has waited
+//! in it for its whole timeout fails without being sent.
 use crate::members::peer_address;
 use crate::node::{PeerRequest, PeerResponse};
 use coppersail_consensus::{Id, Ms, OperationId, Request};
@@ -22,10 +22,10 @@
 
 /// A request to another node.
 pub(crate) struct PeerCall {
-    pub(crate) operation: OperationId,
+    pub(crate) operation_id: OperationId,
     pub(crate) peer: Id,
     pub(crate) request: PeerRequest,
-    /// For queue and response together, in ms.
+    /// For the time in the queue and the response together, in ms.
     pub(crate) timeout: Ms,
 }
 
@@ -48,15 +48,15 @@
 }
 
 struct QueuedRequest {
-    operation: OperationId,
+    operation_id: OperationId,
     request: PeerRequest,
     timeout: Duration,
     queued_at: Instant,
 }
 
-/// The workers of all peers; each starts with the first request for it.
+/// The workers of all peers; each is started by its first request.
 pub(crate) struct PeerRpcWorkers {
-    /// On which all nodes listen for each other.
+    /// The port on which all nodes listen for each other.
     port: u16,
     queues: Mutex<BTreeMap<(Id, RequestKind), Sender<QueuedRequest>>>,
 }
@@ -66,11 +66,12 @@
         PeerRpcWorkers { port, queues: Mutex::default() }
     }
 
-    /// Queues a request. `on_response` is called once for it, here if there is no thread to send it.
+    /// Queues a request. `on_response` is called once for it: on the worker's thread, or on this one if there
+    /// is no worker.
     pub(crate) fn send(&self, call: PeerCall, on_response: &ResponseHandler) {
         let key = (call.peer, RequestKind::of(&call.request));
         let queued = QueuedRequest {
-            operation: call.operation,
+            operation_id: call.operation_id,
             request: call.request,
             timeout: Duration::from_millis(call.timeout),
             queued_at: Instant::now(),
@@ -81,9 +82,9 @@
             .or_insert_with(|| spawn_worker(peer_address(&key.0, self.port), on_response.clone()));
         if let Err(rejected) = queue.send(queued) {
             queues.remove(&key);
-            // The handler may send the next request.
+            // Releases the lock first, because the handler may send another request.
             drop(queues);
-            on_response(rejected.0.operation, None);
+            on_response(rejected.0.operation_id, None);
         }
     }
 }
@@ -96,7 +97,7 @@
     sender
 }
 
-/// A client with its persistent connection; the timeouts are the client's.
+/// A client with its persistent connection. A client's timeouts are fixed.
 struct Connection {
     timeout: Duration,
     client: PeerClient,
@@ -112,7 +113,7 @@
         while let Ok(queued) = queue.recv() {
             let is_expired = queued.queued_at.elapsed() >= queued.timeout;
             let response = if is_expired { None } else { self.send(&queued) };
-            on_response(queued.operation, response);
+            on_response(queued.operation_id, response);
         }
     }
 
@@ -130,7 +131,7 @@
         response.ok()
     }
 
-    /// The client for this timeout; another timeout costs a new connection.
+    /// The client for this timeout. A change of the timeout needs a new connection.
     fn client(&mut self, timeout: Duration) -> &PeerClient {
         let connection = self
             .connection
--- a/crates/control-plane/server/src/reconciliation.rs
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -51,10 +51,10 @@
         }
         let (core, feed, heartbeats, timeouts) = (&self.core, &self.feed, &self.heartbeats, &self.timeouts);
         let all = || feed.endpoints().cloned().collect();
-        let has_died_since = |endpoint: &str, lost_at: Ms| {
-            heartbeats.has_died_since(now, endpoint, lost_at, core, feed, timeouts)
+        let has_failed_since = |endpoint: &str, lost_at: Ms| {
+            heartbeats.has_failed_since(now, endpoint, lost_at, core, feed, timeouts)
         };
-        let endpoints = Endpoints { all: &all, has_died_since: &has_died_since };
+        let endpoints = Endpoints { all: &all, has_failed_since: &has_failed_since };
         let changes = self.rollouts.advance(now, self.config.as_ref(), &endpoints);
         let parts = changes.into_iter().map(|change| (change.write, change.log_line));
         let (writes, lines): (Vec<KeyValue>, Vec<String>) = parts.unzip();
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -35,7 +35,7 @@
 pub(crate) struct Endpoints<'a> {
     pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
     /// Whether an endpoint has died since a request to it was lost at that time; none while that is not known.
-    pub(crate) has_died_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
+    pub(crate) has_failed_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
 
 /// The next step of a rollout.
@@ -92,7 +92,7 @@
             return self.state.apply_command(elapsed, command, &error.to_string()).ok().flatten();
         }
         let capacity = fleet_capacity(&self.plan, &(endpoints.all)());
-        self.verdict = self.analysis.evaluate(now, self.state.number, capacity, endpoints.has_died_since);
+        self.verdict = self.analysis.evaluate(now, self.state.number, capacity, endpoints.has_failed_since);
         self.state.tick(&self.plan, now, self.since, &self.verdict)
     }
 
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -15,7 +15,7 @@
 }
 
 fn advance(rollouts: &mut Rollouts, now: Ms, service: &str) -> Vec<RolloutChange> {
-    let endpoints = Endpoints { all: &Vec::new, has_died_since: &|_, _| None };
+    let endpoints = Endpoints { all: &Vec::new, has_failed_since: &|_, _| None };
     rollouts.advance(now, Some(&config(service)), &endpoints)
 }
 
--- a/crates/control-plane/server/src/server.rs
+++ b/crates/control-plane/server/src/server.rs
@@ -1,7 +1,7 @@
 //! The adapter around [`Node`]: threads, sockets, the disk and the clock.
 //!
-//! An event goes to the node under its lock, with the time; the effects that come out are carried out here. Nothing is
-//! decided in this module.
+//! An event goes to the node under its lock, with the time; the effects that come out are carried out here.
+//! This module makes no decisions.
 use crate::listener::{
     self, BindError, Binding, HttpResponse, Listener, RequestHandler, Responder, SpawnError,
 };
@@ -17,7 +17,7 @@
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, OnceLock, PoisonError};
 use std::time::{Duration, Instant};
 
-/// How often the node is given the time.
+/// The interval between the ticks of the node.
 const TICK_INTERVAL: Duration = Duration::from_millis(50);
 
 const TICK_STACK_BYTES: usize = 512 * 1024;
@@ -25,10 +25,11 @@
 /// How long the last responses of a node that shuts down may take to be written.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// Integers below this are exact in every JSON reader.
+/// The limit of random incarnations: integers below it are exact in every JSON parser, also where numbers are
+/// doubles.
 const MAX_INCARNATION: u64 = 1 << 53;
 
-/// The first instant of the node's clock, in ms: 0 stands for never.
+/// The start of the node's clock, in ms. It is not 0, because a time of 0 means never.
 const CLOCK_START: Ms = 1;
 
 /// Why a node can't be started.
@@ -37,7 +38,7 @@
     /// The settings name no folder for its data.
     #[error("self.dataFolder: null, expected a folder")]
     NoDataFolder,
-    /// The settings name no address for hosts and operators.
+    /// The settings name no address for endpoints and operators.
     #[error("network.binds.admin: missing, expected an address")]
     NoAdminAddress,
     /// An address can't be listened on.
@@ -91,16 +92,18 @@
     }
 }
 
-/// A poisoned lock is never used: a thread that panics ends the process, see `main`.
+/// Locks a mutex. Poisoning can be ignored, because a panic in any thread ends the process (see `main.rs`).
 fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
 impl Server {
-    /// Recovers the node from its disk, however long that takes, and starts its threads and listeners.
+    /// Recovers the node from its disk, with retries until that succeeds, and starts its threads and
+    /// listeners.
     ///
     /// # Errors
-    /// See [`StartError`]. Threads that were started before stay: the process is to end.
+    /// See [`StartError`]. Threads that were already started keep running, so the caller has to exit the
+    /// process.
     pub fn start(settings: &ProcessSettings, log: slog::Logger) -> Result<Arc<Server>, StartError> {
         let data_folder = settings.data_folder.as_ref().ok_or(StartError::NoDataFolder)?;
         let admin_address = settings.admin_address.as_ref().ok_or(StartError::NoAdminAddress)?;
@@ -159,12 +162,13 @@
         Arc::new(move |request, responder| server.submit_request(request, responder))
     }
 
-    /// The response is written when the node answers, by the request's id.
+    /// Registers the responder under a new request id and passes the request to the node, which answers by
+    /// that id.
     fn submit_request(self: &Arc<Self>, request: ParsedRequest, responder: Responder) {
         let request_id = lock(&self.pending_requests).insert(responder) as RequestId;
         self.submit(match request {
             ParsedRequest::Admin(request) => Event::Admin { request_id, request },
-            ParsedRequest::Peer(call) => Event::Peer { request_id, request: call },
+            ParsedRequest::Peer(request) => Event::Peer { request_id, request },
         });
     }
 
@@ -176,13 +180,14 @@
         self.carry_out_all(node, effects);
     }
 
-    /// Since the start, in ms.
+    /// The time of the node's clock, in ms.
     fn now(&self) -> Ms {
         self.started.elapsed().as_millis() as Ms + CLOCK_START
     }
 
-    /// Writes are queued under the node's lock, as the disk must have them in the order in which they were decided;
-    /// everything else needs no order, and may block.
+    /// Carries out effects. Writes are queued under the node's lock, so that they reach the disk in the order
+    /// in which the node issued them. The other effects need no order and may block, so they follow after the
+    /// lock is released.
     fn carry_out_all(self: &Arc<Self>, node: MutexGuard<'_, Node>, effects: Vec<Effect>) {
         let (writes, others): (Vec<Effect>, Vec<Effect>) =
             effects.into_iter().partition(|effect| matches!(effect, Effect::Persist { .. }));
@@ -193,11 +198,11 @@
 
     fn carry_out(self: &Arc<Self>, effect: Effect) {
         match effect {
-            Effect::Persist { operation_id: token, write } => self.persist(token, write),
-            Effect::RespondToAdmin { request_id: caller, status, body } => self.respond(caller, status, body),
-            Effect::RespondToPeer { request_id: caller, response } => self.respond_to_peer(caller, &response),
-            Effect::SendToPeer { operation_id: token, peer, request: call, timeout } => {
-                let call = PeerCall { operation: token, peer, request: call, timeout };
+            Effect::Persist { operation_id, write } => self.persist(operation_id, write),
+            Effect::RespondToAdmin { request_id, status, body } => self.respond(request_id, status, body),
+            Effect::RespondToPeer { request_id, response } => self.respond_to_peer(request_id, &response),
+            Effect::SendToPeer { operation_id, peer, request, timeout } => {
+                let call = PeerCall { operation_id, peer, request, timeout };
                 self.peer_workers.send(call, &self.response_handler());
             }
             Effect::Log(line) => self.log_info(&line),
@@ -205,9 +210,9 @@
         }
     }
 
-    fn persist(self: &Arc<Self>, operation: OperationId, batch: WriteBatch) {
+    fn persist(self: &Arc<Self>, operation_id: OperationId, batch: WriteBatch) {
         let server = self.clone();
-        let on_complete = move |ok| server.submit(Event::WriteFinished { operation_id: operation, ok });
+        let on_complete = move |ok| server.submit(Event::WriteFinished { operation_id, ok });
         self.disk_writer.write(batch, Box::new(on_complete));
     }
 
@@ -229,17 +234,17 @@
     fn respond(&self, request_id: RequestId, status: u16, body: String) {
         let responder = lock(&self.pending_requests).try_remove(request_id as usize);
         if let Some(responder) = responder {
-            // A client that has gone needs no response.
+            // The client may have disconnected.
             let _ = responder.send(HttpResponse { status, body });
         }
     }
 
-    /// Logs a line that is no warning.
+    /// Logs a line at the level info.
     pub fn log_info(&self, line: &str) {
         slog::info!(self.log, "{line}");
     }
 
-    /// Takes over settings that were read again, as far as they may change in a running process.
+    /// Applies reloaded settings, as far as they can change in a running process.
     pub fn change_settings(self: &Arc<Self>, settings: ProcessSettings) {
         self.submit(Event::SettingsChanged(Box::new(settings)));
     }
@@ -249,7 +254,8 @@
         self.submit(Event::Shutdown);
     }
 
-    /// Blocks until a graceful shutdown is complete, and callers have got the responses that they are owed.
+    /// Blocks until a graceful shutdown is complete and the pending responses are written, or their timeout
+    /// has passed.
     pub fn wait_for_exit(&self) {
         self.exit.wait();
         if let Some(listener) = self.listener.get() {
--- a/crates/control-plane/server/src/state.rs
+++ b/crates/control-plane/server/src/state.rs
@@ -1,9 +1,9 @@
-//! The state of a member, composed of its parts, and the questions that several parts ask of it. Pure: what is to be done
-//! comes out as replies and as outputs of the consensus core.
+//! The state of a member, composed of its parts, and the queries that several parts share. No I/O: results
+//! are returned as replies and as outputs of the consensus core.
 //!
-//! What the state does stands in one file for each kind of input: `replication.rs` (commits and changes of leadership),
-//! `watch.rs` (followers), `admin.rs` (endpoints and operators), `reconciliation.rs` (time). `due_replies.rs` answers the
-//! requests whose reply has waited for one of them.
+//! The methods of the state are grouped in files by kind of input: `replication.rs` (commits and changes of
+//! leadership), `watch.rs` (followers), `admin.rs` (endpoints and operators), `reconciliation.rs` (periodic
+//! work). `due_replies.rs` answers the pending requests whose condition one of these inputs has met.
 use crate::assignments::Assignments;
 use crate::endpoints::Heartbeats;
 use crate::feed::ChangeFeed;
@@ -20,7 +20,7 @@
 use coppersail_peer_protocol::{MemberStatus, Update};
 
 pub(crate) struct State {
-    /// Who leads, and what is on which disk.
+    /// Leader election and replication.
     pub(crate) core: Core,
     pub(crate) timeouts: Timeouts,
     /// The port on which members listen for their peers.
@@ -68,7 +68,7 @@
         self.core.holds_leader_lease(now)
     }
 
-    /// The term in which this member leads. It may have lost its lease meanwhile.
+    /// The term in which this member leads. Its leader lease may have expired meanwhile.
     pub(crate) fn leader_term(&self) -> Option<u64> {
         self.core.leader_term()
     }
@@ -77,12 +77,12 @@
         self.leader_term().is_some()
     }
 
-    /// The member that says that it holds the leader lease, if any does.
+    /// The member that reports that it holds the leader lease, if any.
     pub(crate) fn known_leader(&self, now: Ms) -> Option<&Id> {
         self.core.known_leader(now)
     }
 
-    /// Without quorum contact: other members know better, and nothing that this one says may be relied on.
+    /// Whether this member has no quorum contact. Its knowledge may then be stale and must not be relied on.
     pub(crate) fn is_isolated(&self, now: Ms) -> bool {
         !self.core.has_quorum_contact(now)
     }
@@ -92,7 +92,8 @@
         self.members.status_for(peer, self.core.status(now), self.followers.live_edges(now))
     }
 
-    /// Takes the status of another member. `requested_at`: when the poll was sent that it answers, if it is an answer.
+    /// Handles the status of another member. `requested_at` is when the poll was sent that the status
+    /// answers; `None` if the status came with a request.
     pub(crate) fn receive_status(
         &mut self,
         now: Ms,
@@ -108,17 +109,17 @@
         }
     }
 
-    /// Takes an update of another member's change feed.
+    /// Merges an update of another member's change feed.
     pub(crate) fn merge_update(&mut self, update: &Update) {
         self.feed.merge(update);
         self.load_config();
     }
 
-    /// Parses the configuration of the change feed, if it is another than before.
+    /// Parses the configuration of the change feed, if its revision has changed.
     pub(crate) fn load_config(&mut self) {
         let revision = self.feed.revision();
-        if revision != self.config.as_ref().map(|c| c.revision) {
-            let body = self.feed.config().map(|s| s.body.clone()).unwrap_or_default();
+        if revision != self.config.as_ref().map(|config| config.revision) {
+            let body = self.feed.config().map(|config| config.body.clone()).unwrap_or_default();
             self.config = coppersail_config::config::parse(body.as_bytes()).ok();
         }
     }
--- a/crates/control-plane/server/src/store.rs
+++ b/crates/control-plane/server/src/store.rs
@@ -1,10 +1,11 @@
 //! The disk of a control-plane node.
 //!
-//! One thread writes, synced, in the order in which it was asked ([`DiskWriter`]). `fjall` verifies checksums of its
-//! journal and makes a batch atomic; the generation file beside it reveals a folder that went back to an older state.
+//! One thread ([`DiskWriter`]) writes and syncs batches in the order in which they were submitted. `fjall`
+//! verifies checksums of its journal and makes a batch atomic; the generation file beside the database
+//! reveals a folder that was reset to an older state.
 //!
-//! A folder that is corrupt or stale is emptied and counts as lost. The generation file outlives that, so that a
-//! folder which was emptied and not written since is found lost again, and never fresh.
+//! A corrupt or stale folder is cleared and counts as lost. The generation file is kept, so that a folder
+//! that was cleared and not written since counts as lost again, and never as fresh.
 mod contents;
 mod database;
 mod disk;
--- a/crates/control-plane/server/src/store/contents.rs
+++ b/crates/control-plane/server/src/store/contents.rs
@@ -11,7 +11,7 @@
     pub state: Vec<KeyValue>,
     /// `state` replaces everything that is stored of the state, as a snapshot does.
     pub replace_state: bool,
-    /// Entries that the node keeps about itself: its register as a voter, its terms, its sequence number.
+    /// Entries that the node keeps about itself: its state as a voter, its terms, its sequence number.
     pub metadata: Vec<KeyValue>,
 }
 
@@ -23,7 +23,8 @@
     Fresh,
     /// Every acknowledged batch is here.
     Intact,
-    /// It was corrupt or stale and has been emptied, now or earlier, and was not written since. Nothing of it is left.
+    /// It was corrupt or stale and has been cleared, now or at an earlier start, and was not written since.
+    /// Its data is lost.
     Lost,
 }
 
--- a/crates/control-plane/server/src/store/disk.rs
+++ b/crates/control-plane/server/src/store/disk.rs
@@ -1,4 +1,5 @@
-//! What the disk writer needs of a data folder: an interface, so that tests can stand in disks that fail or hang.
+//! The interface between the disk writer and a data folder, so that tests can substitute disks that fail or
+//! hang.
 use super::contents::{FolderCondition, RecoveredState, WriteBatch};
 use super::error::StoreError;
 use std::time::Duration;
--- a/crates/control-plane/server/src/store/error.rs
+++ b/crates/control-plane/server/src/store/error.rs
@@ -1,4 +1,4 @@
-//! Errors of the store: whether the folder's content is at fault, or only the disk for now.
+//! Errors of the store: either the folder's content is corrupt, or the disk is unavailable for now.
 use std::error::Error;
 use std::io::{self, ErrorKind};
 use std::num::ParseIntError;
@@ -7,10 +7,10 @@
 /// Why a folder can't be opened, read or written.
 #[derive(Debug, Error)]
 pub enum StoreError {
-    /// The content is not what was written: the folder counts as lost and has to be emptied.
+    /// The content is not what was written: the folder counts as lost and has to be cleared.
     #[error(transparent)]
     Corrupt(#[from] Corruption),
-    /// The disk refuses for now, which says nothing about its content: to be tried again.
+    /// The disk is unavailable for now, which says nothing about its content; the operation can be retried.
     #[error(transparent)]
     Unavailable(#[from] DiskFailure),
 }
@@ -18,25 +18,25 @@
 /// How the content of a folder differs from what was written.
 #[derive(Debug, Error)]
 pub enum Corruption {
-    /// The stored number of the last batch is no number.
+    /// The stored number of the last batch is not a number.
     #[error("{key} is {found:?}")]
     MalformedBatchNumber {
         /// The key in the database.
         key: &'static str,
         /// Its value, where an unsigned decimal was expected.
         found: String,
-        /// Why it is none.
+        /// Why it can't be parsed.
         source: ParseIntError,
     },
     /// Both keyspaces are written in every batch, but their numbers differ.
-    #[error("one part has {state} batches, the other {own}")]
+    #[error("one part has {state} batches, the other {metadata}")]
     UnequalBatchNumbers {
         /// The last batch of the keyspace of the replicated state.
         state: u64,
-        /// The last batch of the keyspace of the node itself.
-        own: u64,
+        /// The last batch of the keyspace of the node's metadata.
+        metadata: u64,
     },
-    /// The database is older than its generation file: it went back to an earlier state.
+    /// The database is older than its generation file: it was reset to an earlier state.
     #[error("it had {expected} batches, and {found} are found")]
     StaleGeneration {
         /// The last batch in the database.
@@ -52,13 +52,13 @@
     Database(fjall::Error),
 }
 
-/// Why the disk refuses.
+/// Why the disk is unavailable.
 #[derive(Debug, Error)]
 pub enum DiskFailure {
     /// An operation on a file or folder failed.
     #[error(transparent)]
     Io(#[from] io::Error),
-    /// The database met an error of the disk, or is locked by another process.
+    /// The database got a disk error, or is locked by another process.
     #[error(transparent)]
     Database(fjall::Error),
 }
@@ -70,7 +70,7 @@
 }
 
 impl From<fjall::Error> for StoreError {
-    /// What is missing or short is corrupt; an error of the disk itself says nothing about what is on it.
+    /// Missing or short files mean corruption; an error of the disk itself says nothing about its content.
     fn from(error: fjall::Error) -> StoreError {
         use ErrorKind::*;
         let io_kind = io_error_kind(&error);
--- a/crates/control-plane/server/src/store/folder.rs
+++ b/crates/control-plane/server/src/store/folder.rs
@@ -1,40 +1,41 @@
-//! The data folder as a directory: its names made durable, its files removed or copied.
+//! The data folder as a directory: syncing its entries, removing and copying its files.
 use std::fs::{self, DirEntry, File};
 use std::io;
 use std::path::{Path, PathBuf};
 use std::time::{Duration, Instant, SystemTime};
 
-/// For so long after a directory's modification time was seen to move, it may change again and show the same time:
-/// clocks of file systems move by up to 10 ms at once.
+/// For this long after a directory's modification time was seen to change, another change may leave the same
+/// time: the clocks of file systems advance in steps of up to 10 ms.
 const MODIFICATION_TIME_GRANULARITY: Duration = Duration::from_millis(20);
 
-/// A directory, and what is known of the last change of its names.
+/// A directory, and the last observed change of its entries.
 #[derive(Debug)]
 struct TrackedDirectory {
     path: PathBuf,
     modified: Option<SystemTime>,
-    /// When `modified` was seen to move.
+    /// When `modified` was seen to change.
     seen: Instant,
 }
 
-/// Syncs the directories of a data folder after their names have changed.
+/// Syncs the directories of a data folder after their entries have changed.
 ///
-/// fjall syncs the directory of each file that it creates, but not the one in which it creates a keyspace's directory,
-/// nor after it removes a file. It creates no directory after it is open, so that the list is made once.
+/// fjall syncs the directory of each file that it creates, but not the directory in which it creates a
+/// keyspace's directory, nor one from which it removes a file. It creates no directories after it is open, so
+/// the list is built once.
 #[derive(Debug)]
 pub(super) struct DirectorySync {
     directories: Vec<TrackedDirectory>,
 }
 
 impl DirectorySync {
-    /// All directories below `folder`, and itself; none is synced yet.
+    /// Tracks `folder` and all directories below it; none counts as synced yet.
     pub(super) fn new(folder: &Path) -> io::Result<DirectorySync> {
         let mut directories = Vec::new();
         track_directories(folder, &mut directories)?;
         Ok(DirectorySync { directories })
     }
 
-    /// Syncs each directory whose names may have changed since the last call.
+    /// Syncs each directory whose entries may have changed since the last call.
     pub(super) fn sync_changed(&mut self) -> io::Result<()> {
         for directory in &mut self.directories {
             let modified = fs::metadata(&directory.path)?.modified().ok();
@@ -50,7 +51,8 @@
     }
 }
 
-/// Children come before their parent: a parent that is synced first could name a child that is not durable.
+/// Children come before their parent: a parent that is synced first could have an entry for a child that is
+/// not durable.
 fn track_directories(folder: &Path, found: &mut Vec<TrackedDirectory>) -> io::Result<()> {
     for entry in fs::read_dir(folder)? {
         let entry = entry?;
@@ -62,12 +64,12 @@
     Ok(())
 }
 
-/// Makes the names in a directory durable.
+/// Makes the entries of a directory durable.
 pub(super) fn sync_directory(folder: &Path) -> io::Result<()> {
     File::open(folder)?.sync_all()
 }
 
-/// Whether nothing is there, or only this file. An entry that can't be read counts as another one.
+/// Whether the folder is empty or has only this file. An entry that can't be read counts as another file.
 pub(super) fn contains_at_most(folder: &Path, file_name: &str) -> io::Result<bool> {
     let is_other = |entry: io::Result<DirEntry>| entry.map_or(true, |e| e.file_name() != file_name);
     Ok(!fs::read_dir(folder)?.any(is_other))
--- a/crates/control-plane/server/src/store/generation.rs
+++ b/crates/control-plane/server/src/store/generation.rs
@@ -1,10 +1,10 @@
 //! The generation file beside the database: the number of the last batch that was written.
 //!
-//! A database that opens but has fewer batches is stale: it went back to an older state, for whatever reason (a
-//! restored backup, a lost write). The file has a fixed size and four slots, each a number with its checksum, far
-//! enough apart that a torn write spoils one only. Two are written alternately and synced; two alternately without a
-//! sync: these cost nothing, and are newer than the others after a crash of the process, and sometimes after a loss of
-//! power.
+//! A database that opens but has fewer batches is stale: it was reset to an older state, for example by a
+//! restored backup or a lost write. The file has a fixed size and four slots, each with a number and its
+//! checksum, far enough apart that a torn write damages only one. Two slots are written alternately and
+//! synced, the other two alternately without a sync. Unsynced writes are cheap, and their numbers are newer
+//! than the synced ones after a crash of the process, and sometimes after a power loss.
 use super::folder::sync_directory;
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -13,12 +13,12 @@
 /// The name of the file in the data folder.
 pub const FILE_NAME: &str = "mark";
 
-/// The distance of two slots, in bytes: the largest unit that a disk writes at once.
+/// The distance between slots, in bytes: the largest unit that a disk writes at once.
 const SLOT_DISTANCE: usize = 4096;
 const SLOT_COUNT: usize = 4;
 const FILE_LENGTH: usize = SLOT_COUNT * SLOT_DISTANCE;
 
-/// A number of eight bytes, the lowest first, and its CRC-32 likewise.
+/// A slot is a number of eight bytes and its CRC-32, both little-endian.
 const NUMBER_LENGTH: usize = 8;
 const SLOT_LENGTH: usize = NUMBER_LENGTH + 4;
 
@@ -80,17 +80,18 @@
 /// Reads the generation of the folder: the highest number of any valid slot.
 ///
 /// # Errors
-/// The disk's error; a missing file is none.
+/// An I/O error; a missing file is not an error.
 pub fn read(folder: &Path) -> io::Result<Generation> {
     let Some(bytes) = read_bytes(folder)? else { return Ok(Generation::Absent) };
     let newest = (0..SLOT_COUNT).filter_map(|index| decode_slot(&bytes, index)).max();
     Ok(newest.map_or(Generation::Corrupt, Generation::Number))
 }
 
-/// Writes the file anew with this number; the file and its name are durable when it returns.
+/// Creates or overwrites the file with this number; the file and its directory entry are durable when this
+/// returns.
 ///
 /// # Errors
-/// The disk's error.
+/// An I/O error.
 pub fn create(folder: &Path, number: u64) -> io::Result<()> {
     let mut bytes = vec![0; FILE_LENGTH];
     bytes[..SLOT_LENGTH].copy_from_slice(&encode_slot(number));
@@ -102,10 +103,10 @@
 }
 
 impl GenerationFile {
-    /// Opens the file of a folder, which must exist.
+    /// Opens the generation file of a folder; the file must exist.
     ///
     /// # Errors
-    /// The disk's error.
+    /// An I/O error.
     pub fn open(folder: &Path) -> io::Result<GenerationFile> {
         let bytes = read_bytes(folder)?.unwrap_or_default();
         Ok(GenerationFile {
@@ -118,12 +119,12 @@
     /// Writes the number over the older slot of its kind; with `synced`, it is durable when this returns.
     ///
     /// # Errors
-    /// The disk's error.
+    /// An I/O error.
     pub fn write(&mut self, number: u64, synced: bool) -> io::Result<()> {
         let next = if synced { &mut self.next_synced } else { &mut self.next_unsynced };
         self.file.seek(SeekFrom::Start((*next * SLOT_DISTANCE) as u64))?;
         self.file.write_all(&encode_slot(number))?;
-        // The other slot of the pair: the first of each has an even index.
+        // Selects the other slot of the pair; the first slot of each pair has an even index.
         *next ^= 1;
         if synced {
             self.file.sync_data()?;
--- a/crates/control-plane/server/src/store/recovery.rs
+++ b/crates/control-plane/server/src/store/recovery.rs
@@ -1,4 +1,5 @@
-//! Opening a data folder: its condition, and what is done with one that is corrupt or refuses.
+//! Opening a data folder: finds its condition, clears a corrupt one, and retries while the disk is
+//! unavailable.
 use super::contents::{FolderCondition, RecoveredState};
 use super::database::{Keyspaces, OpenDatabase, FIRST_BATCH_NUMBER};
 use super::disk::{DataFolder, Disk};
@@ -9,10 +10,10 @@
 use std::path::{Path, PathBuf};
 use std::sync::atomic::{AtomicU64, Ordering};
 
-/// One log line for so many attempts: every ten seconds at most.
+/// One log line for this many attempts, which is at most one in ten seconds.
 const ATTEMPTS_PER_LOG_LINE: u64 = 50;
 
-/// A folder of the file system.
+/// A data folder on the file system.
 pub(super) struct FileSystemFolder {
     path: PathBuf,
 }
@@ -48,7 +49,7 @@
         Ok(Box::new(database))
     }
 
-    /// The generation file stays, or is created: it keeps saying that something was here.
+    /// Keeps the generation file, or creates it: it records that the folder was written before.
     fn clear(&mut self) -> Result<(), StoreError> {
         if !matches!(generation::read(&self.path)?, Generation::Number(_)) {
             generation::create(&self.path, FIRST_BATCH_NUMBER)?;
@@ -57,8 +58,8 @@
     }
 }
 
-/// The generation of the folder. A folder without a database gets its generation file before all else, so that
-/// whatever is found beside it later was written under it.
+/// The generation of the folder. In a folder without a database the generation file is created before
+/// anything else, so that any database found there later was written after it.
 fn initial_generation(path: &Path) -> Result<Generation, StoreError> {
     let has_no_database = folder::contains_at_most(path, generation::FILE_NAME)?;
     let generation = generation::read(path)?;
@@ -69,7 +70,8 @@
     Ok(Generation::Number(0))
 }
 
-/// Whether the database was written before there were generations and batch numbers; else an error if it is corrupt.
+/// Whether the database is of an older version, without generations and batch numbers. An error if it is
+/// corrupt.
 fn must_be_adopted(generation: Generation, batch_number: u64, is_empty: bool) -> Result<bool, Corruption> {
     let unnumbered = batch_number == 0 && !is_empty;
     let cleared = batch_number == 0 && is_empty;
@@ -91,7 +93,7 @@
     }
 }
 
-/// Opens the folder, however long that takes; empties it if it is corrupt.
+/// Opens the folder, with retries until that succeeds; clears it if it is corrupt.
 pub(super) fn open_with_retries(
     folder: &mut impl DataFolder,
     log_warning: impl Fn(&str),
@@ -101,37 +103,40 @@
         match open_and_read(folder) {
             Ok((disk, recovered)) => {
                 if recovered.condition == FolderCondition::Lost && !retries.cleared {
-                    (retries.log_warning)("The folder had been written, and nothing of that is left.");
+                    (retries.log_warning)("The data folder was written before, but its data is lost.");
                 }
                 return (disk, recovered);
             }
             Err(StoreError::Unavailable(failure)) => {
-                retries.back_off(folder, &format!("The folder can't be opened: {failure}."));
+                retries.back_off(folder, &format!("The data folder can't be opened: {failure}."));
             }
             Err(StoreError::Corrupt(corruption)) => retries.clear(folder, &corruption),
         }
     }
 }
 
-/// The attempts to open one folder.
+/// The state of the attempts to open one folder.
 struct Retries<L> {
     /// Attempts that ended with a backoff.
     attempts: u64,
-    /// The folder was corrupt and has been emptied.
+    /// The folder was corrupt and has been cleared.
     cleared: bool,
     log_warning: L,
 }
 
 impl<L: Fn(&str)> Retries<L> {
-    /// Empties a corrupt folder, however long that takes. After the first time it is to be opened at once.
+    /// Clears a corrupt folder, with retries until that succeeds. After the first time, the next attempt to
+    /// open it follows without a delay.
     fn clear(&mut self, folder: &mut impl DataFolder, corruption: &Corruption) {
         while let Err(error) = folder.clear() {
             self.back_off(
                 folder,
-                &format!("The folder is torn ({corruption}), and can't be emptied: {error}."),
+                &format!(
+                    "The data folder is corrupt (torn or stale: {corruption}) and can't be cleared: {error}."
+                ),
             );
         }
-        let line = format!("The folder is torn, and emptied: {corruption}.");
+        let line = format!("The data folder was corrupt (torn or stale) and is cleared: {corruption}.");
         let is_first = !std::mem::replace(&mut self.cleared, true);
         if is_first {
             (self.log_warning)(&line);
@@ -140,7 +145,7 @@
         }
     }
 
-    /// Waits before the next attempt; logs why, for the first of so many attempts.
+    /// Waits before the next attempt; logs the reason once in [`ATTEMPTS_PER_LOG_LINE`] attempts.
     fn back_off(&mut self, folder: &mut impl DataFolder, reason: &str) {
         if self.attempts.is_multiple_of(ATTEMPTS_PER_LOG_LINE) {
             (self.log_warning)(reason);
@@ -156,8 +161,8 @@
     Ok((disk, recovered))
 }
 
-/// Reads what the folder of a stopped node holds, and changes nothing in it: opening writes, so that a copy in the
-/// temporary folder is opened.
+/// Reads the content of a stopped node's folder without changing it. Opening a database writes to it, so a
+/// copy in the temporary folder is opened.
 ///
 /// # Errors
 /// [`StoreError::Corrupt`] if the content is not what was written; [`StoreError::Unavailable`] if the folder can't be
--- a/crates/control-plane/server/src/store/writer.rs
+++ b/crates/control-plane/server/src/store/writer.rs
@@ -24,7 +24,7 @@
 }
 
 impl DiskWriter {
-    /// Opens the folder, however long that takes: a full or hanging disk must not end the process.
+    /// Opens the folder, with retries until that succeeds: a full or hanging disk must not end the process.
     ///
     /// # Errors
     /// The thread can't be started.
@@ -58,19 +58,20 @@
 }
 
 impl Drop for DiskWriter {
-    /// Writes what was queued, and releases the folder.
+    /// Waits until all queued batches are written and the folder is closed.
     fn drop(&mut self) {
         self.requests = None;
-        // A completion may own the last reference to the writer: the thread can't wait for itself.
+        // A completion may own the last reference to the writer. It is then dropped on the writer's thread,
+        // which can't join itself.
         let is_other = |thread: &JoinHandle<()>| thread.thread().id() != std::thread::current().id();
         let _ = self.thread.take().filter(is_other).map(JoinHandle::join);
     }
 }
 
-/// What the writer's thread owns.
+/// The state of the writer's thread.
 struct Worker<F> {
     folder: F,
-    /// `None` after an error: fjall refuses all further writes of an open database then.
+    /// `None` after an error, because fjall then refuses all further writes to the open database.
     disk: Option<Box<dyn Disk>>,
     /// This process has read or written data in the folder.
     has_data: bool,
@@ -97,8 +98,9 @@
         written
     }
 
-    /// A folder that is corrupt or lost now is left for the next start to empty: this process still has in memory what
-    /// was there, and would write on where the rest of it is gone.
+    /// Opens the folder again after an error. A folder that has become corrupt or lost is not used, and the
+    /// next start clears it: this process has the former data only in memory, and must not continue to write
+    /// where it is missing on disk.
     fn reopen(&mut self) -> Option<Box<dyn Disk>> {
         let disk = self.folder.open().ok()?;
         let is_usable = !self.has_data || disk.condition() == FolderCondition::Intact;
--- a/crates/control-plane/server/src/watch.rs
+++ b/crates/control-plane/server/src/watch.rs
@@ -1,5 +1,6 @@
-//! Followers of the change feed: edge proxies and other members poll, and are answered at once or later.
-use crate::followers::{AnswerOptions, FeedPosition, GivenAnswer, LongPoll};
+//! Polls of the change feed by its followers, edge proxies and other members. They are answered at once, or
+//! held as long polls.
+use crate::followers::{AnswerOptions, FeedPosition, LongPoll, SentAnswer};
 use crate::invariants::Violation;
 use crate::members;
 use crate::responses::Reply;
@@ -35,18 +36,19 @@
             member: request.status.as_ref().map(|status| status.id.clone()),
         };
         let is_current = is_this_feed && request.sequence == self.feed.sequence;
-        if is_current && !self.must_send_elsewhere(now, &poll) {
+        if is_current && !self.must_change_member(now, &poll) {
             self.followers.hold(poll);
         } else {
             replies.push(self.poll_reply(now, &poll));
         }
     }
 
-    /// A follower that took over the last answer has the configuration that was in force then.
+    /// Checks the invariant that a follower which has applied the last answer has the configuration that was
+    /// then in force.
     fn check_known_revision(&mut self, follower: &str, position: FeedPosition, known: Option<u64>) {
         let Some(known) = known else { return };
-        let taken_over = self.followers.last_answer(follower).filter(|answer| answer.position == position);
-        let Some(answered) = taken_over.and_then(|answer| answer.revision) else { return };
+        let applied = self.followers.last_answer(follower).filter(|answer| answer.position == position);
+        let Some(answered) = applied.and_then(|answer| answer.revision) else { return };
         self.violations.check(known >= answered, || Violation::FollowerLacksConfig {
             follower: follower.into(),
             known,
@@ -54,7 +56,8 @@
         });
     }
 
-    /// Request counts and evidence about rollouts; the leader uses them, other members send them on to it.
+    /// Records request counts and evidence about rollouts. The leader uses them; other members forward them
+    /// to it.
     fn receive_measurements(&mut self, now: Ms, request: &WatchRequest) {
         let is_leader = self.is_leader();
         self.assignments.record_requests(is_leader, &request.request_counts);
@@ -83,13 +86,14 @@
         }
     }
 
-    /// An edge must not follow an isolated member.
-    fn must_send_elsewhere(&self, now: Ms, poll: &LongPoll) -> bool {
+    /// Whether the poll is of an edge while this member is isolated: the edge must then follow another
+    /// member.
+    fn must_change_member(&self, now: Ms, poll: &LongPoll) -> bool {
         poll.member.is_none() && self.is_isolated(now)
     }
 
     fn poll_reply(&mut self, now: Ms, poll: &LongPoll) -> Reply {
-        let update = if self.must_send_elsewhere(now, poll) {
+        let update = if self.must_change_member(now, poll) {
             self.isolated_update(now, poll.position)
         } else {
             self.update_for(now, poll)
@@ -106,12 +110,12 @@
             follower: poll.follower.clone(),
             sequence: position.sequence,
         });
-        // An isolated node's answer is not taken over.
+        // Followers do not apply the answer of an isolated node.
         let revision = self.feed.revision().filter(|_| !update.isolated);
-        self.followers.record_answer(&poll.follower, GivenAnswer { position, revision });
+        self.followers.record_answer(&poll.follower, SentAnswer { position, revision });
     }
 
-    /// Where the other members are, and nothing else; the edge keeps what it has.
+    /// An update with nothing but the addresses of the members; the edge keeps its state.
     fn isolated_update(&self, now: Ms, position: FeedPosition) -> Update {
         Update {
             feed_id: position.feed_id,
@@ -125,7 +129,7 @@
 
     fn update_for(&self, now: Ms, poll: &LongPoll) -> Update {
         let mut update = self.feed.updates_since(poll.position, poll.options);
-        // It says that all rollouts have been sent.
+        // The field says that all rollouts have been sent, so an incomplete update leaves it out.
         if self.feed.has_active_rollout() && !update.incomplete {
             let term = self.leader_term().filter(|_| self.holds_leader_lease(now));
             update.rollouts_as_of = self.rollouts.as_of(now, term);
--- a/crates/control-plane/server/tests/disk_writer.rs
+++ b/crates/control-plane/server/tests/disk_writer.rs
@@ -104,7 +104,7 @@
     disk.script().open_results = (0..120).map(|_| full()).collect();
     let (writer, found, lines) = start(&disk);
     assert_eq!((found.batch_number, disk.take_calls().len()), (9, 121), "opened once it is available");
-    assert_eq!(lines, vec!["The folder can't be opened: no space."; 3], "one for fifty attempts");
+    assert_eq!(lines, vec!["The data folder can't be opened: no space."; 3], "one for fifty attempts");
     assert!(write(&writer, state(vec![put("a", 1)])));
 }
 
@@ -129,8 +129,10 @@
     let (_writer, _, lines) = start(&disk);
     assert_eq!(disk.take_calls(), ["open", "clear", "clear", "clear", "open"]);
     let not_cleared =
-        "The folder is torn (it had 4 batches, and 3 are found), and can't be emptied: no space.";
-    assert_eq!(lines, [not_cleared, "The folder is torn, and emptied: it had 4 batches, and 3 are found."]);
+        "The data folder is corrupt (torn or stale: it had 4 batches, and 3 are found) and can't be cleared: no space.";
+    let cleared =
+        "The data folder was corrupt (torn or stale) and is cleared: it had 4 batches, and 3 are found.";
+    assert_eq!(lines, [not_cleared, cleared]);
 }
 
 #[test]
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -165,9 +165,9 @@
     fs::copy(temp.0.join(generation::FILE_NAME), older.0.join(generation::FILE_NAME)).unwrap();
     let (writer, found, lines) = open(&older.0);
     assert_eq!((found.condition, found.state.len(), found.metadata.len()), (FolderCondition::Lost, 0, 0));
-    assert!(lines.len() == 1 && lines[0].contains("emptied"), "{lines:?}");
+    assert!(lines.len() == 1 && lines[0].contains("is cleared"), "{lines:?}");
     drop(writer);
-    assert_eq!(condition_and_lines(&older.0), (FolderCondition::Lost, 1), "not fresh after it was emptied");
+    assert_eq!(condition_and_lines(&older.0), (FolderCondition::Lost, 1), "not fresh after it was cleared");
     let (writer, ..) = open(&older.0);
     assert!(write(&writer, own("seat", "a")));
     drop(writer);
