--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -24,7 +24,7 @@
 }
 
 /// The state of a rollout in an entry of the replicated state, if it is one.
-pub fn read((key, value): &KeyValue) -> Option<RolloutState> {
+pub fn state_of_entry((key, value): &KeyValue) -> Option<RolloutState> {
     if !key.starts_with(ROLLOUT_KEY_PREFIX) {
         return None;
     }
@@ -35,7 +35,7 @@
 pub(crate) struct Endpoints<'a> {
     pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
     /// Whether an endpoint has died since a request to it was lost at that time; none while that is not known.
-    pub(crate) has_died_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
+    pub(crate) has_failed_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
 
 /// The next step of a rollout.
@@ -92,7 +92,7 @@
             return self.state.apply_command(elapsed, command, &error.to_string()).ok().flatten();
         }
         let capacity = fleet_capacity(&self.plan, &(endpoints.all)());
-        self.verdict = self.analysis.evaluate(now, self.state.number, capacity, endpoints.has_died_since);
+        self.verdict = self.analysis.evaluate(now, self.state.number, capacity, endpoints.has_failed_since);
         self.state.tick(&self.plan, now, self.since, &self.verdict)
     }
 
@@ -140,7 +140,7 @@
         state: impl Iterator<Item = (&'a String, &'a String)>,
     ) -> Vec<RolloutState> {
         let states: Vec<RolloutState> =
-            state.filter_map(|(key, value)| read(&(key.clone(), value.clone()))).collect();
+            state.filter_map(|(key, value)| state_of_entry(&(key.clone(), value.clone()))).collect();
         self.rollouts = states.iter().map(|s| (s.name.clone(), Rollout::new(now, s.clone()))).collect();
         states
     }
