--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -79,7 +79,7 @@
         let requirements = ConnectionRequirements {
             idempotent: self.request.route.idempotent,
             connection_limit: self.request.connection_limit,
-            connect_timeout: timeouts::connect_timeout(target, self.request.left(self.edge.now())),
+            connect_timeout: timeouts::connect_timeout(target, self.request.time_left(self.edge.now())),
             used_connections: self.used_connections,
         };
         let lease = Lease::check_out(&self.edge.pool, self.endpoint, address, requirements).await;
@@ -136,7 +136,7 @@
         *request.method_mut() = self.request.method.clone();
         *request.uri_mut() = self.request.uri.clone();
         *request.headers_mut() = self.request.headers.clone();
-        request.headers_mut().insert(TIME_LEFT, HeaderValue::from(self.request.left(now)));
+        request.headers_mut().insert(TIME_LEFT, HeaderValue::from(self.request.time_left(now)));
         request.headers_mut().insert(WANTED_SERVER, wanted_server);
         request
     }
--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -72,7 +72,7 @@
         if let Some(slice) = request.key.and_then(|key| edge.registry.borrow().slice(request.service, key)) {
             edge.request_counter.count(request.service, slice);
         }
-        let owner_wait = timeouts::owner_wait(request.route.latency_target, request.left(now));
+        let owner_wait = timeouts::owner_wait(request.route.latency_target, request.time_left(now));
         AttemptLoop {
             edge,
             body,
@@ -117,7 +117,7 @@
 
     /// Whether time and attempts are left, also until the end of the process.
     fn may_attempt(&self, now: Ms) -> bool {
-        self.request.left(now) > 0
+        self.request.time_left(now) > 0
             && self.ends_before_process()
             && self.history.delivered < self.request.route.max_attempts.max(1)
             && self.history.unsent < MAX_UNSENT_ATTEMPTS
@@ -191,8 +191,8 @@
             endpoint,
             server_error: failed,
             latency: sample.sent_at.elapsed().as_millis() as Ms,
-            target_time: route.latency_target.map_or(Ms::MAX, |target| target.as_millis() as Ms),
-            excluded: sample.is_latency_excluded,
+            latency_target: route.latency_target.map_or(Ms::MAX, |target| target.as_millis() as Ms),
+            latency_excluded: sample.is_latency_excluded,
         };
         self.edge.record_outcome(&attempt, outcome);
     }
@@ -265,10 +265,10 @@
         if !self.ends_before_process() {
             return RETRY_AFTER_ELSEWHERE_MS;
         }
-        let left = self.request.left(self.edge.now());
+        let time_left = self.request.time_left(self.edge.now());
         match self.retry_after {
-            Some(retry_after) => retry_after.min(left / 3),
-            None => backoff::retry_after(left, self.lacked_owner, self.edge.random.borrow_mut().f64()),
+            Some(retry_after) => retry_after.min(time_left / 3),
+            None => backoff::retry_after(time_left, self.lacked_owner, self.edge.random.borrow_mut().f64()),
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/attempt_loop/endpoint_selection.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop/endpoint_selection.rs
@@ -41,7 +41,7 @@
             key: self.request.key,
             idempotent: self.request.route.idempotent,
             rank: self.request.route.priority,
-            left: self.request.left(now),
+            time_left: self.request.time_left(now),
             drain_grace: self.edge.drain_grace(),
             version,
             excluded: &self.excluded,
--- a/crates/data-plane/edge-proxy/src/request.rs
+++ b/crates/data-plane/edge-proxy/src/request.rs
@@ -99,7 +99,7 @@
     }
 
     /// Until the deadline, in ms.
-    pub(crate) fn left(&self, now: Ms) -> Ms {
+    pub(crate) fn time_left(&self, now: Ms) -> Ms {
         self.deadline.saturating_sub(now)
     }
 }
--- a/crates/data-plane/edge-proxy/src/rollout/duplicates.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/duplicates.rs
@@ -49,7 +49,7 @@
 
     /// Looks through bytes that the endpoint sent, as one read brought them. A second complete head with the id of a
     /// watched attempt and a seal is a second run; a head that is split between two reads is not seen.
-    pub fn read(&mut self, bytes: &[u8]) {
+    pub fn scan(&mut self, bytes: &[u8]) {
         let windows = bytes.windows(SUCCESS_HEAD.len()).enumerate();
         let starts = windows.filter(|(_, window)| *window == SUCCESS_HEAD).map(|(start, _)| start);
         for start in starts {
@@ -57,11 +57,11 @@
             let Some(end) = rest.windows(HEAD_END.len()).position(|window| window == HEAD_END) else {
                 continue;
             };
-            self.read_head(&String::from_utf8_lossy(&rest[..end]));
+            self.scan_head(&String::from_utf8_lossy(&rest[..end]));
         }
     }
 
-    fn read_head(&mut self, head: &str) {
+    fn scan_head(&mut self, head: &str) {
         let (Some(id), Some(_)) = (header_value(head, ATTEMPT_ID_HEADER), header_value(head, SEAL_HEADER))
         else {
             return;
--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -27,9 +27,9 @@
     /// From sending the request to its outcome, in milliseconds.
     pub latency: Ms,
     /// The route's latency target, in milliseconds.
-    pub target_time: Ms,
+    pub latency_target: Ms,
     /// Whether the endpoint was warming up or overloaded: its latency says nothing about the version.
-    pub excluded: bool,
+    pub latency_excluded: bool,
 }
 
 impl AttemptRecord<'_> {
@@ -37,12 +37,12 @@
     fn classify<A>(&self, outcome: &AttemptOutcome<A>) -> Option<OutcomeKind> {
         match outcome {
             AttemptOutcome::NotSent(_) | AttemptOutcome::Rejected(_) => None,
-            AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_) if self.excluded => {
+            AttemptOutcome::Completed(_) | AttemptOutcome::Failed(_) if self.latency_excluded => {
                 Some(OutcomeKind::Excluded)
             }
             AttemptOutcome::Failed(_) => Some(OutcomeKind::Failed),
             AttemptOutcome::Completed(_) if self.server_error => Some(OutcomeKind::Failed),
-            AttemptOutcome::Completed(_) if self.latency > self.target_time => Some(OutcomeKind::Late),
+            AttemptOutcome::Completed(_) if self.latency > self.latency_target => Some(OutcomeKind::Late),
             AttemptOutcome::Completed(_) => Some(OutcomeKind::Good),
             AttemptOutcome::Indeterminate(
                 IndeterminateCause::ForeignResponse | IndeterminateCause::Unsealed,
@@ -109,7 +109,7 @@
     /// Records what became of an attempt, as evidence about its variant.
     pub fn record_outcome<A>(&self, attempt: &AttemptRecord<'_>, outcome: &AttemptOutcome<A>) {
         let AttemptRecord { variant, route, endpoint, latency, .. } = *attempt;
-        if !variant.counted || !outcome.arrived() {
+        if !variant.counted || !outcome.may_have_been_received() {
             return;
         }
         let now = self.now();
--- a/crates/data-plane/edge-proxy/src/sessions/listing.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/listing.rs
@@ -10,13 +10,15 @@
 #[serde(default)]
 pub struct SessionListing {
     /// The edge's number in the peer sets.
-    pub site: NodeId,
+    #[serde(rename = "site")]
+    pub node_id: NodeId,
     /// Ids of the sessions that it owns or keeps a replica of, in order.
     pub sessions: Vec<String>,
     /// Counters since the start.
     pub counts: Counters,
     /// Tokens that were not accepted.
-    pub unfit: u64,
+    #[serde(rename = "unfit")]
+    pub rejected_tokens: u64,
     /// Messages to peer edges.
     pub messages: u64,
     /// Bytes of the bodies of these messages' posts.
@@ -25,14 +27,14 @@
 
 impl Sessions {
     /// What operators see now.
-    pub fn listed(&self) -> SessionListing {
+    pub fn listing(&self) -> SessionListing {
         let node = self.node.borrow();
         let SentTotals { messages, bytes } = self.links.totals();
         SessionListing {
-            site: self.node_id,
+            node_id: self.node_id,
             sessions: node.sessions().iter().map(SessionId::to_string).collect(),
             counts: node.counters(),
-            unfit: self.rejected_tokens.get(),
+            rejected_tokens: self.rejected_tokens.get(),
             messages,
             bytes,
         }
--- a/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
@@ -49,7 +49,7 @@
             Some(replies) => json(&replies),
             None => empty(StatusCode::BAD_REQUEST),
         },
-        (&Method::GET, SESSIONS_PATH) => json(&sessions.listed()),
+        (&Method::GET, SESSIONS_PATH) => json(&sessions.listing()),
         (&Method::GET, path) => {
             let id = path.strip_prefix(SESSIONS_PATH).and_then(|rest| rest.strip_prefix('/'));
             let id = id.and_then(|id| id.parse::<SessionId>().ok());
--- a/crates/data-plane/edge-proxy/src/shutdown.rs
+++ b/crates/data-plane/edge-proxy/src/shutdown.rs
@@ -51,8 +51,8 @@
     /// Whether an attempt for a request with this deadline may begin.
     pub(crate) fn may_begin(&self, deadline: Instant) -> bool {
         let Some(Schedule { begun, times }) = self.schedule.get() else { return true };
-        let left = deadline.saturating_duration_since(Instant::now());
-        times.may_begin(begun.elapsed(), left)
+        let time_left = deadline.saturating_duration_since(Instant::now());
+        times.may_begin(begun.elapsed(), time_left)
     }
 
     /// Counts a request that has just begun, if a shutdown has, too.
--- a/crates/data-plane/edge-proxy/src/upstream_socket.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_socket.rs
@@ -108,7 +108,7 @@
         let UpstreamSocket { stream, duplicate_detector, .. } = &mut *socket;
         poll_read_observed(stream, cx, cursor, |bytes| {
             if let Some(duplicate_detector) = duplicate_detector {
-                duplicate_detector.read(bytes);
+                duplicate_detector.scan(bytes);
             }
         })
     }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
@@ -116,7 +116,7 @@
         }
         // The first lookup at the next edge claims the session; later ones use its endpoint.
         let mut id = 10;
-        while edges.edges[1].sessions.listed().counts.takeovers == 0 {
+        while edges.edges[1].sessions.listing().counts.takeovers == 0 {
             assert_eq!(status(&lookup(1, id).await), 200);
             id += 1;
         }
@@ -157,7 +157,7 @@
             assert_eq!(send_all(0, some.to_vec()).await, some.len());
         }
         assert_eq!((send_all(1, tokens).await, host.request_count()), (200, 200));
-        assert_eq!(edges.edges[1].sessions.listed().counts.takeovers, 200);
+        assert_eq!(edges.edges[1].sessions.listing().counts.takeovers, 200);
     });
 }
 
@@ -180,7 +180,7 @@
         assert_eq!(counts, expected);
         assert_eq!(host.request_count(), 32 + 18, "lookups and confirmations, and no repeat");
         let total = |counter: fn(&SessionListing) -> u64| -> u64 {
-            edges.edges.iter().map(|edge| counter(&edge.sessions.listed())).sum()
+            edges.edges.iter().map(|edge| counter(&edge.sessions.listing())).sum()
         };
         assert_eq!(total(|listed| listed.counts.repeats_answered), 16);
         assert_eq!(total(|listed| listed.counts.takeovers), 8, "each session changes the edge four times");
--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -23,7 +23,7 @@
 #[test]
 fn the_list_of_sessions_keeps_its_bytes() {
     let (sessions, counts) = (vec!["ab".into()], Counters::default());
-    let listed = SessionListing { site: 2, sessions, counts, unfit: 3, messages: 4, bytes: 5 };
+    let listed = SessionListing { node_id: 2, sessions, counts, rejected_tokens: 3, messages: 4, bytes: 5 };
     let text = r#"{"site":2,"sessions":["ab"],"counts":COUNTS,"unfit":3,"messages":4,"bytes":5}"#;
     assert_text(listed, &text.replace("COUNTS", NO_COUNTS));
 }
@@ -33,7 +33,7 @@
     let listed: SessionListing = serde_json::from_str(r#"{"site":2}"#).unwrap();
     assert_eq!(
         format!("{listed:?}"),
-        format!("{:?}", SessionListing { site: 2, ..SessionListing::default() })
+        format!("{:?}", SessionListing { node_id: 2, ..SessionListing::default() })
     );
 }
 
--- a/crates/data-plane/load-balancing/src/backoff.rs
+++ b/crates/data-plane/load-balancing/src/backoff.rs
@@ -13,10 +13,10 @@
 
 /// When a client that is refused should come back (ms); `random` in 0..1. `left` is what it has left until its
 /// deadline, of which this takes a third at most.
-pub fn retry_after(left: Ms, for_owner: bool, random: f64) -> Ms {
+pub fn retry_after(time_left: Ms, for_owner: bool, random: f64) -> Ms {
     let (min, max) = if for_owner { RETRY_AFTER_FOR_OWNER_MS } else { RETRY_AFTER_MS };
     let spread = min as f64 + (max - min) as f64 * random;
-    (spread as Ms).min(left / 3)
+    (spread as Ms).min(time_left / 3)
 }
 
 /// The backoff of an edge after a further round in which every control-plane node failed.
--- a/crates/data-plane/load-balancing/src/load.rs
+++ b/crates/data-plane/load-balancing/src/load.rs
@@ -13,7 +13,7 @@
 /// Endpoints slow down when nearly full, so that a full one costs this part of a mean latency more than an idle one.
 const UTILIZATION_PRICE: f32 = 0.5;
 /// Until a service's first response, its mean latency (ms) is only a unit for comparisons.
-pub const UNMEASURED_LATENCY: f32 = 100.0;
+pub const UNMEASURED_LATENCY_MS: f32 = 100.0;
 
 /// The load of an endpoint.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
--- a/crates/data-plane/load-balancing/src/merge.rs
+++ b/crates/data-plane/load-balancing/src/merge.rs
@@ -21,7 +21,7 @@
     /// Ids of endpoints that get no more requests.
     pub unusable: Vec<Rc<str>>,
     /// Whether a slice has another owner.
-    pub owners: bool,
+    pub owners_changed: bool,
 }
 
 impl EndpointRegistry {
@@ -33,7 +33,7 @@
             self.merge_endpoint(endpoint, now, &mut changes);
         }
         for assignment in &update.assignments {
-            changes.owners |= self.merge_assignment(assignment);
+            changes.owners_changed |= self.merge_assignment(assignment);
         }
         self.edge_count = self.edge_count.max(update.edge_count);
         self.remove_expired(now, &mut changes);
--- a/crates/data-plane/load-balancing/src/merge/tests.rs
+++ b/crates/data-plane/load-balancing/src/merge/tests.rs
@@ -101,13 +101,13 @@
         assignments: vec![AssignmentUpdate { service: "b".into(), slice_count: 4, rows }],
         ..Update::default()
     };
-    assert!(registry.merge(&update(vec![(3, 3, "i-1".into(), 7).into()]), 0).owners);
-    assert!(!registry.merge(&update(vec![(3, 3, "i-2".into(), 6).into()]), 0).owners);
+    assert!(registry.merge(&update(vec![(3, 3, "i-1".into(), 7).into()]), 0).owners_changed);
+    assert!(!registry.merge(&update(vec![(3, 3, "i-2".into(), 6).into()]), 0).owners_changed);
     assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-1"));
     registry.suspect_owner("b", 65_535, "i-1", 0);
     assert!(registry.owner("b", 65_535, 10).is_none() && registry.owner("b", 65_535, 400).is_some());
     assert!(
-        registry.merge(&update(vec![(3, 3, "".into(), 8).into()]), 0).owners
+        registry.merge(&update(vec![(3, 3, "".into(), 8).into()]), 0).owners_changed
             && registry.owner("b", 65_535, 400).is_none()
     );
 }
@@ -120,9 +120,9 @@
         ..Update::default()
     };
     registry.merge(&update(8, vec![(0, 7, "i-1".into(), 9).into()]), 0);
-    assert!(!registry.merge(&update(4, vec![(0, 3, "i-2".into(), 8).into()]), 0).owners);
-    assert!(!registry.merge(&update(4, vec![]), 0).owners);
+    assert!(!registry.merge(&update(4, vec![(0, 3, "i-2".into(), 8).into()]), 0).owners_changed);
+    assert!(!registry.merge(&update(4, vec![]), 0).owners_changed);
     assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-1"));
-    assert!(registry.merge(&update(16, vec![(0, 15, "i-2".into(), 10).into()]), 0).owners);
+    assert!(registry.merge(&update(16, vec![(0, 15, "i-2".into(), 10).into()]), 0).owners_changed);
     assert_eq!(registry.owner("b", 65_535, 0).map(|id| &**id), Some("i-2"));
 }
--- a/crates/data-plane/load-balancing/src/selection.rs
+++ b/crates/data-plane/load-balancing/src/selection.rs
@@ -1,6 +1,6 @@
 //! Endpoint selection: the owner of the request's key, or the endpoint with the least expected latency.
 use crate::endpoint::Endpoint;
-use crate::load::UNMEASURED_LATENCY;
+use crate::load::UNMEASURED_LATENCY_MS;
 use crate::registry::EndpointRegistry;
 use crate::service::ServiceEndpoints;
 use crate::Ms;
@@ -54,7 +54,7 @@
     /// 0 is the most important.
     pub rank: u32,
     /// Until its deadline, in ms.
-    pub left: Ms,
+    pub time_left: Ms,
     /// For how long (ms) a draining endpoint still gets requests for keys that it owns.
     pub drain_grace: Ms,
     /// Where a rollout tells versions apart.
@@ -87,7 +87,7 @@
 ///     key: None,
 ///     idempotent: true,
 ///     rank: 0,
-///     left: 900,
+///     time_left: 900,
 ///     drain_grace: 0,
 ///     version: None,
 ///     excluded: &[],
@@ -188,7 +188,7 @@
     if service.mean_latency > 0.0 {
         service.mean_latency
     } else {
-        UNMEASURED_LATENCY
+        UNMEASURED_LATENCY_MS
     }
 }
 
@@ -203,7 +203,7 @@
     let expected = endpoint.load.expected_latency(now, service_latency(service));
     let measured = service.mean_latency;
     let factor = OVERLOAD_FACTOR / (1.0 + OVERLOAD_FACTOR_PER_RANK * request.rank as f32);
-    measured > 0.0 && expected > request.left as f32 * factor && expected > measured * QUEUEING_FACTOR
+    measured > 0.0 && expected > request.time_left as f32 * factor && expected > measured * QUEUEING_FACTOR
 }
 
 #[cfg(test)]
--- a/crates/data-plane/load-balancing/src/selection/tests.rs
+++ b/crates/data-plane/load-balancing/src/selection/tests.rs
@@ -24,7 +24,7 @@
         key: None,
         idempotent,
         rank: 0,
-        left: 1_000,
+        time_left: 1_000,
         drain_grace: 0,
         version: None,
         excluded: &[],
--- a/crates/data-plane/load-balancing/src/timeouts.rs
+++ b/crates/data-plane/load-balancing/src/timeouts.rs
@@ -36,16 +36,16 @@
 }
 
 /// How long (ms) a request may wait inside the edge for its key's next owner; `left` ms remain until its deadline.
-pub fn owner_wait(latency_target: Option<Duration>, left: Ms) -> Ms {
+pub fn owner_wait(latency_target: Option<Duration>, time_left: Ms) -> Ms {
     let limit = latency_target.map_or(MAX_OWNER_WAIT_MS, |target| target.as_millis() as Ms / TARGET_DIVISOR);
-    limit.min(MAX_OWNER_WAIT_MS).min(left / 3)
+    limit.min(MAX_OWNER_WAIT_MS).min(time_left / 3)
 }
 
 /// How long establishing a connection to an endpoint may take; `left` ms remain until the request's deadline.
-pub fn connect_timeout(latency_target: Option<Duration>, left: Ms) -> Duration {
+pub fn connect_timeout(latency_target: Option<Duration>, time_left: Ms) -> Duration {
     let (min, max) = CONNECT_TIMEOUT_MS;
     let limit = latency_target.map_or(max, |target| target.as_millis() as Ms / TARGET_DIVISOR);
-    Duration::from_millis(limit.clamp(min, max).min(left / 2).max(1))
+    Duration::from_millis(limit.clamp(min, max).min(time_left / 2).max(1))
 }
 
 /// How long an idle connection may be used, by the keep-alive time that the endpoint reported. That is well before the
@@ -74,8 +74,8 @@
 
     /// Whether an attempt for a request may begin, `elapsed` since SIGTERM and `left` before the request's deadline. Late
     /// in a shutdown it may only if its deadline ends it before the process does.
-    pub fn may_begin(&self, elapsed: Duration, left: Duration) -> bool {
-        elapsed < self.accept_until || elapsed + left <= self.exit_at
+    pub fn may_begin(&self, elapsed: Duration, time_left: Duration) -> bool {
+        elapsed < self.accept_until || elapsed + time_left <= self.exit_at
     }
 }
 
--- a/crates/data-plane/retry/src/outcome.rs
+++ b/crates/data-plane/retry/src/outcome.rs
@@ -69,7 +69,7 @@
     }
 
     /// Whether an endpoint has, or may have, read the request.
-    pub fn arrived(&self) -> bool {
+    pub fn may_have_been_received(&self) -> bool {
         !matches!(self, AttemptOutcome::NotSent(_))
     }
 }
--- a/crates/data-plane/retry/tests/outcomes.rs
+++ b/crates/data-plane/retry/tests/outcomes.rs
@@ -65,7 +65,10 @@
         let mut history = AttemptHistory::default();
         history.record(&outcome);
         assert_eq!(history.final_outcome(), final_outcome, "{outcome:?}");
-        assert_eq!((history.delivered, history.unsent), if outcome.arrived() { (1, 0) } else { (0, 1) });
+        assert_eq!(
+            (history.delivered, history.unsent),
+            if outcome.may_have_been_received() { (1, 0) } else { (0, 1) }
+        );
     }
 }
 
--- a/crates/tools/gatewayctl/src/session.rs
+++ b/crates/tools/gatewayctl/src/session.rs
@@ -82,9 +82,10 @@
 }
 
 fn render_list(answer: &str) -> eyre::Result<String> {
-    let SessionListing { site, sessions, counts, unfit, messages, bytes } = serde_json::from_str(answer)?;
+    let SessionListing { node_id, sessions, counts, rejected_tokens, messages, bytes } =
+        serde_json::from_str(answer)?;
     let mut text = String::new();
-    writeln!(text, "site {site}, {} sessions, {unfit} tokens not taken", sessions.len())?;
+    writeln!(text, "site {node_id}, {} sessions, {rejected_tokens} tokens not taken", sessions.len())?;
     writeln!(text, "{messages} messages to other sites, {bytes} bytes")?;
     if let Value::Object(counts) = serde_json::to_value(&counts)? {
         counts.iter().try_for_each(|(name, count)| writeln!(text, "{name:>18} {count}"))?;
