--- a/crates/data-plane/load-balancing/src/budget.rs
+++ b/crates/data-plane/load-balancing/src/budget.rs
@@ -1,29 +1,30 @@
-//! The retry budget of a service, as in Finagle and linkerd: retries are limited to a ratio of the requests in a window,
-//! so that they cannot multiply the load of a service that fails.
+//! The retry budget of a service, as in Finagle and linkerd: retries are limited to a ratio of the requests
+//! in a sliding window, so that retries cannot multiply the load of a failing service.
 //!
-//! The budget is that of all edges together. Each keeps to its share: the ratio of the requests that it has seen itself,
-//! and an even share of the fixed extra. The extra is a token bucket that is empty at first, so that an edge that
-//! restarts cannot spend its share twice.
+//! The budget applies to all edges together. Each edge keeps to its share: the ratio of the requests that it
+//! received itself, and an even share of a fixed number of extra retries. The extra retries are a token
+//! bucket that starts empty, so that an edge that restarts cannot spend its share twice.
 use crate::Ms;
 use std::collections::VecDeque;
 
-/// Fraction of the ratio that is used; requests that arrive late in a window may be counted by others in the next.
+/// Fraction of the configured ratio that an edge uses. The margin covers requests at the end of a window,
+/// which other observers may count in the next window.
 const USED_FRACTION_OF_RATIO: f64 = 0.8;
-/// A window is counted in so many buckets.
+/// Number of buckets into which the requests and retries of a window are counted.
 const BUCKETS_PER_WINDOW: u64 = 20;
 
 /// Settings of a retry budget.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BudgetSettings {
-    /// Retries per request.
+    /// Allowed retries per request.
     pub ratio: f64,
-    /// Length of the window in ms.
+    /// Length of the sliding window in ms.
     pub window_ms: Ms,
-    /// Retries in a window beyond the ratio, of all edges together.
+    /// Retries allowed in a window in addition to the ratio, for all edges together.
     pub extra_retries: f64,
 }
 
-/// Counts of one part of the window.
+/// Counts of one time bucket of the window.
 #[derive(Debug, Clone, Copy, Default)]
 struct Bucket {
     index: u64,
@@ -31,12 +32,14 @@
     retries: u32,
 }
 
+/// The part of a service's retry budget that belongs to this edge.
+///
 /// ```
 /// use coppersail_load_balancing::budget::{BudgetSettings, RetryBudget};
 ///
 /// let mut budget = RetryBudget::default();
 /// let settings = BudgetSettings { ratio: 0.2, window_ms: 10_000, extra_retries: 0.0 };
-/// assert!(!budget.withdraw(&settings, 8, 0), "there was no request yet");
+/// assert!(!budget.withdraw(&settings, 8, 0), "no request has been counted yet");
 /// (0..10).for_each(|_| budget.deposit(&settings, 0));
 /// assert!(budget.withdraw(&settings, 8, 1) && !budget.withdraw(&settings, 8, 2));
 /// ```
@@ -50,7 +53,7 @@
 impl RetryBudget {
     fn current_bucket(&mut self, settings: &BudgetSettings, now: Ms) -> &mut Bucket {
         let index = now / (settings.window_ms / BUCKETS_PER_WINDOW).max(1);
-        // The bucket that is only partly inside the window stays: retries in it still count.
+        // The bucket that is only partly inside the window is kept, because retries in it still count.
         while self.buckets.front().is_some_and(|bucket| bucket.index + BUCKETS_PER_WINDOW < index) {
             self.buckets.pop_front();
         }
@@ -60,12 +63,13 @@
         self.buckets.back_mut().expect("just pushed")
     }
 
-    /// Counts a request, which adds to the budget; its retries do not.
+    /// Counts a request, which adds to the budget. Its retries must not be counted.
     pub fn deposit(&mut self, settings: &BudgetSettings, now: Ms) {
         self.current_bucket(settings, now).requests += 1;
     }
 
-    /// Takes one retry, if there is one. `edge_count` is the most edges that were ever known; 0 if unknown.
+    /// Withdraws one retry and returns whether the budget allowed it. `edge_count` is the largest number of
+    /// edges known so far, 0 if unknown.
     pub fn withdraw(&mut self, settings: &BudgetSettings, edge_count: u32, now: Ms) -> bool {
         self.withdraw_from_ratio(settings, now) || self.withdraw_from_extra(settings, edge_count, now)
     }
@@ -82,15 +86,16 @@
         allowed
     }
 
-    /// Half of this edge's share at once and half spread over the window: never more than the share in any window.
+    /// The token bucket holds at most half of this edge's share and refills by the other half over one
+    /// window, so that no window contains more extra retries than the share.
     fn withdraw_from_extra(&mut self, settings: &BudgetSettings, edge_count: u32, now: Ms) -> bool {
         let share = if edge_count == 0 { 0.0 } else { settings.extra_retries / f64::from(edge_count) };
         let elapsed = now - self.extra_refilled_at.replace(now).unwrap_or(now);
         let refill = share / 2.0 * elapsed as f64 / settings.window_ms.max(1) as f64;
         self.extra_tokens = (self.extra_tokens + refill).min(share / 2.0);
-        let spent = self.extra_tokens >= 1.0;
-        self.extra_tokens -= if spent { 1.0 } else { 0.0 };
-        spent
+        let allowed = self.extra_tokens >= 1.0;
+        self.extra_tokens -= if allowed { 1.0 } else { 0.0 };
+        allowed
     }
 }
 
--- a/crates/data-plane/load-balancing/src/budget/tests.rs
+++ b/crates/data-plane/load-balancing/src/budget/tests.rs
@@ -1,7 +1,8 @@
-//! Limits of the retry budget.
+//! Tests of the retry budget's limits.
 use super::*;
 
-/// Against a plain count of every retry and request, in every window that ends with a retry.
+/// Compares the budget with a direct count of all requests and retries, in every window that ends with a
+/// retry.
 #[test]
 fn no_window_holds_more_retries_than_the_share_of_an_edge() {
     let settings = BudgetSettings { ratio: 0.2, window_ms: 10_000, extra_retries: 56.0 };
@@ -14,7 +15,7 @@
             now += random.u64(0..max_gap);
             requests.push(now);
             budget.deposit(&settings, now);
-            // Everything fails at times: each request takes as many retries as it may.
+            // Each request withdraws a random number of retries, as when every attempt fails.
             while random.u32(0..3) > 0 && budget.withdraw(&settings, 8, now) {
                 retries.push(now);
             }
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_restarted_edge_gets_no_extra_retry_at_once_and_none_while_the_edge_count_is_unknown() {
+fn a_restarted_edge_gets_no_immediate_extra_retry_and_none_while_the_edge_count_is_unknown() {
     let settings = BudgetSettings { ratio: 0.0, window_ms: 10_000, extra_retries: 56.0 };
     let mut budget = RetryBudget::default();
     assert!(!budget.withdraw(&settings, 8, 0));
--- a/crates/data-plane/load-balancing/src/endpoint.rs
+++ b/crates/data-plane/load-balancing/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One endpoint as an edge knows it: its state, address, and when requests may be sent to it.
+//! One endpoint as this edge knows it: its state, its address, and whether requests may be sent to it.
 use crate::health::Health;
 use crate::load::Load;
 use crate::Ms;
@@ -7,11 +7,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// An address that another endpoint was found at is tried again after this (ms), unless a later heartbeat confirms it.
+/// How long (ms) an endpoint gets no requests after another endpoint responded at its address. A later
+/// heartbeat of the endpoint confirms the address sooner.
 const STALE_ADDRESS_RETRY_MS: Ms = 3_000;
 
-/// For how long (ms) a draining endpoint still gets requests for keys that only it owns, by how long it serves on after
-/// it has announced that it drains: two fifths, so that what was sent last has the rest of the time to complete.
+/// How long (ms) a draining endpoint still gets requests for the keys that it owns. `drain_timeout` is the
+/// time for which it keeps serving after announcing the drain. Two fifths of it are used, which leaves the
+/// last requests the rest of the time to complete.
 pub fn drain_grace(drain_timeout: Duration) -> Ms {
     drain_timeout.as_millis() as Ms * 2 / 5
 }
@@ -19,33 +21,35 @@
 /// An endpoint: one instance of a service.
 #[derive(Debug)]
 pub struct Endpoint {
-    /// Unique over all services; a restarted instance has another one.
+    /// Instance id, unique across all services; a restarted instance gets a new one.
     pub id: Rc<str>,
     /// The service that it is an instance of.
     pub service: Rc<str>,
-    /// Of its software.
+    /// Version of its software.
     pub version: Rc<str>,
-    /// Where it accepts connections.
+    /// The address at which it accepts connections.
     pub address: SocketAddr,
     /// Whether it is in this edge's zone.
     pub same_zone: bool,
-    /// Requests that it processes at once.
+    /// Number of requests that it processes concurrently.
     pub capacity: u32,
-    /// Only ever rises, from ready over draining to removed.
+    /// Lifecycle state, which only advances: ready, draining, removed.
     pub state: EndpointState,
-    /// When this edge learned that it drains: not later than that was acknowledged to it.
+    /// When this edge learned that the endpoint is draining. The endpoint's drain request is acknowledged no
+    /// earlier.
     draining_since: Ms,
-    /// Missed heartbeats, not yet removed.
+    /// Whether it has missed heartbeats and is not yet removed.
     pub suspect: bool,
-    /// It is slow until then, because it has just started.
+    /// End of the period after its start in which it responds slowly.
     pub slow_start_until: Ms,
     heartbeat_sequence: u64,
-    /// Until when it is used although the last snapshot of a control-plane node does not list it.
+    /// Set if the last snapshot of a control-plane node does not list the endpoint: the time at which it is
+    /// dropped.
     pub(crate) unlisted_until: Option<Ms>,
     stale_address_until: Ms,
-    /// How busy it is, as far as this edge can tell.
+    /// Load estimate of this edge.
     pub load: Load,
-    /// Outlier detection.
+    /// Outlier detection state.
     pub health: Health,
 }
 
@@ -59,7 +63,7 @@
             same_zone: update.zone == own_zone,
             capacity: update.capacity,
             state: update.state,
-            // Since when it drains is not known: it may be about to end.
+            // If it is already draining, the start of the drain is unknown and it may be about to exit.
             draining_since: 0,
             suspect: update.suspect,
             slow_start_until: now + update.slow_start_ms,
@@ -71,7 +75,8 @@
         }
     }
 
-    /// Merges an update, which may be older than what is known. Returns whether its state advanced.
+    /// Merges an update, which may be older than the known state. Returns whether the lifecycle state
+    /// advanced.
     pub(crate) fn merge(&mut self, update: &EndpointUpdate, address: SocketAddr, now: Ms) -> bool {
         self.unlisted_until = None;
         let advanced = self.state < update.state;
@@ -79,7 +84,7 @@
             (self.state, self.draining_since) = (update.state, now);
         }
         if update.heartbeat_sequence > self.heartbeat_sequence {
-            // Its own heartbeat confirms the address.
+            // A heartbeat from the endpoint itself confirms the address.
             (self.stale_address_until, self.address) = (0, address);
             self.heartbeat_sequence = update.heartbeat_sequence;
             self.slow_start_until = now + update.slow_start_ms;
@@ -94,13 +99,14 @@
         advanced
     }
 
-    /// Its address was found to be another endpoint's: it gets no request for a while.
+    /// Records that another endpoint responded at its address: it gets no requests for
+    /// [`STALE_ADDRESS_RETRY_MS`].
     pub(crate) fn mark_stale_address(&mut self, now: Ms) {
         self.stale_address_until = self.stale_address_until.max(now + STALE_ADDRESS_RETRY_MS);
     }
 
-    /// Another endpoint has taken over its address: only a heartbeat of its own brings it back.
-    pub(crate) fn lose_address(&mut self) {
+    /// Records that another endpoint took over its address: it gets no requests until its next heartbeat.
+    pub(crate) fn mark_address_taken(&mut self) {
         self.stale_address_until = Ms::MAX;
     }
 
@@ -109,8 +115,8 @@
         self.state == EndpointState::Ready && now >= self.stale_address_until
     }
 
-    /// Whether requests for keys that it owns may be sent to it. No other endpoint may process them, so that this holds
-    /// for `drain_grace` ms after it began to drain, too.
+    /// Whether requests for keys that it owns may be sent to it. No other endpoint may process them, so they
+    /// are still accepted for `drain_grace` ms after the drain began.
     pub fn accepts_owned_keys(&self, now: Ms, drain_grace: Ms) -> bool {
         self.usable(now)
             || (self.state == EndpointState::Draining
@@ -118,7 +124,7 @@
                 && now < self.draining_since + drain_grace)
     }
 
-    /// Whether a request that was assigned to it a moment ago may still be sent.
+    /// Whether a request for which it was selected earlier may still be sent to it.
     pub fn still_accepts(&self, now: Ms, key: Option<u16>, drain_grace: Ms) -> bool {
         self.state == EndpointState::Ready || (key.is_some() && self.accepts_owned_keys(now, drain_grace))
     }
--- a/crates/data-plane/load-balancing/src/endpoint/tests.rs
+++ b/crates/data-plane/load-balancing/src/endpoint/tests.rs
@@ -1,8 +1,8 @@
-//! What a draining endpoint still gets.
+//! Tests of which requests a draining endpoint still accepts.
 use super::*;
 
 #[test]
-fn a_draining_endpoint_gets_only_keys_that_it_owns_and_only_within_the_grace() {
+fn a_draining_endpoint_accepts_only_keys_that_it_owns_and_only_within_the_grace_period() {
     let update = |state| EndpointUpdate { state, ..EndpointUpdate::default() };
     let address = SocketAddr::from(([10, 0, 0, 1], 80));
     let mut endpoint = Endpoint::new(&update(EndpointState::Ready), address, "north", 0);
@@ -11,8 +11,8 @@
     assert!(endpoint.merge(&update(EndpointState::Draining), address, 1_000));
     assert!(!endpoint.usable(1_000) && endpoint.accepts_owned_keys(2_999, grace));
     assert!(endpoint.still_accepts(2_999, Some(7), grace) && !endpoint.still_accepts(2_999, None, grace));
-    assert!(!endpoint.accepts_owned_keys(3_000, grace), "it may end");
-    // One that was draining when it became known may end at any time.
+    assert!(!endpoint.accepts_owned_keys(3_000, grace), "it may exit");
+    // An endpoint that was already draining when it became known may exit at any time.
     let known_late = Endpoint::new(&update(EndpointState::Draining), address, "north", 2_500);
     assert!(!known_late.accepts_owned_keys(2_500, grace));
 }
--- a/crates/data-plane/load-balancing/src/lib.rs
+++ b/crates/data-plane/load-balancing/src/lib.rs
@@ -1,7 +1,8 @@
-//! Endpoint selection of an edge proxy, with all decisions that it rests on: which endpoints exist and which one owns a
-//! key, outlier detection, load estimates, retry budget, backoff and timeouts.
+//! Endpoint selection of an edge proxy, with the state and decisions behind it: which endpoints exist and
+//! which one owns a key, outlier detection, load estimates, retry budget, backoff and timeouts.
 //!
-//! Pure: time is milliseconds of a clock that the caller keeps, and randomness is a generator that the caller passes in.
+//! The crate does no I/O and reads no clock: the caller passes the current time in milliseconds and the
+//! random generator.
 pub mod backoff;
 pub mod budget;
 pub mod endpoint;
@@ -21,5 +22,5 @@
 pub use registry::EndpointRegistry;
 pub use selection::{Selection, SelectionRequest};
 
-/// Milliseconds, as a time since the process started or as a duration.
+/// Milliseconds: a point in time since the process started, or a duration.
 pub type Ms = u64;
--- a/crates/data-plane/load-balancing/src/load.rs
+++ b/crates/data-plane/load-balancing/src/load.rs
@@ -1,18 +1,22 @@
-//! The latency that a request would see at an endpoint, as far as one edge can tell: a mean without queueing, times the
-//! queue that is expected.
+//! Estimates the latency of a request at an endpoint from what one edge knows: the mean latency without
+//! queueing, scaled by the expected queue.
 use crate::Ms;
 
-/// Least weight of a new measurement in an endpoint's mean; one edge measures an endpoint a few times in ten seconds.
+/// Minimum weight of a new measurement in an endpoint's moving average. One edge measures an endpoint only a
+/// few times in ten seconds.
 const MIN_MEASUREMENT_WEIGHT: f32 = 0.1;
-/// The service's mean counts as so many earlier measurements: one slow response makes no slow endpoint.
+/// Number of earlier measurements that the service's mean counts as, so that a single slow response does not
+/// mark an endpoint as slow.
 const PRIOR_MEASUREMENTS: f32 = 2.0;
-/// What an endpoint reports of others' requests is outdated once those have ended: after so many mean latencies.
+/// Lifetime, in mean latencies, of an endpoint's report about requests of other edges, most of which have
+/// ended by then.
 const REPORT_LIFETIME: f32 = 2.0;
-/// An endpoint that rejects is taken to have so many requests per slot from others.
+/// Requests of other edges per slot that are assumed at an endpoint that rejects requests.
 const REJECTED_REQUESTS_PER_SLOT: f32 = 2.0;
-/// Endpoints slow down when nearly full, so that a full one costs this part of a mean latency more than an idle one.
-const UTILIZATION_PRICE: f32 = 0.5;
-/// Until a service's first response, its mean latency (ms) is only a unit for comparisons.
+/// Additional latency of a fully utilized endpoint over an idle one, as a fraction of the mean latency.
+/// Endpoints slow down when they are nearly full.
+const FULL_UTILIZATION_PENALTY: f32 = 0.5;
+/// Mean latency (ms) assumed for a service before its first response. It only serves to compare endpoints.
 pub const UNMEASURED_LATENCY_MS: f32 = 100.0;
 
 /// The load of an endpoint.
@@ -20,10 +24,10 @@
 pub struct Load {
     /// Requests of this edge that are in flight.
     pub in_flight: u32,
-    /// Requests of others, when last reported.
+    /// Requests of other edges according to the last report.
     others: f32,
     reported_at: Ms,
-    /// Requests that the endpoint processes at once.
+    /// Number of requests that the endpoint processes concurrently.
     slots: u32,
     /// Mean latency (ms) without queueing; 0 until measured.
     mean_latency: f32,
@@ -31,18 +35,18 @@
 }
 
 impl Load {
-    /// Of an endpoint that processes `capacity` requests at once.
+    /// The load of an idle, unmeasured endpoint that processes `capacity` requests concurrently.
     pub fn new(capacity: u32) -> Load {
         Load { slots: capacity.max(1), ..Load::default() }
     }
 
-    /// The endpoint's capacity changed.
+    /// Applies a change of the endpoint's capacity.
     pub fn set_slots(&mut self, capacity: u32) {
         self.slots = capacity.max(1);
     }
 
-    /// Records the `Server-Load` of a response, while `in_flight` still counts the request that it answers. 0 slots:
-    /// the endpoint reports none.
+    /// Records the `Server-Load` header of a response. To be called while `in_flight` still counts the
+    /// request of that response. `slots` is 0 if the endpoint does not report them.
     pub fn record_report(&mut self, running: u32, waiting: u32, slots: u32, now: Ms) {
         self.others = ((running + waiting) as f32 - self.in_flight as f32).max(0.0);
         self.reported_at = now;
@@ -51,21 +55,21 @@
         }
     }
 
-    /// Records that it rejected a request for overload.
+    /// Records that the endpoint rejected a request because of overload.
     pub fn record_rejection(&mut self, now: Ms) {
         self.others = self.others.max(REJECTED_REQUESTS_PER_SLOT * self.slots as f32);
         self.reported_at = now;
     }
 
-    /// Records a measured latency. `concurrency` is what it was when the request was sent, `service_mean` (ms) the mean
-    /// of the whole service, 0 if unknown.
+    /// Records a measured latency (ms). `concurrency` is the value of [`Load::concurrency`] when the request
+    /// was sent. `service_mean` (ms) is the mean latency of the whole service, 0 if unknown.
     pub fn record_latency(&mut self, latency: Ms, concurrency: f32, service_mean: f32) {
         let without_queue = latency as f32 / (concurrency / self.slots as f32).max(1.0);
         let known = [without_queue, service_mean, self.mean_latency];
-        let before = known.into_iter().rfind(|mean| *mean > 0.0).unwrap_or(without_queue);
+        let previous_mean = known.into_iter().rfind(|mean| *mean > 0.0).unwrap_or(without_queue);
         let weight = (1.0 / (self.measurements as f32 + PRIOR_MEASUREMENTS)).max(MIN_MEASUREMENT_WEIGHT);
         self.measurements = self.measurements.saturating_add(1);
-        self.mean_latency = before + weight * (without_queue - before);
+        self.mean_latency = previous_mean + weight * (without_queue - previous_mean);
     }
 
     /// Mean latency (ms) without queueing; 0 until measured.
@@ -81,7 +85,8 @@
         }
     }
 
-    /// Requests at the endpoint, with one more: of this edge, and of others as last reported, fading out.
+    /// Expected number of requests at the endpoint, including one more: those of this edge, and those of
+    /// other edges according to the last report, which decays linearly with its age.
     pub fn concurrency(&self, now: Ms, service_mean: f32) -> f32 {
         let lifetime = REPORT_LIFETIME * self.mean_latency_or(service_mean);
         let age = now.saturating_sub(self.reported_at) as f32;
@@ -89,12 +94,13 @@
         self.in_flight as f32 + others + 1.0
     }
 
-    /// Expected latency (ms) of one more request. `service_mean` stands in for an endpoint that was not measured.
+    /// Expected latency (ms) of one more request. `service_mean` (ms) is used for an endpoint without
+    /// measurements.
     pub fn expected_latency(&self, now: Ms, service_mean: f32) -> f32 {
         let mean = self.mean_latency_or(service_mean);
         let (concurrency, slots) = (self.concurrency(now, service_mean), self.slots as f32);
         let queue = (concurrency / slots).max(1.0);
         let utilization = ((concurrency - 1.0) / slots).min(1.0);
-        mean * (queue + UTILIZATION_PRICE * utilization)
+        mean * (queue + FULL_UTILIZATION_PENALTY * utilization)
     }
 }
--- a/crates/data-plane/load-balancing/src/merge.rs
+++ b/crates/data-plane/load-balancing/src/merge.rs
@@ -1,5 +1,6 @@
-//! Merges updates of any control-plane node, in any order, into the endpoint registry. All that it keeps only advances:
-//! endpoint states, heartbeat numbers, fencing tokens, and the ids of removed endpoints.
+//! Merges updates from any control-plane node, in any order, into the endpoint registry. The merged state is
+//! monotonic: endpoint states, heartbeat sequence numbers and fencing tokens only advance, and removed
+//! endpoints stay removed.
 use crate::endpoint::Endpoint;
 use crate::registry::{EndpointRegistry, WARM_UP_MS};
 use crate::slices::SliceTable;
@@ -9,18 +10,20 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-/// Removed endpoints are remembered, so that late updates cannot bring them back; no day has as many.
+/// Maximum number of remembered removed endpoints; the set is cleared when it is full. They are remembered so
+/// that late updates cannot restore them. The limit is above the number of removals in a day.
 const MAX_REMOVED: usize = 16_384;
 
-/// Feeds of which a snapshot has come in part; there are no more nodes than that at a time.
+/// Maximum number of feeds whose snapshots are partially received; more than the number of control-plane
+/// nodes.
 const MAX_SNAPSHOTS: usize = 16;
 
-/// What an update changed, for those who hold connections to endpoints or wait for an owner.
+/// The changes of an update that matter to connection pools and to requests that wait for an owner.
 #[derive(Debug, Default, PartialEq)]
 pub struct RegistryChanges {
-    /// Ids of endpoints that get no more requests.
+    /// Ids of endpoints that became unusable: draining, removed, dropped, or without a valid address.
     pub unusable: Vec<Rc<str>>,
-    /// Whether a slice has another owner.
+    /// Whether the owner of any slice changed.
     pub owners_changed: bool,
 }
 
@@ -40,8 +43,9 @@
         changes
     }
 
-    /// A snapshot may come in parts, between which the edge may follow another node: only all parts of one feed together tell
-    /// which endpoints it does not list.
+    /// Collects the endpoint ids of snapshots by feed. A snapshot may arrive in parts, and the edge may
+    /// follow another node between two parts, so the endpoints that a snapshot does not list are known only
+    /// after all parts of its feed.
     fn collect_snapshot(&mut self, update: &Update, now: Ms) {
         if update.is_snapshot {
             if self.snapshots.len() >= MAX_SNAPSHOTS {
@@ -59,8 +63,9 @@
         }
     }
 
-    /// Endpoints that a snapshot does not list are dropped once the node that sent it must have learned of them, which is at
-    /// `until`. A node that lists no endpoint at all is not trusted about those that it lacks.
+    /// Schedules the endpoints that a snapshot does not list to be dropped at `until`, the time by which the
+    /// sending node must have learned of them if they are alive. A snapshot without any endpoint is not
+    /// trusted and drops none.
     fn expire_unlisted(&mut self, listed: &FxHashSet<Box<str>>, until: Ms) {
         if listed.is_empty() {
             return;
@@ -96,12 +101,13 @@
         now: Ms,
         changes: &mut RegistryChanges,
     ) {
-        // A suspect endpoint that had the address has ended without notice. Which of two endpoints that are not suspect
-        // is the later one cannot be told, since updates arrive in any order: the response of whoever is there decides.
+        // A suspect endpoint at the same address has exited without deregistering. If the other endpoint is
+        // not suspect, it is unknown which of the two is newer, since updates arrive in any order; the
+        // `Server-Id` of a response from the address decides then.
         if update.state == EndpointState::Ready && !update.suspect {
             let suspects = self.endpoints.values_mut();
             for endpoint in suspects.filter(|endpoint| endpoint.address == address && endpoint.suspect) {
-                endpoint.lose_address();
+                endpoint.mark_address_taken();
                 changes.unusable.push(endpoint.id.clone());
             }
         }
@@ -128,13 +134,13 @@
         }
     }
 
-    /// Drops endpoints that no control-plane node lists any more, once their time is over.
+    /// Drops endpoints that snapshots no longer list and whose `unlisted_until` has passed.
     pub fn remove_expired(&mut self, now: Ms, changes: &mut RegistryChanges) {
         let is_expired = |endpoint: &&Endpoint| endpoint.unlisted_until.is_some_and(|until| until <= now);
         let expired: Vec<Rc<str>> =
             self.endpoints.values().filter(is_expired).map(|endpoint| endpoint.id.clone()).collect();
         for id in expired {
-            // One that was draining must not come back as ready.
+            // A late update must not restore a draining endpoint as ready.
             if self.endpoints[&id].state > EndpointState::Ready {
                 self.remove_for_good(&id, changes);
             } else {
--- a/crates/data-plane/load-balancing/src/merge/tests.rs
+++ b/crates/data-plane/load-balancing/src/merge/tests.rs
@@ -1,4 +1,4 @@
-//! Updates that arrive in any order.
+//! Tests of merging updates that arrive in any order.
 use super::*;
 
 fn endpoint(id: &str, address: &str, heartbeat_sequence: u64) -> EndpointUpdate {
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn an_endpoint_that_a_node_in_warm_up_does_not_list_is_kept_for_a_while() {
+fn an_endpoint_missing_from_the_snapshot_of_a_node_in_warm_up_is_kept_until_the_warm_up_ends() {
     let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1), endpoint("i-2", "10.0.0.2:80", 1)]);
     let endpoints = vec![endpoint("i-1", "10.0.0.1:80", 2)];
     registry.merge(
@@ -30,11 +30,11 @@
     let changes = registry.merge(&Update::default(), 4_100);
     assert_eq!(changes.unusable, ["i-2".into()]);
     registry.merge(&Update { is_snapshot: true, uptime_ms: 60_000, ..Update::default() }, 4_200);
-    assert!(registry.endpoint("i-1").is_some(), "a node that lists no endpoint is not trusted about them");
+    assert!(registry.endpoint("i-1").is_some(), "a snapshot without endpoints drops none");
 }
 
 #[test]
-fn a_snapshot_in_parts_drops_only_what_none_of_them_lists() {
+fn a_snapshot_in_parts_drops_only_endpoints_that_no_part_lists() {
     let known = ["i-1", "i-2", "i-3"].map(|id| endpoint(id, "10.0.0.1:80", 1));
     let mut registry = registry(known.to_vec());
     let part = |is_snapshot, incomplete, id| Update {
@@ -48,19 +48,19 @@
     assert_eq!(
         registry.merge(&Update { incomplete: true, ..Update::default() }, 200).unusable,
         [],
-        "not all of it came"
+        "the snapshot is still incomplete"
     );
     let changes = registry.merge(&part(false, false, "i-3"), 300);
     assert_eq!(changes.unusable, ["i-2".into()]);
     assert_eq!(
         registry.merge(&part(false, false, "i-3"), 400).unusable,
         [],
-        "what is new later is no snapshot"
+        "a later incremental update is not a snapshot"
     );
 }
 
 #[test]
-fn parts_of_another_feed_in_between_do_not_count_for_a_snapshot() {
+fn interleaved_parts_of_another_feed_do_not_count_towards_a_snapshot() {
     let known = ["i-1", "i-2", "i-3"].map(|id| endpoint(id, "10.0.0.1:80", 1));
     let mut registry = registry(known.to_vec());
     let part = |feed_id, is_snapshot, incomplete, id| Update {
@@ -73,14 +73,15 @@
     };
     registry.merge(&part(7, true, true, "i-1"), 100);
     registry.merge(&part(8, true, true, "i-2"), 200);
-    // Back at the first node, which lists two of the three; the other begins anew and lists another two.
+    // The first node's feed resumes and lists two of the three endpoints. The other feed restarts its
+    // snapshot and lists a different pair.
     assert_eq!(registry.merge(&part(7, false, false, "i-3"), 300).unusable, ["i-2".into()]);
     registry.merge(&part(8, true, true, "i-1"), 400);
     assert_eq!(registry.merge(&part(8, false, false, "i-3"), 500).unusable, []);
 }
 
 #[test]
-fn a_removed_endpoint_does_not_come_back_and_a_suspect_one_loses_a_reused_address() {
+fn a_removed_endpoint_is_not_restored_and_a_suspect_one_loses_a_reused_address() {
     let mut registry = registry(vec![endpoint("i-1", "10.0.0.1:80", 1)]);
     let suspect = EndpointUpdate { suspect: true, ..endpoint("i-1", "10.0.0.1:80", 1) };
     registry.merge(&Update { endpoints: vec![suspect], ..Update::default() }, 4);
--- a/crates/data-plane/load-balancing/src/registry.rs
+++ b/crates/data-plane/load-balancing/src/registry.rs
@@ -1,6 +1,7 @@
 //! The endpoint registry of an edge: which endpoints exist and which of them own which slices.
 //!
-//! Updates are merged in `merge.rs`; here are the lookups, and what the edge itself learns from responses.
+//! This module contains the lookups and the changes that the edge derives from responses. `merge.rs` merges
+//! updates from the control plane.
 pub use crate::endpoint::Endpoint;
 use crate::service::ServiceEndpoints;
 use crate::slices::SliceTable;
@@ -8,8 +9,8 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use std::rc::Rc;
 
-/// A control-plane node that has just started learns of all endpoints within a few heartbeats; before that (ms), an
-/// endpoint that it does not list may be alive.
+/// Warm-up time (ms) of a control-plane node. A node that has just started learns of all endpoints within a
+/// few heartbeats; during its warm-up, an endpoint that it does not list may be alive.
 pub(crate) const WARM_UP_MS: Ms = 5_000;
 
 /// All endpoints and services that an edge knows.
@@ -38,7 +39,7 @@
     pub(crate) endpoints: FxHashMap<Rc<str>, Endpoint>,
     pub(crate) services: FxHashMap<Rc<str>, ServiceEndpoints>,
     pub(crate) removed: FxHashSet<Rc<str>>,
-    /// By feed, while a snapshot of it comes in parts: the ids of the endpoints that it has listed so far.
+    /// By feed id, for snapshots that are partially received: the ids of the endpoints listed so far.
     pub(crate) snapshots: FxHashMap<u64, FxHashSet<Box<str>>>,
     /// The largest number of edges that any control-plane node has reported; 0 if none has.
     pub edge_count: u32,
@@ -78,9 +79,11 @@
         })
     }
 
-    /// Whether an edge is ready for clients: it can serve all services (name, sharded), or the first update came so
-    /// long ago (`known_for` ms; none: there was none yet) that a service without endpoints is really down, which must
-    /// not keep the others from being served.
+    /// Whether an edge is ready for clients. `services` yields the name of each service and whether it is
+    /// sharded; `known_for` is the time (ms) since the first complete update, `None` before it.
+    ///
+    /// An edge is ready once it can serve all services. After the warm-up time, a service without endpoints
+    /// is considered down and no longer prevents the edge from serving the others.
     pub fn is_ready<'a>(
         &self,
         mut services: impl Iterator<Item = (&'a str, bool)>,
@@ -95,24 +98,24 @@
         self.services.get(service)?.slices.as_ref()
     }
 
-    /// The slice of a key, where the service is sharded.
+    /// The slice of a key, or `None` if the service has no slice table.
     pub fn slice(&self, service: &str, key: u16) -> Option<u32> {
         Some(self.slice_table(service)?.slice_of(key))
     }
 
-    /// The id of the endpoint that owns a key, unless it is unknown or suspect.
+    /// The id of the endpoint that owns a key, or `None` if the owner is unknown or suspect.
     pub fn owner(&self, service: &str, key: u16, now: Ms) -> Option<&Rc<str>> {
         self.slice_table(service)?.owner(key, now)
     }
 
-    /// An endpoint responded that the address is not, or no longer, that of `id`.
+    /// Records a response by which the address of endpoint `id` belongs to another endpoint.
     pub fn mark_stale_address(&mut self, id: &str, now: Ms) {
         if let Some(endpoint) = self.endpoints.get_mut(id) {
             endpoint.mark_stale_address(now);
         }
     }
 
-    /// The endpoint `id` responded that it does not own the key.
+    /// Records that endpoint `id` rejected the key because it does not own it.
     pub fn suspect_owner(&mut self, service: &str, key: u16, id: &str, now: Ms) {
         let slices = self.services.get_mut(service).and_then(|service| service.slices.as_mut());
         if let Some(slices) = slices {
--- a/crates/data-plane/load-balancing/src/selection.rs
+++ b/crates/data-plane/load-balancing/src/selection.rs
@@ -1,4 +1,5 @@
-//! Endpoint selection: the owner of the request's key, or the endpoint with the least expected latency.
+//! Endpoint selection: the owner of the request's key, or without a key the endpoint with the lowest expected
+//! latency.
 use crate::endpoint::Endpoint;
 use crate::load::UNMEASURED_LATENCY_MS;
 use crate::registry::EndpointRegistry;
@@ -6,30 +7,35 @@
 use crate::Ms;
 use std::rc::Rc;
 
-/// Factor on the expected latency of an endpoint in another zone: traffic between zones has its price, but one far below
-/// that of a late response.
+/// Factor on the expected latency of an endpoint in another zone. Cross-zone traffic has a cost, but a far
+/// lower one than a late response.
 const OTHER_ZONE_PENALTY: f32 = 1.15;
-/// Factor for an endpoint that has just started, which is slow by about this.
+/// Factor on the expected latency of an endpoint that has just started, which is about this much slower.
 const SLOW_START_PENALTY: f32 = 3.0;
-/// Factor for a suspect endpoint: it is the last resort.
+/// Factor on the expected latency of a suspect endpoint, which makes it a last resort.
 const SUSPECT_PENALTY: f32 = 20.0;
-/// Expected latencies within this part of each other count as equal; chance decides, so that edges do not herd.
+/// Relative spread of the random factor on each expected latency. Similar latencies count as equal, so that
+/// edges do not all select the same endpoint.
 const RANDOM_SPREAD: f32 = 0.1;
-/// A request of rank 0 is refused when its response is expected this much past its deadline, since what is known of
-/// other edges' requests is old; each further rank is refused sooner.
+/// A request of rank 0 is rejected when its expected latency exceeds the time left by this factor. The factor
+/// is above 1 because the information about requests of other edges is old.
 const OVERLOAD_FACTOR: f32 = 1.3;
+/// Decrease of the overload factor with each further rank: [`OVERLOAD_FACTOR`] is divided by one plus this
+/// times the rank.
 const OVERLOAD_FACTOR_PER_RANK: f32 = 0.15;
-/// An endpoint has a queue if its expected latency is more than so many times the service's mean.
+/// An endpoint is considered to have a queue if its expected latency exceeds the service's mean by this
+/// factor.
 const QUEUEING_FACTOR: f32 = 2.0;
-/// Of the usable endpoints, at most one in so many is kept ejected (Envoy's maximum ejection percentage).
+/// At most one in this many usable endpoints is excluded as ejected (compare Envoy's maximum ejection
+/// percentage).
 const MIN_ENDPOINTS_PER_EJECTED: usize = 2;
 
-/// Which versions of a service's software may process a request.
+/// Restricts the software versions of a service that may process a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum VersionFilter<'a> {
     /// Endpoints of this version only.
     Only(&'a str),
-    /// All endpoints but those of this version.
+    /// All endpoints except those of this version.
     Except(&'a str),
 }
 
@@ -42,37 +48,37 @@
     }
 }
 
-/// What the selection for one attempt of a request depends on.
+/// The inputs to the endpoint selection for one attempt of a request.
 #[derive(Debug, Clone)]
 pub struct SelectionRequest<'a> {
-    /// The service that is to process it.
+    /// Name of the service that processes the request.
     pub service: &'a str,
-    /// The key, where the service is sharded and the request carries one.
+    /// The shard key, if the service is sharded and the request carries one.
     pub key: Option<u16>,
-    /// Whether it may be sent again if its outcome is unknown.
+    /// Whether the request may be retried when its outcome is unknown.
     pub idempotent: bool,
-    /// 0 is the most important.
+    /// Importance of the request; 0 is the most important.
     pub rank: u32,
-    /// Until its deadline, in ms.
+    /// Time (ms) until the request's deadline.
     pub time_left: Ms,
-    /// For how long (ms) a draining endpoint still gets requests for keys that it owns.
+    /// How long (ms) a draining endpoint still gets requests for keys that it owns.
     pub drain_grace: Ms,
-    /// Where a rollout tells versions apart.
+    /// The versions allowed by a rollout, if one distinguishes them.
     pub version: Option<VersionFilter<'a>>,
-    /// Ids of endpoints that earlier attempts failed at.
+    /// Ids of endpoints at which earlier attempts failed.
     pub excluded: &'a [Rc<str>],
 }
 
 /// The result of a selection.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Selection {
-    /// The id of the endpoint.
+    /// The id of the selected endpoint.
     Endpoint(Rc<str>),
-    /// No endpoint that can be reached is known to own the key; a later update may name one.
+    /// No reachable endpoint is known to own the key; a later update may name one.
     NoLeaseHolder,
-    /// No endpoint is left.
+    /// No candidate endpoint remains.
     NoEndpoint,
-    /// The response of every endpoint would come too late.
+    /// Even the best endpoint is expected to respond too late.
     Overloaded,
 }
 
@@ -92,7 +98,8 @@
 ///     version: None,
 ///     excluded: &[],
 /// };
-/// let selection = select_endpoint(&EndpointRegistry::new("north"), &request, 0, &mut fastrand::Rng::with_seed(1));
+/// let mut random = fastrand::Rng::with_seed(1);
+/// let selection = select_endpoint(&EndpointRegistry::new("north"), &request, 0, &mut random);
 /// assert_eq!(selection, Selection::NoEndpoint);
 /// ```
 pub fn select_endpoint(
@@ -115,7 +122,7 @@
     }
 }
 
-/// The owner of the key: no other endpoint may process the request.
+/// Selects the owner of the key, the only endpoint that may process the request.
 fn select_owner(
     registry: &EndpointRegistry,
     service: &ServiceEndpoints,
@@ -147,8 +154,9 @@
     endpoints.filter(|endpoint| endpoint.usable(now) && has_version(endpoint)).collect()
 }
 
-/// Removes ejected endpoints, but not more than half of all: outlier detection may be wrong about many at once, such as
-/// when the fault is this edge's own. Those whose ejection ends first stay.
+/// Removes ejected endpoints, but at most half of all candidates: outlier detection may be wrong about many
+/// endpoints at once, for example when the fault is in this edge. Endpoints whose ejection ends first are
+/// kept.
 fn remove_ejected(candidates: &mut Vec<&Endpoint>, request: &SelectionRequest, now: Ms) {
     let is_ejected = |endpoint: &&Endpoint| endpoint.health.is_ejected(request.idempotent, now);
     let mut ejected: Vec<&Endpoint> = candidates.iter().copied().filter(is_ejected).collect();
@@ -166,7 +174,8 @@
 ) -> Option<&'a Endpoint> {
     let mut best: Option<(f32, &Endpoint)> = None;
     for endpoint in candidates {
-        // One draw for each candidate, in their order: the same seed makes the same selections.
+        // One random draw per candidate, in candidate order, so that selections are reproducible for a given
+        // seed.
         let cost = latency_cost(endpoint, service_latency, now) * (1.0 + RANDOM_SPREAD * random.f32());
         if best.is_none_or(|(least, _)| cost < least) {
             best = Some((cost, endpoint));
@@ -175,7 +184,7 @@
     best.map(|(_, endpoint)| endpoint)
 }
 
-/// The expected latency with all penalties.
+/// The expected latency (ms) of an endpoint with all penalties applied.
 fn latency_cost(endpoint: &Endpoint, service_latency: f32, now: Ms) -> f32 {
     let zone = if endpoint.same_zone { 1.0 } else { OTHER_ZONE_PENALTY };
     let slow_start = if now < endpoint.slow_start_until { SLOW_START_PENALTY } else { 1.0 };
@@ -183,7 +192,7 @@
     endpoint.load.expected_latency(now, service_latency) * zone * slow_start * suspect
 }
 
-/// The mean latency (ms) that stands in for endpoints that were not measured.
+/// The mean latency (ms) that is assumed for endpoints without measurements.
 fn service_latency(service: &ServiceEndpoints) -> f32 {
     if service.mean_latency > 0.0 {
         service.mean_latency
@@ -192,8 +201,9 @@
     }
 }
 
-/// Whether the response is expected too late for the request. Only a measured latency counts, and only a queue: if an
-/// idle endpoint were too slow for a request, refusing all of them would end the measuring as well.
+/// Whether the response is expected too late for the request. This requires a measured latency and a queue at
+/// the endpoint: if requests were rejected because an idle endpoint is too slow, its latency would never be
+/// measured again.
 fn is_overloaded(
     endpoint: &Endpoint,
     service: &ServiceEndpoints,
--- a/crates/data-plane/load-balancing/src/selection/tests.rs
+++ b/crates/data-plane/load-balancing/src/selection/tests.rs
@@ -1,4 +1,4 @@
-//! Which endpoint is selected.
+//! Tests of which endpoint is selected.
 use super::*;
 use crate::health::FailureKind;
 use coppersail_peer_protocol::{AssignmentUpdate, EndpointState, EndpointUpdate, Update};
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn a_busy_endpoint_is_passed_over_and_a_draining_one_never_selected() {
+fn an_idle_endpoint_is_preferred_to_busy_ones_and_a_draining_one_is_never_selected() {
     let (mut registry, mut random) = (registry(4), fastrand::Rng::with_seed(7));
     for n in 0..3 {
         registry.endpoint_mut(&format!("i-{n}")).unwrap().load.in_flight = 2;
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_key_goes_to_no_endpoint_but_its_owner() {
+fn a_request_with_a_key_is_sent_only_to_the_owner_of_the_key() {
     let (mut registry, mut random) = (registry(4), fastrand::Rng::with_seed(7));
     let request = SelectionRequest { key: Some(40_000), ..request(true) };
     let assignments = vec![AssignmentUpdate {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_request_of_a_lower_rank_is_refused_first_under_overload() {
+fn a_less_important_request_is_rejected_first_under_overload() {
     let (mut registry, mut random) = (registry(1), fastrand::Rng::with_seed(7));
     registry.service_mut("b").unwrap().mean_latency = 400.0;
     let load = &mut registry.endpoint_mut("i-0").unwrap().load;
--- a/crates/data-plane/load-balancing/src/slices.rs
+++ b/crates/data-plane/load-balancing/src/slices.rs
@@ -3,23 +3,23 @@
 use coppersail_peer_protocol::{AssignmentRow, AssignmentUpdate};
 use std::rc::Rc;
 
-/// Keys are 0 to 65535; a service has at most as many slices.
+/// Number of keys, 0 to 65535, and the maximum number of slices of a service.
 const KEY_SPACE: u32 = 65_536;
-/// Once its owner has rejected a key, the row is trusted again after this (ms): the endpoint may not have received its
-/// lease yet.
+/// How long (ms) a slice's owner stays suspect after it rejected a key. The endpoint may not have received
+/// its lease yet, so it is used again after that.
 const SUSPECT_OWNER_MS: Ms = 300;
 
 /// The owner of one slice.
 #[derive(Debug, Clone, Default)]
 struct SliceOwner {
-    /// Id of the endpoint that holds the lease; none while the lease changes hands.
+    /// Id of the endpoint that holds the lease; `None` while the lease is transferred.
     endpoint: Option<Rc<str>>,
-    /// Of the lease; a later owner has a higher one.
+    /// Fencing token of the lease; a later owner has a higher one.
     fencing_token: u64,
     suspect_until: Ms,
 }
 
-/// The owners of all slices, by number.
+/// The owners of all slices, indexed by slice number.
 #[derive(Debug, Default)]
 pub struct SliceTable {
     rows: Vec<SliceOwner>,
@@ -31,7 +31,7 @@
         (u64::from(key) * self.rows.len() as u64 / u64::from(KEY_SPACE)) as u32
     }
 
-    /// The owner of a key, unless it is unknown or suspect.
+    /// The owner of a key, or `None` if it is unknown or suspect.
     pub fn owner(&self, key: u16, now: Ms) -> Option<&Rc<str>> {
         let row = self.rows.get(self.slice_of(key) as usize)?;
         row.endpoint.as_ref().filter(|_| now >= row.suspect_until)
@@ -42,7 +42,8 @@
         self.rows.iter().any(|row| row.endpoint.is_some())
     }
 
-    /// The endpoint has rejected a key of which this table says that it is the owner.
+    /// Records that an endpoint rejected a key. Has an effect only if this table lists the endpoint as the
+    /// key's owner.
     pub(crate) fn suspect_owner(&mut self, key: u16, endpoint: &str, now: Ms) {
         let slice = self.slice_of(key) as usize;
         if let Some(row) = self.rows.get_mut(slice) {
@@ -57,8 +58,8 @@
         (1..=KEY_SPACE).contains(&update.slice_count)
     }
 
-    /// Merges an update in any order of arrival: the row with the higher fencing token wins. `shared_id` yields the
-    /// registry's copy of an endpoint's id. Returns whether any row changed.
+    /// Merges an update. Updates may arrive in any order: the row with the higher fencing token wins.
+    /// `shared_id` returns the registry's shared copy of an endpoint id. Returns whether any row changed.
     pub(crate) fn merge(
         &mut self,
         update: &AssignmentUpdate,
@@ -83,7 +84,8 @@
         changed
     }
 
-    /// Starts a table with another number of slices, unless the update is older than this one.
+    /// Replaces the table by an empty one with the update's slice count, unless the update is older than the
+    /// table. Returns whether the table was replaced.
     fn resize(&mut self, update: &AssignmentUpdate) -> bool {
         let newest_known = self.rows.iter().map(|row| row.fencing_token).max();
         let newest_of_update = update.rows.iter().map(|row| row.version).max();
--- a/crates/data-plane/load-balancing/src/traffic_split.rs
+++ b/crates/data-plane/load-balancing/src/traffic_split.rs
@@ -1,12 +1,13 @@
-//! The service of a request, where a route splits its traffic over several.
+//! Selects the service of a request on a route that splits its traffic over several services.
 use rustc_hash::FxHasher;
 use std::hash::Hasher;
 
-/// Multiplicative hashing with the golden ratio (Knuth 6.4), on top of a hash whose upper bits are the well mixed ones.
+/// Multiplier of Fibonacci hashing (Knuth, volume 3, section 6.4), applied to a hash whose upper bits are
+/// well mixed.
 const GOLDEN_RATIO: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// Selects a service by its share of the traffic and the request's id: all attempts with an id go to the same service.
-/// None if no share is positive.
+/// Selects a service in proportion to its share of the traffic, by a hash of the request id: all requests
+/// with the same id go to the same service. Returns `None` if no share is positive.
 pub fn select_service<'a>(shares: &'a [(String, f64)], request_id: &[u8]) -> Option<&'a str> {
     let services = || shares.iter().filter(|(_, share)| *share > 0.0);
     let total: f64 = services().map(|(_, share)| share).sum();
@@ -17,11 +18,11 @@
         }
         position -= share;
     }
-    // Rounding may leave a little beyond the last share.
+    // Rounding errors may leave the position slightly beyond the last share.
     services().next_back().map(|(name, _)| name.as_str())
 }
 
-/// A hash of the bytes in 0..1.
+/// Hashes the bytes to a number in 0..1.
 fn unit_interval(bytes: &[u8]) -> f64 {
     let mut hasher = FxHasher::default();
     hasher.write(bytes);
--- a/crates/data-plane/load-balancing/src/traffic_split/tests.rs
+++ b/crates/data-plane/load-balancing/src/traffic_split/tests.rs
@@ -1,8 +1,8 @@
-//! How requests are spread over services.
+//! Tests of the distribution of requests over services.
 use super::*;
 
 #[test]
-fn shares_of_traffic_are_kept_and_a_share_of_zero_gets_none() {
+fn each_service_gets_its_share_of_the_traffic_and_a_share_of_zero_gets_none() {
     let shares = [("a".to_string(), 90.0), ("b".to_string(), 10.0), ("c".to_string(), 0.0)];
     let mut counts = [0; 3];
     for n in 0..10_000u32 {
--- a/crates/data-plane/retry/src/history.rs
+++ b/crates/data-plane/retry/src/history.rs
@@ -1,7 +1,7 @@
-//! The outcomes of all attempts of one request, and the final outcome that follows from them.
+//! Accumulates the outcomes of all attempts of one request and derives the final outcome from them.
 use crate::outcome::{AttemptOutcome, IndeterminateCause};
 
-/// What the client learns of a request for which no attempt brought a response.
+/// What the proxy reports to the client when no attempt produced a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinalOutcome {
     /// 503: the request was not processed and never will be; the client may send it again.
@@ -26,9 +26,9 @@
 /// The attempts of one request so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AttemptHistory {
-    /// Attempts that an endpoint has, or may have, read.
+    /// Number of attempts that an endpoint received or may have received.
     pub delivered: u32,
-    /// Attempts of which no byte reached an endpoint.
+    /// Number of attempts of which no byte reached an endpoint.
     pub unsent: u32,
     may_have_run: bool,
     /// Whether the last indeterminate attempt timed out.
@@ -54,7 +54,7 @@
         self.may_have_run = true;
     }
 
-    /// Whether any endpoint has, or may have, processed the request.
+    /// Whether any endpoint processed or may have processed the request.
     pub fn may_have_run(&self) -> bool {
         self.may_have_run
     }
--- a/crates/data-plane/retry/src/lib.rs
+++ b/crates/data-plane/retry/src/lib.rs
@@ -1,18 +1,19 @@
-//! Whether a request may be sent again, and which response its client gets when every attempt has failed.
+//! Decides whether a request may be retried, and which response the client gets when every attempt has
+//! failed.
 //!
-//! An attempt ends in one [`AttemptOutcome`]. The outcome alone decides whether the request may be sent to another
-//! endpoint. The [`AttemptHistory`] of a request collects its outcomes and yields the [`FinalOutcome`], from which the
-//! proxy makes its response.
+//! Each attempt ends in one [`AttemptOutcome`], which alone decides whether the request may be sent to
+//! another endpoint. The [`AttemptHistory`] of a request collects these outcomes and yields the
+//! [`FinalOutcome`], from which the proxy builds its response.
 //!
-//! The rule is that of RFC 9110, 9.2.2: a request that may have been processed is repeated only if it is idempotent;
-//! one that was certainly not processed may always be repeated.
+//! The rule is that of RFC 9110, section 9.2.2: a request that may have been processed is retried only if it
+//! is idempotent; a request that was certainly not processed may always be retried.
 //!
 //! ```
 //! use coppersail_retry::{AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, SendFailure};
 //!
 //! let mut history = AttemptHistory::default();
 //! let not_sent: AttemptOutcome<()> = AttemptOutcome::NotSent(SendFailure::Unreachable);
-//! assert!(not_sent.is_retryable(false), "no endpoint has read it");
+//! assert!(not_sent.is_retryable(false), "no endpoint has received it");
 //! history.record(&not_sent);
 //! assert_eq!(history.final_outcome(), FinalOutcome::Unavailable);
 //!
--- a/crates/data-plane/retry/tests/outcomes.rs
+++ b/crates/data-plane/retry/tests/outcomes.rs
@@ -1,9 +1,10 @@
-//! For every outcome of an attempt: whether the request may be sent again, and the final outcome.
+//! Checks for every attempt outcome whether the request may be retried, and which final outcome follows.
 use coppersail_retry::{
     AttemptHistory, AttemptOutcome, FinalOutcome, IndeterminateCause, RejectReason, SendFailure,
 };
 
-/// Every outcome; a new one does not compile until [`expected`] has a row for it.
+/// All outcomes. The exhaustive match in [`expected`] fails to compile when a variant is added without a row
+/// there.
 fn all_outcomes() -> Vec<AttemptOutcome<()>> {
     use SendFailure::*;
     let not_sent = [Unreachable, ConnectionLimit, ConnectionClosed, DeadlineExceeded, EndpointDraining]
@@ -26,7 +27,8 @@
         .collect()
 }
 
-/// Whether a request that is not idempotent is retryable, whether an idempotent one is, and the final outcome.
+/// Returns whether a non-idempotent request is retryable, whether an idempotent one is, and the final
+/// outcome.
 fn expected(outcome: &AttemptOutcome<()>) -> (bool, bool, FinalOutcome) {
     match outcome {
         AttemptOutcome::NotSent(
@@ -54,7 +56,7 @@
 }
 
 #[test]
-fn an_outcome_alone_decides_about_a_retry_and_the_final_status() {
+fn each_outcome_determines_whether_a_retry_is_allowed_and_the_final_status() {
     for outcome in all_outcomes() {
         let (not_idempotent, idempotent, final_outcome) = expected(&outcome);
         assert_eq!(
@@ -72,8 +74,8 @@
     }
 }
 
-/// The final outcome is `Unavailable` only if no attempt may have run, and a request that is not idempotent is not sent
-/// again once it may have run.
+/// The final outcome is `Unavailable` only if no endpoint may have processed the request, and a
+/// non-idempotent request is not retried once an endpoint may have processed it.
 #[test]
 fn a_request_that_may_have_run_is_neither_reported_unavailable_nor_repeated_unless_idempotent() {
     let outcomes = all_outcomes();
