--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request is sent to one endpoint, and its response read.
+//! One attempt: sends a request to one endpoint and reads the response.
 use crate::body::RequestBody;
 use crate::connection_pool::ConnectionRequirements;
 use crate::edge::Edge;
@@ -19,14 +19,14 @@
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// What came of an attempt.
+/// The result of an attempt.
 pub(crate) struct AttemptResult {
     pub(crate) outcome: AttemptOutcome<UpstreamResponse>,
-    /// The body, if none of it was sent.
+    /// The request body, if no byte of it was sent.
     pub(crate) unsent_body: Option<RequestBody>,
-    /// Number of the connection that the request was sent on.
+    /// Number of the connection on which the request was sent.
     pub(crate) connection: Option<u64>,
-    /// When a rejected request may come back, in ms, if the endpoint says so.
+    /// Delay (ms) after which a rejected request may be retried, if the endpoint named one.
     pub(crate) retry_after: Option<Ms>,
 }
 
@@ -36,24 +36,24 @@
     }
 }
 
-/// An attempt of a request at an endpoint.
+/// An attempt to send a request to an endpoint.
 pub(crate) struct Attempt<'a> {
     pub(crate) edge: &'a Rc<Edge>,
     pub(crate) request: &'a ReceivedRequest<'a>,
     pub(crate) endpoint: &'a Rc<str>,
     pub(crate) variant: Option<&'a AssignedVariant>,
-    /// Numbers of connections that earlier attempts were sent on.
+    /// Numbers of the connections on which earlier attempts were sent.
     pub(crate) used_connections: &'a [u64],
 }
 
-/// A connection that is ready for the request.
+/// A connection on which the request can be sent.
 struct ReadyConnection {
     lease: Lease,
-    /// Value of the header that names the endpoint.
+    /// Value of the header that names the intended endpoint.
     wanted_server: HeaderValue,
-    /// In ms of the edge's clock.
+    /// Time (ms) of the edge's clock.
     ready_at: Ms,
-    /// Requests at the endpoint, with this one.
+    /// Expected number of requests at the endpoint, including this one.
     concurrency: f32,
 }
 
@@ -70,8 +70,8 @@
         AttemptResult { connection: Some(number), ..result }
     }
 
-    /// Checks out a connection, and checks that the endpoint still accepts the request: an update may have arrived while
-    /// the connection was established.
+    /// Checks out a connection and verifies that the endpoint still accepts the request, because an update
+    /// may have arrived while the connection was established.
     async fn connect(&self, in_flight: &mut InFlight) -> Result<ReadyConnection, SendFailure> {
         let address = self.edge.registry.borrow().endpoint(self.endpoint).map(|endpoint| endpoint.address);
         let address = address.ok_or(SendFailure::EndpointDraining)?;
@@ -95,7 +95,8 @@
         Ok(ReadyConnection { lease, wanted_server, ready_at, concurrency })
     }
 
-    /// Requests at the endpoint, if it still accepts this one at this address.
+    /// Expected number of requests at the endpoint including this one, or `None` if it no longer accepts the
+    /// request at this address.
     fn concurrency(&self, address: SocketAddr, now: Ms) -> Option<f32> {
         let registry = self.edge.registry.borrow();
         let endpoint = registry.endpoint(self.endpoint)?;
@@ -116,10 +117,11 @@
         let deadline = self.edge.instant(self.request.deadline);
         let response = match timeout_at(deadline, lease.sender.try_send_request(request)).await {
             Ok(Ok(response)) => response,
-            Ok(Err(error)) => return failed_send(&lease, error, in_flight),
+            Ok(Err(error)) => return send_failed(&lease, error, in_flight),
             Err(_) => return AttemptResult::new(timed_out(&lease, in_flight), None),
         };
-        // A response that begins before all of the request was sent may be followed by another one to the rest.
+        // If the response begins before the whole request was sent, the endpoint may parse the rest of the
+        // request as a new one and send a second response, so the connection must not be reused.
         let early = !read_to_end() || lease.is_write_pending();
         let (edge, request, endpoint) = (self.edge, self.request, self.endpoint);
         let exchange = Exchange { edge, request, endpoint, lease, sent_at, concurrency, early };
@@ -142,15 +144,15 @@
     }
 }
 
-/// The connection failed before a response.
-fn failed_send(
+/// The result of an attempt whose connection failed before a response.
+fn send_failed(
     lease: &Lease,
     mut error: TrySendError<Request<RequestBody>>,
     in_flight: &mut InFlight,
 ) -> AttemptResult {
     let unsent_body = error.take_message().map(Request::into_body);
-    // Idle connections end for many reasons, a new one for the endpoint's. Nor is it the endpoint's fault what the
-    // client sent.
+    // An idle connection may be closed for many reasons, while the failure of a new one is attributed to the
+    // endpoint. Errors in the body that the client sent (`is_user`) are not the endpoint's fault.
     if !lease.reused && !error.error().is_user() {
         in_flight.record_failure(FailureKind::Broken);
     }
@@ -166,7 +168,7 @@
     AttemptResult::new(AttemptOutcome::Indeterminate(cause), None)
 }
 
-/// The deadline passed before a response.
+/// The outcome of an attempt whose deadline passed before a response.
 fn timed_out(lease: &Lease, in_flight: &mut InFlight) -> AttemptOutcome<UpstreamResponse> {
     if !lease.bar_unless_begun() {
         return AttemptOutcome::NotSent(SendFailure::DeadlineExceeded);
--- a/crates/data-plane/edge-proxy/src/attempt_loop.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop.rs
@@ -1,4 +1,4 @@
-//! The attempts of one request, until one brings a response or the request is given up.
+//! Makes the attempts of one request until one yields a response or no further attempt is allowed.
 mod endpoint_selection;
 
 use crate::attempt::{Attempt, AttemptResult};
@@ -16,16 +16,18 @@
 use std::rc::Rc;
 use tokio::time::Instant;
 
-/// Attempts of one request that reach no endpoint; each costs the client a part of its time.
+/// Maximum number of attempts of one request that reach no endpoint. Each of them uses up part of the
+/// client's time.
 const MAX_UNSENT_ATTEMPTS: u32 = 3;
 
-/// `Retry-After` (ms) of a request that only this edge cannot take.
+/// `Retry-After` (ms) of a request that this edge rejects because it shuts down; another edge can take it at
+/// once.
 const RETRY_AFTER_ELSEWHERE_MS: Ms = 0;
 
 /// How a request ended.
 pub(crate) struct ProxiedResponse {
     pub(crate) response: Response<ResponseBody>,
-    /// None: the response is the endpoint's own.
+    /// Why the edge generated the response itself; `None` if it is an endpoint's response.
     pub(crate) given_up: Option<FinalOutcome>,
 }
 
@@ -35,29 +37,29 @@
     }
 }
 
-/// A request between its attempts.
+/// The state of a request across its attempts.
 pub(crate) struct AttemptLoop<'a> {
     edge: &'a Rc<Edge>,
     request: ReceivedRequest<'a>,
     body: Body,
     history: AttemptHistory,
-    /// Ids of endpoints that are not to be selected again.
+    /// Ids of endpoints that must not be selected again.
     excluded: Vec<Rc<str>>,
-    /// The variant of the rollout; it changes if the new version has no endpoint.
+    /// The variant of the rollout; it falls back to the control group if the new version has no endpoint.
     variant: Option<AssignedVariant>,
-    /// An endpoint's own failure, kept in case that no other does better.
+    /// The response of an endpoint that reported an internal failure, used if no other endpoint succeeds.
     failed_response: Option<UpstreamResponse>,
-    /// Whether the request had to wait for the owner of its key.
+    /// Whether the key had no known or reachable owner at some attempt.
     lacked_owner: bool,
-    /// In ms, as the last endpoint that was overloaded said.
+    /// `Retry-After` (ms) of the last endpoint that was overloaded.
     retry_after: Option<Ms>,
-    /// Numbers of the connections that the request was sent on.
+    /// Numbers of the connections on which the request was sent.
     used_connections: Vec<u64>,
-    /// How long the request may wait for its key's owner, in ms of the edge's clock.
+    /// Time (ms) of the edge's clock until which the request may wait for the owner of its key.
     owner_wait_until: Ms,
 }
 
-/// What follows from an attempt.
+/// What to do after an attempt.
 enum NextStep {
     Respond(UpstreamResponse),
     Retry,
@@ -65,7 +67,8 @@
 }
 
 impl<'a> AttemptLoop<'a> {
-    /// Counts the request, in its service's retry budget and for the balance of shards.
+    /// Counts the request in its service's retry budget and in the request counts by which slices are
+    /// balanced.
     pub(crate) fn new(edge: &'a Rc<Edge>, request: ReceivedRequest<'a>, body: Body) -> AttemptLoop<'a> {
         let now = edge.now();
         edge.record_request(request.service, now);
@@ -88,7 +91,7 @@
         }
     }
 
-    /// Makes attempts until one brings a response or the request is given up.
+    /// Makes attempts until one yields a response or no further attempt is allowed.
     pub(crate) async fn run(mut self) -> ProxiedResponse {
         loop {
             let now = self.edge.now();
@@ -115,7 +118,7 @@
         self.final_response()
     }
 
-    /// Whether time and attempts are left, also until the end of the process.
+    /// Whether time and attempts remain, taking the exit time of a process in shutdown into account.
     fn may_attempt(&self, now: Ms) -> bool {
         self.request.time_left(now) > 0
             && self.ends_before_process()
@@ -123,18 +126,20 @@
             && self.history.unsent < MAX_UNSENT_ATTEMPTS
     }
 
-    /// Late in a shutdown an attempt could be cut while its endpoint is at work, and the client would get no answer.
+    /// Whether the request's deadline is before the exit of the process. Late in a shutdown, an attempt could
+    /// otherwise be aborted while its endpoint processes it, and the client would get no response.
     fn ends_before_process(&self) -> bool {
         self.edge.shutdown.may_begin(self.edge.instant(self.request.deadline))
     }
 
-    /// Whether the attempt is within the retry budget; the first one, and those after which no endpoint has read the
-    /// request, are not retries.
+    /// Whether the attempt is within the retry budget, from which it is withdrawn. As long as no endpoint may
+    /// have received the request, the attempt is not a retry.
     fn take_retry_budget(&self, now: Ms) -> bool {
         self.history.delivered == 0 || self.edge.withdraw_retry(self.request.service, now)
     }
 
-    /// The body for the next attempt; none if its beginning was sent with an earlier one.
+    /// The body for the next attempt, or `None` if an earlier attempt already sent the beginning of a
+    /// streamed body.
     fn attempt_body(&mut self) -> Option<RequestBody> {
         match &mut self.body {
             Body::Buffered(bytes) => Some(RequestBody::buffered(bytes)),
@@ -174,7 +179,7 @@
         outcome
     }
 
-    /// Counts an attempt as evidence for the analysis of a rollout.
+    /// Records an attempt as evidence for the analysis of a rollout.
     fn record_rollout_sample(
         &self,
         endpoint: &str,
@@ -197,7 +202,7 @@
         self.edge.record_outcome(&attempt, outcome);
     }
 
-    /// Records what an attempt says about the request and about its endpoint.
+    /// Records the outcome of an attempt in the request's history and in the state of its endpoint.
     fn record_outcome(&mut self, endpoint: Rc<str>, outcome: &AttemptOutcome<UpstreamResponse>) {
         self.history.record(outcome);
         match outcome {
@@ -216,7 +221,7 @@
         }
     }
 
-    /// Decides what follows from an attempt.
+    /// Decides what to do after an attempt.
     async fn next_step(&mut self, outcome: AttemptOutcome<UpstreamResponse>) -> NextStep {
         let retryable = outcome.is_retryable(self.request.route.idempotent);
         match outcome {
@@ -238,7 +243,8 @@
         self.failed_response.is_none() && matches!(self.body, Body::Buffered(_))
     }
 
-    /// Only the owner can process the request, so that it is asked again, but not before a slot of it may be free.
+    /// Waits before the overloaded owner is tried again. Only the owner may process the request, and it needs
+    /// time to free a slot.
     async fn wait_for_overloaded_owner(&self) -> NextStep {
         if self.edge.now() >= self.owner_wait_until {
             return NextStep::GiveUp;
@@ -247,20 +253,20 @@
         NextStep::Retry
     }
 
-    /// The response of a request that is given up.
+    /// The response to the client when no further attempt is made.
     fn final_response(self) -> ProxiedResponse {
         if let Some(response) = self.failed_response {
             return response.into();
         }
         let outcome = self.history.final_outcome();
-        let answer = match outcome {
+        let response = match outcome {
             FinalOutcome::Unavailable => unavailable(self.client_backoff()),
             other => empty_response(other.status()),
         };
-        ProxiedResponse { response: answer, given_up: Some(outcome) }
+        ProxiedResponse { response, given_up: Some(outcome) }
     }
 
-    /// When the client should come back, in ms.
+    /// Delay (ms) after which the client should retry.
     fn client_backoff(&self) -> Ms {
         if !self.ends_before_process() {
             return RETRY_AFTER_ELSEWHERE_MS;
@@ -273,9 +279,9 @@
     }
 }
 
-/// What is noted of an attempt under a rollout when it is sent.
+/// What is recorded when an attempt that belongs to a rollout is sent.
 struct RolloutSample {
     sent_at: Instant,
-    /// Its latency tells nothing about the version.
+    /// Whether its latency says nothing about the version.
     is_latency_excluded: bool,
 }
--- a/crates/data-plane/edge-proxy/src/attempt_loop/endpoint_selection.rs
+++ b/crates/data-plane/edge-proxy/src/attempt_loop/endpoint_selection.rs
@@ -1,4 +1,4 @@
-//! Which endpoint gets the next attempt, and what a request waits for while none can.
+//! Selects the endpoint of the next attempt, or waits for an update while the key's owner is unknown.
 use super::AttemptLoop;
 use crate::rollout::variants::AssignedVariant;
 use crate::sessions::AttemptTarget;
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// What follows from the selection of an endpoint.
+/// What to do after the selection of an endpoint.
 pub(super) enum SelectionStep {
     Attempt(Rc<str>),
     Reselect,
@@ -15,7 +15,8 @@
 }
 
 impl AttemptLoop<'_> {
-    /// Selects the endpoint of the next attempt, or waits until it is worth selecting again.
+    /// Selects the endpoint of the next attempt, or waits for an update after which a new selection may
+    /// succeed.
     pub(super) async fn select_endpoint(&mut self, now: Ms) -> SelectionStep {
         match self.selection(now) {
             Selection::Endpoint(selected) => SelectionStep::Attempt(self.apply_affinity(selected)),
@@ -50,7 +51,7 @@
         selection::select_endpoint(&registry, &request, now, &mut random)
     }
 
-    /// The endpoint of the request's session, where it has one.
+    /// Replaces the selected endpoint by that of the request's session, if it has one that can be used.
     fn apply_affinity(&self, selected: Rc<str>) -> Rc<str> {
         match &self.request.affinity {
             Some(affinity) => {
@@ -66,7 +67,8 @@
         }
     }
 
-    /// Waits for an update. An owner is in doubt for a while only, so that the end of the wait is worth a selection, too.
+    /// Waits for an update of the registry, which may name another owner, until the request's wait for an
+    /// owner ends.
     async fn wait_for_owner(&mut self, now: Ms) -> SelectionStep {
         self.lacked_owner = true;
         let updated = self.edge.updated.notified();
@@ -77,8 +79,8 @@
         SelectionStep::Reselect
     }
 
-    /// Whether the request may go to the old version because the new one has no endpoint: only if it has certainly not
-    /// been processed.
+    /// Whether the request may be sent to the old version when the new version has no endpoint. This is
+    /// allowed only if the request was certainly not processed.
     fn can_fall_back(&self) -> bool {
         let is_new = self
             .variant
--- a/crates/data-plane/edge-proxy/src/body.rs
+++ b/crates/data-plane/edge-proxy/src/body.rs
@@ -1,4 +1,4 @@
-//! Bodies of requests and responses: buffered up to a bound, streamed beyond it.
+//! Bodies of requests and responses: buffered up to a size limit, streamed beyond it.
 use bytes::{Bytes, BytesMut};
 use http_body_util::BodyExt;
 use hyper::body::{Body as HttpBody, Frame, Incoming, SizeHint};
@@ -8,31 +8,33 @@
 use std::rc::Rc;
 use std::task::{ready, Context, Poll};
 
-/// Bodies up to this (bytes) are buffered, so that a further attempt can repeat them and a response that breaks off is
-/// never begun. It is many times a usual body, and a few hundred of them fit beside each other.
+/// Size (bytes) up to which bodies are buffered, so that another attempt can send a request body again and no
+/// truncated response is passed on. It is many times the usual body size, and memory holds a few hundred such
+/// bodies.
 pub(crate) const MAX_BUFFERED: usize = 256 * 1024;
 
-/// Why a body ends before its end.
+/// Why a body is incomplete.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum BodyError {
-    /// The peer broke off.
-    #[error("the body broke off before its end")]
+    /// The peer closed the connection or sent invalid framing.
+    #[error("body ended before it was complete")]
     Aborted,
-    #[error("the body is longer than allowed")]
+    #[error("body exceeds the size limit")]
     TooLong,
-    #[error("the deadline passed before the body's end")]
+    #[error("deadline passed before the body was complete")]
     DeadlineExceeded,
 }
 
-/// A body as far as it was read before the request or response is passed on.
+/// A body, buffered as far as it is before the request or response is passed on.
 pub(crate) enum Body {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// One that is longer than [`MAX_BUFFERED`]. None once it was sent: its beginning cannot be repeated.
+    /// A body longer than [`MAX_BUFFERED`]. `None` once it was sent, because its beginning cannot be sent
+    /// again.
     Streaming(Option<BodyStream>),
 }
 
-/// Reads a body to its end, or up to the bound of buffering. Longer than `limit` bytes it is an error.
+/// Reads a body to its end or up to [`MAX_BUFFERED`] bytes. A body longer than `limit` bytes is an error.
 pub(crate) async fn buffer_body(mut body: Incoming, limit: u64) -> Result<Body, BodyError> {
     if body.size_hint().exact().is_some_and(|length| length > MAX_BUFFERED as u64) {
         return Ok(Body::Streaming(Some(BodyStream { buffered: VecDeque::new(), rest: body, limit })));
@@ -62,11 +64,11 @@
     all.freeze()
 }
 
-/// A body of which some was read and the rest is still to come.
+/// A body of which the beginning was read and the rest has not arrived yet.
 pub(crate) struct BodyStream {
     buffered: VecDeque<Bytes>,
     rest: Incoming,
-    /// Bytes that may still come.
+    /// Maximum number of bytes that `rest` may still yield.
     limit: u64,
 }
 
@@ -84,7 +86,7 @@
                 Some(Err(_)) => return Poll::Ready(Some(Err(BodyError::Aborted))),
                 Some(Ok(frame)) => frame,
             };
-            // Trailers are not passed on.
+            // Trailers are dropped.
             let Ok(data) = frame.into_data() else { continue };
             if data.len() as u64 > self.limit {
                 return Poll::Ready(Some(Err(BodyError::TooLong)));
@@ -98,7 +100,7 @@
         self.buffered.is_empty() && self.rest.is_end_stream()
     }
 
-    /// Exact if the length is known: hyper then breaks off a body that falls short of it.
+    /// Exact if the length is known, so that hyper aborts the message when the body is shorter.
     pub(crate) fn size_hint(&self) -> SizeHint {
         let buffered: u64 = self.buffered.iter().map(|chunk| chunk.len() as u64).sum();
         match self.rest.size_hint().exact() {
@@ -114,22 +116,22 @@
     Streaming(BodyStream, ReadToEnd),
 }
 
-/// Whether hyper has read a body to its end, to write it.
+/// A shared flag that is set once hyper has read a body to its end in order to write it.
 #[derive(Clone, Default)]
 pub(crate) struct ReadToEnd(Rc<Cell<bool>>);
 
 impl RequestBody {
-    /// Of a body that may be sent again.
+    /// The request body for a buffered body, which may be sent again.
     pub(crate) fn buffered(bytes: &Bytes) -> RequestBody {
         RequestBody::Buffered((!bytes.is_empty()).then(|| bytes.clone()))
     }
 
-    /// Of a body that can be sent only once.
+    /// The request body for a streamed body, which can be sent only once.
     pub(crate) fn streaming(stream: BodyStream) -> RequestBody {
         RequestBody::Streaming(stream, ReadToEnd::default())
     }
 
-    /// A probe that says, while hyper owns the body, whether it has read it to its end.
+    /// Returns a function that tells, while hyper owns the body, whether hyper has read it to its end.
     pub(crate) fn read_to_end(&self) -> impl Fn() -> bool {
         let ended = match self {
             RequestBody::Buffered(_) => None,
--- a/crates/data-plane/edge-proxy/src/client_connection.rs
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -1,4 +1,4 @@
-//! One connection of a client: HTTP/1.1 on its socket, and the timeouts that end it when it is idle or slow.
+//! One client connection: serves HTTP/1.1 on its socket and closes it when it is idle or slow for too long.
 use crate::connection_state::{ConnectionPhase, ConnectionState};
 use crate::edge::Edge;
 use crate::request_handler;
@@ -24,11 +24,11 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// hyper accepts no smaller buffer (bytes).
+/// Smallest buffer size (bytes) that hyper accepts.
 const MIN_BUFFER: usize = 8192;
-/// How often a connection is checked once the process only waits for its end.
+/// Interval at which a connection is checked during a shutdown.
 const CHECK_WHILE_SHUTTING_DOWN: Duration = Duration::from_millis(100);
-/// The response to a head that takes too long.
+/// The response to a request whose head does not arrive within the header timeout.
 const HEAD_TIMEOUT_RESPONSE: &[u8] =
     b"HTTP/1.1 408 Request Timeout\r\nContent-Length: 0\r\nConnection: close\r\n\r\n";
 
@@ -95,11 +95,11 @@
     }
 }
 
-/// Serves requests on a connection until it ends, times out, or is closed by a shutdown.
+/// Serves requests on a connection until the client closes it, it times out, or a shutdown closes it.
 pub(crate) async fn serve(edge: Rc<Edge>, stream: TcpStream, client: IpAddr) {
     let _open = OpenConnection::count(&edge);
     let _ = SockRef::from(&stream).set_tcp_nodelay(true);
-    let (state, caps) = (ConnectionState::new(), edge.caps());
+    let (state, limits) = (ConnectionState::new(), edge.client_limits());
     let service = service_fn(|request: Request<Incoming>| {
         let (edge, state) = (edge.clone(), state.clone());
         async move {
@@ -114,13 +114,13 @@
         }
     });
     let mut connection = http1::Builder::new()
-        .max_header_size(caps.max_header_bytes)
-        .max_buf_size(caps.max_header_bytes.max(MIN_BUFFER))
+        .max_header_size(limits.max_header_bytes)
+        .max_buf_size(limits.max_header_bytes.max(MIN_BUFFER))
         .header_read_timeout(None)
         .auto_date_header(false)
         .serve_connection(ClientIo { stream, state: state.clone() }, service);
     let mut lifecycle = edge.lifecycle.subscribe();
-    let timer = tokio::time::sleep_until(Instant::now() + caps.header_timeout.min(caps.idle_timeout));
+    let timer = tokio::time::sleep_until(Instant::now() + limits.header_timeout.min(limits.idle_timeout));
     tokio::pin!(timer);
     let mut phase = Lifecycle::Serving;
     loop {
@@ -133,7 +133,7 @@
             edge.shutdown.record_cut(&edge.log, &state);
             return;
         }
-        match check(&state, &caps, phase > Lifecycle::Serving, Instant::now()) {
+        match check(&state, &limits, phase > Lifecycle::Serving, Instant::now()) {
             Check::RecheckAt(instant) => timer.as_mut().reset(instant),
             Check::Close => return,
             Check::HeadTimeout => {
@@ -146,20 +146,20 @@
     }
 }
 
-/// Waits until the process is in a later phase than `phase`, and yields that.
+/// Waits until the process enters a later phase than `phase` and returns it.
 async fn next_phase(lifecycle: &mut watch::Receiver<Lifecycle>, phase: Lifecycle) -> Lifecycle {
     lifecycle.wait_for(|current| *current > phase).await.map_or(Lifecycle::Ended, |current| *current)
 }
 
-/// What becomes of a connection whose timer fired.
+/// What to do with a connection whose timer fired.
 enum Check {
     RecheckAt(Instant),
     Close,
-    /// Its head takes too long.
+    /// The request head did not arrive within the header timeout.
     HeadTimeout,
 }
 
-fn check(state: &ConnectionState, caps: &ClientLimits, shutting_down: bool, now: Instant) -> Check {
+fn check(state: &ConnectionState, limits: &ClientLimits, shutting_down: bool, now: Instant) -> Check {
     let phase = state.phase();
     if shutting_down {
         return match phase {
@@ -167,18 +167,18 @@
             _ => Check::RecheckAt(now + CHECK_WHILE_SHUTTING_DOWN),
         };
     }
-    let limit = match phase {
-        ConnectionPhase::ReadingHead => caps.header_timeout,
-        ConnectionPhase::Idle | ConnectionPhase::Processing | ConnectionPhase::Writing => caps.idle_timeout,
+    let phase_timeout = match phase {
+        ConnectionPhase::ReadingHead => limits.header_timeout,
+        ConnectionPhase::Idle | ConnectionPhase::Processing | ConnectionPhase::Writing => limits.idle_timeout,
     };
-    let end = state.since() + limit;
+    let end = state.since() + phase_timeout;
     if end > now {
-        // A head that begins in between is seen at the sooner of both ends.
-        return Check::RecheckAt(end.min(now + caps.header_timeout));
+        // If a request head begins in the meantime, its header timeout may end before the current limit.
+        return Check::RecheckAt(end.min(now + limits.header_timeout));
     }
     match phase {
-        // The request's own deadline ends it.
-        ConnectionPhase::Processing => Check::RecheckAt(now + caps.header_timeout.min(caps.idle_timeout)),
+        // A request in flight is ended by its own deadline, not by this timer.
+        ConnectionPhase::Processing => Check::RecheckAt(now + limits.header_timeout.min(limits.idle_timeout)),
         ConnectionPhase::Idle | ConnectionPhase::Writing => Check::Close,
         ConnectionPhase::ReadingHead => Check::HeadTimeout,
     }
--- a/crates/data-plane/edge-proxy/src/clock.rs
+++ b/crates/data-plane/edge-proxy/src/clock.rs
@@ -18,7 +18,7 @@
         self.start.elapsed().as_millis() as Ms
     }
 
-    /// The instant of a time of this clock.
+    /// Converts a time (ms) of this clock to an instant.
     pub(crate) fn instant(self, time: Ms) -> Instant {
         self.start + Duration::from_millis(time)
     }
--- a/crates/data-plane/edge-proxy/src/connection_pool.rs
+++ b/crates/data-plane/edge-proxy/src/connection_pool.rs
@@ -1,4 +1,5 @@
-//! The pool of connections to endpoints: idle ones for reuse, and a count of all open ones for each endpoint.
+//! The pool of connections to endpoints: idle connections for reuse, and the number of open connections per
+//! endpoint.
 use crate::body::RequestBody;
 use crate::clock::Clock;
 use crate::upstream_socket::UpstreamSocket;
@@ -10,38 +11,39 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// What a request requires of a connection.
+/// The requirements of a request on its connection.
 pub(crate) struct ConnectionRequirements<'a> {
     pub(crate) idempotent: bool,
-    /// This edge's share of the endpoint's connections.
+    /// This edge's share of the endpoint's connection limit.
     pub(crate) connection_limit: u32,
-    /// For a new one to be established.
+    /// Timeout for establishing a new connection.
     pub(crate) connect_timeout: Duration,
-    /// Numbers of connections that the request was sent on before: a late second response to that has the id of this
-    /// attempt, too.
+    /// Numbers of the connections on which the request was sent before. They must not be used again: a late
+    /// second response to an earlier attempt has the same request id and would be taken for the response to
+    /// this one.
     pub(crate) used_connections: &'a [u64],
 }
 
-/// A connection that no request uses.
+/// A connection that is not in use by a request.
 pub(crate) struct IdleConnection {
     pub(crate) number: u64,
     pub(crate) sender: SendRequest<RequestBody>,
     pub(crate) socket: Rc<RefCell<UpstreamSocket>>,
     /// When its last response was read.
     pub(crate) idle_since: Instant,
-    /// The endpoint counts its keep-alive time from no earlier than this.
+    /// Earliest time at which the endpoint may have started its keep-alive timer.
     pub(crate) earliest_idle_since: Instant,
-    /// How long the endpoint keeps it, if it says so.
+    /// The keep-alive time that the endpoint reported, if any.
     pub(crate) keep_alive: Option<Duration>,
 }
 
 impl IdleConnection {
-    /// Whether no request may use it any more.
+    /// Whether the connection is closed or has been idle for too long even for idempotent requests.
     fn is_expired(&self, now: Instant) -> bool {
         now >= self.idle_since + timeouts::idle_timeout(self.keep_alive, true) || self.sender.is_closed()
     }
 
-    /// Until when a request may begin on it.
+    /// The time until which a request may be started on this connection.
     fn usable_until(&self, idempotent: bool) -> Instant {
         let idle_since = if idempotent { self.idle_since } else { self.earliest_idle_since };
         idle_since + timeouts::idle_timeout(self.keep_alive, idempotent)
@@ -51,9 +53,9 @@
 /// The connections to one endpoint.
 #[derive(Default)]
 struct EndpointConnections {
-    /// The one used last is at the end.
+    /// Idle connections; the most recently used one is last.
     idle: Vec<IdleConnection>,
-    /// Idle ones included.
+    /// Number of open connections, including idle ones.
     open: u32,
 }
 
@@ -76,7 +78,7 @@
         Rc::new(ConnectionPool { clock, registry, state: RefCell::default() })
     }
 
-    /// Closes the idle connections to an endpoint that gets no more requests.
+    /// Closes the idle connections to an endpoint that became unusable.
     pub(crate) fn close_idle(&self, endpoint: &str) {
         if let Some(connections) = self.state.borrow_mut().endpoints.get_mut(endpoint) {
             connections.idle.clear();
@@ -92,7 +94,7 @@
         endpoints.retain(|_, connections| connections.open > 0 || !connections.idle.is_empty());
     }
 
-    /// Checks out the idle connection used last that the request may safely use.
+    /// Checks out the most recently used idle connection that is safe for the request.
     pub(crate) fn take_idle(
         &self,
         endpoint: &str,
@@ -107,7 +109,7 @@
             let expired = connection.is_expired(now);
             let was_used = requirements.used_connections.contains(&connection.number);
             if !expired && (now >= until || was_used) {
-                // It may still do for another request.
+                // Another request may still use this connection.
                 continue;
             }
             let connection = idle.remove(index);
@@ -119,7 +121,8 @@
         None
     }
 
-    /// Counts a new connection within the limit. An idle one, which the request may not use, makes room for it.
+    /// Counts a new connection. At the limit, the oldest idle connection is closed to make room for it; the
+    /// request could not use any of the idle ones.
     pub(crate) fn open_connection(
         self: &Rc<Self>,
         endpoint: &Rc<str>,
@@ -139,7 +142,7 @@
         Ok(OpenConnection { pool: self.clone(), endpoint: endpoint.clone(), number })
     }
 
-    /// Gives a connection back, unless its endpoint gets no more requests.
+    /// Returns a connection to the pool, or closes it if its endpoint is unusable.
     pub(crate) fn put_idle(&self, endpoint: &str, connection: IdleConnection) {
         let now = self.clock.now();
         let usable = self.registry.borrow().endpoint(endpoint).is_some_and(|known| known.usable(now));
@@ -149,12 +152,12 @@
     }
 }
 
-/// This edge's share of an endpoint's connections is in use.
+/// All connections in this edge's share of the endpoint's connection limit are in use.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
-#[error("this edge's share of the endpoint's connections is in use")]
+#[error("all connections in this edge's share of the endpoint's limit are in use")]
 pub(crate) struct ConnectionLimitReached;
 
-/// A connection in its endpoint's count, until it is dropped.
+/// Keeps a connection in its endpoint's count of open connections until dropped.
 pub(crate) struct OpenConnection {
     pool: Rc<ConnectionPool>,
     endpoint: Rc<str>,
--- a/crates/data-plane/edge-proxy/src/connection_state.rs
+++ b/crates/data-plane/edge-proxy/src/connection_state.rs
@@ -1,4 +1,5 @@
-//! What is known of a client's connection outside of hyper: its phase, since when, and the head that was scanned.
+//! The state of a client connection that hyper does not expose: its phase, when the phase began, and the
+//! scanned head.
 use crate::head_scanner::HeadScanner;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -9,22 +10,22 @@
 pub(crate) enum ConnectionPhase {
     /// Between requests.
     Idle,
-    /// A head has begun, or the connection is new.
+    /// Part of a request head has arrived, or the connection is new.
     ReadingHead,
     /// A request is in flight.
     Processing,
-    /// A response was handed to hyper, and its client has not taken all of it.
+    /// A response was handed to hyper, and the client has not read all of it yet.
     Writing,
 }
 
-/// Shared by the socket, the request handler and the timeouts of a connection.
+/// The state shared by the socket, the request handler and the timeouts of a connection.
 pub(crate) struct ConnectionState {
     phase: Cell<ConnectionPhase>,
     since: Cell<Instant>,
     opened_at: Instant,
-    /// Whether the socket takes no more bytes of a response for now.
+    /// Whether the last write to the socket was pending because its send buffer is full.
     write_blocked: Cell<bool>,
-    /// When the response before the current request had gone out.
+    /// When the previous response was completely handed to hyper; `None` before the first one.
     idle_since: Cell<Option<Instant>>,
     scanner: RefCell<HeadScanner>,
 }
@@ -44,7 +45,7 @@
 
     pub(crate) fn phase(&self) -> ConnectionPhase {
         match self.phase.get() {
-            // hyper holds the rest of the response: the connection must stay.
+            // hyper still holds the rest of the response, so the connection must stay open.
             ConnectionPhase::Idle if self.write_blocked.get() => ConnectionPhase::Writing,
             phase => phase,
         }
@@ -59,12 +60,12 @@
         self.opened_at
     }
 
-    /// When the request in flight began, if there is one.
+    /// When the request in flight began, or `None` if there is none.
     pub(crate) fn request_began_at(&self) -> Option<Instant> {
         (self.phase.get() == ConnectionPhase::Processing).then(|| self.since.get())
     }
 
-    /// When the response before the current request had gone out, if there was one.
+    /// When the previous response was completely handed to hyper, or `None` if there was none.
     pub(crate) fn idle_since(&self) -> Option<Instant> {
         self.idle_since.get()
     }
@@ -74,7 +75,7 @@
         self.since.set(Instant::now());
     }
 
-    /// Bytes were read from the client.
+    /// Records bytes that were read from the client.
     pub(crate) fn record_read(&self, bytes: &[u8]) {
         if self.phase.get() == ConnectionPhase::Processing {
             return;
@@ -85,23 +86,25 @@
         self.scanner.borrow_mut().scan(bytes);
     }
 
-    /// The socket took bytes of a response, or takes none for now.
+    /// Records whether the socket accepted a write of response bytes or was blocked.
     pub(crate) fn record_write(&self, blocked: bool) {
         let was_blocked = self.write_blocked.replace(blocked);
         if was_blocked && !blocked && self.phase.get() == ConnectionPhase::Idle {
-            // The client reads: its time begins anew.
+            // The client is reading the response, so the timeout restarts.
             self.since.set(Instant::now());
         }
     }
 
-    /// hyper has parsed a head. Yields what was scanned of it, and the guard that ends the request.
+    /// Called when hyper has parsed a request head. Returns the scanner of that head, and a guard whose drop
+    /// ends the request.
     pub(crate) fn begin_request(self: &Rc<Self>) -> (HeadScanner, ResponseGuard) {
         self.enter(ConnectionPhase::Processing);
         (self.scanner.take(), ResponseGuard(self.clone()))
     }
 }
 
-/// Dropped when a response has been handed to hyper completely, or given up: the connection is idle then.
+/// Marks the connection as idle when dropped, which is when the response was completely handed to hyper or
+/// abandoned.
 pub(crate) struct ResponseGuard(Rc<ConnectionState>);
 
 impl Drop for ResponseGuard {
--- a/crates/data-plane/edge-proxy/src/edge.rs
+++ b/crates/data-plane/edge-proxy/src/edge.rs
@@ -1,4 +1,4 @@
-//! The state that all requests of this process share.
+//! The state of an edge proxy, shared by all requests of the process.
 use crate::clock::Clock;
 use crate::connection_pool::ConnectionPool;
 pub use crate::request_counter::RequestCounter;
@@ -18,7 +18,7 @@
 use tokio::sync::{watch, Notify};
 use tokio::time::Instant;
 
-/// The configuration in force, with its index of routes.
+/// The current configuration, with its route index.
 pub(crate) struct ConfigSnapshot {
     pub(crate) config: Config,
     pub(crate) routes: Routes,
@@ -26,48 +26,48 @@
 
 /// The state of an edge proxy.
 pub struct Edge {
-    /// Where it logs to.
+    /// The logger of the process.
     pub log: Logger,
     clock: Clock,
     /// The settings of the process.
     pub settings: RefCell<Rc<ProcessSettings>>,
     config: RefCell<Option<Rc<ConfigSnapshot>>>,
-    /// All endpoints that it knows.
+    /// All known endpoints.
     pub registry: Rc<RefCell<EndpointRegistry>>,
     pub(crate) pool: Rc<ConnectionPool>,
     retry_budgets: RefCell<FxHashMap<String, RetryBudget>>,
     pub(crate) random: RefCell<fastrand::Rng>,
-    /// Wakes requests that wait for the owner of their key.
+    /// Notified after each update; wakes requests that wait for the owner of their key.
     pub(crate) updated: Notify,
     pub(crate) lifecycle: watch::Sender<Lifecycle>,
     pub(crate) shutdown: Shutdown,
-    /// Requests by slice, for the control plane.
+    /// Request counts by slice, which are reported to the control plane.
     pub request_counter: Arc<RequestCounter>,
-    /// Session affinity; set at the start where the operators have a file for it.
+    /// Session affinity; set at startup if a settings file for sessions is given.
     pub sessions: OnceCell<Rc<crate::sessions::Sessions>>,
-    /// Open connections of clients.
+    /// Number of open client connections.
     pub(crate) open_connections: Cell<usize>,
-    /// Rollouts.
+    /// Rollout state.
     pub rollouts: RolloutVariants,
-    /// When all that a control-plane node has came for the first time.
+    /// When the first complete update of a control-plane node arrived.
     first_update_at: Cell<Option<Ms>>,
     ready: Cell<bool>,
 }
 
 impl Edge {
-    /// An edge that knows no configuration and no endpoint yet.
-    pub fn new(boot: ProcessSettings, log: Logger) -> Rc<Edge> {
+    /// Creates an edge without a configuration and without endpoints.
+    pub fn new(settings: ProcessSettings, log: Logger) -> Rc<Edge> {
         let seed =
-            boot.ip_address.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
+            settings.ip_address.bytes().fold(7, |seed: u64, byte| seed.wrapping_mul(257) ^ u64::from(byte));
         let clock = Clock::start();
-        let registry = Rc::new(RefCell::new(EndpointRegistry::new(&boot.zone)));
+        let registry = Rc::new(RefCell::new(EndpointRegistry::new(&settings.zone)));
         Rc::new(Edge {
             log,
             clock,
             pool: ConnectionPool::new(clock, registry.clone()),
             registry,
-            rollouts: RolloutVariants::new(&boot.ip_address, &boot.zone),
-            settings: RefCell::new(Rc::new(boot)),
+            rollouts: RolloutVariants::new(&settings.ip_address, &settings.zone),
+            settings: RefCell::new(Rc::new(settings)),
             config: RefCell::default(),
             retry_budgets: RefCell::default(),
             random: RefCell::new(fastrand::Rng::with_seed(seed)),
@@ -87,23 +87,23 @@
         self.clock.now()
     }
 
-    /// The instant of a time of [`Edge::now`].
+    /// Converts a time (ms) of [`Edge::now`] to an instant.
     pub(crate) fn instant(&self, time: Ms) -> Instant {
         self.clock.instant(time)
     }
 
-    /// The configuration in force, once there is one.
+    /// The current configuration, or `None` before the first one.
     pub(crate) fn config(&self) -> Option<Rc<ConfigSnapshot>> {
         self.config.borrow().clone()
     }
 
-    /// How many connections of clients are open.
+    /// The number of open client connections.
     pub fn open_connections(&self) -> usize {
         self.open_connections.get()
     }
 
-    /// Limits on what clients send.
-    pub(crate) fn caps(&self) -> ClientLimits {
+    /// The limits on client requests and connections.
+    pub(crate) fn client_limits(&self) -> ClientLimits {
         self.config
             .borrow()
             .as_ref()
@@ -116,9 +116,10 @@
         *self.lifecycle.borrow() > Lifecycle::Serving
     }
 
-    /// Applies an update of a control-plane node; `watch::candidates::Candidates::accept` has decided that the node may be believed.
+    /// Applies an update of a control-plane node. `watch::candidates::Candidates::accept` has checked before
+    /// that the node has a quorum.
     pub fn apply_update(&self, update: Update) {
-        debug_assert!(!update.isolated, "a node without a majority is not believed");
+        debug_assert!(!update.isolated, "an update from a node without a quorum must not be applied");
         let now = self.now();
         if let Some(document) = &update.config {
             self.apply_config(document);
@@ -136,7 +137,8 @@
         self.updated.notify_waiters();
     }
 
-    /// Puts a configuration in force if it is newer. One that cannot be parsed leaves the old one in force.
+    /// Applies a configuration if it is newer than the current one. If it cannot be parsed, the current one
+    /// is kept.
     fn apply_config(&self, document: &ConfigDocument) {
         let known = self.config.borrow().as_ref().map(|snapshot| snapshot.config.revision);
         if known.is_some_and(|known| document.revision <= known) {
@@ -144,15 +146,15 @@
         }
         match coppersail_config::config::parse(document.body.as_bytes()) {
             Ok(config) => {
-                info!(self.log, "edge: configuration r{} in force", config.revision);
+                info!(self.log, "edge: applied configuration r{}", config.revision);
                 let routes = Routes::new(&config);
                 *self.config.borrow_mut() = Some(Rc::new(ConfigSnapshot { config, routes }));
             }
-            Err(error) => warn!(self.log, "edge: configuration r{} left out: {error}", document.revision),
+            Err(error) => warn!(self.log, "edge: rejected configuration r{}: {error}", document.revision),
         }
     }
 
-    /// Once a second: what only time changes.
+    /// Called once a second: queues rollout evidence and drops expired endpoints and idle connections.
     pub(crate) fn tick(&self) {
         self.queue_evidence();
         let mut changes = RegistryChanges::default();
@@ -161,8 +163,8 @@
         self.pool.close_expired(Instant::now());
     }
 
-    /// Whether this edge can serve what clients may send. Once it can, silence of the control plane is no reason to send
-    /// clients away: it serves by the last state that it knows.
+    /// Whether this edge can serve client requests. Once it is ready, it stays ready until it shuts down: if
+    /// the control plane becomes unavailable, it continues with the last known state.
     pub fn ready(&self) -> bool {
         if self.is_shutting_down() {
             return false;
@@ -186,7 +188,7 @@
         self.registry.borrow().is_ready(services.filter(|(name, _)| is_routed(name)), known_for)
     }
 
-    /// For how long (ms) a draining endpoint gets requests for keys that only it owns.
+    /// How long (ms) a draining endpoint still gets requests for the keys that it owns.
     pub(crate) fn drain_grace(&self) -> Ms {
         drain_grace(self.settings.borrow().limits.drain_time)
     }
@@ -196,7 +198,7 @@
         self.with_retry_budget(service, |budget, settings| budget.deposit(settings, now));
     }
 
-    /// Takes a retry from a service's budget, if there is one.
+    /// Withdraws a retry from a service's budget and returns whether the budget allowed it.
     pub(crate) fn withdraw_retry(&self, service: &str, now: Ms) -> bool {
         let edge_count = self.registry.borrow().edge_count;
         self.with_retry_budget(service, |budget, settings| budget.withdraw(settings, edge_count, now))
@@ -205,35 +207,37 @@
     fn with_retry_budget<T>(
         &self,
         service: &str,
-        act: impl FnOnce(&mut RetryBudget, &BudgetSettings) -> T,
+        operation: impl FnOnce(&mut RetryBudget, &BudgetSettings) -> T,
     ) -> T {
         let settings = self.retry_budget_settings();
         let mut budgets = self.retry_budgets.borrow_mut();
         if !budgets.contains_key(service) {
             budgets.insert(service.into(), RetryBudget::default());
         }
-        act(budgets.get_mut(service).expect("just inserted"), &settings)
+        operation(budgets.get_mut(service).expect("just inserted"), &settings)
     }
 
     fn retry_budget_settings(&self) -> BudgetSettings {
-        let boot = self.settings.borrow();
-        let limits = &boot.limits;
+        let settings = self.settings.borrow();
+        let limits = &settings.limits;
         let window_ms = limits.retry_window.as_millis() as Ms;
         BudgetSettings { ratio: limits.retry_ratio, window_ms, extra_retries: limits.extra_attempts }
     }
 
-    /// Reads the settings again; bad ones leave the old in force.
+    /// Reloads the settings file. If it is invalid, the current settings are kept.
     pub(crate) fn reload_settings(&self) {
         match ProcessSettings::read() {
-            Ok(boot) => self.apply_settings(boot),
-            Err(error) => warn!(self.log, "edge: settings left as they were: {error}"),
+            Ok(settings) => self.apply_settings(settings),
+            Err(error) => {
+                warn!(self.log, "edge: cannot reload the settings, keeping the current ones: {error}")
+            }
         }
     }
 
-    fn apply_settings(&self, boot: ProcessSettings) {
-        if **self.settings.borrow() != boot {
-            info!(self.log, "edge: settings read again");
-            *self.settings.borrow_mut() = Rc::new(boot);
+    fn apply_settings(&self, settings: ProcessSettings) {
+        if **self.settings.borrow() != settings {
+            info!(self.log, "edge: settings reloaded");
+            *self.settings.borrow_mut() = Rc::new(settings);
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/head_scanner.rs
+++ b/crates/data-plane/edge-proxy/src/head_scanner.rs
@@ -1,16 +1,17 @@
-//! Scans the bytes of a request's head before hyper parses them: a head with two ways to tell the body's length is
-//! request smuggling (RFC 9112, 6.3). hyper would choose one without a word, an endpoint perhaps the other.
+//! Scans the bytes of a request head before hyper parses them, to detect a head that contains both
+//! `Content-Length` and `Transfer-Encoding`. Such a head may be an attempt at request smuggling (RFC 9112,
+//! section 6.3): hyper silently uses one of the two fields, and an endpoint might use the other.
 
-/// The longest header name that is looked for, with its colon.
+/// Length of the longest header name that the scanner looks for, including the colon.
 const LONGEST_NAME: usize = "transfer-encoding:".len();
 
-/// What was seen of a head so far.
+/// The state of scanning one request head.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct HeadScanner {
-    /// The beginning of the current line, in lower case and without blanks.
+    /// The beginning of the current line, in lower case and without whitespace.
     line: [u8; LONGEST_NAME],
     line_length: usize,
-    /// A line of the head has ended; empty lines before that are skipped.
+    /// Whether a non-empty line has ended; empty lines before the first one are skipped.
     begun: bool,
     complete: bool,
     has_content_length: bool,
@@ -18,7 +19,7 @@
 }
 
 impl HeadScanner {
-    /// Scans further bytes; those after the head are ignored.
+    /// Scans the next bytes. Bytes after the end of the head are ignored.
     pub(crate) fn scan(&mut self, bytes: &[u8]) {
         for &byte in bytes {
             if self.complete {
@@ -46,12 +47,12 @@
         }
     }
 
-    /// Whether all of the head was scanned.
+    /// Whether the complete head was scanned.
     pub(crate) fn is_complete(&self) -> bool {
         self.complete
     }
 
-    /// Whether the head tells the body's length in two ways.
+    /// Whether the head specifies the body length by both header fields.
     pub(crate) fn is_ambiguous(&self) -> bool {
         self.has_content_length && self.has_transfer_encoding
     }
--- a/crates/data-plane/edge-proxy/src/head_scanner/tests.rs
+++ b/crates/data-plane/edge-proxy/src/head_scanner/tests.rs
@@ -1,8 +1,8 @@
-//! Heads that tell the body's length in two ways.
+//! Tests with request heads that specify the body length by two header fields.
 use super::*;
 
 #[test]
-fn two_lengths_in_a_head_are_seen_wherever_it_is_split() {
+fn two_body_lengths_are_detected_wherever_the_head_is_split() {
     let head =
         b"POST / HTTP/1.1\r\nHost: a\r\nCONTENT-length: 4\r\nTransfer-Encoding : chunked\r\n\r\nTransfer";
     for split in 0..head.len() {
--- a/crates/data-plane/edge-proxy/src/headers.rs
+++ b/crates/data-plane/edge-proxy/src/headers.rs
@@ -1,4 +1,4 @@
-//! Header fields of the gateway's protocol (docs/gateway.md), and those that concern only one connection.
+//! Header fields of the gateway's protocol (docs/gateway.md), and hop-by-hop header fields.
 use coppersail_load_balancing::Ms;
 use hyper::header::{
     HeaderMap, HeaderName, HeaderValue, CONNECTION, CONTENT_LENGTH, HOST, TE, TRAILER, TRANSFER_ENCODING,
@@ -6,40 +6,40 @@
 };
 use std::time::Duration;
 
-/// Id of a request, the same in all of its attempts; the response repeats it.
+/// Id of a request, the same in all of its attempts. The response repeats it.
 pub(crate) const TRY_ID: HeaderName = HeaderName::from_static("try-id");
-/// Time until the request's deadline, in ms.
+/// Time (ms) until the request's deadline.
 pub(crate) const TIME_LEFT: HeaderName = HeaderName::from_static("time-left-ms");
-/// The endpoint that an attempt is meant for.
+/// Id of the endpoint for which an attempt is intended.
 pub(crate) const WANTED_SERVER: HeaderName = HeaderName::from_static("wanted-server");
-/// The key of a request to a sharded service.
+/// The shard key of a request to a sharded service.
 pub(crate) const SHARD_KEY: HeaderName = HeaderName::from_static("shard-key");
-/// The endpoint that responds.
+/// Id of the endpoint that sent the response.
 pub(crate) const SERVER_ID: HeaderName = HeaderName::from_static("server-id");
-/// Its load: "running,waiting,slots".
+/// Load of the endpoint that sent the response: "running,waiting,slots".
 pub(crate) const SERVER_LOAD: HeaderName = HeaderName::from_static("server-load");
-/// Proof that a successful response is the endpoint's own.
+/// The seal: proof that a successful response was produced by the endpoint itself.
 pub(crate) const SERVER_SEAL: HeaderName = HeaderName::from_static("server-seal");
-/// The endpoint's promise that it did not process the request and never will.
+/// The endpoint's statement that it did not process the request and never will.
 pub(crate) const NOT_RUN: HeaderName = HeaderName::from_static("not-run");
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// `Retry-After` values (s) from here on are not believed.
+/// `Retry-After` values (seconds) from this one upwards are ignored as implausible.
 const MAX_RETRY_AFTER_S: f64 = 86_400.0;
 
 /// Why a header field cannot be used.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum HeaderError {
-    #[error("header {0} is missing; expected it once")]
+    #[error("header {0} is missing; expected exactly one")]
     Missing(HeaderName),
-    #[error("header {0} is there more than once; expected it once")]
+    #[error("header {0} occurs more than once; expected exactly one")]
     Repeated(HeaderName),
-    #[error("header value {0:?}; expected a number")]
+    #[error("invalid header value {0:?}; expected a number")]
     NotANumber(HeaderValue),
 }
 
-/// The value of a header field that may be there once.
+/// The value of a header field that may occur at most once.
 pub(crate) fn optional<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -51,7 +51,7 @@
     }
 }
 
-/// The value of a header field that must be there once.
+/// The value of a header field that must occur exactly once.
 pub(crate) fn required<'a>(
     headers: &'a HeaderMap,
     name: &HeaderName,
@@ -59,14 +59,14 @@
     optional(headers, name)?.ok_or_else(|| HeaderError::Missing(name.clone()))
 }
 
-/// The number that a value is, if there is one.
+/// Parses a header value as a number, if there is a value.
 pub(crate) fn number(value: Option<&HeaderValue>) -> Result<Option<u64>, HeaderError> {
     let Some(value) = value else { return Ok(None) };
     let number = value.to_str().ok().and_then(|text| text.trim().parse().ok());
     number.map(Some).ok_or_else(|| HeaderError::NotANumber(value.clone()))
 }
 
-/// Removes the fields that concern only one connection (RFC 9110, 7.6.1).
+/// Removes the hop-by-hop fields (RFC 9110, section 7.6.1).
 pub(crate) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let listed: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -74,7 +74,8 @@
         .filter_map(|value| value.to_str().ok())
         .flat_map(|value| value.split(','))
         .filter_map(|name| name.trim().parse().ok())
-        // What the protocol and the framing need cannot be removed by listing it.
+        // Fields that the gateway's protocol or the message framing needs cannot be removed by listing them
+        // in `Connection`.
         .filter(|name| ![HOST, CONTENT_LENGTH, TRY_ID, SHARD_KEY, SERVER_SEAL].contains(name))
         .collect();
     for name in &listed {
@@ -91,14 +92,14 @@
     values.flat_map(|value| value.split(',')).any(|option| option.trim().eq_ignore_ascii_case("close"))
 }
 
-/// For how long the sender keeps the connection, if it says so.
+/// The keep-alive time of the sender, if it reports one.
 pub(crate) fn keep_alive(headers: &HeaderMap) -> Option<Duration> {
     let value = headers.get(&KEEP_ALIVE)?.to_str().ok()?;
     let timeout = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     timeout.parse().ok().map(Duration::from_secs)
 }
 
-/// The milliseconds of a `Retry-After` in seconds, with or without decimals.
+/// Parses a `Retry-After` value in seconds, with or without decimals, to milliseconds.
 pub(crate) fn retry_after(value: Option<&HeaderValue>) -> Option<Ms> {
     let seconds: f64 = value?.to_str().ok()?.trim().parse().ok()?;
     (0.0..MAX_RETRY_AFTER_S).contains(&seconds).then_some((seconds * 1000.0) as Ms)
--- a/crates/data-plane/edge-proxy/src/in_flight.rs
+++ b/crates/data-plane/edge-proxy/src/in_flight.rs
@@ -1,14 +1,14 @@
-//! One attempt's part in what is known of its endpoint's load and health.
+//! Records an attempt in the load and health state of its endpoint.
 use crate::edge::Edge;
 use coppersail_load_balancing::health::FailureKind;
 use std::rc::Rc;
 
-/// Counts as a request in flight at the endpoint until dropped.
+/// A guard that counts as a request in flight at the endpoint until dropped.
 pub(crate) struct InFlight {
     edge: Rc<Edge>,
     endpoint: Rc<str>,
-    /// Whether the attempt told anything about the endpoint's health.
-    judged: bool,
+    /// Whether a success or failure of the attempt was recorded.
+    recorded: bool,
 }
 
 impl InFlight {
@@ -17,20 +17,20 @@
             known.load.in_flight += 1;
             known.health.begin_request();
         }
-        InFlight { edge: edge.clone(), endpoint: endpoint.clone(), judged: false }
+        InFlight { edge: edge.clone(), endpoint: endpoint.clone(), recorded: false }
     }
 
-    /// The endpoint responded.
+    /// Records that the endpoint responded.
     pub(crate) fn record_success(&mut self) {
-        self.judged = true;
+        self.recorded = true;
         if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.health.record_success();
         }
     }
 
-    /// The endpoint failed.
+    /// Records that the endpoint failed.
     pub(crate) fn record_failure(&mut self, kind: FailureKind) {
-        self.judged = true;
+        self.recorded = true;
         if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.health.record_failure(kind, self.edge.now());
         }
@@ -41,7 +41,7 @@
     fn drop(&mut self) {
         if let Some(known) = self.edge.registry.borrow_mut().endpoint_mut(&self.endpoint) {
             known.load.in_flight = known.load.in_flight.saturating_sub(1);
-            if !self.judged {
+            if !self.recorded {
                 known.health.cancel_request();
             }
         }
--- a/crates/data-plane/edge-proxy/src/ingress.rs
+++ b/crates/data-plane/edge-proxy/src/ingress.rs
@@ -1,4 +1,4 @@
-//! The listener for clients.
+//! The listener for client connections.
 use crate::client_connection;
 use crate::edge::Edge;
 use crate::shutdown::Lifecycle;
@@ -7,14 +7,16 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpSocket};
 
-/// A full queue costs a client seconds, and a connection that waits in it costs next to nothing.
+/// Length of the listen backlog (connections). It is generous, because a full backlog delays a client by
+/// seconds and a waiting connection costs almost nothing.
 const BACKLOG: u32 = 1024;
-/// File descriptors that are no connections; listeners and the rest are few.
+/// File descriptors reserved for everything except client and endpoint connections, such as listeners.
 const RESERVED_FILES: u64 = 200;
-/// Pause after a connection could not be accepted: as a rule descriptors are used up, and others must end first.
+/// Delay after a failed accept. The usual cause is a lack of file descriptors, which other connections must
+/// free first.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 
-/// Why a listener could not be opened.
+/// Why a listening socket could not be opened.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ListenError {
     #[error(transparent)]
@@ -44,14 +46,16 @@
             tokio::time::sleep(ACCEPT_RETRY).await;
             continue;
         };
-        // A connection over the limit is closed unread: it costs the client a new one elsewhere and nothing else.
+        // A connection over the limit is closed before anything is read from it, so the client can safely
+        // reconnect to another edge.
         if (edge.open_connections.get() as u64) < connection_limit(&edge) {
             tokio::task::spawn_local(client_connection::serve(edge.clone(), stream, client.ip()));
         }
     }
 }
 
-/// Half of the file descriptors are for clients, the others for connections to endpoints.
+/// Maximum number of client connections: half of the file descriptors. The other half is for connections to
+/// endpoints.
 fn connection_limit(edge: &Edge) -> u64 {
     edge.settings.borrow().open_files.saturating_sub(RESERVED_FILES) / 2
 }
--- a/crates/data-plane/edge-proxy/src/lease.rs
+++ b/crates/data-plane/edge-proxy/src/lease.rs
@@ -1,4 +1,4 @@
-//! A connection that is checked out of the pool for one request.
+//! A connection to an endpoint that is checked out of the pool for one request.
 use crate::body::RequestBody;
 use crate::connection_pool::{ConnectionPool, ConnectionRequirements, IdleConnection, OpenConnection};
 use crate::edge::Edge;
@@ -18,29 +18,30 @@
 use tokio::net::TcpStream;
 use tokio::time::{timeout, Instant};
 
-/// TCP user timeout: what an endpoint does not acknowledge for so long is lost, since links deliver within half a second
-/// even when congested.
+/// TCP user timeout, after which a connection with unacknowledged data is closed. Links deliver packets
+/// within half a second even when congested, so data that is unacknowledged for longer is lost.
 const TCP_USER_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// The most (bytes) that hyper may buffer for one connection to an endpoint, heads included.
+/// Maximum size (bytes) of hyper's buffer for one connection to an endpoint, which also holds heads.
 const MAX_BUFFER: usize = 16 * 1024;
 
-/// A connection in use by one request. It is closed when dropped, and lives on when returned to the pool.
+/// A connection in use by one request. It is closed when dropped, unless it is returned to the pool.
 pub(crate) struct Lease {
     pool: Rc<ConnectionPool>,
     endpoint: Rc<str>,
-    /// Numbers connections in the order in which they were opened.
+    /// Number of the connection; numbers are assigned in the order in which connections are opened.
     pub(crate) number: u64,
     pub(crate) sender: SendRequest<RequestBody>,
     socket: Rc<RefCell<UpstreamSocket>>,
     checked_out_at: Instant,
-    /// How long the endpoint keeps it when idle, as it said in the response.
+    /// Keep-alive time that the endpoint reported in the response.
     pub(crate) keep_alive: Option<Duration>,
     /// Whether an earlier request used it.
     pub(crate) reused: bool,
 }
 
 impl Lease {
-    /// An idle connection, or a new one within this edge's share of the endpoint's.
+    /// Checks out an idle connection, or opens a new one within this edge's share of the endpoint's
+    /// connection limit.
     pub(crate) async fn check_out(
         pool: &Rc<ConnectionPool>,
         endpoint: &Rc<str>,
@@ -92,7 +93,7 @@
         Ok(Lease { pool, endpoint, number, sender, socket, checked_out_at, keep_alive: None, reused: false })
     }
 
-    /// Whether any of the request was written. If not, none of it will be any more.
+    /// Returns whether any byte of the request was written. If not, all later writes of it are blocked.
     pub(crate) fn bar_unless_begun(&self) -> bool {
         self.socket.borrow_mut().bar_unless_begun()
     }
@@ -102,7 +103,7 @@
         self.socket.borrow().is_write_pending()
     }
 
-    /// Watches for a second response to the request that is sent next, where it belongs to a rollout.
+    /// Watches for a duplicate response to the next request, if the request belongs to a rollout.
     pub(crate) fn watch_responses(
         &self,
         edge: &Rc<Edge>,
@@ -116,7 +117,7 @@
             variant.map(|variant| DuplicateDetector::for_attempt(previous, edge, id, variant, route));
     }
 
-    /// Returns the connection to the pool, after a complete response that leaves no doubt.
+    /// Returns the connection to the pool. To be called only after a complete and unambiguous response.
     pub(crate) fn return_to_pool(self) {
         let Lease { pool, endpoint, number, mut sender, socket, checked_out_at, keep_alive, .. } = self;
         if sender.is_closed() || keep_alive.is_some_and(|keep_alive| keep_alive.is_zero()) {
@@ -144,7 +145,7 @@
     }
 }
 
-/// Drives HTTP/1.1 on the socket in a task; the connection counts as open until the task ends.
+/// Drives HTTP/1.1 on the socket in a spawned task. The connection counts as open until the task ends.
 async fn spawn_http1(
     socket: Rc<RefCell<UpstreamSocket>>,
     open: OpenConnection,
--- a/crates/data-plane/edge-proxy/src/lib.rs
+++ b/crates/data-plane/edge-proxy/src/lib.rs
@@ -1,11 +1,13 @@
-//! The edge proxy of the gateway: it accepts requests of clients and proxies them to endpoints.
+//! The edge proxy of the gateway: it accepts client requests and proxies them to endpoints.
 //!
-//! One thread drives all sockets; another one follows a control-plane node. The decisions are those of
-//! `coppersail-load-balancing`, `coppersail-retry`, `coppersail-rollout` and `coppersail-session-affinity`.
+//! One thread drives all sockets of clients, endpoints and peers; another one polls a control-plane node. The
+//! decision logic without I/O is in `coppersail-load-balancing`, `coppersail-retry`, `coppersail-rollout` and
+//! `coppersail-session-affinity`.
 //!
-//! The path of a request: `ingress` accepts the connection, `client_connection` serves HTTP/1.1 on it, `request_handler`
-//! checks the head (`request`), `proxy` reads the body, `attempt_loop` selects endpoints, `attempt` sends the request on
-//! a connection of the pool (`lease`, `connection_pool`), and `upstream_response` judges the response.
+//! The path of a request: `ingress` accepts the connection, `client_connection` serves HTTP/1.1 on it,
+//! `request_handler` checks the head (`request`), `proxy` reads the body, `attempt_loop` selects endpoints,
+//! `attempt` sends the request on a connection of the pool (`lease`, `connection_pool`), and
+//! `upstream_response` reads and classifies the response.
 mod attempt;
 mod attempt_loop;
 mod body;
--- a/crates/data-plane/edge-proxy/src/log.rs
+++ b/crates/data-plane/edge-proxy/src/log.rs
@@ -1,8 +1,8 @@
-//! Log lines on standard error; each message begins with the part of the program that it is from.
+//! Logging to standard error. Each message starts with the name of the component that logs it.
 use slog::{Drain, Logger, Never, OwnedKVList, Record};
 use std::io::Write;
 
-/// Writes each record's message as a line.
+/// Writes the message of each record as one line.
 struct StderrDrain;
 
 impl Drain for StderrDrain {
@@ -10,13 +10,13 @@
     type Err = Never;
 
     fn log(&self, record: &Record<'_>, _: &OwnedKVList) -> Result<(), Never> {
-        // A log that cannot be written to is no reason to stop.
+        // A failed write to the log must not stop the process.
         let _ = writeln!(std::io::stderr(), "{}", record.msg());
         Ok(())
     }
 }
 
-/// The logger of the program.
+/// The root logger of the program.
 pub fn root() -> Logger {
     Logger::root(StderrDrain, slog::o!())
 }
--- a/crates/data-plane/edge-proxy/src/main.rs
+++ b/crates/data-plane/edge-proxy/src/main.rs
@@ -1,28 +1,28 @@
-//! `coppersail-edge-proxy`: the edge of the gateway.
+//! `coppersail-edge-proxy`: the edge proxy of the gateway.
 use coppersail_config::{ProcessSettings, SessionSettings};
 use std::process::ExitCode;
 
 const HELP: &str = "\
-coppersail-edge-proxy: the edge of the gateway; takes requests of clients and passes them to hosts
+coppersail-edge-proxy: the edge proxy of the gateway; forwards client requests to endpoints
 
 Usage: coppersail-edge-proxy [--check] [--sessions FILE]
 
-  --check          read the settings, say what is wrong with them, and end
-  --sessions FILE  sessions travel between edges as FILE says (docs/sessions.md)
+  --check          validate the settings and exit
+  --sessions FILE  enable session affinity between edges with the settings in FILE (docs/sessions.md)
 
-The settings file is named by COPPERSAIL_SETTINGS. SIGHUP reads it again; SIGTERM ends in order.
+COPPERSAIL_SETTINGS names the settings file. SIGHUP reloads it; SIGTERM shuts down gracefully.
 ";
 
-/// What the command line asks for.
+/// The command selected by the command line.
 enum Command {
     Help,
     Run { check_only: bool, sessions: Option<String> },
 }
 
-/// Why the command line cannot be used.
+/// Why the command line is invalid.
 #[derive(Debug, thiserror::Error)]
 enum UsageError {
-    #[error("--sessions lacks a file")]
+    #[error("--sessions requires a file path")]
     NoSessionsFile,
     #[error(transparent)]
     Argument(#[from] lexopt::Error),
@@ -55,11 +55,11 @@
         }
         Err(error) => return reject(&error),
     };
-    let boot = match ProcessSettings::read() {
-        Ok(boot) => boot,
+    let settings = match ProcessSettings::read() {
+        Ok(settings) => settings,
         Err(error) => return reject(&error),
     };
-    if let Err(error) = coppersail_edge_proxy::check_settings(&boot) {
+    if let Err(error) = coppersail_edge_proxy::check_settings(&settings) {
         return reject(&error);
     }
     if let Some(Err(error)) = sessions.as_deref().map(SessionSettings::read) {
@@ -68,7 +68,7 @@
     if check_only {
         return ExitCode::SUCCESS;
     }
-    match coppersail_edge_proxy::run(boot, sessions, coppersail_edge_proxy::log::root()) {
+    match coppersail_edge_proxy::run(settings, sessions, coppersail_edge_proxy::log::root()) {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
             eprintln!("edge: {error:#}");
@@ -77,7 +77,7 @@
     }
 }
 
-/// One line and exit status 2: the command line or the settings are wrong.
+/// Prints one line and returns exit status 2, for an invalid command line or invalid settings.
 fn reject(error: &dyn std::error::Error) -> ExitCode {
     eprintln!("edge: {error}");
     ExitCode::from(2)
--- a/crates/data-plane/edge-proxy/src/proxy.rs
+++ b/crates/data-plane/edge-proxy/src/proxy.rs
@@ -1,4 +1,4 @@
-//! Proxies one request: reads its body, then makes attempts.
+//! Proxies one request: buffers its body, then makes attempts.
 use crate::attempt_loop::{AttemptLoop, ProxiedResponse};
 use crate::body::{buffer_body, Body, BodyError};
 use crate::edge::{ConfigSnapshot, Edge};
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::time::timeout_at;
 
-/// Proxies a request whose body was not read yet.
+/// Proxies a request whose body has not been read yet.
 pub(crate) async fn proxy_request(
     edge: &Rc<Edge>,
     config: &ConfigSnapshot,
@@ -19,11 +19,11 @@
 ) -> Response<ResponseBody> {
     match read_request_body(edge, config, request.deadline, body).await {
         Ok(body) => proxy_buffered(edge, request, body).await.response,
-        Err(refusal) => refusal,
+        Err(error_response) => error_response,
     }
 }
 
-/// Proxies a request whose body was read as far as it is buffered.
+/// Proxies a request whose body was already read by [`read_request_body`].
 pub(crate) async fn proxy_buffered(
     edge: &Rc<Edge>,
     request: ReceivedRequest<'_>,
@@ -32,8 +32,8 @@
     AttemptLoop::new(edge, request, body).run().await
 }
 
-/// Reads a request's body as far as it is buffered. The error is the response to the client; the connection is closed
-/// after it, since the rest of the body was not read.
+/// Buffers a request's body up to the size limit of buffering. The error is the response to the client; the
+/// connection is closed after it, since the rest of the body was not read.
 pub(crate) async fn read_request_body(
     edge: &Edge,
     snapshot: &ConfigSnapshot,
--- a/crates/data-plane/edge-proxy/src/readiness.rs
+++ b/crates/data-plane/edge-proxy/src/readiness.rs
@@ -1,4 +1,4 @@
-//! The readiness probe of the platform: whether this edge should get clients.
+//! Serves the readiness probe of the platform, which decides whether this edge gets new client connections.
 use crate::edge::Edge;
 use std::rc::Rc;
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::timeout;
 
-/// Bytes of a probe's head; no prober sends as many.
+/// Maximum size (bytes) of a probe's request head; larger than any prober sends.
 const MAX_HEAD: usize = 2048;
-/// Probes come every second or so; a prober that is silent for longer has gone.
+/// Idle timeout of a prober's connection. Probes arrive about every second.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Pause after a connection could not be accepted.
+/// Delay after a failed accept.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
 const END_OF_HEAD: &[u8] = b"\r\n\r\n";
 
-/// Responds for as long as the process lives: one that shuts down says so.
+/// Responds until the process exits, so that probes during a shutdown get the response "not ready".
 pub(crate) async fn serve(edge: Rc<Edge>, listener: TcpListener) {
     loop {
         match listener.accept().await {
