--- a/crates/data-plane/edge-proxy/examples/session_latency.rs
+++ b/crates/data-plane/edge-proxy/examples/session_latency.rs
@@ -1,5 +1,6 @@
-//! Latencies of requests while sessions are on, as the rows of a table in `docs/sessions.md`: kind of request, count,
-//! p50, p99 and worst in milliseconds. Three edges, a client and an endpoint share one thread, on loopback.
+//! Measures the latencies of requests with session affinity and prints them as the rows of a table in
+//! `docs/sessions.md`: kind of request, count, p50, p99 and maximum in milliseconds. Three edges, a client
+//! and an endpoint share one thread and communicate over loopback.
 //!
 //! `cargo run --release -p coppersail-edge-proxy --example session_latency`
 
@@ -30,6 +31,6 @@
     micros.sort_unstable();
     let count = micros.len();
     let quantile_ms = |share: f64| micros[((count as f64 * share) as usize).min(count - 1)] as f64 / 1000.0;
-    let (p50, p99, worst) = (quantile_ms(0.5), quantile_ms(0.99), quantile_ms(1.0));
-    format!("| {} | {count} | {p50:.2} | {p99:.2} | {worst:.2} |", series.name)
+    let (p50, p99, max) = (quantile_ms(0.5), quantile_ms(0.99), quantile_ms(1.0));
+    format!("| {} | {count} | {p50:.2} | {p99:.2} | {max:.2} |", series.name)
 }
--- a/crates/data-plane/edge-proxy/src/attempt.rs
+++ b/crates/data-plane/edge-proxy/src/attempt.rs
@@ -156,7 +156,7 @@
     if !lease.reused && !error.error().is_user() {
         in_flight.record_failure(FailureKind::Broken);
     }
-    if unsent_body.is_some() || !lease.bar_unless_begun() {
+    if unsent_body.is_some() || !lease.block_unless_started() {
         let failure = if lease.reused { SendFailure::ConnectionClosed } else { SendFailure::Unreachable };
         return AttemptResult::new(AttemptOutcome::NotSent(failure), unsent_body);
     }
@@ -170,7 +170,7 @@
 
 /// The outcome of an attempt whose deadline passed before a response.
 fn timed_out(lease: &Lease, in_flight: &mut InFlight) -> AttemptOutcome<UpstreamResponse> {
-    if !lease.bar_unless_begun() {
+    if !lease.block_unless_started() {
         return AttemptOutcome::NotSent(SendFailure::DeadlineExceeded);
     }
     in_flight.record_failure(FailureKind::Timeout);
--- a/crates/data-plane/edge-proxy/src/connection_pool.rs
+++ b/crates/data-plane/edge-proxy/src/connection_pool.rs
@@ -113,7 +113,7 @@
                 continue;
             }
             let connection = idle.remove(index);
-            if !expired && connection.sender.is_ready() && connection.socket.borrow().is_quiet() {
+            if !expired && connection.sender.is_ready() && connection.socket.borrow().has_no_input() {
                 connection.socket.borrow_mut().expect_request(until);
                 return Some(connection);
             }
--- a/crates/data-plane/edge-proxy/src/lease.rs
+++ b/crates/data-plane/edge-proxy/src/lease.rs
@@ -94,8 +94,8 @@
     }
 
     /// Returns whether any byte of the request was written. If not, all later writes of it are blocked.
-    pub(crate) fn bar_unless_begun(&self) -> bool {
-        self.socket.borrow_mut().bar_unless_begun()
+    pub(crate) fn block_unless_started(&self) -> bool {
+        self.socket.borrow_mut().block_unless_started()
     }
 
     /// Whether bytes of the request still wait for the socket.
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -149,8 +149,8 @@
         self.tokens.attach(response, &token);
     }
 
-    /// Makes the request prefer the session's endpoint, for the services in the setting `stay`. The returned
-    /// cell receives the id of the endpoint to which the request is sent.
+    /// Makes the request prefer the session's endpoint, for the services in the setting `services`. The
+    /// returned cell receives the id of the endpoint to which the request is sent.
     fn prefer_endpoint(&self, request: &mut ReceivedRequest<'_>, token: &SessionToken) -> SentTo {
         let sent_to = SentTo::default();
         if self.settings.affine_services.iter().any(|service| service == request.service) {
@@ -188,7 +188,8 @@
             replicas,
             key,
             fingerprint: request_fingerprint(&request, &body),
-            // The affinity node waits for the outcome for one peer timeout beyond the request's deadline.
+            // Until one peer timeout after its deadline, the request counts as in flight for repeated
+            // requests; after that, its outcome counts as unknown if none was recorded.
             deadline: unix_millis() + time_left + millis(self.settings.peer_timeout),
         };
         self.send_detached(edge, BufferedRequest { request, body, idempotent }).await
--- a/crates/data-plane/edge-proxy/src/shutdown.rs
+++ b/crates/data-plane/edge-proxy/src/shutdown.rs
@@ -85,8 +85,8 @@
         });
         warn!(
             log,
-            "edge: aborted a request that began at {} ms, on a connection opened at {} ms, {idle_since} (relative to \
-            the signal)",
+            "edge: aborted a request that began at {} ms, on a connection opened at {} ms, {idle_since} \
+            (relative to the signal)",
             millis_since(begun, request_at),
             millis_since(begun, connection.opened_at()),
         );
@@ -122,8 +122,8 @@
     let shutdown = &edge.shutdown;
     info!(
         edge.log,
-        "edge: shutdown complete, {aborted_connections} connections aborted, {} with a request in flight; after the \
-        signal: {} requests on older connections and {} on new ones, the last at {} ms",
+        "edge: shutdown complete, {aborted_connections} connections aborted, {} with a request in flight; \
+        after the signal: {} requests on older connections and {} on new ones, the last at {} ms",
         shutdown.aborted_requests.get(),
         shutdown.on_old_connections.get(),
         shutdown.on_new_connections.get(),
--- a/crates/data-plane/edge-proxy/src/upstream_response.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_response.rs
@@ -1,4 +1,4 @@
-//! Reads the response of an endpoint, and decides what it says about the attempt.
+//! Reads the response of an endpoint and derives the outcome of the attempt from it.
 use crate::body::{buffer_body, Body, BodyError, MAX_BUFFERED};
 use crate::edge::Edge;
 use crate::headers::{
@@ -17,11 +17,11 @@
 use std::rc::Rc;
 use tokio::time::{timeout_at, Instant};
 
-/// Statuses by which an endpoint may ask for the request to be sent again; without its promise they are not
-/// passed on.
+/// Statuses after which a client may retry the request. They are not passed on without the `Not-Run` header,
+/// by which the endpoint states that it did not process the request.
 const STATUSES_THAT_INVITE_RETRIES: [u16; 3] = [408, 429, 503];
 
-/// The response of an endpoint: complete, or streamed with a beginning that is sound.
+/// The response of an endpoint: complete, or streamed after its head and the buffered beginning were checked.
 pub(crate) struct UpstreamResponse {
     pub(crate) status: StatusCode,
     headers: HeaderMap,
@@ -36,29 +36,29 @@
     }
 }
 
-/// What a response says.
+/// The outcome of an attempt that got a response.
 pub(crate) struct ResponseOutcome {
     pub(crate) outcome: AttemptOutcome<UpstreamResponse>,
-    /// When a rejected request may come back, in ms, if the endpoint says so.
+    /// Delay (ms) after which a rejected request may be retried, if the endpoint named one.
     pub(crate) retry_after: Option<Ms>,
 }
 
-/// A request that was sent to an endpoint and whose response has begun.
+/// A request that was sent to an endpoint and whose response has started to arrive.
 pub(crate) struct Exchange<'a> {
     pub(crate) edge: &'a Rc<Edge>,
     pub(crate) request: &'a ReceivedRequest<'a>,
     pub(crate) endpoint: &'a Rc<str>,
     pub(crate) lease: Lease,
-    /// In ms of the edge's clock.
+    /// When the request was sent, as a time (ms) of the edge's clock.
     pub(crate) sent_at: Ms,
-    /// Requests at the endpoint when it was sent.
+    /// Expected number of requests at the endpoint when this one was sent, including it.
     pub(crate) concurrency: f32,
-    /// The response began before all of the request was sent.
+    /// Whether the response began before the whole request was sent.
     pub(crate) early: bool,
 }
 
 impl Exchange<'_> {
-    /// Reads the response: as far as it is buffered.
+    /// Reads the response, up to the size limit of buffering.
     pub(crate) async fn read(
         mut self,
         response: Response<Incoming>,
@@ -66,7 +66,7 @@
     ) -> Result<ResponseOutcome, IndeterminateCause> {
         let (head, body) = response.into_parts();
         let (status, headers) = (head.status, head.headers);
-        // A response too many may have been waiting on the connection.
+        // A duplicate response to an earlier request may have been waiting on the connection.
         let id = optional(&headers, &TRY_ID).ok().flatten();
         if id != Some(&self.request.request_id) || status == StatusCode::SWITCHING_PROTOCOLS {
             return Err(IndeterminateCause::ForeignResponse);
@@ -84,7 +84,8 @@
         }
         check_passable(status, &headers, &body)?;
         let response = self.read_body(status, headers, body, reusable, in_flight).await?;
-        // Such a failure is the endpoint's own; a 504 has used up the time.
+        // A 500 or 502 is an internal failure of the endpoint, so another endpoint may succeed. After a 504
+        // there is no time left for another attempt.
         let outcome = match status {
             StatusCode::INTERNAL_SERVER_ERROR | StatusCode::BAD_GATEWAY => AttemptOutcome::Failed(response),
             _ => AttemptOutcome::Completed(response),
@@ -96,21 +97,24 @@
         self.edge.instant(self.request.deadline)
     }
 
-    /// Why the endpoint did not process the request, if it says so.
+    /// Why the endpoint did not process the request, or `None` if the response does not state that it did
+    /// not.
     fn reject_reason(&self, status: StatusCode, headers: &HeaderMap) -> Option<RejectReason> {
         if status != StatusCode::MISDIRECTED_REQUEST {
             let is_error = status.is_client_error() || status.is_server_error();
             return (is_error && headers.contains_key(&NOT_RUN)).then_some(RejectReason::Overloaded);
         }
-        let is_other = headers.get(&SERVER_ID).is_some_and(|id| id.as_bytes() != self.endpoint.as_bytes());
-        Some(if self.request.key.is_some() && !is_other {
+        let is_other_endpoint =
+            headers.get(&SERVER_ID).is_some_and(|id| id.as_bytes() != self.endpoint.as_bytes());
+        Some(if self.request.key.is_some() && !is_other_endpoint {
             RejectReason::NotOwner
         } else {
             RejectReason::StaleAddress
         })
     }
 
-    /// Records that the endpoint is overloaded, and yields the time that it names.
+    /// Records the rejection if the reason is overload, and returns the retry delay (ms) that the endpoint
+    /// named.
     fn record_rejection(&self, reason: RejectReason, headers: &HeaderMap) -> Option<Ms> {
         if reason != RejectReason::Overloaded {
             return None;
@@ -122,8 +126,8 @@
         retry_after(headers.get(RETRY_AFTER))
     }
 
-    /// Reads a rejection to its end, so that its connection can be used again. Without a length it would last
-    /// until the endpoint closes, which the next attempt need not wait for.
+    /// Reads a rejection to its end, so that its connection can be reused. A rejection that is long or has no
+    /// exact length is not read, so that the next attempt does not have to wait for its end.
     async fn drain_rejection(self, headers: &HeaderMap, body: Incoming) {
         let is_short = body.size_hint().exact().is_some_and(|length| length <= MAX_BUFFERED as u64);
         if !is_short || !is_framed(headers, &body) {
@@ -134,7 +138,7 @@
         }
     }
 
-    /// Buffers the body, or begins to stream it.
+    /// Buffers the body, or starts to stream it if it is too long.
     async fn read_body(
         self,
         status: StatusCode,
@@ -197,18 +201,19 @@
     }
 }
 
-/// Whether the end of the body can be told from the end of the connection.
+/// Whether the end of the body is defined by a length or by chunks instead of the end of the connection.
 fn is_framed(headers: &HeaderMap, body: &Incoming) -> bool {
     body.size_hint().exact().is_some() || headers.contains_key(TRANSFER_ENCODING)
 }
 
-/// Whether a response may be passed on.
+/// Checks whether a response may be passed on to the client.
 fn check_passable(
     status: StatusCode,
     headers: &HeaderMap,
     body: &Incoming,
 ) -> Result<(), IndeterminateCause> {
-    // A promise that the endpoint did not make must not be passed on as one, nor one beside a response.
+    // These statuses must not be passed on without the endpoint's statement that it did not process the
+    // request, and that statement must not accompany the response of a processed request.
     if STATUSES_THAT_INVITE_RETRIES.contains(&status.as_u16()) || headers.contains_key(&NOT_RUN) {
         return Err(IndeterminateCause::Unsealed);
     }
@@ -216,7 +221,7 @@
     if !is_sealed || headers.contains_key(CONTENT_ENCODING) {
         return Err(IndeterminateCause::Unsealed);
     }
-    // A body that ends with its connection cannot be told from one that was cut.
+    // A body that ends with its connection cannot be distinguished from a truncated one.
     if !is_framed(headers, body) {
         return Err(IndeterminateCause::Truncated);
     }
--- a/crates/data-plane/edge-proxy/src/upstream_socket.rs
+++ b/crates/data-plane/edge-proxy/src/upstream_socket.rs
@@ -1,5 +1,6 @@
-//! The socket of a connection to an endpoint, which hyper drives while the connection pool can look at it: it knows how
-//! much of the next request was written, and can still keep all of it back.
+//! The socket of a connection to an endpoint. hyper drives it, while the connection pool can inspect it: the
+//! socket tracks how much of the current request was written, and can block the request as long as no byte of
+//! it was written.
 use crate::rollout::duplicates::DuplicateDetector;
 use crate::socket_read::poll_read_observed;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -17,28 +18,29 @@
 /// How much of the current request was written.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum WriteState {
-    /// None of it. Writing may begin until then, unless the endpoint has sent something or closed meanwhile.
-    MayBeginUntil(Instant),
-    /// None of it, and none ever will be.
-    Barred,
-    /// Some of it, perhaps all.
-    Begun,
+    /// Nothing was written. Writing may start until this instant, unless the endpoint sends something or
+    /// closes the connection before.
+    MayStartUntil(Instant),
+    /// Nothing was written, and all further writes are rejected.
+    Blocked,
+    /// At least one byte was written.
+    Started,
 }
 
 /// A socket to an endpoint, with the state of the request that is written to it.
 pub(crate) struct UpstreamSocket {
     stream: TcpStream,
-    /// Watches for second responses, where a rollout asks for it.
+    /// Watches for duplicate responses, if the request belongs to a rollout.
     pub(crate) duplicate_detector: Option<Box<DuplicateDetector>>,
     write_state: WriteState,
-    /// The socket accepted nothing when last written to.
+    /// Whether the last write was pending because the socket accepted no bytes.
     write_pending: bool,
 }
 
 impl UpstreamSocket {
-    /// A new connection, whose first request may begin until then.
+    /// Wraps the socket of a new connection. Its first request may start until `until`.
     pub(crate) fn new(stream: TcpStream, until: Instant) -> Rc<RefCell<UpstreamSocket>> {
-        let write_state = WriteState::MayBeginUntil(until);
+        let write_state = WriteState::MayStartUntil(until);
         Rc::new(RefCell::new(UpstreamSocket {
             stream,
             duplicate_detector: None,
@@ -47,40 +49,41 @@
         }))
     }
 
-    /// The next request may begin until then.
+    /// Prepares the socket for the next request, which may start until `until`.
     pub(crate) fn expect_request(&mut self, until: Instant) {
-        self.write_state = WriteState::MayBeginUntil(until);
+        self.write_state = WriteState::MayStartUntil(until);
     }
 
-    /// Whether nothing has arrived, neither bytes that nobody asked for nor the end of the stream.
-    pub(crate) fn is_quiet(&self) -> bool {
+    /// Whether the socket has no pending input: neither unsolicited bytes nor the end of the stream.
+    pub(crate) fn has_no_input(&self) -> bool {
         let mut byte = [MaybeUninit::uninit()];
         let peeked = SockRef::from(&self.stream).peek(&mut byte);
         matches!(peeked, Err(error) if error.kind() == io::ErrorKind::WouldBlock)
     }
 
-    /// Whether any of the request was written. If not, none of it will be any more.
-    pub(crate) fn bar_unless_begun(&mut self) -> bool {
-        if self.write_state != WriteState::Begun {
-            self.write_state = WriteState::Barred;
+    /// Returns whether any byte of the request was written. If not, all further writes of it are blocked.
+    pub(crate) fn block_unless_started(&mut self) -> bool {
+        if self.write_state != WriteState::Started {
+            self.write_state = WriteState::Blocked;
         }
-        self.write_state == WriteState::Begun
+        self.write_state == WriteState::Started
     }
 
-    /// Whether bytes of the request still wait for the socket.
+    /// Whether bytes of the request are still waiting to be written.
     pub(crate) fn is_write_pending(&self) -> bool {
         self.write_pending
     }
 
-    /// Called right before the first byte of a request: this process may have been suspended since the connection was
-    /// checked out, while the endpoint's keep-alive time ran on.
+    /// Checks before each write whether it is allowed. Before the first byte of a request, the time and the
+    /// input are checked again, because this process may have been suspended since the connection was checked
+    /// out, while the endpoint's keep-alive time continued to run.
     fn check_may_write(&mut self) -> io::Result<()> {
-        if let WriteState::MayBeginUntil(until) = self.write_state {
-            if Instant::now() >= until || !self.is_quiet() {
-                self.write_state = WriteState::Barred;
+        if let WriteState::MayStartUntil(until) = self.write_state {
+            if Instant::now() >= until || !self.has_no_input() {
+                self.write_state = WriteState::Blocked;
             }
         }
-        if self.write_state == WriteState::Barred {
+        if self.write_state == WriteState::Blocked {
             return Err(io::ErrorKind::ConnectionAborted.into());
         }
         Ok(())
@@ -89,7 +92,7 @@
     fn record_write(&mut self, written: Poll<io::Result<usize>>) -> Poll<io::Result<usize>> {
         self.write_pending = written.is_pending();
         if matches!(written, Poll::Ready(Ok(1..))) {
-            self.write_state = WriteState::Begun;
+            self.write_state = WriteState::Started;
         }
         written
     }
--- a/crates/data-plane/edge-proxy/src/watch/candidates.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates.rs
@@ -1,41 +1,44 @@
-//! Which control-plane node is polled next, and whose answers are used.
+//! Decides which control-plane node is polled next and which answers are used.
 use coppersail_config::ProcessSettings;
 use coppersail_load_balancing::backoff;
 use coppersail_peer_protocol::{Update, WatchRequest};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Timeout of a whole poll; a frozen node costs no more than this.
+/// Timeout of a whole poll, which bounds the time lost on an unresponsive node.
 pub(crate) const POLL_TIMEOUT: Duration = Duration::from_millis(1_600);
 /// Timeout of connecting to a node.
 pub(crate) const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// The first poll of a node asks for an answer at once. The node may have accepted the connection and have no thread
-/// for it, as after a restart, when all edges reconnect together; so the next node is polled as soon as one that
-/// does not accept the connection. On a full link both take longer: the timeout grows.
+/// Initial timeout of the response to the first poll of a node, which requests an immediate answer. A node
+/// may accept the connection and have no thread for it, for example after a restart, when all edges reconnect
+/// at the same time. The edge moves on from such a node as fast as from one that does not accept the
+/// connection. Since both take longer on a congested link, the timeout grows.
 const FIRST_RESPONSE_TIMEOUT: Duration = CONNECT_TIMEOUT;
 
 /// Control-plane nodes in the order in which they are polled, and the backoff between rounds.
 #[derive(Debug, Default)]
 pub(crate) struct Candidates {
-    /// As listed by a node with a quorum behind it.
+    /// Addresses listed by a node that has a quorum.
     confirmed: Vec<String>,
-    /// As the settings list them.
+    /// Addresses from the settings.
     configured: Vec<String>,
-    /// Further ones that only an isolated node listed: good enough to be polled.
+    /// Addresses listed only by an isolated node, which are used for polling only.
     hinted: Vec<String>,
-    /// Index of the current node; it only rises and is taken modulo the number of nodes.
+    /// Index of the current node. It is taken modulo the number of nodes.
     position: usize,
-    /// By address, the feed id and sequence number of the last answer that was applied, of nodes of which the edge lacks
-    /// the rest. All that an edge has only advances, so that it may go on from there after it has polled another node.
+    /// For nodes whose feed is only partially received, by address: the feed id and sequence number of the
+    /// last answer that was applied. Since the edge's state only advances, the feed can be resumed there
+    /// after other nodes were polled.
     incomplete_feeds: BTreeMap<String, (u64, u64)>,
-    /// Polls that failed since the last usable answer.
+    /// Number of failed polls since the last usable answer.
     failures: usize,
-    /// The last pause between two rounds.
+    /// The last delay between two rounds.
     backoff: Duration,
 }
 
 impl Candidates {
-    /// The nodes of the settings. The first is chosen by a hash of this edge's address, so that edges spread evenly.
+    /// Creates the candidates from the settings. A hash of this edge's address selects the first node, so
+    /// that edges are distributed evenly over the nodes.
     pub(crate) fn new(settings: &ProcessSettings) -> Candidates {
         let position =
             settings.ip_address.bytes().fold(0, |sum: usize, byte| sum * 31 % 65_521 + usize::from(byte));
@@ -57,21 +60,22 @@
         self.addresses().count()
     }
 
-    /// The node to poll now.
+    /// The address of the node to poll now.
     pub(crate) fn current(&self) -> Option<&String> {
         self.addresses().nth(self.position % self.count().max(1))
     }
 
-    /// Decides whether an answer is used. This is the only place that does: nothing behind it looks at
-    /// [`Update::isolated`] again, and `Edge::apply_update` asserts that it never sees such an update.
+    /// Decides whether an answer is used. This is the only place that checks [`Update::isolated`];
+    /// `Edge::apply_update` asserts that it never gets an isolated update.
     ///
-    /// A node that has lost contact to a quorum of the voters may describe a state that the others have replaced
-    /// since. Were its answer applied, an edge would send requests to past owners of slices, or go back to an older
-    /// configuration; were only its feed position stored, the edge would acknowledge changes that it never applied,
-    /// and the next node would not send them again. So neither is used, and an edge that has had no other answer
-    /// does not become ready. Only the addresses it lists are kept, as hints whom to poll.
+    /// A node that has lost contact with a quorum of the voters may describe a state that the other nodes
+    /// have replaced. If its answer were applied, the edge could send requests to previous owners of slices
+    /// or return to an older configuration. If only its feed position were stored, the edge would acknowledge
+    /// changes that it never applied, and the next node would not send them again. Therefore neither is used,
+    /// and an edge that has received no other answer does not become ready. Only the listed addresses are
+    /// kept, as hints for further polls.
     ///
-    /// Returns the update that may be applied, or the pause before the next node is polled.
+    /// Returns the update to apply, or the delay before the next node is polled.
     pub(crate) fn accept(&mut self, request: &mut WatchRequest, update: Update) -> Result<Update, Duration> {
         if update.isolated {
             if !update.control_plane_addresses.is_empty() {
@@ -90,7 +94,8 @@
         Ok(update)
     }
 
-    /// An edge that has all of one node needs no rest of another one's snapshot.
+    /// Records the feed position of an incomplete update. After a complete one, the edge does not need the
+    /// missing parts of other nodes' snapshots.
     fn record_position(&mut self, update: &Update) {
         if !update.incomplete {
             return self.incomplete_feeds.clear();
@@ -100,7 +105,8 @@
         }
     }
 
-    /// Goes on where the edge was with the current node, if it has a part of its feed: that is not sent again.
+    /// Resumes the feed of the current node where it was interrupted, if a part of it was received, so that
+    /// this part is not sent again.
     pub(crate) fn resume(&self, request: &mut WatchRequest) {
         let known = self.current().and_then(|address| self.incomplete_feeds.get(address));
         if let Some((feed_id, sequence)) = known {
@@ -108,7 +114,7 @@
         }
     }
 
-    /// Changes the lists; the current node stays the current one as long as it is in them.
+    /// Changes the address lists and keeps the current node, if it is still listed.
     fn keep_current(&mut self, change: impl FnOnce(&mut Candidates)) {
         let current = self.current().cloned();
         change(self);
@@ -116,7 +122,8 @@
         self.position = position.unwrap_or(self.position);
     }
 
-    /// Timeout of the connection, and then of the response, of the first poll of a node. It grows with each round in which all nodes were too slow.
+    /// Timeout of connecting, and then of the response, for the first poll of a node. It grows with each
+    /// round in which all nodes failed.
     pub(crate) fn response_timeout(&self) -> Duration {
         let failed_rounds = self.failures / self.count().max(1);
         (FIRST_RESPONSE_TIMEOUT * (1 + failed_rounds as u32)).min(POLL_TIMEOUT)
@@ -126,7 +133,8 @@
         (self.failures, self.backoff) = (0, Duration::ZERO);
     }
 
-    /// Goes on to the next node. Returns the pause before it is polled: none until all of them have failed.
+    /// Moves on to the next node. Returns the delay before it is polled, which is zero until all nodes have
+    /// failed.
     pub(crate) fn poll_failed(&mut self) -> Duration {
         self.position = self.position.wrapping_add(1);
         self.failures += 1;
--- a/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
+++ b/crates/data-plane/edge-proxy/src/watch/candidates_tests.rs
@@ -1,4 +1,4 @@
-//! The order of control-plane nodes, response timeouts, and answers that are not used.
+//! Tests of the order of control-plane nodes, the response timeouts, and answers that are not used.
 use super::*;
 use assert_matches::assert_matches;
 
@@ -49,8 +49,8 @@
         control_plane_addresses: vec!["10.0.0.7:75".into()],
         ..Update::default()
     };
-    assert_matches!(candidates.accept(&mut request, isolated), Err(pause) if pause.is_zero());
-    // The feed position and the confirmed addresses stay; the next node is polled.
+    assert_matches!(candidates.accept(&mut request, isolated), Err(delay) if delay.is_zero());
+    // The feed position and the confirmed addresses are unchanged, and the next node is polled.
     assert_eq!((request.feed_id, request.sequence, &candidates.confirmed), (5, 50, &addresses));
     assert_eq!(candidates.current(), next.as_ref());
     assert!(
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_unresponsive_node_is_left_early_and_the_timeout_grows_when_all_are_slow() {
+fn the_response_timeout_is_short_at_first_and_grows_when_all_nodes_are_slow() {
     let mut candidates = two_configured();
     let mut timeouts = Vec::new();
     for _ in 0..40 {
@@ -76,9 +76,10 @@
     assert_eq!(candidates.response_timeout(), FIRST_RESPONSE_TIMEOUT);
 }
 
-/// On a full link an edge goes from node to node: each time it would begin a snapshot anew.
+/// On a congested link, an edge moves from node to node. Without resuming, it would restart the snapshot each
+/// time.
 #[test]
-fn a_node_whose_snapshot_came_in_part_goes_on_where_it_was() {
+fn a_partially_received_snapshot_is_resumed_at_its_node() {
     let mut candidates = two_configured();
     let mut request = WatchRequest::default();
     let part = |feed_id, sequence| Update { feed_id, sequence, incomplete: true, ..Update::default() };
@@ -88,7 +89,7 @@
     assert_eq!(
         (request.feed_id, request.sequence),
         (4, 40),
-        "another node: it will see that it is not its feed"
+        "the other node will recognize that the feed id is not its own"
     );
     assert_matches!(candidates.accept(&mut request, part(5, 7)), Ok(_));
     candidates.poll_failed();
@@ -101,6 +102,6 @@
     assert_eq!(
         (request.feed_id, request.sequence),
         (4, 90),
-        "the other begins anew: it may have forgotten much"
+        "the other node restarts its feed, because its position was dropped after the complete update"
     );
 }
--- a/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
+++ b/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
@@ -1,4 +1,4 @@
-//! The thread that polls the control plane and hands updates to the edge.
+//! The thread that polls the control plane and passes updates to the edge.
 use super::candidates::{Candidates, CONNECT_TIMEOUT, POLL_TIMEOUT};
 use super::outage::Outage;
 use crate::edge::RequestCounter;
@@ -11,18 +11,20 @@
 use std::time::{Duration, Instant};
 use tokio::sync::mpsc::UnboundedSender;
 
-/// HTTP path of the watch, a wire name.
+/// HTTP path of the watch, which is part of the wire format.
 const WATCH_PATH: &str = "/follow";
-/// For how long a node may hold back the answer to a poll while there is nothing new.
+/// How long a node may delay the answer to a poll while it has no changes.
 const POLL_WAIT: Duration = Duration::from_millis(700);
-/// The longest first answer of a node, in bytes: on a full link, the configuration and the proof that the node answers.
+/// Maximum size (bytes) of a node's first answer. It is small, so that the answer arrives in time on a
+/// congested link, and has room for the configuration.
 const FIRST_ANSWER_BYTES: u64 = 8 * 1024;
-/// The longest answer, in bytes: a link carries it within [`POLL_TIMEOUT`] if the traffic of clients leaves it 20 KB/s.
+/// Maximum size (bytes) of an answer. A link transfers it within [`POLL_TIMEOUT`] if client traffic leaves 20
+/// KB/s.
 const MAX_ANSWER_BYTES: u64 = 32 * 1024;
-/// Stack of the thread, in bytes: it only reads and parses.
+/// Stack size (bytes) of the thread, which only reads and parses.
 const STACK_SIZE: usize = 256 * 1024;
 
-/// Starts the thread. It ends once the receiver of `updates` is gone.
+/// Starts the thread. It ends when the receiver of `updates` is dropped.
 ///
 /// # Errors
 /// When the thread cannot be created.
@@ -55,7 +57,7 @@
     Ok(())
 }
 
-/// Why the loop ends.
+/// The receiver of updates was dropped, so the loop must end.
 struct Stopped;
 
 struct WatchLoop {
@@ -63,9 +65,9 @@
     candidates: Candidates,
     /// The next poll. Its feed position acknowledges the last update that was applied.
     request: WatchRequest,
-    /// Whether the last poll brought an answer that is used.
+    /// Whether the last poll got a usable answer.
     connected: bool,
-    /// The polls since then that failed.
+    /// The failed polls since the last usable answer.
     outage: Outage,
     log: Logger,
     request_counts: Arc<RequestCounter>,
@@ -77,7 +79,7 @@
     fn run(mut self) {
         while !self.updates.is_closed() {
             let Some(address) = self.candidates.current().cloned() else {
-                info!(self.log, "follow: no centre is known");
+                info!(self.log, "watch: no control-plane node is known");
                 return;
             };
             self.fill_request();
@@ -86,7 +88,7 @@
                 Ok(update) => self.apply(&address, Update { requested_at: Some(requested_at), ..update }),
                 Err(error) => {
                     self.outage.record_failure(requested_at, &error);
-                    self.disconnect(|log| info!(log, "follow: lost {address}: {error}"));
+                    self.disconnect(|log| info!(log, "watch: lost control-plane node {address}: {error}"));
                     Ok(self.candidates.poll_failed())
                 }
             };
@@ -98,7 +100,8 @@
         }
     }
 
-    /// Takes along what the edge has counted. A node that is not followed yet is to answer at once.
+    /// Fills the next poll with the request counts and evidence of the edge. A node is asked to answer its
+    /// first poll immediately.
     fn fill_request(&mut self) {
         self.candidates.resume(&mut self.request);
         self.request.request_counts = self.request_counts.take();
@@ -122,13 +125,13 @@
         }
     }
 
-    /// Hands an answer to the edge if it may be used. Returns the delay before the next poll.
+    /// Passes an answer to the edge if it is usable. Returns the delay before the next poll.
     fn apply(&mut self, address: &str, update: Update) -> Result<Duration, Stopped> {
         match self.candidates.accept(&mut self.request, update) {
             Ok(update) => {
                 if !self.connected {
                     let outage = self.outage.end(Instant::now());
-                    info!(self.log, "follow: in touch with {address}{outage}");
+                    info!(self.log, "watch: connected to control-plane node {address}{outage}");
                     self.connected = true;
                 }
                 self.updates.send(update).map_err(|_| Stopped)?;
@@ -136,13 +139,16 @@
             }
             Err(delay) => {
                 self.outage.record_isolated(Instant::now());
-                self.disconnect(|log| info!(log, "follow: left {address}: it has no majority"));
+                self.disconnect(|log| {
+                    info!(log, "watch: left control-plane node {address}, which has no quorum");
+                });
                 Ok(delay)
             }
         }
     }
 
-    /// Logs the loss of a node that was followed, and keeps for the next poll what no node has accepted.
+    /// Logs the loss of the current node if there was one, and keeps the counts and reports that no node has
+    /// accepted for the next poll.
     fn disconnect(&mut self, log_loss: impl FnOnce(&Logger)) {
         if self.connected {
             log_loss(&self.log);
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -1,4 +1,4 @@
-//! An edge among endpoints that fail in every way that its protocol knows.
+//! Tests of an edge with endpoints that fail in all ways that the gateway's protocol distinguishes.
 mod responses;
 mod rollout;
 mod sessions;
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn a_head_that_can_be_read_in_two_ways_is_refused_and_reaches_no_endpoint() {
+fn an_ambiguous_or_invalid_head_is_rejected_and_reaches_no_endpoint() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
         let test_edge = start_edge(&[&host]).await;
@@ -71,7 +71,7 @@
             assert_eq!(status(&response), 400, "{more}: {response}");
         }
         assert_eq!(host.request_count(), 0);
-        // A second request in one piece with the first is refused unprocessed, whatever it holds.
+        // A second request that arrives together with the first one is rejected without being processed.
         let two = test_edge.send_raw((request("/once/out", "1", "") + inner).as_bytes()).await;
         assert!(two.starts_with("HTTP/1.1 200") && two.contains("HTTP/1.1 503"), "{two}");
         assert_eq!(host.request_count(), 1);
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn a_request_that_is_too_large_or_too_slow_is_refused() {
+fn a_request_that_is_too_large_or_too_slow_is_rejected() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
         let test_edge =
@@ -99,22 +99,23 @@
 
 type Failure = fn(&str) -> HostAction;
 
-/// What may go wrong once a request was sent: a name, and what the host does with the request's head.
+/// The failures that may occur after a request was sent: a name, and the host's action for the request's
+/// head.
 const FAILURES: [(&str, Failure); 14] = [
-    ("reset before the answer", |_| HostAction::ResetConnection),
-    ("closed before the answer", |_| HostAction::RespondAndClose(vec![])),
+    ("reset before the response", |_| HostAction::ResetConnection),
+    ("closed before the response", |_| HostAction::RespondAndClose(vec![])),
     ("closed in the head", |_| HostAction::RespondAndClose(b"HTTP/1.1 200 OK\r\nTry-I".to_vec())),
     ("closed after the head", |head| {
         let mut bytes = sealed_response(head, "whole");
         bytes.truncate(bytes.len() - 5);
         HostAction::RespondAndClose(bytes)
     }),
-    ("cut short of its length", |head| {
+    ("shorter than its length", |head| {
         let mut bytes = sealed_response(head, "whole");
         bytes.truncate(bytes.len() - 1);
         HostAction::RespondAndClose(bytes)
     }),
-    ("cut in its chunks", |head| {
+    ("truncated chunks", |head| {
         let id = header(head, "try-id").unwrap();
         let head =
             format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\nTransfer-Encoding: chunked\r\n");
@@ -126,9 +127,9 @@
             format!("HTTP/1.1 200 OK\r\nTry-Id: {id}\r\nServer-Seal: s\r\n\r\nwhole").into_bytes(),
         )
     }),
-    ("to another request", |_| HostAction::Respond(sealed_response("Try-Id: another\r\n", "other"))),
-    ("no answer at all", |_| HostAction::Respond(b"\x16\x03\x01 what is this\r\n\r\n".to_vec())),
-    ("without its seal", |head| HostAction::Respond(response(head, "200 OK", "", "whole"))),
+    ("response to another request", |_| HostAction::Respond(sealed_response("Try-Id: another\r\n", "other"))),
+    ("not an HTTP response", |_| HostAction::Respond(b"\x16\x03\x01 what is this\r\n\r\n".to_vec())),
+    ("without a seal", |head| HostAction::Respond(response(head, "200 OK", "", "whole"))),
     ("encoded", |head| {
         HostAction::Respond(response(head, "200 OK", "Server-Seal: s\r\nContent-Encoding: gzip\r\n", "whole"))
     }),
@@ -136,13 +137,13 @@
         let more = "Upgrade: other\r\nConnection: upgrade\r\nServer-Seal: s\r\n";
         HostAction::Respond(response(head, "101 Switching Protocols", more, ""))
     }),
-    ("an answer and a promise at once", |head| {
+    ("a success with a Not-Run header", |head| {
         HostAction::Respond(response(head, "200 OK", "Server-Seal: s\r\nNot-Run: 1\r\n", "whole"))
     }),
-    ("a promise that is none", |head| HostAction::Respond(response(head, "503 Busy", "", ""))),
+    ("a 503 without a Not-Run header", |head| HostAction::Respond(response(head, "503 Busy", "", ""))),
 ];
 
-/// One that is not idempotent ends in 502, an idempotent one is retried.
+/// A non-idempotent request ends in 502; an idempotent one is retried.
 #[test]
 fn a_broken_response_is_not_passed_on_and_only_idempotent_requests_are_retried() {
     for (failure, respond) in FAILURES {
@@ -166,7 +167,7 @@
 }
 
 #[test]
-fn a_streamed_response_that_is_truncated_never_looks_complete() {
+fn a_truncated_streamed_response_is_never_passed_on_as_complete() {
     run_test(|| async {
         let long = "z".repeat(300_000);
         let whole = long.clone();
@@ -197,7 +198,7 @@
 }
 
 #[test]
-fn a_second_response_on_a_connection_reaches_no_client() {
+fn a_duplicate_response_on_a_connection_reaches_no_client() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| {
             let mut bytes = sealed_response(head, "first");
@@ -211,12 +212,12 @@
             assert!(answer.ends_with("first"), "{answer}");
             assert_eq!(header(&answer, "try-id").as_deref(), Some(id));
         }
-        assert_eq!(host.connections.get(), 3, "none of them is reused");
+        assert_eq!(host.connections.get(), 3, "no connection is reused");
     });
 }
 
 #[test]
-fn connections_are_reused_until_their_endpoint_drains() {
+fn connections_to_an_endpoint_are_reused_until_it_drains() {
     run_test(|| async {
         let staying =
             scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "staying"))).await;
@@ -242,7 +243,7 @@
 }
 
 #[test]
-fn a_rejected_request_is_sent_to_another_endpoint_or_refused_with_retry_after() {
+fn a_rejected_request_is_sent_to_another_endpoint_or_rejected_with_retry_after() {
     run_test(|| async {
         let full = scripted_host("i-1", |_, head| {
             HostAction::Respond(response(head, "503 Full", "Not-Run: 1\r\nRetry-After: 0.25\r\n", ""))
@@ -269,12 +270,12 @@
         for id in 0..6 {
             assert!(test_edge.get("/once/", &format!("o{id}")).await.ends_with("sound"));
         }
-        assert!(moved.request_count() <= 1, "an address that is another endpoint's is not tried again");
+        assert!(moved.request_count() <= 1, "an address that belongs to another endpoint is not tried again");
     });
 }
 
 #[test]
-fn an_unreachable_endpoint_fails_no_request() {
+fn requests_succeed_when_one_endpoint_is_unreachable() {
     run_test(|| async {
         let sound = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "sound"))).await;
         let mut dead = sound.endpoint_update(EndpointState::Ready, 1);
@@ -288,7 +289,7 @@
 }
 
 #[test]
-fn an_endpoint_that_never_responds_ends_in_504_and_not_in_503() {
+fn a_request_to_an_unresponsive_endpoint_ends_in_504_and_not_in_503() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, _| HostAction::RespondOnRelease(Rc::default())).await;
         let test_edge = start_edge(&[&host]).await;
@@ -298,7 +299,7 @@
 }
 
 #[test]
-fn a_client_that_disconnects_cancels_its_request() {
+fn the_request_of_a_disconnected_client_is_cancelled() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, _| HostAction::RespondOnRelease(Rc::default())).await;
         let test_edge = start_edge(&[&host]).await;
@@ -312,7 +313,7 @@
 }
 
 #[test]
-fn a_key_without_an_owner_waits_for_one_and_is_refused_after_that() {
+fn a_request_whose_key_has_no_owner_waits_for_one_and_is_then_rejected() {
     run_test(|| async {
         let mut endpoints = Vec::new();
         let old = scripted_host("i-1", |_, head| {
@@ -344,7 +345,7 @@
         assert_eq!(
             test_edge.edge.request_counter.take()[0].counts,
             [(1, 1)],
-            "counted once the slices are known"
+            "requests are counted when the slices are known"
         );
     });
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/responses.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/responses.rs
@@ -1,4 +1,5 @@
-//! Responses that arrive late, twice or too early: none reaches another client or is taken for what it is not.
+//! Tests with responses that arrive late, twice or too early. None may reach another client or be taken for
+//! the response to another request.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, Update};
 use std::rc::Rc;
@@ -8,10 +9,10 @@
 fn a_late_response_reaches_no_other_client() {
     run_test(|| async {
         let host = scripted_host("i-1", |number, head| match number {
-            // The connection could be reused, and is closed.
+            // The response allows reuse of the connection, but the host closes it.
             0 => HostAction::RespondAndClose(sealed_response(head, "closed")),
             1 => HostAction::Respond(sealed_response(head, "first")),
-            // The response before comes once more, where this request's is due.
+            // The previous response arrives a second time, before the response to this request.
             2 => HostAction::Respond(
                 [sealed_response("Try-Id: 1\r\n", "late"), sealed_response(head, "second")].concat(),
             ),
@@ -32,17 +33,18 @@
             responses.push((status(&answer), body.to_string(), host.connections.get()));
         }
         let response = |status, body: &str, connection| (status, body.into(), connection);
-        // No connection is reused on which something foreign arrived or a request timed out.
+        // A connection is not reused after an unexpected response arrived or a request timed out on it.
         let first = [response(200, "closed", 1), response(200, "first", 2), response(502, "", 2)];
         assert_eq!(responses, [&first[..], &[response(504, "", 3), response(200, "fourth", 4)]].concat());
         assert_eq!(host.request_count(), 5);
     });
 }
 
-/// An owner that is overloaded gets the request again, with the same id. If its rejection came twice on one connection,
-/// the second one would be taken for the response to the second attempt, which is processed.
+/// An overloaded owner gets the request again, with the same id. If both attempts used the same connection, a
+/// duplicate of the first rejection would be taken for the response to the second attempt, although the
+/// endpoint processes it.
 #[test]
-fn a_request_is_sent_no_more_than_once_on_a_connection() {
+fn a_request_is_sent_at_most_once_on_each_connection() {
     run_test(|| async {
         let host = connection_host("i-1", |number, mut stream, host| async move {
             let full = |head: &str| response(head, "503 Full", "Not-Run: 1\r\n", "");
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -1,4 +1,4 @@
-//! A rollout at an edge, between endpoints of two revisions.
+//! Tests of a rollout at an edge with endpoints of two revisions.
 use crate::stand_ins::*;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf, Update};
 use coppersail_rollout::evidence::OutcomeKind;
@@ -16,7 +16,7 @@
     EndpointUpdate { version: revision.into(), ..host.endpoint_update(EndpointState::Ready, 1) }
 }
 
-/// What a leader of this term says now.
+/// An update with the current rollouts of a leader of this term.
 fn update_of_leader(rollouts: Vec<RolloutState>, term: u64) -> Update {
     let rollouts_as_of = Some(RolloutsAsOf { term, age_ms: 0 });
     Update { rollouts, rollouts_as_of, requested_at: Some(Instant::now()), ..Update::default() }
@@ -24,7 +24,8 @@
 
 async fn edge_with_two_revisions(old: &ScriptedHost, new: &ScriptedHost) -> TestEdge {
     let test_edge = start_edge(&[]).await;
-    // Done before the first update of a leader, so that its time is not before the edge's start.
+    // Applied before the first update of a leader, so that the leader's time is not before the start of the
+    // edge.
     test_edge.edge.apply_update(Update {
         endpoints: vec![with_revision(old, "v1"), with_revision(new, "v2")],
         ..Update::default()
@@ -65,7 +66,7 @@
             assert!(send(&test_edge, "/once/", n).await.ends_with("old"), "{n}");
         }
         assert_eq!(new.request_count(), before);
-        // Without the rollout, both are endpoints like any other.
+        // After the end of the rollout, both are ordinary endpoints.
         test_edge.edge.apply_update(update_of_leader(
             vec![paused.apply_command(0, RolloutCommand::End, "").unwrap().unwrap()],
             1,
@@ -75,7 +76,7 @@
 }
 
 #[test]
-fn a_duplicate_response_stops_the_new_version_at_once_and_is_reported() {
+fn a_duplicate_response_stops_the_new_version_immediately_and_is_reported() {
     run_test(|| async {
         let old = scripted_host("i-old", |_, head| HostAction::Respond(sealed_response(head, "old"))).await;
         let new = scripted_host("i-new", |_, head| {
@@ -114,18 +115,18 @@
         test_edge.edge.apply_update(update_of_leader(vec![most], 1));
         let (mut indeterminate, mut rejected) = (0, 0);
         for n in 0..20 {
-            let (seen, before) = (new.request_count(), old.request_count());
+            let (new_before, old_before) = (new.request_count(), old.request_count());
             let got = status(&send(&test_edge, "/once/", n).await);
-            match (new.request_count() - seen, got) {
-                // Reset by the new version: no other endpoint gets it.
+            match (new.request_count() - new_before, got) {
+                // The new version reset the connection: no other endpoint gets the request.
                 (1, 502) => {
                     indeterminate += 1;
-                    assert_eq!(old.request_count(), before, "{n}");
+                    assert_eq!(old.request_count(), old_before, "{n}");
                 }
-                // Rejected by the new version, and run by the control group.
+                // The new version rejected the request, and the control group processed it.
                 (1, 200) => {
                     rejected += 1;
-                    assert_eq!(old.request_count(), before + 1);
+                    assert_eq!(old.request_count(), old_before + 1);
                 }
                 (0, 200) => {}
                 other => panic!("{n}: {other:?}"),
@@ -142,7 +143,7 @@
         let new = scripted_host("i-new", |_, head| HostAction::Respond(sealed_response(head, "new"))).await;
         let test_edge = edge_with_two_revisions(&old, &new).await;
         test_edge.edge.apply_update(Update { rollouts: vec![running()], ..Update::default() });
-        // What is older than the lease does not count.
+        // Information that is older than the duration of the lease does not renew it.
         let expired = Some(RolloutsAsOf { term: 1, age_ms: 2_600 });
         test_edge.edge.apply_update(Update {
             rollouts_as_of: expired,
@@ -152,7 +153,7 @@
         for n in 0..30 {
             assert!(send(&test_edge, "/once/", n).await.ends_with("old"));
         }
-        // Nor does what a leader of an earlier term says.
+        // Neither does information from a leader of an earlier term.
         let later_term = Some(RolloutsAsOf { term: 2, age_ms: 2_600 });
         test_edge.edge.apply_update(Update {
             rollouts_as_of: later_term,
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/session_edges.rs
@@ -1,4 +1,5 @@
-//! Three edges that share sessions, one client that moves between them, and the requests that it sends.
+//! Support for session tests: three edges that share sessions, a client that moves between them, and its
+//! requests.
 use crate::stand_ins::*;
 use coppersail_edge_proxy::sessions::Sessions;
 use slog::{o, Discard, Logger};
@@ -10,13 +11,13 @@
 pub(crate) struct SessionEdge {
     pub(crate) test_edge: TestEdge,
     pub(crate) sessions: Rc<Sessions>,
-    /// Where peers and operators reach it.
+    /// The address for peers and operators.
     pub(crate) address: String,
 }
 
 pub(crate) struct SessionEdges {
     pub(crate) edges: Vec<SessionEdge>,
-    /// Keys are in files, as for operators.
+    /// The folder with the key file; it is removed when dropped.
     _keys: TemporaryFolder,
 }
 
@@ -69,19 +70,19 @@
 }
 
 impl SessionEdges {
-    /// Sends a request on a connection of its own to the edge at this index.
+    /// Sends a request to the edge at this index on a new connection.
     pub(crate) async fn send(&self, edge: usize, text: &str) -> String {
         self.edges[edge].test_edge.send_raw(text.as_bytes()).await
     }
 
-    /// A token of a new session.
+    /// Returns the token of a new session.
     pub(crate) async fn token(&self) -> String {
         let response = self.send(0, &confirmation("", "k", "1", "x")).await;
         assert_eq!(status(&response), 428, "{response}");
         header(&response, "session").unwrap()
     }
 
-    /// What an operator's query gets.
+    /// Returns the response to an operator's query.
     pub(crate) async fn query(&self, edge: usize, path: &str) -> String {
         let mut stream = TcpStream::connect(&self.edges[edge].address).await.unwrap();
         let head = format!("GET {path} HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n");
@@ -98,7 +99,7 @@
     pub(crate) latencies: Vec<Duration>,
 }
 
-/// Latencies of all kinds of requests, in the order in which the kinds came first.
+/// Latencies of all kinds of requests, in the order in which the kinds occurred first.
 #[derive(Default)]
 pub(crate) struct SessionLatencies(pub(crate) Vec<LatencySeries>);
 
@@ -112,12 +113,13 @@
     }
 }
 
-/// Steps of each session.
+/// Number of steps in each session.
 const STEPS: usize = 8;
 
-/// The client of the measurement: `session_count` sessions one after the other, each with two steps at one edge, then
-/// two at the next one, and so on. A step is a lookup without the session, one with it, a confirmation and its
-/// repeat. A further confirmation is the first request after a change of the edge. Every answer is checked.
+/// The client of the measurement. It runs `session_count` sessions one after the other, each with two steps
+/// at one edge, two at the next one, and so on. A step consists of a lookup without the session, a lookup
+/// with it, a confirmation and its repeat. One more confirmation at the end of a session is the first request
+/// after a change of the edge. The status of every response is checked.
 pub(crate) async fn measure_session_latencies(
     edges: &SessionEdges,
     session_count: usize,
@@ -133,7 +135,7 @@
         for step in 0..STEPS {
             let (edge, moved) = (step / 2 % 2, step > 1 && step % 2 == 0);
             let confirm =
-                |id: usize| kept_open(&confirmation(&token, &format!("k{step}"), &id.to_string(), "a"));
+                |id: usize| keep_open(&confirmation(&token, &format!("k{step}"), &id.to_string(), "a"));
             let lookup = |id: usize, more: &str| request("/again/free", &id.to_string(), more);
             let with_session = if moved { "lookup, crossing" } else { "lookup, outside" };
             for (name, text) in [
@@ -143,14 +145,14 @@
                 ("repeat, outside", confirm(id + 4)),
             ] {
                 let sent_at = Instant::now();
-                let answer = exchange(&mut connections[edge], &text).await;
-                assert!([200, 409].contains(&status(&answer)), "{answer}");
+                let response = exchange(&mut connections[edge], &text).await;
+                assert!([200, 409].contains(&status(&response)), "{response}");
                 latencies.record(name, sent_at);
             }
             id += 4;
         }
         id += 1;
-        let text = kept_open(&confirmation(&token, "last", &id.to_string(), "a"));
+        let text = keep_open(&confirmation(&token, "last", &id.to_string(), "a"));
         let sent_at = Instant::now();
         assert_eq!(status(&exchange(&mut connections[0], &text).await), 200);
         latencies.record("confirmation, crossing", sent_at);
@@ -158,7 +160,8 @@
     latencies
 }
 
-fn kept_open(request: &str) -> String {
+/// The request without the header that closes the connection.
+fn keep_open(request: &str) -> String {
     request.replace("Connection: close\r\n", "")
 }
 
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/sessions.rs
@@ -1,4 +1,4 @@
-//! Three edges that share sessions, and a client that moves from one to the other.
+//! Tests of three edges that share sessions, with a client that moves between them.
 #[path = "session_edges.rs"]
 mod session_edges;
 
@@ -35,7 +35,7 @@
         let refused = edges.send(2, &confirmation(&forged, "k-1", "18", "for two")).await;
         assert!(status(&refused) == 428 && header(&refused, "session").is_some_and(|new| new != token));
         assert_eq!(host.request_count(), 1);
-        // Operators see the session, and neither its token nor its key.
+        // Operators see the session, but neither its token nor its idempotency key.
         let listed = edges.query(1, "/sessions").await;
         let listed: SessionListing = serde_json::from_str(listed.split("\r\n\r\n").nth(1).unwrap()).unwrap();
         assert_eq!((listed.sessions.len(), listed.counts.repeats_answered), (1, 2));
@@ -45,14 +45,14 @@
 }
 
 #[test]
-fn a_confirmation_under_way_or_of_unknown_outcome_is_not_sent_again() {
+fn a_confirmation_in_flight_or_of_unknown_outcome_is_not_sent_again() {
     run_test(|| async {
         let gate = Rc::new(Notify::new());
         let release = gate.clone();
         let host = scripted_host("i-1", move |number, _| match number {
             0 | 2 => HostAction::RespondOnRelease(release.clone()),
             1 => HostAction::ResetConnection,
-            // Silence.
+            // The host never responds.
             _ => HostAction::RespondOnRelease(Rc::default()),
         })
         .await;
@@ -73,7 +73,7 @@
         let again = edges.send(0, &confirmation(&token, "k-2", "15", "b")).await;
         assert_eq!((status(&again), header(&again, "session-outcome").as_deref()), (502, Some("unknown")));
         assert_eq!(host.request_count(), 2);
-        // A client disconnects: its request goes on, and the repeat at another edge gets the response.
+        // The client disconnects: its request continues, and the repeat at another edge gets the response.
         let mut client = edges.edges[2].test_edge.connect().await;
         client.write_all(confirmation(&token, "k-3", "16", "c").as_bytes()).await.unwrap();
         host.wait_for_requests(3).await;
@@ -87,7 +87,7 @@
             }
         }
         assert_eq!(host.request_count(), 3);
-        // The endpoint is silent until the deadline: the request may have run.
+        // The endpoint does not respond before the deadline: the request may have run.
         let short = confirmation(&token, "k-4", "18", "d").replace("5000", "150");
         assert_eq!(status(&edges.send(0, &short).await), 504);
         let again = edges.send(1, &confirmation(&token, "k-4", "19", "d")).await;
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn lookups_keep_their_endpoint_when_the_session_changes_the_edge() {
+fn lookups_keep_their_endpoint_when_the_session_moves_to_another_edge() {
     run_test(|| async {
         let one = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "one"))).await;
         let two = scripted_host("i-2", |_, head| HostAction::Respond(sealed_response(head, "two"))).await;
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn many_sessions_that_change_the_edge_at_once_get_their_recorded_responses() {
+fn many_sessions_that_move_to_another_edge_at_once_get_their_recorded_responses() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "taken"))).await;
         let edges = Rc::new(three_edges("many", &[&host]).await);
@@ -152,7 +152,7 @@
         for _ in 0..200 {
             tokens.push(edges.token().await);
         }
-        // A few at a time, as an endpoint's connections are; then all at once at another edge.
+        // A few at a time, because of the endpoint's connection limit; then all at once at another edge.
         for some in tokens.chunks(10) {
             assert_eq!(send_all(0, some.to_vec()).await, some.len());
         }
@@ -161,9 +161,9 @@
     });
 }
 
-/// `examples/session_latency.rs` prints figures of the same requests, of more sessions.
+/// `examples/session_latency.rs` measures the same requests with more sessions.
 #[test]
-fn each_measured_request_is_answered_and_confirmations_run_once() {
+fn every_measured_request_is_answered_and_confirmations_run_once() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, "one"))).await;
         let edges = three_edges("latency", &[&host]).await;
@@ -178,11 +178,15 @@
             ("confirmation, crossing", 2),
         ];
         assert_eq!(counts, expected);
-        assert_eq!(host.request_count(), 32 + 18, "lookups and confirmations, and no repeat");
+        assert_eq!(host.request_count(), 32 + 18, "lookups and confirmations, but no repeats");
         let total = |counter: fn(&SessionListing) -> u64| -> u64 {
             edges.edges.iter().map(|edge| counter(&edge.sessions.listing())).sum()
         };
         assert_eq!(total(|listed| listed.counts.repeats_answered), 16);
-        assert_eq!(total(|listed| listed.counts.takeovers), 8, "each session changes the edge four times");
+        assert_eq!(
+            total(|listed| listed.counts.takeovers),
+            8,
+            "each session moves to another edge four times"
+        );
     });
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/shutdown.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/shutdown.rs
@@ -1,15 +1,11 @@
-//! What becomes of connections and requests once an edge has got SIGTERM.
+//! Tests of connections and requests after an edge has received SIGTERM.
 //!
-//! An edge that was told to end left idle connections open for three and a half seconds, as long as it accepted new ones. Clients took
-//! them up again, long after the platform had stopped sending new connections: the edge passed such a request on, whatever its
-//! deadline, and closed the connection two seconds later without an answer, while the endpoint was still at work. The log lines that
-//! settled it, as the edges wrote them:
-//!
-//!     edge: cut a request that began at 3471 ms, on a connection opened at -3585 ms, idle since -1781 ms (after the signal)
-//!     edge: cut a request that began at 3031 ms, on a connection opened at -5576 ms, idle since -5436 ms (after the signal)
-//!
-//! All such requests came on connections that had been idle since before the signal. A connection that was opened after the signal
-//! and sends its request late meets the same end.
+//! They guard against aborted requests at the end of a shutdown. If an edge keeps idle connections open after
+//! the signal, clients reuse them seconds later, when the platform has already stopped sending new
+//! connections. The edge then forwards such a request regardless of its deadline, and closes the connection
+//! without a response when the process exits, while the endpoint still processes the request. Such requests
+//! began 3.0 to 3.5 s after the signal, on connections that had been idle since before the signal. A late
+//! request on a connection that was opened after the signal can fail in the same way.
 use crate::stand_ins::*;
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,15 +14,15 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// Time in the middle of a shutdown: no new connections come any more, and less is left than a long request takes.
+/// Time after the signal at which no new connections arrive and less time is left than a long request takes.
 const LATE: Duration = Duration::from_millis(3_200);
 
-/// Bytes of an answer that is buffered at the edge, but does not fit into the buffers of its socket.
+/// Size (bytes) of a response that the edge buffers, but that does not fit into the buffers of its socket.
 const LONG_BODY: usize = 250_000;
-/// Bytes that a socket takes while the client does not read.
+/// Socket buffer size (bytes) that limits what the edge can write while the client does not read.
 const SMALL_BUFFER: usize = 4_096;
 
-/// Tells an edge to end, as SIGTERM does.
+/// Starts the shutdown of an edge, as SIGTERM does.
 async fn begin_shutdown(test_edge: &TestEdge) -> JoinHandle<()> {
     let edge = test_edge.edge.clone();
     let shutdown = tokio::task::spawn_local(async move { coppersail_edge_proxy::shut_down(&edge).await });
@@ -34,7 +30,7 @@
     shutdown
 }
 
-/// A host that never answers the requests from number `from` on.
+/// A host that responds to the requests before number `from` and never to later ones.
 async fn host_that_stalls(from: usize) -> ScriptedHost {
     scripted_host("i-1", move |number, head| match number < from {
         true => HostAction::Respond(sealed_response(head, "served")),
@@ -43,7 +39,7 @@
     .await
 }
 
-/// Whatever an edge sends until it closes the connection.
+/// Returns everything that an edge sends until it closes the connection.
 async fn read_to_close(client: &mut TcpStream) -> String {
     let mut bytes = Vec::new();
     let _ = client.read_to_end(&mut bytes).await;
@@ -51,7 +47,7 @@
 }
 
 #[test]
-fn an_idle_connection_brings_no_request_into_a_shutdown() {
+fn no_request_on_an_idle_connection_is_forwarded_late_in_a_shutdown() {
     run_test_with_manual_clock(|| async {
         let host = host_that_stalls(1).await;
         let test_edge = start_edge(&[&host]).await;
@@ -60,17 +56,17 @@
         assert!(read_message(&mut client).await.unwrap().ends_with("served"));
         let shutdown = begin_shutdown(&test_edge).await;
         advance(LATE).await;
-        // It fails where the edge has closed the connection.
+        // The write fails if the edge has already closed the connection.
         let _ = client.write_all(request("/once/", "2", "").as_bytes()).await;
         tokio::select! {
-            _ = host.wait_for_requests(2) => panic!("a request was passed on that the edge has no time for"),
+            _ = host.wait_for_requests(2) => panic!("a request was forwarded that may not complete in time"),
             answer = read_to_close(&mut client) => assert_eq!(answer, "", "closed without reading the request"),
         }
         shutdown.abort();
     });
 }
 
-/// Whatever comes on it later would have less time than one on a connection to another edge.
+/// A later request on the connection would have less time than on a connection to another edge.
 #[test]
 fn an_idle_connection_is_closed_at_the_signal() {
     run_test_with_manual_clock(|| async {
@@ -87,7 +83,7 @@
 }
 
 #[test]
-fn a_late_request_on_a_new_connection_is_refused_unless_its_deadline_comes_before_the_end() {
+fn a_late_request_on_a_new_connection_is_rejected_unless_its_deadline_is_before_the_exit() {
     run_test_with_manual_clock(|| async {
         let host = host_that_stalls(0).await;
         let test_edge = start_edge(&[&host]).await;
@@ -99,13 +95,15 @@
         advance(LATE - Duration::from_secs(1)).await;
         client.write_all(request("/once/", "1", "").as_bytes()).await.unwrap();
         tokio::select! {
-            _ = host.wait_for_requests(1) => panic!("a request was passed on that the edge has no time for"),
+            _ = host.wait_for_requests(1) => panic!("a request was forwarded that may not complete in time"),
             answer = read_to_close(&mut client) => {
-                assert_eq!((status(&answer), header(&answer, "connection").as_deref()), (503, Some("close")), "{answer}");
-                assert_eq!(header(&answer, "retry-after").as_deref(), Some("0.000"), "another edge takes it at once");
+                let connection = header(&answer, "connection");
+                assert_eq!((status(&answer), connection.as_deref()), (503, Some("close")), "{answer}");
+                let retry_after = header(&answer, "retry-after");
+                assert_eq!(retry_after.as_deref(), Some("0.000"), "another edge can take it at once");
             }
         }
-        // Its timeout is 150 ms, so that it gets its answer in time.
+        // The timeout of this request is 150 ms, so it ends before the process exits.
         short.write_all(request("/short/", "2", "").as_bytes()).await.unwrap();
         host.wait_for_requests(1).await;
         advance(Duration::from_millis(200)).await;
@@ -114,9 +112,10 @@
     });
 }
 
-/// An answer is handed to the connection whole while the client still reads its beginning: that connection is not idle yet.
+/// The edge hands a complete response to hyper while the client still reads its beginning. The connection
+/// must not count as idle before the client has read everything.
 #[test]
-fn an_answer_that_is_read_slowly_is_not_truncated() {
+fn a_response_that_is_read_slowly_is_not_truncated() {
     run_test_with_manual_clock(|| async {
         let long = "z".repeat(LONG_BODY);
         let answer = long.clone();
@@ -130,10 +129,10 @@
         client.read_exact(&mut start).await.unwrap();
         let shutdown = begin_shutdown(&test_edge).await;
         advance(Duration::from_secs(4)).await;
-        let rest = read_message(&mut client).await.expect("all of it comes");
-        assert!(rest.ends_with(&long), "{} bytes of it came", rest.len());
+        let rest = read_message(&mut client).await.expect("the complete response");
+        assert!(rest.ends_with(&long), "received {} bytes", rest.len());
         advance(Duration::from_millis(200)).await;
-        assert_eq!(read_to_close(&mut client).await, "", "closed once all of it was taken");
+        assert_eq!(read_to_close(&mut client).await, "", "closed after the complete response was read");
         shutdown.abort();
     });
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/watch.rs
@@ -1,4 +1,4 @@
-//! The watch of the control plane while its nodes fail, and when an edge becomes ready.
+//! Tests of the watch of the control plane when its nodes fail, and of the readiness of an edge.
 use crate::stand_ins::*;
 use coppersail_config::ProcessSettings;
 use coppersail_peer_protocol::{ConfigDocument, EndpointState, Update, WatchRequest};
@@ -8,7 +8,8 @@
 use std::sync::mpsc::{channel, Receiver};
 use tokio::sync::mpsc::UnboundedReceiver;
 
-/// Starts a watch; one request has been counted that its polls report. Returns the updates that it applies.
+/// Starts a watch with one counted request for its polls to report. Returns the receiver of the applied
+/// updates.
 fn watch_with_one_counted_request(settings: &ProcessSettings) -> UnboundedReceiver<Update> {
     let request_counts = std::sync::Arc::new(coppersail_edge_proxy::edge::RequestCounter::default());
     request_counts.count("parted", 4);
@@ -18,7 +19,8 @@
     updates
 }
 
-/// A control-plane node that answers polls with these in turn. Returns the polls.
+/// Starts a control-plane node that answers polls with these answers in order. Returns the receiver of its
+/// polls.
 fn control_plane_node(listener: TcpListener, answers: Vec<(u16, Update)>) -> Receiver<WatchRequest> {
     let (sender, polls) = channel();
     std::thread::spawn(move || {
@@ -54,8 +56,8 @@
 }
 
 #[test]
-fn a_failing_node_is_left_and_no_request_count_is_lost() {
-    // Both listen at the same port of different addresses, as control-plane nodes do.
+fn polls_move_on_from_a_failing_node_and_no_request_count_is_lost() {
+    // Both nodes listen on the same port at different addresses, as control-plane nodes do.
     let first = TcpListener::bind("127.0.0.1:0").unwrap();
     let port = first.local_addr().unwrap().port();
     let second = TcpListener::bind(("127.0.0.2", port)).unwrap();
@@ -89,8 +91,8 @@
     assert!(updates.try_recv().is_err(), "an isolated answer is not applied");
 }
 
-/// An isolated node describes a state that the others have replaced: at first, between two usable answers, and under
-/// another feed id.
+/// Isolated nodes may describe a state that the other nodes have replaced. Such answers arrive as the first
+/// one, between two usable answers, and under another feed id.
 #[test]
 fn no_answer_of_an_isolated_node_is_applied() {
     let isolated_node = TcpListener::bind("127.0.0.1:0").unwrap();
@@ -131,7 +133,7 @@
     assert_eq!(
         [applied(), applied()],
         [usable(9, 5), usable(11, 1)],
-        "only answers with a quorum behind them are applied"
+        "only answers of nodes with a quorum are applied"
     );
     let positions = |polls: &Receiver<WatchRequest>| {
         polls.try_iter().map(|poll| (poll.feed_id, poll.sequence)).collect::<Vec<_>>()
@@ -141,7 +143,7 @@
     assert!(isolated_node.len() >= 2, "it has been polled");
     assert!(
         isolated_node.iter().all(|poll| (poll.feed_id, poll.sequence) != (7, 70)),
-        "nor is its feed position used"
+        "the feed position of an isolated answer is not used"
     );
     assert!(configured.contains(&(0, 0)) && hinted.contains(&(0, 0)), "{configured:?} {hinted:?}");
     // Request counts are kept for a node that has a quorum.
@@ -149,7 +151,7 @@
 }
 
 #[test]
-fn an_edge_becomes_ready_with_an_owner_for_each_service_and_stays_ready() {
+fn an_edge_becomes_ready_when_it_can_serve_each_service_and_stays_ready() {
     run_test(|| async {
         let host = scripted_host("i-1", |_, head| HostAction::Respond(sealed_response(head, ""))).await;
         let test_edge = start_edge(&[&host]).await;
@@ -158,7 +160,7 @@
         (sharded.id, sharded.service, sharded.address) =
             ("i-2".into(), "parted".into(), "127.0.0.1:2".into());
         test_edge.edge.apply_update(Update { endpoints: vec![sharded], ..Update::default() });
-        assert!(!test_edge.edge.ready(), "and none owns its slices");
+        assert!(!test_edge.edge.ready(), "no endpoint owns a slice of the sharded service yet");
         let slices = vec![coppersail_peer_protocol::AssignmentUpdate {
             service: "parted".into(),
             slice_count: 4,
--- a/crates/data-plane/edge-proxy/tests/wire_format.rs
+++ b/crates/data-plane/edge-proxy/tests/wire_format.rs
@@ -1,5 +1,6 @@
-//! These bytes are read by builds of other versions: edges post messages to each other (the path `/sojourn` is a wire
-//! name), and `gatewayctl session` reads the list of sessions. A change here breaks rolling upgrades or stored data.
+//! Tests of the wire format between programs of different versions: the messages that edges post to each
+//! other at the path `/sojourn`, and the list of sessions that `gatewayctl session` reads. A change of these
+//! bytes breaks rolling upgrades or stored data.
 use coppersail_config::SessionSettings;
 use coppersail_edge_proxy::sessions::{SessionListing, Sessions};
 use coppersail_session_affinity::Counters;
@@ -14,14 +15,14 @@
     r#""other_body":0,"unknown":0,"refused":0,"forgotten":0,"healed":0,"dropped":0}"#,
 );
 
-/// The value is written as exactly this text, and the text is read as an equal value.
+/// Checks that the value serializes to exactly this text, and that the text deserializes to an equal value.
 fn assert_text<T: Serialize + DeserializeOwned + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(format!("{:?}", serde_json::from_str::<T>(text).unwrap()), format!("{value:?}"));
 }
 
 #[test]
-fn the_list_of_sessions_keeps_its_bytes() {
+fn the_list_of_sessions_has_a_stable_wire_format() {
     let (sessions, counts) = (vec!["ab".into()], Counters::default());
     let listed = SessionListing { node_id: 2, sessions, counts, rejected_tokens: 3, messages: 4, bytes: 5 };
     let text = r#"{"site":2,"sessions":["ab"],"counts":COUNTS,"unfit":3,"messages":4,"bytes":5}"#;
@@ -29,7 +30,7 @@
 }
 
 #[test]
-fn a_list_of_an_older_version_without_some_fields_still_parses() {
+fn a_list_from_an_older_version_with_missing_fields_parses() {
     let listed: SessionListing = serde_json::from_str(r#"{"site":2}"#).unwrap();
     assert_eq!(
         format!("{listed:?}"),
@@ -38,7 +39,7 @@
 }
 
 #[tokio::test(flavor = "local")]
-async fn a_post_of_a_peer_edge_and_its_answer_keep_their_bytes() {
+async fn a_post_of_a_peer_edge_and_its_response_have_a_stable_wire_format() {
     let key = std::env::temp_dir().join(format!("wire-format-{}.key", std::process::id()));
     std::fs::write(&key, [7; 32]).unwrap();
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
@@ -63,7 +64,7 @@
     stream.read_to_string(&mut answer).await.unwrap();
     let (head, replies) = answer.split_once("\r\n\r\n").unwrap();
     assert!(head.starts_with("HTTP/1.1 200 OK\r\n"), "{answer}");
-    // The life is the time at which the node started.
+    // The field `life` is the time at which the node started.
     let (before, rest) = replies.split_once(r#""life":"#).unwrap();
     let after = rest.trim_start_matches(|character: char| character.is_ascii_digit());
     assert_eq!(
