--- a/crates/data-plane/edge-proxy/src/body.rs
+++ b/crates/data-plane/edge-proxy/src/body.rs
@@ -25,7 +25,7 @@
     DeadlineExceeded,
 }
 
-/// A body, buffered as far as it is before the request or response is passed on.
+/// A body after buffering: complete, or a stream that starts with the buffered part.
 pub(crate) enum Body {
     /// The complete body.
     Buffered(Bytes),
--- a/crates/data-plane/edge-proxy/src/client_connection.rs
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -79,7 +79,7 @@
     }
 }
 
-/// A connection in the edge's count, until it is dropped.
+/// A guard that keeps a connection in the edge's count of open client connections until dropped.
 struct OpenConnection(Rc<Edge>);
 
 impl OpenConnection {
--- a/crates/data-plane/edge-proxy/src/lease.rs
+++ b/crates/data-plane/edge-proxy/src/lease.rs
@@ -98,7 +98,7 @@
         self.socket.borrow_mut().block_unless_started()
     }
 
-    /// Whether bytes of the request still wait for the socket.
+    /// Whether bytes of the request are still waiting to be written.
     pub(crate) fn is_write_pending(&self) -> bool {
         self.socket.borrow().is_write_pending()
     }
--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -2,7 +2,7 @@
 //! run at most once only if the affinity node admits it.
 use super::clock::{millis, unix_millis};
 use super::endpoint_affinity::{EndpointAffinity, SentTo};
-use super::replay::{self, refusal};
+use super::replay::{self, rejection};
 use super::service::{Progress, Sessions};
 use super::tokens::ValidToken;
 use crate::body::Body;
@@ -90,7 +90,7 @@
             Err(error) => {
                 let mut response = match kind {
                     // Without a session, a repeated request could not be recognized.
-                    RouteKind::Confirmation => refusal(428, error.reason()),
+                    RouteKind::Confirmation => rejection(428, error.reason()),
                     RouteKind::Lookup => proxy_request(edge, config, request, body).await,
                 };
                 self.attach_new_token(&mut response);
@@ -172,7 +172,7 @@
         replicas: Vec<NodeId>,
     ) -> Response<ResponseBody> {
         let Some(key) = idempotency_key(&request.headers) else {
-            return close_connection(refusal(400, "no key"));
+            return close_connection(rejection(400, "no key"));
         };
         let body = match read_request_body(edge, config, request.deadline, body).await {
             Ok(Body::Buffered(body)) => body,
@@ -259,7 +259,7 @@
                 let _ = progress.recv().await;
                 sent.response
             }
-            Some(Progress::Answer(decision)) => replay::decision_response(decision, || {
+            Some(Progress::Decided(decision)) => replay::decision_response(decision, || {
                 let wait = millis(self.settings.peer_timeout);
                 backoff::retry_after(wait, true, edge.random.borrow_mut().f64())
             }),
--- a/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/peer_server.rs
@@ -74,14 +74,14 @@
     let mut replies = vec![];
     for message in msgs {
         let outputs = sessions.node.borrow_mut().receive_message(unix_millis(), from, message);
-        let mut others = vec![];
+        let mut other_outputs = vec![];
         for output in outputs {
             match output {
                 Output::Send { to, msg } if to == from => replies.push(msg),
-                other => others.push(other),
+                other => other_outputs.push(other),
             }
         }
-        sessions.carry_out(others);
+        sessions.carry_out(other_outputs);
     }
     Some(replies)
 }
--- a/crates/data-plane/edge-proxy/src/sessions/replay.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/replay.rs
@@ -15,13 +15,14 @@
 /// The request id. A response carries the id of the request that it answers.
 pub(super) const ATTEMPT_ID: HeaderName = HeaderName::from_static("try-id");
 
-const FORGOTTEN: &str = "forgotten";
-const SPENT: &str = "spent";
+/// Outcome texts after which the session cannot be used any more.
+const SESSION_LOST: &str = "forgotten";
+const TOO_MANY_REQUESTS: &str = "spent";
 /// `Retry-After` value (seconds) for a repeated request whose original is still being processed.
 const IN_PROGRESS_RETRY_AFTER: &str = "1";
 
 /// A response without a body, with the reason why the request was not sent.
-pub(super) fn refusal(status: u16, reason: &'static str) -> Response<ResponseBody> {
+pub(super) fn rejection(status: u16, reason: &'static str) -> Response<ResponseBody> {
     let mut response = empty_response(status);
     response.headers_mut().insert(OUTCOME, HeaderValue::from_static(reason));
     response
@@ -29,7 +30,7 @@
 
 /// The response to a request that may or may not have run.
 pub(super) fn outcome_unknown() -> Response<ResponseBody> {
-    refusal(502, "unknown")
+    rejection(502, "unknown")
 }
 
 /// The response to a request that the affinity node decided not to send. `retry_after` returns the delay (ms)
@@ -40,27 +41,30 @@
 ) -> Response<ResponseBody> {
     match decision {
         Decision::Replay(recorded) => replay(recorded),
-        Decision::ResponseExpired => refusal(410, "ran, the answer is no longer kept"),
+        Decision::ResponseExpired => rejection(410, "ran, the answer is no longer kept"),
         Decision::InFlight => {
-            let mut response = refusal(409, "under way");
+            let mut response = rejection(409, "under way");
             response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static(IN_PROGRESS_RETRY_AFTER));
             response
         }
         Decision::Unknown => outcome_unknown(),
-        Decision::FingerprintMismatch => refusal(422, "another request went under this key"),
+        Decision::FingerprintMismatch => rejection(422, "another request went under this key"),
         Decision::Rejected => {
             let mut response = unavailable(retry_after());
             response.headers_mut().insert(OUTCOME, HeaderValue::from_static("not run"));
             response
         }
-        Decision::SessionLost => refusal(428, FORGOTTEN),
-        Decision::TooManyRequests => refusal(429, SPENT),
+        Decision::SessionLost => rejection(428, SESSION_LOST),
+        Decision::TooManyRequests => rejection(429, TOO_MANY_REQUESTS),
     }
 }
 
 /// Whether a response ends its session, so that the client needs a new one.
 pub(super) fn ends_session(response: &Response<ResponseBody>) -> bool {
-    response.headers().get(OUTCOME).is_some_and(|reason| reason == FORGOTTEN || reason == SPENT)
+    response
+        .headers()
+        .get(OUTCOME)
+        .is_some_and(|reason| reason == SESSION_LOST || reason == TOO_MANY_REQUESTS)
 }
 
 pub(super) fn is_replay(response: &Response<ResponseBody>) -> bool {
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -19,7 +19,7 @@
     /// The outcome is recorded by a majority of the replicas, or the wait for the majority has timed out.
     Recorded,
     /// The request must not be sent; the decision determines the response.
-    Answer(Decision),
+    Decided(Decision),
 }
 
 /// The sessions of one edge.
@@ -131,7 +131,7 @@
                 },
                 Output::SendRequest { request_id } => self.notify(request_id, Progress::Send),
                 Output::Respond { request_id } => self.notify(request_id, Progress::Recorded),
-                Output::Decided { request_id, reply } => self.notify(request_id, Progress::Answer(reply)),
+                Output::Decided { request_id, reply } => self.notify(request_id, Progress::Decided(reply)),
             }
         }
         for (to, messages) in messages {
--- a/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
+++ b/crates/data-plane/edge-proxy/src/watch/watch_loop.rs
@@ -15,8 +15,8 @@
 const WATCH_PATH: &str = "/follow";
 /// How long a node may delay the answer to a poll while it has no changes.
 const POLL_WAIT: Duration = Duration::from_millis(700);
-/// Maximum size (bytes) of a node's first answer. It is small, so that the answer arrives in time on a
-/// congested link, and has room for the configuration.
+/// Maximum size (bytes) of a node's first answer. It has room for the configuration, and is small enough that
+/// even on a congested link the answer arrives in time and shows that the node is responsive.
 const FIRST_ANSWER_BYTES: u64 = 8 * 1024;
 /// Maximum size (bytes) of an answer. A link transfers it within [`POLL_TIMEOUT`] if client traffic leaves 20
 /// KB/s.
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/main.rs
@@ -190,8 +190,8 @@
         for id in ["1", "2"] {
             assert!(test_edge.get("/once/", id).await.ends_with(&whole));
         }
-        let cut = test_edge.get("/once/", "3").await;
-        let (head, body) = cut.split_once("\r\n\r\n").unwrap();
+        let truncated = test_edge.get("/once/", "3").await;
+        let (head, body) = truncated.split_once("\r\n\r\n").unwrap();
         assert_eq!(header(head, "content-length").as_deref(), Some("300000"));
         assert!(body.len() < 300_000);
     });
--- a/crates/data-plane/load-balancing/src/load.rs
+++ b/crates/data-plane/load-balancing/src/load.rs
@@ -25,7 +25,7 @@
     /// Requests of this edge that are in flight.
     pub in_flight: u32,
     /// Requests of other edges according to the last report.
-    others: f32,
+    other_requests: f32,
     reported_at: Ms,
     /// Number of requests that the endpoint processes concurrently.
     slots: u32,
@@ -48,7 +48,7 @@
     /// Records the `Server-Load` header of a response. To be called while `in_flight` still counts the
     /// request of that response. `slots` is 0 if the endpoint does not report them.
     pub fn record_report(&mut self, running: u32, waiting: u32, slots: u32, now: Ms) {
-        self.others = ((running + waiting) as f32 - self.in_flight as f32).max(0.0);
+        self.other_requests = ((running + waiting) as f32 - self.in_flight as f32).max(0.0);
         self.reported_at = now;
         if slots > 0 {
             self.slots = slots;
@@ -57,7 +57,7 @@
 
     /// Records that the endpoint rejected a request because of overload.
     pub fn record_rejection(&mut self, now: Ms) {
-        self.others = self.others.max(REJECTED_REQUESTS_PER_SLOT * self.slots as f32);
+        self.other_requests = self.other_requests.max(REJECTED_REQUESTS_PER_SLOT * self.slots as f32);
         self.reported_at = now;
     }
 
@@ -90,8 +90,8 @@
     pub fn concurrency(&self, now: Ms, service_mean: f32) -> f32 {
         let lifetime = REPORT_LIFETIME * self.mean_latency_or(service_mean);
         let age = now.saturating_sub(self.reported_at) as f32;
-        let others = self.others * (1.0 - age / lifetime.max(1.0)).max(0.0);
-        self.in_flight as f32 + others + 1.0
+        let other_requests = self.other_requests * (1.0 - age / lifetime.max(1.0)).max(0.0);
+        self.in_flight as f32 + other_requests + 1.0
     }
 
     /// Expected latency (ms) of one more request. `service_mean` (ms) is used for an endpoint without
--- a/crates/data-plane/load-balancing/src/timeouts.rs
+++ b/crates/data-plane/load-balancing/src/timeouts.rs
@@ -39,14 +39,14 @@
 }
 
 /// How long (ms) a request may wait inside the edge for its key's next owner. `time_left` (ms) is the time
-/// until its deadline.
+/// until its deadline, of which the wait takes at most a third.
 pub fn owner_wait(latency_target: Option<Duration>, time_left: Ms) -> Ms {
     let limit = latency_target.map_or(MAX_OWNER_WAIT_MS, |target| target.as_millis() as Ms / TARGET_DIVISOR);
     limit.min(MAX_OWNER_WAIT_MS).min(time_left / 3)
 }
 
 /// Timeout for establishing a connection to an endpoint. `time_left` (ms) is the time until the request's
-/// deadline.
+/// deadline, of which the timeout takes at most half.
 pub fn connect_timeout(latency_target: Option<Duration>, time_left: Ms) -> Duration {
     let (min, max) = CONNECT_TIMEOUT_MS;
     let limit = latency_target.map_or(max, |target| target.as_millis() as Ms / TARGET_DIVISOR);
