--- a/crates/data-plane/edge-proxy/src/client_connection.rs
+++ b/crates/data-plane/edge-proxy/src/client_connection.rs
@@ -133,10 +133,10 @@
             edge.shutdown.record_abort(&edge.log, &state);
             return;
         }
-        match check(&state, &limits, phase > Lifecycle::Serving, Instant::now()) {
-            Check::RecheckAt(instant) => timer.as_mut().reset(instant),
-            Check::Close => return,
-            Check::HeadTimeout => {
+        match next_action(&state, &limits, phase > Lifecycle::Serving, Instant::now()) {
+            ConnectionAction::RecheckAt(instant) => timer.as_mut().reset(instant),
+            ConnectionAction::Close => return,
+            ConnectionAction::HeadTimeout => {
                 let mut stream = connection.into_parts().io.stream;
                 let _ = stream.write_all(HEAD_TIMEOUT_RESPONSE).await;
                 let _ = stream.shutdown().await;
@@ -152,19 +152,24 @@
 }
 
 /// What to do with a connection whose timer fired.
-enum Check {
+enum ConnectionAction {
     RecheckAt(Instant),
     Close,
     /// The request head did not arrive within the header timeout.
     HeadTimeout,
 }
 
-fn check(state: &ConnectionState, limits: &ClientLimits, shutting_down: bool, now: Instant) -> Check {
+fn next_action(
+    state: &ConnectionState,
+    limits: &ClientLimits,
+    shutting_down: bool,
+    now: Instant,
+) -> ConnectionAction {
     let phase = state.phase();
     if shutting_down {
         return match phase {
-            ConnectionPhase::Idle => Check::Close,
-            _ => Check::RecheckAt(now + CHECK_WHILE_SHUTTING_DOWN),
+            ConnectionPhase::Idle => ConnectionAction::Close,
+            _ => ConnectionAction::RecheckAt(now + CHECK_WHILE_SHUTTING_DOWN),
         };
     }
     let phase_timeout = match phase {
@@ -174,12 +179,14 @@
     let end = state.since() + phase_timeout;
     if end > now {
         // If a request head begins in the meantime, its header timeout may end before the current limit.
-        return Check::RecheckAt(end.min(now + limits.header_timeout));
+        return ConnectionAction::RecheckAt(end.min(now + limits.header_timeout));
     }
     match phase {
         // A request in flight is ended by its own deadline, not by this timer.
-        ConnectionPhase::Processing => Check::RecheckAt(now + limits.header_timeout.min(limits.idle_timeout)),
-        ConnectionPhase::Idle | ConnectionPhase::Writing => Check::Close,
-        ConnectionPhase::ReadingHead => Check::HeadTimeout,
+        ConnectionPhase::Processing => {
+            ConnectionAction::RecheckAt(now + limits.header_timeout.min(limits.idle_timeout))
+        }
+        ConnectionPhase::Idle | ConnectionPhase::Writing => ConnectionAction::Close,
+        ConnectionPhase::ReadingHead => ConnectionAction::HeadTimeout,
     }
 }
