--- a/crates/data-plane/edge-proxy/src/sessions/admission.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/admission.rs
@@ -65,7 +65,7 @@
         match self {
             NoSession::NoToken => "no session",
             NoSession::UnknownPeerSet => "the session's list of sites is gone",
-            NoSession::InvalidToken(error) => error.why(),
+            NoSession::InvalidToken(error) => error.message(),
         }
     }
 }
--- a/crates/data-plane/edge-proxy/src/sessions/service.rs
+++ b/crates/data-plane/edge-proxy/src/sessions/service.rs
@@ -54,7 +54,7 @@
         let newest = &settings.peer_sets[&peer_sets.newest()];
         let node_id = settings::node_id(newest, address)?;
         let affinity = settings::affinity_settings(&settings);
-        let forgotten_before = if initial_boot { 0 } else { affinity.floor(unix_millis()) };
+        let forgotten_before = if initial_boot { 0 } else { affinity.lost_up_to(unix_millis()) };
         let node = AffinityNode::new(node_id, &affinity, unix_nanos(), forgotten_before);
         info!(log, "session: site {node_id} of {} in list {}", newest.len(), peer_sets.newest());
         Ok(Rc::new(Sessions {
--- a/crates/data-plane/session-affinity/examples/model_walks.rs
+++ b/crates/data-plane/session-affinity/examples/model_walks.rs
@@ -4,7 +4,7 @@
 //!
 //! ROWS are numbers of rows from 1; without any all are searched. A walk that breaks a promise of the package, or has
 //! another number of states than the table, ends the program with status 1.
-use coppersail_session_affinity::model::{search, DOCUMENTED_WALKS};
+use coppersail_session_affinity::model::{search, DOCUMENTED_SCENARIOS};
 use std::process::ExitCode;
 use std::time::Instant;
 
@@ -12,7 +12,7 @@
     let rows: Vec<usize> = std::env::args().skip(1).filter_map(|row| row.parse().ok()).collect();
     println!("| confirmations | loss | left out | states, all walked |\n| --- | --- | --- | ---: |");
     let mut as_documented = true;
-    for (index, walk) in DOCUMENTED_WALKS.into_iter().enumerate() {
+    for (index, walk) in DOCUMENTED_SCENARIOS.into_iter().enumerate() {
         if !rows.is_empty() && !rows.contains(&(index + 1)) {
             continue;
         }
--- a/crates/data-plane/session-affinity/examples/night/simulation.rs
+++ b/crates/data-plane/session-affinity/examples/night/simulation.rs
@@ -192,7 +192,7 @@
 
     fn start(&mut self, id: NodeId) {
         if self.nodes[id as usize].is_none() {
-            let floor = self.settings.floor(self.clock(id));
+            let floor = self.settings.lost_up_to(self.clock(id));
             let incarnation = self.now + u64::from(NODES);
             self.nodes[id as usize] = Some(AffinityNode::new(id, &self.settings, incarnation, floor));
         }
--- a/crates/data-plane/session-affinity/src/model/mod.rs
+++ b/crates/data-plane/session-affinity/src/model/mod.rs
@@ -8,6 +8,6 @@
 mod tests;
 mod world;
 
-pub use scenario::{Scenario, Walk, DOCUMENTED_WALKS};
+pub use scenario::{DocumentedScenario, Scenario, DOCUMENTED_SCENARIOS};
 pub use search::{search, SearchError};
 pub use world::Violation;
--- a/crates/data-plane/session-affinity/src/model/scenario.rs
+++ b/crates/data-plane/session-affinity/src/model/scenario.rs
@@ -62,7 +62,7 @@
 
 /// One row of the table in docs/sessions.md.
 #[derive(Debug, Clone, Copy)]
-pub struct Walk {
+pub struct DocumentedScenario {
     /// What clients do, and what is searched besides losses.
     pub title: &'static str,
     /// How many nodes lose their state, in a word.
@@ -81,8 +81,8 @@
     left_out: &'static str,
     states: usize,
     scenario: Scenario,
-) -> Walk {
-    Walk { title, losses, left_out, states, scenario }
+) -> DocumentedScenario {
+    DocumentedScenario { title, losses, left_out, states, scenario }
 }
 
 const WITHOUT_LOSS: Scenario = Scenario { losses: 0, ..CROSSING };
@@ -90,7 +90,7 @@
 const CROWDED_TITLE: &str = "two sessions at two sites, where a site has room for one";
 
 /// The walks of docs/sessions.md, in the order of its table. The largest two take minutes in a release build.
-pub const DOCUMENTED_WALKS: [Walk; 10] = [
+pub const DOCUMENTED_SCENARIOS: [DocumentedScenario; 10] = [
     walk(
         "one; all three outcomes",
         "one",
--- a/crates/data-plane/session-affinity/src/model/tests.rs
+++ b/crates/data-plane/session-affinity/src/model/tests.rs
@@ -1,6 +1,6 @@
 //! The walks that a debug build bears, and mutations that the search has to find.
 use super::scenario::{
-    Scenario, CROSSING, CROWDED, DOCUMENTED_WALKS, ONE_REQUEST, REDUCED_CROSSING, REPEAT_AT_SAME_NODE,
+    Scenario, CROSSING, CROWDED, DOCUMENTED_SCENARIOS, ONE_REQUEST, REDUCED_CROSSING, REPEAT_AT_SAME_NODE,
 };
 use super::search::{search, search_in_fixed_order, search_within, SearchError};
 use super::world::Violation;
@@ -24,8 +24,8 @@
 #[test]
 fn no_order_of_ten_events_runs_a_request_twice_in_any_documented_walk() {
     let states = [848, 3_305, 3_821, 4_580, 21_822, 4_183, 22_649, 30_569, 5_245, 14_152];
-    assert_eq!(DOCUMENTED_WALKS.len(), states.len());
-    for (walk, states) in DOCUMENTED_WALKS.into_iter().zip(states) {
+    assert_eq!(DOCUMENTED_SCENARIOS.len(), states.len());
+    for (walk, states) in DOCUMENTED_SCENARIOS.into_iter().zip(states) {
         assert_eq!(search_within(walk.scenario, 10), Ok(states), "{walk:?}");
     }
 }
--- a/crates/data-plane/session-affinity/src/model/world.rs
+++ b/crates/data-plane/session-affinity/src/model/world.rs
@@ -214,7 +214,7 @@
                 let incarnation = u64::from(id) * INCARNATIONS_PER_NODE + INCARNATIONS_PER_NODE / 2;
                 let settings = &model.settings;
                 world.step(model, id, |node| {
-                    *node = AffinityNode::new(id, settings, incarnation, settings.floor(NOW));
+                    *node = AffinityNode::new(id, settings, incarnation, settings.lost_up_to(NOW));
                     vec![]
                 })
             });
--- a/crates/data-plane/session-affinity/src/node.rs
+++ b/crates/data-plane/session-affinity/src/node.rs
@@ -19,7 +19,7 @@
 
 impl AffinityNode {
     /// `incarnation` is a number that no earlier start of this node had; sessions created up to `lost_up_to`
-    /// (milliseconds, see [`AffinitySettings::floor`]) may have been held by an earlier start.
+    /// (milliseconds, see [`AffinitySettings::lost_up_to`]) may have been held by an earlier start.
     pub fn new(node: NodeId, settings: &AffinitySettings, incarnation: u64, lost_up_to: Ms) -> AffinityNode {
         AffinityNode {
             settings: settings.clone(),
--- a/crates/data-plane/session-affinity/src/owner/admission.rs
+++ b/crates/data-plane/session-affinity/src/owner/admission.rs
@@ -91,7 +91,7 @@
             None if session.record.entries.len() >= settings.max_requests_per_session => {
                 Admission::Answer(Decision::TooManyRequests)
             }
-            Some(EntryState::NotRun) | None => Admission::Begin,
+            Some(EntryState::NotExecuted) | None => Admission::Begin,
         })
     }
 
--- a/crates/data-plane/session-affinity/src/owner/attempt.rs
+++ b/crates/data-plane/session-affinity/src/owner/attempt.rs
@@ -105,7 +105,7 @@
             }
             Outcome::Completed(response) => EntryState::Completed(response),
             Outcome::CompletedUnrecorded => EntryState::ResponseDropped,
-            Outcome::NotExecuted => EntryState::NotRun,
+            Outcome::NotExecuted => EntryState::NotExecuted,
             Outcome::Unknown => EntryState::Unknown,
         };
         attempt.phase = AttemptPhase::Reporting;
--- a/crates/data-plane/session-affinity/src/owner/claim.rs
+++ b/crates/data-plane/session-affinity/src/owner/claim.rs
@@ -66,7 +66,7 @@
         self.counters.claims += 1;
         self.last_token_number = at_least.max(self.last_token_number + 1);
         session.fencing_token =
-            FencingToken { number: self.last_token_number, node: self.node, start: self.incarnation };
+            FencingToken { number: self.last_token_number, node: self.node, incarnation: self.incarnation };
         session.owned = false;
         session.superseded = false;
         session.attempt_number = 0;
--- a/crates/data-plane/session-affinity/src/owner/release.rs
+++ b/crates/data-plane/session-affinity/src/owner/release.rs
@@ -57,7 +57,7 @@
         session.attempts = remaining;
         let mut out = vec![];
         for attempt in unsent {
-            out.extend(self.report(id, attempt.entry(EntryState::NotRun, now)));
+            out.extend(self.report(id, attempt.entry(EntryState::NotExecuted, now)));
             self.requests.remove(&attempt.request);
             out.push(self.answer(attempt.request, Decision::Rejected));
         }
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -51,7 +51,8 @@
     #[serde(rename = "by")]
     pub node: NodeId,
     /// The incarnation of that node.
-    pub start: u64,
+    #[serde(rename = "start")]
+    pub incarnation: u64,
 }
 
 /// Identifies one attempt to send a request to an endpoint. No two attempts have the same id.
@@ -130,7 +131,8 @@
     /// It may have been executed.
     Unknown,
     /// It was not executed and may be sent again.
-    NotRun,
+    #[serde(rename = "NotRun")]
+    NotExecuted,
     /// It was executed; its response is no longer kept, or never was.
     #[serde(rename = "Past")]
     ResponseDropped,
--- a/crates/data-plane/session-affinity/src/settings.rs
+++ b/crates/data-plane/session-affinity/src/settings.rs
@@ -44,7 +44,7 @@
 impl AffinitySettings {
     /// A node that starts at `now` may have held any session created up to the returned time before it restarted. The
     /// time lies ahead, as the clock of the node that created the session may be ahead and this one's behind.
-    pub fn floor(&self, now: Ms) -> Ms {
+    pub fn lost_up_to(&self, now: Ms) -> Ms {
         now + 2 * self.max_clock_skew_ms
     }
 
--- a/crates/data-plane/session-affinity/src/tests/cluster.rs
+++ b/crates/data-plane/session-affinity/src/tests/cluster.rs
@@ -106,7 +106,7 @@
     }
 
     pub(super) fn restart(&mut self, id: NodeId) {
-        let floor = self.settings.floor(self.now);
+        let floor = self.settings.lost_up_to(self.now);
         self.nodes.insert(id, AffinityNode::new(id, &self.settings, self.now, floor));
     }
 }
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -37,7 +37,7 @@
 
 impl TokenError {
     /// The text of the error, for the client and the log.
-    pub fn why(self) -> &'static str {
+    pub fn message(self) -> &'static str {
         match self {
             TokenError::Malformed => "the session's token is cut or no token",
             TokenError::InvalidSignature => "the session's token is not signed by a key in force",
@@ -49,7 +49,7 @@
 
 impl fmt::Display for TokenError {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.write_str(self.why())
+        f.write_str(self.message())
     }
 }
 
--- a/crates/data-plane/session-affinity/src/view.rs
+++ b/crates/data-plane/session-affinity/src/view.rs
@@ -90,7 +90,7 @@
         let state = match &entry.state {
             EntryState::InFlight { deadline } if now < *deadline => "under way".into(),
             EntryState::InFlight { .. } | EntryState::Unknown => "unknown".into(),
-            EntryState::NotRun => "not run".into(),
+            EntryState::NotExecuted => "not run".into(),
             EntryState::ResponseDropped => "ran, answer dropped".into(),
             EntryState::Completed(response) => format!("ran, {}", response.status),
         };
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -15,7 +15,7 @@
 }
 
 const ID: SessionId = SessionId([1, 0xabc]);
-const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, start: 9 };
+const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, incarnation: 9 };
 const ATTEMPT: AttemptId = AttemptId { fencing_token: FENCE, number: 3 };
 const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
 const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
@@ -61,7 +61,7 @@
     let table = [
         (EntryState::InFlight { deadline: 80_000 }, r#"{"Open":{"until":80000}}"#),
         (EntryState::Unknown, r#""Unknown""#),
-        (EntryState::NotRun, r#""NotRun""#),
+        (EntryState::NotExecuted, r#""NotRun""#),
         (EntryState::ResponseDropped, r#""Past""#),
         (EntryState::Completed(answer()), &ran),
     ];
@@ -101,7 +101,7 @@
             r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
         (
-            Message::Completion { id, entry: entry(EntryState::NotRun) },
+            Message::Completion { id, entry: entry(EntryState::NotExecuted) },
             r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#,
         ),
     ];
@@ -139,7 +139,11 @@
             r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#,
         ),
         (
-            Message::Rejected { id, fencing_token, promised: FencingToken { number: 1, node: 2, start: 3 } },
+            Message::Rejected {
+                id,
+                fencing_token,
+                promised: FencingToken { number: 1, node: 2, incarnation: 3 },
+            },
             r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
         ),
         (Message::NoCapacity { id, fencing_token }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
@@ -149,7 +153,7 @@
         ),
         (Message::CompletionAck { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
         (
-            Message::CompletionNotice { id, entry: entry(EntryState::NotRun) },
+            Message::CompletionNotice { id, entry: entry(EntryState::NotExecuted) },
             r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#,
         ),
         (Message::Superseded { id, fencing_token }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
