--- a/crates/control-plane/server/src/operator_requests.rs
+++ b/crates/control-plane/server/src/operator_requests.rs
@@ -146,7 +146,7 @@
     fn rollout_writes(&mut self, now: Ms, path: &str, body: &str) -> Result<Vec<KeyValue>, Rejection> {
         match path_segments(path)[..] {
             [name] => self.rollouts.submit(now, name, body, self.config.as_ref()),
-            [name, command] => match RolloutCommand::from_word(command) {
+            [name, command] => match RolloutCommand::from_name(command) {
                 Some(command) => self.rollouts.apply_command(now, name, command),
                 None => Err(Rejection::not_found(format!("no order {command}"))),
             },
--- a/crates/control-plane/server/src/rollout_views.rs
+++ b/crates/control-plane/server/src/rollout_views.rs
@@ -51,7 +51,7 @@
     pub(crate) fn new(counts: &Counts) -> VariantView {
         VariantView {
             aside: counts.of(OutcomeKind::Excluded),
-            doubled: counts.of(OutcomeKind::Doubled),
+            doubled: counts.of(OutcomeKind::DuplicateResponse),
             failed: counts.of(OutcomeKind::Failed),
             good: counts.of(OutcomeKind::Good),
             late: counts.of(OutcomeKind::Late),
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -7,7 +7,7 @@
 use coppersail_consensus::Ms;
 use coppersail_peer_protocol::{EndpointState, EndpointUpdate, RolloutsAsOf};
 use coppersail_rollout::analysis::FleetCapacity;
-use coppersail_rollout::lifecycle::{Phase, RolloutCommand, RolloutState, Since};
+use coppersail_rollout::lifecycle::{AppliedAt, Phase, RolloutCommand, RolloutState};
 use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
     /// As last proposed: it is in force once it is committed.
     state: RolloutState,
     plan: RolloutPlan,
-    since: Since,
+    since: AppliedAt,
     analysis: RolloutAnalysis,
     verdict: Verdict,
 }
@@ -58,7 +58,7 @@
         let plan = state.plan();
         let mut analysis = RolloutAnalysis::new(&plan, state.run);
         analysis.set_step(state.step);
-        Rollout { state, plan, since: Since(now), analysis, verdict: Verdict::Wait("nothing yet".into()) }
+        Rollout { state, plan, since: AppliedAt(now), analysis, verdict: Verdict::Wait("nothing yet".into()) }
     }
 
     fn is_active(&self) -> bool {
@@ -70,7 +70,7 @@
         if next.run != self.state.run {
             *self = Rollout::new(now, next);
         } else {
-            (self.state, self.since) = (next, Since(now));
+            (self.state, self.since) = (next, AppliedAt(now));
             self.analysis.set_step(self.state.step);
         }
         write_of(&self.state)
@@ -100,12 +100,12 @@
         let (state, analysis) = (&self.state, &self.analysis);
         let verdict = match &self.verdict {
             Verdict::Wait(why) => format!("waits: {why}"),
-            Verdict::Sound => "sound".into(),
+            Verdict::Healthy => "sound".into(),
             Verdict::Pause(why) => format!("bad: {why}"),
         };
         RolloutView {
             answers: analysis.answers(state.number),
-            late_rows: analysis.late,
+            late_rows: analysis.late_rows,
             name: name.into(),
             new: VariantView::new(&analysis.sums.new),
             next_in_ms: state.remaining_ms(&self.plan, now, self.since),
@@ -113,7 +113,7 @@
             old: VariantView::new(&analysis.sums.control),
             phase: state.phase,
             plan: serde_json::from_str(&state.body).unwrap_or_default(),
-            rows: analysis.rows_taken,
+            rows: analysis.rows_received,
             share: state.share(),
             step: state.step + 1,
             steps: self.plan.steps.len(),
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -21,7 +21,7 @@
 
 fn doubled(number: u64) -> EvidenceReport {
     let mut row = EvidenceRow { plan: "p".into(), number, revision: 1, ..EvidenceRow::default() };
-    row.new.all[OutcomeKind::Doubled as usize] = 1;
+    row.new.all[OutcomeKind::DuplicateResponse as usize] = 1;
     EvidenceReport { edge: "e".into(), rows: vec![row], ..EvidenceReport::default() }
 }
 
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -128,7 +128,7 @@
         revision: 1,
         ..Default::default()
     };
-    row.new.all[coppersail_rollout::OutcomeKind::Doubled as usize] = 1;
+    row.new.all[coppersail_rollout::OutcomeKind::DuplicateResponse as usize] = 1;
     let report =
         coppersail_rollout::EvidenceReport { edge: "e".into(), rows: vec![row], ..Default::default() };
     // To both that are left: one of them is a follower and forwards it; received twice, it counts once.
--- a/crates/data-plane/edge-proxy/src/rollout/recording.rs
+++ b/crates/data-plane/edge-proxy/src/rollout/recording.rs
@@ -156,7 +156,7 @@
         if *kind == Variant::New {
             self.rollouts.selector.borrow_mut().stop(rollout, *change_number);
         }
-        self.record_evidence(self.now(), variant, route, OutcomeKind::Doubled, None, None);
+        self.record_evidence(self.now(), variant, route, OutcomeKind::DuplicateResponse, None, None);
         self.queue_evidence();
     }
 }
--- a/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
+++ b/crates/data-plane/edge-proxy/tests/edge_proxy/rollout.rs
@@ -95,7 +95,7 @@
         assert_eq!(new.request_count(), 1);
         test_edge.edge.queue_evidence();
         let rows: Vec<_> = test_edge.edge.rollouts.outbox.take().into_iter().flat_map(|r| r.rows).collect();
-        assert_eq!(rows.iter().map(|r| r.new.of(OutcomeKind::Doubled)).max(), Some(1));
+        assert_eq!(rows.iter().map(|r| r.new.of(OutcomeKind::DuplicateResponse)).max(), Some(1));
         assert_eq!(rows[0].route, "once");
     });
 }
--- a/crates/data-plane/rollout/examples/evening/control_plane.rs
+++ b/crates/data-plane/rollout/examples/evening/control_plane.rs
@@ -2,7 +2,7 @@
 use crate::scenario::{Mode, Scenario};
 use crate::world::{Attempt, Evening, Event, PLAN_NAME};
 use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
-use coppersail_rollout::lifecycle::Since;
+use coppersail_rollout::lifecycle::AppliedAt;
 use coppersail_rollout::{Ms, OutcomeKind, Phase, RolloutPlan, Variant, Verdict};
 use std::collections::BTreeMap;
 
@@ -36,7 +36,7 @@
     }
 
     fn end_attempt(&mut self, now: Ms, attempt: &Attempt, kind: OutcomeKind, took: Ms) {
-        let is_doubled = kind == OutcomeKind::Doubled;
+        let is_doubled = kind == OutcomeKind::DuplicateResponse;
         let is_answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::InvalidResponse);
         if is_doubled {
             self.record(now, attempt, OutcomeKind::Good, Some(took), None);
@@ -116,7 +116,7 @@
             self.outcome.paused_at.get_or_insert(now);
             self.outcome.pause_reason = next.reason.clone();
         }
-        self.since = Since(now);
+        self.since = AppliedAt(now);
         self.states.push(next);
     }
 
@@ -124,14 +124,14 @@
     fn begin_new_leader(&mut self, now: Ms, plan: &RolloutPlan) {
         let run = self.states.last().expect("one").run;
         self.analysis = RolloutAnalysis::new(plan, run);
-        self.since = Since(now);
+        self.since = AppliedAt(now);
         self.no_leader_until = 0;
         self.edges.iter_mut().for_each(|edge| edge.recorder.report_all_again());
     }
 
     fn verdict(&mut self, now: Ms, number: u64) -> Verdict {
         if self.mode != Mode::Fleet {
-            return Verdict::Sound;
+            return Verdict::Healthy;
         }
         let fleet = self.fleet();
         let died = &self.died;
--- a/crates/data-plane/rollout/examples/evening/traffic.rs
+++ b/crates/data-plane/rollout/examples/evening/traffic.rs
@@ -155,7 +155,7 @@
             Scenario::LosesAnswers => (OutcomeKind::Lost, 0.02),
             Scenario::WrongSeals => (OutcomeKind::InvalidResponse, 1.0 / 30.0),
             Scenario::FailsAnswers => (OutcomeKind::Failed, 0.1),
-            Scenario::DoublesBookings if attempt.route == BOOK => (OutcomeKind::Doubled, 0.002),
+            Scenario::DoublesBookings if attempt.route == BOOK => (OutcomeKind::DuplicateResponse, 0.002),
             _ => return None,
         };
         (self.rng.f64() < chance).then_some(kind)
--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -2,7 +2,7 @@
 //! `coppersail-rollout`; only hosts, clients and the network between are played here.
 use crate::scenario::{Mode, Outcome, Scenario, SharePoint, Size, EVENING};
 use coppersail_rollout::analysis::RolloutAnalysis;
-use coppersail_rollout::lifecycle::Since;
+use coppersail_rollout::lifecycle::AppliedAt;
 use coppersail_rollout::{
     share, EvidenceRecorder, EvidenceReport, Ms, OutcomeKind, RolloutState, Variant, VariantSelector,
 };
@@ -127,7 +127,7 @@
     pub(crate) clients: Vec<String>,
     /// All states of the rollout so far, the present one last.
     pub(crate) states: Vec<RolloutState>,
-    pub(crate) since: Since,
+    pub(crate) since: AppliedAt,
     pub(crate) analysis: RolloutAnalysis,
     pub(crate) no_leader_until: Ms,
     pub(crate) lost_leader: bool,
@@ -176,7 +176,7 @@
             clients: (0..CLIENTS).map(|n| format!("c{n}")).collect(),
             analysis: RolloutAnalysis::new(&state.plan(), 1),
             states: vec![state],
-            since: Since(0),
+            since: AppliedAt(0),
             no_leader_until: 0,
             lost_leader: false,
             died: BTreeMap::new(),
--- a/crates/data-plane/rollout/src/analysis.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -53,9 +53,9 @@
     /// What both variants did in this run.
     pub sums: VariantSums,
     /// Rows that arrived late.
-    pub late: u64,
+    pub late_rows: u64,
     /// Rows that arrived.
-    pub rows_taken: u64,
+    pub rows_received: u64,
 }
 
 impl RolloutAnalysis {
@@ -74,8 +74,8 @@
             dispersion: Dispersion::default(),
             test: SequentialTest::new(plan),
             sums: VariantSums::default(),
-            late: 0,
-            rows_taken: 0,
+            late_rows: 0,
+            rows_received: 0,
         }
     }
 
@@ -85,8 +85,8 @@
         let mut is_urgent = false;
         for row in report.rows.iter().filter(|row| row.plan == name && row.number >= self.run) {
             let accepted = self.rows.accept(now, report, row);
-            self.rows_taken += 1;
-            self.late += u64::from(accepted.arrived_late);
+            self.rows_received += 1;
+            self.late_rows += u64::from(accepted.arrived_late);
             self.sums.add_doubled(accepted.newly_doubled);
             is_urgent |= accepted.newly_doubled.new > 0;
         }
@@ -187,7 +187,7 @@
         if self.dispersion.control_is_late() {
             return Verdict::Wait("the sound version is late itself".into());
         }
-        Verdict::Sound
+        Verdict::Healthy
     }
 
     /// The step in force has this index.
--- a/crates/data-plane/rollout/src/analysis/row_store.rs
+++ b/crates/data-plane/rollout/src/analysis/row_store.rs
@@ -36,7 +36,10 @@
 
 impl DoubledCounts {
     fn of(row: &EvidenceRow) -> DoubledCounts {
-        DoubledCounts { new: row.new.of(OutcomeKind::Doubled), old: row.control.of(OutcomeKind::Doubled) }
+        DoubledCounts {
+            new: row.new.of(OutcomeKind::DuplicateResponse),
+            old: row.control.of(OutcomeKind::DuplicateResponse),
+        }
     }
 
     fn since(self, before: DoubledCounts) -> DoubledCounts {
--- a/crates/data-plane/rollout/src/analysis/sums.rs
+++ b/crates/data-plane/rollout/src/analysis/sums.rs
@@ -15,8 +15,8 @@
 impl VariantSums {
     /// Adds second answers as they become known.
     pub(crate) fn add_doubled(&mut self, more: DoubledCounts) {
-        self.new.all[OutcomeKind::Doubled as usize] += more.new as u32;
-        self.control.all[OutcomeKind::Doubled as usize] += more.old as u32;
+        self.new.all[OutcomeKind::DuplicateResponse as usize] += more.new as u32;
+        self.control.all[OutcomeKind::DuplicateResponse as usize] += more.old as u32;
     }
 
     /// Adds an evaluated row, but for its second answers: those were added when they became known.
@@ -37,8 +37,8 @@
     /// The reason to pause if more attempts of the new version ran twice than `allowed`, unless the control group's do
     /// as often: then it isn't the release.
     pub(crate) fn doubled_reason(&self, allowed: u64) -> Option<String> {
-        let new = self.new.of(OutcomeKind::Doubled);
-        let old = self.control.of(OutcomeKind::Doubled);
+        let new = self.new.of(OutcomeKind::DuplicateResponse);
+        let old = self.control.of(OutcomeKind::DuplicateResponse);
         if new <= allowed {
             return None;
         }
@@ -48,9 +48,9 @@
 }
 
 fn add_without_doubled(sum: &mut Counts, more: &Counts) {
-    let doubled = sum.all[OutcomeKind::Doubled as usize];
+    let doubled = sum.all[OutcomeKind::DuplicateResponse as usize];
     sum.all.iter_mut().zip(more.all).for_each(|(sum, more)| *sum = sum.saturating_add(more));
-    sum.all[OutcomeKind::Doubled as usize] = doubled;
+    sum.all[OutcomeKind::DuplicateResponse as usize] = doubled;
     for (time, count) in &more.times {
         match sum.times.binary_search_by_key(time, |bucket| bucket.0) {
             Ok(at) => sum.times[at].1 += count,
--- a/crates/data-plane/rollout/src/evidence.rs
+++ b/crates/data-plane/rollout/src/evidence.rs
@@ -7,7 +7,7 @@
 /// short enough to stop a rollout within seconds.
 pub const REPORT_WINDOW: Ms = 2000;
 /// The route under which an edge counts all routes beyond those that it tells apart.
-pub const OTHERS: &str = "*";
+pub const OTHER_ROUTES: &str = "*";
 /// Number of variants of [`OutcomeKind`].
 pub const OUTCOME_KINDS: usize = 8;
 
@@ -25,7 +25,7 @@
     /// It may have run, and no answer came.
     Lost,
     /// A second complete answer came for one attempt: it ran twice.
-    Doubled,
+    DuplicateResponse,
     /// An answer whose id or seal is wrong.
     InvalidResponse,
     /// Answered by a host that is warming up or overloaded: says nothing about the variant's latency.
@@ -88,7 +88,7 @@
     /// Index of the window: the edge's time divided by [`REPORT_WINDOW`].
     #[serde(rename = "b")]
     pub window: u64,
-    /// The route's name, or [`OTHERS`].
+    /// The route's name, or [`OTHER_ROUTES`].
     #[serde(rename = "r")]
     pub route: String,
     /// How often the row has changed: the higher one supersedes the lower.
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -27,7 +27,7 @@
     Ended,
 }
 
-/// A command of an operator. [`RolloutCommand::from_word`] has the words on the wire.
+/// A command of an operator. [`RolloutCommand::from_name`] has the words on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCommand {
     /// Pauses as the plan says: freezes the share, or rolls back.
@@ -55,9 +55,9 @@
     ///
     /// ```
     /// use coppersail_rollout::RolloutCommand;
-    /// assert_eq!(RolloutCommand::from_word("undo"), Some(RolloutCommand::RollBack));
+    /// assert_eq!(RolloutCommand::from_name("undo"), Some(RolloutCommand::RollBack));
     /// ```
-    pub fn from_word(name: &str) -> Option<RolloutCommand> {
+    pub fn from_name(name: &str) -> Option<RolloutCommand> {
         COMMAND_WORDS.iter().find(|(word, _)| *word == name).map(|(_, command)| *command)
     }
 }
@@ -116,9 +116,9 @@
 /// When the present leader took the present state up, in its own time. A new leader begins a step's least time anew: it
 /// can't know how much of it has passed.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Since(pub Ms);
+pub struct AppliedAt(pub Ms);
 
-impl Since {
+impl AppliedAt {
     fn elapsed(self, now: Ms) -> Ms {
         now.saturating_sub(self.0)
     }
@@ -236,7 +236,13 @@
     }
 
     /// The change that time and the analysis' verdict bring about, if any.
-    pub fn tick(&self, plan: &RolloutPlan, now: Ms, since: Since, verdict: &Verdict) -> Option<RolloutState> {
+    pub fn tick(
+        &self,
+        plan: &RolloutPlan,
+        now: Ms,
+        since: AppliedAt,
+        verdict: &Verdict,
+    ) -> Option<RolloutState> {
         let elapsed = since.elapsed(now);
         match (self.phase, verdict) {
             (Phase::Frozen | Phase::Withdrawn | Phase::Ended, _) => None,
@@ -244,7 +250,7 @@
             (Phase::Running | Phase::Done, Verdict::Pause(reason)) => self.paused(elapsed, reason),
             (Phase::Done, _) => None,
             (Phase::Running, _) if self.is_expired(plan, elapsed) => self.paused(elapsed, REASON_EXPIRED),
-            (Phase::Running, Verdict::Sound) => self.advanced(plan, elapsed),
+            (Phase::Running, Verdict::Healthy) => self.advanced(plan, elapsed),
             (Phase::Running, Verdict::Wait(_)) => None,
         }
     }
@@ -261,7 +267,7 @@
     }
 
     /// Milliseconds until the step's least time is over; none unless the rollout runs.
-    pub fn remaining_ms(&self, plan: &RolloutPlan, now: Ms, since: Since) -> Option<Ms> {
+    pub fn remaining_ms(&self, plan: &RolloutPlan, now: Ms, since: AppliedAt) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
         Some((step.min_duration.as_millis() as Ms).saturating_sub(since.elapsed(now)))
     }
--- a/crates/data-plane/rollout/src/recorder.rs
+++ b/crates/data-plane/rollout/src/recorder.rs
@@ -1,6 +1,6 @@
 //! How an edge counts evidence of both variants and bounds what it reports: a row a plan, route and window of time, kept
 //! for a minute, reported whenever it has changed.
-use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHERS, REPORT_WINDOW};
+use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHER_ROUTES, REPORT_WINDOW};
 use crate::load_limit::load_limit;
 use crate::variant::Variant;
 use crate::Ms;
@@ -9,7 +9,7 @@
 
 /// Rows are reported again to a new leader for as long (ms); older ones weigh little in what it decides.
 const ROW_RETENTION: Ms = 60_000;
-/// Routes that are told apart in one window; those beyond are counted as [`OTHERS`].
+/// Routes that are told apart in one window; those beyond are counted as [`OTHER_ROUTES`].
 const MAX_ROUTES: usize = 16;
 /// Response times kept of one variant, route and window; more add nothing.
 const MAX_TIMES: usize = 4096;
@@ -200,7 +200,7 @@
         };
         let found = find(&self.open, route);
         let routes = self.open.iter().filter(|row| row.belongs_to(plan, number)).count();
-        let route = if found.is_none() && routes >= MAX_ROUTES { OTHERS } else { route };
+        let route = if found.is_none() && routes >= MAX_ROUTES { OTHER_ROUTES } else { route };
         let found = found.or_else(|| find(&self.open, route));
         let at = found.unwrap_or_else(|| {
             self.open.push(RecordedRow::new(plan, number, now / REPORT_WINDOW, route));
@@ -219,7 +219,7 @@
 
     /// Counts an attempt that has ended at `now`.
     pub fn record_outcome(&mut self, now: Ms, attempt: &AttemptEvidence) {
-        self.urgent |= attempt.kind == OutcomeKind::Doubled;
+        self.urgent |= attempt.kind == OutcomeKind::DuplicateResponse;
         let row = self.open_row(now, attempt.plan, attempt.number, attempt.route);
         row.record(attempt.variant, attempt.kind, attempt.latency, attempt.host);
     }
--- a/crates/data-plane/rollout/src/tests/analysis.rs
+++ b/crates/data-plane/rollout/src/tests/analysis.rs
@@ -38,7 +38,7 @@
             _ => {}
         }
         counts.all[kind as usize] += 1;
-        counts.all[OutcomeKind::Doubled as usize] += u32::from(rng.f64() < bad.doubled);
+        counts.all[OutcomeKind::DuplicateResponse as usize] += u32::from(rng.f64() < bad.doubled);
     }
     counts
 }
@@ -147,7 +147,7 @@
         let paused = (0..10).filter(|seed| play_rollout(*seed, 300, world).is_err()).count();
         assert!(paused <= if name == "both double" { 5 } else { 0 }, "{name}: {paused}");
     }
-    assert_matches!(play_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Sound));
+    assert_matches!(play_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Healthy));
     assert_matches!(play_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(reason)) if reason.contains("itself"));
 }
 
@@ -161,10 +161,10 @@
 #[test]
 fn one_second_answer_pauses_and_is_counted_once() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
-    let doubled = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::Doubled, 1)]);
+    let doubled = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::DuplicateResponse, 1)]);
     assert!(analysis.ingest(0, "p", &doubled) && !analysis.ingest(1, "p", &doubled), "reported twice");
     assert_matches!(analysis.evaluate(1, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Pause(_));
-    assert_eq!(analysis.sums.new.of(OutcomeKind::Doubled), 1);
+    assert_eq!(analysis.sums.new.of(OutcomeKind::DuplicateResponse), 1);
     let mut later = RolloutAnalysis::new(&initial_state().plan(), 2);
     assert!(!later.ingest(0, "p", &doubled), "of before it was resumed");
 }
@@ -214,9 +214,9 @@
     let of = |edge: &str, window| EvidenceReport { edge: edge.into(), ..report(1, window, &good) };
     analysis.ingest(0, "p", &of("e", 40));
     analysis.ingest(0, "p", &of("e", 5));
-    assert_eq!(analysis.late, 1);
+    assert_eq!(analysis.late_rows, 1);
     analysis.ingest(0, "p", &of("f", 40));
-    assert_matches!(analysis.evaluate(9_000, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Sound);
+    assert_matches!(analysis.evaluate(9_000, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Healthy);
     analysis.ingest(11_000, "p", &of("f", 45));
     assert_matches!(analysis.evaluate(11_500, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Wait(reason) if reason.contains("silent"));
     assert_matches!(
--- a/crates/data-plane/rollout/src/tests/lifecycle.rs
+++ b/crates/data-plane/rollout/src/tests/lifecycle.rs
@@ -1,18 +1,18 @@
 //! Phases, commands and refusals.
 use super::{initial_state, BODY};
-use crate::lifecycle::{CommandError, Phase, RolloutCommand, RolloutState, Since, SubmitError};
+use crate::lifecycle::{AppliedAt, CommandError, Phase, RolloutCommand, RolloutState, SubmitError};
 use crate::{RolloutPlan, Variant, VariantSelector, Verdict};
 use assert_matches::assert_matches;
 
 #[test]
 fn a_step_and_a_pause_at_once_end_paused_in_either_order() {
-    let (plan, sound, bad) = (initial_state().plan(), Verdict::Sound, Verdict::Pause("late".into()));
-    let stepped = initial_state().tick(&plan, 10_000, Since(0), &sound).unwrap();
+    let (plan, sound, bad) = (initial_state().plan(), Verdict::Healthy, Verdict::Pause("late".into()));
+    let stepped = initial_state().tick(&plan, 10_000, AppliedAt(0), &sound).unwrap();
     assert_eq!((stepped.step, stepped.number), (1, 2));
-    let paused = stepped.tick(&plan, 10_400, Since(10_000), &bad).unwrap();
+    let paused = stepped.tick(&plan, 10_400, AppliedAt(10_000), &bad).unwrap();
     assert_eq!((paused.phase, paused.number), (Phase::Withdrawn, 3));
-    let first = initial_state().tick(&plan, 10_000, Since(0), &bad).unwrap();
-    assert_eq!(first.tick(&plan, 10_400, Since(10_000), &sound), None);
+    let first = initial_state().tick(&plan, 10_000, AppliedAt(0), &bad).unwrap();
+    assert_eq!(first.tick(&plan, 10_400, AppliedAt(10_000), &sound), None);
     assert_matches!(first.apply_command(400, RolloutCommand::Promote, ""), Err(_));
     // At an edge the later number counts, in whatever order they come.
     let mut selector = VariantSelector::default();
@@ -38,7 +38,7 @@
     assert_eq!(RolloutState::submit("p", BODY, Some(&resumed)).unwrap(), resumed);
     // Forgotten, it is paused.
     let plan = initial_state().plan();
-    let over = resumed.tick(&plan, 3_600_000, Since(0), &Verdict::Wait(String::new())).unwrap();
+    let over = resumed.tick(&plan, 3_600_000, AppliedAt(0), &Verdict::Wait(String::new())).unwrap();
     assert_eq!(over.phase, Phase::Withdrawn);
 }
 
--- a/crates/data-plane/rollout/src/verdict.rs
+++ b/crates/data-plane/rollout/src/verdict.rs
@@ -6,7 +6,7 @@
     /// Not enough is known; the text says what is missing.
     Wait(String),
     /// Enough evidence, and none against the new version: the next step may be taken.
-    Sound,
+    Healthy,
     /// The new version is worse than the control group; the text is the reason.
     Pause(String),
 }
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -53,7 +53,7 @@
         (OutcomeKind::Late, "[0,0,1,0,0,0,0,0]", r#","s":[["h",1]]"#),
         (OutcomeKind::Failed, "[0,0,0,1,0,0,0,0]", r#","s":[["h",1]]"#),
         (OutcomeKind::Lost, "[0,0,0,0,1,0,0,0]", r#","l":[["h",1]]"#),
-        (OutcomeKind::Doubled, "[0,0,0,0,0,1,0,0]", ""),
+        (OutcomeKind::DuplicateResponse, "[0,0,0,0,0,1,0,0]", ""),
         (OutcomeKind::InvalidResponse, "[0,0,0,0,0,0,1,0]", r#","l":[["h",1]]"#),
         (OutcomeKind::Excluded, "[0,0,0,0,0,0,0,1]", ""),
     ];
@@ -136,7 +136,7 @@
         ("undo", RolloutCommand::RollBack),
         ("end", RolloutCommand::End),
     ];
-    table.iter().for_each(|(word, command)| assert_eq!(RolloutCommand::from_word(word), Some(*command)));
+    table.iter().for_each(|(word, command)| assert_eq!(RolloutCommand::from_name(word), Some(*command)));
 }
 
 #[test]
