--- a/crates/data-plane/session-affinity/examples/model_walks.rs
+++ b/crates/data-plane/session-affinity/examples/model_walks.rs
@@ -1,9 +1,9 @@
-//! Searches the model to its end and prints the table of docs/sessions.md; some minutes long.
+//! Searches all states of the documented scenarios and prints the table of docs/sessions.md. It takes some minutes.
 //!
 //! `cargo run --release -p coppersail-session-affinity --features model-checking --example model_walks [-- ROWS]`
 //!
-//! ROWS are numbers of rows from 1; without any all are searched. A walk that breaks a promise of the package, or has
-//! another number of states than the table, ends the program with status 1.
+//! ROWS are numbers of table rows, from 1; by default all are searched. The exit status is 1 if a scenario violates a
+//! guarantee of the package or has another number of states than the table.
 use coppersail_session_affinity::model::{search, DOCUMENTED_SCENARIOS};
 use std::process::ExitCode;
 use std::time::Instant;
@@ -12,17 +12,18 @@
     let rows: Vec<usize> = std::env::args().skip(1).filter_map(|row| row.parse().ok()).collect();
     println!("| confirmations | loss | left out | states, all walked |\n| --- | --- | --- | ---: |");
     let mut as_documented = true;
-    for (index, walk) in DOCUMENTED_SCENARIOS.into_iter().enumerate() {
+    for (index, documented) in DOCUMENTED_SCENARIOS.into_iter().enumerate() {
         if !rows.is_empty() && !rows.contains(&(index + 1)) {
             continue;
         }
         let begun = Instant::now();
-        match search(walk.scenario) {
+        match search(documented.scenario) {
             Ok(states) => {
-                as_documented &= states == walk.states;
+                as_documented &= states == documented.states;
                 let states = with_commas(states);
-                let left_out = if walk.left_out.is_empty() { "" } else { &format!(" {}", walk.left_out) };
-                println!("| {} | {} |{left_out} | {states} |", walk.title, walk.losses);
+                let left_out =
+                    if documented.left_out.is_empty() { "" } else { &format!(" {}", documented.left_out) };
+                println!("| {} | {} |{left_out} | {states} |", documented.title, documented.losses);
             }
             Err(error) => {
                 as_documented = false;
@@ -33,7 +34,7 @@
             "row {}: {:.1} s, expected {} states",
             index + 1,
             begun.elapsed().as_secs_f64(),
-            walk.states
+            documented.states
         );
     }
     ExitCode::from(u8::from(!as_documented))
--- a/crates/data-plane/session-affinity/examples/room.rs
+++ b/crates/data-plane/session-affinity/examples/room.rs
@@ -1,4 +1,4 @@
-//! Memory of a session, at a node that is its owner and only replica:
+//! Measures the memory of a session, at a node that is its owner and only replica:
 //! `cargo run --release -p coppersail-session-affinity --example room -- REQUESTS`.
 use coppersail_session_affinity::{
     AffinityNode, AffinitySettings, IdempotentRequest, Outcome, Output, RecordedResponse, SessionId,
@@ -52,7 +52,7 @@
     }
     let each = (resident_bytes() - before) as u64 / SESSIONS;
     println!(
-        "{SESSIONS} sessions, {requests} confirmations of {BODY_BYTES} bytes each: {each} bytes a session, \
-         as owner and seat"
+        "{SESSIONS} sessions, {requests} responses of {BODY_BYTES} bytes each: {each} bytes per session, \
+         as owner and replica"
     );
 }
--- a/crates/data-plane/session-affinity/src/ids.rs
+++ b/crates/data-plane/session-affinity/src/ids.rs
@@ -1,8 +1,8 @@
-//! Times and ids that all modules share.
+//! Types of times and ids that all modules share.
 
-/// Milliseconds of the time of day.
+/// Unix time or a duration, in milliseconds.
 pub type Ms = u64;
-/// A node's number in the operators' file; it is never given to another one.
+/// A node's number in the operators' configuration file. Numbers are never reassigned to other nodes.
 pub type NodeId = u16;
-/// The adapter's id of a request that waits for a decision.
+/// The caller's id of a request that waits for a decision.
 pub type RequestId = u64;
--- a/crates/data-plane/session-affinity/src/lib.rs
+++ b/crates/data-plane/session-affinity/src/lib.rs
@@ -1,12 +1,13 @@
-//! Session affinity between edge proxies: sessions that move from node to node, with their idempotent requests.
+//! Session affinity between edge proxies: sessions move from node to node together with their idempotent requests.
 //!
-//! A session has one owner at a time and three replicas, nodes that follow from its id. A node claims a session at its
-//! replicas under a fencing token higher than any before; a quorum of them has to promise. An idempotent request is
-//! recorded at a quorum of the replicas under that token before it goes to an endpoint, so that whoever claims the
-//! session later sees it: it is executed at most once, unless it is proven that it was not executed. No clock is
-//! needed for this to hold. Each session is a register of its own (Paxos' single-decree proposals, repeated), not a log.
+//! A session has one owner at a time and three replicas, which are chosen by hashing its id. To own a session, a node
+//! asks the replicas to promise a fencing token higher than any used before; a quorum of them has to promise. An
+//! idempotent request is recorded at a quorum of the replicas under that token before it is sent to an endpoint, so
+//! that every later owner sees it. It is therefore executed at most once; it is sent again only if it is proven that
+//! it was not executed. This holds without any assumption about clocks. Each session is a separate register (repeated
+//! single-decree Paxos), not a log.
 //!
-//! The package is pure: times (milliseconds of the time of day) and messages go in, effects come out.
+//! The package does no I/O: times (Unix time in milliseconds) and messages go in, effects come out.
 //!
 //! ```
 //! use coppersail_session_affinity::{
@@ -23,7 +24,7 @@
 //!     fingerprint: 5,
 //!     deadline: 70_000,
 //! };
-//! // The only replica in a peer set of one node: there is nothing to wait for.
+//! // In a peer set of one node, the owner is the only replica: the request is sent without waiting.
 //! assert!(matches!(node.admit(60_000, request(1))[..], [Output::SendRequest { request_id: 1 }]));
 //! let response = RecordedResponse { status: 200, headers: vec![], body: b"taken".to_vec() };
 //! let outcome = Outcome::Completed(response);
--- a/crates/data-plane/session-affinity/src/lru.rs
+++ b/crates/data-plane/session-affinity/src/lru.rs
@@ -1,16 +1,17 @@
-//! Least-recently-used order of sessions.
+//! Least-recently-used (LRU) order of sessions.
 use crate::record::SessionId;
 use std::collections::BTreeSet;
 
-/// Sessions by their last use. Each session stores the number of its last use, which is its position here.
+/// Sessions ordered by last use. Each session stores the sequence number of its last use, which is its key here.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LruOrder {
     by_last_use: BTreeSet<(u64, SessionId)>,
+    /// The sequence number of the latest use.
     uses: u64,
 }
 
 impl LruOrder {
-    /// Makes the session the most recently used one. `last_use` is 0 for a new session.
+    /// Marks the session as the most recently used one. `last_use` is 0 for a new session.
     pub(crate) fn touch(&mut self, id: SessionId, last_use: &mut u64) {
         self.uses += 1;
         self.by_last_use.remove(&(*last_use, id));
@@ -27,7 +28,7 @@
         self.by_last_use.iter().map(|(_, id)| *id)
     }
 
-    /// Numbers the uses anew from 0, in the same order, and reports the new number of each session.
+    /// Renumbers the uses from 0 in the same order, and passes each session's new number to `set_last_use`.
     #[cfg(any(test, feature = "model-checking"))]
     pub(crate) fn renumber(&mut self, mut set_last_use: impl FnMut(SessionId, u64)) {
         let order = std::mem::take(&mut self.by_last_use);
--- a/crates/data-plane/session-affinity/src/messages.rs
+++ b/crates/data-plane/session-affinity/src/messages.rs
@@ -1,16 +1,17 @@
-//! Messages between nodes. All but [`Message::CompletionNotice`] and [`Message::Superseded`] go between the node that
-//! claims or owns a session and one of the session's replicas.
+//! Messages between nodes. [`Message::Superseded`] goes from the node that claims a session to its previous owner. All
+//! others are exchanged between a node that claims, owns or has owned a session and one of the session's replicas.
 use crate::ids::{Ms, NodeId};
 use crate::record::{AttemptId, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
 use serde::{Deserialize, Serialize};
 
-/// The round of the promise that answers [`Message::Restore`]: claims count rounds from 1.
+/// The round of a promise that answers [`Message::Restore`]. Rounds of [`Message::Prepare`] start at 1.
 pub(crate) const RESTORED_ROUND: u32 = 0;
 
-/// One message. Any may be lost, delayed, reordered or duplicated.
+/// One message. The network may lose, delay, reorder or duplicate it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// To a replica: promise to accept writes under no lower fencing token, and send the record (Paxos, phase 1a).
+    /// Asks a replica to promise that it rejects writes under lower fencing tokens, and to send its record (Paxos,
+    /// phase 1a).
     #[serde(rename = "Claim")]
     Prepare {
         /// The session.
@@ -21,7 +22,7 @@
         /// The claimant's token.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        /// Counts the times that the claimant has asked; the promise repeats it.
+        /// How many times the claimant has asked all replicas; the promise echoes this number.
         round: u32,
     },
     /// A replica's promise, with its record (Paxos, phase 1b).
@@ -29,26 +30,26 @@
     Promise {
         /// The session.
         id: SessionId,
-        /// The token that is promised.
+        /// The promised token.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        /// Of the request; 0 answers [`Message::Restore`].
+        /// The round of the request that this answers; 0 for [`Message::Restore`].
         round: u32,
-        /// The replica's, which writes have to name.
+        /// The replica's incarnation, which writes under this promise have to carry.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// The node that had the promise before, if it is another.
+        /// The node whose token was promised before, if it is a different node.
         #[serde(rename = "former")]
         previous_owner: Option<NodeId>,
-        /// What the replica knows.
+        /// The replica's record of the session.
         record: SessionRecord,
     },
-    /// The replica may have known the session and lost it: it can't promise anything.
+    /// The replica may have held the session and lost its state, so it can't make a promise.
     #[serde(rename = "Blank")]
     StateLost {
         /// The session.
         id: SessionId,
-        /// Of the request.
+        /// The token of the message that this answers.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
         /// The replica's incarnation since the loss.
@@ -60,22 +61,23 @@
     Rejected {
         /// The session.
         id: SessionId,
-        /// Of the request.
+        /// The token of the message that this answers.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
-        /// The token that is promised.
+        /// The higher token that the replica has promised.
         promised: FencingToken,
     },
-    /// The replica has no capacity: all of its sessions have requests in flight.
+    /// The replica has no capacity for the session: it is full, and each session it holds has a request in flight.
     #[serde(rename = "Full")]
     NoCapacity {
         /// The session.
         id: SessionId,
-        /// Of the request.
+        /// The token of the message that this answers.
         #[serde(rename = "fence")]
         fencing_token: FencingToken,
     },
-    /// To a replica that lost its state: all others have promised `fencing_token` since it said so, and this is what they know.
+    /// Gives a replica that lost its state the session's record. All other replicas have promised `fencing_token`
+    /// since it reported the loss, and the record is merged from theirs.
     #[serde(rename = "Install")]
     Restore {
         /// The session.
@@ -89,10 +91,10 @@
         /// The incarnation for which the replica reported the loss.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// What the others know.
+        /// The merged record of the other replicas.
         record: SessionRecord,
     },
-    /// To a replica: merge this into the record (Paxos, phase 2a).
+    /// Asks a replica to merge `record` into its record of the session (Paxos, phase 2a).
     Write {
         /// The session.
         id: SessionId,
@@ -102,10 +104,10 @@
         /// The incarnation in which the replica made its promise.
         #[serde(rename = "life")]
         incarnation: u64,
-        /// What is new.
+        /// The entries and endpoints to merge.
         record: SessionRecord,
     },
-    /// The replica has the write (Paxos, phase 2b).
+    /// The replica has applied the write (Paxos, phase 2b).
     #[serde(rename = "Kept")]
     WriteAck {
         /// The session.
@@ -116,7 +118,8 @@
         /// The attempt that was written.
         attempt: AttemptId,
     },
-    /// To a replica: how an attempt ended. A fact, whoever owns the session by now.
+    /// Tells a replica how an attempt ended. It is valid under any fencing token, as the outcome is a fact that no
+    /// change of owner alters.
     #[serde(rename = "Told")]
     Completion {
         /// The session.
@@ -124,7 +127,7 @@
         /// The entry with its outcome.
         entry: IdempotencyEntry,
     },
-    /// The replica has the outcome.
+    /// The replica has recorded the outcome.
     #[serde(rename = "Noted")]
     CompletionAck {
         /// The session.
@@ -132,7 +135,7 @@
         /// The attempt.
         attempt: AttemptId,
     },
-    /// From a replica to the present owner: the outcome of an attempt of an earlier owner.
+    /// A replica forwards the outcome of an earlier owner's attempt to the current owner.
     #[serde(rename = "News")]
     CompletionNotice {
         /// The session.
@@ -140,7 +143,7 @@
         /// The entry with its outcome.
         entry: IdempotencyEntry,
     },
-    /// To the previous owner: the session has another owner now.
+    /// Tells the previous owner that another node has claimed the session.
     #[serde(rename = "LetGo")]
     Superseded {
         /// The session.
--- a/crates/data-plane/session-affinity/src/model/mod.rs
+++ b/crates/data-plane/session-affinity/src/model/mod.rs
@@ -1,7 +1,8 @@
-//! Exhaustive search of a small world: three nodes, up to two sessions, up to one loss of a node. Messages arrive in any
-//! order, twice or never, and every state is checked against the ledger of the endpoint.
+//! Model checking: an exhaustive search of the states of three nodes with up to two sessions, where up to one node loses
+//! its state. Messages may arrive in any order, more than once or never. Each state is checked against the number of
+//! times that the endpoints were sent each request.
 //!
-//! It is compiled for tests, and with the feature `model-checking` for the example `model_walks`.
+//! The model is compiled for tests, and with the feature `model-checking` for the example `model_walks`.
 mod scenario;
 mod search;
 #[cfg(test)]
--- a/crates/data-plane/session-affinity/src/model/search.rs
+++ b/crates/data-plane/session-affinity/src/model/search.rs
@@ -1,4 +1,5 @@
-//! The search: every state that can be reached, by several threads, or every state within a number of events.
+//! The search, on several threads, of all reachable states or of all states that are reachable within a number of
+//! events.
 use super::scenario::Scenario;
 use super::world::{Model, Violation, World};
 use std::collections::HashSet;
@@ -6,40 +7,42 @@
 use std::sync::Mutex;
 use thiserror::Error;
 
-/// Sets of states seen, so that threads seldom wait for each other.
+/// The set of visited states is sharded, to reduce lock contention between threads.
 const SEEN_SHARDS: usize = 64;
-/// A thread with a longer stack shares its oldest states, which have most below them.
-const PRIVATE_STACK: usize = 16;
+/// A thread whose stack is longer than this shares its oldest states, which lead to the most unvisited states.
+const MAX_PRIVATE_STACK: usize = 16;
+/// States that are moved to the shared list at a time.
 const SHARED_AT_ONCE: usize = 8;
+/// No states are moved to the shared list while it has this many.
 const MAX_SHARED: usize = 64;
 
 /// Why a search ended early.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SearchError {
-    /// A state breaks a promise.
+    /// A state violates a guarantee of the package.
     #[error("after {states} states: {violation}")]
     Violated {
-        /// Which one.
+        /// The violation.
         #[source]
         violation: Violation,
-        /// States that were seen until then.
+        /// The number of states visited until then.
         states: usize,
     },
     /// There are more states than the scenario allows.
     #[error("more than {max_states} states")]
     TooManyStates {
-        /// The limit.
+        /// The limit of the scenario.
         max_states: usize,
     },
 }
 
-/// The number of states that can be reached, if none of them breaks a promise.
+/// The number of reachable states, if none of them violates a guarantee.
 pub fn search(scenario: Scenario) -> Result<usize, SearchError> {
     search_on(threads(), scenario)
 }
 
-/// As [`search`], on one thread: the order in which states are visited is the same in every run, and so is what is
-/// found before the limit of states is reached.
+/// As [`search`], on one thread. The states are visited in the same order in every run, so that every run finds the
+/// same violation before it reaches the limit of states.
 #[cfg(test)]
 pub(super) fn search_in_fixed_order(scenario: Scenario) -> Result<usize, SearchError> {
     search_on(1, scenario)
@@ -56,7 +59,7 @@
     search.result()
 }
 
-/// The number of states that can be reached by at most `events` events.
+/// The number of states that are reachable by at most `events` events, searched breadth-first.
 #[cfg(test)]
 pub(super) fn search_within(scenario: Scenario, events: usize) -> Result<usize, SearchError> {
     let model = Model::new(scenario);
@@ -82,17 +85,17 @@
     std::thread::available_parallelism().map_or(1, |threads| threads.get())
 }
 
-/// States that any thread may take, and how many threads are at work on others.
-struct Open {
+/// The shared list of states to expand, and the number of threads that are expanding others.
+struct SharedStates {
     worlds: Vec<World>,
     working: usize,
 }
 
-/// What threads share.
+/// The state of the search that all threads share.
 struct Search {
     seen: Vec<Mutex<HashSet<u64>>>,
     states: AtomicUsize,
-    open: Mutex<Open>,
+    shared: Mutex<SharedStates>,
     error: Mutex<Option<SearchError>>,
 }
 
@@ -101,7 +104,7 @@
         Search {
             seen: (0..SEEN_SHARDS).map(|_| Mutex::default()).collect(),
             states: AtomicUsize::new(0),
-            open: Mutex::new(Open { worlds, working: 0 }),
+            shared: Mutex::new(SharedStates { worlds, working: 0 }),
             error: Mutex::new(None),
         }
     }
@@ -114,7 +117,7 @@
     }
 
     fn walk(&self, model: &Model) {
-        while let Some(first) = self.next_open() {
+        while let Some(first) = self.take_shared() {
             let Some(first) = first else {
                 std::thread::yield_now();
                 continue;
@@ -124,38 +127,40 @@
                 stack.extend(self.expand(model, &world));
                 if self.error.lock().unwrap().is_some() {
                     stack.clear();
-                    self.open.lock().unwrap().worlds.clear();
+                    self.shared.lock().unwrap().worlds.clear();
                 }
                 self.share(&mut stack);
             }
-            self.open.lock().unwrap().working -= 1;
+            self.shared.lock().unwrap().working -= 1;
         }
     }
 
-    /// A state to begin with, none for now, or nothing once all is searched.
-    fn next_open(&self) -> Option<Option<World>> {
-        let mut open = self.open.lock().unwrap();
-        match open.worlds.pop() {
+    /// Takes a state to expand from the shared list. `Some(None)` if there is none at the moment, `None` once the search
+    /// is complete.
+    fn take_shared(&self) -> Option<Option<World>> {
+        let mut shared = self.shared.lock().unwrap();
+        match shared.worlds.pop() {
             Some(world) => {
-                open.working += 1;
+                shared.working += 1;
                 Some(Some(world))
             }
-            None if open.working == 0 => None,
+            None if shared.working == 0 => None,
             None => Some(None),
         }
     }
 
+    /// Moves the oldest states of a long stack to the shared list.
     fn share(&self, stack: &mut Vec<World>) {
-        if stack.len() <= PRIVATE_STACK {
+        if stack.len() <= MAX_PRIVATE_STACK {
             return;
         }
-        let mut open = self.open.lock().unwrap();
-        if open.worlds.len() < MAX_SHARED {
-            open.worlds.extend(stack.drain(..SHARED_AT_ONCE));
+        let mut shared = self.shared.lock().unwrap();
+        if shared.worlds.len() < MAX_SHARED {
+            shared.worlds.extend(stack.drain(..SHARED_AT_ONCE));
         }
     }
 
-    /// The states after this one that were not seen before.
+    /// The successors of this state that were not visited before.
     fn expand(&self, model: &Model, world: &World) -> Vec<World> {
         let mut new = vec![];
         for successor in world.successors(model) {
--- a/crates/data-plane/session-affinity/src/model/tests.rs
+++ b/crates/data-plane/session-affinity/src/model/tests.rs
@@ -1,43 +1,44 @@
-//! The walks that a debug build bears, and mutations that the search has to find.
+//! Searches that are short enough for a debug build, and mutations that the search has to find.
 use super::scenario::{
-    Scenario, CROSSING, CROWDED, DOCUMENTED_SCENARIOS, ONE_REQUEST, REDUCED_CROSSING, REPEAT_AT_SAME_NODE,
+    Scenario, DOCUMENTED_SCENARIOS, LIMITED_CAPACITY, ONE_REQUEST, REDUCED_TAKEOVER, REPEAT_AT_SAME_NODE,
+    TAKEOVER,
 };
 use super::search::{search, search_in_fixed_order, search_within, SearchError};
 use super::world::Violation;
 use crate::settings::InjectedBug;
 
 #[test]
-fn no_order_of_events_runs_a_request_twice() {
+fn every_order_of_events_executes_a_request_at_most_once() {
     let table = [
-        (10_943, Scenario { requests: ONE_REQUEST, outcomes: 3, ..CROSSING }),
-        (344, Scenario { requests: REPEAT_AT_SAME_NODE, losses: 0, outcomes: 2, ..CROSSING }),
-        (30_840, CROWDED),
-        (148_990, Scenario { requests: ONE_REQUEST, duplicates: 1, outcomes: 2, ..CROSSING }),
-        (63_627, Scenario { losses: 0, duplicates: 1, ..REDUCED_CROSSING }),
+        (10_943, Scenario { requests: ONE_REQUEST, outcomes: 3, ..TAKEOVER }),
+        (344, Scenario { requests: REPEAT_AT_SAME_NODE, losses: 0, outcomes: 2, ..TAKEOVER }),
+        (30_840, LIMITED_CAPACITY),
+        (148_990, Scenario { requests: ONE_REQUEST, duplicates: 1, outcomes: 2, ..TAKEOVER }),
+        (63_627, Scenario { losses: 0, duplicates: 1, ..REDUCED_TAKEOVER }),
     ];
     for (states, scenario) in table {
         assert_eq!(search(scenario), Ok(states), "{scenario:?}");
     }
 }
 
-/// The example `model_walks` searches each of these to its end.
+/// The example `model_walks` searches each of these completely.
 #[test]
-fn no_order_of_ten_events_runs_a_request_twice_in_any_documented_walk() {
+fn every_order_of_ten_events_executes_a_request_at_most_once_in_each_documented_scenario() {
     let states = [848, 3_305, 3_821, 4_580, 21_822, 4_183, 22_649, 30_569, 5_245, 14_152];
     assert_eq!(DOCUMENTED_SCENARIOS.len(), states.len());
-    for (walk, states) in DOCUMENTED_SCENARIOS.into_iter().zip(states) {
-        assert_eq!(search_within(walk.scenario, 10), Ok(states), "{walk:?}");
+    for (documented, states) in DOCUMENTED_SCENARIOS.into_iter().zip(states) {
+        assert_eq!(search_within(documented.scenario, 10), Ok(states), "{documented:?}");
     }
 }
 
-/// On several threads it depends on their timing whether a bug is met before the limit of states.
+/// Uses one thread: with several, it would depend on their timing whether a bug is found before the limit of states.
 #[test]
 fn the_search_finds_each_injected_bug() {
-    let without_loss = Scenario { losses: 0, ..CROSSING };
+    let without_loss = Scenario { losses: 0, ..TAKEOVER };
     for (bug, scenario) in [
         (InjectedBug::StaleWrites, without_loss),
         (InjectedBug::NoQuorum, without_loss),
-        (InjectedBug::LossIgnored, CROSSING),
+        (InjectedBug::LossIgnored, TAKEOVER),
         (InjectedBug::RetryOfUnknown, without_loss),
         (InjectedBug::DuplicatesCounted, Scenario { duplicates: 2, ..without_loss }),
     ] {
--- a/crates/data-plane/session-affinity/src/model/world.rs
+++ b/crates/data-plane/session-affinity/src/model/world.rs
@@ -1,4 +1,4 @@
-//! A state of the world, and the states that may follow it.
+//! A state of the model (nodes, network and endpoints), and its successor states.
 use super::scenario::Scenario;
 use crate::ids::{NodeId, RequestId};
 use crate::messages::Message;
@@ -12,30 +12,31 @@
 use thiserror::Error;
 
 const NODES: [NodeId; 3] = [0, 1, 2];
-/// Time stands still: no wait ends by the clock.
+/// The time does not advance, so that no wait ends by timeout.
 const NOW: u64 = 100;
 const MAX_SESSIONS: usize = 2;
-/// Incarnations of two nodes are this far apart; a restart adds half of it.
+/// Distance between the incarnation numbers of two nodes. A restart adds half of it.
 const INCARNATIONS_PER_NODE: u64 = 1_000;
 
-/// A promise of the package that a state breaks.
+/// A guarantee of the package that a state violates.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum Violation {
-    /// The request of a session was sent to an endpoint a second time, though the first one was not proven not to run.
-    #[error("the request of session {session} ran twice")]
+    /// The request of a session was sent to an endpoint a second time, although the first attempt was not proven not to
+    /// have been executed.
+    #[error("the request of session {session} was executed twice")]
     ExecutedTwice {
         /// The session.
         session: usize,
     },
     /// A client got the recorded response of a request that was not executed.
-    #[error("session {session} had the response to a request that did not run")]
+    #[error("a client of session {session} got the response of a request that was not executed")]
     ResponseWithoutExecution {
         /// The session.
         session: usize,
     },
 }
 
-/// A scenario with the settings that follow from it.
+/// A scenario and the settings derived from it.
 pub(super) struct Model {
     pub(super) scenario: Scenario,
     settings: AffinitySettings,
@@ -60,7 +61,7 @@
     }
 }
 
-/// A value and its hash, shared between worlds that did not change it.
+/// A value and its hash, shared between the states in which the value is the same.
 #[derive(Clone)]
 struct Hashed<T> {
     hash: u64,
@@ -88,22 +89,23 @@
     message: Message,
 }
 
+/// A state of the model.
 #[derive(Clone, Hash)]
 pub(super) struct World {
     nodes: [Hashed<AffinityNode>; 3],
-    /// Messages on their way, by hash.
+    /// Messages in transit, by hash.
     network: BTreeMap<u64, Hashed<Envelope>>,
-    /// The requests that have arrived, as a bit set.
+    /// The requests that have arrived, as a bit set of their indices.
     arrived: u8,
     /// Requests at an endpoint, with the node that sent them.
     running: BTreeSet<(NodeId, RequestId)>,
-    /// How often the request of each session was sent and not proven not to run.
+    /// For each session, how many times its request was sent without being proven not to have been executed.
     executions: [u8; MAX_SESSIONS],
     losses_left: u8,
     duplicates_left: u8,
 }
 
-/// The worlds that may follow one world.
+/// The successor states of one state.
 type Successors = Vec<Result<World, Violation>>;
 
 impl World {
@@ -209,7 +211,7 @@
         for id in NODES {
             self.branch(next, |world| {
                 world.losses_left -= 1;
-                // What it had at an endpoint may have been executed; nobody is left to report it.
+                // Its requests at endpoints may have been executed, but no node remains that reports their outcomes.
                 world.running.retain(|(node, _)| *node != id);
                 let incarnation = u64::from(id) * INCARNATIONS_PER_NODE + INCARNATIONS_PER_NODE / 2;
                 let settings = &model.settings;
@@ -221,7 +223,7 @@
         }
     }
 
-    /// One step of a node, and what follows from it.
+    /// Performs one step of a node and applies its effects.
     fn step(
         &mut self,
         model: &Model,
@@ -241,7 +243,7 @@
 
     fn apply(&mut self, model: &Model, from: NodeId, output: Output) -> Result<(), Violation> {
         match output {
-            // It only ends the wait of a client.
+            // These only end the wait of a client.
             Output::Send { msg: Message::CompletionAck { .. }, .. } | Output::Respond { .. } => {}
             Output::Send { msg: Message::Superseded { .. }, .. } if model.scenario.without_superseded => {}
             Output::Send { to, msg } => {
@@ -267,7 +269,7 @@
         Ok(())
     }
 
-    /// A message that can't change anything any more is as good as lost.
+    /// Removes messages without further effect, to reduce the number of states. This equals their loss.
     fn drop_obsolete_messages(&mut self) {
         let World { nodes, network, .. } = self;
         network.retain(|_, envelope| {
--- a/crates/data-plane/session-affinity/src/node.rs
+++ b/crates/data-plane/session-affinity/src/node.rs
@@ -1,4 +1,4 @@
-//! A node: a replica of some sessions, the owner of others.
+//! A node, which is a replica of some sessions and the owner of others.
 use crate::ids::{Ms, NodeId, RequestId};
 use crate::messages::Message;
 use crate::owner::SessionOwner;
@@ -9,7 +9,7 @@
 use crate::view::{Counters, SessionView};
 use std::collections::VecDeque;
 
-/// The state machine of one node. Each input returns the effects that the caller has to carry out, in order.
+/// The state machine of one node. Each input returns the effects, which the caller has to carry out in order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AffinityNode {
     settings: AffinitySettings,
@@ -18,7 +18,7 @@
 }
 
 impl AffinityNode {
-    /// `incarnation` is a number that no earlier start of this node had; sessions created up to `lost_up_to`
+    /// `incarnation` is a number that no earlier start of this node has used. Sessions created up to `lost_up_to`
     /// (milliseconds, see [`AffinitySettings::lost_up_to`]) may have been held by an earlier start.
     pub fn new(node: NodeId, settings: &AffinitySettings, incarnation: u64, lost_up_to: Ms) -> AffinityNode {
         AffinityNode {
@@ -28,37 +28,37 @@
         }
     }
 
-    /// An idempotent request has arrived.
+    /// Handles a new idempotent request.
     pub fn admit(&mut self, now: Ms, request: IdempotentRequest) -> Vec<Output> {
         let out = self.owner.admit(&self.settings, now, request);
         self.deliver_local(now, out)
     }
 
-    /// Any other request of the session has arrived: it waits for nothing, and the session is claimed meanwhile.
+    /// Handles any other request of the session: it does not wait, and the session is claimed in the background.
     pub fn touch(&mut self, now: Ms, id: SessionId, created_at: Ms, replicas: &[NodeId]) -> Vec<Output> {
         let out = self.owner.touch(&self.settings, now, id, created_at, replicas);
         self.deliver_local(now, out)
     }
 
-    /// The attempt that [`Output::SendRequest`] allowed has ended.
+    /// Handles the end of the attempt that [`Output::SendRequest`] allowed.
     pub fn complete(&mut self, now: Ms, request: RequestId, outcome: Outcome) -> Vec<Output> {
         let out = self.owner.complete(&self.settings, now, request, outcome);
         self.deliver_local(now, out)
     }
 
-    /// The endpoint that serves the session from now on.
+    /// Sets the endpoint that serves the session from now on.
     pub fn set_endpoint(&mut self, now: Ms, id: SessionId, service: &str, endpoint: &str) -> Vec<Output> {
         let out = self.owner.set_endpoint(id, service, endpoint);
         self.deliver_local(now, out)
     }
 
-    /// A message from another node has arrived.
+    /// Handles a message from another node.
     pub fn receive_message(&mut self, now: Ms, from: NodeId, message: Message) -> Vec<Output> {
         let out = self.receive(now, from, message);
         self.deliver_local(now, out)
     }
 
-    /// To be called often enough for waits to end in time.
+    /// Ends waits that have timed out. The caller calls it periodically; a wait may last one period longer.
     pub fn tick(&mut self, now: Ms) -> Vec<Output> {
         let out = self.owner.tick(&self.settings, now);
         self.deliver_local(now, out)
@@ -74,12 +74,12 @@
         self.owner.owns(id)
     }
 
-    /// Counts since the start.
+    /// Counters since the node's start.
     pub fn counters(&self) -> Counters {
         Counters { sessions_evicted: self.replica.sessions_evicted, ..self.owner.counters.clone() }
     }
 
-    /// Sessions that this node has as owner or replica, sorted.
+    /// The ids of the sessions that this node holds as owner or replica, sorted.
     pub fn sessions(&self) -> Vec<SessionId> {
         let replicated = self.replica.sessions.keys().copied();
         let mut all: Vec<SessionId> = self.owner.ids().chain(replicated).collect();
@@ -88,7 +88,7 @@
         all
     }
 
-    /// A session as operators see it: the owner's state if there is one, or else the replica's.
+    /// The operators' view of a session: the owner's state if this node has it as owner, else the replica's.
     pub fn view(&self, now: Ms, id: SessionId) -> Option<SessionView> {
         self.owner.view(now, id).or_else(|| {
             let session = self.replica.sessions.get(&id)?;
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Whether a message on its way here from `from` can never change anything that matters any more.
+    /// Whether receiving a message in transit from `from` can no longer have a relevant effect.
     #[cfg(any(test, feature = "model-checking"))]
     pub(crate) fn is_obsolete(&self, from: &AffinityNode, message: &Message) -> bool {
         let replicated = |id: &SessionId| self.replica.sessions.get(id);
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Gives states that differ only in numbers of uses and counters the same value.
+    /// Makes states equal that differ only in use numbers and counters.
     #[cfg(any(test, feature = "model-checking"))]
     pub(crate) fn normalize(&mut self) {
         self.replica.normalize();
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Messages to this node itself are handled at once; the other effects keep their order.
+    /// Handles messages to this node itself immediately; the other effects keep their order.
     fn deliver_local(&mut self, now: Ms, effects: Vec<Output>) -> Vec<Output> {
         let mut queue: VecDeque<Output> = effects.into();
         let mut out = vec![];
--- a/crates/data-plane/session-affinity/src/owner/admission.rs
+++ b/crates/data-plane/session-affinity/src/owner/admission.rs
@@ -1,4 +1,4 @@
-//! Admitting an idempotent request: a new one begins an attempt, a repeat is answered from the record.
+//! Admission of idempotent requests: a new request begins an attempt, a repeated one is answered from the record.
 use super::session::{Attempt, AttemptPhase, PendingRequest};
 use super::SessionOwner;
 use crate::ids::{Ms, RequestId};
@@ -6,16 +6,17 @@
 use crate::request::{Decision, IdempotentRequest, Output};
 use crate::settings::{AffinitySettings, InjectedBug};
 
-/// What happens to a request of a session that this node owns.
+/// How a request of a session that this node owns is handled.
 enum Admission {
     Begin,
     Answer(Decision),
-    /// It is in flight at the previous owner. What the replicas have learnt since helps the next repeat.
+    /// The request is in flight at the previous owner. The replicas are asked again, as one may have recorded the
+    /// outcome by now; the next repeat of the request then gets it.
     AnswerInFlightAndPrepare,
 }
 
 impl SessionOwner {
-    /// An idempotent request has arrived. It waits for the claim if the session is not owned yet.
+    /// Handles a new idempotent request. It waits for the claim if the session is not owned yet.
     pub(crate) fn admit(
         &mut self,
         settings: &AffinitySettings,
@@ -35,13 +36,13 @@
         let wait_until = (now + settings.peer_timeout_ms).min(request.deadline);
         session.pending.push(PendingRequest { request, wait_until });
         if claim_began_earlier {
-            // The messages of a claim that a lookup began may have been lost.
+            // A request without an idempotency key began the claim, and the claim's messages may have been lost.
             return self.prepare(id);
         }
         out
     }
 
-    /// Decides on a request of a session that is owned.
+    /// Decides on a request of a session that this node owns.
     pub(super) fn decide(
         &mut self,
         settings: &AffinitySettings,
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Nothing for a session that is not here.
+    /// Returns `None` if the session is not held here.
     fn admission(
         &mut self,
         settings: &AffinitySettings,
@@ -95,7 +96,7 @@
         })
     }
 
-    /// Records the attempt at the replicas; the request goes to an endpoint when a quorum has it.
+    /// Records the attempt at the replicas. The request is sent to an endpoint once a quorum has acknowledged it.
     fn begin_attempt(
         &mut self,
         settings: &AffinitySettings,
@@ -120,7 +121,7 @@
         self.write(request.session, vec![entry])
     }
 
-    /// Answers a request that is not sent, and counts it.
+    /// Answers a request without sending it, and counts the answer.
     pub(super) fn answer(&mut self, request_id: RequestId, reply: Decision) -> Output {
         let counter = match reply {
             Decision::Replay(_) | Decision::ResponseExpired => &mut self.counters.repeats_answered,
--- a/crates/data-plane/session-affinity/src/owner/attempt.rs
+++ b/crates/data-plane/session-affinity/src/owner/attempt.rs
@@ -1,4 +1,4 @@
-//! An attempt after its admission: it is recorded at a quorum of the replicas, sent, and its outcome is reported.
+//! An attempt after admission: it is recorded at a quorum of the replicas and sent, and its outcome is reported.
 use super::session::{AttemptPhase, ReplicaIncarnation};
 use super::SessionOwner;
 use crate::ids::{Ms, NodeId, RequestId};
@@ -10,7 +10,7 @@
 use crate::settings::{AffinitySettings, InjectedBug};
 
 impl SessionOwner {
-    /// To the replicas that promised: others may have promised another owner since.
+    /// Writes to the replicas that promised this owner's token; the others may have promised another owner's since.
     pub(super) fn write(&self, id: SessionId, entries: Vec<IdempotencyEntry>) -> Vec<Output> {
         let Some(session) = self.sessions.get(&id) else { return vec![] };
         let record = SessionRecord {
@@ -30,7 +30,7 @@
         session.promises.iter().map(write).collect()
     }
 
-    /// A request of the session was served by this endpoint: the next ones shall be, too.
+    /// Records that this endpoint has served a request of the session, so that it also gets the following ones.
     pub(crate) fn set_endpoint(&mut self, id: SessionId, service: &str, endpoint: &str) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id).filter(|session| !session.superseded) else {
             return vec![];
@@ -43,8 +43,8 @@
         self.write_endpoints(id)
     }
 
-    /// Writes the session's endpoints to the replicas. What is learnt during a claim waits for its end, and yields to
-    /// what the replicas know.
+    /// Writes the session's endpoints to the replicas. Endpoints set during a claim are written only once the session
+    /// is owned, and only if the replicas have recorded none.
     pub(super) fn write_endpoints(&mut self, id: SessionId) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id).filter(|session| session.owned) else {
             return vec![];
@@ -53,7 +53,8 @@
         self.write(id, vec![])
     }
 
-    /// A replica has recorded the attempt. With a quorum it may be sent: any later owner will see it.
+    /// Handles a replica's acknowledgement of an attempt. Once a quorum has recorded the attempt, the request may be
+    /// sent: any later owner will see it.
     pub(super) fn receive_write_ack(
         &mut self,
         settings: &AffinitySettings,
@@ -86,7 +87,7 @@
         vec![Output::SendRequest { request_id: attempt.request }]
     }
 
-    /// The attempt that [`Output::SendRequest`] allowed has ended.
+    /// Handles the end of the attempt that [`Output::SendRequest`] allowed.
     pub(crate) fn complete(
         &mut self,
         settings: &AffinitySettings,
@@ -115,7 +116,8 @@
         self.report(id, entry)
     }
 
-    /// Reports an outcome to all replicas: it is a fact, whatever they have promised since.
+    /// Reports an outcome to all replicas, also to those that have promised a higher token: the outcome stays true
+    /// whoever owns the session.
     pub(super) fn report(&mut self, id: SessionId, entry: IdempotencyEntry) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         session.record.put(&entry);
@@ -145,7 +147,7 @@
         self.finish_attempt(id, attempt)
     }
 
-    /// The outcome is recorded, or the wait for that is over.
+    /// Ends an attempt whose outcome is recorded at a quorum, or whose wait for that has timed out.
     pub(super) fn finish_attempt(&mut self, id: SessionId, attempt: AttemptId) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         let Some(position) = session.attempts.iter().position(|other| other.id == attempt) else {
--- a/crates/data-plane/session-affinity/src/owner/claim.rs
+++ b/crates/data-plane/session-affinity/src/owner/claim.rs
@@ -1,5 +1,5 @@
-//! Claiming a session: a quorum of its replicas promises a fencing token (Paxos, phase 1), and replicas that lost
-//! their state get it back.
+//! Claiming a session: a quorum of its replicas promises a fencing token (Paxos, phase 1), and a replica that lost
+//! its state has it restored.
 use super::session::{OwnedSession, PendingRequest, Promise, ReplicaIncarnation};
 use super::SessionOwner;
 use crate::ids::{Ms, NodeId};
@@ -9,8 +9,8 @@
 use crate::settings::{AffinitySettings, InjectedBug};
 
 impl SessionOwner {
-    /// A request other than an idempotent one has arrived: the session is claimed in the background, unless another
-    /// node took it over a moment ago.
+    /// Handles a request other than an idempotent one: the session is claimed in the background, unless another node
+    /// took it over less than `reclaim_delay_ms` ago.
     pub(crate) fn touch(
         &mut self,
         settings: &AffinitySettings,
@@ -19,14 +19,15 @@
         created_at: Ms,
         replicas: &[NodeId],
     ) -> Vec<Output> {
-        let recently_lost = self.taken_over.get(&id).is_some_and(|at| now < at + settings.reclaim_delay_ms);
-        if recently_lost && !self.sessions.contains_key(&id) {
+        let recently_taken_over =
+            self.taken_over.get(&id).is_some_and(|at| now < at + settings.reclaim_delay_ms);
+        if recently_taken_over && !self.sessions.contains_key(&id) {
             return vec![];
         }
         self.ensure_claimed(settings, now, id, created_at, replicas)
     }
 
-    /// Begins a claim where none is under way and the session is not owned.
+    /// Begins a claim unless the session is owned or a claim is in progress.
     pub(super) fn ensure_claimed(
         &mut self,
         settings: &AffinitySettings,
@@ -40,7 +41,7 @@
             if !session.superseded {
                 return vec![];
             }
-            // It comes back before its attempts have ended.
+            // The session is claimed again before its attempts under the earlier token have ended.
             return self.claim(id, now);
         }
         if self.sessions.len() >= settings.max_sessions {
@@ -52,7 +53,7 @@
         self.claim(id, now)
     }
 
-    /// What an owner knows of an idle session, the replicas know too.
+    /// Evicts the least recently used idle session. Nothing is lost: the replicas hold its record.
     fn evict_idle(&mut self) {
         let idle = self.lru.iter().find(|id| !self.busy.contains(id));
         if let Some(id) = idle {
@@ -60,7 +61,7 @@
         }
     }
 
-    /// Claims under a new fencing token with this number or a higher one.
+    /// Begins a claim under a new fencing token whose number is `at_least` or higher.
     fn claim(&mut self, id: SessionId, at_least: u64) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         self.counters.claims += 1;
@@ -76,8 +77,8 @@
         self.prepare(id)
     }
 
-    /// Asks all replicas (again). What they promise in the new round they promise after every message that has
-    /// arrived so far.
+    /// Asks all replicas to promise the token, in a new round. A promise of this round was made after every message
+    /// that has arrived here so far was sent.
     pub(super) fn prepare(&mut self, id: SessionId) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         session.round += 1;
@@ -130,16 +131,16 @@
         out
     }
 
-    /// A quorum has promised: requests that waited for it are admitted.
+    /// Begins ownership after a quorum has promised: pending requests are decided on.
     fn begin_ownership(&mut self, settings: &AffinitySettings, now: Ms, id: SessionId) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         session.owned = true;
         session.claim_retries = 0;
         let pending = std::mem::take(&mut session.pending);
-        let learnt_while_claiming =
+        let has_unwritten_endpoints =
             !session.record.endpoints.is_empty() && session.record.endpoints_version == AttemptId::default();
         let mut out = vec![];
-        if learnt_while_claiming {
+        if has_unwritten_endpoints {
             out.extend(self.write_endpoints(id));
         }
         for PendingRequest { request, .. } in pending {
@@ -148,7 +149,8 @@
         out
     }
 
-    /// Restores the state of the one replica that lost it, once all others have promised this token after it said so.
+    /// Restores the record of a replica that lost it, once all other replicas have promised this token after the loss
+    /// was reported. With more than one such replica, none is restored.
     fn restore_replica(&mut self, id: SessionId) -> Vec<Output> {
         let owned = |session: &&OwnedSession| session.owned && !session.superseded;
         let Some(session) = self.sessions.get(&id).filter(owned) else { return vec![] };
@@ -188,7 +190,7 @@
         if session.owned && session.promises.len() < session.quorum() {
             return self.relinquish(now, id);
         }
-        // Once for each loss; a single replica has nobody to get its state back from.
+        // Ask all replicas once for each loss. If several replicas lost their state, none can be restored.
         if known || session.lost.len() > 1 {
             return vec![];
         }
--- a/crates/data-plane/session-affinity/src/owner/mod.rs
+++ b/crates/data-plane/session-affinity/src/owner/mod.rs
@@ -1,8 +1,8 @@
 //! A node as the owner of sessions.
 //!
-//! An ownership passes through these phases, one file each: [`claim`] (prepare at the replicas), [`admission`] of
-//! idempotent requests, [`attempt`] (record, send, report the outcome), [`release`] to another owner, and [`expiry`] of
-//! waits.
+//! Ownership of a session passes through these phases, one file each: [`claim`] (promises of the replicas),
+//! [`admission`] of idempotent requests, [`attempt`] (record, send, report the outcome), [`release`] to another owner.
+//! [`expiry`] ends waits that have timed out.
 mod admission;
 mod attempt;
 mod claim;
@@ -22,20 +22,20 @@
 use session::{OwnedSession, Promise};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The sessions that a node owns, claims, or has lost while attempts were in flight.
+/// The sessions that a node owns or claims, and those taken over by another node that still have attempts here.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SessionOwner {
     pub(crate) node: NodeId,
     sessions: BTreeMap<SessionId, OwnedSession>,
-    /// The session of each request that has an attempt.
+    /// The session of each request that has an attempt in progress.
     requests: BTreeMap<RequestId, SessionId>,
     lru: LruOrder,
-    /// Sessions with pending requests or attempts: `tick` looks at these only, and they are not evicted.
+    /// Sessions with pending requests or attempts. `tick` visits only these, and they are not evicted.
     busy: BTreeSet<SessionId>,
-    /// Sessions that another node took over, and when.
+    /// When another node took over each of these sessions.
     taken_over: BTreeMap<SessionId, Ms>,
     incarnation: u64,
-    /// The highest number that this incarnation has claimed under: no fencing token is used twice.
+    /// The highest token number that this incarnation has used, so that it uses no fencing token twice.
     last_token_number: u64,
     pub(crate) counters: Counters,
 }
@@ -74,7 +74,7 @@
         Some(SessionView::new(id, !session.superseded, session.fencing_token, &session.record, now))
     }
 
-    /// Handles a message from a replica, or the notice of a new owner.
+    /// Handles a message from a replica, or from the new owner of a session.
     pub(crate) fn receive(
         &mut self,
         settings: &AffinitySettings,
@@ -116,7 +116,7 @@
         }
     }
 
-    /// The session, if a message about this token still concerns it.
+    /// The session, if a message about this token is still relevant to it.
     fn current_session(&mut self, id: SessionId, fencing_token: FencingToken) -> Option<&mut OwnedSession> {
         self.sessions.get_mut(&id).filter(|session| session.is_current(fencing_token))
     }
--- a/crates/data-plane/session-affinity/src/owner/release.rs
+++ b/crates/data-plane/session-affinity/src/owner/release.rs
@@ -1,4 +1,4 @@
-//! Releasing a session that another node has claimed, or that can't be claimed.
+//! Release of a session that another node has claimed, or that can't be claimed.
 use super::session::{Attempt, AttemptPhase, OwnedSession, PendingRequest};
 use super::SessionOwner;
 use crate::ids::Ms;
@@ -6,7 +6,8 @@
 use crate::request::{Decision, Output};
 
 impl SessionOwner {
-    /// Another node has the session, unless this one has claimed it again under a higher token.
+    /// Handles a notice that another node has claimed the session. It is ignored if this node has claimed the session
+    /// again under the same or a higher token.
     pub(super) fn receive_superseded(
         &mut self,
         now: Ms,
@@ -20,7 +21,8 @@
         self.relinquish(now, id)
     }
 
-    /// Another node has the session: what was not sent is refused, and what was sent ends here and is reported.
+    /// Gives up ownership to another node. Requests that were not sent are rejected; attempts in flight end at this
+    /// node, which reports their outcomes.
     pub(super) fn relinquish(&mut self, now: Ms, id: SessionId) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         let was_current = !std::mem::replace(&mut session.superseded, true);
@@ -31,7 +33,7 @@
         self.abandon(now, id, Decision::Rejected)
     }
 
-    /// Refuses what was not sent, and removes the session when its last attempt has ended.
+    /// Answers pending requests with `reason`, rejects unsent attempts, and removes the session if no attempt is left.
     pub(super) fn abandon(&mut self, now: Ms, id: SessionId, reason: Decision) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         session.superseded = true;
@@ -47,7 +49,8 @@
         out
     }
 
-    /// Ends attempts whose wait for the replicas ends by `wait_until`: they were never sent, and never will be.
+    /// Rejects attempts that are still being recorded and whose wait ends by `wait_until`. They were never sent, and
+    /// never will be.
     pub(super) fn reject_unsent(&mut self, now: Ms, id: SessionId, wait_until: Ms) -> Vec<Output> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         let unsent =
--- a/crates/data-plane/session-affinity/src/owner/session.rs
+++ b/crates/data-plane/session-affinity/src/owner/session.rs
@@ -3,14 +3,14 @@
 use crate::record::{AttemptId, EntryState, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
 use crate::request::IdempotentRequest;
 
-/// A replica, in the time between two losses of its state.
+/// A replica and its incarnation, which changes whenever the replica loses state.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) struct ReplicaIncarnation {
     pub(super) replica: NodeId,
     pub(super) incarnation: u64,
 }
 
-/// A replica's promise without its record.
+/// A replica's promise, without the record that came with it.
 pub(super) struct Promise {
     pub(super) from: NodeId,
     pub(super) id: SessionId,
@@ -20,31 +20,31 @@
     pub(super) previous_owner: Option<NodeId>,
 }
 
-/// A request that waits for the claim.
+/// A request that waits until its session is claimed.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct PendingRequest {
     pub(super) request: IdempotentRequest,
-    /// When it is refused.
+    /// When the wait ends and the request is rejected.
     pub(super) wait_until: Ms,
 }
 
-/// One attempt to have a request executed.
+/// One attempt to execute a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct Attempt {
     pub(super) request: RequestId,
     pub(super) key: String,
     pub(super) fingerprint: u64,
     pub(super) id: AttemptId,
-    /// When the wait for the replicas ends, in the phases that wait for them.
+    /// When the wait for the replicas ends, in the phases `Recording` and `Reporting`.
     pub(super) wait_until: Ms,
     pub(super) deadline: Ms,
-    /// Replicas that have acknowledged the last message of this attempt.
+    /// Replicas that have acknowledged the latest message of this attempt.
     pub(super) acknowledged_by: Vec<NodeId>,
     pub(super) phase: AttemptPhase,
 }
 
 impl Attempt {
-    /// The entry that records this state of the attempt.
+    /// The entry that records the attempt in this state.
     pub(super) fn entry(&self, state: EntryState, now: Ms) -> IdempotencyEntry {
         IdempotencyEntry {
             key: self.key.clone(),
@@ -58,14 +58,15 @@
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(super) enum AttemptPhase {
-    /// Being recorded at the replicas; no endpoint has the request.
+    /// The attempt is being recorded at the replicas; the request has not been sent.
     Recording,
-    /// At an endpoint.
+    /// The request has been sent to an endpoint.
     Running,
     /// The outcome is being reported to the replicas.
     Reporting,
 }
 
+/// A session at a node that owns it, claims it, or still has attempts of it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct OwnedSession {
     pub(super) created_at: Ms,
@@ -73,23 +74,25 @@
     pub(super) fencing_token: FencingToken,
     /// Replicas that promised this token.
     pub(super) promises: Vec<ReplicaIncarnation>,
-    /// Replicas that said that they lost their state.
+    /// Replicas that reported a loss of their state.
     pub(super) lost: Vec<ReplicaIncarnation>,
-    /// Counts the times that all replicas were asked.
+    /// How many times all replicas were asked to promise.
     pub(super) round: u32,
     /// Replicas that promised in this round.
     pub(super) promised_this_round: Vec<NodeId>,
     pub(super) rejected_by: Vec<NodeId>,
+    /// Whether a quorum has promised the token.
     pub(super) owned: bool,
-    /// Another node has claimed it since, or the claim was given up: only attempts keep the session here.
+    /// Another node has claimed the session since, or the claim was abandoned. The session stays here only until its
+    /// last attempt has ended.
     pub(super) superseded: bool,
-    /// Of the last attempt under this token.
+    /// The number of the latest attempt under this token.
     pub(super) attempt_number: u32,
     pub(super) claim_retries: u32,
     pub(super) record: SessionRecord,
     pub(super) pending: Vec<PendingRequest>,
     pub(super) attempts: Vec<Attempt>,
-    /// Its position in the owner's `LruOrder`.
+    /// The session's key in the owner's `LruOrder`.
     pub(super) last_use: u64,
 }
 
@@ -123,12 +126,12 @@
         self.pending.is_empty() && self.attempts.is_empty()
     }
 
-    /// Whether a message about this token still concerns the session.
+    /// Whether a message about this token is still relevant to the session.
     pub(super) fn is_current(&self, fencing_token: FencingToken) -> bool {
         self.fencing_token == fencing_token && !self.superseded
     }
 
-    /// A new id, above all that were used for the session before.
+    /// A new id, higher than all ids used for the session before.
     pub(super) fn next_attempt_id(&mut self) -> AttemptId {
         self.attempt_number += 1;
         AttemptId { fencing_token: self.fencing_token, number: self.attempt_number }
--- a/crates/data-plane/session-affinity/src/owner/state_reduction.rs
+++ b/crates/data-plane/session-affinity/src/owner/state_reduction.rs
@@ -1,4 +1,4 @@
-//! Equivalences by which the model search visits fewer states. Only the model uses them.
+//! Equivalences of states, which let the model search visit fewer of them. Only the model uses them.
 use super::session::AttemptPhase;
 use super::SessionOwner;
 use crate::messages::Message;
@@ -6,7 +6,7 @@
 use crate::view::Counters;
 
 impl SessionOwner {
-    /// Whether receiving the message can never change anything any more.
+    /// Whether receiving the message can no longer have an effect.
     pub(crate) fn is_obsolete(&self, message: &Message) -> bool {
         match message {
             Message::Promise { id, fencing_token, .. }
@@ -29,15 +29,16 @@
         }
     }
 
-    /// Whether answers to messages under this token no longer matter here.
+    /// Whether answers to messages under this token are no longer relevant here.
     pub(crate) fn has_abandoned(&self, id: &SessionId, fencing_token: &FencingToken) -> bool {
         self.sessions.get(id).is_none_or(|session| !session.is_current(*fencing_token))
     }
 
-    /// Gives states that differ only in numbers of uses and counters the same value.
+    /// Makes states equal that differ only in use numbers and counters.
     pub(crate) fn normalize(&mut self) {
         let sessions = &mut self.sessions;
-        self.lru.renumber(|id, last_use| sessions.get_mut(&id).expect("in the order").last_use = last_use);
+        self.lru
+            .renumber(|id, last_use| sessions.get_mut(&id).expect("in the LRU order").last_use = last_use);
         self.counters = Counters::default();
     }
 }
--- a/crates/data-plane/session-affinity/src/peer_sets.rs
+++ b/crates/data-plane/session-affinity/src/peer_sets.rs
@@ -1,14 +1,14 @@
-//! Which nodes are the replicas of a session.
+//! Peer sets, which determine the replicas of a session.
 use crate::ids::NodeId;
 use crate::record::SessionId;
 use std::collections::BTreeMap;
 
-/// Lists of nodes with their addresses, by the number of the list. A session keeps the list under which it was
-/// created, so that its replicas never change.
+/// Numbered lists of nodes with their addresses. A session keeps the peer set under which it was created, so that its
+/// replicas never change.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PeerSets(pub BTreeMap<u16, Vec<(NodeId, String)>>);
 
-/// Two of them are a quorum while one is lost.
+/// With three replicas, two are a quorum, so that one may fail.
 const REPLICAS: usize = 3;
 
 impl PeerSets {
@@ -17,7 +17,7 @@
         self.0.keys().next_back().copied().unwrap_or_default()
     }
 
-    /// The replicas of a session: the first nodes after its id on the hash ring. Nothing for an unknown peer set.
+    /// The replicas of a session: the first nodes after its id on the hash ring. `None` for an unknown peer set.
     ///
     /// ```
     /// use coppersail_session_affinity::{PeerSets, SessionId};
@@ -36,15 +36,15 @@
         Some(replicas.iter().filter_map(node_at).collect())
     }
 
-    /// The address of a node, by the newest peer set that has it.
+    /// The address of a node, from the newest peer set that contains it.
     pub fn address(&self, node: NodeId) -> Option<&str> {
         let mut newest_first = self.0.values().rev().flatten();
         newest_first.find(|(other, _)| *other == node).map(|(_, address)| address.as_str())
     }
 }
 
-/// The endpoint for a request of a session: the one that served it before, as long as that one is usable and has not
-/// been tried for this request; otherwise the one that was selected.
+/// The endpoint for a request of a session: the one that served the session before if it is usable (healthy and not
+/// yet tried for this request), otherwise the selected one.
 pub fn preferred_endpoint<'a>(
     previous: Option<&'a str>,
     selected: &'a str,
--- a/crates/data-plane/session-affinity/src/record.rs
+++ b/crates/data-plane/session-affinity/src/record.rs
@@ -1,6 +1,6 @@
-//! The state that is replicated for a session: which endpoints serve it, and its idempotent requests with their
-//! outcomes. Merging two records is commutative, associative and idempotent, so that messages may arrive in any order
-//! and any number of times.
+//! The replicated state of a session: the endpoints that serve it, and its idempotent requests with their outcomes.
+//! Merging two records is commutative, associative and idempotent, so that messages may arrive in any order and any
+//! number of times.
 use crate::ids::{Ms, NodeId};
 use serde::{Deserialize, Serialize};
 use std::fmt;
@@ -10,11 +10,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionId(pub [u64; 2]);
 
-/// A text that is not a session id.
+/// The error of parsing a text that is not a session id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[error("{found:?} is not a session id: expected {SESSION_ID_DIGITS} hexadecimal digits")]
 pub struct ParseSessionIdError {
-    /// The text that was read.
+    /// The rejected text.
     pub found: String,
 }
 
@@ -40,14 +40,14 @@
     }
 }
 
-/// The number under which a node owns a session. No two nodes ever use the same one, nor two starts of one node.
+/// Identifies one claim of a session. No two nodes ever use the same token, nor do two starts of one node.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct FencingToken {
-    /// The time of the claim in milliseconds, so that a later claim is above an earlier one in one round trip. Safety
-    /// needs only that the highest token wins.
+    /// The time of the claim in milliseconds, so that a later claim usually has the higher token and succeeds in one
+    /// round trip. Safety needs only that the highest token wins.
     #[serde(rename = "n")]
     pub number: u64,
-    /// The node that claims.
+    /// The claiming node.
     #[serde(rename = "by")]
     pub node: NodeId,
     /// The incarnation of that node.
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(from = "(FencingToken, u32)", into = "(FencingToken, u32)")]
 pub struct AttemptId {
-    /// The token that the owner had.
+    /// The owner's token.
     pub fencing_token: FencingToken,
     /// The number of the attempt under that token.
     pub number: u32,
@@ -77,14 +77,14 @@
     }
 }
 
-/// An endpoint's response, as it is replayed to a client that repeats the request.
+/// An endpoint's response, to be replayed to a client that repeats the request.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RecordedResponse {
-    /// HTTP status.
+    /// The HTTP status code.
     pub status: u16,
-    /// Names and values, in the order of the response.
+    /// Header names and values, in the order of the response.
     pub headers: Vec<(String, String)>,
-    /// Base64 on the wire.
+    /// The body; Base64 on the wire.
     #[serde(with = "base64_body")]
     pub body: Vec<u8>,
 }
@@ -108,35 +108,36 @@
 pub enum Outcome {
     /// The endpoint executed the request and responded.
     Completed(RecordedResponse),
-    /// The endpoint executed it; the response is too long to be recorded.
+    /// The endpoint executed the request; the response is too long to be recorded.
     CompletedUnrecorded,
-    /// Proven: no endpoint has read it, or each that did has said that it never will execute it.
+    /// The request is proven not to have been executed: no endpoint has read it, or each that did has declared that it
+    /// will never execute it.
     NotExecuted,
-    /// It may have been executed.
+    /// The request may have been executed.
     Unknown,
 }
 
-/// What is known of an idempotent request. The variants are ordered by how definite they are: of two states of one
-/// attempt the greater one replaces the other.
+/// What is known of an idempotent request. The variants are ordered by how definite they are: of two states of the
+/// same attempt, the greater one replaces the other.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum EntryState {
-    /// It may be at an endpoint. The owner that began it reports the outcome before `deadline`; after that it counts
-    /// as unknown.
+    /// The request may be at an endpoint. The owner that began the attempt reports its outcome before `deadline`;
+    /// after that the outcome counts as unknown.
     #[serde(rename = "Open")]
     InFlight {
-        /// Time of day in milliseconds.
+        /// Unix time in milliseconds.
         #[serde(rename = "until")]
         deadline: Ms,
     },
-    /// It may have been executed.
+    /// The request may have been executed.
     Unknown,
-    /// It was not executed and may be sent again.
+    /// The request was not executed and may be sent again.
     #[serde(rename = "NotRun")]
     NotExecuted,
-    /// It was executed; its response is no longer kept, or never was.
+    /// The request was executed; its response is no longer kept, or was never recorded.
     #[serde(rename = "Past")]
     ResponseDropped,
-    /// It was executed, with this response.
+    /// The request was executed, with this response.
     #[serde(rename = "Ran")]
     Completed(RecordedResponse),
 }
@@ -146,27 +147,27 @@
 pub struct IdempotencyEntry {
     /// The client's `Idempotency-Key`.
     pub key: String,
-    /// Of the request: another one under the same key is refused.
+    /// The request's fingerprint. A request with the same key and another fingerprint is rejected.
     #[serde(rename = "print")]
     pub fingerprint: u64,
     /// The latest attempt.
     pub attempt: AttemptId,
-    /// What is known of that attempt.
+    /// The state of that attempt.
     #[serde(rename = "step")]
     pub state: EntryState,
-    /// When the state was reached (milliseconds); a response is kept from here on.
+    /// When the state was reached (Unix time in milliseconds). The retention of a response counts from this time.
     #[serde(rename = "at")]
     pub changed_at: Ms,
 }
 
 impl IdempotencyEntry {
-    /// Whether the request may be at an endpoint, and its owner still has time to report.
+    /// Whether the request may be at an endpoint and the deadline for reporting its outcome has not passed.
     pub fn is_in_flight(&self, now: Ms) -> bool {
         matches!(self.state, EntryState::InFlight { deadline } if now < deadline)
     }
 
-    /// A later attempt supersedes all states of an earlier one: it was only begun because the earlier one was proven
-    /// not to have run, or was never recorded at enough replicas to be sent.
+    /// A later attempt supersedes all states of an earlier one: it was begun only because the earlier one was proven
+    /// not to have been executed, or was never recorded at enough replicas to be sent.
     fn supersedes(&self, other: &IdempotencyEntry) -> bool {
         (self.attempt, &self.state) > (other.attempt, &other.state)
     }
@@ -175,13 +176,14 @@
 /// The replicated state of a session.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct SessionRecord {
-    /// The endpoint of each service that serves the session: service, endpoint.
+    /// The endpoint that serves the session for each service: (service, endpoint).
     #[serde(rename = "hosts")]
     pub endpoints: Vec<(String, String)>,
-    /// Of two lists of endpoints the one with the higher version is valid. Numbered like attempts.
+    /// The version of `endpoints`: of two lists the one with the higher version is valid. Versions are numbered like
+    /// attempts.
     #[serde(rename = "stamp")]
     pub endpoints_version: AttemptId,
-    /// The session's idempotent requests, in the order in which this node learnt of them.
+    /// The session's idempotent requests, in the order in which this node received them.
     pub entries: Vec<IdempotencyEntry>,
 }
 
@@ -206,7 +208,7 @@
         self.entry(&entry.key).is_some_and(|present| !entry.supersedes(present))
     }
 
-    /// Takes over what the other record knows better.
+    /// Merges the other record into this one: the newer endpoints, and of each request the superseding entry.
     pub fn merge(&mut self, other: &SessionRecord) {
         if other.endpoints_version > self.endpoints_version {
             (self.endpoints, self.endpoints_version) = (other.endpoints.clone(), other.endpoints_version);
@@ -214,16 +216,16 @@
         other.entries.iter().for_each(|entry| self.put(entry));
     }
 
-    /// Drops responses older than `keep` milliseconds; that the requests were executed stays known.
-    pub fn drop_expired_responses(&mut self, now: Ms, keep: Ms) {
+    /// Drops responses older than `retention` milliseconds. The requests remain recorded as executed.
+    pub fn drop_expired_responses(&mut self, now: Ms, retention: Ms) {
         for entry in &mut self.entries {
-            if matches!(entry.state, EntryState::Completed(_)) && entry.changed_at + keep <= now {
+            if matches!(entry.state, EntryState::Completed(_)) && entry.changed_at + retention <= now {
                 entry.state = EntryState::ResponseDropped;
             }
         }
     }
 
-    /// Whether one of the requests is in flight: such a record must not be evicted.
+    /// Whether one of the requests is in flight. Such a record must not be evicted.
     pub fn has_in_flight(&self, now: Ms) -> bool {
         self.entries.iter().any(|entry| entry.is_in_flight(now))
     }
--- a/crates/data-plane/session-affinity/src/replica.rs
+++ b/crates/data-plane/session-affinity/src/replica.rs
@@ -1,4 +1,4 @@
-//! A node as a replica of sessions: it promises fencing tokens and keeps records in memory (Paxos' acceptor).
+//! A node as a replica of sessions: it promises fencing tokens and keeps records in memory (the Paxos acceptor).
 use crate::ids::{Ms, NodeId};
 use crate::lru::LruOrder;
 use crate::messages::{Message, RESTORED_ROUND};
@@ -6,33 +6,37 @@
 use crate::settings::{AffinitySettings, InjectedBug};
 use std::collections::BTreeMap;
 
-/// A message and the node that it goes to.
-pub(crate) type Addressed = (NodeId, Message);
+/// A message and its recipient.
+pub(crate) type AddressedMessage = (NodeId, Message);
 
+/// A session as this replica holds it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct ReplicatedSession {
     created_at: Ms,
+    /// The highest token that was promised.
     pub(crate) promised: FencingToken,
-    /// Of the replica when the record was created.
+    /// The replica's incarnation when the record was created.
     incarnation: u64,
-    /// Its position in the replica's `LruOrder`.
+    /// The session's key in the replica's `LruOrder`.
     last_use: u64,
     pub(crate) record: SessionRecord,
 }
 
+/// The sessions that this node holds as a replica.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct SessionReplica {
     pub(crate) sessions: BTreeMap<SessionId, ReplicatedSession>,
     lru: LruOrder,
-    /// A session that is not here and was created up to this time may have been here before.
+    /// A session that is not held here and was created up to this time may have been held before and lost.
     lost_up_to: Ms,
-    /// Rises whenever a session is evicted, so that writes of an owner that knows the state before are refused.
+    /// Incremented whenever a session is evicted, so that writes under a promise made before an eviction of their
+    /// session are rejected.
     incarnation: u64,
     pub(crate) sessions_evicted: u64,
 }
 
 impl SessionReplica {
-    /// `incarnation` is one that no earlier start of this node had.
+    /// `incarnation` is a number that no earlier start of this node has used.
     pub(crate) fn new(incarnation: u64, lost_up_to: Ms) -> SessionReplica {
         SessionReplica {
             sessions: BTreeMap::new(),
@@ -43,11 +47,12 @@
         }
     }
 
-    /// Gives states that differ only in numbers of uses and counters the same value, for the model search.
+    /// Makes states equal that differ only in use numbers and counters, for the model search.
     #[cfg(any(test, feature = "model-checking"))]
     pub(crate) fn normalize(&mut self) {
         let sessions = &mut self.sessions;
-        self.lru.renumber(|id, last_use| sessions.get_mut(&id).expect("in the order").last_use = last_use);
+        self.lru
+            .renumber(|id, last_use| sessions.get_mut(&id).expect("in the LRU order").last_use = last_use);
         self.sessions_evicted = 0;
     }
 
@@ -58,7 +63,7 @@
         now: Ms,
         from: NodeId,
         message: Message,
-    ) -> Vec<Addressed> {
+    ) -> Vec<AddressedMessage> {
         let answer = match message {
             Message::Prepare { id, created_at, fencing_token, round } => {
                 Some(self.prepare(settings, now, id, created_at, fencing_token, round))
@@ -128,7 +133,7 @@
         Message::Promise { id, fencing_token, round, incarnation, previous_owner, record }
     }
 
-    /// Takes over the state that the other replicas know, if nothing was lost since this one reported the loss.
+    /// Adopts the record of the other replicas, unless more was lost since this replica reported the loss.
     fn restore(
         &mut self,
         settings: &AffinitySettings,
@@ -144,7 +149,8 @@
         if session.incarnation != self.incarnation {
             return Some(Message::StateLost { id, fencing_token, incarnation: self.incarnation });
         }
-        // An eviction changes the incarnation for others that wait, not for this one.
+        // Evicting a session here increments the incarnation. Other pending restores become invalid by that; this one
+        // was checked before.
         if !self.make_capacity(settings, now) {
             return None;
         }
@@ -177,8 +183,9 @@
         Message::WriteAck { id, fencing_token, attempt }
     }
 
-    /// Records an outcome, whoever has the promise by now, and passes it on to that node.
-    fn complete(&mut self, from: NodeId, id: SessionId, entry: IdempotencyEntry) -> Vec<Addressed> {
+    /// Records an outcome whichever token is promised, and forwards it to the owner of that token if that is another
+    /// node.
+    fn complete(&mut self, from: NodeId, id: SessionId, entry: IdempotencyEntry) -> Vec<AddressedMessage> {
         let Some(session) = self.sessions.get_mut(&id) else { return vec![] };
         session.record.put(&entry);
         let mut out = vec![(from, Message::CompletionAck { id, attempt: entry.attempt })];
@@ -193,7 +200,8 @@
         self.sessions.insert(id, session);
     }
 
-    /// Evicts the least recently used session if there is no capacity, but never one with a request in flight.
+    /// Evicts the least recently used session without a request in flight if the replica is full. False if each
+    /// session has one.
     fn make_capacity(&mut self, settings: &AffinitySettings, now: Ms) -> bool {
         if self.sessions.len() < settings.max_sessions {
             return true;
@@ -203,7 +211,7 @@
         if let Some(evicted) = self.sessions.remove(&id) {
             self.lru.remove(id, evicted.last_use);
             if !settings.has_bug(InjectedBug::LossIgnored) {
-                // Whoever claims it later learns that it may have been here.
+                // A node that claims the session later is told that its state may have been lost here.
                 self.lost_up_to = self.lost_up_to.max(evicted.created_at);
             }
         }
--- a/crates/data-plane/session-affinity/src/settings.rs
+++ b/crates/data-plane/session-affinity/src/settings.rs
@@ -1,24 +1,26 @@
-//! Settings from the operators' file, with their defaults.
+//! Settings from the operators' configuration file, with their defaults.
 use crate::ids::Ms;
 
-/// Times and sizes.
+/// Time and size limits of session affinity.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct AffinitySettings {
-    /// Sessions that a node holds as a replica, and as many as an owner.
+    /// Maximum number of sessions that a node holds as a replica; separately, also the maximum as an owner.
     pub max_sessions: usize,
-    /// Idempotent requests of one session.
+    /// Maximum number of idempotent requests of one session.
     pub max_requests_per_session: usize,
-    /// For how long a response is kept, in milliseconds.
+    /// How long a response is kept, in milliseconds.
     pub response_retention_ms: Ms,
-    /// For how long other nodes are waited for, before a request is sent and after its response arrived.
+    /// How long a node waits for other nodes before a request is sent, and again after its response has arrived, in
+    /// milliseconds.
     pub peer_timeout_ms: Ms,
-    /// How often a claim that met a higher fencing token is retried under a still higher one, while requests wait.
+    /// How many times a claim that was rejected for a higher fencing token is retried under a still higher one.
     pub max_claim_retries: u32,
-    /// For how long after losing a session only an idempotent request claims it back: a late lookup does not.
+    /// How long (ms) after another node took over a session only an idempotent request claims it back. A delayed
+    /// request of another kind doesn't, so that it can't take the session from its new owner.
     pub reclaim_delay_ms: Ms,
-    /// How far the clocks of two nodes may be apart.
+    /// Maximum difference between the clocks of two nodes, in milliseconds.
     pub max_clock_skew_ms: Ms,
-    /// Longer response bodies (bytes) are not kept; that the request was executed is.
+    /// Maximum size of a recorded response body in bytes. Of a longer one, only the execution is recorded.
     pub max_response_bytes: usize,
     #[cfg(test)]
     pub(crate) injected_bug: Option<InjectedBug>,
@@ -42,8 +44,8 @@
 }
 
 impl AffinitySettings {
-    /// A node that starts at `now` may have held any session created up to the returned time before it restarted. The
-    /// time lies ahead, as the clock of the node that created the session may be ahead and this one's behind.
+    /// The latest creation time of a session that a node starting at `now` may have held before its restart. It is
+    /// later than `now`, as the clock of the node that created the session may be fast and this node's slow.
     pub fn lost_up_to(&self, now: Ms) -> Ms {
         now + 2 * self.max_clock_skew_ms
     }
@@ -59,7 +61,7 @@
     }
 }
 
-/// Mutations that the model search has to find. Outside of unit tests none is ever in force.
+/// Mutations that the model search has to find. They are never active outside of unit tests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum InjectedBug {
     /// A replica accepts writes under a lower token than it has promised.
@@ -70,6 +72,6 @@
     LossIgnored,
     /// A request whose outcome is unknown is sent again.
     RetryOfUnknown,
-    /// A duplicate of a replica's message counts as the message of another replica.
+    /// A duplicate of a replica's message counts as a message of another replica.
     DuplicatesCounted,
 }
--- a/crates/data-plane/session-affinity/src/tests/cluster.rs
+++ b/crates/data-plane/session-affinity/src/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Four nodes joined by a network that delivers in order and can be partitioned.
+//! A cluster of four nodes, with a network that delivers messages in order and can be partitioned.
 use crate::{
     AffinityNode, AffinitySettings, Decision, IdempotentRequest, Message, Ms, NodeId, Outcome, Output,
     RecordedResponse, RequestId, SessionId,
@@ -11,12 +11,12 @@
     pub(super) settings: AffinitySettings,
     pub(super) now: Ms,
     pub(super) nodes: BTreeMap<NodeId, AffinityNode>,
-    /// Nodes that reach only each other.
+    /// Nodes on one side of a partition; empty without a partition.
     pub(super) partition: Vec<NodeId>,
     network: VecDeque<(NodeId, NodeId, Message)>,
     /// Requests that were sent to endpoints, by the node that sent them.
     pub(super) sent: Vec<(NodeId, RequestId)>,
-    /// What each request got: nothing where it was sent and its outcome is recorded.
+    /// The answer to each request; `None` if it was sent and its outcome is recorded.
     pub(super) answers: BTreeMap<RequestId, Option<Decision>>,
 }
 
@@ -106,8 +106,8 @@
     }
 
     pub(super) fn restart(&mut self, id: NodeId) {
-        let floor = self.settings.lost_up_to(self.now);
-        self.nodes.insert(id, AffinityNode::new(id, &self.settings, self.now, floor));
+        let lost_up_to = self.settings.lost_up_to(self.now);
+        self.nodes.insert(id, AffinityNode::new(id, &self.settings, self.now, lost_up_to));
     }
 }
 
--- a/crates/data-plane/session-affinity/src/tests/mod.rs
+++ b/crates/data-plane/session-affinity/src/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Crossings, losses, partitions and capacity, on four nodes; and tokens.
+//! Takeovers, state losses, partitions and capacity limits in a cluster of four nodes; tokens and signing keys.
 mod cluster;
 
 use crate::token::{SessionToken, SigningKeys, SigningKeysError, TokenError};
@@ -7,7 +7,7 @@
 use cluster::{executed, response, Cluster, CREATED_AT};
 
 #[test]
-fn two_nodes_that_claim_at_once_send_it_once() {
+fn concurrent_claims_by_two_nodes_send_the_request_once() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     let (one, two) = (cluster.request(1, 1, "a", 7), cluster.request(1, 2, "a", 7));
     cluster.with_node(1, |node, now| node.admit(now, one));
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_session_that_crosses_back_and_forth_keeps_its_response() {
+fn a_session_that_moves_back_and_forth_keeps_its_response() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     cluster.send(1, 0, "a");
     cluster.complete(1, 0, executed());
@@ -45,7 +45,7 @@
     cluster.send(1, 1, "a");
     cluster.send(4, 2, "a");
     assert_eq!(cluster.answers[&2], Some(Decision::InFlight));
-    // Another key needn't wait for it.
+    // A request with another key doesn't wait for the one in flight.
     cluster.send(4, 3, "b");
     assert_eq!(cluster.sent, [(1, 1), (4, 3)]);
     cluster.complete(1, 1, executed());
@@ -54,12 +54,12 @@
     assert_eq!(cluster.answers[&4], Some(Decision::Replay(response())));
     assert!(
         cluster.nodes[&1].view(cluster.now, SessionId([1, 0])).is_some_and(|shown| !shown.owner),
-        "a replica still"
+        "it is still a replica"
     );
 }
 
 #[test]
-fn an_owner_killed_in_flight_leaves_an_unknown_outcome() {
+fn an_outcome_is_unknown_after_the_owner_is_killed_in_flight() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     cluster.send(1, 1, "a");
     cluster.kill(1);
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_claimant_killed_after_its_claim_delays_nobody() {
+fn the_previous_owner_reclaims_at_once_after_the_claimant_is_killed() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     cluster.send(1, 1, "a");
     cluster.complete(1, 1, executed());
@@ -104,7 +104,7 @@
         (cluster.answers[&3].clone(), cluster.nodes[&4].counters().replicas_restored),
         (Some(Decision::Replay(response())), 1)
     );
-    // So the next one may go.
+    // With that record restored, another replica may fail.
     cluster.kill(2);
     cluster.now += 10;
     cluster.send(3, 4, "a");
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_session_that_two_replicas_lost_is_refused() {
+fn requests_are_rejected_after_two_replicas_lost_the_session() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     cluster.send(4, 1, "a");
     cluster.complete(4, 1, Outcome::Unknown);
@@ -136,20 +136,24 @@
     cluster.advance(1_000);
     assert_eq!(cluster.answers[&2], Some(Decision::Rejected), "never sent");
     cluster.send(1, 3, "a");
-    assert_eq!(cluster.answers[&3], Some(Decision::Replay(response())), "a repeat gets what is known");
+    assert_eq!(
+        cluster.answers[&3],
+        Some(Decision::Replay(response())),
+        "a repeat gets the recorded response"
+    );
     cluster.send(2, 4, "b");
     assert_eq!(cluster.sent.last(), Some(&(2, 4)));
     cluster.complete(2, 4, executed());
     cluster.partition.clear();
     cluster.now += 10;
     cluster.send(1, 5, "b");
-    assert_eq!(cluster.answers[&5], Some(Decision::Rejected), "it hears now that it was left");
+    assert_eq!(cluster.answers[&5], Some(Decision::Rejected), "it learns only now that it is superseded");
     cluster.send(1, 6, "b");
     assert_eq!((&cluster.answers[&6], cluster.sent.len()), (&Some(Decision::Replay(response())), 2));
 }
 
 #[test]
-fn an_unknown_outcome_is_not_retried_and_a_rejection_is() {
+fn a_request_is_sent_again_only_if_it_was_not_executed() {
     let mut cluster = Cluster::new(AffinitySettings::default());
     cluster.send(1, 1, "a");
     cluster.complete(1, 1, Outcome::Unknown);
@@ -163,7 +167,7 @@
 }
 
 #[test]
-fn a_repeat_is_answered_by_what_is_recorded_of_the_first() {
+fn a_repeat_is_answered_from_the_record_of_the_first_request() {
     let mut cluster =
         Cluster::new(AffinitySettings { max_requests_per_session: 2, ..AffinitySettings::default() });
     cluster.send(1, 1, "a");
@@ -182,7 +186,7 @@
 }
 
 #[test]
-fn idle_sessions_are_evicted_and_those_in_flight_never() {
+fn only_sessions_without_requests_in_flight_are_evicted() {
     let mut cluster = Cluster::new(AffinitySettings { max_sessions: 2, ..AffinitySettings::default() });
     for (request_id, session) in [(1, 1), (2, 2), (3, 3)] {
         let request = cluster.request(session, request_id, "a", 7);
@@ -200,7 +204,7 @@
     cluster.with_node(1, |node, now| node.admit(now, request));
     cluster.deliver_all();
     assert_eq!(cluster.sent.last(), Some(&(1, 4)));
-    // The one that was evicted may have run, so it does not count as new.
+    // The evicted session's request may have been executed, so the session doesn't count as new.
     let request = cluster.request(1, 5, "a", 7);
     cluster.with_node(4, |node, now| node.admit(now, request));
     cluster.deliver_all();
@@ -208,11 +212,11 @@
 }
 
 #[test]
-fn a_thousand_sessions_cross_at_one_moment() {
+fn a_thousand_sessions_are_taken_over_at_once() {
     let mut cluster = Cluster::new(AffinitySettings::default());
-    let request_all = |cluster: &mut Cluster, id, first_ticket| {
+    let request_all = |cluster: &mut Cluster, id, first_request_id| {
         for session in 0..1_000 {
-            let request = cluster.request(session, first_ticket + session, "a", 7);
+            let request = cluster.request(session, first_request_id + session, "a", 7);
             cluster.with_node(id, |node, now| node.admit(now, request));
         }
         cluster.deliver_all();
@@ -221,16 +225,16 @@
     for request_id in 0..900 {
         cluster.complete(1, request_id, executed());
     }
-    // The rest is at endpoints when the node is killed.
+    // The remaining requests are at endpoints when the node is killed.
     cluster.kill(1);
     cluster.now += 10;
     request_all(&mut cluster, 4, 10_000);
-    let kept = (10_000..11_000)
+    let replayed = (10_000..11_000)
         .filter(|request_id| cluster.answers[request_id] == Some(Decision::Replay(response())))
         .count();
     let in_flight =
         (10_000..11_000).filter(|request_id| cluster.answers[request_id] == Some(Decision::InFlight)).count();
-    assert_eq!((kept, in_flight, cluster.sent.len()), (900, 100, 1_000));
+    assert_eq!((replayed, in_flight, cluster.sent.len()), (900, 100, 1_000));
 }
 
 #[test]
@@ -243,10 +247,14 @@
     cluster.deliver_all();
     cluster.now += 10;
     cluster.with_node(4, |node, now| node.touch(now, id, CREATED_AT, &[1, 2, 3]));
-    assert_eq!(cluster.nodes[&4].endpoint(id, "ledger"), None, "nothing waits for it");
+    assert_eq!(
+        cluster.nodes[&4].endpoint(id, "ledger"),
+        None,
+        "a request without a key does not wait for the claim"
+    );
     cluster.deliver_all();
     assert_eq!(cluster.nodes[&4].endpoint(id, "ledger"), Some("i-1"));
-    // Its endpoint belongs to the old version: another is selected, and recorded after the crossing.
+    // The recorded endpoint runs the old version: another one is selected, and recorded by the new owner.
     let endpoint =
         preferred_endpoint(cluster.nodes[&4].endpoint(id, "ledger"), "i-2", |endpoint| endpoint != "i-1")
             .to_string();
@@ -257,7 +265,7 @@
     cluster.with_node(2, |node, now| node.touch(now, id, CREATED_AT, &[1, 2, 3]));
     cluster.deliver_all();
     assert_eq!(cluster.nodes[&2].endpoint(id, "ledger"), Some("i-2"));
-    // A late lookup at the old node does not take it back.
+    // A delayed request without a key does not take the session back to its previous owner.
     cluster.with_node(4, |node, now| node.touch(now, id, CREATED_AT, &[1, 2, 3]));
     cluster.deliver_all();
     assert!(cluster.nodes[&2].owns(id) && !cluster.nodes[&4].owns(id));
@@ -273,7 +281,11 @@
         SessionToken { id: SessionId([1, 2]), peer_set: 3, created_at: CREATED_AT, signed_at: CREATED_AT };
     let text = before.sign(&token);
     let read = |keys: &SigningKeys, text: &str, now| keys.read(text, now, 1_000, 50);
-    assert_eq!(read(&during, &text, CREATED_AT), Ok((token, false)), "known, to be signed anew");
+    assert_eq!(
+        read(&during, &text, CREATED_AT),
+        Ok((token, false)),
+        "valid, but to be signed again with the first key"
+    );
     let text = during.sign(&token);
     assert_eq!(
         (read(&after, &text, CREATED_AT), read(&before, &text, CREATED_AT)),
@@ -292,18 +304,18 @@
 }
 
 #[test]
-fn keys_that_are_too_short_are_refused_with_what_was_expected() {
-    let refused = |keys| SigningKeys::new(keys).err().expect("refused");
-    assert_eq!(refused(vec![]), SigningKeysError::NoKeys);
-    let too_short = refused(vec![vec![1; 32], vec![1; 31]]);
+fn short_keys_are_rejected_with_the_expected_length() {
+    let error = |keys| SigningKeys::new(keys).err().expect("rejected");
+    assert_eq!(error(vec![]), SigningKeysError::NoKeys);
+    let too_short = error(vec![vec![1; 32], vec![1; 31]]);
     assert_eq!(too_short, SigningKeysError::TooShort { index: 1, found: 31 });
-    // The edge puts these after "sessions: expected".
-    assert_eq!(refused(vec![]).to_string(), "a key at least");
+    // The edge proxy prints these after "sessions: expected".
+    assert_eq!(error(vec![]).to_string(), "a key at least");
     assert_eq!(too_short.to_string(), "keys of 32 bytes or more");
 }
 
 #[test]
-fn a_text_that_is_no_session_id_is_refused() {
+fn invalid_session_ids_are_rejected() {
     for text in ["", "00000000000000010000000000000ab", "+0000000000000010000000000000abc"] {
         assert_eq!(text.parse::<SessionId>(), Err(ParseSessionIdError { found: text.into() }));
     }
--- a/crates/data-plane/session-affinity/src/token.rs
+++ b/crates/data-plane/session-affinity/src/token.rs
@@ -1,4 +1,4 @@
-//! The token that a client carries: which session it is, signed with HMAC-SHA256.
+//! The token that identifies a client's session, signed with HMAC-SHA256.
 use crate::ids::Ms;
 use crate::record::SessionId;
 use base64::engine::general_purpose::URL_SAFE_NO_PAD;
@@ -8,35 +8,35 @@
 use std::fmt;
 use thiserror::Error;
 
-/// What a token says.
+/// The content of a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct SessionToken {
     /// The session.
     pub id: SessionId,
     /// The number of the peer set under which the session was created.
     pub peer_set: u16,
-    /// When the session was created, in milliseconds.
+    /// When the session was created (Unix time in milliseconds).
     pub created_at: Ms,
-    /// When the token was last signed; its lifetime counts from here.
+    /// When the token was last signed (Unix time in milliseconds). Its lifetime counts from this time.
     pub signed_at: Ms,
 }
 
-/// Why a token is not accepted. The client gets a new session. The token itself is shown neither to the client nor
-/// in the log, so that the error doesn't have it.
+/// Why a token is rejected. The client gets a new session. The error doesn't contain the token, so that the token
+/// appears neither in the response nor in the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenError {
-    /// Not as long as a token, or not Base64.
+    /// The text has the wrong length for a token, or is not Base64.
     Malformed,
-    /// Not signed by one of the keys in force.
+    /// The token is not signed by one of the current keys.
     InvalidSignature,
-    /// Its lifetime is over.
+    /// The token's lifetime has ended.
     Expired,
-    /// Its time lies ahead of this clock.
+    /// The token's creation or signing time is too far ahead of this node's clock.
     FromFuture,
 }
 
 impl TokenError {
-    /// The text of the error, for the client and the log.
+    /// The error message, for the client and the log.
     pub fn message(self) -> &'static str {
         match self {
             TokenError::Malformed => "the session's token is cut or no token",
@@ -55,14 +55,14 @@
 
 impl std::error::Error for TokenError {}
 
-/// The keys in force: the first one signs, all of them are accepted.
+/// The current signing keys: the first one signs, and signatures by any of them are accepted.
 #[derive(Clone, Default)]
 pub struct SigningKeys(Vec<Vec<u8>>);
 
-/// Why keys are not accepted. The text says what was expected: the caller puts it into a sentence of its own.
+/// Why signing keys are rejected. The message names what was expected, as a phrase that the caller completes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum SigningKeysError {
-    /// The list is empty.
+    /// The list of keys is empty.
     #[error("a key at least")]
     NoKeys,
     /// A key is shorter than [`MIN_KEY_BYTES`].
@@ -75,14 +75,14 @@
     },
 }
 
-/// A key is at least as long as the signature that it makes (RFC 2104, 3).
+/// Minimum length of a key: the length of its signatures (RFC 2104, section 3).
 pub const MIN_KEY_BYTES: usize = 32;
-/// Id, number of the peer set, time of creation, time of signing; all big-endian.
+/// Session id, peer set number, creation time and signing time; all big-endian.
 const BODY_BYTES: usize = 16 + 2 + 8 + 8;
 const SIGNATURE_BYTES: usize = 32;
 
 impl SigningKeys {
-    /// Fails on a list without keys and on a key that is too short.
+    /// Fails if the list is empty or a key is too short.
     pub fn new(keys: Vec<Vec<u8>>) -> Result<SigningKeys, SigningKeysError> {
         if keys.is_empty() {
             return Err(SigningKeysError::NoKeys);
@@ -124,9 +124,15 @@
         URL_SAFE_NO_PAD.encode(bytes)
     }
 
-    /// The token, and whether the first key signed it: one of another key is to be signed anew. `life` is a token's
-    /// lifetime and `skew` how far ahead its time may lie, both in milliseconds.
-    pub fn read(&self, text: &str, now: Ms, life: Ms, skew: Ms) -> Result<(SessionToken, bool), TokenError> {
+    /// The token, and whether the first key signed it; if another key did, the token should be signed again.
+    /// `lifetime` is a token's lifetime and `max_skew` how far ahead of `now` its times may be, both in milliseconds.
+    pub fn read(
+        &self,
+        text: &str,
+        now: Ms,
+        lifetime: Ms,
+        max_skew: Ms,
+    ) -> Result<(SessionToken, bool), TokenError> {
         let bytes = URL_SAFE_NO_PAD.decode(text).map_err(|_| TokenError::Malformed)?;
         if bytes.len() != BODY_BYTES + SIGNATURE_BYTES {
             return Err(TokenError::Malformed);
@@ -141,17 +147,17 @@
             created_at: u64_at(18),
             signed_at: u64_at(26),
         };
-        if token.created_at.max(token.signed_at) > now + skew {
+        if token.created_at.max(token.signed_at) > now + max_skew {
             return Err(TokenError::FromFuture);
         }
-        if token.signed_at + life <= now {
+        if token.signed_at + lifetime <= now {
             return Err(TokenError::Expired);
         }
         Ok((token, key_index == 0))
     }
 }
 
-/// A hash by which two requests are told apart: the first 8 bytes of a SHA-256 of their parts with their lengths.
+/// A hash that distinguishes requests: the first 8 bytes of the SHA-256 of the parts, each preceded by its length.
 pub fn fingerprint(parts: &[&[u8]]) -> u64 {
     let mut hash = Sha256::new();
     for part in parts {
--- a/crates/data-plane/session-affinity/src/view.rs
+++ b/crates/data-plane/session-affinity/src/view.rs
@@ -1,13 +1,13 @@
-//! What operators are shown: counters, and a session without token, keys and bodies.
+//! Operators' views: counters, and sessions without tokens, idempotency keys and bodies.
 use crate::ids::Ms;
 use crate::record::{EntryState, FencingToken, IdempotencyEntry, SessionId, SessionRecord};
 use serde::{Deserialize, Serialize};
 
-/// Counts since the node's start.
+/// Counters since the node's start.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct Counters {
-    /// Claims of a session, retries included.
+    /// Claims of sessions, including retries.
     pub claims: u64,
     /// Claims that took a session over from another node.
     #[serde(rename = "crossings")]
@@ -22,23 +22,23 @@
     pub sent: u64,
     /// Repeats that were answered from the record.
     pub repeats_answered: u64,
-    /// Repeats of a request in flight.
+    /// Repeats of a request that was in flight.
     #[serde(rename = "under_way")]
     pub in_flight: u64,
-    /// Requests whose key belongs to another request.
+    /// Requests whose idempotency key was used for a different request.
     #[serde(rename = "other_body")]
     pub fingerprint_mismatches: u64,
     /// Repeats of a request whose outcome is unknown.
     pub unknown: u64,
-    /// Requests that were refused and certainly not executed.
+    /// Requests that were rejected without being executed.
     pub refused: u64,
-    /// Requests of sessions that too few replicas know.
+    /// Requests of sessions that too few replicas hold.
     #[serde(rename = "forgotten")]
     pub session_lost: u64,
-    /// Replicas that got a session's record back after a loss.
+    /// Records of sessions that were restored at a replica after a loss.
     #[serde(rename = "healed")]
     pub replicas_restored: u64,
-    /// Sessions that a replica evicted for capacity.
+    /// Sessions that this node evicted as a replica to make room for others.
     #[serde(rename = "dropped")]
     pub sessions_evicted: u64,
 }
@@ -46,30 +46,30 @@
 /// A session, as operators see it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct SessionView {
-    /// 32 hexadecimal digits.
+    /// The session id, 32 hexadecimal digits.
     pub id: String,
-    /// Whether the node owns the session; otherwise it is one of its replicas or a former owner.
+    /// Whether the node owns the session; otherwise it is a replica or a previous owner.
     pub owner: bool,
-    /// The token that the node owns it under or has promised.
+    /// The token under which the node owns the session, or that it has promised as a replica.
     #[serde(rename = "fence")]
     pub fencing_token: FencingToken,
-    /// The endpoint of each service: service, endpoint.
+    /// The endpoint for each service: (service, endpoint).
     #[serde(rename = "hosts")]
     pub endpoints: Vec<(String, String)>,
-    /// The idempotent requests.
+    /// The session's idempotent requests.
     #[serde(rename = "confirmations")]
     pub requests: Vec<RequestView>,
 }
 
-/// An idempotent request, as operators see it; an array of three on the wire.
+/// An idempotent request, as operators see it. On the wire it is an array of the three fields.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(from = "(String, String, Ms)", into = "(String, String, Ms)")]
 pub struct RequestView {
-    /// 16 hexadecimal digits: the key itself is not shown.
+    /// Fingerprint of the idempotency key, 16 hexadecimal digits; the key itself is not shown.
     pub key_fingerprint: String,
-    /// What is known of it, in words.
+    /// The state of the request, in words.
     pub state: String,
-    /// For how long this has been known, in milliseconds.
+    /// Time since the state was reached, in milliseconds.
     pub age_ms: Ms,
 }
 
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! These bytes are read by builds of other versions: edges post messages to each other on `/sojourn`, clients carry
-//! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
+//! Formats that builds of other versions read: edge proxies post messages to each other on `/sojourn`, clients hold
+//! tokens, and operators' commands read the views. A change of these bytes breaks rolling upgrades or stored data.
 use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
 use coppersail_session_affinity::{
     AttemptId, Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, RequestView,
@@ -8,7 +8,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// The value is written as exactly this text, and the text is read as an equal value.
+/// Asserts that the value is serialised as exactly this text, and that the text is parsed as an equal value.
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
@@ -29,8 +29,8 @@
     IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: ATTEMPT, state, changed_at: 71_000 }
 }
 
-fn entry_text(step: &str) -> String {
-    format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{step},"at":71000}}"#)
+fn entry_text(state: &str) -> String {
+    format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{state},"at":71000}}"#)
 }
 
 fn record() -> SessionRecord {
@@ -65,9 +65,9 @@
         (EntryState::ResponseDropped, r#""Past""#),
         (EntryState::Completed(answer()), &ran),
     ];
-    for (step, text) in table {
-        assert_text(step.clone(), text);
-        assert_text(entry(step), &entry_text(text));
+    for (state, text) in table {
+        assert_text(state.clone(), text);
+        assert_text(entry(state), &entry_text(text));
     }
 }
 
@@ -78,7 +78,7 @@
     assert_text(SessionRecord::default(), empty);
 }
 
-/// The names of values in the text are replaced by their texts.
+/// Asserts the text of a message, after replacing the placeholders RECORD, ENTRY and FENCE by the texts of their values.
 fn assert_message(message: Message, text: &str) {
     let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
     assert_text(message, &text.replace("FENCE", FENCE_TEXT));
@@ -162,8 +162,8 @@
 }
 
 #[test]
-fn what_operators_are_shown_keeps_its_bytes() {
-    let counts = Counters {
+fn operators_views_keep_their_bytes() {
+    let counters = Counters {
         claims: 1,
         takeovers: 2,
         sessions_superseded: 3,
@@ -182,8 +182,8 @@
         r#"{"claims":1,"crossings":2,"let_go":3,"waits":4,"sent":5,"repeats_answered":6,"under_way":7,"#,
         r#""other_body":8,"unknown":9,"refused":10,"forgotten":11,"healed":12,"dropped":13}"#,
     );
-    assert_text(counts, text);
-    let shown = SessionView {
+    assert_text(counters, text);
+    let view = SessionView {
         id: "ab".into(),
         owner: true,
         fencing_token: FENCE,
@@ -194,7 +194,7 @@
         r#"{"id":"ab","owner":true,"fence":FENCE,"hosts":[["ledger","h"]],"#,
         r#""confirmations":[["c","under way",9]]}"#,
     );
-    assert_text(shown, &text.replace("FENCE", FENCE_TEXT));
+    assert_text(view, &text.replace("FENCE", FENCE_TEXT));
 }
 
 #[test]
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn counts_of_an_older_version_without_some_fields_still_parse() {
-    let counts: Counters = serde_json::from_str(r#"{"claims":3}"#).unwrap();
-    assert_eq!(counts, Counters { claims: 3, ..Counters::default() });
+fn counters_without_fields_of_later_versions_still_parse() {
+    let counters: Counters = serde_json::from_str(r#"{"claims":3}"#).unwrap();
+    assert_eq!(counters, Counters { claims: 3, ..Counters::default() });
 }
