--- a/crates/data-plane/session-affinity/examples/night/clients.rs
+++ b/crates/data-plane/session-affinity/examples/night/clients.rs
@@ -1,22 +1,23 @@
-//! Clients: lookups, every fourth time an idempotent request, and retries until they know or give up.
+//! Clients: each sends lookups, every fourth request an idempotent one, and retries until it knows the outcome or gives
+//! up.
 use crate::endpoint::CLIENT_LATENCY;
 use crate::results::{NOT_RUN, RAN, SESSION_LOST, UNKNOWN};
-use crate::simulation::Night;
+use crate::simulation::Simulation;
 use crate::world::{
-    Event, Micros, Packet, Request, RequestKind, Response, Strategy, CLIENTS, EVENING, MS, NIGHT, NODES,
-    SECOND,
+    Event, Micros, Packet, Request, RequestKind, Response, Strategy, CLIENTS, DURATION, MS, NODES, SECOND,
+    START_TIME,
 };
 use coppersail_session_affinity::{NodeId, SessionId};
 
 const MAX_TRIES: u32 = 15;
-const TIMEOUT: Micros = 4 * SECOND;
+const CLIENT_TIMEOUT: Micros = 4 * SECOND;
 
-impl Night {
-    /// The next request of a client, now and then from another place.
+impl Simulation {
+    /// Begins the next request of a client, in 3 of 10 cases at a random node.
     pub(crate) fn begin_step(&mut self, client: usize) {
         let move_to = (self.rng.u32(0..10) < 3).then(|| self.rng.u16(0..NODES));
         let state = &mut self.clients[client];
-        if state.steps_left == 0 || self.now > NIGHT {
+        if state.steps_left == 0 || self.now > DURATION {
             return;
         }
         state.steps_left -= 1;
@@ -25,7 +26,7 @@
         }
         state.idempotent = state.steps_left.is_multiple_of(4);
         state.tries = 0;
-        state.in_doubt = false;
+        state.may_have_executed = false;
         state.key = format!("k{}", state.steps_left);
         self.try_request(client, 0);
     }
@@ -37,12 +38,12 @@
         state.tries += 1;
         state.request = request;
         if state.tries > MAX_TRIES {
-            let told = if state.in_doubt { UNKNOWN } else { NOT_RUN };
+            let told = if state.may_have_executed { UNKNOWN } else { NOT_RUN };
             return self.end_step(client, told);
         }
         let node = state.node;
         self.schedule_after(delay + CLIENT_LATENCY, Event::RequestArrives { client, request, node });
-        self.schedule_after(delay + TIMEOUT, Event::ClientTimeout { client, request });
+        self.schedule_after(delay + CLIENT_TIMEOUT, Event::ClientTimeout { client, request });
     }
 
     fn end_step(&mut self, client: usize, told: &'static str) {
@@ -64,7 +65,7 @@
             Response::Unknown => self.end_step(client, UNKNOWN),
             Response::NotRun => self.try_request(client, 100 * MS),
             Response::InFlight => {
-                self.clients[client].in_doubt = true;
+                self.clients[client].may_have_executed = true;
                 self.try_request(client, 250 * MS);
             }
             Response::SessionLost => self.begin_new_session(client),
@@ -75,13 +76,13 @@
         let state = &mut self.clients[client];
         let [seed, number] = state.id.0;
         state.id = SessionId([seed, number + CLIENTS as u64]);
-        state.created_at = EVENING + self.now / MS;
-        let told = if state.in_doubt { UNKNOWN } else { NOT_RUN };
+        state.created_at = START_TIME + self.now / MS;
+        let told = if state.may_have_executed { UNKNOWN } else { NOT_RUN };
         *self.results.outcomes.entry(SESSION_LOST).or_default() += 1;
         self.end_step(client, told);
     }
 
-    /// The client tries another node; the request may have been executed.
+    /// After a timeout the client retries at another node; the earlier try may have been executed.
     pub(crate) fn client_timeout(&mut self, client: usize, request: u64) {
         if self.clients[client].request != request {
             return;
@@ -89,14 +90,14 @@
         if let Some(request) = self.requests.get_mut(&request) {
             request.forwarded_by = None;
         }
-        self.clients[client].in_doubt = true;
+        self.clients[client].may_have_executed = true;
         self.clients[client].node = self.rng.u16(0..NODES);
         self.try_request(client, 0);
     }
 
     pub(crate) fn request_arrives(&mut self, client: usize, request_id: u64, node: NodeId) {
         if self.nodes[node as usize].is_none() {
-            // Refused at once: another node is tried.
+            // The connection is refused immediately, and the client tries another node.
             if self.clients[client].request == request_id {
                 self.clients[client].node = self.rng.u16(0..NODES);
                 self.try_request(client, 50 * MS);
@@ -104,7 +105,7 @@
             return;
         }
         let state = &mut self.clients[client];
-        let crossing = state.last_node.is_some_and(|last| last != node);
+        let is_takeover = state.last_node.is_some_and(|last| last != node);
         state.last_node = Some(node);
         let home = state.home;
         let request = Request {
@@ -113,7 +114,7 @@
             id: state.id,
             created_at: state.created_at,
             key: state.key.clone(),
-            crossing,
+            is_takeover,
             arrived: self.now,
             endpoint_time: 0,
             forwarded_by: None,
@@ -121,15 +122,15 @@
             sent: false,
             response: None,
         };
-        self.results.crossings += u64::from(crossing);
+        self.results.takeovers += u64::from(is_takeover);
         self.requests.insert(request_id, request);
         match self.strategy {
-            Strategy::Travelling | Strategy::Careless => self.serve_by_affinity(request_id, node),
+            Strategy::Affinity | Strategy::UnknownAsNotExecuted => self.serve_by_affinity(request_id, node),
             Strategy::Pinned if home != node => {
                 self.requests.get_mut(&request_id).expect("new").forwarded_by = Some(node);
                 self.send_packet(node, home, Packet::Forward(request_id));
             }
-            Strategy::Pinned | Strategy::Everywhere => self.serve_by_copies(request_id, node),
+            Strategy::Pinned | Strategy::FullReplication => self.serve_by_copies(request_id, node),
         }
     }
 }
--- a/crates/data-plane/session-affinity/examples/night/endpoint.rs
+++ b/crates/data-plane/session-affinity/examples/night/endpoint.rs
@@ -1,13 +1,13 @@
-//! The stand-in endpoint with its ledger, and responses to clients.
-use crate::simulation::Night;
+//! The simulated endpoint with its ledger, and responses to clients.
+use crate::simulation::Simulation;
 use crate::world::{AttemptEnd, Event, Packet, RequestKind, Response, Strategy, MS, NODES, SECOND};
 use coppersail_session_affinity::{NodeId, Outcome, RecordedResponse};
 
-/// Between a client and a node, one way, in microseconds.
+/// One-way latency between a client and a node, in microseconds.
 pub(crate) const CLIENT_LATENCY: u64 = 10 * MS;
 
-impl Night {
-    /// Sends the request to the endpoint, with whatever befalls it there.
+impl Simulation {
+    /// Sends the request to the endpoint, and draws its duration, its outcome and whether it is executed.
     pub(crate) fn send_to_endpoint(&mut self, node: NodeId, request_id: u64) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         let duration = match request.kind {
@@ -15,8 +15,8 @@
             RequestKind::Idempotent => self.rng.u64(10 * MS..120 * MS),
         };
         let response = RecordedResponse { status: 201, headers: vec![], body: vec![b'x'; 200] };
-        let fate = if self.trouble { self.rng.u32(0..100) } else { 99 };
-        let (duration, outcome, executed) = match fate {
+        let draw = if self.injects_faults { self.rng.u32(0..100) } else { 99 };
+        let (duration, outcome, executed) = match draw {
             0 | 1 => (MS, Outcome::NotExecuted, false),
             2 | 3 => (duration, Outcome::Unknown, true),
             4 => (duration / 2, Outcome::Unknown, false),
@@ -33,7 +33,7 @@
         let AttemptEnd { node, incarnation, request: request_id, outcome, mut executed } = end;
         let alive = self.nodes[node as usize].is_some() && self.incarnations[node as usize] == incarnation;
         if !alive {
-            // Its connection broke off: some endpoints drop such a request, some don't.
+            // The node's connection was reset: some endpoints cancel such a request, others execute it.
             executed &= self.rng.bool();
         }
         let Some(request) = self.requests.get_mut(&request_id) else { return };
@@ -56,19 +56,19 @@
             Outcome::NotExecuted => Response::NotRun,
             Outcome::Unknown => Response::Unknown,
         };
-        let careless = self.strategy == Strategy::Careless && response == Response::Unknown;
-        request.response = Some(if careless { Response::NotRun } else { response.clone() });
+        let is_misreported = self.strategy == Strategy::UnknownAsNotExecuted && response == Response::Unknown;
+        request.response = Some(if is_misreported { Response::NotRun } else { response.clone() });
         match self.strategy {
-            Strategy::Travelling => self.with_node(node, |node, now| node.complete(now, request_id, outcome)),
-            Strategy::Careless => {
+            Strategy::Affinity => self.with_node(node, |node, now| node.complete(now, request_id, outcome)),
+            Strategy::UnknownAsNotExecuted => {
                 let outcome = if outcome == Outcome::Unknown { Outcome::NotExecuted } else { outcome };
                 self.with_node(node, |node, now| node.complete(now, request_id, outcome));
             }
-            Strategy::Pinned | Strategy::Everywhere => self.copies_end(node, request_id, response),
+            Strategy::Pinned | Strategy::FullReplication => self.copies_end(node, request_id, response),
         }
     }
 
-    /// The end of an attempt in the strategies that are compared.
+    /// Handles the end of an attempt in the strategies that serve as a comparison.
     fn copies_end(&mut self, node: NodeId, request_id: u64, response: Response) {
         let request = &self.requests[&request_id];
         let key = (request.id, request.key.clone());
@@ -81,7 +81,7 @@
             None => drop(copies.remove(&key)),
             Some(_) => drop(copies.insert(key.clone(), state)),
         }
-        if self.strategy == Strategy::Everywhere {
+        if self.strategy == Strategy::FullReplication {
             for to in (0..NODES).filter(|to| *to != node) {
                 self.send_packet(node, to, Packet::CopyEnd { key: key.clone(), state });
             }
@@ -98,10 +98,10 @@
         if response == Response::Success {
             let added = (self.now - request.arrived).saturating_sub(request.endpoint_time);
             let kind = usize::from(request.kind == RequestKind::Idempotent);
-            self.results.added[kind][usize::from(request.crossing)].push(added);
+            self.results.added[kind][usize::from(request.is_takeover)].push(added);
         }
-        // The response may be lost on its way.
-        if self.trouble && self.rng.u32(0..100) < 2 {
+        // With fault injection, 2% of the responses to clients are lost.
+        if self.injects_faults && self.rng.u32(0..100) < 2 {
             return;
         }
         let arrival = Event::ResponseArrives { client: request.client, request: request_id, response };
--- a/crates/data-plane/session-affinity/examples/night/main.rs
+++ b/crates/data-plane/session-affinity/examples/night/main.rs
@@ -1,8 +1,9 @@
-//! Busy nights in simulated time: clients move between nodes while nodes are killed, zones cut off, responses lost and
-//! connections reset. The ledger of the stand-in endpoint says which requests were executed, and how often.
+//! Discrete-event simulation of a busy cluster: clients move between nodes while nodes are killed, zones are partitioned,
+//! responses are lost and connections are reset. The ledger of the simulated endpoint records how many times each
+//! request was executed.
 //!
-//! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` plays them all and writes
-//! its tables there. `-- - SEEDS` prints the tables of fewer nights.
+//! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` runs all simulations and
+//! writes their tables into that page. `-- - SEEDS` prints the tables for another number of seeds.
 mod clients;
 mod endpoint;
 mod ledger;
--- a/crates/data-plane/session-affinity/examples/night/network.rs
+++ b/crates/data-plane/session-affinity/examples/night/network.rs
@@ -1,12 +1,12 @@
-//! Packets between nodes, and the effects of a node.
+//! Packets between nodes, and the effects that a node returns.
 use crate::results::Traffic;
-use crate::simulation::Night;
+use crate::simulation::Simulation;
 use crate::world::{Event, Packet, Response, ZONES};
 use coppersail_session_affinity::{Decision, Message, NodeId, Output};
 
-/// Headers of a call and its response between nodes, in bytes; bodies are counted as they are.
+/// Bytes of the headers of a call between nodes and its response; bodies are counted by their actual length.
 const HEADER_BYTES: usize = 130;
-/// One-way latency in microseconds; up to a third is added.
+/// One-way latency in microseconds, before random jitter of up to a third of it.
 const LATENCY_IN_ZONE: u64 = 300;
 const LATENCY_BETWEEN_ZONES: u64 = 1_500;
 
@@ -14,8 +14,8 @@
     node % ZONES
 }
 
-/// Whether a packet is sent for a session that moves, and not for an idempotent request.
-fn is_for_crossing(packet: &Packet) -> bool {
+/// Whether a packet is sent because a session moves, rather than for an idempotent request.
+fn is_for_takeover(packet: &Packet) -> bool {
     match packet {
         Packet::Affinity(message) => !matches!(
             message,
@@ -38,18 +38,19 @@
     }
 }
 
-impl Night {
+impl Simulation {
     fn can_reach(&self, a: NodeId, b: NodeId) -> bool {
-        self.cut_zone.is_none_or(|cut| (zone(a) == cut) == (zone(b) == cut))
+        self.partitioned_zone.is_none_or(|zone_id| (zone(a) == zone_id) == (zone(b) == zone_id))
     }
 
+    /// Sends a packet. It is lost if the nodes are partitioned and, with fault injection, in one of 200 cases.
     pub(crate) fn send_packet(&mut self, from: NodeId, to: NodeId, packet: Packet) {
-        let traffic = match is_for_crossing(&packet) {
-            true => &mut self.results.crossing_traffic,
+        let traffic = match is_for_takeover(&packet) {
+            true => &mut self.results.takeover_traffic,
             false => &mut self.results.request_traffic,
         };
         traffic.add(Traffic { messages: 1, bytes: (body_bytes(&packet) + HEADER_BYTES) as u64 });
-        if !self.can_reach(from, to) || (self.trouble && self.rng.u32(0..200) == 0) {
+        if !self.can_reach(from, to) || (self.injects_faults && self.rng.u32(0..200) == 0) {
             return;
         }
         let latency = if zone(from) == zone(to) { LATENCY_IN_ZONE } else { LATENCY_BETWEEN_ZONES };
@@ -57,7 +58,7 @@
         self.schedule_after(latency + jitter, Event::PacketArrives { from, to, packet });
     }
 
-    /// Carries out what a node wants.
+    /// Carries out the effects that a node returned.
     pub(crate) fn apply(&mut self, node: NodeId, outputs: Vec<Output>) {
         for output in outputs {
             match output {
--- a/crates/data-plane/session-affinity/examples/night/report.rs
+++ b/crates/data-plane/session-affinity/examples/night/report.rs
@@ -1,17 +1,18 @@
 //! The tables and the chart of docs/sessions.md.
 use crate::results::{Results, Traffic, NOT_RUN, RAN, SESSION_LOST, UNKNOWN};
-use crate::simulation::Night;
+use crate::simulation::Simulation;
 use crate::world::{Micros, Strategy, CLIENTS, MS, NODES, ZONES};
 use plotters::prelude::*;
 
 const STRATEGIES: [(Strategy, &str); 3] = [
-    (Strategy::Travelling, "travelling"),
+    (Strategy::Affinity, "travelling"),
     (Strategy::Pinned, "pinned"),
-    (Strategy::Everywhere, "everywhere"),
+    (Strategy::FullReplication, "everywhere"),
 ];
-/// Fewer seeds are enough to see that the ledger finds a careless gateway.
-const CARELESS_SEEDS: u64 = 20;
-const WRONG_SHOWN: usize = 5;
+/// Fewer seeds are enough to show that the ledger detects a gateway that misreports unknown outcomes.
+const MISREPORTING_SEEDS: u64 = 20;
+/// Contradictions that are printed for each table row.
+const MAX_PRINTED_CONTRADICTIONS: usize = 5;
 
 /// One bar of the chart.
 pub(crate) struct Bar {
@@ -28,30 +29,31 @@
     let mut outcomes = String::new();
     let mut costs = String::new();
     let mut bars = vec![];
-    for (trouble, night) in [(true, "trouble"), (false, "calm")] {
+    for (injects_faults, night) in [(true, "trouble"), (false, "calm")] {
         for (strategy, name) in STRATEGIES {
-            let results = play_nights(strategy, seeds, trouble);
+            let results = run_simulations(strategy, seeds, injects_faults);
             let prefix = format!("| {night} | {name} |");
             outcomes += &outcome_row(&prefix, &results);
-            if strategy == Strategy::Travelling {
+            if strategy == Strategy::Affinity {
                 print_to_stderr(night, &results);
             }
             costs += &latency_rows(&prefix, &results);
             costs += &traffic_row(&prefix, &results);
-            if !trouble {
+            if !injects_faults {
                 bars.extend(bars_of(name, &results));
             }
         }
     }
-    let careless_seeds = seeds.min(CARELESS_SEEDS);
-    let careless = play_nights(Strategy::Careless, careless_seeds, true).wrong.len();
+    let misreporting_seeds = seeds.min(MISREPORTING_SEEDS);
+    let contradictions =
+        run_simulations(Strategy::UnknownAsNotExecuted, misreporting_seeds, true).wrong.len();
     let text = format!(
         "{seeds} seeds of {CLIENTS} clients at {NODES} sites in {ZONES} zones; 1.5 to 2 ms one way between zones.\n\n\
          | night | way | ran | told as not run | told as unknown | of these, session lost | wrong by the ledger |\n\
          |---|---|---:|---:|---:|---:|---:|\n\
          {outcomes}\n\
          The judge itself: at a gateway that takes unknown outcomes for such as did not run, the ledger finds \
-         {careless} wrong in {careless_seeds} nights of trouble.\n\n\
+         {contradictions} wrong in {misreporting_seeds} nights of trouble.\n\n\
          Added to the host's own time, in ms (the claim of a session's first site counts as outside):\n\n\
          | night | way | requests | when | p50 | p99 | worst |\n|---|---|---|---|---:|---:|---:|\n\
          {costs}"
@@ -59,11 +61,11 @@
     Report { text, bars }
 }
 
-/// The sum of the nights of seeds 1 to `seeds`.
-fn play_nights(strategy: Strategy, seeds: u64, trouble: bool) -> Results {
+/// The sum of the simulations of seeds 1 to `seeds`.
+fn run_simulations(strategy: Strategy, seeds: u64, injects_faults: bool) -> Results {
     let mut all = Results::default();
     for seed in 1..=seeds {
-        all.add(seed, Night::new(strategy, seed, trouble).play());
+        all.add(seed, Simulation::new(strategy, seed, injects_faults).run());
     }
     all.added.iter_mut().flatten().for_each(|list| list.sort_unstable());
     all
@@ -75,16 +77,16 @@
 }
 
 fn print_to_stderr(night: &str, results: &Results) {
-    results.wrong.iter().take(WRONG_SHOWN).for_each(|wrong| eprintln!("WRONG {wrong}"));
+    results.wrong.iter().take(MAX_PRINTED_CONTRADICTIONS).for_each(|wrong| eprintln!("WRONG {wrong}"));
     let (repeats, restored) = (results.repeats_answered, results.replicas_restored);
-    eprintln!("{night}: {repeats} repeats answered, {restored} seats filled again");
+    eprintln!("{night}: {repeats} repeats answered, {restored} replica records restored");
 }
 
 fn latency_rows(prefix: &str, results: &Results) -> String {
     let mut rows = String::new();
     for (kind, label) in ["lookups", "confirmations"].into_iter().enumerate() {
-        for (crossing, when) in ["outside", "crossing"].into_iter().enumerate() {
-            let sorted = &results.added[kind][crossing];
+        for (when_index, when) in ["outside", "crossing"].into_iter().enumerate() {
+            let sorted = &results.added[kind][when_index];
             let [p50, p99, worst] = [0.5, 0.99, 1.0].map(|quantile| quantile_ms(sorted, quantile));
             rows += &format!("{prefix} {label} | {when} | {p50:.1} | {p99:.1} | {worst:.1} |\n");
         }
@@ -98,9 +100,9 @@
     let cells = |Traffic { messages, bytes }: Traffic, count: u64| {
         format!("{:.1} messages | {:.0} bytes |", per(messages, count), per(bytes, count))
     };
-    let crossing = cells(results.crossing_traffic, results.crossings);
+    let takeover = cells(results.takeover_traffic, results.takeovers);
     let request = cells(results.request_traffic, requests);
-    format!("{prefix} per crossing | {crossing} per confirmation {request}\n")
+    format!("{prefix} per crossing | {takeover} per confirmation {request}\n")
 }
 
 fn bars_of(name: &str, results: &Results) -> Vec<Bar> {
--- a/crates/data-plane/session-affinity/examples/night/simulation.rs
+++ b/crates/data-plane/session-affinity/examples/night/simulation.rs
@@ -1,60 +1,61 @@
-//! A night: its queue of events, its nodes, and its troubles. The order of random draws is part of the figures in
-//! docs/sessions.md.
+//! The simulation: its event queue, nodes and injected faults. The order of random draws determines the figures in
+//! docs/sessions.md and must not change.
 use crate::results::Results;
 use crate::world::{
-    Client, CopyState, Event, Micros, Request, RequestKey, Strategy, CLIENTS, EVENING, MS, NIGHT, NODES,
-    SECOND, ZONES,
+    Client, CopyState, Event, Micros, Request, RequestKey, Strategy, CLIENTS, DURATION, MS, NODES, SECOND,
+    START_TIME, ZONES,
 };
 use coppersail_session_affinity::{AffinityNode, AffinitySettings, NodeId, Output, PeerSets, SessionId};
 use rustc_hash::FxHashMap;
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// Requests of a client.
-const STEPS: u32 = 16;
-/// Nodes tick this often.
+/// Requests that each client sends.
+const REQUESTS_PER_CLIENT: u32 = 16;
+/// The period of a node's ticks.
 const TICK: Micros = 20 * MS;
-/// For how long requests may end after clients stop to begin new ones.
-const AFTERMATH: Micros = 30 * SECOND;
+/// How long requests may end after clients have stopped to begin new ones.
+const DRAIN_TIME: Micros = 30 * SECOND;
 
-pub(crate) struct Night {
+pub(crate) struct Simulation {
     pub(crate) strategy: Strategy,
-    pub(crate) trouble: bool,
+    pub(crate) injects_faults: bool,
     pub(crate) rng: fastrand::Rng,
     pub(crate) now: Micros,
-    /// Numbers events and requests.
+    /// The number of events and requests so far, from which their ids are taken.
     pub(crate) count: u64,
     queue: BinaryHeap<Reverse<(Micros, u64)>>,
     events: FxHashMap<u64, Event>,
     pub(crate) settings: AffinitySettings,
     pub(crate) peer_sets: PeerSets,
     pub(crate) nodes: Vec<Option<AffinityNode>>,
-    /// How often each node was killed.
+    /// How many times each node was killed.
     pub(crate) incarnations: Vec<u32>,
     /// How far each node's clock is ahead, in milliseconds.
     clock_offsets: Vec<u64>,
-    pub(crate) cut_zone: Option<u16>,
+    /// The zone that is partitioned from the others.
+    pub(crate) partitioned_zone: Option<u16>,
     pub(crate) clients: Vec<Client>,
     pub(crate) requests: FxHashMap<u64, Request>,
-    /// What the strategies that are compared keep at each node.
+    /// The copies of idempotent requests at each node, for the strategies that serve as a comparison.
     pub(crate) copies: Vec<FxHashMap<RequestKey, CopyState>>,
-    /// How often the endpoint executed each request, by client and key.
+    /// How many times the endpoint executed each request, by client and key.
     pub(crate) ledger: FxHashMap<(usize, String), u32>,
-    /// What clients know of their requests at the end.
+    /// The final outcome of each request as its client was told it.
     pub(crate) told: FxHashMap<(usize, String), &'static str>,
     pub(crate) results: Results,
 }
 
-impl Night {
-    pub(crate) fn new(strategy: Strategy, seed: u64, trouble: bool) -> Night {
+impl Simulation {
+    pub(crate) fn new(strategy: Strategy, seed: u64, injects_faults: bool) -> Simulation {
         let mut rng = fastrand::Rng::with_seed(seed);
         let settings = AffinitySettings { max_sessions: 2_000, ..AffinitySettings::default() };
         let addresses = (0..NODES).map(|n| (n, format!("10.0.0.{n}:7001"))).collect();
         let nodes =
             (0..NODES).map(|id| Some(AffinityNode::new(id, &settings, u64::from(id) + 1, 0))).collect();
-        let mut night = Night {
+        let mut simulation = Simulation {
             strategy,
-            trouble,
+            injects_faults,
             now: 0,
             count: 0,
             queue: BinaryHeap::new(),
@@ -64,7 +65,7 @@
             nodes,
             incarnations: vec![0; NODES.into()],
             clock_offsets: (0..NODES).map(|_| rng.u64(0..100)).collect(),
-            cut_zone: None,
+            partitioned_zone: None,
             clients: vec![],
             requests: FxHashMap::default(),
             copies: vec![FxHashMap::default(); NODES.into()],
@@ -73,29 +74,29 @@
             results: Results::default(),
             rng,
         };
-        (0..CLIENTS).for_each(|client| night.add_client(seed, client));
+        (0..CLIENTS).for_each(|client| simulation.add_client(seed, client));
         for id in 0..NODES {
-            night.schedule_at(u64::from(id) * MS, Event::Tick(id));
+            simulation.schedule_at(u64::from(id) * MS, Event::Tick(id));
         }
-        if trouble {
-            night.plan_kills();
-            night.plan_cuts();
+        if injects_faults {
+            simulation.schedule_kills();
+            simulation.schedule_partitions();
         }
-        night
+        simulation
     }
 
     fn add_client(&mut self, seed: u64, client: usize) {
         let node = self.rng.u16(0..NODES);
-        let begin = self.rng.u64(0..NIGHT / 2);
+        let begin = self.rng.u64(0..DURATION / 2);
         self.clients.push(Client {
             id: SessionId([seed, client as u64]),
-            created_at: EVENING + begin / MS,
+            created_at: START_TIME + begin / MS,
             home: node,
             node,
             last_node: None,
-            steps_left: STEPS,
+            steps_left: REQUESTS_PER_CLIENT,
             tries: 0,
-            in_doubt: false,
+            may_have_executed: false,
             request: 0,
             key: String::new(),
             idempotent: false,
@@ -103,9 +104,9 @@
         self.schedule_at(begin, Event::ClientProceeds(client));
     }
 
-    fn plan_kills(&mut self) {
+    fn schedule_kills(&mut self) {
         let mut at = 2 * SECOND;
-        while at < NIGHT {
+        while at < DURATION {
             let node = self.rng.u16(0..NODES);
             self.schedule_at(at, Event::Kill(node));
             let down = self.rng.u64(SECOND / 2..3 * SECOND);
@@ -114,11 +115,11 @@
         }
     }
 
-    fn plan_cuts(&mut self) {
+    fn schedule_partitions(&mut self) {
         let mut at = 3 * SECOND;
-        while at < NIGHT {
+        while at < DURATION {
             let zone = self.rng.u16(0..ZONES);
-            self.schedule_at(at, Event::CutOff { zone });
+            self.schedule_at(at, Event::PartitionZone { zone });
             let duration = self.rng.u64(SECOND / 2..4 * SECOND);
             self.schedule_at(at + duration, Event::HealNetwork);
             at += duration + self.rng.u64(SECOND..6 * SECOND);
@@ -135,14 +136,14 @@
         self.schedule_at(self.now + delay, event);
     }
 
-    /// The time of day in milliseconds by a node's clock.
+    /// Unix time in milliseconds by a node's clock.
     pub(crate) fn clock(&self, node: NodeId) -> u64 {
-        EVENING + self.now / MS + self.clock_offsets[node as usize]
+        START_TIME + self.now / MS + self.clock_offsets[node as usize]
     }
 
-    pub(crate) fn play(mut self) -> Results {
+    pub(crate) fn run(mut self) -> Results {
         while let Some(Reverse((time, number))) = self.queue.pop() {
-            if time > NIGHT + AFTERMATH {
+            if time > DURATION + DRAIN_TIME {
                 break;
             }
             self.now = time;
@@ -150,7 +151,7 @@
             self.step(event);
         }
         self.compare_with_ledger();
-        if matches!(self.strategy, Strategy::Travelling | Strategy::Careless) {
+        if matches!(self.strategy, Strategy::Affinity | Strategy::UnknownAsNotExecuted) {
             self.add_counters();
         }
         self.results
@@ -172,15 +173,15 @@
             Event::ClientTimeout { client, request } => self.client_timeout(client, request),
             Event::Tick(id) => {
                 self.with_node(id, |node, now| node.tick(now));
-                if matches!(self.strategy, Strategy::Pinned | Strategy::Everywhere) {
+                if matches!(self.strategy, Strategy::Pinned | Strategy::FullReplication) {
                     self.end_waits(id);
                 }
                 self.schedule_after(TICK, Event::Tick(id));
             }
             Event::Kill(id) => self.kill(id),
             Event::Start(id) => self.start(id),
-            Event::CutOff { zone } => self.cut_zone = Some(zone),
-            Event::HealNetwork => self.cut_zone = None,
+            Event::PartitionZone { zone } => self.partitioned_zone = Some(zone),
+            Event::HealNetwork => self.partitioned_zone = None,
         }
     }
 
@@ -192,9 +193,9 @@
 
     fn start(&mut self, id: NodeId) {
         if self.nodes[id as usize].is_none() {
-            let floor = self.settings.lost_up_to(self.clock(id));
+            let lost_up_to = self.settings.lost_up_to(self.clock(id));
             let incarnation = self.now + u64::from(NODES);
-            self.nodes[id as usize] = Some(AffinityNode::new(id, &self.settings, incarnation, floor));
+            self.nodes[id as usize] = Some(AffinityNode::new(id, &self.settings, incarnation, lost_up_to));
         }
     }
 
--- a/crates/data-plane/session-affinity/examples/night/strategies.rs
+++ b/crates/data-plane/session-affinity/examples/night/strategies.rs
@@ -1,13 +1,14 @@
-//! How a node serves a request: by this package, or as plainly as can be by the strategies that it is compared with.
-use crate::simulation::Night;
+//! How a node serves a request: by this package, or by simple implementations of the strategies that it is compared
+//! with.
+use crate::simulation::Simulation;
 use crate::world::{Packet, Request, RequestKind, Response, Strategy, MS, NODES};
 use coppersail_session_affinity::{IdempotentRequest, NodeId};
 
-/// For how long an outcome is waited for, in milliseconds.
+/// How long a node waits for the outcome of a request, in milliseconds.
 const REQUEST_TIMEOUT: u64 = 3_000;
 const FINGERPRINT: u64 = 1;
 
-impl Night {
+impl Simulation {
     pub(crate) fn serve_by_affinity(&mut self, request_id: u64, node: NodeId) {
         let request = &self.requests[&request_id];
         let (id, created_at, kind) = (request.id, request.created_at, request.kind);
@@ -51,7 +52,7 @@
         }
     }
 
-    /// The request is sent once all other nodes have their copy.
+    /// Handles the acknowledgement of a copy. The request is sent once all other nodes have one.
     pub(crate) fn receive_copy_ack(&mut self, node: NodeId, request_id: u64) {
         let Some(request) = self.requests.get_mut(&request_id) else { return };
         request.copy_acks += 1;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What has waited for other nodes for too long proceeds without them.
+    /// Lets requests that have waited too long for other nodes proceed without them.
     pub(crate) fn end_waits(&mut self, node: NodeId) {
         let wait = self.settings.peer_timeout_ms * MS;
         let is_late = |request: &Request| !request.sent && self.now > request.arrived + wait;
@@ -91,7 +92,7 @@
                 request.sent = true;
                 self.serve_by_copies(request_id, node);
             }
-            Strategy::Everywhere if request.kind == RequestKind::Idempotent => {
+            Strategy::FullReplication if request.kind == RequestKind::Idempotent => {
                 self.requests.get_mut(&request_id).expect("just seen").sent = true;
                 self.send_to_endpoint(node, request_id);
             }
--- a/crates/data-plane/session-affinity/examples/night/world.rs
+++ b/crates/data-plane/session-affinity/examples/night/world.rs
@@ -1,28 +1,30 @@
-//! What there is in a night: times, events, requests, clients.
+//! Data types of the simulation: times, events, requests and clients.
 use coppersail_session_affinity::{Message, NodeId, Outcome, SessionId};
 
-/// Microseconds since the night began.
+/// Microseconds since the simulation began.
 pub(crate) type Micros = u64;
 pub(crate) const MS: Micros = 1_000;
 pub(crate) const SECOND: Micros = 1_000 * MS;
-/// The time of day at which nights begin, in milliseconds.
-pub(crate) const EVENING: u64 = 1_700_000_000_000;
+/// The Unix time at which simulations begin, in milliseconds.
+pub(crate) const START_TIME: u64 = 1_700_000_000_000;
 pub(crate) const NODES: u16 = 8;
 pub(crate) const ZONES: u16 = 4;
 pub(crate) const CLIENTS: usize = 150;
-pub(crate) const NIGHT: Micros = 30 * SECOND;
+/// Clients begin no requests after this time.
+pub(crate) const DURATION: Micros = 30 * SECOND;
 
-/// How the edges share sessions.
+/// How the nodes share sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Strategy {
-    /// This package.
-    Travelling,
-    /// The same, at a gateway that takes an unknown outcome for one that did not run: the ledger has to see it.
-    Careless,
-    /// The node where the session began serves it; others forward its requests.
+    /// This package: ownership of a session moves to the node that gets its requests.
+    Affinity,
+    /// As `Affinity`, but unknown outcomes are reported as not executed. This is a fault that the comparison with the
+    /// ledger has to detect.
+    UnknownAsNotExecuted,
+    /// The node where the session began serves it; other nodes forward its requests.
     Pinned,
-    /// Every node has every session, and gets a copy before an idempotent request is sent.
-    Everywhere,
+    /// Every node gets a copy of an idempotent request before it is sent.
+    FullReplication,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -42,7 +44,7 @@
     Tick(NodeId),
     Kill(NodeId),
     Start(NodeId),
-    CutOff { zone: u16 },
+    PartitionZone { zone: u16 },
     HealNetwork,
 }
 
@@ -50,27 +52,27 @@
 #[derive(Debug, Clone)]
 pub(crate) struct AttemptEnd {
     pub(crate) node: NodeId,
-    /// How often the node had been killed when it sent the request.
+    /// How many times the node had been killed when it sent the request.
     pub(crate) incarnation: u32,
     pub(crate) request: u64,
     pub(crate) outcome: Outcome,
     pub(crate) executed: bool,
 }
 
-/// What nodes send each other.
+/// A packet between two nodes.
 #[derive(Debug, Clone)]
 pub(crate) enum Packet {
     Affinity(Message),
-    /// Pinned: a request that is forwarded to the session's node.
+    /// `Pinned`: a request that is forwarded to the session's node.
     Forward(u64),
-    /// Pinned: its response.
+    /// `Pinned`: the response to a forwarded request.
     ForwardedResponse(u64, Response),
-    /// Everywhere: a request is about to be sent.
+    /// `FullReplication`: a request is about to be sent.
     CopyBegin {
         request: u64,
         key: RequestKey,
     },
-    /// Everywhere: how a request ended; nothing where it was not executed.
+    /// `FullReplication`: the outcome of a request; `None` if it was not executed.
     CopyEnd {
         key: RequestKey,
         state: CopyState,
@@ -81,8 +83,8 @@
 /// An idempotent request by session and key.
 pub(crate) type RequestKey = (SessionId, String);
 
-/// What the strategies that are compared keep of an idempotent request: nothing while it is in flight, then whether
-/// it is known to have been executed.
+/// The copy of an idempotent request's state in the strategies that serve as a comparison: `None` while it is in flight,
+/// then whether it is known to have been executed.
 pub(crate) type CopyState = Option<bool>;
 
 #[derive(Debug, Clone, PartialEq)]
@@ -102,28 +104,29 @@
     pub(crate) id: SessionId,
     pub(crate) created_at: u64,
     pub(crate) key: String,
-    pub(crate) crossing: bool,
+    /// It arrived at another node than the session's previous request.
+    pub(crate) is_takeover: bool,
     pub(crate) arrived: Micros,
     pub(crate) endpoint_time: Micros,
-    /// The node that forwarded it, if the serving node did not get it from the client.
+    /// The node that forwarded the request, if the serving node did not get it from the client.
     pub(crate) forwarded_by: Option<NodeId>,
     pub(crate) copy_acks: u32,
     pub(crate) sent: bool,
-    /// What the client gets once the outcome is recorded.
+    /// The response to the client, sent once the outcome is recorded.
     pub(crate) response: Option<Response>,
 }
 
 pub(crate) struct Client {
     pub(crate) id: SessionId,
     pub(crate) created_at: u64,
-    /// Pinned: the node that serves the session.
+    /// `Pinned`: the node that serves the session.
     pub(crate) home: NodeId,
     pub(crate) node: NodeId,
     pub(crate) last_node: Option<NodeId>,
     pub(crate) steps_left: u32,
     pub(crate) tries: u32,
     /// An earlier try of the request may have been executed.
-    pub(crate) in_doubt: bool,
+    pub(crate) may_have_executed: bool,
     pub(crate) request: u64,
     pub(crate) key: String,
     pub(crate) idempotent: bool,
