--- a/crates/data-plane/rollout/src/analysis.rs
+++ b/crates/data-plane/rollout/src/analysis.rs
@@ -1,9 +1,9 @@
-//! The analysis of a rollout: the new version against the control group in the same windows of time, in the same zones,
-//! on the same routes (canary analysis). Its steps, in order: [`RolloutAnalysis::ingest`] guards against stale reports
-//! (`row_store`); each interval the rows that are over are evaluated, with what counts against a version and what is
-//! one host's trouble (`host_faults`), whether the new version's hosts are overloaded (`overload`) and how crowded
-//! late answers come (`dispersion`); the sequential test weighs them (`sequential_test`); [`RolloutAnalysis::evaluate`]
-//! decides.
+//! The analysis of a rollout compares the new version with the control group in the same time windows, zones and routes
+//! (canary analysis). [`RolloutAnalysis::ingest`] takes in rows and filters out stale and duplicate ones (`row_store`).
+//! At each interval the complete rows are evaluated: faults of single hosts are separated from faults of the version
+//! (`host_faults`), late answers are left out while the new version's hosts are overloaded (`overload`), the
+//! overdispersion of late answers is estimated (`dispersion`), and the sequential test weighs the evidence
+//! (`sequential_test`). [`RolloutAnalysis::evaluate`] returns the verdict.
 mod dispersion;
 mod host_faults;
 mod overload;
@@ -27,20 +27,21 @@
 pub use overload::FleetCapacity;
 pub use sums::VariantSums;
 
-/// A loss at a host of which nothing is known so long (ms) after the report counts as one at a host that runs.
-const FATE_UNKNOWN_AFTER: Ms = 6000;
-/// No step is taken while more than one in so many edges is silent.
-const STALE_EDGES_DIVISOR: usize = 3;
-/// A test is suspicious from this part of the threshold on, in logs: no step is taken.
-const SUSPICION: f64 = 2.0;
+/// If it is still unknown this long (ms) after a report of a loss whether the host died, the host is assumed to be
+/// alive.
+const ASSUME_ALIVE_AFTER: Ms = 6000;
+/// No step is taken while more than one in this many edges is silent.
+const SILENT_EDGES_DIVISOR: usize = 3;
+/// No step is taken while a test's log odds exceed the log threshold divided by this.
+const SUSPICION_DIVISOR: f64 = 2.0;
 
 /// The analysis of one run of a rollout, at the leader.
 pub struct RolloutAnalysis {
     plan: RolloutPlan,
-    /// Evidence counted under lower numbers of the plan is ignored.
+    /// The plan's number at the start of the run. Evidence counted under lower numbers is ignored.
     run: u64,
     step: usize,
-    /// Answers of the new version that the step in force requires.
+    /// Answers of the new version that the current step requires.
     required_answers: u64,
     /// Answers of the new version by the plan's number.
     answers: BTreeMap<u64, u64>,
@@ -50,16 +51,16 @@
     overload: OverloadDetector,
     dispersion: Dispersion,
     test: SequentialTest,
-    /// What both variants did in this run.
+    /// Sums of the counts of both variants in this run.
     pub sums: VariantSums,
-    /// Rows that arrived late.
+    /// Number of rows that arrived late.
     pub late_rows: u64,
-    /// Rows that arrived.
+    /// Number of rows that arrived.
     pub rows_received: u64,
 }
 
 impl RolloutAnalysis {
-    /// An analysis of what was counted from the plan's number `run` on.
+    /// An analysis of the run that began with the plan's number `run`.
     pub fn new(plan: &RolloutPlan, run: u64) -> RolloutAnalysis {
         RolloutAnalysis {
             plan: plan.clone(),
@@ -79,47 +80,53 @@
         }
     }
 
-    /// Takes in what an edge reports of the plan of this name. True if the new version ran something twice: the caller
-    /// should then judge at once.
+    /// Takes in the rows of an edge's report that belong to the plan with this name. True if the new version executed a
+    /// request twice; the caller should then evaluate immediately.
     pub fn ingest(&mut self, now: Ms, name: &str, report: &EvidenceReport) -> bool {
         let mut is_urgent = false;
         for row in report.rows.iter().filter(|row| row.plan == name && row.number >= self.run) {
             let accepted = self.rows.accept(now, report, row);
             self.rows_received += 1;
             self.late_rows += u64::from(accepted.arrived_late);
-            self.sums.add_doubled(accepted.newly_doubled);
-            is_urgent |= accepted.newly_doubled.new > 0;
+            self.sums.add_duplicates(accepted.new_duplicates);
+            is_urgent |= accepted.new_duplicates.new > 0;
         }
         is_urgent
     }
 
-    /// Evaluates what can be evaluated, and decides. `number` is the plan's present one. `dead`: whether a host has
-    /// died at or after a time, if that is known.
+    /// Evaluates the rows that are complete, and returns the verdict. `number` is the plan's current number.
+    /// `host_died` returns whether a host has died at or after a time, if that is known.
     pub fn evaluate(
         &mut self,
         now: Ms,
         number: u64,
         fleet: FleetCapacity,
-        dead: impl Fn(&str, Ms) -> Option<bool>,
+        host_died: impl Fn(&str, Ms) -> Option<bool>,
     ) -> Verdict {
         if now >= self.evaluated_at + ANALYSIS_INTERVAL {
             self.evaluated_at = now;
-            self.evaluate_interval(now, fleet, &dead);
+            self.evaluate_interval(now, fleet, &host_died);
         }
-        if let Some(reason) = self.sums.doubled_reason(self.plan.bounds.doubled) {
+        if let Some(reason) = self.sums.duplicates_reason(self.plan.bounds.doubled) {
             return Verdict::Pause(reason);
         }
         self.test_verdict().unwrap_or_else(|| self.step_verdict(now, number))
     }
 
-    fn evaluate_interval(&mut self, now: Ms, fleet: FleetCapacity, dead: &impl Fn(&str, Ms) -> Option<bool>) {
+    fn evaluate_interval(
+        &mut self,
+        now: Ms,
+        fleet: FleetCapacity,
+        host_died: &impl Fn(&str, Ms) -> Option<bool>,
+    ) {
         self.host_faults.begin_interval(now, fleet.new_hosts);
-        let host_died =
-            |host: &str, seen: Ms| dead(host, seen).or((now >= seen + FATE_UNKNOWN_AFTER).then_some(false));
+        let host_died = |host: &str, seen: Ms| {
+            host_died(host, seen).or((now >= seen + ASSUME_ALIVE_AFTER).then_some(false))
+        };
         let due = self.rows.take_due(now, &host_died);
         let rows: Vec<EvaluatedRow> = due.into_iter().map(|row| self.evaluate_row(row, &host_died)).collect();
         self.overload.observe(now, fleet, &rows);
-        // The estimate of before these rows: an interval's own answers must not decide how they are weighed.
+        // The dispersion estimated before these rows: an interval's own answers must not decide how they are weighed.
         let weights = IntervalWeights {
             dispersion: self.dispersion.factor(),
             skip_late: self.overload.excuses_lateness(now),
@@ -145,14 +152,14 @@
         EvaluatedRow { stratum, row, new_lost, control_lost, new_slow }
     }
 
-    /// What the sequential test has decided or suspects.
+    /// The verdict of the sequential test, if it has decided against the new version or suspects it.
     fn test_verdict(&self) -> Option<Verdict> {
         let strongest = self.test.strongest()?;
         let threshold = self.test.log_threshold();
         if strongest.log_odds >= threshold {
             return Some(Verdict::Pause(self.reason(&strongest)));
         }
-        let is_suspicious = strongest.log_odds > threshold / SUSPICION;
+        let is_suspicious = strongest.log_odds > threshold / SUSPICION_DIVISOR;
         is_suspicious.then(|| Verdict::Wait(format!("suspected: {}", self.reason(&strongest))))
     }
 
@@ -171,14 +178,14 @@
         format!("more {fault}{scope}; of all so far {new:.1}% against {old:.1}%, odds e^{log_odds:.1}")
     }
 
-    /// Whether there is enough evidence for the next step, and no trouble that would hide a fault.
+    /// Whether there is enough evidence for the next step, and no condition that could hide a fault.
     fn step_verdict(&self, now: Ms, number: u64) -> Verdict {
         let (answers, required) = (self.answers(number), self.required_answers);
         if answers < required {
             return Verdict::Wait(format!("{answers} of {required} answers"));
         }
-        let (silent, edges) = (self.rows.stale_edges(now), self.rows.edges());
-        if STALE_EDGES_DIVISOR * silent > edges {
+        let (silent, edges) = (self.rows.silent_edges(now), self.rows.edges());
+        if SILENT_EDGES_DIVISOR * silent > edges {
             return Verdict::Wait(format!("{silent} of {edges} edges are silent"));
         }
         if self.overload.is_overloaded() {
@@ -190,7 +197,7 @@
         Verdict::Healthy
     }
 
-    /// The step in force has this index.
+    /// Sets the index of the current step.
     pub fn set_step(&mut self, step: usize) {
         if step > self.step {
             self.test.begin_step();
@@ -199,7 +206,7 @@
         self.required_answers = self.plan.steps.get(step).map_or(0, |step| step.min_answers);
     }
 
-    /// Answers of the new version that were evaluated while the plan had this number.
+    /// Number of evaluated answers of the new version that were counted while the plan had this number.
     pub fn answers(&self, number: u64) -> u64 {
         self.answers.get(&number).copied().unwrap_or(0)
     }
--- a/crates/data-plane/rollout/src/analysis/dispersion.rs
+++ b/crates/data-plane/rollout/src/analysis/dispersion.rs
@@ -1,20 +1,21 @@
-//! How crowded late answers come: the overdispersion of the control group's late answers between rows of a stratum,
-//! estimated by Pearson's chi-squared statistic per degree of freedom, as in quasi-binomial models (Wedderburn 1974).
+//! Overdispersion of the control group's late answers between the rows of a stratum: late answers come in clusters. It
+//! is estimated by Pearson's chi-squared statistic per degree of freedom, as in quasi-binomial models (Wedderburn
+//! 1974).
 use super::stratum::{EvaluatedRow, StratumKey};
 use std::collections::BTreeMap;
 
-/// The factor until some evidence is there: late answers come in pairs.
+/// The factor before there is an estimate: it assumes that late answers come in pairs.
 const INITIAL_FACTOR: f64 = 2.0;
-/// A larger factor is no accident of counting.
+/// Upper limit of the factor; a higher estimate is not explained by clusters of late answers.
 const MAX_FACTOR: f64 = 20.0;
-/// The weight of a new interval in the moving averages.
+/// The weight of a new interval in the exponential moving averages.
 const NEW_INTERVAL_WEIGHT: f64 = 0.1;
-/// Fewer degrees of freedom in an interval don't change the estimate.
+/// Intervals with fewer degrees of freedom don't update the estimate.
 const MIN_DEGREES_OF_FREEDOM: f64 = 3.0;
-/// Where the control group has so much of its answers late, the fleet has another trouble.
+/// With a higher fraction of late answers in the control group, the fleet has a fault that is not the new version's.
 const CONTROL_LATE_LIMIT: f64 = 0.2;
 
-/// Answers of the control group in one row or several.
+/// Answers of the control group, in one row or summed over several.
 #[derive(Clone, Copy, Default)]
 struct ControlAnswers {
     slow: f64,
@@ -33,7 +34,7 @@
 
 pub(crate) struct Dispersion {
     factor: f64,
-    /// Moving sums over the last intervals.
+    /// Decaying sums over the recent intervals.
     recent: ControlAnswers,
 }
 
@@ -53,7 +54,7 @@
     strata
 }
 
-/// Pearson's statistic of rows against the stratum's rate of late answers.
+/// Pearson's statistic of the rows against the stratum's rate of late answers.
 fn chi_squared(rows: &[ControlAnswers], rate: f64) -> f64 {
     let term =
         |row: &ControlAnswers| (row.slow - row.timed * rate).powi(2) / (row.timed * rate * (1.0 - rate));
@@ -61,12 +62,12 @@
 }
 
 impl Dispersion {
-    /// By how much more the number of late answers varies than that of single accidents would; 1 at least.
+    /// The ratio of the variance of late answers to that of independent late answers; at least 1.
     pub(crate) fn factor(&self) -> f64 {
         self.factor
     }
 
-    /// Whether the control group is late itself.
+    /// Whether the control group itself has too many late answers.
     pub(crate) fn control_is_late(&self) -> bool {
         self.recent.slow > CONTROL_LATE_LIMIT * self.recent.timed.max(1.0)
     }
--- a/crates/data-plane/rollout/src/analysis/host_faults.rs
+++ b/crates/data-plane/rollout/src/analysis/host_faults.rs
@@ -1,26 +1,26 @@
-//! Which bad answers of a host count against its version. A version is bad at all of its hosts: what one host has
-//! beyond its fellows is that host's own trouble (a hot key, a bad disk), and what is lost with a host that died is
-//! one loss, its death.
+//! Which bad answers count against a version. A fault of the version shows at all of its hosts, so bad answers of one
+//! host far beyond the others' are attributed to that host (a hot key, a bad disk). All answers lost with a host that
+//! died count as a single loss, the host's death.
 use super::stratum::Fault;
 use crate::evidence::Counts;
 use crate::Ms;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Bad answers of one host within a window that always count against the version ...
-const FREE_FAULTS: f64 = 3.0;
-/// ... and so many times those of the worst other host.
+/// Bad answers of one host in a window count against the version up to a limit. The limit is this number ...
+const BASE_LIMIT: f64 = 3.0;
+/// ... plus this multiple of the bad answers of the worst other host.
 const WORST_PEER_FACTOR: f64 = 2.0;
-/// The window, in milliseconds.
+/// The length of a window, in milliseconds.
 const WINDOW: Ms = 60_000;
-/// Fewer hosts can't be told from their version.
+/// With fewer hosts, faults of a host can't be distinguished from faults of the version, and all count against it.
 const MIN_HOSTS: usize = 3;
 const FAULT_KINDS: usize = 2;
 
-/// Bad answers of one host in this window.
+/// Bad answers of one host in the current window.
 #[derive(Default)]
 struct HostFaults {
     total: f64,
-    /// Those that count against the version.
+    /// The bad answers that count against the version.
     attributed: f64,
 }
 
@@ -28,14 +28,14 @@
 pub(crate) struct HostFaultFilter {
     new_hosts: usize,
     window_began: Ms,
-    /// Of the new version, by [`Fault`] and host.
+    /// Bad answers of the new version, by [`Fault`] and host.
     by_host: [BTreeMap<String, HostFaults>; FAULT_KINDS],
-    /// Hosts whose death has been counted.
+    /// Hosts whose death has been counted already.
     dead: BTreeSet<String>,
 }
 
 impl HostFaultFilter {
-    /// Begins an interval, in which the new version has so many hosts.
+    /// Begins an interval, in which the new version has `new_hosts` hosts.
     pub(crate) fn begin_interval(&mut self, now: Ms, new_hosts: usize) {
         self.new_hosts = new_hosts;
         if now >= self.window_began + WINDOW {
@@ -44,7 +44,7 @@
         }
     }
 
-    /// How many of these bad answers of the new version, by host, count against the version.
+    /// How many of these bad answers of the new version (given by host) count against the version.
     pub(crate) fn attributed(&mut self, fault: Fault, faults: &[(String, u32)]) -> f64 {
         let has_few_hosts = self.new_hosts < MIN_HOSTS;
         let by_host = &mut self.by_host[fault as usize];
@@ -54,7 +54,7 @@
             let peers = by_host.iter().filter(|(peer, _)| *peer != host);
             let worst_peer = peers.map(|(_, faults)| faults.total).fold(0.0, f64::max);
             let own = by_host.entry(host.clone()).or_default();
-            let limit = FREE_FAULTS + WORST_PEER_FACTOR * worst_peer;
+            let limit = BASE_LIMIT + WORST_PEER_FACTOR * worst_peer;
             let attributed = count.min(limit - own.attributed).max(0.0);
             own.total += count;
             own.attributed += attributed;
@@ -63,13 +63,13 @@
         sum
     }
 
-    /// Losses of the new version that count against it.
+    /// Number of losses of the new version that count against it.
     pub(crate) fn new_losses(&mut self, counts: &Counts, host_died: impl Fn(&str) -> Option<bool>) -> f64 {
         let losses = self.split_by_death(counts, host_died);
         losses.deaths + self.attributed(Fault::Lost, &losses.at_live_hosts)
     }
 
-    /// Losses of the control group.
+    /// Number of losses of the control group. They all count, apart from those merged into a host's death.
     pub(crate) fn control_losses(
         &mut self,
         counts: &Counts,
@@ -87,8 +87,9 @@
     }
 }
 
+/// Losses, split by whether their host died.
 struct Losses {
-    /// Deaths of hosts that weren't counted before.
+    /// Number of deaths of hosts that weren't counted before.
     deaths: f64,
     at_live_hosts: Vec<(String, u32)>,
 }
--- a/crates/data-plane/rollout/src/analysis/overload.rs
+++ b/crates/data-plane/rollout/src/analysis/overload.rs
@@ -1,35 +1,37 @@
-//! Whether the new version's hosts have far more than their share of the load: their lateness then says nothing about
-//! the version, unless it goes on for so long that it is the plan's own.
+//! Detects whether the new version's hosts get far more than their share of the load. Late answers then say nothing
+//! about the version, unless the overload lasts so long that the plan itself causes it by its share.
 use super::stratum::EvaluatedRow;
 use crate::evidence::OutcomeKind;
 use crate::load_limit::load_limit;
 use crate::Ms;
 
-/// For so long (ms) overload excuses lateness.
+/// How long (ms) an overload excuses late answers.
 const EXCUSED_FOR: Ms = 30_000;
 
-/// The capacity of the hosts that serve the variants now.
+/// The current capacity of the hosts that serve the variants.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct FleetCapacity {
-    /// Slots (concurrent requests) of the new version's hosts.
+    /// Total slots (concurrent requests) of the new version's hosts.
     pub new_slots: f64,
-    /// Slots of the control group's hosts.
+    /// Total slots of the control group's hosts.
     pub control_slots: f64,
-    /// Hosts of the new version.
+    /// Number of hosts of the new version.
     pub new_hosts: usize,
 }
 
 #[derive(Default)]
 pub(crate) struct OverloadDetector {
+    /// When the present overload was first observed.
     since: Option<Ms>,
 }
 
 impl OverloadDetector {
     pub(crate) fn observe(&mut self, now: Ms, fleet: FleetCapacity, rows: &[EvaluatedRow]) {
-        let new = rows.iter().map(|s| s.row.new.of(OutcomeKind::Offered)).sum::<u64>() as f64;
-        let control = rows.iter().map(|s| s.row.control.of(OutcomeKind::Offered)).sum::<u64>() as f64;
+        let new = rows.iter().map(|evaluated| evaluated.row.new.of(OutcomeKind::Offered)).sum::<u64>() as f64;
+        let control =
+            rows.iter().map(|evaluated| evaluated.row.control.of(OutcomeKind::Offered)).sum::<u64>() as f64;
         let has_control = fleet.control_slots > 0.0;
-        // What the control group's load per slot would give.
+        // The requests that the new version would get at the control group's load per slot.
         let expected = if has_control { control / fleet.control_slots * fleet.new_slots } else { new };
         let is_overloaded = fleet.new_slots > 0.0 && new > load_limit(expected);
         self.since = is_overloaded.then_some(self.since.unwrap_or(now));
--- a/crates/data-plane/rollout/src/analysis/sequential_test.rs
+++ b/crates/data-plane/rollout/src/analysis/sequential_test.rs
@@ -1,37 +1,39 @@
-//! The sequential test: whether the new version has more than its part of the bad answers.
+//! The sequential test of whether the new version has more than its share of the bad answers.
 //!
-//! Given `l` bad answers in a stratum and the new version's part `q` of the requests, the number `x` of them that are
-//! the new version's is binomial with `q` if it is no worse, whatever the rate is. If its odds are `r` times as high it
-//! is binomial with `qr / (1 + q(r-1))`, and the likelihood ratio is `r^x / (1 + q(r-1))^l`: a factor of Wald's
-//! sequential probability ratio (Wald 1945), on average 1 at most if the new version is no worse. The plan's bound
-//! enters as bad answers that the new version has free.
+//! Let a stratum have `l` bad answers, and let `q` be the new version's fraction of the requests. If the new version is
+//! no worse, the number `x` of its bad answers is binomial with probability `q`, whatever the rate of bad answers is.
+//! If its odds of a bad answer are `r` times as high, `x` is binomial with probability `qr / (1 + q(r-1))`. The
+//! likelihood ratio is `r^x / (1 + q(r-1))^l`, a factor of Wald's sequential probability ratio (Wald 1945), whose mean
+//! is at most 1 if the new version is no worse. The plan's bound is subtracted as a number of bad answers that the new
+//! version is allowed.
 //!
-//! A version may be good for long and then bad, so that the stake of 1 is spread over the plan (as in Shiryaev and
-//! Roberts' procedure): at its start, at further steps, and evenly over all intervals. What has been won plus what is
-//! yet to be staked is a supermartingale that begins at 1, so that it reaches `tests / error` with a probability of
-//! `error / tests` at most, however often one looks (Ville 1939). `docs/rollout.md` has the proof.
+//! A version may be good for a long time and then become bad. Therefore the stake of 1 is spread over the plan (as in
+//! the Shiryaev-Roberts procedure): at its start, at further steps, and evenly over all intervals. The wealth plus the
+//! remaining stakes is a supermartingale that begins at 1, so that it ever reaches `tests / e` with a probability of at
+//! most `e / tests` (`e`: the false alarm rate), however often it is evaluated (Ville 1939). `docs/rollout.md` has the
+//! proof.
 use super::stratum::{EvaluatedRow, Fault, StratumKey};
 use crate::Ms;
 use coppersail_config::rollout::{Bounds, RolloutPlan};
 use std::collections::BTreeMap;
 
-/// How often an interval of rows is evaluated (ms).
+/// The period at which rows are evaluated (ms).
 pub(crate) const ANALYSIS_INTERVAL: Ms = 2000;
-/// The alternatives: by how much the new version's odds of a bad answer are higher. A small fault takes long to see by
-/// any of them.
+/// The alternative hypotheses: the ratio of the new version's odds of a bad answer to the control group's. Small ratios
+/// take long to detect with any of them.
 const ODDS_RATIOS: [f64; 3] = [1.5, 3.0, 10.0];
-/// Of the stake on each alternative over the whole plan: what is staked at its start, ...
+/// The fraction of the total stake on each alternative that is staked at the start of the plan, ...
 const START_STAKE: f64 = 0.2;
-/// ... at its further steps together, ...
+/// ... at all further steps together, ...
 const STEP_STAKES: f64 = 0.3;
 /// ... and evenly in all intervals together.
 const INTERVAL_STAKES: f64 = 0.5;
-/// Tests that are there in any case: late and lost, of the fleet.
+/// Number of tests that always exist: late and lost answers in the whole fleet.
 const MIN_TESTS: usize = 2;
-/// Hypotheses of one zone or route: late and lost.
+/// Number of hypotheses per zone or route: late and lost answers.
 const HYPOTHESES_PER_SCOPE: usize = 2;
 
-/// Of what a test looks at the bad answers. The order of variants is that of the tests.
+/// The part of the fleet whose bad answers a test counts. The order of variants is that of the tests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum Scope {
     Fleet,
@@ -39,7 +41,8 @@
     Route(String),
 }
 
-/// One test: that the new version is worse by one kind of fault in one scope. The order of fields is that of the tests.
+/// One test's hypothesis: the new version has more faults of one kind in one scope. The order of fields is that of the
+/// tests.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Hypothesis {
     pub(crate) scope: Scope,
@@ -49,7 +52,7 @@
 /// A logarithm for each of [`ODDS_RATIOS`].
 type Logs = [f64; ODDS_RATIOS.len()];
 
-/// Bad answers and all answers in a stratum.
+/// Counts of bad answers and of all answers in a stratum.
 #[derive(Clone, Copy, Default)]
 struct Sample {
     new_bad: f64,
@@ -86,7 +89,8 @@
         }
     }
 
-    /// The log of the likelihood ratio, less what the bound gives the new version free; see the module's page.
+    /// The log of the likelihood ratio, less the term for the bad answers that the bound allows the new version; see
+    /// the module documentation.
     fn log_likelihood_ratio(&self, odds_ratio: f64, bound: f64) -> f64 {
         if self.new_answers <= 0.0 || self.control_answers <= 0.0 {
             return 0.0;
@@ -125,30 +129,30 @@
     logs.iter().copied().fold(f64::NEG_INFINITY, log_sum) - (logs.len() as f64).ln()
 }
 
-/// What an interval of evidence is weighed with.
+/// How the evidence of an interval is weighed.
 pub(crate) struct IntervalWeights {
     /// Overdispersion of late answers, at least 1.
     pub(crate) dispersion: f64,
-    /// Late answers are left out.
+    /// Whether late answers are left out.
     pub(crate) skip_late: bool,
 }
 
 /// The strongest evidence against the new version.
 pub(crate) struct Strongest<'a> {
     pub(crate) hypothesis: &'a Hypothesis,
-    /// The log of what its stakes have become.
+    /// The log of the mean wealth of the test over [`ODDS_RATIOS`].
     pub(crate) log_odds: f64,
 }
 
 pub(crate) struct SequentialTest {
     bounds: Bounds,
-    /// The most by which a sound release may be paused in error.
-    error: f64,
+    /// The maximum probability that a release without a fault is paused.
+    false_alarm_rate: f64,
     step_stake: f64,
     interval_stake: f64,
-    /// What the further steps that were taken since the last interval stake in the next one.
+    /// The stakes of the steps taken since the last interval, which are staked in the next one.
     pending_stake: f64,
-    /// The logs of what the stakes on each hypothesis have become.
+    /// For each hypothesis, the logs of the wealth that its stakes have grown to.
     log_wealth: BTreeMap<Hypothesis, Logs>,
 }
 
@@ -157,7 +161,7 @@
         let intervals = (plan.max_duration.as_millis() as f64 / ANALYSIS_INTERVAL as f64).max(1.0);
         SequentialTest {
             bounds: plan.bounds.clone(),
-            error: plan.false_alarm_rate,
+            false_alarm_rate: plan.false_alarm_rate,
             step_stake: STEP_STAKES / (plan.steps.len().max(2) - 1) as f64,
             interval_stake: INTERVAL_STAKES / intervals,
             pending_stake: 0.0,
@@ -165,17 +169,17 @@
         }
     }
 
-    /// A further step was taken.
+    /// Adds the stake of a further step.
     pub(crate) fn begin_step(&mut self) {
         self.pending_stake += self.step_stake;
     }
 
-    /// Evaluates the bets on an interval of rows.
+    /// Updates the wealth of each hypothesis by the evidence of an interval.
     pub(crate) fn evaluate(&mut self, rows: &[EvaluatedRow], weights: &IntervalWeights) {
         let gains = self.log_gains(rows, weights);
         let is_zone = |hypothesis: &Hypothesis| matches!(hypothesis.scope, Scope::Zone(_));
         let is_route = |hypothesis: &Hypothesis| matches!(hypothesis.scope, Scope::Route(_));
-        // Where there is but one zone or route, it is the fleet.
+        // A single zone or route is the same as the fleet, and is not tested separately.
         let has_zones = gains.keys().filter(|hypothesis| is_zone(hypothesis)).count() > HYPOTHESES_PER_SCOPE;
         let has_routes =
             gains.keys().filter(|hypothesis| is_route(hypothesis)).count() > HYPOTHESES_PER_SCOPE;
@@ -194,7 +198,7 @@
         }
     }
 
-    /// What the interval's strata gain on each hypothesis.
+    /// The log likelihood ratios of each hypothesis, summed over the strata of an interval.
     fn log_gains(&self, rows: &[EvaluatedRow], weights: &IntervalWeights) -> BTreeMap<Hypothesis, Logs> {
         let mut gains: BTreeMap<Hypothesis, Logs> = BTreeMap::new();
         for (stratum, samples) in samples_by_stratum(rows) {
@@ -208,17 +212,18 @@
         gains
     }
 
-    /// The test with the strongest evidence; none before the first interval.
+    /// The test with the strongest evidence; `None` before the first interval.
     pub(crate) fn strongest(&self) -> Option<Strongest<'_>> {
         let tests = self.log_wealth.iter();
         let odds = tests.map(|(hypothesis, logs)| Strongest { hypothesis, log_odds: log_mean(logs) });
         odds.max_by(|a, b| a.log_odds.total_cmp(&b.log_odds))
     }
 
-    /// The log of the odds at which a test is decided, by Ville's inequality with the error split over all tests.
+    /// The log of the wealth at which a test decides, by Ville's inequality with the error probability split over all
+    /// tests.
     pub(crate) fn log_threshold(&self) -> f64 {
         let tests = self.log_wealth.len().max(MIN_TESTS) as f64;
-        (tests / self.error).ln()
+        (tests / self.false_alarm_rate).ln()
     }
 }
 
--- a/crates/data-plane/rollout/src/evidence.rs
+++ b/crates/data-plane/rollout/src/evidence.rs
@@ -1,88 +1,89 @@
-//! The evidence that an edge reports of both variants, as it is on the wire. A row holds all that was counted so far
-//! and a version of itself, so that a report may be lost, late or delivered twice.
+//! The evidence that an edge reports of both variants, in its wire format. A row holds the totals so far and its own
+//! revision, so that reports may be lost, late or delivered twice.
 use crate::Ms;
 use serde::{Deserialize, Serialize};
 
-/// The time that one row covers, in milliseconds: long enough that a few requests a second make a row worth its bytes,
-/// short enough to stop a rollout within seconds.
+/// The time window that one row covers, in milliseconds. It is long enough for a row to hold several requests at a few
+/// requests per second, which limits the bytes, and short enough to stop a rollout within seconds.
 pub const REPORT_WINDOW: Ms = 2000;
-/// The route under which an edge counts all routes beyond those that it tells apart.
+/// The route name under which an edge counts all routes beyond its limit of distinct routes.
 pub const OTHER_ROUTES: &str = "*";
 /// Number of variants of [`OutcomeKind`].
 pub const OUTCOME_KINDS: usize = 8;
 
-/// What became of an attempt. The variants' order is that of the counts on the wire.
+/// The outcome of an attempt. The order of the variants is that of the counts on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OutcomeKind {
-    /// Sent to a host.
+    /// The attempt was sent to a host. This is counted in addition to the outcome.
     Offered,
     /// Answered within the latency target.
     Good,
     /// Answered after the latency target.
     Late,
-    /// Answered with a failure of the host's own.
+    /// Answered with an error by the host itself.
     Failed,
-    /// It may have run, and no answer came.
+    /// No answer came, and the attempt may have been executed.
     Lost,
-    /// A second complete answer came for one attempt: it ran twice.
+    /// A second complete answer came for the same attempt: it was executed twice.
     DuplicateResponse,
-    /// An answer whose id or seal is wrong.
+    /// The answer came from another host than the intended one, or without a valid `Server-Seal` header.
     InvalidResponse,
-    /// Answered by a host that is warming up or overloaded: says nothing about the variant's latency.
+    /// Answered by a host that is warming up or overloaded, so that the latency says nothing about the variant.
     Excluded,
 }
 
-/// What was counted of one variant.
+/// The counts of one variant.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Counts {
     /// Attempts by [`OutcomeKind`].
     #[serde(rename = "n")]
     pub all: [u32; OUTCOME_KINDS],
-    /// (host, attempts lost there).
+    /// (host, number of attempts lost there).
     #[serde(rename = "l", default, skip_serializing_if = "Vec::is_empty")]
     pub lost_at: Vec<(String, u32)>,
-    /// (host, late or failed there), of the new version: one host's trouble is not the version's.
+    /// (host, number of late or failed attempts there). Reported only for the new version, so that the analysis can
+    /// discount a fault of a single host.
     #[serde(rename = "s", default, skip_serializing_if = "Vec::is_empty")]
     pub slow_at: Vec<(String, u32)>,
-    /// Response times as a histogram: (milliseconds, how many).
+    /// Histogram of response times: (milliseconds, count).
     #[serde(rename = "t", default, skip_serializing_if = "Vec::is_empty")]
     pub times: Vec<(u32, u32)>,
 }
 
 impl Counts {
-    /// Attempts of one kind.
+    /// Number of attempts with this outcome.
     pub fn of(&self, kind: OutcomeKind) -> u64 {
         u64::from(self.all[kind as usize])
     }
 
-    /// Attempts that say something about latency.
+    /// Number of attempts that count for latency: good, late or failed.
     pub fn timed(&self) -> u64 {
         self.of(OutcomeKind::Good) + self.slow()
     }
 
-    /// Attempts that were late or failed.
+    /// Number of attempts that were late or failed.
     pub fn slow(&self) -> u64 {
         self.of(OutcomeKind::Late) + self.of(OutcomeKind::Failed)
     }
 
-    /// Attempts without a usable answer.
+    /// Number of attempts without a valid answer.
     pub fn unanswered(&self) -> u64 {
         self.of(OutcomeKind::Lost) + self.of(OutcomeKind::InvalidResponse)
     }
 
-    /// Attempts that have come to an end, answered or lost.
+    /// Number of attempts that have ended, answered or lost.
     pub fn ended(&self) -> u64 {
         self.timed() + self.of(OutcomeKind::Excluded) + self.unanswered()
     }
 }
 
-/// What an edge counted of both variants of a plan on one route within one [`REPORT_WINDOW`].
+/// The counts of both variants of a plan at one edge, on one route, within one [`REPORT_WINDOW`].
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EvidenceRow {
     /// The plan's name.
     #[serde(rename = "p")]
     pub plan: String,
-    /// The plan's number while it was counted.
+    /// The plan's number at the time of counting.
     #[serde(rename = "v")]
     pub number: u64,
     /// Index of the window: the edge's time divided by [`REPORT_WINDOW`].
@@ -91,7 +92,7 @@
     /// The route's name, or [`OTHER_ROUTES`].
     #[serde(rename = "r")]
     pub route: String,
-    /// How often the row has changed: the higher one supersedes the lower.
+    /// Incremented with each change of the row; a higher revision supersedes a lower one.
     #[serde(rename = "c")]
     pub revision: u32,
     /// Counts of the new version.
@@ -106,12 +107,12 @@
 pub struct EvidenceReport {
     /// The edge's name.
     pub edge: String,
-    /// The incarnation of the edge: its counts begin anew with each start.
+    /// The incarnation of the edge; its counts restart from zero with each incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// The edge's zone.
     #[serde(rename = "area")]
     pub zone: String,
-    /// Rows that are new or have changed.
+    /// The rows that are new or have changed since they were last reported.
     pub rows: Vec<EvidenceRow>,
 }
--- a/crates/data-plane/rollout/src/lib.rs
+++ b/crates/data-plane/rollout/src/lib.rs
@@ -1,16 +1,16 @@
-//! Progressive rollout of a new version of a service (canary release): the new version gets the same share of the
-//! service's requests on every edge, step by step, and loses it everywhere when the analysis finds it worse than the
-//! control group. Pure: times are milliseconds that the caller gives; nothing here does I/O. `docs/rollout.md` is the
-//! design.
+//! Progressive rollout of a new version of a service (canary release). The new version gets the same share of the
+//! service's requests on every edge proxy, and the share grows in steps. If the analysis finds the new version worse
+//! than the control group, the rollout is paused on all edges. The package does no I/O; the caller passes in the time.
+//! `docs/rollout.md` describes the design.
 //!
-//! - [`lifecycle`]: a plan's state at the control plane: phase, step, commands; one number for each change.
-//! - [`share`]: which members are in which share, the same on every edge.
+//! - [`lifecycle`]: a rollout's state at the control plane: phase, step and commands; each change has a number.
+//! - [`share`]: which members (sessions or clients) belong to a share; the same on every edge.
 //! - [`variant`]: the two variants, new version and control group.
-//! - [`selector`]: which variant an edge selects for a request, under a lease on the new version's share.
-//! - [`evidence`]: what an edge counts of both variants, as it is on the wire.
-//! - [`recorder`]: how an edge counts it and bounds its reports.
+//! - [`selector`]: selects a variant for a request at an edge, under a lease on the new version's share.
+//! - [`evidence`]: the counts of both variants that an edge reports, in their wire format.
+//! - [`recorder`]: counts outcomes at an edge, and limits the size of its reports.
 //! - [`analysis`]: the sequential test of the new version against the control group, at the leader.
-//! - [`verdict`]: what the analysis comes to.
+//! - [`verdict`]: the result of the analysis.
 //!
 //! ```
 //! use coppersail_rollout::lifecycle::{Phase, RolloutCommand, RolloutState};
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -1,5 +1,5 @@
-//! A rollout's state at the control plane, which keeps it on two disks: its phase, its step, and the commands that
-//! change them. Each change has the next number; whoever knows several keeps the highest.
+//! A rollout's state at the control plane, which stores it on two disks: its phase and step, and the commands that
+//! change them. Each change increments the state's number; of several states, the one with the highest number is valid.
 use crate::verdict::Verdict;
 use crate::Ms;
 use coppersail_config::rollout::{PauseAction, RolloutPlan, Step, StepApproval};
@@ -10,39 +10,39 @@
 const REASON_SOUND: &str = "sound";
 const REASON_EXPIRED: &str = "its time is over";
 
-/// How a rollout stands. The `Debug` names stand in log lines, the lower-case ones in stored data and on the wire.
+/// The phase of a rollout. Log lines have the `Debug` names, stored data and the wire the lower-case names.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Phase {
-    /// It advances by its steps.
+    /// The rollout advances through its steps.
     #[default]
     Running,
-    /// Paused; the share stays as it is.
+    /// Paused; the new version keeps its share.
     Frozen,
-    /// Rolled back; nothing goes to the new version.
+    /// Rolled back; the new version gets no requests.
     Withdrawn,
-    /// The last step has passed: the new version is promoted.
+    /// The last step is over, and the new version is promoted.
     Done,
-    /// The plan is out of force; requests go by the configuration.
+    /// The plan is out of force; the configuration alone routes the requests.
     Ended,
 }
 
 /// A command of an operator. [`RolloutCommand::from_name`] has the words on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCommand {
-    /// Pauses as the plan says: freezes the share, or rolls back.
+    /// Pauses as the plan specifies: freezes the share, or rolls back.
     Pause,
-    /// Continues a paused rollout and counts evidence anew.
+    /// Resumes a paused rollout in a new run, which ignores earlier evidence.
     Resume,
     /// Promotes to the next step.
     Promote,
-    /// Rolls back, whatever the plan says of pauses.
+    /// Rolls back, whichever action the plan specifies for pauses.
     RollBack,
     /// Takes the plan out of force.
     End,
 }
 
-const COMMAND_WORDS: [(&str, RolloutCommand); 5] = [
+const COMMAND_NAMES: [(&str, RolloutCommand); 5] = [
     ("pause", RolloutCommand::Pause),
     ("resume", RolloutCommand::Resume),
     ("pass", RolloutCommand::Promote),
@@ -51,21 +51,21 @@
 ];
 
 impl RolloutCommand {
-    /// The command of a word on the wire.
+    /// The command with this name on the wire.
     ///
     /// ```
     /// use coppersail_rollout::RolloutCommand;
     /// assert_eq!(RolloutCommand::from_name("undo"), Some(RolloutCommand::RollBack));
     /// ```
     pub fn from_name(name: &str) -> Option<RolloutCommand> {
-        COMMAND_WORDS.iter().find(|(word, _)| *word == name).map(|(_, command)| *command)
+        COMMAND_NAMES.iter().find(|(known, _)| *known == name).map(|(_, command)| *command)
     }
 }
 
-/// Why a submitted plan is refused.
+/// Why a submitted plan is rejected.
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 pub enum SubmitError {
-    /// A field of the plan has a value that can't be used.
+    /// A field of the plan is invalid.
     #[error(transparent)]
     InvalidPlan(#[from] FieldError),
     /// Another plan has this name and hasn't ended.
@@ -76,13 +76,13 @@
     },
 }
 
-/// Why a command is refused.
+/// Why a command is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum CommandError {
-    /// Nothing brings an ended plan back but a new submission.
+    /// The plan has ended. It comes into force again only by a new submission.
     #[error("the plan has ended")]
     Ended,
-    /// A step can be passed only while the rollout runs.
+    /// The rollout is paused; it can be promoted only while it runs.
     #[error("the plan is paused; resume it first")]
     Paused {
         /// The phase of the plan; `Running` or `Done` was expected.
@@ -90,31 +90,31 @@
     },
 }
 
-/// A plan and how far its rollout is. Stored as `plan/NAME` and sent to edges.
+/// A plan and the state of its rollout. Stored as `plan/NAME` and sent to edges.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RolloutState {
     /// The plan's name.
     pub name: String,
-    /// Rises by one with each change.
+    /// The number of this state, incremented with each change.
     pub number: u64,
-    /// How it stands.
+    /// The phase of the rollout.
     pub phase: Phase,
-    /// Index of the step in force.
+    /// Index of the current step.
     pub step: usize,
-    /// The number with which evidence began to count anew; evidence of lower numbers is ignored.
+    /// The number of the state that began the current run; evidence of lower numbers is ignored.
     pub run: u64,
-    /// For how long this run had been in force up to this change, in milliseconds.
+    /// How long the current run had lasted at this change, in milliseconds.
     #[serde(rename = "ran")]
     pub elapsed_ms: Ms,
-    /// Why it is in this phase, for operators.
+    /// The reason for the latest change, for operators.
     #[serde(rename = "why")]
     pub reason: String,
     /// The plan as the operator sent it.
     pub body: String,
 }
 
-/// When the present leader took the present state up, in its own time. A new leader begins a step's least time anew: it
-/// can't know how much of it has passed.
+/// When the current leader applied the current state, by the leader's own clock. A new leader restarts the minimum
+/// duration of the step, as it can't know how much of it has passed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct AppliedAt(pub Ms);
 
@@ -125,8 +125,8 @@
 }
 
 impl RolloutState {
-    /// The state of a new plan, or of the next one under the name of a plan that has ended. The plan in force, sent
-    /// again, is returned as it stands.
+    /// The initial state of a submitted plan, whose name must be new or that of an ended plan. If the same plan is in
+    /// force already, its current state is returned.
     pub fn submit(
         name: &str,
         body: &str,
@@ -150,12 +150,12 @@
         })
     }
 
-    /// The parsed plan; the default one if a stored body can't be parsed by this build.
+    /// The parsed plan, or the default plan if this build can't parse the stored body.
     pub fn plan(&self) -> RolloutPlan {
         coppersail_config::rollout::parse(&self.body).unwrap_or_default()
     }
 
-    /// The new version's share of requests, from 0 to 1; none once the plan is out of force.
+    /// The new version's share of requests, from 0 to 1; `None` if the plan is out of force.
     pub fn share(&self) -> Option<f64> {
         match self.phase {
             Phase::Running | Phase::Frozen | Phase::Done => {
@@ -177,8 +177,8 @@
         }
     }
 
-    /// Applies a command `elapsed_ms` milliseconds after the last change. None: the rollout is in the commanded state
-    /// already, as after a command that was sent twice.
+    /// Applies a command `elapsed_ms` milliseconds after the last change. `Ok(None)` if the rollout is already in the
+    /// requested state, as when a command is sent twice.
     pub fn apply_command(
         &self,
         elapsed_ms: Ms,
@@ -194,7 +194,7 @@
             RolloutCommand::Pause => Ok(self.paused(elapsed_ms, reason)),
             RolloutCommand::Resume => Ok(self.resumed(elapsed_ms, reason)),
             RolloutCommand::Promote => match self.phase {
-                Phase::Running => Ok(Some(self.passed(elapsed_ms, reason))),
+                Phase::Running => Ok(Some(self.promoted(elapsed_ms, reason))),
                 Phase::Done => Ok(None),
                 found => Err(CommandError::Paused { found }),
             },
@@ -217,7 +217,7 @@
         Some(self.next(elapsed, phase, self.step, reason))
     }
 
-    /// Begins another run. A rollout that was rolled back begins with the smallest share again.
+    /// Begins a new run. After a rollback it begins at the first step.
     fn resumed(&self, elapsed: Ms, reason: &str) -> Option<RolloutState> {
         if matches!(self.phase, Phase::Running | Phase::Done) {
             return None;
@@ -227,7 +227,8 @@
         Some(RolloutState { run: next.number, elapsed_ms: 0, ..next })
     }
 
-    fn passed(&self, elapsed: Ms, reason: &str) -> RolloutState {
+    /// Takes the next step, or promotes the new version after the last one.
+    fn promoted(&self, elapsed: Ms, reason: &str) -> RolloutState {
         if self.step + 1 < self.plan().steps.len() {
             self.next(elapsed, Phase::Running, self.step + 1, reason)
         } else {
@@ -235,7 +236,7 @@
         }
     }
 
-    /// The change that time and the analysis' verdict bring about, if any.
+    /// The next state, if the elapsed time or the verdict of the analysis causes a change.
     pub fn tick(
         &self,
         plan: &RolloutPlan,
@@ -246,7 +247,7 @@
         let elapsed = since.elapsed(now);
         match (self.phase, verdict) {
             (Phase::Frozen | Phase::Withdrawn | Phase::Ended, _) => None,
-            // A fault that shows only after the last step still pauses.
+            // A fault that appears only after the last step still pauses the rollout.
             (Phase::Running | Phase::Done, Verdict::Pause(reason)) => self.paused(elapsed, reason),
             (Phase::Done, _) => None,
             (Phase::Running, _) if self.is_expired(plan, elapsed) => self.paused(elapsed, REASON_EXPIRED),
@@ -260,13 +261,13 @@
     }
 
     fn advanced(&self, plan: &RolloutPlan, elapsed: Ms) -> Option<RolloutState> {
-        let may_pass = |step: &&Step| {
+        let may_advance = |step: &&Step| {
             elapsed as u128 >= step.min_duration.as_millis() && step.approval == StepApproval::Itself
         };
-        plan.steps.get(self.step).filter(may_pass).map(|_| self.passed(elapsed, REASON_SOUND))
+        plan.steps.get(self.step).filter(may_advance).map(|_| self.promoted(elapsed, REASON_SOUND))
     }
 
-    /// Milliseconds until the step's least time is over; none unless the rollout runs.
+    /// Milliseconds until the minimum duration of the step is over; `None` unless the rollout is running.
     pub fn remaining_ms(&self, plan: &RolloutPlan, now: Ms, since: AppliedAt) -> Option<Ms> {
         let step = plan.steps.get(self.step).filter(|_| self.phase == Phase::Running)?;
         Some((step.min_duration.as_millis() as Ms).saturating_sub(since.elapsed(now)))
--- a/crates/data-plane/rollout/src/recorder.rs
+++ b/crates/data-plane/rollout/src/recorder.rs
@@ -1,5 +1,5 @@
-//! How an edge counts evidence of both variants and bounds what it reports: a row a plan, route and window of time, kept
-//! for a minute, reported whenever it has changed.
+//! The recorder of evidence at an edge. It counts outcomes in one row per plan, route and time window, reports rows
+//! that have changed, limits the size of a report, and keeps rows for a minute.
 use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, OTHER_ROUTES, REPORT_WINDOW};
 use crate::load_limit::load_limit;
 use crate::variant::Variant;
@@ -7,22 +7,22 @@
 use hdrhistogram::Histogram;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Rows are reported again to a new leader for as long (ms); older ones weigh little in what it decides.
+/// How long rows are kept to be reported again to a new leader (ms). Older rows weigh little in its decision.
 const ROW_RETENTION: Ms = 60_000;
-/// Routes that are told apart in one window; those beyond are counted as [`OTHER_ROUTES`].
+/// Maximum number of distinct routes in one window; further routes are counted as [`OTHER_ROUTES`].
 const MAX_ROUTES: usize = 16;
-/// Response times kept of one variant, route and window; more add nothing.
+/// Maximum number of response times kept per variant, route and window; more would add no information.
 const MAX_TIMES: usize = 4096;
-/// The longest time that the histogram tells apart (ms): longer than any request.
+/// The highest value of the histogram (ms), which is longer than any request.
 const HISTOGRAM_MAX: u64 = 60_000;
-/// One significant digit: an error of 6% at worst.
+/// Significant digits of the histogram; one digit gives an error of at most 6%.
 const HISTOGRAM_DIGITS: u8 = 1;
-/// Bytes of a report without its rows.
+/// Assumed size of a report without its rows, in bytes.
 const REPORT_HEADER_BYTES: usize = 64;
-/// Among fewer hosts none can be called overloaded.
+/// With fewer hosts, none is considered overloaded, as there are too few to compare it with.
 const OVERLOAD_MIN_HOSTS: usize = 3;
 
-/// What an attempt tells about the variants of a plan.
+/// One event of an attempt, as evidence about a plan's variants.
 #[derive(Debug, Clone, Copy)]
 pub struct AttemptEvidence<'a> {
     /// The plan's name.
@@ -33,20 +33,20 @@
     pub route: &'a str,
     /// The variant that the request was sent to.
     pub variant: Variant,
-    /// How the attempt ended.
+    /// The outcome to count.
     pub kind: OutcomeKind,
-    /// The response time in milliseconds, where it was answered.
+    /// The response time in milliseconds, if the attempt was answered.
     pub latency: Option<Ms>,
-    /// Where it ran, if that is known.
+    /// The host of the attempt, if it is known.
     pub host: Option<&'a str>,
 }
 
-/// A row and what is needed to report it.
+/// A row with its response times and report status.
 struct RecordedRow {
     row: EvidenceRow,
     /// Response times of the new version and of the control group, in order of arrival.
     times: [Vec<u32>; 2],
-    /// It has changed since it was last reported.
+    /// The row has changed since it was last reported.
     unreported: bool,
 }
 
@@ -61,7 +61,7 @@
         self.row.plan == plan && self.row.number == number
     }
 
-    fn record(&mut self, variant: Variant, kind: OutcomeKind, took: Option<Ms>, host: Option<&str>) {
+    fn record(&mut self, variant: Variant, kind: OutcomeKind, latency: Option<Ms>, host: Option<&str>) {
         self.unreported = true;
         self.row.revision += 1;
         let counts = if variant == Variant::New { &mut self.row.new } else { &mut self.row.control };
@@ -70,12 +70,12 @@
             increment(by_host, host);
         }
         let times = &mut self.times[variant as usize];
-        if let Some(took) = took.filter(|_| times.len() < MAX_TIMES) {
-            times.push(took.clamp(1, u64::from(u32::MAX)) as u32);
+        if let Some(latency) = latency.filter(|_| times.len() < MAX_TIMES) {
+            times.push(latency.clamp(1, u64::from(u32::MAX)) as u32);
         }
     }
 
-    /// The row with its histograms, marked as reported.
+    /// Returns the row with its histograms, and marks it as reported.
     fn report(&mut self, histogram: &mut Histogram<u32>) -> EvidenceRow {
         self.unreported = false;
         let mut row = self.row.clone();
@@ -92,7 +92,7 @@
     }
 }
 
-/// The list of hosts in which an outcome is counted, if any.
+/// The per-host counts for an outcome, if it is counted by host.
 fn host_counts(counts: &mut Counts, variant: Variant, kind: OutcomeKind) -> Option<&mut Vec<(String, u32)>> {
     match kind {
         OutcomeKind::Lost | OutcomeKind::InvalidResponse => Some(&mut counts.lost_at),
@@ -112,14 +112,14 @@
     Histogram::new_with_bounds(1, HISTOGRAM_MAX, HISTOGRAM_DIGITS).expect("fixed bounds")
 }
 
-/// Requests that were sent to one host within a window.
+/// The load of one host within a window.
 #[derive(Clone, Copy)]
 struct HostLoad {
     requests: u32,
     slots: f64,
 }
 
-/// Requests by host within one window, to find hosts with far more than their share.
+/// The load of all hosts within one window, to detect hosts that get far more than their share of requests.
 #[derive(Default)]
 struct LoadTracker {
     window: u64,
@@ -148,7 +148,8 @@
         load
     }
 
-    /// Measured against the other hosts: a host with nearly all requests would otherwise be its own measure.
+    /// Compares a host with the other hosts only: with its own requests included, a host that gets nearly all requests
+    /// would determine the average itself.
     fn is_overloaded(&self, own: HostLoad) -> bool {
         let requests = f64::from(own.requests);
         let per_slot = (self.total_requests - requests) / (self.total_slots - own.slots).max(own.slots);
@@ -157,7 +158,7 @@
     }
 }
 
-/// Counts outcomes at one edge and makes its reports.
+/// Counts outcomes at one edge and builds its reports.
 #[derive(Default)]
 pub struct EvidenceRecorder {
     edge: String,
@@ -165,22 +166,22 @@
     zone: String,
     /// Rows of the current window.
     open: Vec<RecordedRow>,
-    /// The current window has something that can't wait for its end.
+    /// The current window has a duplicate response, which is reported before the window ends.
     urgent: bool,
     /// Rows of earlier windows, the newest last.
     closed: VecDeque<RecordedRow>,
-    /// Reused from report to report: it is large.
+    /// Reused by all reports, as it is large.
     histogram: Option<Histogram<u32>>,
     load: LoadTracker,
 }
 
 impl EvidenceRecorder {
-    /// A recorder of an edge with this name, incarnation and zone.
+    /// A recorder for the edge with this name, incarnation and zone.
     pub fn new(edge: &str, incarnation: u64, zone: &str) -> EvidenceRecorder {
         EvidenceRecorder { edge: edge.into(), incarnation, zone: zone.into(), ..EvidenceRecorder::default() }
     }
 
-    /// Closes the rows of windows that are over, and drops those whose retention is.
+    /// Closes the rows of windows that are over, and drops rows whose retention is over.
     fn close_windows(&mut self, now: Ms) {
         let window = now / REPORT_WINDOW;
         if self.open.first().is_some_and(|open| open.row.window != window) {
@@ -193,6 +194,7 @@
         }
     }
 
+    /// The row of the current window for a plan and route, which is created if necessary.
     fn open_row(&mut self, now: Ms, plan: &str, number: u64, route: &str) -> &mut RecordedRow {
         self.close_windows(now);
         let find = |open: &[RecordedRow], route: &str| {
@@ -209,24 +211,25 @@
         &mut self.open[at]
     }
 
-    /// Counts a request that goes to a host with so many slots. True if the host gets so much more than its share of
-    /// what this edge sends, beyond chance, that its answers say more about the load than about the version.
+    /// Counts a request to a host with this number of slots (concurrent requests). True if the host gets significantly
+    /// more than its share of this edge's requests, so that its latency reflects the load rather than the version.
     pub fn record_sent(&mut self, now: Ms, host: &str, slots: f64) -> bool {
         self.load.begin_window(now / REPORT_WINDOW);
         let own = self.load.count(host, slots);
         self.load.is_overloaded(own)
     }
 
-    /// Counts an attempt that has ended at `now`.
+    /// Counts the outcome of an attempt at `now`.
     pub fn record_outcome(&mut self, now: Ms, attempt: &AttemptEvidence) {
         self.urgent |= attempt.kind == OutcomeKind::DuplicateResponse;
         let row = self.open_row(now, attempt.plan, attempt.number, attempt.route);
         row.record(attempt.variant, attempt.kind, attempt.latency, attempt.host);
     }
 
-    /// A report of the rows that have changed and whose window is over, and at once of the current ones if something ran
-    /// twice; as many as fit into `most` bytes, but one at least, the newest first. The others follow with the next.
-    pub fn report(&mut self, now: Ms, most: usize) -> Option<EvidenceReport> {
+    /// A report of the changed rows whose window is over, the newest first; after a duplicate response also of the
+    /// current window's rows. It has as many rows as fit into `max_bytes`, but at least one; the others are left for
+    /// the next report.
+    pub fn report(&mut self, now: Ms, max_bytes: usize) -> Option<EvidenceReport> {
         self.close_windows(now);
         let urgent = std::mem::take(&mut self.urgent);
         let histogram = self.histogram.get_or_insert_with(new_histogram);
@@ -237,7 +240,7 @@
         for recorded in open.chain(closed) {
             let row = recorded.report(histogram);
             bytes += serde_json::to_string(&row).map_or(0, |text| text.len() + 1);
-            if bytes > most && !rows.is_empty() {
+            if bytes > max_bytes && !rows.is_empty() {
                 recorded.unreported = true;
                 break;
             }
@@ -247,12 +250,12 @@
         (!rows.is_empty()).then_some(EvidenceReport { edge, incarnation, zone, rows })
     }
 
-    /// Reports all retained rows again: there is a new leader that knows none of them, or a report was lost.
+    /// Marks all retained rows to be reported again, for a new leader that has none of them or after a report was lost.
     pub fn report_all_again(&mut self) {
         self.closed.iter_mut().for_each(|row| row.unreported = true);
     }
 
-    /// Forgets everything, when plans come into force or go out of it.
+    /// Drops all counts. Called when plans come into force or go out of force.
     pub fn clear(&mut self) {
         self.open.clear();
         self.closed.clear();
--- a/crates/data-plane/rollout/src/selector.rs
+++ b/crates/data-plane/rollout/src/selector.rs
@@ -1,5 +1,6 @@
-//! Which variant of a rollout an edge selects for a request. The new version's share is held under a lease: an edge
-//! that hears nothing from the control plane falls back to the control group by itself (Gray and Cheriton, leases).
+//! Selection of a rollout's variant for a request at an edge. The edge holds a lease on the new version's share (Gray
+//! and Cheriton 1989): without contact to the control plane the lease expires, and the edge falls back to the control
+//! group.
 use crate::lifecycle::{Phase, RolloutState};
 use crate::variant::Variant;
 use crate::{share, Ms};
@@ -10,25 +11,26 @@
 pub struct ActiveRollout {
     /// The plan's name.
     pub name: String,
-    /// The number of its newest known change.
+    /// The number of its newest known state.
     pub number: u64,
-    /// The number with which its evidence began to count anew.
+    /// The number of the state that began its current run; only evidence of this and later numbers counts.
     pub run: u64,
     /// The plan as the operator submitted it.
     pub plan: RolloutPlan,
     share: f64,
     phase: Phase,
-    /// This edge has seen conclusive evidence before the control plane has.
+    /// This edge itself has seen conclusive evidence against the new version.
     stopped: bool,
 }
 
 impl ActiveRollout {
-    fn concerns(&self, service: &str, route: &str) -> bool {
+    fn covers(&self, service: &str, route: &str) -> bool {
         let is_target = matches!(&self.plan.to, Version::Backend(name) if name == service);
         (self.plan.service == service || is_target) && self.plan.covers(route)
     }
 
-    /// A finished plan needs no lease: there may be no control group left to fall back to.
+    /// Whether the new version may be used. A promoted version needs no lease, as there may be no control group left to
+    /// fall back to.
     fn lease_is_valid(&self, now: Ms, confirmed_at: Option<Ms>) -> bool {
         let lease = self.plan.lease.as_millis() as Ms;
         self.phase == Phase::Done || confirmed_at.is_some_and(|at| now < at + lease)
@@ -39,18 +41,18 @@
     }
 }
 
-/// The variant that a plan gives a request.
+/// The variant selected for a request.
 #[derive(Debug, Clone, PartialEq)]
 pub struct VariantSelection {
     /// Index of the plan, for [`VariantSelector::get`].
     pub plan: usize,
-    /// The plan's number when the variant was chosen.
+    /// The plan's number when the variant was selected.
     pub number: u64,
     /// The variant.
     pub variant: Variant,
 }
 
-/// The plan of a name has ended with this number: older states of it must not bring it back.
+/// A plan that has ended, with the number of that state. Older states must not bring the plan back into force.
 #[derive(Debug)]
 struct EndedRollout {
     name: String,
@@ -65,16 +67,16 @@
 /// let mut selector = VariantSelector::default();
 /// selector.apply(&RolloutState::submit("p", body, None).unwrap());
 /// let variant = |selector: &VariantSelector, now| selector.choose(now, "a", "r", b"who").unwrap().variant;
-/// assert_eq!(variant(&selector, 1000), Variant::Control, "nothing shows yet that the plan is the newest");
+/// assert_eq!(variant(&selector, 1000), Variant::Control, "the lease has not been granted yet");
 /// selector.renew_lease(1000);
 /// assert_eq!(variant(&selector, 3400), Variant::New);
-/// assert_eq!(variant(&selector, 3600), Variant::Control, "the lease is over");
+/// assert_eq!(variant(&selector, 3600), Variant::Control, "the lease has expired");
 /// assert!(selector.choose(0, "b", "r", b"who").is_none());
 /// ```
 #[derive(Debug, Default)]
 pub struct VariantSelector {
     active: Vec<ActiveRollout>,
-    /// The latest time at which all plans here were known to be the newest.
+    /// The latest time at which all plans here were confirmed to be in their newest state.
     confirmed_at: Option<Ms>,
     ended: Vec<EndedRollout>,
 }
@@ -101,7 +103,7 @@
         active.max(ended)
     }
 
-    /// Applies a plan's state. False if it isn't newer than the one known, and changes nothing.
+    /// Applies a plan's state. Returns false, without a change, if it isn't newer than the known one.
     pub fn apply(&mut self, state: &RolloutState) -> bool {
         if self.known_number(&state.name).is_some_and(|known| known >= state.number) {
             return false;
@@ -125,28 +127,28 @@
         true
     }
 
-    /// Renews the lease: the plans here are those that a leader had at time `at`.
+    /// Renews the lease: the states of all plans here are those that the leader had at time `at`.
     pub fn renew_lease(&mut self, at: Ms) {
         self.confirmed_at = self.confirmed_at.max(Some(at));
     }
 
-    /// Conclusive evidence was seen at this edge while the plan had `number`: no further request goes from here to the
-    /// new version, whatever the control plane decides, until the plan is resumed as another run.
+    /// Stops the new version at this edge, after it has seen conclusive evidence while the plan had `number`. The edge
+    /// sends it no further request, whatever the control plane decides, until the plan is resumed in a new run.
     pub fn stop(&mut self, plan: &str, number: u64) {
-        let concerned = self.active.iter_mut().filter(|known| known.name == plan && known.run <= number);
-        concerned.for_each(|known| known.stopped = true);
+        let affected = self.active.iter_mut().filter(|known| known.name == plan && known.run <= number);
+        affected.for_each(|known| known.stopped = true);
     }
 
-    /// The variant of a request; none where no plan concerns its service and route.
+    /// Selects the variant of a request. `None` if no plan covers its service and route.
     pub fn choose(&self, now: Ms, service: &str, route: &str, member: &[u8]) -> Option<VariantSelection> {
-        let plan = self.active.iter().position(|rollout| rollout.concerns(service, route))?;
+        let plan = self.active.iter().position(|rollout| rollout.covers(service, route))?;
         let rollout = &self.active[plan];
         let may_use_new = rollout.lease_is_valid(now, self.confirmed_at) && !rollout.stopped;
         let variant = if may_use_new && rollout.includes(member) { Variant::New } else { Variant::Control };
         Some(VariantSelection { plan, number: rollout.number, variant })
     }
 
-    /// Whether evidence of the plan's variants is to be counted.
+    /// Whether outcomes of the plan's variants are to be recorded as evidence.
     pub fn records_evidence(&self, at: usize) -> bool {
         self.active[at].share > 0.0 && self.active[at].phase != Phase::Withdrawn
     }
--- a/crates/data-plane/rollout/src/tests.rs
+++ b/crates/data-plane/rollout/src/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the pure parts, by module.
+//! Unit tests, by module.
 use crate::RolloutState;
 
 mod analysis;
--- a/crates/data-plane/rollout/src/tests/analysis.rs
+++ b/crates/data-plane/rollout/src/tests/analysis.rs
@@ -1,27 +1,27 @@
-//! The analysis: what is bad is found, and what is sound is left alone.
+//! The analysis pauses faulty versions, and no others.
 use super::initial_state;
 use crate::analysis::{FleetCapacity, RolloutAnalysis};
 use crate::evidence::{Counts, EvidenceReport, EvidenceRow, OutcomeKind, REPORT_WINDOW};
 use crate::{Ms, Verdict};
 use assert_matches::assert_matches;
 
-/// The rates of faults of one version.
+/// The fault rates of one version.
 #[derive(Clone, Copy)]
 struct Rates {
     late: f64,
     lost: f64,
-    doubled: f64,
+    duplicate: f64,
 }
 
-const fn rates(late: f64, lost: f64, doubled: f64) -> Rates {
-    Rates { late, lost, doubled }
+const fn rates(late: f64, lost: f64, duplicate: f64) -> Rates {
+    Rates { late, lost, duplicate }
 }
 
 fn fleet(new_slots: f64, old_slots: f64) -> FleetCapacity {
     FleetCapacity { new_slots, control_slots: old_slots, new_hosts: 4 }
 }
 
-/// Counts of so many attempts with faults at these rates.
+/// Random counts of `attempts` attempts with these fault rates.
 fn counts(rng: &mut fastrand::Rng, attempts: u32, bad: Rates) -> Counts {
     let mut counts = Counts::default();
     for _ in 0..attempts {
@@ -38,16 +38,17 @@
             _ => {}
         }
         counts.all[kind as usize] += 1;
-        counts.all[OutcomeKind::DuplicateResponse as usize] += u32::from(rng.f64() < bad.doubled);
+        counts.all[OutcomeKind::DuplicateResponse as usize] += u32::from(rng.f64() < bad.duplicate);
     }
     counts
 }
 
-/// What versions do at a time, at an edge, on a route.
-type World = fn(Ms, usize, &str) -> (Rates, Rates);
+/// The fault rates of the new and the old version at a time, at an edge, on a route.
+type FaultModel = fn(Ms, usize, &str) -> (Rates, Rates);
 
-/// Twelve edges in three zones, two routes, for so many seconds. When and why it was paused.
-fn play_rollout(seed: u64, seconds: u64, world: World) -> Result<Verdict, (Ms, String)> {
+/// Simulates twelve edges in three zones with two routes for `seconds`. Returns the last verdict, or when (ms) and why
+/// the rollout was paused.
+fn simulate_rollout(seed: u64, seconds: u64, fault_model: FaultModel) -> Result<Verdict, (Ms, String)> {
     let (mut rng, plan) = (fastrand::Rng::with_seed(seed), initial_state().plan());
     let mut analysis = RolloutAnalysis::new(&plan, 1);
     let mut last = Verdict::Wait("nothing yet".into());
@@ -55,7 +56,7 @@
         let now = window * REPORT_WINDOW;
         for edge in 0..12 {
             let row = |route: &str, rng: &mut fastrand::Rng| {
-                let (new, old) = world(now, edge, route);
+                let (new, old) = fault_model(now, edge, route);
                 let (new, old) = (counts(rng, 1, new), counts(rng, 6, old));
                 EvidenceRow {
                     plan: "p".into(),
@@ -87,8 +88,8 @@
 const SOUND: Rates = rates(0.03, 0.0, 0.0);
 
 #[test]
-fn a_bad_version_is_paused_within_its_time() {
-    let worlds: [(&str, World, &str, Ms); 8] = [
+fn a_faulty_version_is_paused_in_time() {
+    let cases: [(&str, FaultModel, &str, Ms); 8] = [
         ("late", |_, _, _| (rates(0.25, 0.0, 0.0), SOUND), "late", 40_000),
         (
             "late after ten minutes",
@@ -118,9 +119,9 @@
         ),
         ("late while all are", |_, _, _| (rates(0.6, 0.0, 0.0), rates(0.3, 0.0, 0.0)), "late", 90_000),
     ];
-    for (name, world, word, within) in worlds {
+    for (name, fault_model, word, within) in cases {
         for seed in 0..3 {
-            let (at, reason) = play_rollout(seed, 900, world).expect_err(name);
+            let (at, reason) = simulate_rollout(seed, 900, fault_model).expect_err(name);
             assert!(at <= within && reason.contains(word), "{name}, seed {seed}: {at} ms, {reason}");
         }
     }
@@ -128,7 +129,7 @@
 
 #[test]
 fn a_sound_version_is_not_paused_by_other_faults() {
-    let worlds: [(&str, World); 6] = [
+    let cases: [(&str, FaultModel); 6] = [
         ("sound", |_, _, _| (SOUND, SOUND)),
         ("better", |_, _, _| (rates(0.01, 0.0, 0.0), rates(0.1, 0.01, 0.0))),
         ("trouble of all", |t, _, _| {
@@ -142,13 +143,13 @@
         ("both double", |_, _, _| (rates(0.03, 0.0, 0.01), rates(0.03, 0.0, 0.01))),
         ("within its bounds", |_, _, _| (rates(0.045, 0.0, 0.0), SOUND)),
     ];
-    for (name, world) in worlds {
-        // Of both doubling, the new one may have to be the first: it is paused then, and that is right.
-        let paused = (0..10).filter(|seed| play_rollout(*seed, 300, world).is_err()).count();
+    for (name, fault_model) in cases {
+        // If both versions execute requests twice and the new version does so first, it is rightly paused.
+        let paused = (0..10).filter(|seed| simulate_rollout(*seed, 300, fault_model).is_err()).count();
         assert!(paused <= if name == "both double" { 5 } else { 0 }, "{name}: {paused}");
     }
-    assert_matches!(play_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Healthy));
-    assert_matches!(play_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(reason)) if reason.contains("itself"));
+    assert_matches!(simulate_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Healthy));
+    assert_matches!(simulate_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(reason)) if reason.contains("itself"));
 }
 
 fn report(number: u64, window: u64, new: &[(OutcomeKind, u32)]) -> EvidenceReport {
@@ -159,14 +160,17 @@
 }
 
 #[test]
-fn one_second_answer_pauses_and_is_counted_once() {
+fn a_duplicate_response_pauses_and_is_counted_once() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
-    let doubled = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::DuplicateResponse, 1)]);
-    assert!(analysis.ingest(0, "p", &doubled) && !analysis.ingest(1, "p", &doubled), "reported twice");
+    let duplicate = report(1, 1, &[(OutcomeKind::Good, 5), (OutcomeKind::DuplicateResponse, 1)]);
+    assert!(
+        analysis.ingest(0, "p", &duplicate) && !analysis.ingest(1, "p", &duplicate),
+        "the second report of it is ignored"
+    );
     assert_matches!(analysis.evaluate(1, 1, fleet(1.0, 1.0), |_, _| None), Verdict::Pause(_));
     assert_eq!(analysis.sums.new.of(OutcomeKind::DuplicateResponse), 1);
     let mut later = RolloutAnalysis::new(&initial_state().plan(), 2);
-    assert!(!later.ingest(0, "p", &doubled), "of before it was resumed");
+    assert!(!later.ingest(0, "p", &duplicate), "it belongs to the run before the resumption");
 }
 
 #[test]
@@ -179,7 +183,7 @@
         assert_matches!(
             analysis.evaluate(5_000, 1, fleet(1.0, 1.0), |_, _| None),
             Verdict::Wait(_),
-            "not known yet"
+            "whether the hosts died is not known yet"
         );
         analysis.evaluate(8_000, 1, fleet(1.0, 1.0), |_, _| Some(dead))
     };
@@ -208,7 +212,7 @@
 }
 
 #[test]
-fn late_or_missing_reports_hold_the_step() {
+fn no_step_is_taken_while_reports_are_missing() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
     let good = [(OutcomeKind::Good, 30)];
     let of = |edge: &str, window| EvidenceReport { edge: edge.into(), ..report(1, window, &good) };
@@ -222,12 +226,12 @@
     assert_matches!(
         analysis.evaluate(11_500, 2, fleet(1.0, 1.0), |_, _| None),
         Verdict::Wait(_),
-        "another step's"
+        "the evidence belongs to another step"
     );
 }
 
 #[test]
-fn an_overloaded_new_version_waits_and_is_paused_in_the_end() {
+fn an_overloaded_new_version_is_paused_only_after_the_excuse_time() {
     let mut analysis = RolloutAnalysis::new(&initial_state().plan(), 1);
     for window in 0..30 {
         let mut sent = report(
@@ -240,10 +244,10 @@
         analysis.ingest(window * REPORT_WINDOW, "p", &sent);
         let verdict = analysis.evaluate(window * REPORT_WINDOW + 1, 1, fleet(1.0, 9.0), |_, _| None);
         let paused = matches!(verdict, Verdict::Pause(_));
-        assert!(!paused || window > 14, "its hosts have eight times their part to do: {window}");
+        assert!(!paused || window > 14, "its hosts get eight times their share of requests: {window}");
         if paused {
             return;
         }
     }
-    panic!("it goes on for so long that it is the plan's own");
+    panic!("not paused, although the overload lasts so long that the plan causes it");
 }
--- a/crates/data-plane/rollout/src/tests/lifecycle.rs
+++ b/crates/data-plane/rollout/src/tests/lifecycle.rs
@@ -1,11 +1,11 @@
-//! Phases, commands and refusals.
+//! Phases, commands and errors of a rollout.
 use super::{initial_state, BODY};
 use crate::lifecycle::{AppliedAt, CommandError, Phase, RolloutCommand, RolloutState, SubmitError};
 use crate::{RolloutPlan, Variant, VariantSelector, Verdict};
 use assert_matches::assert_matches;
 
 #[test]
-fn a_step_and_a_pause_at_once_end_paused_in_either_order() {
+fn a_concurrent_step_and_pause_end_paused_in_either_order() {
     let (plan, sound, bad) = (initial_state().plan(), Verdict::Healthy, Verdict::Pause("late".into()));
     let stepped = initial_state().tick(&plan, 10_000, AppliedAt(0), &sound).unwrap();
     assert_eq!((stepped.step, stepped.number), (1, 2));
@@ -14,7 +14,7 @@
     let first = initial_state().tick(&plan, 10_000, AppliedAt(0), &bad).unwrap();
     assert_eq!(first.tick(&plan, 10_400, AppliedAt(10_000), &sound), None);
     assert_matches!(first.apply_command(400, RolloutCommand::Promote, ""), Err(_));
-    // At an edge the later number counts, in whatever order they come.
+    // At an edge the state with the higher number is valid, in whichever order the states arrive.
     let mut selector = VariantSelector::default();
     selector.renew_lease(0);
     assert!(selector.apply(&paused) && !selector.apply(&stepped));
@@ -36,14 +36,14 @@
     assert_eq!(RolloutState::submit("p", BODY, Some(&ended)).unwrap().number, 5);
     assert_matches!(RolloutState::submit("p", &BODY.replace("0.05", "0.06"), Some(&resumed)), Err(_));
     assert_eq!(RolloutState::submit("p", BODY, Some(&resumed)).unwrap(), resumed);
-    // Forgotten, it is paused.
+    // A rollout is paused once its maximum duration is over.
     let plan = initial_state().plan();
     let over = resumed.tick(&plan, 3_600_000, AppliedAt(0), &Verdict::Wait(String::new())).unwrap();
     assert_eq!(over.phase, Phase::Withdrawn);
 }
 
 #[test]
-fn each_invalid_field_of_a_plan_is_one_line() {
+fn each_invalid_field_of_a_plan_is_reported_on_one_line() {
     for (found, replacement, line) in [
         ("\"a\", \"from\"", "\"\", \"from\"", "service is \"\", expected text that isn't empty"),
         (
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn each_refusal_keeps_its_line() {
+fn each_error_keeps_its_message() {
     let running = initial_state();
     let other = BODY.replace("0.05", "0.06");
     let refused = RolloutState::submit("p", &other, Some(&running)).unwrap_err();
--- a/crates/data-plane/rollout/src/tests/recorder.rs
+++ b/crates/data-plane/rollout/src/tests/recorder.rs
@@ -1,15 +1,15 @@
-//! What an edge counts and reports.
+//! Evidence that an edge records and reports.
 use crate::evidence::{EvidenceReport, OutcomeKind, REPORT_WINDOW};
 use crate::{AttemptEvidence, EvidenceRecorder, Variant};
 
-/// An attempt of the new version, without a latency and a host.
+/// A good attempt of the new version, without latency and host.
 fn good_attempt(route: &str) -> AttemptEvidence<'_> {
     let (variant, kind) = (Variant::New, OutcomeKind::Good);
     AttemptEvidence { plan: "p", number: 1, route, variant, kind, latency: None, host: None }
 }
 
 #[test]
-fn reports_are_bounded_and_repeated_for_a_new_leader() {
+fn reports_are_limited_in_size_and_repeated_for_a_new_leader() {
     let mut recorder = EvidenceRecorder::new("10.0.0.1", 7, "z");
     for window in 0..20u64 {
         for n in 0..30u32 {
@@ -40,12 +40,12 @@
     }
     assert!(
         recorder.report(REPORT_WINDOW, 1 << 20).unwrap().rows.len() < 100,
-        "routes beyond the bound are one"
+        "routes beyond the limit share one row"
     );
 }
 
 #[test]
-fn an_overloaded_host_is_set_aside() {
+fn only_an_overloaded_host_is_reported_as_overloaded() {
     let (mut recorder, others) = (EvidenceRecorder::default(), ["a", "b", "c", "d"]);
     let host = |n: usize| if n.is_multiple_of(2) { "hot" } else { others[n / 2 % 4] };
     assert!((0..400).filter(|n| recorder.record_sent(0, host(*n), 2.0)).count() > 150);
--- a/crates/data-plane/rollout/src/tests/selector.rs
+++ b/crates/data-plane/rollout/src/tests/selector.rs
@@ -1,4 +1,4 @@
-//! Shares and the lease at an edge.
+//! Shares and their lease at an edge.
 use super::BODY;
 use crate::{RolloutCommand, RolloutState, Variant, VariantSelector};
 
@@ -15,7 +15,7 @@
             .count()
     };
     assert!(on_new_version(&selector, 3_400) > 70);
-    assert_eq!(on_new_version(&selector, 3_500), 0, "cut off for longer than the lease");
+    assert_eq!(on_new_version(&selector, 3_500), 0, "the lease has expired");
     let paused = running.apply_command(0, RolloutCommand::Pause, "").unwrap().unwrap();
     selector.apply(&paused);
     selector.renew_lease(60_000);
@@ -24,13 +24,13 @@
     selector.apply(&resumed);
     assert!(on_new_version(&selector, 60_002) > 70);
     selector.stop("p", resumed.number);
-    assert_eq!(on_new_version(&selector, 60_003), 0, "its own evidence is enough for it");
+    assert_eq!(on_new_version(&selector, 60_003), 0, "the edge stopped the new version by its own evidence");
 }
 
 #[test]
 fn shares_grow_as_supersets() {
-    let place = |n: u32| crate::share::position("a", "p", &n.to_le_bytes());
-    let within = |share: f64| (0..5_000u32).filter(|n| place(*n) < share).collect::<Vec<_>>();
+    let position = |n: u32| crate::share::position("a", "p", &n.to_le_bytes());
+    let within = |share: f64| (0..5_000u32).filter(|n| position(*n) < share).collect::<Vec<_>>();
     let (few, many) = (within(0.05), within(0.25));
     assert!(few.iter().all(|n| many.contains(n)) && (200..300).contains(&few.len()), "{}", few.len());
 }
--- a/crates/data-plane/rollout/src/verdict.rs
+++ b/crates/data-plane/rollout/src/verdict.rs
@@ -1,11 +1,11 @@
-//! What the analysis of a rollout comes to.
+//! The result of the analysis of a rollout.
 
-/// The analysis' result at one time; the texts are shown to operators.
+/// The result of the analysis at one time. The texts are shown to operators.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Verdict {
-    /// Not enough is known; the text says what is missing.
+    /// There is not enough evidence for the next step; the text says what is missing.
     Wait(String),
-    /// Enough evidence, and none against the new version: the next step may be taken.
+    /// There is enough evidence, and none against the new version: the next step may be taken.
     Healthy,
     /// The new version is worse than the control group; the text is the reason.
     Pause(String),
--- a/crates/data-plane/rollout/tests/wire_format.rs
+++ b/crates/data-plane/rollout/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! These bytes are read by builds of other versions: edges tell reports to the centres, and centres store plans and
-//! hand them out. A change here breaks rolling upgrades or stored data.
+//! Formats that builds of other versions read: edges send reports to the control plane, which stores plans and sends
+//! them to edges. A change of these bytes breaks rolling upgrades or stored data.
 use coppersail_rollout::evidence::{Counts, EvidenceRow};
 use coppersail_rollout::lifecycle::RolloutCommand;
 use coppersail_rollout::{
@@ -8,7 +8,7 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// The value is written as exactly this text, and the text is read as an equal value.
+/// Asserts that the value is serialised as exactly this text, and that the text is parsed as an equal value.
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
@@ -64,7 +64,7 @@
             let (latency, host) = (Some(8), Some("h"));
             let attempt = AttemptEvidence { plan: "p", number: 3, route: "r", variant, kind, latency, host };
             recorder.record_outcome(2000, &attempt);
-            // Slow hosts are reported of the new version only.
+            // Slow hosts are reported for the new version only.
             let lists = if variant == Variant::Control && lists.contains("\"s\"") { "" } else { lists };
             let counted = format!(r#"{{"n":{counts}{lists},"t":[[8,1]]}}"#);
             let (new, old) =
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn each_command_keeps_its_word() {
+fn each_command_keeps_its_name() {
     let table = [
         ("pause", RolloutCommand::Pause),
         ("resume", RolloutCommand::Resume),
@@ -145,13 +145,13 @@
     assert_eq!(counts, Counts { all: [1, 2, 3, 4, 5, 6, 7, 8], ..Counts::default() });
 }
 
-/// A member keeps its variant when edges of different builds serve it: the positions are part of the protocol.
+/// A member keeps its variant when edges of different builds serve it, so the positions are part of the protocol.
 #[test]
 fn positions_in_a_share_agree_across_builds() {
-    let place = coppersail_rollout::share::position;
-    assert_eq!(place("ledger", "friday", b"10.1.2.3"), 0.9498801664497901);
-    assert_eq!(place("a", "p", b""), 0.33419988055692385);
-    assert_eq!(place("ledger", "friday", b"\xff\x00session"), 0.08864703815636643);
+    let position = coppersail_rollout::share::position;
+    assert_eq!(position("ledger", "friday", b"10.1.2.3"), 0.9498801664497901);
+    assert_eq!(position("a", "p", b""), 0.33419988055692385);
+    assert_eq!(position("ledger", "friday", b"\xff\x00session"), 0.08864703815636643);
 }
 
 #[test]
--- a/crates/data-plane/session-affinity/examples/night/main.rs
+++ b/crates/data-plane/session-affinity/examples/night/main.rs
@@ -1,6 +1,6 @@
-//! Discrete-event simulation of a busy cluster: clients move between nodes while nodes are killed, zones are partitioned,
-//! responses are lost and connections are reset. The ledger of the simulated endpoint records how many times each
-//! request was executed.
+//! Discrete-event simulation of a busy cluster: clients move between nodes while nodes are killed, zones are
+//! partitioned, responses are lost and connections are reset. The ledger of the simulated endpoint records how many
+//! times each request was executed.
 //!
 //! `cargo run --release -p coppersail-session-affinity --example night -- docs/sessions.md` runs all simulations and
 //! writes their tables into that page. `-- - SEEDS` prints the tables for another number of seeds.
--- a/crates/data-plane/session-affinity/examples/night/world.rs
+++ b/crates/data-plane/session-affinity/examples/night/world.rs
@@ -83,8 +83,8 @@
 /// An idempotent request by session and key.
 pub(crate) type RequestKey = (SessionId, String);
 
-/// The copy of an idempotent request's state in the strategies that serve as a comparison: `None` while it is in flight,
-/// then whether it is known to have been executed.
+/// The copy of an idempotent request's state in the strategies that serve as a comparison: `None` while it is in
+/// flight, then whether it is known to have been executed.
 pub(crate) type CopyState = Option<bool>;
 
 #[derive(Debug, Clone, PartialEq)]
--- a/crates/data-plane/session-affinity/src/model/search.rs
+++ b/crates/data-plane/session-affinity/src/model/search.rs
@@ -135,8 +135,8 @@
         }
     }
 
-    /// Takes a state to expand from the shared list. `Some(None)` if there is none at the moment, `None` once the search
-    /// is complete.
+    /// Takes a state to expand from the shared list. `Some(None)` if there is none at the moment, `None` once the
+    /// search is complete.
     fn take_shared(&self) -> Option<Option<World>> {
         let mut shared = self.shared.lock().unwrap();
         match shared.worlds.pop() {
--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -78,7 +78,8 @@
     assert_text(SessionRecord::default(), empty);
 }
 
-/// Asserts the text of a message, after replacing the placeholders RECORD, ENTRY and FENCE by the texts of their values.
+/// Asserts the text of a message, after replacing the placeholders RECORD, ENTRY and FENCE by the texts of their
+/// values.
 fn assert_message(message: Message, text: &str) {
     let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
     assert_text(message, &text.replace("FENCE", FENCE_TEXT));
