--- a/crates/data-plane/session-affinity/tests/wire_format.rs
+++ b/crates/data-plane/session-affinity/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! These bytes are read by builds of other versions: edges post messages to each other on `/sojourn`, clients carry
-//! tokens, and operators' commands read lists. A change here breaks rolling upgrades or stored data.
+//! Formats that builds of other versions read: edge proxies post messages to each other on `/sojourn`, clients hold
+//! tokens, and operators' commands read the views. A change of these bytes breaks rolling upgrades or stored data.
 use coppersail_session_affinity::token::{fingerprint, SessionToken, SigningKeys};
 use coppersail_session_affinity::{
     AttemptId, Counters, EntryState, FencingToken, IdempotencyEntry, Message, RecordedResponse, RequestView,
@@ -8,14 +8,14 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// The value is written as exactly this text, and the text is read as an equal value.
+/// Asserts that the value is serialised as exactly this text, and that the text is parsed as an equal value.
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
 const ID: SessionId = SessionId([1, 0xabc]);
-const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, start: 9 };
+const FENCE: FencingToken = FencingToken { number: 70_000, node: 2, incarnation: 9 };
 const ATTEMPT: AttemptId = AttemptId { fencing_token: FENCE, number: 3 };
 const FENCE_TEXT: &str = r#"{"n":70000,"by":2,"start":9}"#;
 const ANSWER_TEXT: &str = r#"{"status":201,"headers":[["content-type","text/plain"]],"body":"dGFrZW4/"}"#;
@@ -29,8 +29,8 @@
     IdempotencyEntry { key: "k".into(), fingerprint: 5, attempt: ATTEMPT, state, changed_at: 71_000 }
 }
 
-fn entry_text(step: &str) -> String {
-    format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{step},"at":71000}}"#)
+fn entry_text(state: &str) -> String {
+    format!(r#"{{"key":"k","print":5,"attempt":[{FENCE_TEXT},3],"step":{state},"at":71000}}"#)
 }
 
 fn record() -> SessionRecord {
@@ -61,13 +61,13 @@
     let table = [
         (EntryState::InFlight { deadline: 80_000 }, r#"{"Open":{"until":80000}}"#),
         (EntryState::Unknown, r#""Unknown""#),
-        (EntryState::NotRun, r#""NotRun""#),
+        (EntryState::NotExecuted, r#""NotRun""#),
         (EntryState::ResponseDropped, r#""Past""#),
         (EntryState::Completed(answer()), &ran),
     ];
-    for (step, text) in table {
-        assert_text(step.clone(), text);
-        assert_text(entry(step), &entry_text(text));
+    for (state, text) in table {
+        assert_text(state.clone(), text);
+        assert_text(entry(state), &entry_text(text));
     }
 }
 
@@ -78,7 +78,8 @@
     assert_text(SessionRecord::default(), empty);
 }
 
-/// The names of values in the text are replaced by their texts.
+/// Asserts the text of a message, after replacing the placeholders RECORD, ENTRY and FENCE by the texts of their
+/// values.
 fn assert_message(message: Message, text: &str) {
     let text = text.replace("RECORD", &record_text()).replace("ENTRY", &entry_text(r#""NotRun""#));
     assert_text(message, &text.replace("FENCE", FENCE_TEXT));
@@ -101,7 +102,7 @@
             r#"{"Write":{"id":[1,2748],"fence":FENCE,"life":8,"record":RECORD}}"#,
         ),
         (
-            Message::Completion { id, entry: entry(EntryState::NotRun) },
+            Message::Completion { id, entry: entry(EntryState::NotExecuted) },
             r#"{"Told":{"id":[1,2748],"entry":ENTRY}}"#,
         ),
     ];
@@ -139,7 +140,11 @@
             r#"{"Blank":{"id":[1,2748],"fence":FENCE,"life":8}}"#,
         ),
         (
-            Message::Rejected { id, fencing_token, promised: FencingToken { number: 1, node: 2, start: 3 } },
+            Message::Rejected {
+                id,
+                fencing_token,
+                promised: FencingToken { number: 1, node: 2, incarnation: 3 },
+            },
             r#"{"Outranked":{"id":[1,2748],"fence":FENCE,"promised":{"n":1,"by":2,"start":3}}}"#,
         ),
         (Message::NoCapacity { id, fencing_token }, r#"{"Full":{"id":[1,2748],"fence":FENCE}}"#),
@@ -149,7 +154,7 @@
         ),
         (Message::CompletionAck { id, attempt }, r#"{"Noted":{"id":[1,2748],"attempt":[FENCE,3]}}"#),
         (
-            Message::CompletionNotice { id, entry: entry(EntryState::NotRun) },
+            Message::CompletionNotice { id, entry: entry(EntryState::NotExecuted) },
             r#"{"News":{"id":[1,2748],"entry":ENTRY}}"#,
         ),
         (Message::Superseded { id, fencing_token }, r#"{"LetGo":{"id":[1,2748],"fence":FENCE}}"#),
@@ -158,8 +163,8 @@
 }
 
 #[test]
-fn what_operators_are_shown_keeps_its_bytes() {
-    let counts = Counters {
+fn operators_views_keep_their_bytes() {
+    let counters = Counters {
         claims: 1,
         takeovers: 2,
         sessions_superseded: 3,
@@ -178,8 +183,8 @@
         r#"{"claims":1,"crossings":2,"let_go":3,"waits":4,"sent":5,"repeats_answered":6,"under_way":7,"#,
         r#""other_body":8,"unknown":9,"refused":10,"forgotten":11,"healed":12,"dropped":13}"#,
     );
-    assert_text(counts, text);
-    let shown = SessionView {
+    assert_text(counters, text);
+    let view = SessionView {
         id: "ab".into(),
         owner: true,
         fencing_token: FENCE,
@@ -190,7 +195,7 @@
         r#"{"id":"ab","owner":true,"fence":FENCE,"hosts":[["ledger","h"]],"#,
         r#""confirmations":[["c","under way",9]]}"#,
     );
-    assert_text(shown, &text.replace("FENCE", FENCE_TEXT));
+    assert_text(view, &text.replace("FENCE", FENCE_TEXT));
 }
 
 #[test]
@@ -208,7 +213,7 @@
 }
 
 #[test]
-fn counts_of_an_older_version_without_some_fields_still_parse() {
-    let counts: Counters = serde_json::from_str(r#"{"claims":3}"#).unwrap();
-    assert_eq!(counts, Counters { claims: 3, ..Counters::default() });
+fn counters_without_fields_of_later_versions_still_parse() {
+    let counters: Counters = serde_json::from_str(r#"{"claims":3}"#).unwrap();
+    assert_eq!(counters, Counters { claims: 3, ..Counters::default() });
 }
