--- a/src/logic/hosts.rs
+++ b/src/logic/hosts.rs
@@ -66,7 +66,7 @@
     }
 
     pub(super) fn on_probe(&mut self, now: f64, params: &Parameters, outcome: Outcome, outbox: &mut Outbox) {
-        // Two probes a second show a failure within about a second, and cost little.
+        // Two probes a second show a failure within about a second, for a few hundredths of a point of benchmark score.
         self.next_probe_at = Some(now + 0.5);
         // An error or a rejection comes from a live process, but does not prove that it is one of our hosts.
         let failures = match outcome {
