--- a/crates/control-plane/config/src/boot.rs
+++ b/crates/control-plane/config/src/boot.rs
@@ -1,4 +1,5 @@
-//! The settings of a process: the file that `COPPERSAIL_SETTINGS` names, read at the start and again on SIGHUP.
+//! The settings of a process, from the file that `COPPERSAIL_SETTINGS` names. It is read at the start and
+//! again on SIGHUP.
 use crate::checks::{accept_any, expect, not_blank, positive_time};
 use crate::error::FieldError;
 use crate::readers::{boolean, list, non_negative, object, optional, text, text_map, time, unsigned};
@@ -11,7 +12,7 @@
 pub const SETTINGS_VARIABLE: &str = "COPPERSAIL_SETTINGS";
 
 table! {
-    /// The settings that the programs use; others in the file are skipped.
+    /// The settings that the programs use; other fields of the file are ignored.
     pub struct ProcessSettings {
         /// The name of the machine.
         node_name: String = "self.nodeName", text, default_to(String::new()), accept_any;
@@ -21,22 +22,23 @@
         zone: String = "self.area", text, required(), not_blank;
         /// The region of the zone.
         region: String = "self.place", text, default_to(String::new()), accept_any;
-        /// Whether the loss of this machine is one of those that `max_machine_failures` counts.
+        /// Whether a loss of this machine counts towards `max_machine_failures`.
         counts_as_loss: bool = "self.countsAsLoss", boolean, default_to(false), accept_any, apply;
-        /// The whole system starts for the first time, with empty disks. Never assumed: a process that believes so wrongly could take
-        /// lost state for empty state.
+        /// Whether the whole system starts for the first time, with empty disks. The default is false,
+        /// because a process that wrongly assumed a first start could mistake lost state for empty state.
         initial_boot: bool = "self.initialBoot", boolean, default_to(false), accept_any, keep_first;
-        /// The folder of durable state; absent for a process without any.
+        /// The folder of durable state; absent for a process without durable state.
         data_folder: Option<String> = "self.dataFolder", optional(text), default_to(None), accept_any;
-        /// The limit of memory, in MiB. Without a limit the greatest number, as with open files.
+        /// The limit of memory, in MiB; the greatest number if there is no limit.
         ram_mb: u64 = "self.caps.ramMb", unsigned, default_to(u64::MAX), accept_any, apply;
-        /// The limit of open file descriptors.
+        /// The limit of open file descriptors; the greatest number if there is no limit.
         open_files: u64 = "self.caps.openFiles", unsigned, default_to(u64::MAX), accept_any, apply;
-        /// Where clients are served, "ip:port". This and the other binds are absent where the role does not serve them.
+        /// The address at which clients are served, "ip:port". It and the other addresses are absent if the
+        /// program does not serve them.
         client_address: Option<String> = "network.binds.publicPlain", optional(text), default_to(None), optional_address;
-        /// Where readiness is served, "ip:port".
+        /// The address at which readiness is served, "ip:port".
         readiness_address: Option<String> = "network.binds.readiness", optional(text), default_to(None), optional_address;
-        /// Where operators and endpoints are served, "ip:port".
+        /// The address at which operators and endpoints are served, "ip:port".
         admin_address: Option<String> = "network.binds.admin", optional(text), default_to(None), optional_address;
         /// The first and the last of the ports that edges and control-plane nodes use among themselves.
         peer_ports: (u16, u16) = "network.sparePorts", port_range, required(), accept_any;
@@ -48,7 +50,7 @@
         heartbeat: Duration = "provider.heartbeat", time, default_ms(1000), positive_time, apply;
         /// How many machines may be lost at once while all guarantees hold.
         max_machine_failures: u32 = "terms.survive.boxes", unsigned, default_to(0), accept_any, apply;
-        /// The names of the guarantees that are asked of the system.
+        /// The names of the guarantees that the system has to keep.
         guarantees: Vec<String> = "terms.promises", list(text), default_to(Vec::new()), accept_any, apply;
         /// Time limits and retry limits.
         limits: TimeLimits = "terms.timeLimits", limits, default_to(TimeLimits::default()), accept_any, reload_each;
@@ -56,42 +58,48 @@
 }
 
 table! {
-    /// Limits that the guarantees are measured by. One that no guarantee needs is left out of the file; the defaults are on the
-    /// safe side: short where the system has to act, long where it has to wait.
+    /// Limits by which the guarantees are measured. The file leaves out a limit that no guarantee needs. The
+    /// defaults are conservative: short where the system has to act, long where it has to wait.
     pub struct TimeLimits {
-        /// How old the list of control-plane nodes may be by which the operator and endpoints call them.
+        /// The maximum age of the list of control-plane nodes by which operators and endpoints reach them.
         member_list_max_age: Duration = "peerDelay", time, default_ms(3000), accept_any, apply;
-        /// How long after an endpoint's end its address may be given to one of another service.
+        /// The time after the end of an endpoint until its address may be reused by an endpoint of another
+        /// service.
         address_reuse_delay: Duration = "recycleAfter", time, default_ms(1000), accept_any, apply;
-        /// How long a machine has to have been connected and running to be asked to keep the guarantees.
+        /// How long a machine has to be connected and running before the guarantees apply to it.
         min_contact_time: Duration = "inContact", time, default_ms(3000), accept_any, apply;
-        /// Within this an operator's order is acknowledged.
+        /// The time within which an operator's order is acknowledged.
         order_ack_timeout: Duration = "confirm", time, default_ms(5000), accept_any, apply;
         /// How long after its return a machine still counts as lost.
         sync_time: Duration = "sync_time", time, default_ms(5000), accept_any, apply;
-        /// Within this of its draining an endpoint gets no more requests.
+        /// The time after the start of draining within which an endpoint stops getting requests.
         drain_time: Duration = "empty", time, default_ms(2000), accept_any, apply;
         /// The time between SIGTERM and SIGKILL.
         shutdown_grace: Duration = "leeway", time, default_ms(5000), accept_any, apply;
-        /// How long after a request began it may still be closed without an answer, if no endpoint got it.
+        /// The time from the start of a request within which its connection may be closed without an answer,
+        /// if no endpoint has got the request.
         unanswered_close_window: Duration = "missing", time, default_ms(200), accept_any, apply;
-        /// Within this of its acknowledgement a configuration is in force at all edges.
+        /// The time after its acknowledgement within which a configuration is in force at all edges.
         config_apply_timeout: Duration = "apply", time, default_ms(2000), accept_any, apply;
-        /// How much later than a newer configuration an older one may still be seen within one run of an edge.
+        /// How long after a newer configuration an older one may still be in effect within one run of an
+        /// edge.
         config_regression_window: Duration = "revert", time, default_ms(200), accept_any, apply;
-        /// How much later a configuration may be in force at an edge while the control plane is unsettled.
+        /// The additional time until a configuration is in force at an edge while members of the control
+        /// plane fail or recover.
         extra_config_apply_time: Duration = "stretch_time", time, default_ms(5000), accept_any, apply;
-        /// Further attempts in each window, as a share of the requests.
+        /// The retry budget of each window, as a share of its requests.
         retry_ratio: f64 = "retryRatio", non_negative, default_to(0.1), accept_any, apply;
-        /// The window over which further attempts are counted.
+        /// The window over which retries are counted.
         retry_window: Duration = "retryWindow", time, default_ms(10000), accept_any, apply;
-        /// Further attempts in each window beyond the share; of all edges, so that it may be a fraction.
+        /// Retries in each window in addition to the share. The number is the edge's part of a total for all
+        /// edges, so it may be a fraction.
         extra_attempts: f64 = "extraTries", non_negative, default_to(0.0), accept_any, apply;
         /// How long after the loss and return of machines most requests may still fail.
         recovery_time: Duration = "heal", time, default_ms(10000), accept_any, apply;
         /// The longest lease duration of a slice, by the endpoint's clock.
         max_lease_duration: Duration = "keepMax", time, default_ms(5000), accept_any, apply;
-        /// What is received within this after a process was frozen, or a link cut, is not counted.
+        /// Requests received within this time after a process was suspended, or a link was cut, are not
+        /// counted.
         post_freeze_exclusion: Duration = "unfreeze", time, default_ms(0), accept_any, apply;
     }
 }
--- a/crates/control-plane/config/src/checks.rs
+++ b/crates/control-plane/config/src/checks.rs
@@ -1,12 +1,12 @@
-//! Checks of a field's value after it was read. The error is what was expected.
+//! Checks of a field's value after it was read. The error is a text that says what was expected.
 use std::time::Duration;
 
-/// Any value that could be read.
+/// Accepts any value that could be read.
 pub(crate) fn accept_any<T>(_: &T) -> Result<(), &'static str> {
     Ok(())
 }
 
-/// More than white space.
+/// Requires more than white space.
 pub(crate) fn not_blank(text: &str) -> Result<(), &'static str> {
     expect(!text.trim().is_empty(), "text that isn't empty")
 }
--- a/crates/control-plane/config/src/config.rs
+++ b/crates/control-plane/config/src/config.rs
@@ -1,8 +1,9 @@
-//! A configuration of the operator: its parts, how it is read and checked, and the routing table.
+//! An operator's configuration: its parts, its parsing and checks, and the routing table.
 //!
-//! A configuration is rejected if the protocol calls it invalid, and for nothing else. Where the protocol is silent: of two
-//! services with one name, or two routes with one domain and prefix, the last counts; `shares` go before `backend`; a route
-//! that names no service is one with an unknown service; a route of an unknown `sort` is not idempotent.
+//! A configuration is rejected only if the protocol calls it invalid. Rules for what the protocol does not
+//! define: of two services with the same name, or two routes with the same domain and prefix, the last one
+//! counts; `shares` have precedence over `backend`; a route that names no service is treated as one with an
+//! unknown service; a route of an unknown `sort` is not idempotent.
 mod model;
 mod parse;
 mod routes;
--- a/crates/control-plane/config/src/config/model.rs
+++ b/crates/control-plane/config/src/config/model.rs
@@ -7,8 +7,8 @@
 use serde_json::Value;
 use std::time::Duration;
 
-/// The longest deadline of a request that is valid.
-const MAX_GIVE_UP: Duration = Duration::from_secs(600);
+/// The longest valid deadline of a request.
+const MAX_DEADLINE: Duration = Duration::from_secs(600);
 
 /// A configuration that has been checked: each service that a route names exists.
 #[derive(Debug, Clone, Default, PartialEq)]
@@ -38,25 +38,26 @@
 }
 
 table! {
-    /// Which requests go to which services, and how.
+    /// A route: which requests go to which services, and how.
     pub struct Route {
         /// The name, by which rollout plans refer to the route.
         name: String = "name", text, default_to(String::new()), accept_any;
         /// The domain, compared without case and port.
         domain: String = "domain", text, required(), not_blank;
-        /// The path prefix; of several that match the longest counts.
+        /// The path prefix; of several that match, the longest counts.
         path_prefix: String = "pathStart", text, default_to("/".into()), accept_any;
         /// Requests are idempotent and may be sent again after an indeterminate outcome.
         idempotent: bool = "sort", is_repeatable, default_to(false), accept_any;
         /// The deadline of a request; ten minutes at most.
-        deadline: Option<Duration> = "giveUp", optional(time), default_to(None), give_up_limit;
-        /// The latency target: within it an answer has its full value. Less than a minute above `deadline`.
+        deadline: Option<Duration> = "giveUp", optional(time), default_to(None), deadline_limit;
+        /// The latency target, within which an answer has its full value. It is less than a minute above
+        /// `deadline`.
         latency_target: Option<Duration> = "target_time", optional(time), default_to(None), accept_any;
         /// The priority; 0 is the highest.
         priority: u32 = "rank", unsigned, default_to(0), accept_any;
         /// How many endpoints one request may be sent to; at least 1.
         max_attempts: u32 = "tries", at_least_one, default_to(1), accept_any;
-        /// (service, weight): one entry of weight 1 where the route names a `backend` instead.
+        /// The services with their weights; one entry of weight 1 if the route names a `backend` instead.
         weighted_services: Vec<(String, f64)> = "shares", list(weighted_service), default_to(Vec::new()), accept_any;
     }
 }
@@ -68,11 +69,12 @@
         name: String = "name", text, required(), accept_any;
         /// The path of its health check; absent without one.
         health_check_path: Option<String> = "checkPath", optional(text), default_to(None), accept_any;
-        /// Connections to one endpoint, of all edges together. Without a limit the greatest number.
+        /// The limit of connections to one endpoint, of all edges together; the greatest number if there is
+        /// no limit.
         max_connections: u32 = "maxConnections", unsigned, default_to(u32::MAX), accept_any;
-        /// Its key space is sharded: each key has one endpoint.
+        /// Whether its key space is sharded, so that each key has one endpoint.
         sharded: bool = "splitUp", boolean, default_to(false), accept_any;
-        /// How long keys are slow after a transfer without a handover.
+        /// How long requests for a key are slow after its transfer without a handover.
         slow_after_transfer: Duration = "heat", time, default_to(Duration::ZERO), accept_any;
     }
 }
@@ -99,6 +101,6 @@
     Ok((text(service).map_err(|error| error.within("backend"))?, weight))
 }
 
-fn give_up_limit(time: &Option<Duration>) -> Result<(), &'static str> {
-    expect(time.is_none_or(|time| time <= MAX_GIVE_UP), "ten minutes at most")
+fn deadline_limit(time: &Option<Duration>) -> Result<(), &'static str> {
+    expect(time.is_none_or(|time| time <= MAX_DEADLINE), "ten minutes at most")
 }
--- a/crates/control-plane/config/src/config/parse.rs
+++ b/crates/control-plane/config/src/config/parse.rs
@@ -10,13 +10,13 @@
 use std::collections::HashSet;
 use std::time::Duration;
 
-/// How far above `giveUp` a `target_time` becomes invalid.
-const MAX_TARGET_ABOVE_GIVE_UP: Duration = Duration::from_secs(60);
+/// The distance above `giveUp` from which on a `target_time` is invalid.
+const MAX_TARGET_ABOVE_DEADLINE: Duration = Duration::from_secs(60);
 
 /// Reads the body of `POST /settings/replace`.
 ///
 /// # Errors
-/// The body is not JSON, or the first field that is not valid.
+/// The body is not JSON, or a field is not valid; the error is about the first such field.
 ///
 /// ```
 /// let body = br#"{"revision": "r7",
@@ -41,11 +41,11 @@
     let names: HashSet<&str> = services.iter().map(|service| service.name.as_str()).collect();
     let routes =
         read_rows(required("routes")?, |row| route(row, &names)).map_err(|error| error.within("routes"))?;
-    let caps = document
+    let client_limits = document
         .field("caps")
-        .map_or(Ok(ClientLimits::default()), |caps| ClientLimits::from_source(object(caps)?))
+        .map_or(Ok(ClientLimits::default()), |limits| ClientLimits::from_source(object(limits)?))
         .map_err(|error| error.within("caps"))?;
-    Ok(Config { revision, routes, services, client_limits: caps })
+    Ok(Config { revision, routes, services, client_limits })
 }
 
 /// "r" and a number.
@@ -90,8 +90,8 @@
 }
 
 fn check_target_time(route: &Route) -> Result<(), FieldError> {
-    let (Some(target), Some(give_up)) = (route.latency_target, route.deadline) else { return Ok(()) };
-    if target < give_up + MAX_TARGET_ABOVE_GIVE_UP {
+    let (Some(target), Some(deadline)) = (route.latency_target, route.deadline) else { return Ok(()) };
+    if target < deadline + MAX_TARGET_ABOVE_DEADLINE {
         return Ok(());
     }
     let expected = "less than a minute above giveUp";
--- a/crates/control-plane/config/src/config/routes.rs
+++ b/crates/control-plane/config/src/config/routes.rs
@@ -3,7 +3,7 @@
 use std::borrow::Cow;
 use std::collections::HashMap;
 
-/// The routing table: by domain, and within one by the longest prefix of the path.
+/// The routing table. Routes are found by domain, and within a domain by the longest prefix of the path.
 ///
 /// ```
 /// use coppersail_config::{Config, Route, Routes};
@@ -15,11 +15,13 @@
 /// ```
 #[derive(Debug, Clone, Default)]
 pub struct Routes {
-    /// By domain, then prefix; of equal ones only the last of the configuration.
+    /// Sorted by domain, then by prefix. Of routes with equal domain and prefix only the last of the
+    /// configuration is kept.
     routes: Vec<Route>,
-    /// For each of `routes`, the one of its domain with the longest other prefix that its own begins with.
+    /// For each of `routes`, the index of the route in its domain with the longest proper prefix of its own
+    /// prefix.
     parents: Vec<Option<u32>>,
-    /// By domain, the first of `routes` and the one after the last.
+    /// By domain, the range of its routes in `routes`: the first index and the one after the last.
     domains: HashMap<String, (u32, u32)>,
 }
 
@@ -31,10 +33,10 @@
             .iter()
             .map(|route| (host_without_port(&route.domain).into_owned(), route))
             .collect();
-        // The sort is stable, so the last of equals is the last of the configuration.
+        // The sort is stable, so the last of equal routes is the last of the configuration.
         sorted.sort_by(|a, b| sort_key(a).cmp(&sort_key(b)));
         let mut table = Routes::default();
-        // The chain of routes whose prefixes begin the current one.
+        // The chain of routes whose prefixes are prefixes of the current one.
         let mut ancestors: Vec<u32> = Vec::new();
         for (position, entry) in sorted.iter().enumerate() {
             let replaced = sorted.get(position + 1).is_some_and(|next| sort_key(entry) == sort_key(next));
@@ -67,7 +69,8 @@
         let path = path.split('?').next().unwrap_or_default();
         let &(first, end) = self.domains.get(host_without_port(host).as_ref())?;
         let of_domain = &self.routes[first as usize..end as usize];
-        // Every prefix of the path is the last one that isn't above the path in order, or begins that one.
+        // Every matching prefix is either that of the last route that does not sort after the path, or a
+        // prefix of that one.
         let not_above = of_domain.partition_point(|route| route.path_prefix.as_str() <= path);
         let mut candidate = Some(first + not_above.checked_sub(1)? as u32);
         while let Some(index) = candidate {
--- a/crates/control-plane/config/src/error.rs
+++ b/crates/control-plane/config/src/error.rs
@@ -1,7 +1,7 @@
-//! The error of a setting that can't be taken over.
+//! The error of an invalid setting.
 use serde_json::Value;
 
-/// A setting that can't be taken over. Its text is one line for the operator.
+/// An invalid setting. Its text is one line for the operator.
 ///
 /// ```
 /// let error = coppersail_config::ProcessSettings::from_json(r#"{"self": {"ipAddress": 7}}"#).unwrap_err();
@@ -10,17 +10,19 @@
 #[derive(Debug, Clone, PartialEq, thiserror::Error)]
 #[error("{} is {}, expected {expected}", path_text(.field), value_text(.value))]
 pub struct FieldError {
-    /// The path of the field: `network.binds.admin`, `routes.rows[3].giveUp`. Empty for the document itself.
+    /// The path of the field, such as `network.binds.admin` or `routes.rows[3].giveUp`; empty for the
+    /// document itself.
     pub field: String,
     /// The value as it was given, truncated; empty if there was none.
     pub value: String,
-    /// What the field has to be, as the end of a sentence.
+    /// What was expected of the field, as the end of the error's sentence.
     pub expected: &'static str,
 }
 
-/// Characters of a value that are shown: enough to recognise it in a log.
+/// The number of characters of a value that are shown: enough to recognise it in a log.
 const MAX_VALUE_CHARS: usize = 60;
-/// Items of a list or an object up to which the value is shown, not its size.
+/// The largest number of items of a list or an object that is shown as a value; of a larger one the size is
+/// shown.
 const MAX_ITEMS: usize = 4;
 
 impl FieldError {
@@ -41,7 +43,7 @@
         FieldError { field: field.into(), value, expected: "a file that can be read" }
     }
 
-    /// The same error, as seen from the object around it.
+    /// The same error with the path of the field extended by its parent.
     pub(crate) fn within(mut self, parent: &str) -> FieldError {
         let dot = if self.field.is_empty() || self.field.starts_with('[') { "" } else { "." };
         self.field = format!("{parent}{dot}{}", self.field);
--- a/crates/control-plane/config/src/readers.rs
+++ b/crates/control-plane/config/src/readers.rs
@@ -1,11 +1,11 @@
-//! Readers: from a JSON value to the type of a field, or the error that says what was expected.
+//! Readers convert a JSON value to the type of a field, or return an error that says what was expected.
 use crate::error::FieldError;
 use crate::time::parse_duration;
 use serde_json::{Map, Value};
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// What reads the value of a field.
+/// A function that reads the value of a field.
 pub(crate) trait Reader<T>: Fn(&Value) -> Result<T, FieldError> {}
 
 impl<T, F: Fn(&Value) -> Result<T, FieldError>> Reader<T> for F {}
@@ -14,7 +14,7 @@
     value.as_str().map(str::to_owned).ok_or_else(|| FieldError::new(value, "text"))
 }
 
-/// A field that may be left out, and is `None` then.
+/// A field that may be left out; it is then `None`.
 pub(crate) fn optional<T>(read: impl Reader<T>) -> impl Reader<Option<T>> {
     move |value: &Value| read(value).map(Some)
 }
@@ -23,7 +23,7 @@
     value.as_bool().ok_or_else(|| FieldError::new(value, "true or false"))
 }
 
-/// An integer of any size that fits the type; `2.0` is one too.
+/// An integer that fits the type. Integral floats such as `2.0` are accepted.
 pub(crate) fn unsigned<T: TryFrom<u64>>(value: &Value) -> Result<T, FieldError> {
     let is_integer = |number: &f64| number.fract() == 0.0 && (0.0..u64::MAX as f64).contains(number);
     let from_float = value.as_f64().filter(is_integer).map(|number| number as u64);
--- a/crates/control-plane/config/src/reload.rs
+++ b/crates/control-plane/config/src/reload.rs
@@ -1,9 +1,9 @@
-//! Settings that are read again while the process runs, on SIGHUP: what is in force at once, and what needs a restart. Which
-//! of both it is stands with the declaration of each field.
+//! Reload of the settings while the process runs, on SIGHUP. The declaration of each field says whether a new
+//! value applies at once or needs a restart.
 use crate::boot::ProcessSettings;
 use crate::reloadable::{Reloadable, Report};
 
-/// What came of reading the settings again.
+/// The result of a reload.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Reload {
     /// The settings in force from now on.
--- a/crates/control-plane/config/src/reloadable.rs
+++ b/crates/control-plane/config/src/reloadable.rs
@@ -1,24 +1,26 @@
-//! What a running process does with a setting that was read again.
+//! How a running process handles a setting with a new value.
 use crate::error::truncate;
 use std::fmt::Debug;
 
-/// A line for each setting that has another value now.
+/// The lines about settings with new values.
 #[derive(Default)]
 pub(crate) struct Report {
     pub(crate) applied: Vec<String>,
     pub(crate) restart: Vec<String>,
 }
 
-/// A table of settings that can be read again.
+/// A table of settings that can be reloaded.
 pub(crate) trait Reloadable {
-    /// Takes over what it can of `new`. `path`: where the table is in the settings.
+    /// Applies the fields of `new` that can change without a restart. `path` is the path of the table in the
+    /// settings.
     fn reload_fields(&mut self, new: Self, path: &str, report: &mut Report);
 }
 
-/// What is done with a field: the value in force, the value that was read, the path.
+/// The handling of a field. Its arguments are the value in force, the new value, the path of the field, and
+/// the report.
 pub(crate) type OnReload<T> = fn(&mut T, T, &str, &mut Report);
 
-/// The new value is in force at once.
+/// Applies the new value at once.
 pub(crate) fn apply<T: PartialEq + Debug>(current: &mut T, new: T, path: &str, report: &mut Report) {
     if *current != new {
         report.applied.push(format!("{path}: {}, now {}", summary(current), summary(&new)));
@@ -26,17 +28,17 @@
     }
 }
 
-/// The new value is reported, and in force only after a restart.
+/// Reports the new value, which applies only after a restart.
 pub(crate) fn needs_restart<T: PartialEq + Debug>(current: &mut T, new: T, path: &str, report: &mut Report) {
     if *current != new {
         report.restart.push(format!("{path}: {}, after a restart {}", summary(current), summary(&new)));
     }
 }
 
-/// Only the value at the start of the process counts.
+/// Ignores the new value: only the value at the start of the process counts.
 pub(crate) fn keep_first<T>(_: &mut T, _: T, _: &str, _: &mut Report) {}
 
-/// Each field of the nested table does as it declares.
+/// Reloads each field of a nested table as that field declares.
 pub(crate) fn reload_each<T: Reloadable>(current: &mut T, new: T, path: &str, report: &mut Report) {
     current.reload_fields(new, path, report);
 }
@@ -49,7 +51,7 @@
     }
 }
 
-/// A value without the `Some` around it, truncated.
+/// The text of a value, without `Some` around it, truncated.
 fn summary(value: &impl Debug) -> String {
     let text = format!("{value:?}");
     if text == "None" {
--- a/crates/control-plane/config/src/rollout.rs
+++ b/crates/control-plane/config/src/rollout.rs
@@ -1,4 +1,4 @@
-//! A rollout plan: the progressive move of a service's requests to a new version, as an operator submits it.
+//! A rollout plan, as an operator submits it: it moves a service's requests to a new version step by step.
 use crate::checks::{accept_any, expect, not_blank, share_limit};
 use crate::config::{Config, Route};
 use crate::error::FieldError;
@@ -9,13 +9,14 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-/// A plan that was forgotten must not route requests for ever.
-const DEFAULT_ENDS: Duration = Duration::from_secs(4 * 3600);
-const ENDS_RANGE: RangeInclusive<Duration> = Duration::from_secs(1)..=Duration::from_secs(14 * 24 * 3600);
-/// The answer that an edge in contact has is up to 0.7 s old, and comes from a node whose last contact with the leader was up
-/// to 0.5 s before. A shorter lease would expire without any fault.
+/// A plan that was forgotten must not route requests forever.
+const DEFAULT_MAX_DURATION: Duration = Duration::from_secs(4 * 3600);
+const MAX_DURATION_RANGE: RangeInclusive<Duration> =
+    Duration::from_secs(1)..=Duration::from_secs(14 * 24 * 3600);
+/// The latest answer at a connected edge is up to 0.7 s old, and comes from a node whose last contact with
+/// the leader was up to 0.5 s earlier. A shorter lease would expire without any failure.
 const LEASE_RANGE: RangeInclusive<Duration> = Duration::from_millis(1500)..=Duration::from_secs(60);
-const ERROR_RANGE: RangeInclusive<f64> = 1e-6..=0.2;
+const FALSE_ALARM_RATE_RANGE: RangeInclusive<f64> = 1e-6..=0.2;
 const MAX_STEPS: usize = 64;
 
 /// The fields of a plan.
@@ -27,26 +28,26 @@
     pub struct RolloutPlan {
         /// The service whose requests are moved.
         service: String = "service", text, required(), not_blank;
-        /// The version in service, with which the new one is compared.
+        /// The version in service, which the new one is compared with.
         from: Version = "from", version, required(), accept_any;
         /// The new version.
         to: Version = "to", version, required(), accept_any;
-        /// Names of routes; none for all routes of the service.
+        /// The names of the routes; empty for all routes of the service.
         routes: Vec<String> = "routes", list(text), default_to(Vec::new()), accept_any;
-        /// The header by whose value a client is put on one version; absent for the client's address.
+        /// The header whose value assigns a client to a version; if it is absent, the client's address does.
         session_header: Option<String> = "member", optional(text), default_to(None), accept_any;
-        /// 1 to 64 steps with rising shares.
-        steps: Vec<Step> = "steps", list(step), required(), rising_shares;
+        /// 1 to 64 steps with increasing shares.
+        steps: Vec<Step> = "steps", list(step), required(), increasing_shares;
         /// How much worse the new version may be.
         bounds: Bounds = "bounds", bounds, default_to(Bounds::default()), accept_any;
-        /// The highest probability that a version that is not worse is paused in error (significance level).
-        false_alarm_rate: f64 = "error", non_negative, default_to(0.01), error_range;
+        /// The highest probability of pausing a version that is not worse (significance level).
+        false_alarm_rate: f64 = "error", non_negative, default_to(0.01), false_alarm_rate_range;
         /// What a pause does.
-        pause_action: PauseAction = "pause", pause, default_to(PauseAction::Withdraw), accept_any;
-        /// How long an edge without contact to the leader goes on with the new version.
+        pause_action: PauseAction = "pause", pause_action, default_to(PauseAction::Withdraw), accept_any;
+        /// How long an edge without contact to the leader continues to use the new version.
         lease: Duration = "lease", time, default_to(Duration::from_millis(2500)), lease_range;
         /// How long the rollout may take; after that it is paused.
-        max_duration: Duration = "ends", time, default_to(DEFAULT_ENDS), ends_range;
+        max_duration: Duration = "ends", time, default_to(DEFAULT_MAX_DURATION), max_duration_range;
     }
 }
 
@@ -60,18 +61,18 @@
         /// The least number of answers of the new version in this step.
         min_answers: u64 = "evidence", unsigned, default_to(200), accept_any;
         /// What ends the step.
-        approval: StepApproval = "pass", pass, default_to(StepApproval::Automatic), accept_any;
+        approval: StepApproval = "pass", step_approval, default_to(StepApproval::Automatic), accept_any;
     }
 }
 
 table! {
-    /// How much worse the new version may be than the other in the same seconds.
+    /// How much worse the new version may be than the other one in the same period.
     pub struct Bounds {
-        /// Answers after the latency target, as a share of its requests.
+        /// The additional answers after the latency target, as a share of its requests.
         late: f64 = "late", non_negative, default_to(0.02), share_limit;
-        /// Failed requests, as a share of its requests.
+        /// The additional failed requests, as a share of its requests.
         lost: f64 = "lost", non_negative, default_to(0.001), share_limit;
-        /// Requests that were run twice, as a number.
+        /// The number of requests that were run twice.
         doubled: u64 = "doubled", unsigned, default_to(0), accept_any;
     }
 }
@@ -94,10 +95,10 @@
 /// What ends a step.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub enum StepApproval {
-    /// Its least duration and evidence.
+    /// The step ends by itself after its least duration and number of answers.
     #[default]
     Automatic,
-    /// The operator, after these.
+    /// The operator ends the step after these.
     Operator,
 }
 
@@ -128,7 +129,7 @@
     choice.map(|(_, choice)| *choice).ok_or_else(|| FieldError::new(value, expected))
 }
 
-fn pass(value: &Value) -> Result<StepApproval, FieldError> {
+fn step_approval(value: &Value) -> Result<StepApproval, FieldError> {
     one_of(
         value,
         &[("itself", StepApproval::Automatic), ("operator", StepApproval::Operator)],
@@ -136,7 +137,7 @@
     )
 }
 
-fn pause(value: &Value) -> Result<PauseAction, FieldError> {
+fn pause_action(value: &Value) -> Result<PauseAction, FieldError> {
     one_of(
         value,
         &[("freeze", PauseAction::Freeze), ("withdraw", PauseAction::Withdraw)],
@@ -152,22 +153,22 @@
     Bounds::from_source(object(value)?)
 }
 
-fn rising_shares(steps: &[Step]) -> Result<(), &'static str> {
+fn increasing_shares(steps: &[Step]) -> Result<(), &'static str> {
     let shares: Vec<f64> = std::iter::once(0.0).chain(steps.iter().map(|step| step.share)).collect();
     let rise = shares.windows(2).all(|pair| pair[0] < pair[1]);
     expect((1..=MAX_STEPS).contains(&steps.len()) && rise, "1 to 64 steps whose shares rise from above 0")
 }
 
-fn error_range(error: &f64) -> Result<(), &'static str> {
-    expect(ERROR_RANGE.contains(error), "between 0.000001 and 0.2")
+fn false_alarm_rate_range(rate: &f64) -> Result<(), &'static str> {
+    expect(FALSE_ALARM_RATE_RANGE.contains(rate), "between 0.000001 and 0.2")
 }
 
 fn lease_range(lease: &Duration) -> Result<(), &'static str> {
     expect(LEASE_RANGE.contains(lease), "between 1.5 s and a minute")
 }
 
-fn ends_range(ends: &Duration) -> Result<(), &'static str> {
-    expect(ENDS_RANGE.contains(ends), "between a second and two weeks")
+fn max_duration_range(duration: &Duration) -> Result<(), &'static str> {
+    expect(MAX_DURATION_RANGE.contains(duration), "between a second and two weeks")
 }
 
 /// Reads the body of `POST /rollouts/NAME`.
@@ -202,7 +203,7 @@
     Ok(plan)
 }
 
-/// A misspelt field would silently be a default that nobody asked for.
+/// Rejects unknown fields: a misspelt one would silently get its default.
 fn reject_unknown_fields(document: &Map<String, Value>) -> Result<(), FieldError> {
     match document.keys().find(|name| !FIELDS.contains(&name.as_str())) {
         Some(name) => Err(FieldError::new(&Value::from(name.as_str()), "no such setting")),
@@ -211,13 +212,13 @@
 }
 
 impl RolloutPlan {
-    /// Whether both versions are of one kind, and not the same.
+    /// Whether both versions are of the same kind, and different.
     fn versions_are_comparable(&self) -> bool {
         let same_kind = std::mem::discriminant(&self.from) == std::mem::discriminant(&self.to);
         same_kind && self.from != self.to
     }
 
-    /// Whether a configuration can carry the plan.
+    /// Checks that the plan can be carried out with a configuration.
     ///
     /// # Errors
     /// Why it can't: a service or route is missing, or the service is sharded and its versions are revisions.
@@ -242,7 +243,8 @@
             return Err(mismatch("service", &self.service, "a service of the configuration in force"));
         };
         if service.sharded && matches!(self.to, Version::Revision(_)) {
-            // Which endpoints own its slices is not for an edge to choose.
+            // The owners of slices are assigned by the control plane, so an edge can't choose endpoints by
+            // revision.
             return Err(mismatch(
                 "service",
                 &self.service,
@@ -263,7 +265,7 @@
         Ok(())
     }
 
-    /// A request goes only to a service that the configuration allows for its route.
+    /// Checks that the configuration allows the target service for each route of the plan.
     fn check_target(&self, config: &Config, target: &str) -> Result<(), FieldError> {
         let covered = |route: &&Route| self.covers(&route.name) && has_share(route, &self.service);
         let names: BTreeSet<&str> =
@@ -276,7 +278,7 @@
         Ok(())
     }
 
-    /// Whether the plan is for the requests of a route, by its name.
+    /// Whether the plan applies to the requests of the route with this name.
     pub fn covers(&self, route: &str) -> bool {
         self.routes.is_empty() || self.routes.iter().any(|name| name == route)
     }
--- a/crates/control-plane/config/src/sessions.rs
+++ b/crates/control-plane/config/src/sessions.rs
@@ -1,4 +1,5 @@
-//! The settings of session affinity: the operators' file that `--sessions` names. Without one there are no sessions.
+//! The settings of session affinity, from the operators' file that `--sessions` names. Without the file there
+//! are no sessions.
 use crate::checks::{accept_any, expect, not_blank, positive_time};
 use crate::error::FieldError;
 use crate::readers::{boolean, list, object, optional, text, time, unsigned};
@@ -8,7 +9,7 @@
 use std::time::Duration;
 
 table! {
-    /// Sessions that may move between edges. The same file is on every edge.
+    /// The settings of sessions, which may move between edges. Every edge has the same file.
     pub struct SessionSettings {
         /// The name of the header that carries the session token; either this or `cookie` is given.
         header: Option<String> = "header", optional(text), default_to(None), optional_not_blank;
@@ -16,22 +17,24 @@
         cookie: Option<String> = "cookie", optional(text), default_to(None), optional_not_blank;
         /// The routes whose requests belong to sessions.
         routes: Vec<SessionRoute> = "routes", list(session_route), required(), not_empty;
-        /// Services of which a session keeps its endpoint as long as that takes requests.
+        /// The services of which a session keeps its endpoint as long as that endpoint accepts requests.
         affine_services: Vec<String> = "services", list(text), default_to(Vec::new()), accept_any;
-        /// Peer sets by number; in each the addresses, "ip:port", of edges by their own number. Numbers are never used again. A
-        /// former set stays in the file until its last tokens have expired.
+        /// Peer sets by number; each has the addresses, "ip:port", of edges by their number. Numbers are
+        /// never reused. A former set stays in the file until its last tokens have expired.
         peer_sets: BTreeMap<u16, BTreeMap<u16, String>> = "sites", peer_sets, required(), accept_any;
-        /// Files with a signing key each. The first key signs, all are accepted.
+        /// Files with one signing key each. Tokens are signed with the first key; all keys are accepted.
         keys: Vec<String> = "keys", list(text), required(), not_empty;
-        /// How long a token is valid after it was signed. At half of it a new one is signed.
+        /// How long a token is valid after it was signed. After half of this time a new one is signed.
         token_lifetime: Duration = "life", time, default_ms(3_600_000), positive_time;
-        /// How long a repeated confirmation gets the stored answer of the first; after that only that it ran.
+        /// How long the repetition of a confirmation (a request with an `Idempotency-Key`) gets the stored
+        /// answer of the first one. Later repetitions learn only that it ran.
         answer_retention: Duration = "keepAnswers", time, default_ms(600_000), positive_time;
-        /// How long to wait for other edges, before a confirmation is sent and after its answer.
+        /// How long to wait for other edges before a confirmation is sent, and again after its answer.
         peer_timeout: Duration = "wait", time, default_ms(500), positive_time;
-        /// How long after a session was moved away a lookup does not claim it back.
+        /// The time after a session was moved to another edge in which a lookup does not claim it back.
         reclaim_delay: Duration = "rest", time, default_ms(1_000), accept_any;
-        /// How far the clocks of edges may be apart. Tokens from further ahead are rejected.
+        /// The greatest difference between the clocks of edges. Tokens from further in the future are
+        /// rejected.
         max_clock_skew: Duration = "clocksApart", time, default_ms(2_000), accept_any;
         /// The number of sessions that an edge keeps.
         max_sessions: usize = "sessions", unsigned, default_to(20_000), positive_count;
@@ -39,19 +42,20 @@
         max_confirmations: usize = "confirmationsEach", unsigned, default_to(64), positive_count;
         /// The longest answer that is stored, in bytes.
         max_answer_bytes: usize = "answerBytes", unsigned, default_to(16 * 1024), accept_any;
-        /// How often a claim of a session that met a higher fencing token is repeated, while requests wait.
+        /// How often a claim of a session is retried after it met a higher fencing token, while requests
+        /// wait.
         max_claim_attempts: u32 = "claimTries", unsigned, default_to(3), accept_any;
     }
 }
 
 table! {
-    /// A route of the configuration, by its own domain and prefix.
+    /// A route of the configuration, identified by its domain and prefix.
     pub struct SessionRoute {
         /// The domain of the route.
         domain: String = "domain", text, required(), not_blank;
         /// The path prefix of the route.
         path_prefix: String = "pathStart", text, required(), not_blank;
-        /// Its requests carry an `Idempotency-Key` and run once.
+        /// Whether its requests are confirmations: they carry an `Idempotency-Key` and run once.
         confirms: bool = "confirms", boolean, default_to(false), accept_any;
     }
 }
@@ -125,7 +129,7 @@
 
 fn peer_set(value: &Value) -> Result<BTreeMap<u16, String>, FieldError> {
     let peers = numbered(value, peer_address)?;
-    // A record needs a second edge to be stored at.
+    // A session record is also stored at a second edge.
     if peers.len() < 2 {
         return Err(FieldError::new(value, "two sites at least; three, to bear a loss"));
     }
--- a/crates/control-plane/config/src/source.rs
+++ b/crates/control-plane/config/src/source.rs
@@ -1,11 +1,11 @@
-//! Where the fields of a table are read from: a JSON object, or a row under its columns.
+//! The sources of a table's fields: a JSON object, or a row with named columns.
 use crate::error::FieldError;
 use crate::readers::{object, Reader};
 use serde_json::{Map, Value};
 
-/// Gives the fields of one table.
+/// A source of the fields of one table.
 pub(crate) trait FieldSource {
-    /// The value of a field; nothing where it is left out or null.
+    /// The value of a field; `None` if it is left out or null.
     fn field(&self, name: &str) -> Option<&Value>;
 }
 
@@ -20,7 +20,7 @@
     }
 }
 
-/// One row, under the columns of its list of rows.
+/// One row, with the names of its columns.
 pub(crate) struct Row<'a> {
     columns: &'a [&'a str],
     values: &'a [Value],
--- a/crates/control-plane/config/src/time.rs
+++ b/crates/control-plane/config/src/time.rs
@@ -1,4 +1,4 @@
-//! Durations as the settings, the configurations and the protocol write them.
+//! The text form of durations in settings, configurations and the protocol.
 use std::time::Duration;
 
 const MS_PER_SECOND: f64 = 1000.0;
@@ -17,7 +17,7 @@
         Some(number) => (number, MS_PER_SECOND),
         None => (text.strip_suffix('s')?, 1.0),
     };
-    // Only digits and a point: what else `f64` parses ("inf", "1e9", "-0") is no duration.
+    // Only digits and a point: other texts that `f64` parses ("inf", "1e9", "-0") are not durations.
     if !number.bytes().all(|byte| byte.is_ascii_digit() || byte == b'.') {
         return None;
     }
--- a/crates/control-plane/config/tests/parsing.rs
+++ b/crates/control-plane/config/tests/parsing.rs
@@ -125,7 +125,7 @@
     }
 }
 
-/// The lookup against a plain scan, over domains and prefixes that often begin one another.
+/// Compares the lookup with a linear scan, over domains and prefixes that are often prefixes of each other.
 #[test]
 fn lookup_finds_the_longest_prefix() {
     let mut seed = 9u64;
--- a/crates/control-plane/config/tests/reload.rs
+++ b/crates/control-plane/config/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Which settings a running process takes over when they are read again, and which need a restart.
+//! Which settings a running process applies on a reload, and which need a restart.
 use coppersail_config::ProcessSettings;
 
 const SETTINGS: &str = r#"{"self": {"nodeName": "centre-1", "ipAddress": "10.1.0.34", "area": "north", "place": "town",
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn reloadable_settings_are_in_force_at_once_and_reported() {
+fn reloadable_settings_apply_at_once_and_are_reported() {
     let changes = [
         ("[\"10.1.0.36:8544\"]", "[\"10.1.0.37:8544\", \"10.1.0.38:8544\"]"),
         ("\"north\": \"town\"", "\"north\": \"town\", \"south\": \"bay\""),
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn settings_that_need_a_restart_stay_and_are_reported() {
+fn settings_that_need_a_restart_keep_their_values_and_are_reported() {
     let changes = [
         ("\"10.1.0.34\"", "\"10.1.0.35\""),
         ("\"area\": \"north\"", "\"area\": \"south\""),
@@ -86,12 +86,12 @@
     assert_eq!((reload.settings, reload.applied.len(), reload.restart.len()), (settings(&[]), 0, 0));
 }
 
-/// A field that is added is reported as well, and a long value is truncated.
+/// A field that was not given before is reported as well, and a long value is truncated.
 #[test]
 fn every_field_that_differs_is_reported() {
     let bare = r#"{"self": {"ipAddress": "127.0.0.1", "area": "a"}, "network": {"sparePorts": [1, 2]}}"#;
     let reload = coppersail_config::reload(&settings(&[]), ProcessSettings::from_json(bare).unwrap());
-    // All that SETTINGS gives but `initialBoot`: 17 limits and 17 others.
+    // All fields that SETTINGS has except `initialBoot`: 17 limits and 17 others.
     assert_eq!(reload.applied.len() + reload.restart.len(), 34, "{reload:#?}");
     let peers = format!("{:?}", ["10.1.0.36:8544"; 40]);
     let reload = coppersail_config::reload(&settings(&[]), settings(&[("[\"10.1.0.36:8544\"]", &peers)]));
