--- a/crates/control-plane/shard-leases/src/candidate.rs
+++ b/crates/control-plane/shard-leases/src/candidate.rs
@@ -3,10 +3,10 @@
 use coppersail_rebalancer::Holder;
 use std::collections::BTreeMap;
 
-/// The least weight of an endpoint, as a share of the mean.
+/// The lowest weight of an endpoint, as a share of the mean.
 const MIN_WEIGHT: f64 = 0.01;
 
-/// An endpoint of a sharded service as the assignment of slices sees it.
+/// An endpoint of a sharded service, as a candidate for the assignment of slices.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Candidate {
     /// The id of the endpoint.
@@ -15,11 +15,11 @@
     pub registration_order: u64,
     /// Its weight relative to the other endpoints; above 0.
     pub capacity: f64,
-    /// It has registered only recently: it is given the coldest slices only.
+    /// It has registered only recently, so it is assigned only the slices with the fewest requests.
     pub is_new: bool,
-    /// It is shutting down or suspect: its slices move first, and it is given none.
+    /// It is shutting down or suspect: its slices are moved first, and it is assigned none.
     pub draining: bool,
-    /// It misses heartbeats, so it can't be asked to release anything: its leases have to expire.
+    /// It has missed heartbeats, so it can't be asked to release slices, and its leases have to expire.
     pub suspect: bool,
     /// When its next heartbeat is due.
     pub next_heartbeat_at: Ms,
@@ -49,7 +49,7 @@
 pub(crate) struct CandidateIndex<'a> {
     all: &'a [Candidate],
     by_id: BTreeMap<&'a str, usize>,
-    /// Every endpoint has had the time for a heartbeat to this leader: one that is not known is gone.
+    /// Every endpoint has had time for a heartbeat to this leader, so an unknown one is gone.
     all_reported: bool,
 }
 
@@ -75,12 +75,13 @@
         self.get(id).is_some_and(Candidate::accepts_slices)
     }
 
-    /// Whether an owner can't be asked to release, as far as is known: unknown owners count only once all have reported.
+    /// Whether an owner is known to be unable to release its slices. An unknown owner counts as lost only
+    /// once all endpoints have had time to report.
     pub(crate) fn is_lost(&self, id: &str) -> bool {
         self.get(id).map_or(self.all_reported, |candidate| candidate.suspect)
     }
 
-    /// Whether no release can be expected from an owner at present.
+    /// Whether an owner can't be expected to release slices at present.
     pub(crate) fn is_unknown_or_suspect(&self, id: &str) -> bool {
         self.get(id).is_none_or(|candidate| candidate.suspect)
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// The candidates in the rebalancer's terms.
+/// Converts the candidates to holders for the rebalancer.
 pub(crate) fn rebalancer_holders(candidates: &[Candidate]) -> Vec<Holder> {
     let total = candidates.iter().map(|candidate| candidate.capacity).sum::<f64>();
     let mean = total.max(1.0) / candidates.len().max(1) as f64;
--- a/crates/control-plane/shard-leases/src/grant.rs
+++ b/crates/control-plane/shard-leases/src/grant.rs
@@ -1,12 +1,13 @@
-//! Grants: what an endpoint gets in answer to a heartbeat, within the size that it reads.
+//! Grants: the leases that an endpoint gets in the answer to a heartbeat, limited to the size that it reads.
 use crate::lease::SliceLease;
 
-/// An endpoint reads an answer of up to 4 KiB; the difference is for what surrounds the grants.
+/// The limit of the grants in an answer. An endpoint reads an answer of up to 4 KiB; the difference is left
+/// for the rest of the answer.
 pub(crate) const MAX_GRANT_BYTES: usize = 3800;
-/// An endpoint with this much in grants, by estimate, is assigned no more slices.
+/// An endpoint whose grants are estimated to have this size is assigned no more slices.
 pub(crate) const FULL_GRANT_BYTES: usize = MAX_GRANT_BYTES * 9 / 10;
 
-/// Two keys and the punctuation of a grant in an answer.
+/// The bytes of a grant in an answer for its two keys and the punctuation.
 const FIXED_GRANT_BYTES: usize = 18;
 
 /// A range of keys that an endpoint may serve for the lease duration, counted from when it sent its heartbeat.
@@ -16,19 +17,20 @@
     pub from: u32,
     /// The last key, inclusive.
     pub to: u32,
-    /// It rises with every change of the owner.
+    /// It increases with every change of the owner.
     pub fencing_token: u64,
     /// The state that the previous owner has handed over; empty without one.
     pub handover: String,
 }
 
-/// The size of a lease in an answer, in bytes, if it is not joined to the grant before it.
+/// The size of a lease in an answer, in bytes, if it is not joined to the previous grant.
 pub(crate) fn grant_bytes(lease: &SliceLease) -> usize {
     let digits = (lease.fencing_token.max(1).ilog10() + 1) as usize;
     FIXED_GRANT_BYTES + digits + lease.handover.len()
 }
 
-/// The grants of one answer, in the order of their keys. Neighbours with equal token and handover are one grant.
+/// The grants of one answer, in the order of their keys. Neighbouring slices with equal token and handover
+/// are one grant.
 #[derive(Default)]
 pub(crate) struct GrantList {
     grants: Vec<LeaseGrant>,
@@ -45,12 +47,12 @@
         })
     }
 
-    /// Whether there is space for a grant of its own.
+    /// Whether there is space for the lease as a separate grant.
     pub(crate) fn has_space_for(&self, lease: &SliceLease) -> bool {
         self.bytes + grant_bytes(lease) <= MAX_GRANT_BYTES
     }
 
-    /// Adds a lease; `extends_last` is what [`GrantList::extends_last`] said of it.
+    /// Adds a lease; `extends_last` is the result of [`GrantList::extends_last`] for it.
     pub(crate) fn add(&mut self, (from, to): (u32, u32), lease: &SliceLease, extends_last: bool) {
         if let Some(last) = self.grants.last_mut().filter(|_| extends_last) {
             last.to = to;
--- a/crates/control-plane/shard-leases/src/initial_assignment.rs
+++ b/crates/control-plane/shard-leases/src/initial_assignment.rs
@@ -5,8 +5,8 @@
 use crate::table::{LeaseChange, LeaseTable, ServiceLeases};
 
 impl LeaseTable {
-    /// Assigns the slices of a new service: `slice_count` of them, in `range_count` ranges of equal size. Returns the writes to
-    /// replicate. What the service had before is dropped.
+    /// Assigns the slices of a new service: `slice_count` of them, in `range_count` ranges of equal size.
+    /// Returns the writes to replicate. Former leases of the service are dropped.
     pub fn assign_initially(
         &mut self,
         now: Ms,
--- a/crates/control-plane/shard-leases/src/lease.rs
+++ b/crates/control-plane/shard-leases/src/lease.rs
@@ -1,26 +1,34 @@
-//! The lease of one slice, and what the table reports and receives about slices.
+//! The lease of one slice, and the changes that the table reports and receives.
 use serde::Deserialize;
 
 /// A time or a duration in milliseconds.
 pub type Ms = u64;
 
-/// The longest time that an owner whose clock runs slow may use a lease of `duration`, in the time of this node.
+/// The allowance for the clocks of endpoints, in thousandths of a lease's duration.
+const CLOCK_ALLOWANCE_PER_MILLE: Ms = 25;
+/// The allowance for rounding, in ms.
+const ROUNDING_ALLOWANCE: Ms = 2;
+
+/// The longest time, by the clock of this node, for which an owner with a slow clock may use a lease of
+/// `duration`.
 ///
-/// An endpoint's clock may run 2% slow, so what it counts as a second lasts up to 1.0205 s here. Half a per cent and 2 ms
-/// are for rounding on both sides. A smaller allowance would let two endpoints own a slice at once.
+/// An endpoint's clock may run 2% slow, so its second lasts up to 1.0205 s by this node's clock. The
+/// remaining half per cent and 2 ms allow for rounding on both sides. With a smaller allowance two endpoints
+/// could own a slice at once.
 pub(crate) fn max_lease_time(duration: Ms) -> Ms {
-    duration + duration * 25 / 1000 + 2
+    duration + duration * CLOCK_ALLOWANCE_PER_MILLE / 1000 + ROUNDING_ALLOWANCE
 }
 
-/// The state of one slice. `owner`, `fencing_token` and `handover` are durable, the rest is known to the leader only.
+/// The state of one slice. `owner`, `fencing_token` and `handover` are durable; the rest is known only to the
+/// leader.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub(crate) struct SliceLease {
-    /// The endpoint that owns the slice; empty while nobody does.
+    /// The endpoint that owns the slice; empty while it has no owner.
     pub(crate) owner: String,
     pub(crate) fencing_token: u64,
     /// The state that the previous owner has handed over, opaque to the control plane.
     pub(crate) handover: String,
-    /// Before this no other endpoint may get the slice without a release.
+    /// Before this time no other endpoint may get the slice without a release.
     pub(crate) expires_at: Ms,
     /// This leader has granted the lease to its owner.
     pub(crate) granted: bool,
@@ -35,8 +43,8 @@
 }
 
 impl SliceLease {
-    /// Whether the slice can move together with `other`.
-    pub(crate) fn moves_like(&self, other: &SliceLease) -> bool {
+    /// Whether the slice is in the same state of transfer as `other`, so that both can be moved as one.
+    pub(crate) fn moves_with(&self, other: &SliceLease) -> bool {
         self.owner == other.owner
             && self.target == other.target
             && self.write_pending == other.write_pending
@@ -45,7 +53,7 @@
     }
 }
 
-/// Neighbouring slices that move as one: `count` slices from `first`.
+/// Neighbouring slices that are moved as one: `count` slices from `first`.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct SliceRange {
     pub(crate) first: usize,
@@ -58,7 +66,7 @@
     }
 }
 
-/// What edges have to know of a slice: who owns it now.
+/// A change of a slice's owner, which edges have to be sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct OwnerChange {
     /// The service that the slice belongs to.
--- a/crates/control-plane/shard-leases/src/lib.rs
+++ b/crates/control-plane/shard-leases/src/lib.rs
@@ -1,13 +1,15 @@
 //! Shard leases: which endpoint of a sharded service owns which slices of the key space, and until when.
 //!
-//! This crate is pure. It does no I/O and reads no clock; every time is in milliseconds and passed in by the caller.
+//! This crate does no I/O and reads no clock; all times are in milliseconds and passed in by the caller.
 //!
-//! Durable state is one row for each slice: fencing token, owner, and the handover of the previous owner. A change of a row
-//! is a [`Write`] that the caller replicates and then gives back to [`LeaseTable::apply`]; only after that is the lease
-//! granted to its owner. Renewals are not durable. Instead the table keeps, for each slice, the latest time until which an
-//! owner may believe that it holds the lease, by any grant that was ever sent to it.
+//! The durable state is one row for each slice: fencing token, owner, and the handover state of the previous
+//! owner. A change of a row is a [`Write`], which the caller replicates and then passes to
+//! [`LeaseTable::apply`]; only after that is the lease granted to its owner. Renewals are not durable.
+//! Instead, the table keeps for each slice the latest time until which an owner may believe that it holds the
+//! lease, by any grant ever sent to it.
 //!
-//! The invariant: a slice changes its owner only after the previous owner has released it, or after that time.
+//! The invariant: a slice changes its owner only after the previous owner has released it, or after this
+//! time.
 //!
 //! ```
 //! use coppersail_shard_leases::{Candidate, LeaseTable};
--- a/crates/control-plane/shard-leases/src/ranges.rs
+++ b/crates/control-plane/shard-leases/src/ranges.rs
@@ -1,13 +1,14 @@
-//! The ranges of slices that the rebalancer moves: split where neighbours differ, and where a range is busy.
+//! The ranges of slices that the rebalancer moves. They are split where neighbouring slices differ in state,
+//! and where a range is busy.
 use crate::grant::grant_bytes;
 use crate::lease::SliceRange;
 use crate::sizing::initial_range_count;
 use crate::table::ServiceLeases;
 
-/// A range is split when it alone has this share of a mean endpoint's requests. A few of its size can then even out what
-/// one endpoint has too much.
+/// A range is split if it has this share of the requests of an average endpoint. After that, moving a few
+/// ranges can even out the load of endpoints.
 const BUSY_RANGE_SHARE: f64 = 0.15;
-/// Counted requests for each endpoint from which on the counts say something about how requests are spread.
+/// The number of counted requests for each endpoint from which on the counts are significant.
 const MIN_REQUESTS_PER_ENDPOINT: f64 = 10.0;
 
 impl ServiceLeases {
@@ -21,7 +22,8 @@
         self.request_counts[range.slices()].iter().sum()
     }
 
-    /// Splits the ranges until the slices of each can move as one, and halves busy ones down to a single slice.
+    /// Splits the ranges until the slices of each can be moved as one, and halves busy ranges, down to a
+    /// single slice.
     pub(crate) fn split_ranges(&mut self, endpoint_count: usize) {
         if self.ranges.is_empty() {
             self.ranges = self.equal_ranges(initial_range_count(endpoint_count) as usize);
@@ -42,7 +44,7 @@
         self.ranges = finished;
     }
 
-    /// The ranges of a table that was recovered: as at the initial assignment.
+    /// Ranges of equal size, as at the initial assignment, for a table that was recovered.
     fn equal_ranges(&self, range_count: usize) -> Vec<SliceRange> {
         let slice_count = self.leases.len();
         let size = (slice_count / range_count).max(1);
@@ -50,18 +52,18 @@
         (0..slice_count).step_by(size).map(range).collect()
     }
 
-    /// Where to split a range, as a number of slices from its start; nothing if it stays as it is.
+    /// Where to split a range, as a number of slices from its start; `None` if it is not split.
     fn split_offset(&self, range: SliceRange, busy_requests: f64) -> Option<usize> {
         let leases = &self.leases[range.slices()];
-        let first_unlike = leases.iter().position(|lease| !lease.moves_like(&leases[0]));
+        let first_different = leases.iter().position(|lease| !lease.moves_with(&leases[0]));
         let is_busy = self.requests_of(range) > busy_requests;
         let can_halve = range.count > 1 && !leases[0].write_pending;
-        first_unlike.or((is_busy && can_halve).then_some(range.count / 2))
+        first_different.or((is_busy && can_halve).then_some(range.count / 2))
     }
 
-    /// About how many bytes an endpoint's leases take in an answer.
+    /// The estimated size of an endpoint's leases in an answer, in bytes.
     pub(crate) fn granted_bytes(&self, owner: &str) -> usize {
-        let firsts = self.ranges.iter().map(|range| &self.leases[range.first]);
-        firsts.filter(|lease| lease.owner == owner).map(grant_bytes).sum()
+        let first_leases = self.ranges.iter().map(|range| &self.leases[range.first]);
+        first_leases.filter(|lease| lease.owner == owner).map(grant_bytes).sum()
     }
 }
--- a/crates/control-plane/shard-leases/src/rebalance.rs
+++ b/crates/control-plane/shard-leases/src/rebalance.rs
@@ -5,15 +5,18 @@
 use crate::table::{LeaseTable, ServiceLeases};
 use coppersail_rebalancer::{Assignment, Holder, Move};
 
-/// Added to each request count when load is relieved. Slices without requests are no load, and with most of them idle an
-/// average one each would hide it; this keeps idle slices in the order of their numbers.
+/// The score that is added to each range's request count when hot endpoints are relieved. Ranges without
+/// requests are no load; where most are idle, adding an average score of 1 to each would hide the load of the
+/// others. This small score only keeps idle ranges in the order of their numbers.
 const IDLE_SCORE: f64 = 0.01;
 
 impl LeaseTable {
-    /// Chooses targets by the rebalancer's mechanism; transfers are then made by `renew`, `release` and `expire`.
+    /// Chooses the targets of transfers by the rebalancer; `renew`, `release` and `expire` then carry them
+    /// out.
     ///
-    /// At most `max_transfers` ranges are transferred at a time, except for those whose owner is lost or draining, which can't wait.
-    /// `all_reported`: every endpoint has had the time for a heartbeat to this leader, so that an unknown one is gone.
+    /// At most `max_transfers` ranges are transferred at a time; those whose owner is lost or draining can't
+    /// wait and are not limited. `all_reported` says that every endpoint has had time for a heartbeat to this
+    /// leader, so that an unknown one is gone.
     pub fn plan_transfers(
         &mut self,
         now: Ms,
@@ -37,7 +40,7 @@
 }
 
 impl ServiceLeases {
-    /// Drops targets that no longer apply, and gives up on owners that can't be asked to release.
+    /// Drops targets that no longer apply, and marks slices of lost owners as to be released.
     fn update_targets(&mut self, candidates: &CandidateIndex) {
         for lease in &mut self.leases {
             let target_gone =
@@ -45,37 +48,38 @@
             if target_gone && !lease.write_pending {
                 lease.target = None;
             }
-            // Its owner can't be asked: the lease has to expire.
+            // The owner can't be asked to release the slice, so the lease has to expire.
             if lease.target.is_some() && !lease.owner.is_empty() && candidates.is_lost(&lease.owner) {
                 lease.release_requested = true;
             }
-            // It need not move any more, and its owner has not been asked yet.
+            // The target is the owner, which has not been asked to release the slice: there is nothing to
+            // transfer.
             if !lease.release_requested && lease.target.as_deref() == Some(lease.owner.as_str()) {
                 lease.target = None;
             }
         }
     }
 
-    /// The rebalancer's moves; in them a range counts as a slice.
+    /// The moves that the rebalancer plans. Its slices are the ranges here.
     fn choose_moves(&mut self, candidates: &CandidateIndex, max_transfers: usize) -> Vec<Move> {
         let requests: Vec<[f64; 1]> = self.ranges.iter().map(|range| [self.requests_of(*range)]).collect();
-        let mut board = self.board(candidates, &requests);
+        let mut assignment = self.assignment(candidates, &requests);
         let limit = self.transfer_limit(candidates, max_transfers);
-        let moves = self.balance.plan_moves(&board, limit);
+        let moves = self.rebalancer.plan_moves(&assignment, limit);
         if !moves.is_empty() || self.significant_requests(candidates.all().len()).is_none() {
             return moves;
         }
-        // The counts of slices are even. Now the requests themselves are.
-        let weights: Vec<f64> = board.holders.iter().map(|holder| holder.weight).collect();
-        board.scores = requests.iter().map(|count| count[0] + IDLE_SCORE).collect();
-        self.balance.relieve_hot_holders(&board, &weights, limit)
+        // The numbers of ranges are balanced. Next, the requests are balanced.
+        let weights: Vec<f64> = assignment.holders.iter().map(|holder| holder.weight).collect();
+        assignment.scores = requests.iter().map(|count| count[0] + IDLE_SCORE).collect();
+        self.rebalancer.relieve_hot_holders(&assignment, &weights, limit)
     }
 
-    /// The present state in the rebalancer's terms. The last holder stands for all owners that are not known any more.
-    fn board(&self, candidates: &CandidateIndex, requests: &[[f64; 1]]) -> Assignment {
+    /// Converts the present state for the rebalancer. The last holder stands for all unknown owners.
+    fn assignment(&self, candidates: &CandidateIndex, requests: &[[f64; 1]]) -> Assignment {
         let mut holders = rebalancer_holders(candidates.all());
         for (candidate, holder) in candidates.all().iter().zip(&mut holders) {
-            // An endpoint with nearly as many leases as an answer has space for is assigned no more.
+            // An endpoint whose leases nearly fill an answer is assigned no more.
             holder.open &= self.granted_bytes(&candidate.id) < FULL_GRANT_BYTES;
         }
         let unknown = holders.len();
@@ -94,7 +98,7 @@
         }
     }
 
-    /// How many transfers may begin. Ranges without an owner that can go on serving them are not limited.
+    /// How many transfers may begin. Ranges whose owner can't continue to serve them are not limited.
     fn transfer_limit(&self, candidates: &CandidateIndex, max_transfers: usize) -> usize {
         let in_transfer = self.range_leases().filter(|lease| lease.is_in_transfer(candidates)).count();
         let must_move = |lease: &&SliceLease| {
@@ -103,7 +107,7 @@
         self.range_leases().filter(must_move).count().max(max_transfers.saturating_sub(in_transfer))
     }
 
-    /// The lease of each range's first slice; the others of the range are alike.
+    /// The lease of the first slice of each range; the other slices of the range are in the same state.
     fn range_leases(&self) -> impl Iterator<Item = &SliceLease> {
         self.ranges.iter().map(|range| &self.leases[range.first])
     }
@@ -120,7 +124,7 @@
         }
     }
 
-    /// An owner that sends heartbeats again before its leases expire keeps those that have no target.
+    /// Lets an owner that sends heartbeats again before its leases expire keep those without a target.
     fn keep_leases_of_returned_owners(&mut self, now: Ms, candidates: &CandidateIndex) {
         for lease in &mut self.leases {
             let still_owned = lease.granted && !lease.write_pending && lease.expires_at > now;
@@ -136,7 +140,8 @@
 }
 
 impl SliceLease {
-    /// Whether the slice is being transferred, or its owner may still report: the rebalancer must not move it.
+    /// Whether the slice is being transferred, or its owner may still report. The rebalancer must not move it
+    /// then.
     fn is_in_transfer(&self, candidates: &CandidateIndex) -> bool {
         self.write_pending || self.target.is_some() || candidates.may_still_report(&self.owner)
     }
--- a/crates/control-plane/shard-leases/src/stored.rs
+++ b/crates/control-plane/shard-leases/src/stored.rs
@@ -1,13 +1,13 @@
-//! The stored form of a lease: the key `row/SERVICE/SLICE` with the value `FENCE OWNER HANDOVER`.
+//! The stored form of a lease: the key `row/SERVICE/SLICE` with the value `FENCING_TOKEN OWNER HANDOVER`.
 //!
-//! Other versions read these rows after a rolling upgrade; the form must not change.
+//! Other versions read these rows during a rolling upgrade, so the format must not change.
 
 /// A change of the replicated state: key and value. An empty value deletes the key.
 pub type Write = (String, String);
 
 const KEY_PREFIX: &str = "row/";
 
-/// A row as it was read back.
+/// A stored row.
 #[derive(Debug, PartialEq)]
 pub(crate) struct StoredLease {
     pub(crate) service: String,
@@ -25,9 +25,9 @@
     format!("{fencing_token} {owner} {handover}")
 }
 
-/// Reads a row back; nothing where the key is not that of a lease, or the value is not one.
+/// Parses a row; `None` if the key is not that of a lease, or the value is not a lease.
 pub(crate) fn parse(key: &str, value: &str) -> Option<StoredLease> {
-    // The name of a service may have slashes itself.
+    // The name of a service may contain slashes.
     let (service, slice) = key.strip_prefix(KEY_PREFIX)?.rsplit_once('/')?;
     let mut fields = value.splitn(3, ' ');
     Some(StoredLease {
--- a/crates/control-plane/shard-leases/src/table.rs
+++ b/crates/control-plane/shard-leases/src/table.rs
@@ -10,11 +10,12 @@
 pub(crate) struct ServiceLeases {
     /// By slice.
     pub(crate) leases: Vec<SliceLease>,
-    /// Counted requests by slice; old ones decay.
+    /// Request counts by slice; old requests decay.
     pub(crate) request_counts: Vec<f64>,
-    /// What the rebalancer moves: together they cover all slices, in order. Empty until the first planning round.
+    /// The ranges that the rebalancer moves; together they cover all slices, in order. Empty until the first
+    /// planning round.
     pub(crate) ranges: Vec<SliceRange>,
-    pub(crate) balance: Rebalancer,
+    pub(crate) rebalancer: Rebalancer,
 }
 
 impl ServiceLeases {
@@ -42,7 +43,7 @@
     /// The highest fencing token that was ever proposed or read.
     fencing_token: u64,
     pub(crate) services: BTreeMap<String, ServiceLeases>,
-    /// Changes that edges have not been sent.
+    /// Changes that have not been sent to edges.
     pub(crate) owner_changes: Vec<OwnerChange>,
 }
 
@@ -57,10 +58,11 @@
         self.lease_duration
     }
 
-    /// The table of a new leader, from the replicated state (key, value); other keys than those of leases are skipped.
+    /// The table of a new leader, from the replicated state (key, value); keys other than those of leases are
+    /// skipped.
     ///
-    /// Renewals by earlier leaders are not stored. The last of them was sent before this leader's own term began, so no
-    /// lease outlives one whole lease duration from `now`.
+    /// Renewals by earlier leaders are not stored. The last of them was sent before this leader's own term
+    /// began, so every lease expires within one lease duration from `now`.
     pub fn recover<'a>(
         lease_duration: Ms,
         now: Ms,
@@ -74,7 +76,7 @@
         table
     }
 
-    /// Takes over a stored row, and says which slice it is for; nothing where it is not a row of a lease.
+    /// Loads a stored row, and returns its service and slice; `None` if it is not a row of a lease.
     fn load(&mut self, key: &str, value: &str, expires_at: Ms) -> Option<(String, usize)> {
         let row = stored::parse(key, value)?;
         let service = self.services.entry(row.service.clone()).or_default();
@@ -92,8 +94,8 @@
         Some((row.service, row.slice))
     }
 
-    /// Takes over changes that have been replicated. They are in force from now on, though their owners have not been
-    /// granted them yet.
+    /// Applies changes that have been replicated. They are in force from now on, but their new owners have
+    /// not been granted the leases yet.
     pub fn apply(&mut self, now: Ms, writes: &[Write]) {
         for (key, value) in writes {
             if let Some((service, slice)) = self.load(key, value, now) {
@@ -102,8 +104,8 @@
         }
     }
 
-    /// Turns changes of a service into writes. All of one call get one fencing token, so that neighbouring slices with the
-    /// same new owner make one grant.
+    /// Turns changes of a service into writes. All changes of a call get the same fencing token, so that
+    /// neighbouring slices with the same new owner form one grant.
     pub(crate) fn propose(&mut self, service: &str, changes: Vec<LeaseChange>) -> Vec<Write> {
         if changes.is_empty() {
             return Vec::new();
@@ -137,7 +139,8 @@
         std::mem::take(&mut self.owner_changes)
     }
 
-    /// The owners of all slices, for a new leader to send to edges: stored owners count as if the lease were granted.
+    /// The owners of all slices, which a new leader sends to edges. A stored owner counts as if its lease
+    /// were granted.
     pub fn all_owners(&self) -> Vec<OwnerChange> {
         let of_service = |(service, table): (&String, &ServiceLeases)| {
             let owner = |(slice, lease): (usize, &SliceLease)| OwnerChange {
--- a/crates/control-plane/shard-leases/src/tests.rs
+++ b/crates/control-plane/shard-leases/src/tests.rs
@@ -1,4 +1,5 @@
-//! Transfers by release, by expiry and over changes of the leader; at random, against what endpoints may believe to own.
+//! Transfers by release, by expiry and over changes of the leader, also at random, compared with what
+//! endpoints may believe that they own.
 use super::*;
 use std::collections::BTreeMap;
 
@@ -97,18 +98,18 @@
     for seed in 0..150 {
         let mut random = fastrand::Rng::with_seed(seed);
         let (mut leases, mut endpoints) = assigned(4, 64);
-        // What each endpoint believes to own: first key -> until, by the true clock.
+        // The slices that each endpoint believes it owns: first key -> expiry, by the true clock.
         let mut owned: Vec<BTreeMap<u32, u64>> = vec![BTreeMap::new(); 4];
         let mut to_release: Vec<Vec<ReleasedRange>> = vec![Vec::new(); 4];
         let mut now = 0;
         for _ in 0..400 {
             now += random.u64(1..120);
-            owned.iter_mut().for_each(|h| h.retain(|_, until| *until > now));
-            let h = random.usize(0..4);
-            let id = format!("i-{h}");
+            owned.iter_mut().for_each(|slices| slices.retain(|_, expiry| *expiry > now));
+            let index = random.usize(0..4);
+            let id = format!("i-{index}");
             match random.u8(0..10) {
-                0 => endpoints[h].draining = !endpoints[h].draining,
-                1 => endpoints[h].suspect = !endpoints[h].suspect,
+                0 => endpoints[index].draining = !endpoints[index].draining,
+                1 => endpoints[index].suspect = !endpoints[index].suspect,
                 2 => {
                     let all = state(&leases);
                     leases =
@@ -120,27 +121,30 @@
                     leases.apply(now, &writes);
                 }
                 _ => {
-                    let writes = leases.release("s", &id, &to_release[h]);
+                    let writes = leases.release("s", &id, &to_release[index]);
                     leases.apply(now, &writes);
-                    let back: Vec<String> =
+                    let reachable: Vec<String> =
                         (0..4).filter(|_| random.bool()).map(|n| format!("i-{n}")).collect();
-                    let rows = leases.renew(now, "s", &id, &back, 300);
+                    let grants = leases.renew(now, "s", &id, &reachable, 300);
                     if random.u8(0..4) == 0 {
                         continue;
                     }
                     // The heartbeat was sent up to now; the endpoint's second lasts up to 1.02 of ours.
-                    let until = now + 1000 * 102 / 100;
-                    let old = std::mem::take(&mut owned[h]);
-                    owned[h] = rows.iter().map(|g| (g.from, until)).collect();
-                    to_release[h] = old
+                    let expiry = now + 1000 * 102 / 100;
+                    let old = std::mem::take(&mut owned[index]);
+                    owned[index] = grants.iter().map(|grant| (grant.from, expiry)).collect();
+                    to_release[index] = old
                         .into_keys()
-                        .filter(|f| !owned[h].contains_key(f))
-                        .map(|f| released(f, f + 1023, "t"))
+                        .filter(|first| !owned[index].contains_key(first))
+                        .map(|first| released(first, first + 1023, "t"))
                         .collect();
                 }
             }
             for slice in (0..64).map(|n| n * 1024) {
-                let owners = owned.iter().filter(|h| h.get(&slice).is_some_and(|until| *until > now)).count();
+                let owners = owned
+                    .iter()
+                    .filter(|slices| slices.get(&slice).is_some_and(|expiry| *expiry > now))
+                    .count();
                 assert!(owners <= 1, "seed {seed}: slice {slice} has {owners} owners at {now}");
             }
         }
@@ -153,7 +157,8 @@
     leases.renew(0, "s", "i-0", &[], 5000);
     endpoints[0].draining = true;
     leases.plan_transfers(0, "s", &endpoints, 96, true);
-    // Its target's heartbeat is not due, so it is not asked yet; then it is removed.
+    // The heartbeat of the target is not due, so the owner is not asked to release yet; then the owner is
+    // removed.
     assert_eq!(leases.renew(10, "s", "i-0", &[], 5000).len(), 32);
     let left = &endpoints[1..];
     leases.plan_transfers(20, "s", left, 96, true);
@@ -189,7 +194,7 @@
     let writes = leases.assign_initially(0, "s", 1024, 128, &endpoints);
     leases.apply(0, &writes);
     endpoints.iter().for_each(|h| drop(leases.renew(0, "s", &h.id, &[], 0)));
-    // Half of all requests go to the eight slices of one range, the rest everywhere.
+    // Half of all requests go to the eight slices of one range, the others to all slices.
     let counts: Vec<(u32, u32)> = (0..1024).map(|n| (n, if n < 8 { 128 } else { 1 })).collect();
     leases.record_requests("s", &counts);
     for round in 0..60 {
--- a/crates/control-plane/shard-leases/src/transfer.rs
+++ b/crates/control-plane/shard-leases/src/transfer.rs
@@ -1,27 +1,30 @@
-//! Transfer of slices to their targets: after a release with its handover, or after expiry without one.
+//! Transfer of slices to their targets: after a release, with its handover state, or after expiry, without
+//! one.
 use crate::lease::{Ms, ReleasedRange, SliceLease};
 use crate::sizing::slice_keys;
 use crate::stored::Write;
 use crate::table::{LeaseChange, LeaseTable, ServiceLeases};
 
 impl LeaseTable {
-    /// Transfers what an endpoint says that it has released, with the handover, and returns the writes to replicate. A
-    /// slice whose target has gone meanwhile is owned by nobody then, until [`LeaseTable::expire`].
+    /// Transfers the slices that an endpoint reports as released, with the handover state, and returns the
+    /// writes to replicate. A slice whose target has been dropped meanwhile has no owner until
+    /// [`LeaseTable::expire`].
     ///
-    /// Only slices that the endpoint owns and was asked to release count: it may have got back any other since.
+    /// Only slices that the endpoint owns and was asked to release count: it may have been granted any other
+    /// one again since then.
     pub fn release(&mut self, service: &str, endpoint: &str, released: &[ReleasedRange]) -> Vec<Write> {
         let Some(table) = self.services.get(service) else { return Vec::new() };
         let changes = released.iter().flat_map(|range| table.changes_by_release(endpoint, range)).collect();
         self.propose(service, changes)
     }
 
-    /// Transfers slices with a target that nobody owns, or whose owner's lease has expired after it was asked to release
-    /// them. Returns the writes to replicate.
+    /// Transfers slices with a target that have no owner, or whose owner's lease has expired after it was
+    /// asked to release them. Returns the writes to replicate.
     pub fn expire(&mut self, now: Ms, service: &str) -> Vec<Write> {
         let Some(table) = self.services.get(service) else { return Vec::new() };
         let change = |(slice, lease): (usize, &SliceLease)| {
             let target = lease.target.as_ref().filter(|_| lease.is_free(now))?;
-            // A handover is that of the last release; an owner whose lease expired has given none.
+            // A handover state comes from the last release. An owner whose lease has expired has sent none.
             let handover = if lease.owner.is_empty() { lease.handover.clone() } else { String::new() };
             Some(LeaseChange { slice, owner: target.clone(), handover })
         };
@@ -29,8 +32,9 @@
         self.propose(service, changes)
     }
 
-    /// Whether a slice is being transferred to this endpoint, or about to be, so that it is worth to delay the answer to its
-    /// heartbeat. `is_heartbeat_due` says of the current owner whether its own heartbeat is due before that answer has to be sent.
+    /// Whether a slice is being transferred to this endpoint, or about to be, so that it is worthwhile to
+    /// delay the answer to its heartbeat. `is_heartbeat_due` returns whether the heartbeat of the current
+    /// owner is due before that answer has to be sent.
     pub fn has_pending_transfer(
         &self,
         service: &str,
@@ -65,9 +69,9 @@
 }
 
 impl SliceLease {
-    /// Whether no endpoint may believe any more that it owns the slice.
+    /// Whether no endpoint can still believe that it owns the slice.
     fn is_free(&self, now: Ms) -> bool {
-        let given_up = self.owner.is_empty() || self.release_requested;
-        !self.write_pending && self.expires_at <= now && given_up
+        let is_not_renewed = self.owner.is_empty() || self.release_requested;
+        !self.write_pending && self.expires_at <= now && is_not_renewed
     }
 }
--- a/crates/control-plane/shard-leases/tests/stored_format.rs
+++ b/crates/control-plane/shard-leases/tests/stored_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of stored leases, and of released ranges in a heartbeat. Builds of other versions read and write them; a change
-//! here breaks rolling upgrades or stored data.
+//! The bytes of stored leases, and of released ranges in a heartbeat. Other versions read and write them; a
+//! change here breaks rolling upgrades or stored data.
 use coppersail_shard_leases::{Candidate, LeaseTable, ReleasedRange};
 
 fn write(key: &str, value: &str) -> (String, String) {
