--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -8,7 +8,7 @@
 use std::sync::mpsc::channel;
 use std::time::{Duration, Instant};
 
-/// A configuration of the target's size; about every byte differs from one revision to the next.
+/// A configuration of this many routes and tenants; nearly every byte differs from one revision to the next.
 fn config(revision: u64, routes: u64, tenants: u64) -> String {
     let mix = |n: u64| (n ^ revision.wrapping_mul(0x9e37_79b9_7f4a_7c15)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     let rows: Vec<String> = (0..routes)
@@ -23,7 +23,7 @@
     serde_json::to_string(&coppersail_peer_protocol::ConfigDocument { revision, body }).unwrap_or_default()
 }
 
-/// The size of all files below, in bytes.
+/// The size of all files below a folder, in bytes.
 fn folder_bytes(folder: &Path) -> u64 {
     let Ok(entries) = std::fs::read_dir(folder) else { return 0 };
     entries
@@ -44,11 +44,11 @@
 }
 
 /// Writes a batch and waits until it is durable.
-fn write(writer: &DiskWriter, state: Vec<KeyValue>, own: Vec<KeyValue>) -> Duration {
+fn write(writer: &DiskWriter, state: Vec<KeyValue>, metadata: Vec<KeyValue>) -> Duration {
     let (sender, receiver) = channel();
     let on_complete = Box::new(move |ok| sender.send(ok).unwrap_or(()));
     let started = Instant::now();
-    writer.write(WriteBatch { state, replace_state: false, metadata: own }, on_complete);
+    writer.write(WriteBatch { state, replace_state: false, metadata }, on_complete);
     assert!(receiver.recv().expect("an answer"), "the write failed");
     started.elapsed()
 }
@@ -59,7 +59,7 @@
     let Some(maximum) = times.last() else { return };
     let percentile = |percent: usize| times[(times.len() * percent / 100).min(times.len() - 1)];
     println!(
-        "{} changes of {bytes} bytes: median {:?}, 99 in 100 {:?}, most {maximum:?}",
+        "{} changes of {bytes} bytes: median {:?}, 99th percentile {:?}, maximum {maximum:?}",
         times.len(),
         percentile(50),
         percentile(99)
@@ -87,12 +87,12 @@
     }
     let (mut times, mut max_folder_bytes) = (Vec::new(), 0);
     for n in 1..=changes {
-        let own = if n % 10 == 0 {
+        let metadata = if n % 10 == 0 {
             vec![("floor".into(), format!("{{\"n\":{n},\"by\":\"a\"}}"))]
         } else {
             Vec::new()
         };
-        times.push(write(&writer, vec![("config".into(), config(n, routes, tenants))], own));
+        times.push(write(&writer, vec![("config".into(), config(n, routes, tenants))], metadata));
         max_folder_bytes = max_folder_bytes.max(folder_bytes(folder));
     }
     if changes > 0 {
--- a/crates/control-plane/server/src/feed_tests.rs
+++ b/crates/control-plane/server/src/feed_tests.rs
@@ -3,7 +3,7 @@
 use crate::followers::{AnswerOptions, FeedPosition};
 use coppersail_peer_protocol::{ConfigDocument, EndpointState, EndpointUpdate, Update};
 
-/// The whole update of a follower at this position.
+/// The unlimited update for a follower at this position.
 fn updates_since(feed: &ChangeFeed, feed_id: u64, sequence: u64) -> Update {
     feed.updates_since(FeedPosition { feed_id, sequence }, AnswerOptions::default())
 }
@@ -28,12 +28,12 @@
         let (mut here, mut there) = (ChangeFeed::new(7), ChangeFeed::new(8));
         here.put_endpoint(&heartbeat_at(first, 1));
         there.put_endpoint(&heartbeat_at(other, 1));
-        // The updates of both cross on their way.
+        // The updates of both members cross on the network.
         let (ours, theirs) = (updates_since(&here, 0, 0), updates_since(&there, 0, 0));
         here.merge(&theirs);
         there.merge(&ours);
         assert_eq!(here.endpoint("i"), there.endpoint("i"));
-        // Its next heartbeat goes there.
+        // The next heartbeat goes to the second member.
         there.put_endpoint(&heartbeat_at(other, 2));
         here.merge(&updates_since(&there, 0, 0));
         assert_eq!(here.endpoint("i").unwrap().reported_by, other);
@@ -59,7 +59,7 @@
     let update = updates_since(&feed, 0, 0);
     assert!(update.is_snapshot && update.endpoints.len() == 1 && update.config.is_some());
     assert_eq!(updates_since(&feed, 7, update.sequence).endpoints.len(), 0);
-    assert!(updates_since(&feed, 6, 1).is_snapshot, "another start of the member");
+    assert!(updates_since(&feed, 6, 1).is_snapshot, "the member has restarted");
     assert!(updates_since(&feed, 7, 99).is_snapshot, "a sequence number that was never given");
 }
 
@@ -81,7 +81,7 @@
     assert!(!feed.put_endpoint(&endpoint("i", 7, EndpointState::Draining)), "a heartbeat alone is no update");
 }
 
-/// A feed of 60 endpoints, 512 shards that change hands one by one, and a configuration.
+/// A feed of 60 endpoints, 512 shards with owners that change one by one, and a configuration.
 fn populated_feed() -> ChangeFeed {
     let mut feed = ChangeFeed::new(7);
     for n in 0..60 {
@@ -114,7 +114,7 @@
             break;
         }
         if part == 1 {
-            // What is put while the parts are sent is among the later ones.
+            // A change that is put while the parts are sent is in a later part.
             feed.put_endpoint(&endpoint("i-0", 2, EndpointState::Removed));
         }
     }
@@ -137,7 +137,7 @@
     assert_eq!((last.incomplete, last.config), (false, None), "it has that one");
 }
 
-/// An edge that is behind would otherwise send requests to endpoints that have ended, until it has everything else.
+/// Otherwise an edge that lags would send requests to removed endpoints until it has all older changes.
 #[test]
 fn departures_come_with_every_part_until_their_turn() {
     let mut feed = populated_feed();
--- a/crates/control-plane/server/src/invariants.rs
+++ b/crates/control-plane/server/src/invariants.rs
@@ -17,13 +17,13 @@
     fn fmt(&self, out: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Violation::ReadDiffersFromState { read, stored } => {
-                write!(out, "revision {read:?} is read back, {stored:?} is stored")
+                write!(out, "operators read revision {read:?}, but {stored:?} is stored")
             }
             Violation::FollowerLacksConfig { follower, known, answered } => {
-                write!(out, "{follower} polls with r{known}, and took over an answer that had r{answered}")
+                write!(out, "{follower} polls with r{known}, but has applied an answer with r{answered}")
             }
             Violation::PartDoesNotAdvance { follower, sequence } => {
-                write!(out, "a part for {follower} ends at its own position {sequence}")
+                write!(out, "an incomplete update for {follower} does not advance its position {sequence}")
             }
         }
     }
--- a/crates/control-plane/server/src/listener.rs
+++ b/crates/control-plane/server/src/listener.rs
@@ -1,8 +1,8 @@
 //! The HTTP adapter: accepts connections on the addresses of a node, parses requests by the resource that they are for, and
 //! writes the responses.
 //!
-//! One thread serves all connections, each as a task: however many come at once, as after a restart or a partition, none waits
-//! for another to end.
+//! One thread serves all connections, each as a task, so that none waits for another to end, even if many
+//! come at once, as after a restart or a partition.
 use crate::resources::{self, ParsedRequest, RequestError, Resource};
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full, Limited};
@@ -26,11 +26,14 @@
 use tokio::task::{spawn_local, JoinSet, LocalSet};
 use tokio::time::{sleep, timeout};
 
-/// Connections that may wait to be accepted: all edges and endpoints come back together after a partition.
+/// The number of connections that may wait to be accepted: after a partition all edges and endpoints
+/// reconnect at once.
 const BACKLOG: u32 = 1024;
-/// Pause after a connection could not be accepted: as a rule descriptors are used up, and others must end first.
+/// The delay after a connection could not be accepted. The usual reason is that file descriptors are used up,
+/// so other connections have to end first.
 const ACCEPT_RETRY: Duration = Duration::from_millis(20);
-/// A connection that is idle for so long, or a body that takes so long, is given up: its client has gone, or is cut off.
+/// A connection that is idle for this time, or whose body takes this time, is closed: its client has gone or
+/// can't be reached.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 /// How often a shutdown checks whether all connections have ended.
 const SHUTDOWN_CHECK: Duration = Duration::from_millis(5);
@@ -47,12 +50,12 @@
 /// Takes the response to one request, from any thread.
 pub(crate) type Responder = oneshot::Sender<HttpResponse>;
 
-/// Takes a request that was parsed, and owes the response to it.
+/// Handles a parsed request; it has to send the response.
 pub(crate) type RequestHandler = Arc<dyn Fn(ParsedRequest, Responder) + Send + Sync>;
 
 /// The address can't be listened on.
 #[derive(Debug, thiserror::Error)]
-#[error("{address}")]
+#[error("can't listen on {address}")]
 pub struct BindError {
     /// IP address and port.
     pub address: String,
@@ -72,18 +75,18 @@
 }
 
 impl Listener {
-    /// Accepts no more connections, and waits until the open ones have got the responses that they are owed, or until
-    /// `limit` is over.
+    /// Stops accepting connections, and waits until the open ones have got their pending responses, for at
+    /// most `limit`.
     pub(crate) fn shut_down(&self, limit: Duration) {
         self.shutdown.send_replace(true);
-        let begun = Instant::now();
-        while !self.thread.is_finished() && begun.elapsed() < limit {
+        let started_at = Instant::now();
+        while !self.thread.is_finished() && started_at.elapsed() < limit {
             std::thread::sleep(SHUTDOWN_CHECK);
         }
     }
 }
 
-/// Listens on all addresses, on a thread of its own until it is shut down.
+/// Starts a thread that listens on all addresses until it is shut down.
 pub(crate) fn spawn(bindings: Vec<Binding>, on_request: RequestHandler) -> Result<Listener, SpawnError> {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let (bound, is_bound) = sync_channel(1);
@@ -91,7 +94,7 @@
     let serve =
         move || LocalSet::new().block_on(&runtime, listen(bindings, on_request, &bound, is_shut_down));
     let thread = std::thread::Builder::new().name("http".into()).stack_size(STACK_BYTES).spawn(serve)?;
-    // The thread ends without a word only if it panics, which ends the process.
+    // The thread ends without sending a result only if it panics, which ends the process.
     is_bound.recv().unwrap_or(Ok(()))?;
     Ok(Listener { shutdown, thread })
 }
@@ -142,7 +145,7 @@
     socket.listen(BACKLOG)
 }
 
-/// Accepts connections until a shutdown, and ends when all of them have.
+/// Accepts connections until a shutdown, and returns when all of them have ended.
 async fn accept(listener: TcpListener, dispatcher: Rc<Dispatcher>, mut shutdown: watch::Receiver<bool>) {
     let mut connections = JoinSet::new();
     loop {
@@ -161,12 +164,13 @@
     while connections.join_next().await.is_some() {}
 }
 
-/// A dropped sender is a shutdown, too.
+/// Waits for a shutdown; a dropped sender counts as one.
 async fn wait_for_shutdown(shutdown: &mut watch::Receiver<bool>) {
     let _ = shutdown.wait_for(|is_shut_down| *is_shut_down).await;
 }
 
-/// Serves requests until the client leaves, or until a shutdown and the response that is owed by then.
+/// Serves requests until the client disconnects, or until a shutdown; a request that is then in progress is
+/// still answered.
 async fn serve_connection(
     stream: TcpStream,
     dispatcher: Rc<Dispatcher>,
@@ -182,7 +186,7 @@
         .header_read_timeout(IDLE_TIMEOUT)
         .serve_connection(TokioIo::new(stream), service);
     let mut connection = pin!(connection);
-    // A client that has gone needs no response.
+    // An error means that the client has disconnected, so it needs no response.
     tokio::select! {
         _ = &mut connection => return,
         _ = wait_for_shutdown(&mut shutdown) => connection.as_mut().graceful_shutdown(),
@@ -203,7 +207,7 @@
         };
         let (responder, response) = oneshot::channel();
         (self.on_request)(parsed, responder);
-        // Every request that the node takes is answered, at its deadline at the latest.
+        // The node answers every request that it accepts, at its deadline at the latest.
         response.await.unwrap_or(HttpResponse { status: 503, body: String::new() })
     }
 
@@ -220,7 +224,7 @@
     }
 }
 
-/// Reads the body up to its end, which must come.
+/// Reads the whole body. A body that ends early is an error.
 async fn read_body(body: Incoming) -> Result<String, RequestError> {
     let collected = timeout(IDLE_TIMEOUT, Limited::new(body, resources::MAX_BODY_BYTES).collect()).await;
     let body = collected.ok().and_then(Result::ok).ok_or(RequestError::IncompleteBody)?;
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -23,15 +23,15 @@
 /// How often the settings file is checked for a change that came without a signal.
 const SETTINGS_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The status of a process that panicked, as the standard library has it.
+/// The exit status of a process that panicked, the same as in the standard library.
 const PANIC_STATUS: i32 = 101;
 
 const SIGNALS_STACK_BYTES: usize = 128 * 1024;
 const SHUTDOWN_STACK_BYTES: usize = 64 * 1024;
 
 const HELP: &str = "\
-coppersail-control-plane: a centre of the gateway. COPPERSAIL_SETTINGS names its settings file.
-coppersail-control-plane --inspect FOLDER: what the data folder of a stopped centre holds; 0 if it is whole, else 1.";
+coppersail-control-plane: a control-plane node of the gateway. COPPERSAIL_SETTINGS names its settings file.
+coppersail-control-plane --inspect FOLDER: print the content of a stopped node's data folder; status 0 if it is intact, else 1.";
 
 /// What the command line asks for.
 enum Command {
@@ -40,7 +40,7 @@
     Help,
 }
 
-/// Log lines on standard error, one a fact, with the prefix of this program.
+/// Writes log lines to standard error, with the prefix of this program.
 struct StderrDrain;
 
 impl Drain for StderrDrain {
@@ -88,8 +88,9 @@
 
 /// Runs the node; ends the process on SIGTERM, once the node has handed over its duties.
 fn serve() -> Result<ExitCode, Failure> {
-    let signals = subscribe_to_signals().wrap_err("signals can't be taken").map_err(Failure::runtime)?;
-    // Before it is read, so that a write in between is seen as a change.
+    let signals =
+        subscribe_to_signals().wrap_err("signal handlers can't be installed").map_err(Failure::runtime)?;
+    // Taken before the file is read, so that a write in between is detected as a change.
     let settings_version = SettingsFileVersion::current();
     let settings = ProcessSettings::read().map_err(Failure::usage)?;
     exit_on_panic();
@@ -99,7 +100,8 @@
     Ok(ExitCode::FAILURE)
 }
 
-/// Receives signals from now on: one without a handler would end the process.
+/// Installs the signal handlers, and returns the channel on which signals arrive. A signal without a handler
+/// would end the process.
 fn subscribe_to_signals() -> std::io::Result<Receiver<i32>> {
     let mut signals = Signals::new([SIGHUP, SIGTERM])?;
     let (sender, receiver) = channel();
@@ -108,8 +110,8 @@
     Ok(receiver)
 }
 
-/// A panic of any thread ends the process: the node can't go on without one of them, nor with a state that was left
-/// half changed. The next start recovers from the disk.
+/// Makes a panic of any thread end the process: the node can't continue without one of its threads, or with a
+/// partly changed state. The next start recovers from the disk.
 fn exit_on_panic() {
     let default_hook = std::panic::take_hook();
     std::panic::set_hook(Box::new(move |info| {
@@ -134,7 +136,7 @@
     }
 }
 
-/// Begins a graceful shutdown; signals are handled on meanwhile.
+/// Begins a graceful shutdown. Signals are still handled meanwhile.
 fn shut_down(server: &Arc<Server>) {
     server.begin_shutdown();
     let server = server.clone();
@@ -150,6 +152,8 @@
 fn reload_settings(server: &Arc<Server>) {
     match ProcessSettings::read() {
         Ok(settings) => server.change_settings(settings),
-        Err(error) => server.log_info(&format!("Settings are not taken, nothing changes: {error}.")),
+        Err(error) => {
+            server.log_info(&format!("Settings are not reloaded, the previous ones stay in force: {error}."))
+        }
     }
 }
--- a/crates/control-plane/server/src/members.rs
+++ b/crates/control-plane/server/src/members.rs
@@ -1,13 +1,14 @@
-//! Other members of the control plane: the status that they last sent, and which of them followers know.
+//! Other members of the control plane: the status that each sent last, and which of them were announced to
+//! followers.
 use coppersail_consensus::{Core, Id, Ms, PeerStatus};
 use coppersail_peer_protocol::{MemberDetail, MemberStatus};
 use std::collections::BTreeMap;
 
-/// Below this number of live members all members are named to followers, live or not.
+/// With fewer live members than this, followers are sent the addresses of all members, live or not.
 const ENOUGH_LIVE_MEMBERS: usize = 2;
 
-/// Where a member listens for its peers: on the first spare port, which is the same everywhere. `id` is the address for
-/// endpoints and operators, "ip:port".
+/// The address at which a member listens for its peers. Its port is the first of the peer ports, the same for
+/// all members. `id` is the member's address for endpoints and operators, "ip:port".
 pub(crate) fn peer_address(id: &str, port: u16) -> String {
     let ip = id.rsplit_once(':').map_or(id, |(ip, _)| ip);
     format!("{ip}:{port}")
@@ -30,14 +31,15 @@
 
 #[derive(Default)]
 pub(crate) struct Members {
-    /// The last status of each, with the detail, which is sent only when it has changed.
+    /// The last status of each, with its detail, which members send only when it has changed.
     statuses: BTreeMap<Id, MemberStatus>,
-    /// Members that followers know of, each with the sequence number of the change feed from which on they do.
+    /// The members that were announced to followers, each with the sequence number of its announcement in the
+    /// change feed.
     announced: BTreeMap<Id, u64>,
 }
 
 impl Members {
-    /// The status of this member for `peer`, without the detail if the peer has acknowledged that.
+    /// The status of this member for `peer`, without the detail if the peer has acknowledged it.
     pub(crate) fn status_for(&self, peer: &str, own: PeerStatus, edges: Vec<String>) -> MemberStatus {
         let detail = MemberDetail {
             incarnation: own.incarnation,
@@ -61,8 +63,8 @@
         }
     }
 
-    /// Keeps the status of another member. Its detail, if it is known: else the next status that this member sends
-    /// acknowledges none, and the other sends it again.
+    /// Stores the status of another member, and returns its detail if that is known. If it is not, the next
+    /// status that this member sends acknowledges no detail, and the other member sends it again.
     pub(crate) fn record_status(&mut self, status: &MemberStatus) -> Option<MemberDetail> {
         let kept = self.statuses.entry(status.id.clone()).or_default();
         let mut new = status.clone();
@@ -73,7 +75,7 @@
         kept.detail.clone()
     }
 
-    /// Live members that followers do not know of.
+    /// Live members that were not announced to followers.
     pub(crate) fn unannounced(&self, now: Ms, core: &Core) -> Vec<Id> {
         let is_new = |id: &&Id| !self.announced.contains_key(*id) && core.is_peer_alive(now, id);
         core.members.iter().filter(is_new).cloned().collect()
@@ -83,13 +85,14 @@
         self.announced.extend(members.into_iter().map(|id| (id, sequence)));
     }
 
-    /// Whether a follower that has this sequence number lacks a member.
+    /// Whether a member was announced after this sequence number, so that a follower at it lacks that member.
     pub(crate) fn any_announced_after(&self, sequence: u64) -> bool {
         self.announced.values().any(|announced| *announced > sequence)
     }
 }
 
-/// The status of another member, as the consensus core takes it, and the edges that poll that member.
+/// Converts the status of another member for the consensus core; also returns the edges that poll that
+/// member.
 pub(crate) fn peer_status(status: &MemberStatus, detail: MemberDetail) -> (PeerStatus, Vec<String>) {
     let peer_status = PeerStatus {
         id: status.id.clone(),
--- a/crates/control-plane/server/src/messages.rs
+++ b/crates/control-plane/server/src/messages.rs
@@ -4,13 +4,13 @@
 use coppersail_consensus::{Id, Ms, OperationId, RequestId};
 use coppersail_peer_protocol::{Update, WatchRequest};
 
-/// What a node starts from.
+/// The input of a node's start.
 pub struct Startup {
     /// The process settings, already validated.
     pub settings: ProcessSettings,
     /// What was found in the data folder.
     pub recovered: RecoveredState,
-    /// A random number from 1 to below 2^53: the incarnation of a disk that is new, and the id of the change feed.
+    /// A random number from 1 to below 2^53: the incarnation of a new disk, and the id of the change feed.
     pub feed_and_disk_incarnation: u64,
 }
 
@@ -34,14 +34,14 @@
     },
     /// The result of [`Effect::SendToPeer`].
     PeerResponded {
-        /// The token of the effect.
+        /// The id in the effect.
         operation_id: OperationId,
-        /// None if the request was refused, cut off, reset or not answered in time.
+        /// `None` if the request was refused, cut off, reset or not answered in time.
         response: Option<PeerResponse>,
     },
     /// The result of [`Effect::Persist`]; results come in the order of the writes.
     WriteFinished {
-        /// The token of the effect.
+        /// The id in the effect.
         operation_id: OperationId,
         /// Whether the batch is on the disk.
         ok: bool,
@@ -61,12 +61,12 @@
         /// The body of the request.
         body: String,
     },
-    /// `POST /servers/ID/sign-off`: an endpoint ends.
+    /// `POST /servers/ID/sign-off`: an endpoint shuts down.
     SignOff {
         /// The id of the endpoint.
         endpoint_id: String,
     },
-    /// `POST /settings/replace`: an order for another configuration.
+    /// `POST /settings/replace`: an order to replace the configuration.
     ReplaceConfig {
         /// The configuration.
         body: String,
@@ -100,7 +100,7 @@
     Consensus(coppersail_consensus::Response),
 }
 
-/// What the adapters are to carry out, in order.
+/// An action for the adapters; they carry out actions in order.
 pub enum Effect {
     /// Answer an [`Event::Admin`].
     RespondToAdmin {
@@ -129,7 +129,7 @@
         /// In ms.
         timeout: Ms,
     },
-    /// Write a batch, synced and atomic, one after the other.
+    /// Write a batch atomically and synced; batches are written one after the other.
     Persist {
         /// Names the operation in [`Event::WriteFinished`].
         operation_id: OperationId,
--- a/crates/control-plane/server/src/node.rs
+++ b/crates/control-plane/server/src/node.rs
@@ -75,7 +75,7 @@
         let failures = self.settings.max_machine_failures;
         if failures > 1 {
             let voters = 2 * failures + 1;
-            let line = format!("terms.survive.boxes is {failures}: that wants {voters} witnesses.");
+            let line = format!("terms.survive.boxes is {failures}, which needs {voters} voters.");
             effects.push(Effect::Log(line));
         }
     }
@@ -114,7 +114,7 @@
         let exits = is_tick && self.advance_exit(now, &mut replies);
         effects.extend(replies.into_iter().map(Effect::from));
         if exits {
-            effects.push(Effect::Log("Left.".into()));
+            effects.push(Effect::Log("Shutdown is complete.".into()));
             effects.push(Effect::Exit);
         }
     }
@@ -221,7 +221,8 @@
 
     fn begin_shutdown(&mut self, now: Ms, replies: &mut Vec<Reply>, effects: &mut Vec<Effect>) {
         if !self.state.core.is_shutting_down() {
-            effects.push(Effect::Log("Leaving: hands over what it holds.".into()));
+            effects
+                .push(Effect::Log("Shutting down: handing over leadership and the replicated state.".into()));
             self.state.core.begin_shutdown(now);
             // The answers carry this member's status, by which the other members learn of the shutdown.
             self.state.answer_all_polls(now, replies);
--- a/crates/control-plane/server/src/operator_requests.rs
+++ b/crates/control-plane/server/src/operator_requests.rs
@@ -11,8 +11,12 @@
 use coppersail_peer_protocol::ConfigDocument;
 use coppersail_rollout::RolloutCommand;
 
+/// How long a request of an operator waits for its commit, in timeouts of a request to a peer.
+const COMMIT_WAIT_RPC_TIMEOUTS: Ms = 4;
+
 impl State {
-    /// One revision has one content: the same again is acknowledged, another is refused.
+    /// Handles an order to replace the configuration. A revision has one content: the same content again is
+    /// acknowledged, another one is refused.
     pub(crate) fn replace_config(
         &mut self,
         now: Ms,
@@ -24,7 +28,7 @@
         let config = match coppersail_config::config::parse(body.as_bytes()) {
             Ok(config) => config,
             Err(error) => {
-                effects.push(Effect::Log(format!("A configuration is refused: {error}.")));
+                effects.push(Effect::Log(format!("A configuration is rejected: {error}.")));
                 return replies.push(Reply::Admin(request_id, Rejection::bad_request(error).into()));
             }
         };
@@ -39,7 +43,8 @@
                 return replies.push(Reply::Admin(request_id, Response::acknowledged()))
             }
             OrderDecision::Conflict => {
-                let line = format!("A configuration is refused: r{revision} has another content.");
+                let line =
+                    format!("Configuration r{revision} is rejected: the revision has another content.");
                 effects.push(Effect::Log(line));
                 let conflict = Rejection::conflict(CONFLICTING_REVISION);
                 return replies.push(Reply::Admin(request_id, conflict.into()));
@@ -53,13 +58,14 @@
         self.await_commit(now, request_id, ticket, kind);
     }
 
-    /// The ticket of the proposal.
+    /// Proposes an order; returns the ticket of the proposal.
     fn propose_config(&mut self, revision: u64, digest: String, body: String) -> u64 {
         let ticket = self.proposals.next_ticket();
         let newest = self.newest_revision();
         self.orders.begin(revision, digest, ticket);
         let mut writes = self.orders.writes(ticket);
-        // Of several in progress the highest comes into force, and only above the one in force.
+        // The configuration is replaced only by a revision above the one in force and above all others in
+        // progress.
         if newest.is_none_or(|newest| newest < revision) {
             self.orders.record_newest(revision);
             let document = serde_json::to_string(&ConfigDocument { revision, body }).unwrap_or_default();
@@ -69,7 +75,7 @@
     }
 
     fn await_commit(&mut self, now: Ms, request_id: RequestId, ticket: u64, kind: ReplyKind) {
-        let deadline = now + 4 * self.timeouts.core.rpc_timeout;
+        let deadline = now + COMMIT_WAIT_RPC_TIMEOUTS * self.timeouts.core.rpc_timeout;
         let pending = PendingReply { request_id, deadline, ticket: Some(ticket), sequence: None, kind };
         self.pending_replies.push(pending);
     }
@@ -85,7 +91,7 @@
         }
     }
 
-    /// What this leader has in force, and lets operators read, is what is on the disks.
+    /// Checks the invariant that the configuration that operators read is the one in the replicated state.
     fn check_config_in_force(&mut self) {
         let stored = self.core.state().get(CONFIG_KEY);
         let stored = stored.and_then(|text| serde_json::from_str::<ConfigDocument>(text).ok());
@@ -95,7 +101,7 @@
         self.violations.check(holds, || Violation::ReadDiffersFromState { read, stored });
     }
 
-    /// `GET /rollouts` and `GET /rollouts/NAME`. `path`: after `/rollouts`.
+    /// `GET /rollouts` and `GET /rollouts/NAME`. `path` is the part after `/rollouts`.
     pub(crate) fn read_rollouts(&self, now: Ms, path: &str) -> Response {
         if !self.holds_leader_lease(now) {
             return self.redirect_to_leader(now, &format!("/rollouts{path}"));
@@ -110,7 +116,7 @@
         }
     }
 
-    /// `POST /rollouts/NAME` and `POST /rollouts/NAME/COMMAND`. `path`: after `/rollouts`.
+    /// `POST /rollouts/NAME` and `POST /rollouts/NAME/COMMAND`. `path` is the part after `/rollouts`.
     pub(crate) fn change_rollout(
         &mut self,
         now: Ms,
@@ -126,7 +132,8 @@
         }
         match self.rollout_writes(now, path, body) {
             Ok(writes) => {
-                // A command that changes nothing waits for what made it so.
+                // A command that changes nothing waits for the last proposal, which may have made the state
+                // what the command asks for.
                 let has_changed = !writes.is_empty();
                 let last_ticket = self.proposals.last_ticket();
                 let ticket = if has_changed { self.proposals.submit(writes) } else { last_ticket };
@@ -136,7 +143,8 @@
                 let is_logged = matches!(rejection.status, 400 | 409);
                 let response = Response::from(rejection);
                 if is_logged {
-                    effects.push(Effect::Log(format!("Plans: {path} is refused: {}.", response.body)));
+                    effects
+                        .push(Effect::Log(format!("Rollout request {path} is rejected: {}.", response.body)));
                 }
                 replies.push(Reply::Admin(request_id, response));
             }
--- a/crates/control-plane/server/src/orders.rs
+++ b/crates/control-plane/server/src/orders.rs
@@ -1,7 +1,7 @@
-//! Orders for a configuration: each revision has one content. Pure.
+//! Orders of operators to put a configuration in force. Each revision has one content. No I/O.
 //!
-//! The digests of committed orders are part of the replicated state, written in one batch with the configuration, so they
-//! outlive changes of leadership and restarts.
+//! The digests of committed orders are part of the replicated state, written in one batch with the
+//! configuration, so they survive changes of leadership and restarts.
 use crate::store::KeyValue;
 use coppersail_peer_protocol::ConfigDocument;
 use sha2::{Digest, Sha256};
@@ -9,14 +9,14 @@
 
 /// The key of the configuration in the replicated state.
 pub(crate) const CONFIG_KEY: &str = "config";
-/// The keys of orders begin with it; the revision follows.
+/// The prefix of the keys of orders; the revision follows it.
 const ORDER_KEY_PREFIX: &str = "order/";
-/// How many revisions are remembered: a day holds hundreds of changes. The lowest go first.
+/// The number of revisions that are remembered; a day has hundreds of changes. The lowest are dropped first.
 pub(crate) const MAX_REMEMBERED: usize = 1000;
-/// How much of the SHA-256 sum is kept.
+/// The number of bytes of the SHA-256 digest that are kept.
 const DIGEST_BYTES: usize = 16;
 
-/// What is to be done about an order.
+/// How to handle an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderDecision {
     /// The revision is above the one in force: propose it as the configuration.
@@ -25,13 +25,14 @@
     AlreadyCommitted,
     /// This content is being committed: answer when the proposal with this ticket is decided.
     InProgress(u64),
-    /// Another content is being committed under this revision, with this ticket: refuse it once that is committed, and
-    /// give no clear answer if that fails.
+    /// Another content is being committed under this revision, with this ticket: refuse it once that is
+    /// committed, and give an indeterminate answer if that fails.
     ConflictInProgress(u64),
     /// Another content has been committed under this revision: refuse it.
     Conflict,
-    /// The revision is not known, and below the one in force: propose the order alone, so that the revision has one
-    /// content from then on, and leave the configuration as it is.
+    /// The revision is not known, and not above the one in force: propose the order without the
+    /// configuration, so that the revision has one content from then on, and leave the configuration in
+    /// force.
     ProposeWithoutEffect,
 }
 
@@ -47,16 +48,18 @@
 pub struct Orders {
     /// Committed: digests by revision.
     committed: BTreeMap<u64, String>,
-    /// By rising ticket.
+    /// In the order of their tickets.
     in_progress: Vec<OrderInProgress>,
     /// The highest revision that this leader has proposed as the configuration.
     newest_in_progress: Option<u64>,
 }
 
-/// The digest of a content. Bodies that are equal as JSON have one digest, whatever the order of their fields.
+/// The digest of a content. Bodies that are equal as JSON have the same digest, whatever the order of their
+/// fields.
 pub fn digest(body: &str) -> String {
     let canonical = serde_json::from_str::<serde_json::Value>(body).map(|mut value| {
-        // They are sorted already, unless some package of the build has `serde_json` keep their order.
+        // Fields are already sorted, unless a package of the build enables the feature of `serde_json` that
+        // keeps their order.
         value.sort_all_objects();
         value.to_string()
     });
@@ -75,8 +78,8 @@
 }
 
 impl Orders {
-    /// The orders of the replicated state. A state of an older build, which remembered none, has the newest
-    /// configuration alone.
+    /// Reads the orders from the replicated state. A state of an older version has no orders, only the newest
+    /// configuration.
     pub fn recover<'a>(state: impl Iterator<Item = (&'a str, &'a str)>) -> Orders {
         let (mut committed, mut newest) = (BTreeMap::new(), None);
         for (key, value) in state {
@@ -95,7 +98,7 @@
         Orders { committed, ..Orders::default() }
     }
 
-    /// What is to be done about an order. `in_force`: the revision of the configuration in force.
+    /// Decides how to handle an order. `in_force` is the revision of the configuration in force.
     pub fn decide(&self, revision: u64, digest: &str, in_force: Option<u64>) -> OrderDecision {
         if let Some(order) = self.in_progress.iter().find(|order| order.revision == revision) {
             return if order.digest == digest {
@@ -114,12 +117,12 @@
         }
     }
 
-    /// An order is going to be proposed under this ticket. Tickets rise.
+    /// Records an order that is proposed under this ticket. Tickets increase.
     pub(crate) fn begin(&mut self, revision: u64, digest: String, ticket: u64) {
         self.in_progress.push(OrderInProgress { ticket, revision, digest });
     }
 
-    /// The configuration of this revision is going to be proposed.
+    /// Records that the configuration of this revision is proposed.
     pub(crate) fn record_newest(&mut self, revision: u64) {
         self.newest_in_progress = self.newest_in_progress.max(Some(revision));
     }
@@ -128,8 +131,8 @@
         self.newest_in_progress
     }
 
-    /// The writes of the orders up to this ticket, for one batch with the configuration. An empty value removes a
-    /// revision that is not remembered any more.
+    /// The writes of the orders up to this ticket, for one batch with the configuration. An empty value
+    /// removes a revision that is no longer remembered.
     pub(crate) fn writes(&self, ticket: u64) -> Vec<KeyValue> {
         let batch = || self.in_progress.iter().filter(|order| order.ticket <= ticket);
         if batch().next().is_none() {
@@ -153,12 +156,13 @@
         }
     }
 
-    /// It may be on a disk or not: the next leader finds out.
+    /// Drops an order whose proposal failed. It may be on a disk or not; the next leader finds out.
     pub(crate) fn mark_failed(&mut self, ticket: u64) {
         self.in_progress.retain(|order| order.ticket != ticket);
     }
 
-    /// This member has stepped down: nothing that is in progress is going to be answered.
+    /// Drops the orders in progress after this member has stepped down; none of them is acknowledged any
+    /// more.
     pub(crate) fn abandon_all(&mut self) {
         self.in_progress.clear();
         self.newest_in_progress = None;
--- a/crates/control-plane/server/src/orders_tests.rs
+++ b/crates/control-plane/server/src/orders_tests.rs
@@ -8,7 +8,7 @@
     Orders::recover(disk.iter().map(|(n, v)| (n.as_str(), v.as_str())))
 }
 
-/// Written as one batch, and on the disk.
+/// Writes the orders with these tickets to the disk as one batch, and marks them as committed.
 fn write(orders: &mut Orders, disk: &mut Disk, tickets: std::ops::RangeInclusive<u64>) {
     disk.extend(orders.writes(*tickets.end()));
     tickets.for_each(|ticket| orders.mark_committed(ticket));
@@ -114,7 +114,7 @@
         orders.begin(revision, digest("x"), revision);
         write(&mut orders, &mut disk, revision..=revision);
     }
-    // Lower than all that is kept: acknowledged, and not remembered.
+    // Lower than all revisions that are kept: it is acknowledged, and not remembered.
     orders.begin(2, digest("y"), limit + 11);
     assert_eq!(orders.writes(limit + 11), []);
     orders.mark_committed(limit + 11);
@@ -144,45 +144,45 @@
     assert!(all.iter().all(|d| d.len() == 32), "128 bits");
 }
 
-/// Operators that resend, takeovers with and without what was being written: by what was acknowledged, one number has
-/// one content for ever, and what was acknowledged is never refused.
+/// Operators resend orders at random, over failovers that keep or lose the batch in progress. A revision has
+/// the same content in every acknowledgement, and an acknowledged order is never refused.
 #[test]
 fn random_failovers_leave_one_content_per_revision() {
     for seed in 0..500 {
-        let mut chance = fastrand::Rng::with_seed(seed);
+        let mut random = fastrand::Rng::with_seed(seed);
         let (mut orders, mut disk) = (Orders::default(), Disk::new());
         let (mut acknowledged, mut ticket): (BTreeMap<u64, String>, u64) = Default::default();
-        // ticket -> number and content, of those that wait for it
-        let mut waits: Vec<(u64, u64, String)> = Vec::new();
+        // The orders that wait for an answer: (ticket, revision, content).
+        let mut waiting: Vec<(u64, u64, String)> = Vec::new();
         for _ in 0..200 {
             let in_force =
                 || disk.keys().filter_map(|n| n.strip_prefix(ORDER_KEY_PREFIX)?.parse::<u64>().ok()).max();
-            match chance.u8(0..10) {
+            match random.u8(0..10) {
                 0 => {
-                    // A takeover; what was being written is found on the disk, or not.
-                    if chance.bool() {
+                    // A failover. The batch in progress is on the disk, or not.
+                    if random.bool() {
                         disk.extend(orders.writes(ticket));
                     }
-                    waits.clear();
+                    waiting.clear();
                     orders = recovered(&disk);
                 }
                 1..=3 => {
                     write(&mut orders, &mut disk, 0..=ticket);
-                    for (_, revision, content) in waits.drain(..) {
+                    for (_, revision, content) in waiting.drain(..) {
                         let first = acknowledged.entry(revision).or_insert(content.clone());
                         assert_eq!(*first, content, "seed {seed}: both were acknowledged");
                     }
                 }
                 _ => {
-                    let (revision, content) = (chance.u64(1..9), chance.u8(0..3).to_string());
+                    let (revision, content) = (random.u64(1..9), random.u8(0..3).to_string());
                     let known = acknowledged.get(&revision).is_some_and(|first| *first == content);
                     match orders.decide(revision, &digest(&content), in_force()) {
                         OrderDecision::Propose | OrderDecision::ProposeWithoutEffect => {
                             ticket += 1;
                             orders.begin(revision, digest(&content), ticket);
-                            waits.push((ticket, revision, content));
+                            waiting.push((ticket, revision, content));
                         }
-                        OrderDecision::InProgress(ticket) => waits.push((ticket, revision, content)),
+                        OrderDecision::InProgress(ticket) => waiting.push((ticket, revision, content)),
                         OrderDecision::ConflictInProgress(_) | OrderDecision::Conflict => {
                             assert!(!known, "seed {seed}: refused")
                         }
--- a/crates/control-plane/server/src/peer_links.rs
+++ b/crates/control-plane/server/src/peer_links.rs
@@ -1,4 +1,5 @@
-//! The members whose change feeds this one watches. The long polls are its heartbeats. No I/O.
+//! The links to the members whose change feeds this member watches. Its long polls also serve as its
+//! heartbeats. No I/O.
 use crate::followers::FeedPosition;
 use crate::messages::{Effect, PeerRequest};
 use crate::responses::Reply;
@@ -8,17 +9,17 @@
 use coppersail_rollout::EvidenceReport;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many members heartbeats go to, besides the voters and those that hold the replicated state.
+/// The number of members that heartbeats go to, besides the voters and the replicas.
 const HEARTBEAT_FANOUT: usize = 3;
 /// Ids of polls are above this one, those of the consensus core's operations below.
 const FIRST_POLL_ID: OperationId = 1 << 48;
 
-/// The longest update that is asked of another member, in bytes. A longer one might not come within the timeout of a poll,
-/// which is the heartbeat as well.
+/// The longest update that is requested from another member, in bytes. A longer one might not arrive within
+/// the timeout of a poll, which also serves as the heartbeat.
 const MAX_UPDATE_BYTES: u64 = 256 * 1024;
 
 struct PeerLink {
-    /// What this member has of the peer's change feed.
+    /// The position up to which this member has the peer's change feed.
     position: FeedPosition,
     poll_in_flight: Option<PollInFlight>,
     next_poll_at: Ms,
@@ -34,7 +35,7 @@
 struct PollInFlight {
     operation_id: OperationId,
     started_at: Ms,
-    /// What it carries: kept if it fails.
+    /// The reports that the poll carries; they are kept for the leader if it fails.
     rollout_reports: Vec<EvidenceReport>,
 }
 
@@ -43,12 +44,13 @@
     peers: BTreeSet<Id>,
     links: BTreeMap<Id, PeerLink>,
     polls_started: OperationId,
-    /// Changes with each selection, so that every member is selected in turn.
+    /// Counts the selections, so that every member is selected in turn.
     selections: usize,
 }
 
 impl PeerLinks {
-    /// Selects the members to poll. A link to another ends with its poll.
+    /// Selects the members to poll. The link to a member that is not selected is dropped when its poll has
+    /// ended.
     pub(crate) fn select_peers(&mut self, now: Ms, state: &State) {
         self.selections += 1;
         self.peers = state.core.heartbeat_targets(now, self.selections, HEARTBEAT_FANOUT);
@@ -93,13 +95,13 @@
 
     /// The peer to which this poll went, if the operation is a poll.
     pub(crate) fn peer_of_poll(&self, operation_id: OperationId) -> Option<Id> {
-        let is_it = |link: &PeerLink| {
+        let is_this_poll = |link: &PeerLink| {
             link.poll_in_flight.as_ref().is_some_and(|poll| poll.operation_id == operation_id)
         };
-        self.links.iter().find(|(_, link)| is_it(link)).map(|(id, _)| id.clone())
+        self.links.iter().find(|(_, link)| is_this_poll(link)).map(|(id, _)| id.clone())
     }
 
-    /// Takes the result of a poll; none if it has failed.
+    /// Handles the result of a poll; `update` is `None` if it has failed.
     pub(crate) fn finish_poll(
         &mut self,
         now: Ms,
@@ -126,7 +128,7 @@
     }
 }
 
-/// The leader is sent what edges have measured as well.
+/// The request of a poll. To the leader it also carries the measurements of edges.
 fn watch_request(now: Ms, state: &mut State, peer: &Id, position: FeedPosition) -> WatchRequest {
     let to_leader = state.known_leader(now) == Some(peer);
     let (mut request_counts, mut rollout_reports) = (Vec::new(), Vec::new());
--- a/crates/control-plane/server/src/pending_replies.rs
+++ b/crates/control-plane/server/src/pending_replies.rs
@@ -1,10 +1,11 @@
-//! Requests of endpoints and operators whose reply waits: for a commit, for followers, or for a lease to be released.
+//! Requests of endpoints and operators whose reply waits for a commit, for acknowledgements of followers, or
+//! for the release of a lease.
 use coppersail_consensus::{Ms, RequestId};
 
 /// A request that is not answered yet.
 pub(crate) struct PendingReply {
     pub(crate) request_id: RequestId,
-    /// It is answered by then, whatever has come.
+    /// The request is answered at this time at the latest, whether or not its condition is met.
     pub(crate) deadline: Ms,
     /// The proposal that has to be committed first.
     pub(crate) ticket: Option<u64>,
@@ -16,7 +17,7 @@
 pub(crate) enum ReplyKind {
     /// An order that is being committed.
     Order,
-    /// Another content under the revision that is being committed: refused once that is in force.
+    /// An order with another content for a revision that is being committed: refused once that is committed.
     ConflictingOrder,
     /// A heartbeat or a sign-off.
     Heartbeat {
@@ -38,7 +39,8 @@
         self.replies.push(reply);
     }
 
-    /// All of them, in the order of their requests, to be checked; those that still wait are pushed again.
+    /// Removes and returns all replies, in the order of their requests. The caller pushes those again that
+    /// still wait.
     pub(crate) fn take_all(&mut self) -> Vec<PendingReply> {
         std::mem::take(&mut self.replies)
     }
--- a/crates/control-plane/server/src/placement_gate.rs
+++ b/crates/control-plane/server/src/placement_gate.rs
@@ -1,7 +1,7 @@
-//! The initial placement gate: when a sharded service gets its first assignments. Pure.
+//! The initial placement gate, which decides when a sharded service gets its first assignments. No I/O.
 //!
-//! Endpoints that run at the start become known one after another. Shards that were assigned to the first of them alone
-//! would go on to the others only at the pace of rebalancing.
+//! At a start, endpoints become known one after another. If all shards were assigned to the first few of
+//! them, the others would get shards only at the pace of rebalancing.
 use coppersail_consensus::Ms;
 
 /// The endpoints of one service until it has assignments.
@@ -13,9 +13,10 @@
 }
 
 impl PlacementGate {
-    /// Takes the number of endpoints that are known now; whether the gate is open. It opens when no endpoint was new for
-    /// one and a half heartbeat intervals, within which every one sends a heartbeat. If endpoints never stop coming, it
-    /// opens `max_wait` after the first, as nothing is served before.
+    /// Updates the number of known endpoints; returns whether the gate is open. It opens when no new endpoint
+    /// has appeared for one and a half heartbeat intervals, within which every endpoint sends a heartbeat. If
+    /// new endpoints keep appearing, it opens `max_wait` after the first one, because no shard is served
+    /// before.
     pub(crate) fn update(&mut self, now: Ms, endpoints: usize, heartbeat_interval: Ms, max_wait: Ms) -> bool {
         if endpoints == 0 || self.endpoints == 0 {
             *self = PlacementGate { endpoints, first_endpoint_at: now, last_new_endpoint_at: now };
--- a/crates/control-plane/server/src/proposals.rs
+++ b/crates/control-plane/server/src/proposals.rs
@@ -1,17 +1,18 @@
-//! Proposed changes of the replicated state, each with a ticket, and what has become of them. Tickets rise by one.
+//! Proposed changes of the replicated state, each with a ticket, and their outcomes. Tickets increase by one.
 use crate::store::KeyValue;
 use coppersail_consensus::Change;
 use std::collections::BTreeSet;
 
-/// Failed tickets are remembered for the replies that wait for them, which is not long.
+/// The number of failed tickets that are remembered for the replies that wait for them; replies wait only for
+/// a short time.
 const REMEMBERED_FAILURES: usize = 10_000;
 
-/// What has become of a proposal.
+/// The status of a proposal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum ProposalStatus {
     Pending,
     Committed,
-    /// It may be on some disk, but is not going to be acknowledged by this leader.
+    /// It may be on some disk, but this leader will not acknowledge it.
     Failed,
 }
 
@@ -25,7 +26,7 @@
 }
 
 impl Proposals {
-    /// Queues a change; its ticket.
+    /// Queues a change; returns its ticket.
     pub(crate) fn submit(&mut self, writes: Vec<KeyValue>) -> u64 {
         self.last_ticket += 1;
         self.unproposed.push(Change { ticket: self.last_ticket, writes });
@@ -56,7 +57,7 @@
         }
     }
 
-    /// Changes commit in the order of their tickets.
+    /// The status of a proposal. Changes commit in the order of their tickets.
     pub(crate) fn status(&self, ticket: u64) -> ProposalStatus {
         if self.failed.contains(&ticket) {
             ProposalStatus::Failed
--- a/crates/control-plane/server/src/reconciliation.rs
+++ b/crates/control-plane/server/src/reconciliation.rs
@@ -1,11 +1,13 @@
-//! What time brings: endpoints that fall silent, assignments that are not as they should be, rollouts that go on.
+//! Periodic work: failure detection of endpoints, reconciliation of shard assignments, and the progress of
+//! rollouts.
 use crate::rollouts::Endpoints;
 use crate::state::State;
 use crate::store::KeyValue;
 use coppersail_consensus::Ms;
 
 impl State {
-    /// Finds endpoints that have fallen silent, forgets what is long gone, and announces members that are new.
+    /// Marks endpoints without heartbeats as suspect, forgets endpoints and followers that are long gone, and
+    /// announces new members.
     pub(crate) fn detect_failures(&mut self, now: Ms) {
         self.announce_new_members(now);
         self.heartbeats.record_quorum_contact(now, !self.is_isolated(now));
@@ -20,7 +22,7 @@
         self.followers.forget_silent(now);
     }
 
-    /// All followers are told of a member that was not there before, whatever they have.
+    /// Announces new members to all followers, whatever their position in the feed.
     fn announce_new_members(&mut self, now: Ms) {
         let new = self.members.unannounced(now, &self.core);
         if !new.is_empty() {
@@ -29,7 +31,7 @@
         }
     }
 
-    /// Proposes the changes by which the assignments of sharded services come closer to what they should be.
+    /// Proposes the changes that bring the assignments of sharded services closer to their targets.
     pub(crate) fn reconcile_assignments(&mut self, now: Ms) {
         if !self.holds_leader_lease(now) {
             return;
@@ -44,7 +46,7 @@
         }
     }
 
-    /// Proposes the next steps of rollouts; a line for the log about each.
+    /// Proposes the next steps of rollouts; returns a log line for each.
     pub(crate) fn advance_rollouts(&mut self, now: Ms) -> Vec<String> {
         if !self.holds_leader_lease(now) || !self.feed.has_active_rollout() {
             return Vec::new();
--- a/crates/control-plane/server/src/replication.rs
+++ b/crates/control-plane/server/src/replication.rs
@@ -1,4 +1,4 @@
-//! What follows from outputs of the consensus core: commits, failed proposals, changes of leadership.
+//! Handling of outputs of the consensus core: commits, failed proposals, changes of leadership.
 use crate::orders::{Orders, CONFIG_KEY};
 use crate::rollouts;
 use crate::state::State;
@@ -6,8 +6,8 @@
 use coppersail_peer_protocol::ConfigDocument;
 
 impl State {
-    /// This member leads from now on. If it is newly elected, it takes over the replicated state, and publishes all of it
-    /// under its term.
+    /// Called when this member becomes the leader. A newly elected leader loads the replicated state, and
+    /// publishes all of it under its term.
     pub(crate) fn became_leader(&mut self, now: Ms, newly_elected: bool) {
         if !newly_elected {
             return;
@@ -32,7 +32,7 @@
         self.pending_replies.check_due = true;
     }
 
-    /// These changes are on all disks of the leadership record: they are in force.
+    /// Applies committed changes: they are on all disks of the leadership record, so they are in force.
     pub(crate) fn committed(&mut self, now: Ms, changes: &[Change]) {
         for change in changes {
             self.assignments.leases.apply(now, &change.writes);
@@ -49,7 +49,7 @@
         self.pending_replies.check_due = true;
     }
 
-    /// These proposals may be on some disk or not: the next leader finds out.
+    /// Records failed proposals. They may be on some disk or not; the next leader finds out.
     pub(crate) fn failed(&mut self, tickets: &[u64]) {
         self.proposals.mark_failed(tickets);
         for ticket in tickets {
--- a/crates/control-plane/server/src/resources.rs
+++ b/crates/control-plane/server/src/resources.rs
@@ -1,5 +1,5 @@
-//! One handler for each HTTP resource: what hosts and operators request on the admin address, and what nodes and edge
-//! proxies request on the peer address.
+//! One handler for each HTTP resource: the requests of endpoints and operators on the admin address, and the
+//! requests of nodes and edge proxies on the peer address.
 use crate::node::{AdminRequest, PeerRequest};
 use crate::responses::error_body;
 use coppersail_peer_protocol::WatchRequest;
@@ -9,7 +9,7 @@
 /// The longest body that is read, in bytes: no configuration is longer.
 pub(crate) const MAX_BODY_BYTES: usize = 16 << 20;
 
-/// A request, as the node takes it.
+/// A parsed request for the node.
 pub(crate) enum ParsedRequest {
     Admin(AdminRequest),
     Peer(PeerRequest),
@@ -20,7 +20,7 @@
 pub(crate) enum RequestError {
     #[error("nothing here")]
     UnknownResource,
-    /// It ended before its Content-Length, is longer than allowed, or is no UTF-8.
+    /// The body ended before its Content-Length, is longer than allowed, or is not UTF-8.
     #[error("the body was cut short")]
     IncompleteBody,
     #[error("not a poll")]
@@ -52,12 +52,12 @@
     fn parse(&self, method: &Method, parameter: &str, body: String) -> Result<ParsedRequest, RequestError>;
 }
 
-/// What hosts and operators use.
+/// The resources for endpoints and operators.
 pub(crate) fn of_admin() -> Vec<Box<dyn Resource>> {
     vec![Box::new(Heartbeats), Box::new(SignOffs), Box::new(Configurations), Box::new(Rollouts)]
 }
 
-/// What edge proxies and other nodes use.
+/// The resources for edge proxies and other nodes.
 pub(crate) fn of_peers() -> Vec<Box<dyn Resource>> {
     vec![Box::new(Watches), Box::new(ConsensusRequests)]
 }
@@ -113,7 +113,7 @@
     }
 }
 
-/// `POST /rollouts/NAME`, `POST /rollouts/NAME/ORDER`, `GET /rollouts/NAME`, `GET /rollouts`
+/// `POST /rollouts/NAME`, `POST /rollouts/NAME/COMMAND`, `GET /rollouts/NAME`, `GET /rollouts`
 struct Rollouts;
 
 impl Resource for Rollouts {
--- a/crates/control-plane/server/src/responses.rs
+++ b/crates/control-plane/server/src/responses.rs
@@ -1,5 +1,5 @@
-//! Responses to endpoints and operators, and the rejections that become such responses. Fields of bodies stand in
-//! alphabetical order: that is the order on the wire.
+//! Responses to endpoints and operators, and the rejections that become such responses. Fields of bodies are
+//! declared in alphabetical order, which is their order on the wire.
 use crate::messages::{Effect, PeerResponse};
 use coppersail_consensus::RequestId;
 use coppersail_peer_protocol::Update;
@@ -22,7 +22,7 @@
     why: String,
 }
 
-/// Bodies are structs with names for keys: their serialization does not fail.
+/// Serializes a body. Bodies are structs, whose keys are strings, so this does not fail.
 fn to_json(body: &impl Serialize) -> String {
     serde_json::to_string(body).unwrap_or_default()
 }
@@ -78,17 +78,17 @@
         Response::ok(to_json(body))
     }
 
-    /// Done; there is nothing to add.
+    /// The request was carried out; the body is empty.
     pub(crate) fn acknowledged() -> Response {
         Response::ok(EMPTY_BODY.into())
     }
 
-    /// Whether it was done is not known here: try again.
+    /// It is not known here whether the request was carried out; the caller has to retry.
     pub(crate) fn indeterminate() -> Response {
         Response { status: 503, body: EMPTY_BODY.into() }
     }
 
-    /// The adapter sends the URL as `Location`.
+    /// A redirect; the listener sends the URL as `Location`.
     pub(crate) fn redirect(url: String) -> Response {
         Response { status: 307, body: url }
     }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Shards from the first to the last, with the fencing token and the state transfer: an array on the wire.
+/// The first and the last key of a range, its fencing token and its handover state: an array on the wire.
 #[derive(Serialize)]
 pub(crate) struct GrantedShards(pub(crate) u32, pub(crate) u32, pub(crate) u64, pub(crate) String);
 
@@ -121,9 +121,11 @@
     report_to: Option<String>,
 }
 
-/// The response to a heartbeat. `report_to`: the member to which the next one goes, if the endpoint need not choose.
+/// The response to a heartbeat. `report_to` is the member that the endpoint has to send its next heartbeat
+/// to; without it the endpoint chooses one.
 pub(crate) fn heartbeat_response(report_to: Option<String>, leases: Option<RenewedLeases>) -> Response {
-    let (shards, lease_duration) = leases.map(|l| (l.shards, format!("{}ms", l.lease_duration))).unzip();
+    let (shards, lease_duration) =
+        leases.map(|leases| (leases.shards, format!("{}ms", leases.lease_duration))).unzip();
     let body = HeartbeatBody { shards, lease_duration, report_to };
     Response::json(&body)
 }
@@ -139,11 +141,11 @@
 impl From<Reply> for Effect {
     fn from(reply: Reply) -> Effect {
         match reply {
-            Reply::Update(caller, update) => {
-                Effect::RespondToPeer { request_id: caller, response: PeerResponse::Update(update) }
+            Reply::Update(request_id, update) => {
+                Effect::RespondToPeer { request_id, response: PeerResponse::Update(update) }
             }
-            Reply::Admin(caller, Response { status, body }) => {
-                Effect::RespondToAdmin { request_id: caller, status, body }
+            Reply::Admin(request_id, Response { status, body }) => {
+                Effect::RespondToAdmin { request_id, status, body }
             }
         }
     }
--- a/crates/control-plane/server/src/rollout_views.rs
+++ b/crates/control-plane/server/src/rollout_views.rs
@@ -1,5 +1,5 @@
-//! Rollouts as operators see them: bodies of `GET /rollouts`. Fields stand in alphabetical order: that is the order on
-//! the wire.
+//! Rollouts as operators see them: bodies of `GET /rollouts`. Fields are declared in alphabetical order,
+//! which is their order on the wire.
 use coppersail_consensus::Ms;
 use coppersail_rollout::evidence::{Counts, OutcomeKind};
 use coppersail_rollout::lifecycle::Phase;
@@ -12,7 +12,7 @@
 
 #[derive(Serialize)]
 pub(crate) struct RolloutView {
-    /// Answers that the analysis of this number has counted.
+    /// The answers that the analysis has counted for the state with this number.
     pub(crate) answers: u64,
     pub(crate) late_rows: u64,
     pub(crate) name: String,
@@ -21,18 +21,18 @@
     pub(crate) number: u64,
     pub(crate) old: VariantView,
     pub(crate) phase: Phase,
-    /// As it was submitted.
+    /// The plan as it was submitted.
     pub(crate) plan: serde_json::Value,
     pub(crate) rows: u64,
     pub(crate) share: Option<f64>,
-    /// From 1.
+    /// Counted from 1.
     pub(crate) step: usize,
     pub(crate) steps: usize,
     pub(crate) verdict: String,
     pub(crate) why: String,
 }
 
-/// What was counted of the new version, or of the control group.
+/// The counts of the new version, or of the control group.
 #[derive(Serialize)]
 pub(crate) struct VariantView {
     aside: u64,
@@ -64,7 +64,8 @@
     }
 }
 
-/// The upper bound of the first bucket of the histogram up to which there is this share of all.
+/// A quantile of the answer times: the upper bound, in ms, of the first histogram bucket up to which the
+/// buckets have this share of all answers.
 fn quantile_ms(counts: &Counts, quantile: f64) -> Option<u32> {
     let total: u64 = counts.times.iter().map(|bucket| u64::from(bucket.1)).sum();
     let mut sum = 0;
--- a/crates/control-plane/server/src/rollouts.rs
+++ b/crates/control-plane/server/src/rollouts.rs
@@ -1,5 +1,5 @@
-//! The rollouts of this member: their states while it leads, evidence on its way to the leader, and how current its
-//! knowledge of them is. No I/O; the decisions are those of `coppersail-rollout`.
+//! The rollouts of this member: their states while it is the leader, evidence that has to be forwarded to the
+//! leader, and how current its knowledge of rollouts is. No I/O; `coppersail-rollout` makes the decisions.
 use crate::responses::Rejection;
 use crate::rollout_views::{RolloutView, VariantView};
 use crate::store::KeyValue;
@@ -11,13 +11,14 @@
 use coppersail_rollout::{EvidenceReport, RolloutAnalysis, RolloutPlan, Verdict, Version};
 use std::collections::BTreeMap;
 
-/// The keys of rollouts in the replicated state begin with it; the name follows.
+/// The prefix of the keys of rollouts in the replicated state; the name follows it.
 const ROLLOUT_KEY_PREFIX: &str = "plan/";
-/// How many reports are kept for the leader. A leader that is away for longer asks for all of them again.
+/// The number of reports that are kept for the leader. After a longer absence of the leader, all of them are
+/// requested again.
 const MAX_UNFORWARDED_REPORTS: usize = 4096;
 const MAX_NAME_LENGTH: usize = 64;
 
-/// The write by which a rollout gets this state.
+/// The write that stores this state of a rollout.
 fn write_of(state: &RolloutState) -> KeyValue {
     let value = serde_json::to_string(state).unwrap_or_default();
     (format!("{ROLLOUT_KEY_PREFIX}{}", state.name), value)
@@ -31,21 +32,22 @@
     serde_json::from_str(value).ok()
 }
 
-/// What rollouts need to know of endpoints.
+/// Information about endpoints that rollouts need.
 pub(crate) struct Endpoints<'a> {
     pub(crate) all: &'a dyn Fn() -> Vec<EndpointUpdate>,
-    /// Whether an endpoint has died since a request to it was lost at that time; none while that is not known.
+    /// Whether an endpoint has failed since a request to it was lost at that time; `None` while that is not
+    /// known.
     pub(crate) has_failed_since: &'a dyn Fn(&str, Ms) -> Option<bool>,
 }
 
-/// The next step of a rollout.
+/// A change of a rollout's state.
 pub(crate) struct RolloutChange {
     pub(crate) write: KeyValue,
     pub(crate) log_line: String,
 }
 
 struct Rollout {
-    /// As last proposed: it is in force once it is committed.
+    /// The state as last proposed; it is in force once it is committed.
     state: RolloutState,
     plan: RolloutPlan,
     since: Since,
@@ -65,7 +67,7 @@
         self.state.phase != Phase::Ended
     }
 
-    /// Takes the next state; the write to be proposed. A new run is analysed anew.
+    /// Changes to the next state; returns the write to propose. A new run starts with a new analysis.
     fn change_state(&mut self, now: Ms, next: RolloutState) -> KeyValue {
         if next.run != self.state.run {
             *self = Rollout::new(now, next);
@@ -76,8 +78,8 @@
         write_of(&self.state)
     }
 
-    /// What time, evidence and the configuration make of it. One that does not fit the configuration any more is paused,
-    /// and ended if its service is gone.
+    /// The next state by time, evidence and configuration, if one is due. A rollout that no longer fits the
+    /// configuration is paused, or ended if its service is gone.
     fn next_state(
         &mut self,
         now: Ms,
@@ -125,15 +127,15 @@
 
 #[derive(Default)]
 pub(crate) struct Rollouts {
-    /// Known to the leader alone.
+    /// Known only to the leader.
     rollouts: BTreeMap<String, Rollout>,
     unforwarded_reports: Vec<EvidenceReport>,
-    /// The term of the leader whose rollouts the change feed has, and the time as of which it has them.
+    /// The term of the leader whose rollouts the change feed has, and the time at which they were current.
     known_as_of: Option<(u64, Ms)>,
 }
 
 impl Rollouts {
-    /// A new leader begins with the rollouts of the replicated state; their states.
+    /// Loads the rollouts of a new leader from the replicated state; returns their states.
     pub(crate) fn recover<'a>(
         &mut self,
         now: Ms,
@@ -149,7 +151,8 @@
         self.rollouts.clear();
     }
 
-    /// Another member says how current its rollouts are, in the answer to a request of that time.
+    /// Records how current another member's rollouts are, from its answer to a request that was sent at
+    /// `requested_at`.
     pub(crate) fn record_as_of(&mut self, requested_at: Ms, theirs: &Option<RolloutsAsOf>) {
         if let Some(theirs) = theirs {
             let as_of = requested_at.saturating_sub(theirs.age_ms);
@@ -157,7 +160,8 @@
         }
     }
 
-    /// How current the rollouts of the change feed are. `term`: of this member, if it holds the leader lease.
+    /// How current the rollouts of the change feed are. `term` is the term of this member, if it holds the
+    /// leader lease.
     pub(crate) fn as_of(&self, now: Ms, term: Option<u64>) -> Option<RolloutsAsOf> {
         if let Some(term) = term {
             return Some(RolloutsAsOf { term, age_ms: 0 });
@@ -166,7 +170,7 @@
         Some(RolloutsAsOf { term, age_ms: now.saturating_sub(as_of) })
     }
 
-    /// Evidence of edges: the leader analyses it, other members keep it for the leader.
+    /// Records evidence of edges: the leader analyses it, other members keep it for the leader.
     pub(crate) fn record_reports(&mut self, now: Ms, is_leader: bool, reports: &[EvidenceReport]) {
         if !is_leader {
             return self.keep_for_leader(reports);
@@ -178,7 +182,7 @@
         }
     }
 
-    /// Keeps reports as far as there is room.
+    /// Keeps reports for the leader, up to [`MAX_UNFORWARDED_REPORTS`].
     pub(crate) fn keep_for_leader(&mut self, reports: &[EvidenceReport]) {
         let room = MAX_UNFORWARDED_REPORTS.saturating_sub(self.unforwarded_reports.len());
         self.unforwarded_reports.extend(reports.iter().take(room).cloned());
@@ -188,7 +192,7 @@
         std::mem::take(&mut self.unforwarded_reports)
     }
 
-    /// A plan that an operator submits; the writes to be proposed. The same again changes nothing.
+    /// Submits a plan of an operator; returns the writes to propose. The same plan again changes nothing.
     pub(crate) fn submit(
         &mut self,
         now: Ms,
@@ -226,7 +230,7 @@
         }
     }
 
-    /// A command of an operator; the writes to be proposed.
+    /// Applies a command of an operator; returns the writes to propose.
     pub(crate) fn apply_command(
         &mut self,
         now: Ms,
@@ -241,7 +245,7 @@
         Ok(next.map(|next| rollout.change_state(now, next)).into_iter().collect())
     }
 
-    /// The next steps that are due by time, evidence and configuration.
+    /// Advances all rollouts by time, evidence and configuration; returns their changes.
     pub(crate) fn advance(
         &mut self,
         now: Ms,
@@ -286,7 +290,7 @@
     std::iter::once(&plan.service).chain(to)
 }
 
-/// The endpoints of each version that take requests.
+/// The capacity of each version in endpoints that accept requests.
 fn fleet_capacity(plan: &RolloutPlan, endpoints: &[EndpointUpdate]) -> FleetCapacity {
     let mut capacity = FleetCapacity::default();
     for endpoint in endpoints.iter().filter(|e| e.state == EndpointState::Ready && !e.suspect) {
--- a/crates/control-plane/server/src/rollouts/tests.rs
+++ b/crates/control-plane/server/src/rollouts/tests.rs
@@ -26,7 +26,7 @@
 }
 
 #[test]
-fn overlapping_and_misfitting_plans_are_rejected() {
+fn overlapping_and_mismatched_plans_are_rejected() {
     let mut rollouts = Rollouts::default();
     assert_matches!(rollouts.submit(0, "p", BODY, Some(&config("b"))), Err(Rejection { status: 400, .. }));
     assert_matches!(rollouts.submit(0, "a/b", BODY, None), Err(Rejection { status: 400, .. }));
@@ -49,13 +49,13 @@
 #[test]
 fn a_failover_before_the_commit_repeats_the_decision() {
     let mut first = Rollouts::default();
-    let puts = first.submit(0, "p", BODY, None).unwrap();
-    let state: BTreeMap<String, String> = puts.into_iter().collect();
+    let writes = first.submit(0, "p", BODY, None).unwrap();
+    let state: BTreeMap<String, String> = writes.into_iter().collect();
     first.record_reports(1, true, &[doubled(1)]);
-    // It decides, and is lost before that is on both disks.
+    // It decides, and fails before its decision is on both disks.
     assert_eq!(state_of_entry(&advance(&mut first, 2, "a")[0].write).unwrap().phase, Phase::Withdrawn);
     let mut second = Rollouts::default();
-    // What came in between is passed on, and edges tell again what they have.
+    // Reports that arrive in between are forwarded, and edges send theirs again.
     second.record_reports(3, false, &[doubled(1)]);
     let unforwarded = second.take_unforwarded_reports();
     assert_eq!(second.recover(10, state.iter()).len(), 1);
--- a/crates/control-plane/server/src/settings_file.rs
+++ b/crates/control-plane/server/src/settings_file.rs
@@ -1,7 +1,7 @@
 //! Whether the settings file has changed since it was last read.
 use std::time::SystemTime;
 
-/// What reveals a change without reading the file; `None` where there is no file.
+/// The metadata that reveal a change without reading the file; `None` if there is no file.
 #[derive(Debug, Clone, PartialEq)]
 pub(crate) struct SettingsFileVersion(Option<Metadata>);
 
@@ -21,7 +21,7 @@
         SettingsFileVersion(metadata.ok())
     }
 
-    /// Whether the file is another one than at the last call.
+    /// Reads the metadata again; returns whether they have changed.
     pub(crate) fn refresh(&mut self) -> bool {
         let before = std::mem::replace(self, SettingsFileVersion::current());
         *self != before
--- a/crates/control-plane/server/src/store/recovery.rs
+++ b/crates/control-plane/server/src/store/recovery.rs
@@ -131,12 +131,10 @@
         while let Err(error) = folder.clear() {
             self.back_off(
                 folder,
-                &format!(
-                    "The data folder is corrupt (torn or stale: {corruption}) and can't be cleared: {error}."
-                ),
+                &format!("The data folder is torn or stale ({corruption}) and can't be cleared: {error}."),
             );
         }
-        let line = format!("The data folder was corrupt (torn or stale) and is cleared: {corruption}.");
+        let line = format!("The data folder was torn or stale and is cleared: {corruption}.");
         let is_first = !std::mem::replace(&mut self.cleared, true);
         if is_first {
             (self.log_warning)(&line);
--- a/crates/control-plane/server/tests/centre.rs
+++ b/crates/control-plane/server/tests/centre.rs
@@ -1,4 +1,4 @@
-//! Three real control-plane nodes on loopback, killed and wiped.
+//! Three real control-plane nodes on loopback that are killed and lose their disks.
 mod common;
 
 use common::{settings, Core};
@@ -40,15 +40,15 @@
     let voter: coppersail_consensus::VoterState = serde_json::from_str(&found.metadata["witness"]).unwrap();
     let last_durable_term: coppersail_consensus::Term =
         serde_json::from_str(&found.metadata["floor"]).unwrap();
-    let nothing = (
+    let empty = (
         coppersail_consensus::Term::default(),
         coppersail_consensus::Term::default(),
         coppersail_consensus::LeadershipRecord::default(),
     );
     assert_eq!(
         (last_durable_term, voter.promised, voter.record),
-        nothing,
-        "it made itself one of the first voters again"
+        empty,
+        "it bootstrapped again as one of the first voters"
     );
     assert!(voter.incarnation > 0, "it has the incarnation of the corrupt disk");
 }
@@ -99,7 +99,7 @@
     assert_eq!((heartbeat("ready", 3), heartbeat("emptying", 5), heartbeat("ready", 4)), (200, 200, 200));
     for ip in &core.ips {
         let watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        let update: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
+        let update: Update = core.client.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
         let endpoint =
             update.endpoints.iter().find(|endpoint| endpoint.id == "i-1").expect("every node knows it");
         assert_eq!(endpoint.state, coppersail_peer_protocol::EndpointState::Draining);
@@ -131,23 +131,24 @@
     row.new.all[coppersail_rollout::OutcomeKind::Doubled as usize] = 1;
     let report =
         coppersail_rollout::EvidenceReport { edge: "e".into(), rows: vec![row], ..Default::default() };
-    // To both that are left: one of them is a follower and forwards it; received twice, it counts once.
+    // Sent to both remaining nodes. One of them is not the leader and forwards the report; the leader
+    // receives it twice, and counts it once.
     for ip in &core.ips[1..] {
         let watch = WatchRequest {
             edge: "e".into(),
             rollout_reports: vec![report.clone()],
             ..WatchRequest::default()
         };
-        let update: Update = core.caller.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
+        let update: Update = core.client.post(&format!("{ip}:7540"), "/follow", &watch).unwrap();
         assert!(update.rollouts_as_of.is_some_and(|seen| seen.age_ms < 5_000), "{:?}", update.rollouts_as_of);
     }
     let end = Instant::now() + Duration::from_secs(20);
     while read()["phase"] != "withdrawn" {
         assert!(Instant::now() < end, "{}", read());
-        core.held(200);
+        core.long_poll(200);
     }
     assert_eq!(read()["new"]["doubled"], 1);
-    assert_eq!(core.order("POST", "/rollouts/friday/undo", "").0, 200, "it is so already");
+    assert_eq!(core.order("POST", "/rollouts/friday/undo", "").0, 200, "it is already withdrawn");
     assert_eq!(core.order("POST", "/rollouts/friday/end", "").0, 200);
     assert_eq!(core.order("POST", "/rollouts/friday/resume", "").0, 409);
 }
--- a/crates/control-plane/server/tests/common/mod.rs
+++ b/crates/control-plane/server/tests/common/mod.rs
@@ -1,5 +1,5 @@
-//! Three real control-plane nodes on loopback, seen from outside. Waits are long polls, with a deadline.
-// Each test file takes this module in whole and uses a part of it.
+//! A cluster of three real control-plane nodes on loopback. Tests wait by long polls, with a deadline.
+// Each test file includes the whole module and uses a part of it.
 #![allow(dead_code)]
 
 pub(crate) mod batches;
@@ -18,7 +18,7 @@
     pub(crate) ips: Vec<String>,
     folder: PathBuf,
     pub(crate) children: Vec<Option<Child>>,
-    pub(crate) caller: PeerClient,
+    pub(crate) client: PeerClient,
 }
 
 impl Drop for Core {
@@ -33,11 +33,12 @@
         let net = std::process::id() % 200 + 20;
         let ips = (1..4).map(|n| format!("127.{net}.{test}.{n}")).collect();
         let folder = std::env::temp_dir().join(format!("control-plane-{}-{test}", std::process::id()));
-        let caller = PeerClient::new(Duration::from_millis(300), Duration::from_millis(1500));
-        let mut core = Core { ips, folder, children: vec![None, None, None], caller };
+        let client = PeerClient::new(Duration::from_millis(300), Duration::from_millis(1500));
+        let mut core = Core { ips, folder, children: vec![None, None, None], client };
         (0..3).for_each(|n| core.run(n, true));
-        // A node that is killed before its first write has lost its disk, and two of them are more than may be lost.
-        // Being ready is not enough: the first write is queued before the listener opens, and durable some time later.
+        // A node that is killed before its first write counts as having lost its disk, and two lost disks are
+        // more than the system tolerates. Waiting until the nodes are ready is not enough: the first write is
+        // queued before the listener opens, and becomes durable later.
         for node in 0..3 {
             core.wait_until_node_ready(node);
             core.wait_until_written_after(node, 0);
@@ -53,7 +54,7 @@
         self.folder.join(format!("{n}.json"))
     }
 
-    /// What the node has logged so far, over all its processes.
+    /// The log of the node, over all its processes.
     pub(crate) fn log(&self, n: usize) -> String {
         std::fs::read_to_string(self.folder.join(format!("{n}.log"))).unwrap()
     }
@@ -74,7 +75,7 @@
         self.children[n] = Some(command.spawn().unwrap());
     }
 
-    /// With SIGKILL.
+    /// Ends the node with SIGKILL.
     pub(crate) fn kill(&mut self, n: usize) {
         if let Some(mut child) = self.children[n].take() {
             child.kill().unwrap();
@@ -87,7 +88,7 @@
         assert!(Command::new("sh").args(["-c", &format!("kill -{name} {pid}")]).status().unwrap().success());
     }
 
-    /// A request to one node, which may redirect it twice. `None`: no definite response.
+    /// Sends a request to one node, which may redirect it twice. `None` if there is no definite response.
     pub(crate) fn at(&self, n: usize, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
@@ -110,34 +111,35 @@
         None
     }
 
-    /// To any running node.
+    /// Sends a request to the running nodes in turn, until one gives a definite response.
     pub(crate) fn admin(&self, method: &str, path: &str, body: &str) -> Option<(u16, String)> {
         let running = (0..3).filter(|n| self.children[*n].is_some());
         running.into_iter().find_map(|n| self.at(n, method, path, body))
     }
 
-    /// Until a node answers; a long poll passes the time between.
+    /// Sends a request until a node answers, with a long poll between the attempts.
     pub(crate) fn order(&self, method: &str, path: &str, body: &str) -> (u16, String) {
         let end = Instant::now() + Duration::from_secs(30);
         while Instant::now() < end {
             if let Some(response) = self.admin(method, path, body) {
                 return response;
             }
-            self.held(200);
+            self.long_poll(200);
         }
-        panic!("no node took {method} {path}: {:#?}", [0, 1, 2].map(|n| self.log(n)));
+        panic!("no node answered {method} {path}: {:#?}", [0, 1, 2].map(|n| self.log(n)));
     }
 
-    pub(crate) fn held(&self, wait_ms: u64) -> Option<Update> {
+    /// Waits for a change of the feed of the first running node, for at most `wait_ms`.
+    pub(crate) fn long_poll(&self, wait_ms: u64) -> Option<Update> {
         let running = self.children.iter().position(|c| c.is_some()).unwrap_or(0);
         let address = format!("{}:7540", self.ips[running]);
         let mut watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        let update: Update = self.caller.post(&address, "/follow", &watch).ok()?;
+        let update: Update = self.client.post(&address, "/follow", &watch).ok()?;
         (watch.feed_id, watch.sequence, watch.wait_ms) = (update.feed_id, update.sequence, wait_ms);
-        self.caller.post(&address, "/follow", &watch).ok().or(Some(update))
+        self.client.post(&address, "/follow", &watch).ok().or(Some(update))
     }
 
-    /// Until the first running node has opened its disk and answers.
+    /// Waits until the first running node has opened its disk and answers.
     pub(crate) fn wait_until_ready(&self) {
         self.wait_until_node_ready(self.children.iter().position(|c| c.is_some()).unwrap_or(0));
     }
@@ -145,7 +147,7 @@
     fn wait_until_node_ready(&self, n: usize) {
         let (end, address) = (Instant::now() + Duration::from_secs(20), format!("{}:7540", self.ips[n]));
         let watch = WatchRequest { edge: "e".into(), ..WatchRequest::default() };
-        while self.caller.post::<_, Update>(&address, "/follow", &watch).is_err() {
+        while self.client.post::<_, Update>(&address, "/follow", &watch).is_err() {
             assert!(Instant::now() < end, "{n} does not start");
             std::thread::yield_now();
         }
@@ -159,7 +161,8 @@
         }
     }
 
-    /// Until the node has written a batch after this generation: the generation file follows each durable batch.
+    /// Waits until the node has written a batch after this generation. The generation file is updated after
+    /// each durable batch.
     pub(crate) fn wait_until_written_after(&self, n: usize, previous: u64) {
         let end = Instant::now() + Duration::from_secs(20);
         while self.generation(n) <= previous {
--- a/crates/control-plane/server/tests/disk_writer.rs
+++ b/crates/control-plane/server/tests/disk_writer.rs
@@ -12,7 +12,8 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
 
-/// What a fake disk returns, call by call, and the calls that it got. After the last result everything succeeds.
+/// The results that a fake disk returns, call by call, and the calls that it got. After the last result all
+/// calls succeed.
 #[derive(Default)]
 struct Script {
     open_results: Vec<Result<(), StoreError>>,
@@ -20,7 +21,7 @@
     write_results: Vec<Result<(), StoreError>>,
     calls: Vec<String>,
     conditions: Vec<FolderCondition>,
-    /// At the next write: says that it began, and waits to be released.
+    /// Makes the next write send a message when it begins, and wait until it is released.
     hang: Option<(Sender<()>, Receiver<()>)>,
 }
 
@@ -104,7 +105,7 @@
     disk.script().open_results = (0..120).map(|_| full()).collect();
     let (writer, found, lines) = start(&disk);
     assert_eq!((found.batch_number, disk.take_calls().len()), (9, 121), "opened once it is available");
-    assert_eq!(lines, vec!["The data folder can't be opened: no space."; 3], "one for fifty attempts");
+    assert_eq!(lines, vec!["The data folder can't be opened: no space."; 3], "one line in fifty attempts");
     assert!(write(&writer, state(vec![put("a", 1)])));
 }
 
@@ -129,9 +130,8 @@
     let (_writer, _, lines) = start(&disk);
     assert_eq!(disk.take_calls(), ["open", "clear", "clear", "clear", "open"]);
     let not_cleared =
-        "The data folder is corrupt (torn or stale: it had 4 batches, and 3 are found) and can't be cleared: no space.";
-    let cleared =
-        "The data folder was corrupt (torn or stale) and is cleared: it had 4 batches, and 3 are found.";
+        "The data folder is torn or stale (it had 4 batches, and 3 are found) and can't be cleared: no space.";
+    let cleared = "The data folder was torn or stale and is cleared: it had 4 batches, and 3 are found.";
     assert_eq!(lines, [not_cleared, cleared]);
 }
 
@@ -160,7 +160,11 @@
     disk.script().conditions = vec![FolderCondition::Lost];
     let written = ["i", "j", "k"].map(|n| write(&writer, state(vec![put(n, 1)])));
     assert_eq!(written, [false, false, true]);
-    assert_eq!(disk.take_calls(), ["i", "open", "open", "k"], "nor written on where its data is gone");
+    assert_eq!(
+        disk.take_calls(),
+        ["i", "open", "open", "k"],
+        "nothing is written where the former data is missing"
+    );
 }
 
 #[test]
--- a/crates/control-plane/server/tests/node.rs
+++ b/crates/control-plane/server/tests/node.rs
@@ -8,35 +8,33 @@
 
 const PEERS: [&str; 3] = ["10.1.0.1:8544", "10.2.0.1:8544", "10.3.0.1:8544"];
 
-/// The first of three, at the first start of the system. Its disk takes all; the second of the three answers polls while
-/// it has `endpoints` to report; the third answers nothing.
+/// The first of three members, at the first start of the system. All writes to its disk succeed. The second
+/// member answers polls while `endpoints` is set; the third answers nothing.
 struct Harness {
     node: Node,
     now: u64,
     due: Vec<Event>,
     endpoints: Option<Vec<EndpointUpdate>>,
-    /// The configuration that it reports with them.
+    /// The configuration that the second member reports with them.
     config: Option<ConfigDocument>,
     updates: Vec<Update>,
-    /// Requests of endpoints and operators that were submitted and are not answered.
+    /// Requests of endpoints and operators that have not been answered.
     unanswered: BTreeSet<u64>,
-    /// Those that were not when the node let the process end.
+    /// The unanswered requests when the node let the process exit.
     unanswered_at_exit: Option<BTreeSet<u64>>,
 }
 
 impl Harness {
     fn start(endpoints: Vec<EndpointUpdate>) -> Harness {
-        let boot = json!({
+        let settings = json!({
             "self": {"ipAddress": "10.1.0.1", "area": "a", "initialBoot": true, "dataFolder": "unused"},
             "network": {"binds": {"admin": PEERS[0]}, "sparePorts": [7540, 7555], "knownPeers": PEERS},
             "provider": {"heartbeat": "1s"},
             "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
         });
-        let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
-        let (node, effects) = Node::start(
-            1,
-            Startup { settings: boot, recovered: Default::default(), feed_and_disk_incarnation: 7 },
-        );
+        let settings = coppersail_config::ProcessSettings::from_json(&settings.to_string()).unwrap();
+        let (node, effects) =
+            Node::start(1, Startup { settings, recovered: Default::default(), feed_and_disk_incarnation: 7 });
         let mut harness = Harness {
             node,
             now: 1,
@@ -47,19 +45,19 @@
             unanswered: BTreeSet::new(),
             unanswered_at_exit: None,
         };
-        harness.carry(effects);
+        harness.carry_out(effects);
         harness
     }
 
-    fn carry(&mut self, effects: Vec<Effect>) {
+    fn carry_out(&mut self, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist { operation_id: token, .. } => {
-                    self.due.push(Event::WriteFinished { operation_id: token, ok: true })
+                Effect::Persist { operation_id, .. } => {
+                    self.due.push(Event::WriteFinished { operation_id, ok: true })
                 }
-                Effect::SendToPeer { operation_id: token, peer: to, request: call, .. } => {
-                    let response = self.answer(&to, &call);
-                    self.due.push(Event::PeerResponded { operation_id: token, response });
+                Effect::SendToPeer { operation_id, peer, request, .. } => {
+                    let response = self.answer(&peer, &request);
+                    self.due.push(Event::PeerResponded { operation_id, response });
                 }
                 Effect::RespondToPeer { response: PeerResponse::Update(update), .. } => {
                     self.updates.push(*update)
@@ -73,12 +71,12 @@
         }
     }
 
-    fn answer(&self, to: &str, call: &PeerRequest) -> Option<PeerResponse> {
-        let PeerRequest::Watch(_) = call else { return None };
-        let endpoints = self.endpoints.clone().filter(|_| to == PEERS[1])?;
+    fn answer(&self, peer: &str, request: &PeerRequest) -> Option<PeerResponse> {
+        let PeerRequest::Watch(_) = request else { return None };
+        let endpoints = self.endpoints.clone().filter(|_| peer == PEERS[1])?;
         let detail = Some(MemberDetail::default());
         let status = Some(MemberStatus {
-            id: to.into(),
+            id: peer.into(),
             disk_healthy: true,
             detail_sum: 9,
             detail,
@@ -95,12 +93,12 @@
     }
 
     fn step(&mut self, event: Event) {
-        let mut out = Vec::new();
-        self.node.step(self.now, event, &mut out);
-        self.carry(out);
+        let mut effects = Vec::new();
+        self.node.step(self.now, event, &mut effects);
+        self.carry_out(effects);
     }
 
-    /// A heartbeat of an endpoint that drains: it is acknowledged once followers know.
+    /// Submits a heartbeat of a draining endpoint, which is acknowledged once followers know of it.
     fn submit_drain(&mut self, request_id: u64) {
         let body = json!({"backend": "s", "address": "10.9.0.1:80", "stage": "emptying", "callCount": 1});
         let request =
@@ -109,7 +107,7 @@
         self.step(Event::Admin { request_id, request });
     }
 
-    /// Lets time pass; its requests are answered with the next tick.
+    /// Advances the time; the node's requests are answered with the next tick.
     fn run(&mut self, ms: u64) {
         let end = self.now + ms;
         while self.now < end {
@@ -121,7 +119,7 @@
         }
     }
 
-    /// The update for an edge with this request, of which JSON has the fields.
+    /// The update for a watch request with these fields.
     fn poll_with(&mut self, request: serde_json::Value) -> Update {
         let watch = serde_json::from_value(request).unwrap();
         self.step(Event::Peer { request_id: 1, request: PeerRequest::Watch(Box::new(watch)) });
@@ -137,11 +135,11 @@
     }
 }
 
-/// What a full link of an edge carries within the timeout of a poll.
-const LIMIT: usize = 16 * 1024;
+/// The bytes that the congested link of an edge carries within the timeout of a poll.
+const MAX_UPDATE_BYTES: usize = 16 * 1024;
 
-/// An edge whose link is full never got a whole snapshot within the timeout of a poll, and began anew at the next node: it
-/// had neither the endpoints nor the configuration of minutes ago.
+/// Guards against an edge that gets no update at all: over a congested link a whole snapshot takes longer
+/// than the timeout of a poll, and the edge would start again at the next node each time.
 #[test]
 fn a_follower_behind_a_full_link_gets_the_configuration_first_and_everything_in_parts() {
     let endpoints: Vec<EndpointUpdate> =
@@ -149,12 +147,12 @@
     let mut harness = Harness::start(endpoints);
     harness.config = Some(ConfigDocument { revision: 7, body: "{}".into() });
     harness.run(5_000);
-    let mut request = json!({"edge": "e", "feed": 0, "seq": 0, "wait_ms": 1, "max_bytes": LIMIT});
+    let mut request = json!({"edge": "e", "feed": 0, "seq": 0, "wait_ms": 1, "max_bytes": MAX_UPDATE_BYTES});
     let mut listed = BTreeSet::new();
     for part in 0.. {
         let update = harness.poll_with(request.clone());
         let length = serde_json::to_string(&update).unwrap().len();
-        assert!(length <= LIMIT, "part {part} has {length} bytes");
+        assert!(length <= MAX_UPDATE_BYTES, "part {part} has {length} bytes");
         assert_eq!(update.config.is_some(), part == 0, "the first part has the configuration, and only that");
         listed.extend(update.endpoints.into_iter().map(|endpoint| endpoint.id));
         if listed.len() == 300 {
@@ -171,7 +169,7 @@
     let mut harness = Harness::start(vec![endpoint()]);
     harness.config = Some(ConfigDocument { revision: 7, body: "{}".into() });
     harness.run(5_000);
-    let answer = harness.poll_with(json!({"edge": "e", "revision": 6, "max_bytes": LIMIT}));
+    let answer = harness.poll_with(json!({"edge": "e", "revision": 6, "max_bytes": MAX_UPDATE_BYTES}));
     let position = |revision: u64| json!({"edge": "e", "feed": answer.feed_id, "seq": answer.sequence, "revision": revision, "wait_ms": 1});
     let mut poll = |request| {
         let watch = serde_json::from_value(request).unwrap();
@@ -183,11 +181,10 @@
 }
 
 fn endpoint() -> EndpointUpdate {
-    let (ident, backend, via) = ("i-1".into(), "s".into(), PEERS[1].into());
     EndpointUpdate {
-        id: ident,
-        service: backend,
-        reported_by: via,
+        id: "i-1".into(),
+        service: "s".into(),
+        reported_by: PEERS[1].into(),
         address: "10.9.0.1:80".into(),
         heartbeat_sequence: 4,
         ..EndpointUpdate::default()
@@ -237,9 +234,9 @@
     assert!(harness.poll(None).isolated);
 }
 
-/// A member that shut down ended as soon as its duties were over, whatever it had taken meanwhile: an endpoint that had told it of its
-/// end, and was kept waiting until followers knew, found its connection closed without an answer. The same went for operators whose
-/// change was being committed.
+/// Guards against connections that a shutdown closes without an answer. Requests may still wait when the
+/// duties are handed over: a draining endpoint for followers to acknowledge, an operator for the commit of a
+/// change.
 #[test]
 fn a_member_that_shuts_down_answers_every_request_that_it_has_taken() {
     let mut harness = Harness::start(Vec::new());
--- a/crates/control-plane/server/tests/orders.rs
+++ b/crates/control-plane/server/tests/orders.rs
@@ -1,4 +1,5 @@
-//! One content per revision, with real processes: conflicting and repeated orders, failovers and restarts.
+//! Each revision has one content, with real processes: conflicting and repeated orders, failovers and
+//! restarts.
 mod common;
 
 use common::{settings, Core};
@@ -9,7 +10,8 @@
     core.at(n, "POST", "/settings/replace", &settings(revision, prefix).to_string())
 }
 
-/// As an operator does: again and again, beginning with one member, until the response is 200 or 409.
+/// Submits an order as an operator does: again and again, beginning with one member, until the response is
+/// 200 or 409.
 fn submit_until_decided(core: &Core, first: usize, revision: u64, prefix: &str) -> u16 {
     let end = Instant::now() + Duration::from_secs(30);
     for n in (first..).map(|n| n % 3) {
@@ -20,7 +22,7 @@
                 assert!(!why.is_empty() && !why.contains('\n'), "one line: {why}");
                 return status;
             }
-            None => drop(core.held(50)),
+            None => drop(core.long_poll(50)),
         }
     }
     unreachable!()
@@ -81,18 +83,19 @@
     for round in 0..6u64 {
         let (killed, revision) = (round as usize % 3, 10 + 2 * round);
         assert_eq!(submit_until_decided(&core, killed, revision, "/taken/"), 200);
-        // This one may be lost on its way, committed, or committed without a response.
+        // This order may be lost on its way, committed, or committed without a response.
         let sent = std::thread::scope(|scope| {
             let sent = scope.spawn(|| submit(&core, killed, revision + 1, "/sent/"));
             if round % 2 == 0 {
-                core.held(1);
+                core.long_poll(1);
             }
             core.signal(killed, "KILL");
             sent.join().unwrap()
         });
         assert!(sent.is_none_or(|(status, _)| status == 200), "an order was refused");
         core.kill(killed);
-        // From when no member leads to when one does; `submit_until_decided` takes nothing but 200 and 409.
+        // These are sent while no member leads and afterwards; `submit_until_decided` accepts only 200 and
+        // 409.
         for n in [killed + 1, killed + 2] {
             assert_eq!(submit_until_decided(&core, n, revision, "/taken/"), 200, "round {round}");
             assert_eq!(submit_until_decided(&core, n, revision + 1, "/sent/"), 200, "round {round}");
@@ -109,7 +112,7 @@
     let mut core = Core::start(33);
     assert_eq!(submit_until_decided(&core, 0, 1, "/one/"), 200);
     for round in 0..3u64 {
-        // The seventh and the eighth have one revision, the second highest.
+        // The seventh and the eighth order have the same revision, the second highest.
         let base = 100 * (round + 1);
         let numbers = [7, 1, 5, 2, 4, 3, 6, 6].map(|n| base + n);
         let contents = [0, 1, 2, 3, 4, 5, 6, 7].map(|n| format!("/{round}-{n}/"));
--- a/crates/control-plane/server/tests/signals.rs
+++ b/crates/control-plane/server/tests/signals.rs
@@ -1,4 +1,4 @@
-//! Signals and changed settings files, at real processes.
+//! Signals and changed settings files, with real processes.
 mod common;
 
 use common::Core;
@@ -21,7 +21,7 @@
     while !core.log(n).contains(text) {
         assert_running(core, n);
         assert!(Instant::now() < end, "no line with {text}: {}", core.log(n));
-        core.held(100);
+        core.long_poll(100);
     }
 }
 
@@ -46,7 +46,7 @@
         assert_running(&mut core, n);
         assert_eq!(core.replace(2 + n as u64, "/on/"), 200, "configurations are still accepted");
     }
-    // Without a signal; and a field that takes effect after a restart only.
+    // A change without a signal, of a field that takes effect only after a restart.
     edit_settings(&core, 1, "\"area\":\"a\"", "\"area\":\"b\"");
     wait_for_log(&mut core, 1, "self.area");
     (0..3).for_each(|n| assert_running(&mut core, n));
--- a/crates/control-plane/server/tests/store.rs
+++ b/crates/control-plane/server/tests/store.rs
@@ -1,7 +1,7 @@
 //! Data folders of the control plane on a real file system: files truncated, deleted, restored and corrupted.
 mod common;
 
-use common::batches::{own, put, state, write};
+use common::batches::{metadata_batch, put, state, write};
 use coppersail_control_plane::store::WriteBatch;
 use coppersail_control_plane::store::{generation, DiskWriter, FolderCondition, KeyValue, RecoveredState};
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 use std::process::Command;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// A folder of its own, removed at the end.
+/// A temporary folder that is removed when it is dropped.
 struct TempFolder(PathBuf);
 
 impl TempFolder {
@@ -43,7 +43,7 @@
     }
 }
 
-/// What a file holds, and how much of it is not zeros laid out in advance.
+/// The bytes of a file, and its length without the zeros that are preallocated at its end.
 fn content_and_length(path: &Path) -> (Vec<u8>, usize) {
     let bytes = fs::read(path).unwrap();
     let used = bytes.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
@@ -74,7 +74,7 @@
     (found.condition, lines.len())
 }
 
-/// Writes `changes` of about 100 KB: 45 fill a table of fjall's, 660 a journal.
+/// Writes `changes` of about 100 KB each; 45 of them fill a memtable of fjall, 660 a journal.
 fn fill(writer: &DiskWriter, changes: std::ops::Range<u32>) {
     for n in changes {
         let entries = vec![put("config", format!("{n:05}").repeat(20_000)), put(&format!("row/{n}"), n)];
@@ -82,14 +82,14 @@
     }
 }
 
-/// A folder with a journal and tables, and what it holds.
+/// A folder with a journal and tables, and its content.
 fn populated_folder(name: &str, changes: u32) -> (TempFolder, RecoveredState) {
     let temp = TempFolder::new(name);
     let (writer, found, lines) = open(&temp.0);
     assert_eq!((found.condition, lines.len()), (FolderCondition::Fresh, 0));
-    assert!(write(&writer, own("seat", "a")));
+    assert!(write(&writer, metadata_batch("seat", "a")));
     fill(&writer, 0..changes);
-    assert!(write(&writer, own("floor", 7)));
+    assert!(write(&writer, metadata_batch("floor", 7)));
     assert!(write(&writer, state(vec![put("last", "one")])));
     drop(writer);
     let (_, found, lines) = open(&temp.0);
@@ -126,7 +126,7 @@
                 let file = fs::File::options().write(true).open(&path).unwrap();
                 let length = file.metadata().unwrap().len();
                 file.set_len(at as u64).unwrap();
-                // Else the rest is there, but was never written.
+                // Otherwise the file keeps its length, and its end reads as zeros that were never written.
                 file.set_len(if short { at as u64 } else { length }).unwrap();
             }
         }
@@ -140,7 +140,7 @@
         }
         lost.fetch_add((found.condition == FolderCondition::Lost) as usize, Ordering::Relaxed);
     };
-    // Most of the time is spent waiting for syncs.
+    // In parallel, because most of the time is spent waiting for syncs.
     std::thread::scope(|scope| {
         for stripe in 0..8 {
             let (cases, temp, case) = (&cases, &temp, &case);
@@ -169,7 +169,7 @@
     drop(writer);
     assert_eq!(condition_and_lines(&older.0), (FolderCondition::Lost, 1), "not fresh after it was cleared");
     let (writer, ..) = open(&older.0);
-    assert!(write(&writer, own("seat", "a")));
+    assert!(write(&writer, metadata_batch("seat", "a")));
     drop(writer);
     assert_eq!(condition_and_lines(&older.0), (FolderCondition::Intact, 0));
 }
@@ -191,7 +191,7 @@
     }
     // Each start writes the slot with the lower number.
     for floor in [8, 9] {
-        assert!(write(&open(&temp.0).0, own("floor", floor)));
+        assert!(write(&open(&temp.0).0, metadata_batch("floor", floor)));
     }
     let text = fs::read(temp.0.join(generation::FILE_NAME)).unwrap();
     let last = (intact.batch_number + 2).to_le_bytes();
@@ -212,7 +212,7 @@
     let (writer, ..) = open(&temp.0);
     let older = TempFolder::new("back-older");
     fs::create_dir_all(&older.0).unwrap();
-    // What is there now and then; among it a whole journal of which nothing is left at the end.
+    // Copies the files several times; among them is a whole journal that is deleted in the end.
     for n in 0..5 {
         fill(&writer, n * 160..(n + 1) * 160);
         for path in
@@ -220,11 +220,11 @@
         {
             let to = older.0.join(path.strip_prefix(&temp.0).unwrap());
             fs::create_dir_all(to.parent().unwrap()).unwrap();
-            // One that fjall has removed meanwhile is not to be had.
+            // A file that fjall has removed meanwhile can't be copied.
             let _ = fs::copy(&path, to);
         }
     }
-    assert!(write(&writer, own("floor", 7)));
+    assert!(write(&writer, metadata_batch("floor", 7)));
     drop(writer);
     let intact = open(&temp.0).1;
     assert_eq!((intact.condition, intact.state.len()), (FolderCondition::Intact, 801));
@@ -256,14 +256,14 @@
         (after.state.len(), after.metadata["floor"].as_str(), &after.metadata["seat"][..]),
         (500, "8", "a")
     );
-    // The power goes before the generation says so, and the batch is torn anywhere.
+    // A power loss before the generation file is written leaves the batch torn at any position.
     fs::write(temp.0.join(generation::FILE_NAME), generation_before).unwrap();
     let (text, to) = content_and_length(&temp.0.join("0.jnl"));
     assert!(to > from + 5_000);
     let (mut old, mut new) = (0, 0);
     let step = (to - from) / 8;
     for at in (from..to).step_by(step).chain([to]) {
-        // Written up to there; all but a hole; only what comes after.
+        // Only the start is written; all but a gap; only the end.
         for hole in [at..text.len(), at..at + step, from..at] {
             let copy = temp.copy("whole-copy");
             let mut corrupt = text.clone();
--- a/crates/control-plane/server/tests/stored_format.rs
+++ b/crates/control-plane/server/tests/stored_format.rs
@@ -1,5 +1,6 @@
-//! The bytes of the control state on disk, of the `mark` beside it, and of responses to endpoints and operators. These bytes
-//! are read by builds of other versions; a change here breaks rolling upgrades or stored data.
+//! The bytes of the replicated state on disk, of the generation file (`mark`) beside it, and of responses to
+//! endpoints and operators. Other versions read these bytes; a change here breaks rolling upgrades or stored
+//! data.
 use coppersail_control_plane::node::{AdminRequest, Effect, Event, Node, PeerRequest, PeerResponse, Startup};
 use coppersail_control_plane::orders::{digest, OrderDecision, Orders};
 use coppersail_control_plane::rollouts;
@@ -16,12 +17,12 @@
     (name.into(), value.into())
 }
 
-/// Three members in memory; requests of one are answered by the others with the next step of time. All writes succeed.
+/// Three members in memory. They answer each other's requests in the next time step. All writes succeed.
 struct Cluster {
     nodes: Vec<Node>,
     now: u64,
     due: VecDeque<(usize, Event)>,
-    /// The requests between members: (member, token).
+    /// The requests between members: (member, operation id).
     calls: Vec<(usize, u64)>,
     /// The writes of the replicated state by the first member.
     writes: Vec<WriteBatch>,
@@ -30,8 +31,8 @@
     partitioned: bool,
 }
 
-/// The id of all requests of endpoints and operators, apart from those between members.
-const OUTSIDE: u64 = u64::MAX;
+/// The id of all requests of endpoints and operators, different from those between members.
+const ADMIN_REQUEST_ID: u64 = u64::MAX;
 
 impl Cluster {
     fn start() -> Cluster {
@@ -41,54 +42,53 @@
         let mut effects = Vec::new();
         for me in MEMBERS {
             let ip = me.split(':').next().unwrap();
-            let boot = serde_json::json!({
+            let settings = serde_json::json!({
                 "self": {"ipAddress": ip, "area": "a", "initialBoot": true, "dataFolder": "unused"},
                 "network": {"binds": {"admin": me}, "sparePorts": [7540, 7555], "knownPeers": MEMBERS},
                 "provider": {"heartbeat": "1s"},
                 "terms": {"survive": {"boxes": 1}, "timeLimits": {"inContact": "3s", "keepMax": "10s"}}
             });
-            let boot = coppersail_config::ProcessSettings::from_json(&boot.to_string()).unwrap();
+            let settings = coppersail_config::ProcessSettings::from_json(&settings.to_string()).unwrap();
             let (node, first) = Node::start(
                 1,
-                Startup { settings: boot, recovered: Default::default(), feed_and_disk_incarnation: 7 },
+                Startup { settings, recovered: Default::default(), feed_and_disk_incarnation: 7 },
             );
             cluster.nodes.push(node);
             effects.push(first);
         }
-        effects.into_iter().enumerate().for_each(|(at, first)| cluster.carry(at, first));
+        effects.into_iter().enumerate().for_each(|(at, first)| cluster.carry_out(at, first));
         cluster.run(5_000);
         assert!(cluster.nodes[0].is_leader());
         cluster.writes.clear();
         cluster
     }
 
-    fn carry(&mut self, at: usize, effects: Vec<Effect>) {
+    fn carry_out(&mut self, at: usize, effects: Vec<Effect>) {
         for effect in effects {
             match effect {
-                Effect::Persist { operation_id: token, write } => {
+                Effect::Persist { operation_id, write } => {
                     if at == 0 && !write.state.is_empty() {
                         self.writes.push(write);
                     }
-                    self.due.push_back((at, Event::WriteFinished { operation_id: token, ok: true }));
+                    self.due.push_back((at, Event::WriteFinished { operation_id, ok: true }));
                 }
-                Effect::SendToPeer { operation_id: token, peer: to, .. } if self.partitioned => {
-                    assert!(MEMBERS.contains(&to.as_str()));
-                    self.due.push_back((at, Event::PeerResponded { operation_id: token, response: None }));
+                Effect::SendToPeer { operation_id, peer, .. } if self.partitioned => {
+                    assert!(MEMBERS.contains(&peer.as_str()));
+                    self.due.push_back((at, Event::PeerResponded { operation_id, response: None }));
                 }
-                Effect::SendToPeer { operation_id: token, peer: to, request: call, .. } => {
-                    let other = MEMBERS.iter().position(|member| *member == to).unwrap();
-                    self.calls.push((at, token));
-                    let caller = self.calls.len() as u64;
-                    self.due
-                        .push_back((other, Event::Peer { request_id: caller, request: over_the_wire(call) }));
+                Effect::SendToPeer { operation_id, peer, request, .. } => {
+                    let other = MEMBERS.iter().position(|member| *member == peer).unwrap();
+                    self.calls.push((at, operation_id));
+                    let request_id = self.calls.len() as u64;
+                    self.due.push_back((other, Event::Peer { request_id, request: over_the_wire(request) }));
                 }
-                Effect::RespondToPeer { request_id: caller, response } => {
-                    let (asker, token) = self.calls[caller as usize - 1];
+                Effect::RespondToPeer { request_id, response } => {
+                    let (sender, operation_id) = self.calls[request_id as usize - 1];
                     let response = Some(response_over_the_wire(response)).filter(|_| !self.partitioned);
-                    self.due.push_back((asker, Event::PeerResponded { operation_id: token, response }));
+                    self.due.push_back((sender, Event::PeerResponded { operation_id, response }));
                 }
-                Effect::RespondToAdmin { request_id: caller, status, body } => {
-                    assert_eq!(caller, OUTSIDE);
+                Effect::RespondToAdmin { request_id, status, body } => {
+                    assert_eq!(request_id, ADMIN_REQUEST_ID);
                     self.answers.push((status, body));
                 }
                 Effect::Log(_) | Effect::Exit => {}
@@ -97,9 +97,9 @@
     }
 
     fn step(&mut self, at: usize, event: Event) {
-        let mut out = Vec::new();
-        self.nodes[at].step(self.now, event, &mut out);
-        self.carry(at, out);
+        let mut effects = Vec::new();
+        self.nodes[at].step(self.now, event, &mut effects);
+        self.carry_out(at, effects);
     }
 
     fn run(&mut self, ms: u64) {
@@ -113,9 +113,9 @@
         }
     }
 
-    /// Until there is an answer.
-    fn request(&mut self, at: usize, call: AdminRequest) -> (u16, String) {
-        self.step(at, Event::Admin { request_id: OUTSIDE, request: call });
+    /// Sends a request and advances the time until it is answered.
+    fn request(&mut self, at: usize, request: AdminRequest) -> (u16, String) {
+        self.step(at, Event::Admin { request_id: ADMIN_REQUEST_ID, request });
         for _ in 0..100 {
             if let Some(answer) = self.answers.pop() {
                 return answer;
@@ -126,11 +126,12 @@
     }
 
     #[track_caller]
-    fn assert_answer(&mut self, at: usize, call: AdminRequest, status: u16, body: &str) {
-        assert_eq!(self.request(at, call), (status, body.to_string()));
+    fn assert_answer(&mut self, at: usize, request: AdminRequest, status: u16, body: &str) {
+        assert_eq!(self.request(at, request), (status, body.to_string()));
     }
 
-    /// What the first member wrote since, each time with the number of the change beside it.
+    /// Checks the batches that the first member has written since the last check, each with the sequence
+    /// number of its change.
     #[track_caller]
     fn assert_writes(&mut self, expected: &[(&str, &[KeyValue])]) {
         let batch = |(seq, state): &(&str, &[KeyValue])| WriteBatch {
@@ -142,15 +143,15 @@
     }
 }
 
-/// Requests and responses go as text, as they do between processes.
+/// Converts a message to JSON and back, as between processes.
 fn through_text<T: Serialize + DeserializeOwned>(value: &T) -> T {
     serde_json::from_str(&serde_json::to_string(value).unwrap()).unwrap()
 }
 
-fn over_the_wire(call: PeerRequest) -> PeerRequest {
-    match call {
+fn over_the_wire(request: PeerRequest) -> PeerRequest {
+    match request {
         PeerRequest::Watch(watch) => PeerRequest::Watch(through_text(&watch)),
-        PeerRequest::Consensus(call) => PeerRequest::Consensus(through_text(&call)),
+        PeerRequest::Consensus(request) => PeerRequest::Consensus(through_text(&request)),
     }
 }
 
@@ -161,15 +162,15 @@
     }
 }
 
-/// Of an operator: `@` is the number, `#` whether the service is divided.
+/// A configuration of an operator: `@` stands for the revision, `#` for whether the service is sharded.
 const CONFIGURATION: &str = r#"{"revision":"r@","routes":{"columns":["name","domain","pathStart","sort","giveUp","target_time","backend"],"rows":[["r","d.example","/","repeatable","1000ms","400ms","s"]]},"backends":{"columns":["name","checkPath","maxConnections","splitUp"],"rows":[["s","/w",10,#]]},"caps":{"headSizeBytes":16384,"bodySizeBytes":1000,"headWait":"3000ms","quiet":"15000ms"}}"#;
 
-fn configuration(number: u64, divided: &str) -> String {
-    CONFIGURATION.replace('@', &number.to_string()).replace('#', divided)
+fn configuration(number: u64, sharded: &str) -> String {
+    CONFIGURATION.replace('@', &number.to_string()).replace('#', sharded)
 }
 
-fn replace(number: u64, divided: &str) -> AdminRequest {
-    AdminRequest::ReplaceConfig { body: configuration(number, divided) }
+fn replace(number: u64, sharded: &str) -> AdminRequest {
+    AdminRequest::ReplaceConfig { body: configuration(number, sharded) }
 }
 
 fn heartbeat(body: &str) -> AdminRequest {
@@ -180,7 +181,7 @@
     AdminRequest::Rollouts { post: true, path: rest.into(), body: body.into() }
 }
 
-/// Of an endpoint that knows nothing of later fields.
+/// The heartbeat of an endpoint without the fields of later versions.
 const SHORT_HEARTBEAT: &str = r#"{"backend":"s","address":"10.9.0.1:80"}"#;
 
 #[test]
@@ -190,15 +191,15 @@
     cluster.assert_answer(0, read(), 404, r#"{"why":"no configuration yet"}"#);
     cluster.assert_answer(0, replace(5, "null"), 200, "{}");
     let escaped = configuration(5, "null").replace('"', "\\\"");
-    let settings = format!(r#"{{"revision":5,"body":"{escaped}"}}"#);
+    let document = format!(r#"{{"revision":5,"body":"{escaped}"}}"#);
     cluster.assert_writes(&[(
         "1",
-        &[put("order/00000000000000000005", "9abdb47792cf710a67981acfe875bded"), put("config", &settings)],
+        &[put("order/00000000000000000005", "9abdb47792cf710a67981acfe875bded"), put("config", &document)],
     )]);
     cluster.assert_answer(0, read(), 200, &configuration(5, "null"));
     cluster.assert_answer(0, replace(5, "null"), 200, "{}");
-    let rival = r#"{"why":"revision: its number has another content already, expected a higher one"}"#;
-    cluster.assert_answer(0, replace(5, "true"), 409, rival);
+    let conflict = r#"{"why":"revision: its number has another content already, expected a higher one"}"#;
+    cluster.assert_answer(0, replace(5, "true"), 409, conflict);
     cluster.assert_writes(&[]);
     cluster.assert_answer(0, replace(4, "null"), 200, "{}");
     cluster.assert_writes(&[("2", &[put("order/00000000000000000004", "7cd2994012b0076934c1b3cc5cf95ce4")])]);
@@ -213,16 +214,16 @@
     cluster.assert_answer(0, replace(5, "null"), 200, "{}");
     cluster.writes.clear();
     cluster.assert_answer(0, plan("/p", PLAN), 200, "{}");
-    let stand = |head: &str, why: &str| {
+    let entry = |head: &str, why: &str| {
         let body = PLAN.replace('"', "\\\"");
         put("plan/p", &format!(r#"{{"name":"p",{head},"why":"{why}","body":"{body}"}}"#))
     };
-    let first = stand(r#""number":1,"phase":"running","step":0,"run":1,"ran":0"#, "submitted");
+    let first = entry(r#""number":1,"phase":"running","step":0,"run":1,"ran":0"#, "submitted");
     cluster.assert_writes(&[("2", &[first])]);
     cluster.run(1000);
     cluster.assert_answer(0, plan("/p/undo", ""), 200, "{}");
     let second =
-        stand(r#""number":2,"phase":"withdrawn","step":0,"run":1,"ran":1150"#, "an operator's order");
+        entry(r#""number":2,"phase":"withdrawn","step":0,"run":1,"ran":1150"#, "an operator's order");
     cluster.assert_writes(&[("3", &[second])]);
     let table = [
         ("/p/undo", "", 200, "{}"),
@@ -281,15 +282,15 @@
     cluster.writes.clear();
     let full = r#"{"backend":"s","address":"10.9.0.1:80","area":"a","revision":"v1","capacity":10.0,"stage":"ready","warmLeft":"10ms","callCount":@,"released":[]}"#;
     let mut calls = 0;
-    let beat = |cluster: &mut Cluster, calls: &mut u64| {
+    let send_heartbeat = |cluster: &mut Cluster, calls: &mut u64| {
         *calls += 1;
         let answer = cluster.request(0, heartbeat(&full.replace('@', &calls.to_string())));
         cluster.run(900);
         answer
     };
     let nothing = (200, r#"{"held":[],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#.to_string());
-    assert_eq!(beat(&mut cluster, &mut calls), nothing);
-    let last = (0..5).map(|_| beat(&mut cluster, &mut calls)).last().unwrap();
+    assert_eq!(send_heartbeat(&mut cluster, &mut calls), nothing);
+    let last = (0..5).map(|_| send_heartbeat(&mut cluster, &mut calls)).last().unwrap();
     let held = r#"{"held":[[0,65535,1,""]],"keep_time":"5000ms","reportTo":"10.1.0.1:8544"}"#;
     assert_eq!(last, (200, held.to_string()));
     let rows: Vec<KeyValue> = (0..512).map(|n| put(&format!("row/s/{n:05}"), "1 i-1 ")).collect();
@@ -302,10 +303,10 @@
 
 #[test]
 fn a_state_of_another_version_is_read() {
-    // From before numbers were remembered: the newest configuration alone.
+    // A state of a version that remembered no orders has only the newest configuration.
     let body = configuration(5, "null");
-    let settings = format!(r#"{{"body":"{}","later":1,"revision":5}}"#, body.replace('"', "\\\""));
-    let state = [("config", settings.as_str()), ("order/00000000000000000003", "d3"), ("order/2", "")];
+    let document = format!(r#"{{"body":"{}","later":1,"revision":5}}"#, body.replace('"', "\\\""));
+    let state = [("config", document.as_str()), ("order/00000000000000000003", "d3"), ("order/2", "")];
     let orders = Orders::recover(state.into_iter());
     assert_eq!(
         orders.decide(5, "9abdb47792cf710a67981acfe875bded", Some(5)),
@@ -316,9 +317,9 @@
     assert_eq!(digest(r#"{"b": 1, "a": 2}"#), "d3626ac30a87e6f7a6428233b3c68299");
     assert_eq!(digest("no json"), "5ad3040044b6d872316bf4312926c3b9");
     let rows = [("row/s/t/00001", "7 i-1 h 1"), ("row/s/t/00000", "6 i-2")];
-    let mut keys = LeaseTable::recover(1000, 0, rows.into_iter());
-    assert_eq!((keys.slice_count("s/t"), keys.all_owners()[0].owner.as_str()), (2, "i-2"));
-    let grant = &keys.renew(0, "s/t", "i-1", &[], 0)[0];
+    let mut leases = LeaseTable::recover(1000, 0, rows.into_iter());
+    assert_eq!((leases.slice_count("s/t"), leases.all_owners()[0].owner.as_str()), (2, "i-2"));
+    let grant = &leases.renew(0, "s/t", "i-1", &[], 0)[0];
     assert_eq!(
         (grant.from, grant.to, grant.fencing_token, grant.handover.as_str()),
         (32768, 65535, 7, "h 1")
@@ -326,7 +327,7 @@
     let text =
         r#"{"name":"p","number":4,"phase":"done","step":1,"run":2,"ran":5,"why":"w","body":"b","later":1}"#;
     let (name, why, body) = ("p".into(), "w".into(), "b".into());
-    let stand = RolloutState {
+    let entry = RolloutState {
         name,
         number: 4,
         phase: Phase::Done,
@@ -336,7 +337,7 @@
         reason: why,
         body,
     };
-    assert_eq!(rollouts::state_of_entry(&put("plan/p", text)), Some(stand));
+    assert_eq!(rollouts::state_of_entry(&put("plan/p", text)), Some(entry));
 }
 
 fn open(folder: &Path) -> (DiskWriter, coppersail_control_plane::store::RecoveredState) {
@@ -347,20 +348,20 @@
 fn the_generation_file_keeps_its_bytes_and_a_folder_opens_again_with_all_that_was_written() {
     let folder = std::env::temp_dir().join(format!("stored-format-{}", std::process::id()));
     let _ = std::fs::remove_dir_all(&folder);
-    let mark = || {
+    let generation_slots = || {
         let file = std::fs::read(folder.join("mark")).unwrap();
         let slots = [0, 4096, 8192, 12288].map(|at| file[at..at + 12].to_vec());
         let rest = file.iter().enumerate().filter(|(at, byte)| at % 4096 >= 12 && **byte != 0).count();
         assert_eq!((file.len(), rest), (16384, 0));
         slots.map(|slot| slot.iter().map(|byte| format!("{byte:02x}")).collect::<String>())
     };
-    // A number of eight bytes, the lowest first, and its CRC-32 likewise.
+    // A number of eight bytes and its CRC-32, both little-endian.
     let (none, zero) = ("000000000000000000000000", "000000000000000069df2265");
     let (one, two, three) =
         ("0100000000000000f7df88a9", "020000000000000014d80727", "03000000000000008ad8adeb");
     let (writer, found) = open(&folder);
     assert_eq!((found.condition, found.batch_number), (FolderCondition::Fresh, 0));
-    assert_eq!(mark(), [zero, none, none, none]);
+    assert_eq!(generation_slots(), [zero, none, none, none]);
     let batches = [
         WriteBatch {
             state: vec![],
@@ -378,13 +379,14 @@
             metadata: vec![put("floor", "g"), put("seq", "2")],
         },
     ];
-    // The first and what is a promise are written to the first two by turns, a change of the state to the others.
-    let marks = [[zero, one, none, none], [zero, one, two, none], [three, one, two, none]];
-    for (batch, expected) in batches.into_iter().zip(marks) {
-        let (tell, told) = std::sync::mpsc::channel();
-        writer.write(batch, Box::new(move |ok| tell.send(ok).unwrap()));
-        assert!(told.recv().unwrap());
-        assert_eq!(mark(), expected);
+    // The first batch and changes of votes and terms go to the first two slots in turn, other changes of the
+    // state to the last two.
+    let slots_after_batch = [[zero, one, none, none], [zero, one, two, none], [three, one, two, none]];
+    for (batch, expected) in batches.into_iter().zip(slots_after_batch) {
+        let (sender, receiver) = std::sync::mpsc::channel();
+        writer.write(batch, Box::new(move |ok| sender.send(ok).unwrap()));
+        assert!(receiver.recv().unwrap());
+        assert_eq!(generation_slots(), expected);
     }
     drop(writer);
     let (writer, found) = open(&folder);
