--- a/crates/control-plane/config/src/lib.rs
+++ b/crates/control-plane/config/src/lib.rs
@@ -1,5 +1,5 @@
-//! Settings and configurations, with their checks: the settings file of a process, the operator's configuration of routes and
-//! services, rollout plans, and the settings of session affinity.
+//! Settings and configurations, with their checks: the settings file of a process, the operator's
+//! configuration of routes and services, rollout plans, and the settings of session affinity.
 //!
 //! Everything is read from JSON. The names in JSON are part of the interface for operators and never change.
 //! An error names the field by them, the value that was found and what was expected, in one line.
--- a/crates/control-plane/config/src/source.rs
+++ b/crates/control-plane/config/src/source.rs
@@ -56,7 +56,8 @@
     array("rows")?.iter().enumerate().map(row).collect()
 }
 
-/// Reads one field: its value if it is given and passes the check, else its default. Without a default it is required.
+/// Reads one field: its value if it is given and passes the check, else its default. Without a default it is
+/// required.
 pub(crate) fn read_field<T>(
     source: &impl FieldSource,
     name: &str,
--- a/crates/control-plane/config/src/table.rs
+++ b/crates/control-plane/config/src/table.rs
@@ -11,14 +11,15 @@
 ///
 /// - `name`: the field in JSON; a path (`binds.admin`) leads through objects. In a row it is the column.
 /// - `reader`: from [`crate::readers`], or any function from a JSON value to the type or a `FieldError`.
-/// - `default`: [`required`], [`default_to`] a value, or [`default_ms`]. It applies if the field is left out or null.
-/// - `check`: from [`crate::checks`], or any function from the value to `Ok(())` or `Err` with what was expected. It reads as
-///   the end of the error "FIELD is VALUE, expected ...". Defaults are not checked.
-/// - `on_reload`: how a running process handles a new value, from [`crate::reloadable`]. Without one the field needs a
-///   restart.
+/// - `default`: [`required`], [`default_to`] a value, or [`default_ms`]. It applies if the field is left out
+///   or null.
+/// - `check`: from [`crate::checks`], or any function from the value to `Ok(())` or `Err` with what was
+///   expected. It reads as the end of the error "FIELD is VALUE, expected ...". Defaults are not checked.
+/// - `on_reload`: how a running process handles a new value, from [`crate::reloadable`]. Without one the
+///   field needs a restart.
 ///
-/// The macro generates the struct, its `Default`, `from_source` and `Reloadable`. Fields in JSON that aren't declared are skipped,
-/// so that settings written for a newer version can be read.
+/// The macro generates the struct, its `Default`, `from_source` and `Reloadable`. Fields in JSON that aren't
+/// declared are skipped, so that settings written for a newer version can be read.
 macro_rules! table {
     ($(#[$struct_doc:meta])* $vis:vis struct $table:ident {
         $($(#[$field_doc:meta])* $field:ident: $kind:ty = $name:literal, $reader:expr, $default:expr, $check:expr
--- a/crates/control-plane/server/examples/disk.rs
+++ b/crates/control-plane/server/examples/disk.rs
@@ -1,8 +1,8 @@
-//! Measures the store of a control-plane node: the time of a write in ms, the size of its folder and the peak memory after
-//! many changes.
+//! Measures the store of a control-plane node: the time of a write in ms, the size of its folder and the peak
+//! memory after many changes.
 //!
-//! `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`. Each change replaces one configuration; every
-//! tenth also writes the node's last durable term.
+//! `cargo run --release --example disk -- FOLDER CHANGES ROUTES TENANTS ROWS`. Each change replaces one
+//! configuration; every tenth also writes the node's last durable term.
 use coppersail_control_plane::store::{DiskWriter, KeyValue, WriteBatch};
 use std::path::Path;
 use std::sync::mpsc::channel;
--- a/crates/control-plane/server/src/followers.rs
+++ b/crates/control-plane/server/src/followers.rs
@@ -1,4 +1,5 @@
-//! Followers of the change feed: edge proxies and other members, what they have acknowledged, and their long polls.
+//! Followers of the change feed: edge proxies and other members, what they have acknowledged, and their long
+//! polls.
 use coppersail_consensus::{Id, Ms, RequestId};
 use std::collections::BTreeMap;
 
--- a/crates/control-plane/server/src/listener.rs
+++ b/crates/control-plane/server/src/listener.rs
@@ -1,5 +1,5 @@
-//! The HTTP adapter: accepts connections on the addresses of a node, parses requests by the resource that they are for, and
-//! writes the responses.
+//! The HTTP adapter: accepts connections on the addresses of a node, parses requests by the resource that
+//! they are for, and writes the responses.
 //!
 //! One thread serves all connections, each as a task, so that none waits for another to end, even if many
 //! come at once, as after a restart or a partition.
--- a/crates/control-plane/server/src/main.rs
+++ b/crates/control-plane/server/src/main.rs
@@ -1,7 +1,7 @@
 //! `coppersail-control-plane`: the program of a control-plane node.
 //!
-//! Its settings are in the file that `COPPERSAIL_SETTINGS` names. It reads them again on SIGHUP and when the file has
-//! changed; on SIGTERM it hands over its duties and ends with status 0.
+//! Its settings are in the file that `COPPERSAIL_SETTINGS` names. It reads them again on SIGHUP and when the
+//! file has changed; on SIGTERM it hands over its duties and ends with status 0.
 mod failure;
 mod inspect;
 mod settings_file;
--- a/crates/control-plane/server/src/messages.rs
+++ b/crates/control-plane/server/src/messages.rs
@@ -1,4 +1,5 @@
-//! Messages of the pure node: the events that go into [`crate::node::Node::step`] and the effects that come out.
+//! Messages of the pure node: the events that go into [`crate::node::Node::step`] and the effects that come
+//! out.
 use crate::store::{RecoveredState, WriteBatch};
 use coppersail_config::ProcessSettings;
 use coppersail_consensus::{Id, Ms, OperationId, RequestId};
--- a/crates/control-plane/server/src/peer_rpc.rs
+++ b/crates/control-plane/server/src/peer_rpc.rs
@@ -89,7 +89,8 @@
     }
 }
 
-/// The queue of a new worker. If its thread can't be started, the queue is closed and the first request fails.
+/// The queue of a new worker. If its thread can't be started, the queue is closed and the first request
+/// fails.
 fn spawn_worker(address: String, on_response: ResponseHandler) -> Sender<QueuedRequest> {
     let (sender, receiver) = channel();
     let thread = std::thread::Builder::new().name("peer-rpc".into()).stack_size(WORKER_STACK_BYTES);
--- a/crates/control-plane/server/src/store/database.rs
+++ b/crates/control-plane/server/src/store/database.rs
@@ -43,7 +43,8 @@
         Ok(Keyspaces { database, state, metadata })
     }
 
-    /// The number of the last batch; 0 before the first. Both keyspaces must agree, as each batch writes both.
+    /// The number of the last batch; 0 before the first. Both keyspaces must agree, as each batch writes
+    /// both.
     pub(super) fn batch_number(&self) -> Result<u64, StoreError> {
         let state = stored_batch_number(&self.state)?;
         let metadata = stored_batch_number(&self.metadata)?;
--- a/crates/control-plane/server/src/store/writer.rs
+++ b/crates/control-plane/server/src/store/writer.rs
@@ -15,8 +15,8 @@
     on_complete: WriteCompletion,
 }
 
-/// Writes batches in the order in which they are submitted. A write that hangs holds up those behind it; their
-/// completions are not called meanwhile.
+/// Writes batches in the order in which they are submitted. A write that hangs holds up those behind it;
+/// their completions are not called meanwhile.
 pub struct DiskWriter {
     /// `None` once the writer is being dropped.
     requests: Option<Sender<WriteRequest>>,
--- a/crates/control-plane/server/src/timeouts.rs
+++ b/crates/control-plane/server/src/timeouts.rs
@@ -27,7 +27,8 @@
     pub(crate) fn new(settings: &ProcessSettings) -> Timeouts {
         let ms = |time: std::time::Duration| time.as_millis() as Ms;
         let limits = &settings.limits;
-        // A failover and the heartbeats after it have to end within the time after which members count as in contact.
+        // A failover and the heartbeats after it have to end within the time after which members count as in
+        // contact.
         let lease = (ms(limits.min_contact_time) * 2 / 5).clamp(MIN_LEADER_LEASE, MAX_LEADER_LEASE);
         let core = coppersail_consensus::Timeouts {
             lease,
--- a/crates/control-plane/server/tests/orders.rs
+++ b/crates/control-plane/server/tests/orders.rs
@@ -45,7 +45,8 @@
             assert_eq!(submit_until_decided(&core, n, 9, "/nine/"), 200, "the same again, at {n}");
             assert_eq!(submit_until_decided(&core, n, 5, "/five/"), 200, "the same older one again, at {n}");
         }
-        // An unknown lower revision is acknowledged, leaves the configuration as it is, and has one content then.
+        // An unknown lower revision is acknowledged, leaves the configuration as it is, and has one content
+        // then.
         assert_eq!(submit_until_decided(&core, again, 7 + again as u64, "/late/"), 200);
         assert_eq!(submit_until_decided(&core, again, 7 + again as u64, "/later/"), 409);
         assert_eq!(core.read(), settings(9, "/nine/"));
--- a/crates/control-plane/shard-leases/src/grant.rs
+++ b/crates/control-plane/shard-leases/src/grant.rs
@@ -10,7 +10,8 @@
 /// The bytes of a grant in an answer for its two keys and the punctuation.
 const FIXED_GRANT_BYTES: usize = 18;
 
-/// A range of keys that an endpoint may serve for the lease duration, counted from when it sent its heartbeat.
+/// A range of keys that an endpoint may serve for the lease duration, counted from when it sent its
+/// heartbeat.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LeaseGrant {
     /// The first key.
--- a/crates/control-plane/shard-leases/src/table.rs
+++ b/crates/control-plane/shard-leases/src/table.rs
@@ -48,7 +48,8 @@
 }
 
 impl LeaseTable {
-    /// An empty table. `lease_duration`: how long an endpoint owns what it is granted, in milliseconds of its own clock.
+    /// An empty table. `lease_duration`: how long an endpoint owns what it is granted, in milliseconds of its
+    /// own clock.
     pub fn new(lease_duration: Ms) -> LeaseTable {
         LeaseTable { lease_duration, ..LeaseTable::default() }
     }
