--- a/crates/data-plane/rollout/examples/evening/control_plane.rs
+++ b/crates/data-plane/rollout/examples/evening/control_plane.rs
@@ -1,22 +1,23 @@
-//! Edges and the control plane: polls, reports of evidence, states of the rollout, and the loss of a leader.
+//! Edges and the control plane: polls, evidence reports, states of the rollout, and the loss of a leader.
 use crate::scenario::{Mode, Scenario};
-use crate::world::{Attempt, Evening, Event, PLAN_NAME};
+use crate::world::{Attempt, Event, Simulation, PLAN_NAME};
 use coppersail_rollout::analysis::{FleetCapacity, RolloutAnalysis};
 use coppersail_rollout::lifecycle::AppliedAt;
 use coppersail_rollout::{Ms, OutcomeKind, Phase, RolloutPlan, Variant, Verdict};
 use std::collections::BTreeMap;
 
-/// Bytes of evidence in one report.
+/// Maximum size of an evidence report in bytes.
 const REPORT_BYTES: usize = 1400;
+/// How late reports arrive at the control plane in the scenarios with delayed reports (ms).
 const REPORT_DELAY: Ms = 60_000;
-/// When edges are cut off.
-const CUT_OFF: std::ops::Range<Ms> = 120_000..300_000;
+/// When the affected edges are partitioned from the control plane (ms).
+const PARTITIONED: std::ops::Range<Ms> = 120_000..300_000;
 const LEADER_LOST_FOR: Ms = 2500;
-/// Heartbeats of hosts come every 1.3 s; two and a half without one mean that the host is gone.
-const HEARTBEAT: Ms = 1300;
-const GONE_AFTER: Ms = 3250;
+/// Hosts send heartbeats at this period (ms); a host without one for two and a half periods is considered dead.
+const HEARTBEAT_PERIOD: Ms = 1300;
+const DEAD_AFTER: Ms = 3250;
 
-impl Evening {
+impl Simulation {
     pub(crate) fn handle(&mut self, now: Ms, event: Event) {
         match event {
             Event::Ended { attempt, kind, took } => self.end_attempt(now, &attempt, kind, took),
@@ -36,24 +37,24 @@
     }
 
     fn end_attempt(&mut self, now: Ms, attempt: &Attempt, kind: OutcomeKind, took: Ms) {
-        let is_doubled = kind == OutcomeKind::DuplicateResponse;
+        let is_duplicate = kind == OutcomeKind::DuplicateResponse;
         let is_answered = !matches!(kind, OutcomeKind::Lost | OutcomeKind::InvalidResponse);
-        if is_doubled {
+        if is_duplicate {
             self.record(now, attempt, OutcomeKind::Good, Some(took), None);
             if attempt.variant == Variant::New && self.mode != Mode::Fixed {
                 self.edges[attempt.edge].selector.stop(PLAN_NAME, attempt.number);
             }
         }
-        let took = (is_answered && !is_doubled).then_some(took);
+        let took = (is_answered && !is_duplicate).then_some(took);
         self.record(now, attempt, kind, took, Some(attempt.host));
     }
 
     pub(crate) fn poll(&mut self, now: Ms, edge: usize) {
         let at = &mut self.edges[edge];
         at.poll_at = now + at.poll_period;
-        self.judge_alone(now, edge);
+        self.evaluate_alone(now, edge);
         let at = &self.edges[edge];
-        if at.is_cut_off && CUT_OFF.contains(&now) {
+        if at.is_partitioned && PARTITIONED.contains(&now) {
             return;
         }
         let delay = at.delay;
@@ -66,8 +67,8 @@
         }
     }
 
-    /// Where each edge decides alone.
-    fn judge_alone(&mut self, now: Ms, edge: usize) {
+    /// Evaluates an edge's own evidence, in the mode where each edge decides alone.
+    fn evaluate_alone(&mut self, now: Ms, edge: usize) {
         let fleet = self.fleet();
         let died = &self.died;
         let edge = &mut self.edges[edge];
@@ -120,7 +121,8 @@
         self.states.push(next);
     }
 
-    /// A new leader knows what is on the disk, asks for all retained evidence, and begins the step's time anew.
+    /// Begins the term of a new leader. It has the stored state only, requests all retained evidence again, and
+    /// restarts the minimum duration of the step.
     fn begin_new_leader(&mut self, now: Ms, plan: &RolloutPlan) {
         let run = self.states.last().expect("one").run;
         self.analysis = RolloutAnalysis::new(plan, run);
@@ -139,8 +141,8 @@
     }
 }
 
-/// Whether a host has died around a time, if that is known by now.
+/// Whether a host died around the time `seen`, if that is known at `now`.
 fn has_died(died: &BTreeMap<String, Ms>, host: &str, seen: Ms, now: Ms) -> Option<bool> {
     let is_dead = died.get(host).is_some_and(|at| *at + 10_000 > seen && *at <= seen + 1000);
-    (now >= seen + GONE_AFTER || (!is_dead && now >= seen + HEARTBEAT)).then_some(is_dead)
+    (now >= seen + DEAD_AFTER || (!is_dead && now >= seen + HEARTBEAT_PERIOD)).then_some(is_dead)
 }
--- a/crates/data-plane/rollout/examples/evening/page.rs
+++ b/crates/data-plane/rollout/examples/evening/page.rs
@@ -1,5 +1,5 @@
-//! Tables and charts of what was played, put between two marks of the page.
-use crate::scenario::{Mode, Outcome, Scenario, EVENING, LARGE, SMALL};
+//! Tables and charts of the results, which are written between two markers in the page.
+use crate::scenario::{Mode, Outcome, Scenario, DURATION, LARGE, SMALL};
 use crate::Series;
 use coppersail_rollout::Ms;
 use plotters::prelude::*;
@@ -7,34 +7,34 @@
 
 const BEGIN: &str = "<!-- tables: written by `evening` -->";
 const END: &str = "<!-- end of tables -->";
-/// A version that still got requests so shortly (ms) before the end was missed.
+/// A bad version that still got requests this shortly (ms) before the end counts as not detected.
 const IN_FORCE_AT_END: Ms = 10_000;
-/// A share that a rollout reaches only at half of all requests.
+/// The new version's share of requests exceeds this only at the step of one half or later.
 const HALF_REACHED: f64 = 0.4;
 
-const BAD_HEADER: &str =
+const FAULTY_HEADER: &str =
     "Bad releases; median / worst. *Met*: of all requests of the evening, those that the new version ran, in %. \
     *Harmed*: those it answered badly, in %. *Stop*: seconds from its first bad answer to the last request sent to it \
     anywhere. *Missed*: evenings that ended with it in force.\n\n\
     | release | met | harmed | stop s | missed | met, each edge alone | stop s | missed | met, fixed steps |\n\
     |---|---|---|---|---|---|---|---|---|\n";
-const SOUND_HEADER: &str =
+const FAULTLESS_HEADER: &str =
     "\nSound releases with other troubles. *Paused*: in error. *Steps*: evenings that came to half of all requests or more.\n\n\
     | release | paused | steps | paused by some edge, each alone |\n|---|---|---|---|\n";
 
-fn met_percentage(outcome: &Outcome) -> Option<f64> {
-    Some(100.0 * outcome.met_new as f64 / outcome.requests.max(1) as f64)
+fn new_version_percentage(outcome: &Outcome) -> Option<f64> {
+    Some(100.0 * outcome.executed_by_new as f64 / outcome.requests.max(1) as f64)
 }
 
-fn harmed_percentage(outcome: &Outcome) -> Option<f64> {
-    Some(100.0 * outcome.harmed as f64 / outcome.requests.max(1) as f64)
+fn bad_answer_percentage(outcome: &Outcome) -> Option<f64> {
+    Some(100.0 * outcome.bad_answers as f64 / outcome.requests.max(1) as f64)
 }
 
 fn stop_seconds(outcome: &Outcome) -> Option<f64> {
     outcome.first_bad.map(|bad| outcome.last_sent.saturating_sub(bad) as f64 / 1000.0)
 }
 
-/// "median / worst", or "-" of nothing.
+/// "median / worst", or "-" without values.
 fn median_and_worst(outcomes: &[Outcome], value: fn(&Outcome) -> Option<f64>, digits: usize) -> String {
     let mut values: Vec<f64> = outcomes.iter().filter_map(value).collect();
     values.sort_by(f64::total_cmp);
@@ -46,7 +46,7 @@
 
 fn missed(outcomes: &[Outcome]) -> usize {
     let in_force =
-        |outcome: &&Outcome| outcome.last_sent + IN_FORCE_AT_END > EVENING && outcome.first_bad.is_some();
+        |outcome: &&Outcome| outcome.last_sent + IN_FORCE_AT_END > DURATION && outcome.first_bad.is_some();
     outcomes.iter().filter(in_force).count()
 }
 
@@ -66,10 +66,10 @@
         found.map_or(&[], |series| &series.outcomes)
     }
 
-    /// Those that the fleet decided, of bad releases or of sound ones.
-    fn decided(&self, is_bad: bool) -> impl Iterator<Item = &&Series> {
+    /// The series in which the control plane decides, of faulty or of faultless releases.
+    fn fleet_series(&self, is_faulty: bool) -> impl Iterator<Item = &&Series> {
         let fleet = self.series.iter().filter(|series| series.mode == Mode::Fleet);
-        fleet.filter(move |series| series.scenario.is_bad() == is_bad)
+        fleet.filter(move |series| series.scenario.is_faulty() == is_faulty)
     }
 
     fn write(&self) -> String {
@@ -78,17 +78,17 @@
         if seeds > 0 {
             text += "Each edge alone and fixed steps: a quarter of the seeds.\n\n";
         }
-        self.write_bad(&mut text);
-        self.write_sound(&mut text);
+        self.write_faulty(&mut text);
+        self.write_faultless(&mut text);
         self.write_evidence(&mut text);
         self.write_errors(&mut text);
         text.push('\n');
         text
     }
 
-    fn write_bad(&self, text: &mut String) {
-        *text += BAD_HEADER;
-        for series in self.decided(true) {
+    fn write_faulty(&self, text: &mut String) {
+        *text += FAULTY_HEADER;
+        for series in self.fleet_series(true) {
             let fleet = &series.outcomes;
             let alone = self.outcomes(series.scenario, Mode::Alone);
             let fixed = self.outcomes(series.scenario, Mode::Fixed);
@@ -96,21 +96,21 @@
                 text,
                 "| {} | {} | {} | {} | {} | {} | {} | {} | {} |",
                 series.name,
-                median_and_worst(fleet, met_percentage, 2),
-                median_and_worst(fleet, harmed_percentage, 3),
+                median_and_worst(fleet, new_version_percentage, 2),
+                median_and_worst(fleet, bad_answer_percentage, 3),
                 median_and_worst(fleet, stop_seconds, 0),
                 missed(fleet),
-                median_and_worst(alone, met_percentage, 1),
+                median_and_worst(alone, new_version_percentage, 1),
                 median_and_worst(alone, stop_seconds, 0),
                 missed(alone),
-                median_and_worst(fixed, met_percentage, 1),
+                median_and_worst(fixed, new_version_percentage, 1),
             );
         }
     }
 
-    fn write_sound(&self, text: &mut String) {
-        *text += SOUND_HEADER;
-        for series in self.decided(false) {
+    fn write_faultless(&self, text: &mut String) {
+        *text += FAULTLESS_HEADER;
+        for series in self.fleet_series(false) {
             let outcomes = &series.outcomes;
             let reached_half =
                 |outcome: &&Outcome| outcome.new_share.iter().any(|point| point.share > HALF_REACHED);
@@ -123,7 +123,7 @@
 
     fn write_evidence(&self, text: &mut String) {
         let bytes: f64 = self
-            .decided(false)
+            .fleet_series(false)
             .flat_map(|series| &series.outcomes)
             .map(|o| o.evidence_bytes as f64 / o.seconds as f64 / self.edges as f64)
             .fold(0.0, f64::max);
@@ -131,7 +131,7 @@
     }
 
     fn write_errors(&self, text: &mut String) {
-        for series in self.decided(false) {
+        for series in self.fleet_series(false) {
             if let Some(outcome) = series.outcomes.iter().find(|outcome| outcome.paused_at.is_some()) {
                 let (at, reason) = (outcome.paused_at.unwrap_or(0) / 1000, &outcome.pause_reason);
                 let _ = writeln!(text, "- paused in error, {}: at {at} s, {reason}", series.name);
@@ -140,7 +140,7 @@
     }
 }
 
-/// The share of requests that met a bad version, over one evening, in the three ways.
+/// Draws the share of requests that went to the new version over time, in each mode, for one seed of a scenario.
 fn chart(file: &str, all: &[Series], name: &str) -> Result<(), Box<dyn std::error::Error>> {
     let root = SVGBackend::new(file, (720, 320)).into_drawing_area();
     root.fill(&WHITE)?;
@@ -162,12 +162,12 @@
     Ok(())
 }
 
-/// Writes the tables into `rollout.md` in this folder, and the charts beside it.
+/// Writes the tables into `rollout.md` in the directory `docs`, and the charts next to it.
 pub(crate) fn write(docs: &str, all: &[Series]) -> Result<(), Box<dyn std::error::Error>> {
     let file = format!("{docs}/rollout.md");
     let page = std::fs::read_to_string(&file).unwrap_or_else(|_| format!("{BEGIN}\n{END}\n"));
     let (Some(begin), Some(end)) = (page.find(BEGIN), page.find(END)) else {
-        return Err("the page lacks its marks".into());
+        return Err("the page lacks the markers of the tables".into());
     };
     let mut text = String::new();
     for (is_large, size) in [(false, SMALL), (true, LARGE)] {
--- a/crates/data-plane/rollout/examples/evening/scenario.rs
+++ b/crates/data-plane/rollout/examples/evening/scenario.rs
@@ -1,22 +1,23 @@
-//! What is played: scenarios, ways of deciding, sizes, and what an evening comes to.
+//! Parameters of a simulation (scenario, mode, size) and its outcome.
 use coppersail_rollout::Ms;
 
-/// What is wrong with the new version, or else goes on. The number of a variant is part of an evening's seed.
+/// The fault of the new version, or another condition. A variant's number is part of the simulation's seed, so that the
+/// order of the variants must not change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Scenario {
     Late,
-    LateAtEveningLoad,
+    LateAtPeakLoad,
     LateInOneZone,
     LateOnOneRoute,
-    DoublesBookings,
+    ExecutesBookingsTwice,
     LosesAnswers,
-    WrongSeals,
+    InvalidSeals,
     FailsAnswers,
     LateAfterTenMinutes,
     LateAndLeaderLost,
-    LateAndEdgesCutOff,
+    LateAndEdgesPartitioned,
     LateAndReportsDelayed,
-    Sound,
+    Faultless,
     ColdHosts,
     Better,
     BothBad,
@@ -26,25 +27,25 @@
     HostsCrash,
     HostsLoseAnswers,
     HostsGarbleAnswers,
-    EdgesCutOff,
+    EdgesPartitioned,
     ReportsDelayed,
 }
 
-/// All scenarios, with their names on the page.
+/// All scenarios, with their names in the tables.
 pub(crate) const SCENARIOS: [(Scenario, &str); 24] = [
     (Scenario::Late, "late, three answers in ten"),
-    (Scenario::LateAtEveningLoad, "late at evening load only"),
+    (Scenario::LateAtPeakLoad, "late at evening load only"),
     (Scenario::LateInOneZone, "late in one zone only"),
     (Scenario::LateOnOneRoute, "late on one route only"),
-    (Scenario::DoublesBookings, "doubles one booking in 500"),
+    (Scenario::ExecutesBookingsTwice, "doubles one booking in 500"),
     (Scenario::LosesAnswers, "loses one answer in 50, but runs"),
-    (Scenario::WrongSeals, "wrong seal on one answer in 30"),
+    (Scenario::InvalidSeals, "wrong seal on one answer in 30"),
     (Scenario::FailsAnswers, "fails one in ten"),
     (Scenario::LateAfterTenMinutes, "good for ten minutes, then late"),
     (Scenario::LateAndLeaderLost, "late; the primary lost as it decides"),
-    (Scenario::LateAndEdgesCutOff, "late; a third of the edges cut off"),
+    (Scenario::LateAndEdgesPartitioned, "late; a third of the edges cut off"),
     (Scenario::LateAndReportsDelayed, "late; a third of reports a minute late"),
-    (Scenario::Sound, "sound"),
+    (Scenario::Faultless, "sound"),
     (Scenario::ColdHosts, "sound but cold hosts, again and again"),
     (Scenario::Better, "better than the old one"),
     (Scenario::BothBad, "both bad at once"),
@@ -54,18 +55,18 @@
     (Scenario::HostsCrash, "sound; hosts crash"),
     (Scenario::HostsLoseAnswers, "sound; single hosts lose answers"),
     (Scenario::HostsGarbleAnswers, "sound; single hosts send wrong bytes"),
-    (Scenario::EdgesCutOff, "sound; a third of the edges cut off"),
+    (Scenario::EdgesPartitioned, "sound; a third of the edges cut off"),
     (Scenario::ReportsDelayed, "sound; a third of reports a minute late"),
 ];
 
 impl Scenario {
-    /// Whether the new version is to blame.
-    pub(crate) fn is_bad(self) -> bool {
-        (self as usize) < Scenario::Sound as usize
+    /// Whether the new version is faulty.
+    pub(crate) fn is_faulty(self) -> bool {
+        (self as usize) < Scenario::Faultless as usize
     }
 
-    pub(crate) fn cuts_edges_off(self) -> bool {
-        matches!(self, Scenario::LateAndEdgesCutOff | Scenario::EdgesCutOff)
+    pub(crate) fn partitions_edges(self) -> bool {
+        matches!(self, Scenario::LateAndEdgesPartitioned | Scenario::EdgesPartitioned)
     }
 
     pub(crate) fn delays_reports(self) -> bool {
@@ -73,56 +74,58 @@
     }
 }
 
-/// Who decides.
+/// How it is decided whether a rollout advances or is paused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Mode {
-    /// The control plane, from the evidence of all edges: as built.
+    /// The control plane decides from the evidence of all edges, as implemented.
     Fleet,
-    /// Each edge, from what it sees itself.
+    /// Each edge decides for itself, from its own evidence.
     Alone,
-    /// Nobody: steps by time.
+    /// The rollout advances by time, without an analysis.
     Fixed,
 }
 
+/// The size of the simulated fleet.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Size {
     pub(crate) edges: usize,
     pub(crate) zones: usize,
-    /// Requests a second at the peak, of one service.
+    /// Requests per second of the service at peak load.
     pub(crate) peak: f64,
-    /// Hosts of each version, of two slots.
+    /// Number of hosts of each version; each has two slots.
     pub(crate) hosts: usize,
 }
 
 pub(crate) const SMALL: Size = Size { edges: 12, zones: 4, peak: 180.0, hosts: 20 };
 pub(crate) const LARGE: Size = Size { edges: 920, zones: 7, peak: 400.0, hosts: 45 };
 
-/// The length of an evening (ms).
-pub(crate) const EVENING: Ms = 900_000;
+/// The duration of a simulation (ms).
+pub(crate) const DURATION: Ms = 900_000;
 
-/// The share of requests that met the new version, in a window that ends at `at`.
+/// The share of requests that went to the new version, in a window that ends at `at`.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct SharePoint {
     pub(crate) at: Ms,
     pub(crate) share: f64,
 }
 
-/// What one evening came to.
+/// The outcome of one simulation.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Outcome {
     pub(crate) requests: u64,
-    /// Requests that the new version ran.
-    pub(crate) met_new: u64,
-    /// Bad answers of it that the release is to blame for.
-    pub(crate) harmed: u64,
+    /// Requests that the new version executed.
+    pub(crate) executed_by_new: u64,
+    /// Bad answers that the new version caused.
+    pub(crate) bad_answers: u64,
+    /// When the new version caused its first bad answer.
     pub(crate) first_bad: Option<Ms>,
     /// When the last request went to the new version.
     pub(crate) last_sent: Ms,
     pub(crate) paused_at: Option<Ms>,
     pub(crate) pause_reason: String,
-    /// Bytes of evidence, by all edges together.
+    /// Bytes of evidence that all edges reported together.
     pub(crate) evidence_bytes: u64,
-    /// Seconds that were played.
+    /// Simulated seconds.
     pub(crate) seconds: u64,
     pub(crate) new_share: Vec<SharePoint>,
 }
--- a/crates/data-plane/rollout/examples/evening/traffic.rs
+++ b/crates/data-plane/rollout/examples/evening/traffic.rs
@@ -1,37 +1,38 @@
-//! Requests: which edge, variant and host they get, how long they run, and what is counted of them.
+//! Requests: the choice of edge, variant and host, the duration and outcome, and the evidence that is recorded.
 use crate::scenario::{Mode, Scenario};
-use crate::world::{normal, Attempt, Evening, Event, PLAN_NAME, SERVICE};
+use crate::world::{normal, Attempt, Event, Simulation, PLAN_NAME, SERVICE};
 use coppersail_rollout::{AttemptEvidence, Ms, OutcomeKind, Variant};
 use fastrand::Rng;
 
 const ROUTES: [&str; 2] = ["book", "look"];
 const BOOK: usize = 0;
-/// Weights of edges are at most this.
+/// Maximum weight of an edge.
 const MAX_EDGE_WEIGHT: f64 = 1.5;
 const SLOTS: f64 = 2.0;
-/// The latency target, and after how long an edge gives up (ms).
+/// The latency target, and the deadline after which an edge gives up (ms).
 const LATENCY_TARGET: Ms = 500;
 const DEADLINE: Ms = 1200;
-/// A host rejects what would wait for longer (ms).
+/// A host rejects requests that would wait longer than this (ms).
 const MAX_WAIT: f64 = 600.0;
-/// Median and spread of the log-normal service time (ms).
+/// Median (ms) and sigma of the log-normal service time.
 const MEDIAN_WORK: f64 = 120.0;
 const WORK_SIGMA: f64 = 0.35;
-const NETWORK: Ms = 4;
-/// The host that a hot client's key is on.
+/// Network time per request (ms).
+const NETWORK_MS: Ms = 4;
+/// The host that serves the hot client's key.
 const HOT_HOST: usize = 3;
-/// Of the bad version's answers so many stall, for so long (ms).
+/// The fraction of a late version's answers that stall, and the minimum and spread of their delay (ms).
 const STALL_SHARE: f64 = 0.3;
-const STALL_LEAST: f64 = 450.0;
+const STALL_MIN: f64 = 450.0;
 const STALL_SPREAD: f64 = 300.0;
 
-/// What a host made of a request.
+/// The outcome of a request at a host, and its duration.
 struct Response {
     kind: OutcomeKind,
     took: Ms,
 }
 
-impl Evening {
+impl Simulation {
     pub(crate) fn request(&mut self, now: Ms, is_hot: bool) {
         self.outcome.requests += 1;
         let edge = self.draw_edge();
@@ -47,9 +48,9 @@
             is_counted && self.mode != Mode::Fixed && self.count_sent(now, edge, variant, host);
         let attempt = Attempt { edge, number, route, variant, host };
         self.record(now, &attempt, OutcomeKind::Offered, None, None);
-        let Some(Response { kind, took }) = self.run(now, &attempt) else { return };
+        let Some(Response { kind, took }) = self.execute(now, &attempt) else { return };
         if variant == Variant::New {
-            self.outcome.met_new += 1;
+            self.outcome.executed_by_new += 1;
             self.outcome.last_sent = now;
         }
         let is_cold = now < self.hosts[variant as usize][host].cold_until;
@@ -58,7 +59,7 @@
         self.schedule(now + took, Event::Ended { attempt, kind, took });
     }
 
-    /// Uneven shares, by rejection.
+    /// Draws an edge in proportion to the weights, by rejection sampling.
     fn draw_edge(&mut self) -> usize {
         loop {
             let at = self.rng.usize(0..self.edges.len());
@@ -68,7 +69,8 @@
         }
     }
 
-    /// The better of two random hosts: edges know about how long a host's queue is. A hot key has one host.
+    /// Draws the host with the shorter queue of two random ones, as edges know the approximate queue lengths. The hot
+    /// client's key always has the same host.
     fn draw_host(&mut self, now: Ms, variant: Variant, is_hot: bool) -> Option<usize> {
         let hosts = &self.hosts[variant as usize];
         let is_up = |at: &usize| now >= hosts[*at].down_until;
@@ -87,8 +89,8 @@
         self.edges[edge].recorder.record_sent(now, &self.hosts[variant as usize][host].name, SLOTS)
     }
 
-    /// Runs a request on a host; none if it is rejected.
-    fn run(&mut self, now: Ms, attempt: &Attempt) -> Option<Response> {
+    /// Executes a request on a host. `None` if the host rejects it.
+    fn execute(&mut self, now: Ms, attempt: &Attempt) -> Option<Response> {
         let (variant, at) = (attempt.variant as usize, attempt.host);
         let slot = usize::from(self.hosts[variant][at].free_at[1] < self.hosts[variant][at].free_at[0]);
         let wait = (self.hosts[variant][at].free_at[slot] - now as f64).max(0.0);
@@ -97,22 +99,22 @@
         }
         let work = self.draw_work(now, attempt);
         let stall = self.draw_stall(now, attempt);
-        // A stalled request waits for something and does not work the while: the slot isn't held.
+        // A stalled request waits without using its slot.
         self.hosts[variant][at].free_at[slot] = now as f64 + wait + work;
-        let took = ((wait + work + stall.unwrap_or(0.0)) as Ms + NETWORK).min(DEADLINE);
+        let took = ((wait + work + stall.unwrap_or(0.0)) as Ms + NETWORK_MS).min(DEADLINE);
         let version_fault = self.draw_version_fault(attempt);
         let host_fault = self.draw_host_fault(now, attempt);
         let timely = if took > LATENCY_TARGET { OutcomeKind::Late } else { OutcomeKind::Good };
         let kind = version_fault.or(host_fault).unwrap_or(timely);
         let is_new = attempt.variant == Variant::New;
-        if version_fault.is_some() || (is_new && stall.is_some() && self.scenario.is_bad()) {
-            self.outcome.harmed += 1;
+        if version_fault.is_some() || (is_new && stall.is_some() && self.scenario.is_faulty()) {
+            self.outcome.bad_answers += 1;
             self.outcome.first_bad.get_or_insert(now + took);
         }
         Some(Response { kind, took })
     }
 
-    /// The service time (ms).
+    /// Draws the service time (ms).
     fn draw_work(&mut self, now: Ms, attempt: &Attempt) -> f64 {
         let is_cold = now < self.hosts[attempt.variant as usize][attempt.host].cold_until;
         let is_slow_wave = self.scenario == Scenario::SlowWaves && now % 100_000 < 20_000;
@@ -124,11 +126,11 @@
         work
     }
 
-    /// For how long a request of a version that is late stalls (ms); none for most.
+    /// Draws how long a request stalls (ms); `None` if it doesn't.
     fn draw_stall(&mut self, now: Ms, attempt: &Attempt) -> Option<f64> {
         let may_stall = self.is_late(now, attempt) || self.scenario == Scenario::BothBad;
         let stalls = may_stall && self.rng.f64() < STALL_SHARE;
-        stalls.then(|| STALL_LEAST + STALL_SPREAD * self.rng.f64())
+        stalls.then(|| STALL_MIN + STALL_SPREAD * self.rng.f64())
     }
 
     /// Whether the new version is late for this request.
@@ -136,9 +138,9 @@
         let is_late = match self.scenario {
             Scenario::Late
             | Scenario::LateAndLeaderLost
-            | Scenario::LateAndEdgesCutOff
+            | Scenario::LateAndEdgesPartitioned
             | Scenario::LateAndReportsDelayed => true,
-            Scenario::LateAtEveningLoad => self.rate(now) > 0.85 * self.size.peak,
+            Scenario::LateAtPeakLoad => self.rate(now) > 0.85 * self.size.peak,
             Scenario::LateInOneZone => self.hosts[attempt.variant as usize][attempt.host].zone == 1,
             Scenario::LateOnOneRoute => attempt.route == BOOK,
             Scenario::LateAfterTenMinutes => now > 600_000,
@@ -153,9 +155,11 @@
         }
         let (kind, chance) = match self.scenario {
             Scenario::LosesAnswers => (OutcomeKind::Lost, 0.02),
-            Scenario::WrongSeals => (OutcomeKind::InvalidResponse, 1.0 / 30.0),
+            Scenario::InvalidSeals => (OutcomeKind::InvalidResponse, 1.0 / 30.0),
             Scenario::FailsAnswers => (OutcomeKind::Failed, 0.1),
-            Scenario::DoublesBookings if attempt.route == BOOK => (OutcomeKind::DuplicateResponse, 0.002),
+            Scenario::ExecutesBookingsTwice if attempt.route == BOOK => {
+                (OutcomeKind::DuplicateResponse, 0.002)
+            }
             _ => return None,
         };
         (self.rng.f64() < chance).then_some(kind)
@@ -172,7 +176,7 @@
         }
     }
 
-    /// Counts an outcome at the attempt's edge.
+    /// Records an outcome as evidence at the attempt's edge.
     pub(crate) fn record(
         &mut self,
         now: Ms,
--- a/crates/data-plane/rollout/src/tests/analysis.rs
+++ b/crates/data-plane/rollout/src/tests/analysis.rs
@@ -85,39 +85,45 @@
     Ok(last)
 }
 
-const SOUND: Rates = rates(0.03, 0.0, 0.0);
+/// The fault rates of a version without a fault of its own.
+const BASELINE: Rates = rates(0.03, 0.0, 0.0);
 
 #[test]
 fn a_faulty_version_is_paused_in_time() {
     let cases: [(&str, FaultModel, &str, Ms); 8] = [
-        ("late", |_, _, _| (rates(0.25, 0.0, 0.0), SOUND), "late", 40_000),
+        ("late", |_, _, _| (rates(0.25, 0.0, 0.0), BASELINE), "late", 40_000),
         (
             "late after ten minutes",
-            |t, _, _| (if t < 600_000 { SOUND } else { rates(0.25, 0.0, 0.0) }, SOUND),
+            |t, _, _| (if t < 600_000 { BASELINE } else { rates(0.25, 0.0, 0.0) }, BASELINE),
             "late",
             640_000,
         ),
         (
             "late in one zone",
-            |_, e, _| (if e % 3 == 1 { rates(0.3, 0.0, 0.0) } else { SOUND }, SOUND),
+            |_, e, _| (if e % 3 == 1 { rates(0.3, 0.0, 0.0) } else { BASELINE }, BASELINE),
             "late",
             90_000,
         ),
         (
             "late on one route",
-            |_, _, r| (if r == "book" { rates(0.3, 0.0, 0.0) } else { SOUND }, SOUND),
+            |_, _, r| (if r == "book" { rates(0.3, 0.0, 0.0) } else { BASELINE }, BASELINE),
             "late",
             90_000,
         ),
-        ("loses", |_, _, _| (rates(0.03, 0.02, 0.0), SOUND), "lost", 120_000),
-        ("doubles one in 500", |_, _, _| (rates(0.03, 0.0, 0.002), SOUND), "twice", 300_000),
+        ("loses answers", |_, _, _| (rates(0.03, 0.02, 0.0), BASELINE), "lost", 120_000),
+        ("executes one in 500 twice", |_, _, _| (rates(0.03, 0.0, 0.002), BASELINE), "twice", 300_000),
         (
-            "late at evening load",
-            |t, _, _| (if t < 300_000 { SOUND } else { rates(0.2, 0.0, 0.0) }, SOUND),
+            "late after five minutes",
+            |t, _, _| (if t < 300_000 { BASELINE } else { rates(0.2, 0.0, 0.0) }, BASELINE),
             "late",
             360_000,
         ),
-        ("late while all are", |_, _, _| (rates(0.6, 0.0, 0.0), rates(0.3, 0.0, 0.0)), "late", 90_000),
+        (
+            "late while both versions are",
+            |_, _, _| (rates(0.6, 0.0, 0.0), rates(0.3, 0.0, 0.0)),
+            "late",
+            90_000,
+        ),
     ];
     for (name, fault_model, word, within) in cases {
         for seed in 0..3 {
@@ -130,25 +136,25 @@
 #[test]
 fn a_sound_version_is_not_paused_by_other_faults() {
     let cases: [(&str, FaultModel); 6] = [
-        ("sound", |_, _, _| (SOUND, SOUND)),
+        ("sound", |_, _, _| (BASELINE, BASELINE)),
         ("better", |_, _, _| (rates(0.01, 0.0, 0.0), rates(0.1, 0.01, 0.0))),
-        ("trouble of all", |t, _, _| {
-            let both = if t % 100_000 < 30_000 { rates(0.5, 0.02, 0.0) } else { SOUND };
+        ("a fault in all zones", |t, _, _| {
+            let both = if t % 100_000 < 30_000 { rates(0.5, 0.02, 0.0) } else { BASELINE };
             (both, both)
         }),
-        ("a zone's trouble", |_, e, _| {
-            let both = if e % 3 == 0 { rates(0.6, 0.05, 0.0) } else { SOUND };
+        ("a fault in one zone", |_, e, _| {
+            let both = if e % 3 == 0 { rates(0.6, 0.05, 0.0) } else { BASELINE };
             (both, both)
         }),
-        ("both double", |_, _, _| (rates(0.03, 0.0, 0.01), rates(0.03, 0.0, 0.01))),
-        ("within its bounds", |_, _, _| (rates(0.045, 0.0, 0.0), SOUND)),
+        ("both execute twice", |_, _, _| (rates(0.03, 0.0, 0.01), rates(0.03, 0.0, 0.01))),
+        ("within its bounds", |_, _, _| (rates(0.045, 0.0, 0.0), BASELINE)),
     ];
     for (name, fault_model) in cases {
         // If both versions execute requests twice and the new version does so first, it is rightly paused.
         let paused = (0..10).filter(|seed| simulate_rollout(*seed, 300, fault_model).is_err()).count();
-        assert!(paused <= if name == "both double" { 5 } else { 0 }, "{name}: {paused}");
+        assert!(paused <= if name == "both execute twice" { 5 } else { 0 }, "{name}: {paused}");
     }
-    assert_matches!(simulate_rollout(1, 60, |_, _, _| (SOUND, SOUND)), Ok(Verdict::Healthy));
+    assert_matches!(simulate_rollout(1, 60, |_, _, _| (BASELINE, BASELINE)), Ok(Verdict::Healthy));
     assert_matches!(simulate_rollout(1, 60, |_, _, _| (rates(0.5, 0.0, 0.0), rates(0.5, 0.0, 0.0))), Ok(Verdict::Wait(reason)) if reason.contains("itself"));
 }
 
