--- a/crates/data-plane/rollout/examples/evening/world.rs
+++ b/crates/data-plane/rollout/examples/evening/world.rs
@@ -73,7 +73,7 @@
     pub(crate) analysis: Option<RolloutAnalysis>,
     pub(crate) poll_at: Ms,
     pub(crate) poll_period: Ms,
-    /// Delay (ms) from the leader to the edge by its control-plane node, one way.
+    /// Delay (ms) from the leader to the edge via its control-plane node, one way.
     pub(crate) delay: Ms,
     pub(crate) is_partitioned: bool,
     pub(crate) delays_reports: bool,
--- a/crates/data-plane/rollout/src/lifecycle.rs
+++ b/crates/data-plane/rollout/src/lifecycle.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 const REASON_SUBMITTED: &str = "submitted";
-const REASON_SOUND: &str = "sound";
+const REASON_HEALTHY: &str = "sound";
 const REASON_EXPIRED: &str = "its time is over";
 
 /// The phase of a rollout. Log lines have the `Debug` names, stored data and the wire the lower-case names.
@@ -27,7 +27,7 @@
     Ended,
 }
 
-/// A command of an operator. [`RolloutCommand::from_name`] has the words on the wire.
+/// A command of an operator. [`RolloutCommand::from_name`] parses the names on the wire.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RolloutCommand {
     /// Pauses as the plan specifies: freezes the share, or rolls back.
@@ -264,7 +264,7 @@
         let may_advance = |step: &&Step| {
             elapsed as u128 >= step.min_duration.as_millis() && step.approval == StepApproval::Itself
         };
-        plan.steps.get(self.step).filter(may_advance).map(|_| self.promoted(elapsed, REASON_SOUND))
+        plan.steps.get(self.step).filter(may_advance).map(|_| self.promoted(elapsed, REASON_HEALTHY))
     }
 
     /// Milliseconds until the minimum duration of the step is over; `None` unless the rollout is running.
