--- a/crates/director/capacity-guard/benches/judgement_cost.rs
+++ b/crates/director/capacity-guard/benches/judgement_cost.rs
@@ -7,12 +7,12 @@
 use std::collections::BTreeMap;
 
 fn fleet(hosts: u32, slices: u16) -> (Pool, BTreeMap<SliceId, Table>) {
-    let carries = Some(Estimate { low: 80.0, middle: 100.0 });
-    let bounds = CapacityModel {
+    let capacity = Some(Estimate { low: 80.0, middle: 100.0 });
+    let capacity_model = CapacityModel {
         cold_capacity_share: 0.2,
         slow_start_duration: 10.0,
         collapse_multiple: 2.5,
-        capacity: carries,
+        capacity,
     };
     let host = |n| (HostId(n), Host { zone: ZoneId((n % 3) as u16), ..Host::default() });
     let table = |n: u16| {
@@ -20,7 +20,7 @@
         let lines = BTreeMap::from([(HostId(at), 1.0), (HostId((at * 7 + 1) % hosts), 0.1)]);
         (SliceId(n), Table { demand: vec![3.0, 1.0], weights: lines })
     };
-    (Pool { hosts: (0..hosts).map(host).collect(), bounds }, (0..slices).map(table).collect())
+    (Pool { hosts: (0..hosts).map(host).collect(), capacity_model }, (0..slices).map(table).collect())
 }
 
 fn line(slice: u16, host: u32) -> Order {
--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -129,12 +129,12 @@
 /// A proposal that piles some of a fleet's slices on one host: how long the answer with its repair takes.
 fn measure_fleet(hosts: u32, slices: u16, times: u64) {
     let mut rng = fastrand::Rng::with_seed(1);
-    let carries = Some(Estimate { low: 80.0, middle: 100.0 });
-    let bounds = CapacityModel {
+    let capacity = Some(Estimate { low: 80.0, middle: 100.0 });
+    let capacity_model = CapacityModel {
         cold_capacity_share: 0.2,
         slow_start_duration: 10.0,
         collapse_multiple: 2.5,
-        capacity: carries,
+        capacity,
     };
     let host = |n| (HostId(n), Host { zone: ZoneId((n % 3) as u16), ..Host::default() });
     let each = 0.6 * 100.0 * f64::from(hosts) / f64::from(slices);
@@ -143,7 +143,7 @@
         let lines = BTreeMap::from([(HostId(at), 1.0), (HostId((at * 7 + 1) % hosts), 0.1)]);
         (SliceId(n), Table { demand: vec![0.7 * each, 0.3 * each], weights: lines })
     };
-    let pool = Pool { hosts: (0..hosts).map(host).collect(), bounds };
+    let pool = Pool { hosts: (0..hosts).map(host).collect(), capacity_model };
     let mut guard = Guard::new(pool, &(0..slices).map(table).collect(), 2);
     let (mut took, mut unsafe_ones, mut complete) = (Vec::new(), 0, 0);
     for _ in 0..times {
--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -28,12 +28,12 @@
         let mut chance = Rng::with_seed(seed);
         let c = &mut chance;
         let now = 100.0;
-        let carries = (c.u8(0..5) > 0).then_some(Estimate { low: 8.0, middle: 10.0 });
-        let bounds = CapacityModel {
+        let capacity = (c.u8(0..5) > 0).then_some(Estimate { low: 8.0, middle: 10.0 });
+        let capacity_model = CapacityModel {
             cold_capacity_share: 0.2,
             slow_start_duration: 10.0,
             collapse_multiple: pick(c, &[1.5, 2.5, 4.0]),
-            capacity: carries,
+            capacity,
         };
         let host = |k: usize, c: &mut Rng| {
             let state = pick(
@@ -52,7 +52,7 @@
             let zone = ZoneId((k % 2) as u16);
             (HostId(k as u32), Host { state, zone, weight, started_at, proven, withdrawn: out, speed: 1.0 })
         };
-        let pool = Pool { hosts: (0..hosts).map(|k| host(k, c)).collect(), bounds };
+        let pool = Pool { hosts: (0..hosts).map(|k| host(k, c)).collect(), capacity_model };
         let any = |c: &mut Rng| HostId(c.u32(0..hosts as u32));
         let table = |c: &mut Rng| {
             let full = pick(c, &[1.0, 3.0, 6.0, 14.0]);
@@ -76,7 +76,7 @@
         let event = |c: &mut Rng| PendingEvent {
             at: now + pick(c, &[2.0, 5.0, 5.0, 40.0]),
             host: any(c),
-            what: if c.u8(0..3) > 0 { HostEvent::Leaves } else { HostEvent::Opens },
+            event: if c.u8(0..3) > 0 { HostEvent::Leaves } else { HostEvent::Opens },
         };
         let pending = (0..pick(c, &[0, 0, 1, 2])).map(|_| event(c)).collect();
         Case { pool, tables, calls, pending, now }
@@ -120,9 +120,9 @@
     host.started_at.map_or(1e9, |started_at| (at - started_at).max(0.0))
 }
 
-fn ramp(bounds: &CapacityModel, host: &Host, at: f64) -> f64 {
-    (bounds.cold_capacity_share
-        + (1.0 - bounds.cold_capacity_share) * age(host, at) / bounds.slow_start_duration)
+fn capacity_share(model: &CapacityModel, host: &Host, at: f64) -> f64 {
+    (model.cold_capacity_share
+        + (1.0 - model.cold_capacity_share) * age(host, at) / model.slow_start_duration)
         .clamp(0.01, 1.0)
 }
 
@@ -189,28 +189,29 @@
     }
 
     fn host_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
-        let (b, totals) = (&case.pool.bounds, &load.totals);
-        let unit = |h: &Host| h.weight * ramp(b, h, at);
-        let all: f64 = self.open_hosts().map(|(_, h)| unit(h)).sum();
+        let (model, totals) = (&case.pool.capacity_model, &load.totals);
+        let relative_capacity = |h: &Host| h.weight * capacity_share(model, h, at);
+        let all: f64 = self.open_hosts().map(|(_, h)| relative_capacity(h)).sum();
         for (id, h) in self.open_hosts() {
             let Some(host) = load.hosts.get(id).filter(|host| host.calls > 0.0) else { continue };
-            if let Some(carries) = b.capacity {
-                let cold = ramp(b, h, at) < 1.0;
-                let unproved = cold || age(h, at) < b.slow_start_duration + 30.0;
-                let per_unit = if unproved { carries.low } else { carries.middle };
-                let multiple = if cold { (0.6 * b.collapse_multiple).max(1.0) } else { 1.25 };
-                let fair = if cold { 0.0 } else { 2.0 * totals.iter().sum::<f64>() * unit(h) / all };
-                let limit = f64::max(unit(h) * per_unit * multiple, fair);
-                let falls = unit(h) * carries.low * b.collapse_multiple;
+            if let Some(capacity) = model.capacity {
+                let cold = capacity_share(model, h, at) < 1.0;
+                let unproven = cold || age(h, at) < model.slow_start_duration + 30.0;
+                let capacity_at_weight_1 = if unproven { capacity.low } else { capacity.middle };
+                let multiple = if cold { (0.6 * model.collapse_multiple).max(1.0) } else { 1.25 };
+                let fair =
+                    if cold { 0.0 } else { 2.0 * totals.iter().sum::<f64>() * relative_capacity(h) / all };
+                let limit = f64::max(relative_capacity(h) * capacity_at_weight_1 * multiple, fair);
+                let collapse_limit = relative_capacity(h) * capacity.low * model.collapse_multiple;
                 if host.calls > limit * 1.001 {
                     wrongs.insert((if cold { 1 } else { 2 }, id.0, 0), host.calls / limit - 1.0);
-                } else if cold && host.worst_case > falls * 1.001 {
-                    wrongs.insert((1, id.0, 0), host.worst_case / falls - 1.0);
+                } else if cold && host.worst_case > collapse_limit * 1.001 {
+                    wrongs.insert((1, id.0, 0), host.worst_case / collapse_limit - 1.0);
                 }
             }
             let is_judged = |route: &usize| self.open_hosts().count() >= 4 && totals[*route] >= 1.0;
             for route in (0..ROUTES).filter(is_judged) {
-                let bound = 3.0 * unit(h) / all + load.largest[route] / totals[route];
+                let bound = 3.0 * relative_capacity(h) / all + load.largest[route] / totals[route];
                 if host.by_route[route] / totals[route] > bound * 1.001 {
                     wrongs.insert((3, id.0, route as u16), host.by_route[route] / totals[route] - bound);
                 }
@@ -219,17 +220,17 @@
     }
 
     fn zone_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
-        let (b, totals) = (&case.pool.bounds, &load.totals);
-        let unit = |h: &Host| h.weight * ramp(b, h, at);
-        let all: f64 = self.open_hosts().map(|(_, h)| unit(h)).sum();
+        let (model, totals) = (&case.pool.capacity_model, &load.totals);
+        let relative_capacity = |h: &Host| h.weight * capacity_share(model, h, at);
+        let all: f64 = self.open_hosts().map(|(_, h)| relative_capacity(h)).sum();
         let zones: BTreeSet<ZoneId> = self.open_hosts().map(|(_, h)| h.zone).collect();
         for zone in zones.iter().filter(|_| zones.len() > 1 && self.open_hosts().count() >= 4) {
             let within = || self.open_hosts().filter(|(_, h)| h.zone == *zone);
             for route in (0..ROUTES).filter(|route| totals[*route] >= 1.0) {
                 let part = |id| Some(load.hosts.get(id)?.by_route[route] / totals[route]);
                 let share: f64 = within().filter_map(|(id, _)| part(id)).sum();
-                let units = within().map(|(_, h)| unit(h)).sum::<f64>();
-                let bound = 2.0 * units / all + load.largest[route] / totals[route];
+                let zone_capacity = within().map(|(_, h)| relative_capacity(h)).sum::<f64>();
+                let bound = 2.0 * zone_capacity / all + load.largest[route] / totals[route];
                 if share > bound * 1.001 {
                     wrongs.insert((4, zone.0.into(), route as u16), share - bound);
                 }
@@ -245,7 +246,7 @@
         pending.sort_by(|a, b| a.at.total_cmp(&b.at));
         let mut found = vec![self.wrongs(case, case.now)];
         for (k, event) in pending.iter().enumerate() {
-            world.hosts.entry(event.host).and_modify(|host| match event.what {
+            world.hosts.entry(event.host).and_modify(|host| match event.event {
                 HostEvent::Leaves => (host.state, host.proven) = (ListedState::Draining, true),
                 HostEvent::Opens => {
                     (host.state, host.proven, host.withdrawn) = (ListedState::Ready, true, false)
--- a/crates/director/capacity-guard/src/bound.rs
+++ b/crates/director/capacity-guard/src/bound.rs
@@ -20,9 +20,9 @@
 /// The sizes of all open hosts and zones, by which fair shares are measured.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetSizes {
-    total_units: f64,
+    total_relative_capacity: f64,
     open_hosts: usize,
-    zone_units: BTreeMap<ZoneId, f64>,
+    zone_relative_capacity: BTreeMap<ZoneId, f64>,
     /// By route, the greatest demand of one slice: load cannot be divided finer than that.
     largest_demand: Vec<f64>,
 }
@@ -32,10 +32,10 @@
         let mut sizes = FleetSizes::default();
         for (id, host) in pool.open_hosts() {
             if loads.is_open(id) {
-                let unit = host.unit(now, &pool.bounds);
-                sizes.total_units += unit;
+                let relative_capacity = host.relative_capacity(now, &pool.capacity_model);
+                sizes.total_relative_capacity += relative_capacity;
                 sizes.open_hosts += 1;
-                *sizes.zone_units.entry(host.zone).or_default() += unit;
+                *sizes.zone_relative_capacity.entry(host.zone).or_default() += relative_capacity;
             }
         }
         sizes.largest_demand = loads.largest_demand();
@@ -43,7 +43,7 @@
     }
 
     fn share(&self, units: f64) -> f64 {
-        units / self.total_units.max(1e-9)
+        units / self.total_relative_capacity.max(1e-9)
     }
 
     fn is_too_small(&self, route_total: f64) -> bool {
@@ -62,10 +62,10 @@
     /// The load of a route that a zone may have, in calls a second.
     pub(crate) fn zone_route_bound(&self, loads: &LoadIndex, route: RouteId, zone: ZoneId) -> f64 {
         let total = loads.route_total(route);
-        if self.zone_units.len() < 2 || self.is_too_small(total) {
+        if self.zone_relative_capacity.len() < 2 || self.is_too_small(total) {
             return f64::INFINITY;
         }
-        let share = self.share(self.zone_units.get(&zone).copied().unwrap_or(0.0));
+        let share = self.share(self.zone_relative_capacity.get(&zone).copied().unwrap_or(0.0));
         MAX_ZONE_CONCENTRATION * share * total + self.largest_demand[usize::from(route.0)]
     }
 }
@@ -89,12 +89,12 @@
         let Some(host) = pool.hosts.get(&id) else {
             return LoadBound { calls: 0.0, worst_case_calls: 0.0, by_route: vec![], zone_by_route: vec![] };
         };
-        let share = sizes.share(host.unit(now, &pool.bounds));
+        let share = sizes.share(host.relative_capacity(now, &pool.capacity_model));
         let by_route = loads.route_ids().map(|route| sizes.host_route_bound(loads, route, share));
         let zone_by_route = loads.route_ids().map(|route| sizes.zone_route_bound(loads, route, host.zone));
         LoadBound {
             calls: call_bound(pool, loads, host, share, now),
-            worst_case_calls: host.collapse_limit(now, &pool.bounds),
+            worst_case_calls: host.collapse_limit(now, &pool.capacity_model),
             by_route: by_route.collect(),
             zone_by_route: zone_by_route.collect(),
         }
@@ -127,8 +127,8 @@
 }
 
 fn call_bound(pool: &Pool, loads: &LoadIndex, host: &Host, share: f64, now: f64) -> f64 {
-    let limit = host.call_limit(now, &pool.bounds);
-    if !host.is_warm(now, &pool.bounds) {
+    let limit = host.call_limit(now, &pool.capacity_model);
+    if !host.is_warm(now, &pool.capacity_model) {
         return limit;
     }
     let all_calls: f64 = loads.route_ids().map(|route| loads.route_total(route)).sum();
--- a/crates/director/capacity-guard/src/capacity.rs
+++ b/crates/director/capacity-guard/src/capacity.rs
@@ -28,11 +28,11 @@
     pub utilisation: Option<f64>,
     /// Calls that wait, where it is reported.
     pub waiting: Option<f64>,
-    /// Size of the host at that time, see [`crate::Host::unit`].
-    pub unit: f64,
+    /// Size of the host at that time, see [`crate::Host::relative_capacity`].
+    pub relative_capacity: f64,
 }
 
-/// Of one host, for a unit of its size, in calls a second.
+/// Of one host, relative to its size, in calls a second.
 #[derive(Clone, Copy, Debug, Default)]
 struct HostCapacity {
     /// The most that it has answered well lately: a lower bound of its capacity.
@@ -44,9 +44,9 @@
 
 impl HostCapacity {
     fn observe(&mut self, now: f64, observation: &HostObservation) {
-        let HostObservation { answered, failed, utilisation, waiting, unit } = *observation;
+        let HostObservation { answered, failed, utilisation, waiting, relative_capacity } = *observation;
         let decay = 0.5_f64.powf((now - self.updated_at).max(0.0) / HALF_LIFE);
-        let rate = answered / unit;
+        let rate = answered / relative_capacity;
         let saturated = match (utilisation, waiting) {
             (Some(utilisation), _) if utilisation > MIN_UTILISATION => Some(rate / utilisation.min(1.0)),
             (None, Some(waiting)) if waiting >= MIN_WAITING => Some(rate),
@@ -82,7 +82,7 @@
 impl CapacityEstimator {
     /// Adds an observation. One without answers or of a host without size is ignored.
     pub fn observe(&mut self, host: HostId, now: f64, observation: HostObservation) {
-        if observation.answered <= 0.0 || observation.unit <= 0.0 {
+        if observation.answered <= 0.0 || observation.relative_capacity <= 0.0 {
             return;
         }
         self.hosts.entry(host).or_default().observe(now, &observation);
--- a/crates/director/capacity-guard/src/drain.rs
+++ b/crates/director/capacity-guard/src/drain.rs
@@ -66,7 +66,7 @@
     elapsed: f64,
     hosts: BTreeMap<HostId, Progress>,
     returning: Vec<Returning>,
-    initial_size: f64,
+    initial_capacity: f64,
 }
 
 /// Plans to drain hosts, from `now` on. Of the hosts that wait the one whose zone has most left without it goes
@@ -107,9 +107,16 @@
         let progress =
             |id: HostId| if drain.hosts.contains(&id) { Progress::Waiting } else { Progress::NotDrained };
         let hosts = pool.open_hosts().map(|(id, _)| (id, progress(id))).collect();
-        let mut planner =
-            Planner { pool, drain, begin: now, elapsed: 0.0, hosts, returning: vec![], initial_size: 0.0 };
-        planner.initial_size = planner.size();
+        let mut planner = Planner {
+            pool,
+            drain,
+            begin: now,
+            elapsed: 0.0,
+            hosts,
+            returning: vec![],
+            initial_capacity: 0.0,
+        };
+        planner.initial_capacity = planner.serving_capacity();
         planner
     }
 
@@ -146,13 +153,13 @@
     }
 
     fn has_capacity(&self) -> bool {
-        let size = self.size();
-        if size <= 0.0 {
+        let capacity = self.serving_capacity();
+        if capacity <= 0.0 {
             return false;
         }
         match self.utilisation() {
             Some(utilisation) => utilisation <= MAX_UTILISATION,
-            None => size >= MIN_REMAINING_SHARE * self.initial_size,
+            None => capacity >= MIN_REMAINING_SHARE * self.initial_capacity,
         }
     }
 
@@ -160,7 +167,7 @@
     fn drain_by_force(&mut self) -> Option<HostId> {
         let id = self.next_host()?;
         self.hosts.insert(id, Progress::Drained);
-        let nobody_left = self.size() <= 0.0;
+        let nobody_left = self.serving_capacity() <= 0.0;
         (!nobody_left).then_some(id)
     }
 
@@ -170,43 +177,45 @@
         self.returning.extend(hosts.iter().map(|host| Returning { at, host: *host }));
     }
 
-    /// The size of a host at this time of the plan, see [`Host::unit`].
-    fn unit(&self, id: HostId, progress: Progress) -> f64 {
+    /// The size of a host at this time of the plan, see [`Host::relative_capacity`].
+    fn relative_capacity(&self, id: HostId, progress: Progress) -> f64 {
         let host = &self.pool.hosts[&id];
         let now = self.begin + self.elapsed;
         match progress {
-            Progress::NotDrained | Progress::Waiting => host.unit(now, &self.pool.bounds),
+            Progress::NotDrained | Progress::Waiting => {
+                host.relative_capacity(now, &self.pool.capacity_model)
+            }
             Progress::Drained => 0.0,
             Progress::BackSince(since) => {
                 let restarted = Host { started_at: Some(self.begin + since), ..*host };
-                restarted.unit(now, &self.pool.bounds)
+                restarted.relative_capacity(now, &self.pool.capacity_model)
             }
         }
     }
 
     /// The size of all hosts that serve.
-    fn size(&self) -> f64 {
-        self.hosts.iter().map(|(id, progress)| self.unit(*id, *progress)).sum()
+    fn serving_capacity(&self) -> f64 {
+        self.hosts.iter().map(|(id, progress)| self.relative_capacity(*id, *progress)).sum()
     }
 
     /// Utilisation of the hosts that serve; `None`: capacities are unknown.
     fn utilisation(&self) -> Option<f64> {
-        let capacity = self.pool.bounds.capacity?;
-        Some(self.drain.calls / (self.size() * capacity.low).max(1e-9))
+        let capacity = self.pool.capacity_model.capacity?;
+        Some(self.drain.calls / (self.serving_capacity() * capacity.low).max(1e-9))
     }
 
     /// The waiting host that goes next.
     fn next_host(&self) -> Option<HostId> {
         let waiting = self.hosts.iter().filter(|(_, progress)| **progress == Progress::Waiting);
-        let key = |id: HostId| (-self.zone_size_without(id), self.unit(id, self.hosts[&id]));
+        let key = |id: HostId| (-self.zone_capacity_without(id), self.relative_capacity(id, self.hosts[&id]));
         let order = |a: &HostId, b: &HostId| key(*a).partial_cmp(&key(*b)).unwrap_or(Ordering::Equal);
         waiting.map(|(id, _)| *id).min_by(order)
     }
 
-    fn zone_size_without(&self, id: HostId) -> f64 {
+    fn zone_capacity_without(&self, id: HostId) -> f64 {
         let zone = self.pool.hosts[&id].zone;
         let is_other = |other: HostId| other != id && self.pool.hosts[&other].zone == zone;
         let others = self.hosts.iter().filter(|(other, _)| is_other(**other));
-        others.map(|(other, progress)| self.unit(*other, *progress)).sum::<f64>()
+        others.map(|(other, progress)| self.relative_capacity(*other, *progress)).sum::<f64>()
     }
 }
--- a/crates/director/capacity-guard/src/guard.rs
+++ b/crates/director/capacity-guard/src/guard.rs
@@ -62,8 +62,8 @@
     }
 
     /// What holds for all hosts, to be changed.
-    pub fn bounds_mut(&mut self) -> &mut CapacityModel {
-        &mut self.pool.bounds
+    pub fn capacity_model_mut(&mut self) -> &mut CapacityModel {
+        &mut self.pool.capacity_model
     }
 
     /// Sets a host.
@@ -133,7 +133,7 @@
     /// Applies a pending event on trial.
     fn apply_event(&mut self, event: &PendingEvent, trial: &mut Trial) {
         let Some(host) = self.pool.hosts.get(&event.host).copied() else { return };
-        let (state, out) = match event.what {
+        let (state, out) = match event.event {
             HostEvent::Leaves => (ListedState::Draining, host.withdrawn),
             HostEvent::Opens => (ListedState::Ready, false),
         };
--- a/crates/director/capacity-guard/src/guarded_director.rs
+++ b/crates/director/capacity-guard/src/guarded_director.rs
@@ -46,7 +46,7 @@
     /// Proposals that were accepted.
     pub accepted: u64,
     /// Unsafe proposals that were sent as they were less severe than the state in force.
-    pub least_bad: u64,
+    pub improvements: u64,
     /// Proposals that were refused, in whole or in part.
     pub refused: u64,
     /// Refused proposals that were sent, as all their slices had been refused too often.
@@ -104,7 +104,7 @@
 
     /// The module with a guard. `seed`: of the module's random choices.
     pub fn new(settings: Settings, seed: u64, mode: Mode) -> Self {
-        let bounds = CapacityModel {
+        let capacity_model = CapacityModel {
             cold_capacity_share: settings.cold_capacity_share,
             slow_start_duration: settings.slow_start_duration,
             collapse_multiple: settings.collapse_multiple,
@@ -112,7 +112,7 @@
         };
         let routes = settings.routes.len();
         GuardedDirector {
-            guard: Guard::new(Pool { hosts: BTreeMap::new(), bounds }, &BTreeMap::new(), routes),
+            guard: Guard::new(Pool { hosts: BTreeMap::new(), capacity_model }, &BTreeMap::new(), routes),
             director: Director::new(settings, seed),
             mode,
             unguarded: false,
@@ -132,12 +132,12 @@
     }
 
     /// Switches the guard to another mode.
-    pub fn mode(&mut self, mode: Mode) {
+    pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
     }
 
     /// Sets all events that are announced.
-    pub fn pending(&mut self, pending: Vec<PendingEvent>) {
+    pub fn set_pending_events(&mut self, pending: Vec<PendingEvent>) {
         self.pending = pending;
     }
 
@@ -178,17 +178,23 @@
     }
 
     /// As [`Director::writable_orders`].
-    pub fn writable(&self, now: f64, orders: usize, is_repeat: bool, unannounced_proxies: bool) -> usize {
+    pub fn writable_orders(
+        &self,
+        now: f64,
+        orders: usize,
+        is_repeat: bool,
+        unannounced_proxies: bool,
+    ) -> usize {
         self.director.writable_orders(now, orders, is_repeat, unannounced_proxies)
     }
 
     /// As [`Director::max_pending_lines`].
-    pub fn may_wait(&self) -> f64 {
+    pub fn max_pending_lines(&self) -> f64 {
         self.director.max_pending_lines()
     }
 
     /// Demand of this director's slices in calls a second; 0 without reports.
-    pub fn asked(&self) -> f64 {
+    pub fn total_demand(&self) -> f64 {
         let loads = self.guard.loads();
         if self.demand.has_reports() {
             loads.route_ids().map(|route| loads.route_total(route)).sum()
@@ -284,7 +290,7 @@
         self.update_demand();
         // Demand is reported for this director's slices alone, so capacity is what hosts have left beside the calls of
         // other directors. Without reports of demand it would mean nothing.
-        self.guard.bounds_mut().capacity =
+        self.guard.capacity_model_mut().capacity =
             if self.demand.has_reports() { self.capacity.estimate() } else { None };
         self.refusals.compact();
     }
@@ -314,14 +320,14 @@
                 Screening::accepted(orders)
             }
             Verdict::Improvement(_) => {
-                self.counts.least_bad += 1;
+                self.counts.improvements += 1;
                 Screening::accepted(orders)
             }
             // What is less severe than the state in force is sent although the guard knows a safe repair: the module
             // does not know it, and the state in force costs more meanwhile. Refusing it, for a turn or three times,
             // cost 0.03 on a day of crashes and a deploy (`docs/guard.md`). Files and operators' tables do not pass so.
             Verdict::Refused(refused) if refused.is_improvement => {
-                self.counts.least_bad += 1;
+                self.counts.improvements += 1;
                 Screening::accepted(orders)
             }
             Verdict::Refused(refused) => self.refuse(now, orders, &refused),
--- a/crates/director/capacity-guard/src/host_reports.rs
+++ b/crates/director/capacity-guard/src/host_reports.rs
@@ -47,9 +47,14 @@
         }
         for (id, observation) in observations {
             let load = self.loads.get(&id).copied().unwrap_or_default();
-            let unit = pool.hosts.get(&id).map_or(0.0, |host| host.unit(now, &pool.bounds));
+            let relative_capacity =
+                pool.hosts.get(&id).map_or(0.0, |host| host.relative_capacity(now, &pool.capacity_model));
             let (utilisation, waiting) = (load.cpu_utilisation, load.queued);
-            estimator.observe(id, now, HostObservation { unit, utilisation, waiting, ..observation });
+            estimator.observe(
+                id,
+                now,
+                HostObservation { relative_capacity, utilisation, waiting, ..observation },
+            );
         }
         self.loads.clear();
     }
--- a/crates/director/capacity-guard/src/inspection.rs
+++ b/crates/director/capacity-guard/src/inspection.rs
@@ -41,15 +41,15 @@
     }
 
     fn overload(&self, host: HostId, load: &HostLoad, bound: &LoadBound) -> Option<Reason> {
-        let warm = self.pool.hosts[&host].is_warm(self.now, &self.pool.bounds);
+        let warm = self.pool.hosts[&host].is_warm(self.now, &self.pool.capacity_model);
         let (calls, worst_case_calls) = (load.calls, load.worst_case_calls);
         let exceeds = calls > bound.calls * ROUNDING_FACTOR;
         let collapses = worst_case_calls > bound.worst_case_calls * ROUNDING_FACTOR;
         match warm {
-            true if exceeds => Some(Reason::WarmOverload { host, calls, carries: bound.calls }),
-            false if exceeds => Some(Reason::ColdOverload { host, calls, stands: bound.calls }),
+            true if exceeds => Some(Reason::WarmOverload { host, calls, limit: bound.calls }),
+            false if exceeds => Some(Reason::ColdOverload { host, calls, limit: bound.calls }),
             false if collapses => {
-                Some(Reason::ColdOverload { host, calls: worst_case_calls, stands: bound.worst_case_calls })
+                Some(Reason::ColdOverload { host, calls: worst_case_calls, limit: bound.worst_case_calls })
             }
             _ => None,
         }
--- a/crates/director/capacity-guard/src/pool.rs
+++ b/crates/director/capacity-guard/src/pool.rs
@@ -85,44 +85,46 @@
     }
 
     /// The share of its full capacity that it has at its age, 0.01 to 1.
-    pub fn capacity_share(&self, now: f64, bounds: &CapacityModel) -> f64 {
+    pub fn capacity_share(&self, now: f64, model: &CapacityModel) -> f64 {
         let age = self.started_at.map_or(f64::INFINITY, |started_at| (now - started_at).max(0.0));
-        let share = bounds.cold_capacity_share
-            + (1.0 - bounds.cold_capacity_share) * age / bounds.slow_start_duration.max(1e-9);
+        let share = model.cold_capacity_share
+            + (1.0 - model.cold_capacity_share) * age / model.slow_start_duration.max(1e-9);
         share.clamp(MIN_CAPACITY_SHARE, 1.0)
     }
 
     /// Whether it has its full capacity.
-    pub fn is_warm(&self, now: f64, bounds: &CapacityModel) -> bool {
-        self.capacity_share(now, bounds) >= 1.0
+    pub fn is_warm(&self, now: f64, model: &CapacityModel) -> bool {
+        self.capacity_share(now, model) >= 1.0
     }
 
     /// Its present size, where a warm host of weight 1 and speed 1 has size 1.
-    pub fn unit(&self, now: f64, bounds: &CapacityModel) -> f64 {
-        self.weight * self.speed * self.capacity_share(now, bounds)
+    pub fn relative_capacity(&self, now: f64, model: &CapacityModel) -> f64 {
+        self.weight * self.speed * self.capacity_share(now, model)
     }
 
     /// Calls a second that it may be sent; infinite while capacities are unknown. For a host that has been warm for a
     /// while this is the middle estimate of its capacity, for others the low one. A cold host may be sent more than it
     /// can serve, but not so much that it collapses.
-    pub fn call_limit(&self, now: f64, bounds: &CapacityModel) -> f64 {
-        let Some(capacity) = bounds.capacity else { return f64::INFINITY };
-        let unit = self.unit(now, bounds);
+    pub fn call_limit(&self, now: f64, model: &CapacityModel) -> f64 {
+        let Some(capacity) = model.capacity else { return f64::INFINITY };
+        let relative_capacity = self.relative_capacity(now, model);
         let proved = self
             .started_at
-            .is_none_or(|started_at| now - started_at >= bounds.slow_start_duration + PROVING_TIME);
-        match (self.is_warm(now, bounds), proved) {
-            (true, true) => unit * capacity.middle,
-            (true, false) => unit * capacity.low,
-            (false, _) => unit * capacity.low * (COLD_LOAD_SHARE * bounds.collapse_multiple).max(1.0),
+            .is_none_or(|started_at| now - started_at >= model.slow_start_duration + PROVING_TIME);
+        match (self.is_warm(now, model), proved) {
+            (true, true) => relative_capacity * capacity.middle,
+            (true, false) => relative_capacity * capacity.low,
+            (false, _) => {
+                relative_capacity * capacity.low * (COLD_LOAD_SHARE * model.collapse_multiple).max(1.0)
+            }
         }
     }
 
     /// Calls a second at which a cold host collapses; infinite for a warm one and while capacities are unknown.
-    pub fn collapse_limit(&self, now: f64, bounds: &CapacityModel) -> f64 {
-        match bounds.capacity {
-            Some(capacity) if !self.is_warm(now, bounds) => {
-                self.unit(now, bounds) * capacity.low * bounds.collapse_multiple
+    pub fn collapse_limit(&self, now: f64, model: &CapacityModel) -> f64 {
+        match model.capacity {
+            Some(capacity) if !self.is_warm(now, model) => {
+                self.relative_capacity(now, model) * capacity.low * model.collapse_multiple
             }
             _ => f64::INFINITY,
         }
@@ -135,7 +137,7 @@
     /// The listed hosts.
     pub hosts: BTreeMap<HostId, Host>,
     /// What holds for all of them.
-    pub bounds: CapacityModel,
+    pub capacity_model: CapacityModel,
 }
 
 impl Pool {
@@ -153,7 +155,7 @@
     /// The host that it happens to.
     pub host: HostId,
     /// What happens.
-    pub what: HostEvent,
+    pub event: HostEvent,
 }
 
 /// What a pending event does to a host.
--- a/crates/director/capacity-guard/src/reason.rs
+++ b/crates/director/capacity-guard/src/reason.rs
@@ -45,7 +45,7 @@
         /// Its load.
         calls: f64,
         /// The load that it withstands.
-        stands: f64,
+        limit: f64,
     },
     /// A warm host is overloaded.
     WarmOverload {
@@ -54,7 +54,7 @@
         /// Its load.
         calls: f64,
         /// The load that it may have.
-        carries: f64,
+        limit: f64,
     },
     /// A route is concentrated on one host.
     HostConcentration {
@@ -127,8 +127,8 @@
     pub fn excess(&self) -> f64 {
         match self {
             Reason::Uncovered { .. } => 1.0,
-            Reason::ColdOverload { calls, stands: bound, .. }
-            | Reason::WarmOverload { calls, carries: bound, .. } => calls / bound.max(1e-9) - 1.0,
+            Reason::ColdOverload { calls, limit: bound, .. }
+            | Reason::WarmOverload { calls, limit: bound, .. } => calls / bound.max(1e-9) - 1.0,
             Reason::HostConcentration { share, bound, .. }
             | Reason::ZoneConcentration { share, bound, .. } => share - bound,
         }
@@ -157,11 +157,11 @@
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             Reason::Uncovered { slice } => write!(formatter, "slice {} without an open host", slice.0),
-            Reason::ColdOverload { calls, stands, .. } => {
-                write!(formatter, "a cold host gets {calls:.1} calls a second, it stands {stands:.1}")
+            Reason::ColdOverload { calls, limit, .. } => {
+                write!(formatter, "a cold host gets {calls:.1} calls a second, it stands {limit:.1}")
             }
-            Reason::WarmOverload { calls, carries, .. } => {
-                write!(formatter, "a host gets {calls:.1} calls a second, it carries {carries:.1}")
+            Reason::WarmOverload { calls, limit, .. } => {
+                write!(formatter, "a host gets {calls:.1} calls a second, it carries {limit:.1}")
             }
             Reason::HostConcentration { route, share, bound, .. } => {
                 let route = route.0;
--- a/crates/director/capacity-guard/src/repair/greedy.rs
+++ b/crates/director/capacity-guard/src/repair/greedy.rs
@@ -47,7 +47,7 @@
     pending: &[PendingEvent],
     now: f64,
 ) -> Option<Repair> {
-    let leaving = pending.iter().filter(|event| event.what == HostEvent::Leaves).map(|event| event.host);
+    let leaving = pending.iter().filter(|event| event.event == HostEvent::Leaves).map(|event| event.host);
     let leaving: BTreeSet<HostId> = leaving.collect();
     let mut hosts = touched.clone();
     let mut skipped = BTreeSet::new();
@@ -117,13 +117,13 @@
         let excess = |host, kind, calls| Excess { host, kind, calls, excluded_zone: None };
         match reason {
             Reason::Uncovered { slice } => self.cover(*slice),
-            Reason::ColdOverload { host, calls, stands } => {
-                let exceeds = loads.host_load(*host)?.calls > *stands;
+            Reason::ColdOverload { host, calls, limit } => {
+                let exceeds = loads.host_load(*host)?.calls > *limit;
                 let kind = if exceeds { LoadKind::AllCalls } else { LoadKind::WorstCase };
-                self.relieve(&excess(*host, kind, calls - stands))
+                self.relieve(&excess(*host, kind, calls - limit))
             }
-            Reason::WarmOverload { host, calls, carries } => {
-                self.relieve(&excess(*host, LoadKind::AllCalls, calls - carries))
+            Reason::WarmOverload { host, calls, limit } => {
+                self.relieve(&excess(*host, LoadKind::AllCalls, calls - limit))
             }
             Reason::HostConcentration { route, host, share, bound } => {
                 let calls = (share - bound) * loads.route_total(*route);
@@ -197,12 +197,12 @@
     /// The host outside a table that has most room for so many more of its calls; a cold one only if no warm one has
     /// any.
     fn host_with_headroom(&self, table: &Table, calls: f64, excluded_zone: Option<ZoneId>) -> Option<HostId> {
-        let bounds = &self.guard.pool.bounds;
+        let model = &self.guard.pool.capacity_model;
         let allowed = self.guard.pool.open_hosts().filter(|(id, host)| {
             !table.weights.contains_key(id) && !self.leaving.contains(id) && Some(host.zone) != excluded_zone
         });
         let keyed = allowed.filter_map(|(id, host)| {
-            Some(((host.is_warm(self.now, bounds), self.headroom(id, host, table, calls)?), id))
+            Some(((host.is_warm(self.now, model), self.headroom(id, host, table, calls)?), id))
         });
         keyed.max_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal)).map(|(_, id)| id)
     }
@@ -210,12 +210,12 @@
     /// What a host could be sent beyond so many more calls of a table; by its load while capacities are unknown.
     /// `None`: it has no room.
     fn headroom(&self, id: HostId, host: &Host, table: &Table, calls: f64) -> Option<f64> {
-        let bounds = &self.guard.pool.bounds;
+        let model = &self.guard.pool.capacity_model;
         let load = self.guard.loads.host_load(id);
         let present = load.map_or(0.0, |load| load.calls);
         let worst_case = load.map_or(0.0, |load| load.worst_case_calls);
-        let headroom = host.call_limit(self.now, bounds) - present - calls;
-        let worst_case_headroom = host.collapse_limit(self.now, bounds) - worst_case - table.calls();
+        let headroom = host.call_limit(self.now, model) - present - calls;
+        let worst_case_headroom = host.collapse_limit(self.now, model) - worst_case - table.calls();
         let fits = headroom >= 0.0 && worst_case_headroom >= 0.0;
         fits.then_some(if headroom.is_finite() { headroom } else { -present })
     }
@@ -223,12 +223,12 @@
     /// The host outside a table that would have the least load for its size; one that stays before one that leaves, a
     /// warm one before a cold one.
     fn least_loaded(&self, table: &Table) -> Option<HostId> {
-        let bounds = &self.guard.pool.bounds;
+        let model = &self.guard.pool.capacity_model;
         let key = |id: HostId, host: &Host| {
             let present = self.guard.loads.host_load(id).map_or(0.0, |load| load.calls);
-            let unit = host.unit(self.now, bounds);
-            let load = (present + table.calls()) / unit.max(1e-9);
-            (self.leaving.contains(&id), (!host.is_warm(self.now, bounds), load))
+            let relative_capacity = host.relative_capacity(self.now, model);
+            let load = (present + table.calls()) / relative_capacity.max(1e-9);
+            (self.leaving.contains(&id), (!host.is_warm(self.now, model), load))
         };
         // A host that leaves soon is better than none, but does not help where the table has one already.
         let is_uncovered = !table.weights.keys().any(|host| self.guard.loads.is_open(*host));
--- a/crates/director/capacity-guard/src/repair/linear_program.rs
+++ b/crates/director/capacity-guard/src/repair/linear_program.rs
@@ -112,7 +112,7 @@
             for host in &table.allowed {
                 let share = variables.add(variable().min(0.0).max(1.0));
                 cells.insert((index, *host), share);
-                let is_warm = self.guard.pool.hosts[host].is_warm(self.now, &self.guard.pool.bounds);
+                let is_warm = self.guard.pool.hosts[host].is_warm(self.now, &self.guard.pool.capacity_model);
                 let call_cost = table.calls.max(MIN_CALLS) * if is_warm { 1.0 } else { COLD_COST };
                 match table.shares.get(host).copied().unwrap_or(0.0) {
                     proposed if proposed > 0.0 => {
--- a/crates/director/capacity-guard/src/repair/program_tables.rs
+++ b/crates/director/capacity-guard/src/repair/program_tables.rs
@@ -35,7 +35,7 @@
 
 /// The hosts of pending events of a kind.
 pub(crate) fn hosts_of(pending: &[PendingEvent], change: HostEvent) -> BTreeSet<HostId> {
-    pending.iter().filter(|event| event.what == change).map(|event| event.host).collect()
+    pending.iter().filter(|event| event.event == change).map(|event| event.host).collect()
 }
 
 /// The tables that are involved in what is unsafe. `None`: there are none, or they are too many for a program.
@@ -87,8 +87,8 @@
     let key = |id: &HostId| {
         let host = &guard.pool.hosts[id];
         let calls = guard.loads.host_load(*id).map_or(0.0, |load| load.calls);
-        let unit = host.unit(now, &guard.pool.bounds).max(1e-9);
-        (host.is_warm(now, &guard.pool.bounds), -calls / unit)
+        let relative_capacity = host.relative_capacity(now, &guard.pool.capacity_model).max(1e-9);
+        (host.is_warm(now, &guard.pool.capacity_model), -calls / relative_capacity)
     };
     let mut receivers: Vec<HostId> = bounds.keys().copied().collect();
     receivers.sort_by(|a, b| key(b).partial_cmp(&key(a)).unwrap_or(Ordering::Equal));
@@ -99,7 +99,7 @@
 /// All calls of a cold host's tables come to it when their other hosts fail, so it may be named only by as many
 /// tables as it withstands. Those that name it already come first, then the smallest.
 fn limit_cold_hosts(guard: &Guard, now: f64, bounds: &HostBounds, tables: &mut [ProgramTable]) {
-    let is_cold = |id: &&HostId| !guard.pool.hosts[*id].is_warm(now, &guard.pool.bounds);
+    let is_cold = |id: &&HostId| !guard.pool.hosts[*id].is_warm(now, &guard.pool.capacity_model);
     for id in bounds.keys().filter(is_cold) {
         let naming = tables.iter().filter(|table| table.shares.contains_key(id));
         let in_program = naming.map(|table| table.calls).sum::<f64>();
--- a/crates/director/capacity-guard/tests/guard.rs
+++ b/crates/director/capacity-guard/tests/guard.rs
@@ -15,14 +15,9 @@
     HostId(n)
 }
 
-fn bounds() -> CapacityModel {
-    let carries = Some(Estimate { low: 8.0, middle: 10.0 });
-    CapacityModel {
-        cold_capacity_share: 0.2,
-        slow_start_duration: 10.0,
-        collapse_multiple: 2.5,
-        capacity: carries,
-    }
+fn capacity_model() -> CapacityModel {
+    let capacity = Some(Estimate { low: 8.0, middle: 10.0 });
+    CapacityModel { cold_capacity_share: 0.2, slow_start_duration: 10.0, collapse_multiple: 2.5, capacity }
 }
 
 /// So many warm hosts in two zones, and as many slices of four calls a second, each on its host and the next.
@@ -32,7 +27,7 @@
         let lines = BTreeMap::from([(id(n), 1.0), (id((n + 1) % hosts), 1.0)]);
         (SliceId(n as u16), Table { demand: vec![3.0, 1.0], weights: lines })
     };
-    let pool = Pool { hosts: (0..hosts).map(host).collect(), bounds: bounds() };
+    let pool = Pool { hosts: (0..hosts).map(host).collect(), capacity_model: capacity_model() };
     Guard::new(pool, &(0..hosts).map(table).collect(), 2)
 }
 
@@ -48,7 +43,7 @@
 }
 
 fn leaves(host: u32, at: f64) -> PendingEvent {
-    PendingEvent { at, host: id(host), what: HostEvent::Leaves }
+    PendingEvent { at, host: id(host), event: HostEvent::Leaves }
 }
 
 #[test]
@@ -80,7 +75,7 @@
 fn a_table_whose_only_host_opens_later_is_refused() {
     let mut guard = guard(6);
     guard.set_host(id(5), Host { state: ListedState::Removed, ..Host::default() });
-    let opens = PendingEvent { at: NOW + 2.0, host: id(5), what: HostEvent::Opens };
+    let opens = PendingEvent { at: NOW + 2.0, host: id(5), event: HostEvent::Opens };
     let calls = [vec![line(0, 5, 1.0), line(0, 0, 0.0), line(0, 1, 0.0)]];
     let refused = refused(guard.judge(&calls, &[opens], NOW));
     assert_eq!(refused.reasons[0].when, Moment::AfterProposal);
@@ -121,7 +116,7 @@
 #[test]
 fn a_route_concentrated_on_two_hosts_is_refused_with_capacity_unknown() {
     let mut guard = guard(10);
-    guard.bounds_mut().capacity = None;
+    guard.capacity_model_mut().capacity = None;
     let pile: Vec<Order> = (0..10)
         .flat_map(|n| {
             let off = [n, (n + 1) % 10].map(|host| line(n, host.into(), 0.0));
@@ -186,7 +181,7 @@
     assert!(steps.iter().all(|step| step.hosts.len() <= 4 && !step.forced));
     assert!(steps.iter().all(|step| step.utilisation.is_some_and(|fill| fill <= 0.85)), "{steps:?}");
     // With nobody's word of what they carry, a fifth at a time at most.
-    let pool = Pool { bounds: CapacityModel { capacity: None, ..pool.bounds }, ..pool };
+    let pool = Pool { capacity_model: CapacityModel { capacity: None, ..pool.capacity_model }, ..pool };
     let steps = drain(&pool, &DrainRequest { max_hosts_at_once: None, ..wanted }, NOW);
     assert!(steps.iter().all(|step| step.hosts.len() <= 4), "{steps:?}");
 }
@@ -272,7 +267,7 @@
         let mut capacity = CapacityEstimator::default();
         (0..5).for_each(|n| {
             observations.iter().for_each(|observation| {
-                capacity.observe(id(n), NOW, HostObservation { unit: 1.0, ..*observation })
+                capacity.observe(id(n), NOW, HostObservation { relative_capacity: 1.0, ..*observation })
             })
         });
         capacity.estimate()
@@ -282,7 +277,7 @@
         failed,
         utilisation,
         waiting,
-        unit: 1.0,
+        relative_capacity: 1.0,
     };
     let both = |low, middle| Some(Estimate { low, middle });
     assert_eq!(estimate(&[]), None);
@@ -345,7 +340,7 @@
 fn with_demand_unknown_tables_are_judged_by_shares_alone() {
     let mut guard = guard(10);
     (0..10).for_each(|n| guard.set_demand(SliceId(n), &[1.0, 0.0]));
-    guard.bounds_mut().capacity = None;
+    guard.capacity_model_mut().capacity = None;
     assert_eq!(guard.judge(&[vec![line(0, 5, 1.0)]], &[], NOW), Verdict::Accepted);
     let bare = guard.judge(&[vec![Order::ClearTable(SliceId(0))]], &[], NOW);
     assert!(!bare.passes());
@@ -360,9 +355,9 @@
         let whole = guard(6);
         let tables =
             whole.loads().tables().clone().into_iter().filter(|(slice, _)| slice.0 % 2 == half).collect();
-        let carries = Some(Estimate { low: 4.0, middle: 5.0 });
+        let capacity = Some(Estimate { low: 4.0, middle: 5.0 });
         let pool = Pool {
-            bounds: CapacityModel { capacity: carries, ..whole.pool().bounds },
+            capacity_model: CapacityModel { capacity, ..whole.pool().capacity_model },
             ..whole.pool().clone()
         };
         Guard::new(pool, &tables, 2)
--- a/crates/director/capacity-guard/tests/guarded.rs
+++ b/crates/director/capacity-guard/tests/guarded.rs
@@ -229,8 +229,8 @@
         for tick in 0..150 {
             let now = tick as f64 / 10.0;
             if tick == 50 {
-                let event = PendingEvent { at: now + 12.0, host: HostId(0), what: HostEvent::Leaves };
-                guarded.pending(if announced { vec![event] } else { vec![] });
+                let event = PendingEvent { at: now + 12.0, host: HostId(0), event: HostEvent::Leaves };
+                guarded.set_pending_events(if announced { vec![event] } else { vec![] });
                 let apart = (1..4).map(|host| (SliceId(5), HostId(host))).collect();
                 inputs.push(Input::OverridesChanged(OperatorOverrides {
                     anti_affinity: apart,
--- a/crates/director/changes/src/act.rs
+++ b/crates/director/changes/src/act.rs
@@ -8,10 +8,10 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum ChangeEffect {
     /// Append the record to the log's file. Of [`Record::Accepted`] the result is to be reported, by
-    /// [`crate::ChangeLog::written`] or [`crate::ChangeLog::unwritten`].
+    /// [`crate::ChangeLog::record_written`] or [`crate::ChangeLog::write_failed`].
     Write(Record),
     /// The director uses this document from now on. When the proxies have what comes of it,
-    /// [`crate::ChangeLog::applied`] is to be called.
+    /// [`crate::ChangeLog::document_applied`] is to be called.
     ApplyDocument {
         /// The change because of which the document is replaced.
         by: Version,
--- a/crates/director/changes/src/change_log.rs
+++ b/crates/director/changes/src/change_log.rs
@@ -123,7 +123,7 @@
     }
 
     fn find(&self, number: Version) -> Result<&Change, Refusal> {
-        self.changes.get(&number).ok_or(Refusal::NoSuch(number))
+        self.changes.get(&number).ok_or(Refusal::UnknownChange(number))
     }
 
     /// The document as it would be with these edits in force.
--- a/crates/director/changes/src/change_log/recovery.rs
+++ b/crates/director/changes/src/change_log/recovery.rs
@@ -15,7 +15,7 @@
 
 impl ChangeLog {
     /// The first start: the content of the operators' file is in force. Returns the record to be written.
-    pub fn found(document: Document, wall: f64) -> (Self, Record) {
+    pub fn create(document: Document, wall: f64) -> (Self, Record) {
         let record = Record::Founded { wall, document: document.clone().into_iter().collect() };
         let mut log = ChangeLog::default();
         log.set_founding_document(document);
@@ -91,7 +91,7 @@
             }
             // The whole document is given to the director at a start, so the undo has taken effect.
             Stage::Applied if self.is_undo(number) => {
-                self.transition_and_record(wall, number, Stage::Kept(Keep::Undoing))
+                self.transition_and_record(wall, number, Stage::Kept(Keep::IsUndo))
             }
             Stage::Applied | Stage::Trial => {
                 self.undo_by_new_change(now, wall, number, EndReason::Restarted, pool)
--- a/crates/director/changes/src/change_log/submission.rs
+++ b/crates/director/changes/src/change_log/submission.rs
@@ -91,7 +91,7 @@
             return Err(Refusal::Frozen { who: who.clone(), why: why.clone() });
         }
         if let Some(why) = &self.write_error {
-            return Err(Refusal::History(why.clone()));
+            return Err(Refusal::WriteFailed(why.clone()));
         }
         if submission.base > self.newest {
             return Err(Refusal::BaseAhead { base: submission.base, head: self.newest });
@@ -102,14 +102,14 @@
         let mut faults: Vec<String> = submission.edits.iter().filter_map(check).collect();
         faults.extend(parameter_faults(submission));
         if !faults.is_empty() {
-            return Err(Refusal::Unsound(faults));
+            return Err(Refusal::Invalid(faults));
         }
         self.check_conflicts(submission.base, &submission.edits, except)?;
         if self.preview(&submission.edits).is_empty() {
-            return Err(Refusal::Empty);
+            return Err(Refusal::NoEffect);
         }
         match pool.worse_shortfall(&self.document, &self.document_with(&submission.edits)) {
-            Some(shortfall) => Err(Refusal::Pool(shortfall.text)),
+            Some(shortfall) => Err(Refusal::TooFewHosts(shortfall.text)),
             None => Ok(()),
         }
     }
@@ -123,7 +123,7 @@
             let (who, stage) = match self.changes.get(&holder) {
                 Some(change) => (change.submission.who.clone(), &change.stage),
                 // Forgotten, or set by the first file.
-                None => (String::new(), &Stage::Kept(Keep::Judged)),
+                None => (String::new(), &Stage::Kept(Keep::TrialPassed)),
             };
             if holder > base || !stage.ended() {
                 let (field, stage) = (field.clone(), stage.name());
@@ -136,14 +136,14 @@
     fn check_draft_limit(&self) -> Result<(), Refusal> {
         let drafts = self.changes.values().filter(|change| change.stage == Stage::Drafted).count();
         if drafts >= MAX_DRAFTS {
-            return Err(Refusal::Crowded(MAX_DRAFTS));
+            return Err(Refusal::TooMany(MAX_DRAFTS));
         }
         Ok(())
     }
 
     fn check_active_limit(&self) -> Result<(), Refusal> {
         if self.active.len() + self.staged.len() >= MAX_ACTIVE {
-            return Err(Refusal::Crowded(MAX_ACTIVE));
+            return Err(Refusal::TooMany(MAX_ACTIVE));
         }
         Ok(())
     }
@@ -173,7 +173,7 @@
     ) -> Result<Vec<ChangeEffect>, Refusal> {
         let change = self.find(number)?;
         if change.stage != Stage::Drafted {
-            return Err(Refusal::NotIn { number, stage: change.stage.name(), wanted: "drafted" });
+            return Err(Refusal::WrongStage { number, stage: change.stage.name(), wanted: "drafted" });
         }
         self.check_active_limit()?;
         self.validate(&change.submission, known, pool, Some(number))?;
@@ -184,7 +184,7 @@
     }
 
     /// The change is durable: its author may be answered, and it may be applied.
-    pub fn written(&mut self, wall: f64, number: Version) -> Vec<ChangeEffect> {
+    pub fn record_written(&mut self, wall: f64, number: Version) -> Vec<ChangeEffect> {
         if self.stage(number) == Some(&Stage::Checked) {
             return self.transition_and_record(wall, number, Stage::Staged);
         }
@@ -193,7 +193,7 @@
 
     /// The log's file has failed: the change, if it was about one, is dropped, and no other is accepted until a
     /// restart. Changes on trial may still be undone.
-    pub fn unwritten(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<ChangeEffect> {
+    pub fn write_failed(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<ChangeEffect> {
         let mut acts = Vec::new();
         if self.write_error.is_none() {
             self.write_error = Some(why.to_string());
@@ -202,7 +202,7 @@
         }
         let Some(number) = number else { return acts };
         if matches!(self.stage(number), Some(Stage::Checked | Stage::Drafted)) {
-            let why = EndReason::Unwritten { why: why.to_string() };
+            let why = EndReason::WriteFailed { why: why.to_string() };
             acts.extend(self.transition_and_record(wall, number, Stage::Dropped(why)));
         }
         acts
--- a/crates/director/changes/src/change_log/tests/mod.rs
+++ b/crates/director/changes/src/change_log/tests/mod.rs
@@ -14,12 +14,12 @@
 use coppersail_operator_config::{Edits, Field, RouteName, SettingsNames};
 
 fn known() -> SettingsNames {
-    let routes = vec![RouteName { name: "r".into(), repeatable: true }];
-    SettingsNames { zones: vec!["z".into()], routes, slices: 4, admits: true }
+    let routes = vec![RouteName { name: "r".into(), idempotent: true }];
+    SettingsNames { zones: vec!["z".into()], routes, slices: 4, has_admission_control: true }
 }
 
 fn pool(hosts: usize) -> HostPool {
-    let host = |k| (format!("h{k}"), PoolHost { ready: true, warm: true, carries: 10.0 });
+    let host = |k| (format!("h{k}"), PoolHost { ready: true, warm: true, capacity_per_s: 10.0 });
     HostPool { hosts: (0..hosts).map(host).collect(), calls: 0.0 }
 }
 
@@ -48,9 +48,9 @@
 /// Submits a change and brings it on trial.
 fn on_trial(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
     let (number, _) = log.submit(now, 0.0, submitted, &known(), &pool(4)).unwrap();
-    log.written(0.0, number);
+    log.record_written(0.0, number);
     log.tick(now, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    log.applied(now, 0.0, number);
+    log.document_applied(now, 0.0, number);
     assert!(matches!(log.stage(number), Some(Stage::Trial | Stage::Kept(_))));
     number
 }
--- a/crates/director/changes/src/change_log/tests/recovery.rs
+++ b/crates/director/changes/src/change_log/tests/recovery.rs
@@ -44,13 +44,13 @@
         let submitted =
             Submission { trial: Some(0.0), ..submission(log.head().0, "a", &[("hosts.h0.weight", &weight)]) };
         let (number, acts) = log.submit(k as f64, 0.0, submitted, &known(), &pool(4)).unwrap();
-        let mut acts: Vec<ChangeEffect> = acts.into_iter().chain(log.written(0.0, number)).collect();
+        let mut acts: Vec<ChangeEffect> = acts.into_iter().chain(log.record_written(0.0, number)).collect();
         acts.extend(log.tick(k as f64, 0.0, &pool(4), &|_| REPORTS_RECEIVED));
-        acts.extend(log.applied(k as f64, 0.0, number));
+        acts.extend(log.document_applied(k as f64, 0.0, number));
         records.extend(written_records(acts));
     }
     assert_eq!((log.changes().count(), log.document().len()), (MAX_ENDED, 1));
-    assert!(matches!(log.undo(0.0, 0.0, Version(5), operator(), &pool(4)), Err(Refusal::NoSuch(_))));
+    assert!(matches!(log.undo(0.0, 0.0, Version(5), operator(), &pool(4)), Err(Refusal::UnknownChange(_))));
     assert_eq!(RecoveredState::of(&ChangeLog::recover(records).unwrap()), RecoveredState::of(&log));
 }
 
@@ -92,7 +92,7 @@
                 let draft = random.u8(0..6) == 0;
                 let submitted = Submission { draft, ..submission(base, "a", &edits) };
                 log.submit(now, 0.0, submitted, &known(), &pool(4)).map_or(vec![], |(number, acts)| {
-                    let written = if random.u8(0..4) > 0 { log.written(0.0, number) } else { vec![] };
+                    let written = if random.u8(0..4) > 0 { log.record_written(0.0, number) } else { vec![] };
                     acts.into_iter().chain(written).collect()
                 })
             }
@@ -109,7 +109,9 @@
                 });
                 let applied: Vec<Version> = log.active.keys().copied().collect();
                 if random.u8(0..4) > 0 {
-                    acts.extend(applied.into_iter().flat_map(|number| log.applied(now, 0.0, number)));
+                    acts.extend(
+                        applied.into_iter().flat_map(|number| log.document_applied(now, 0.0, number)),
+                    );
                 }
                 acts
             }
--- a/crates/director/changes/src/change_log/tests/set_aside.rs
+++ b/crates/director/changes/src/change_log/tests/set_aside.rs
@@ -27,11 +27,11 @@
             vec![],
             "its withdrawal has not reached the proxies"
         );
-        log.applied(7.0, 0.0, number);
+        log.document_applied(7.0, 0.0, number);
         assert_eq!(log.tick(8.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "service has not recovered");
         let acts = log.tick(9.0, 0.0, &pool(4), &|_| RECOVERED);
         assert!(acts.contains(&ChangeEffect::ResumeAnalysis(number)) && log.document().len() == 1);
-        log.applied(10.0, 0.0, number);
+        log.document_applied(10.0, 0.0, number);
         if harm_again {
             log.report_harm(12.0, 0.0, number, ("found".into(), true), &pool(4));
             assert!(
@@ -40,7 +40,7 @@
             assert!(log.document().is_empty());
         } else {
             log.tick(71.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-            assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
+            assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::TrialPassed)));
         }
     }
 }
@@ -54,9 +54,9 @@
     assert!(matches!(refused, Err(Refusal::Conflict { stage: "set aside", .. })));
     let submitted = submission(number.0, "b", &[("hosts.h1.drained", "true")]);
     let (other, _) = log.submit(6.0, 0.0, submitted, &known(), &pool(4)).unwrap();
-    log.written(0.0, other);
+    log.record_written(0.0, other);
     assert_eq!(log.tick(6.5, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![]);
-    log.applied(7.0, 0.0, number);
+    log.document_applied(7.0, 0.0, number);
     log.tick(7.5, 0.0, &pool(4), &|_| RECOVERED);
     assert_eq!(log.stage(number), Some(&Stage::Applied), "one at a time");
     assert_eq!(log.stage(other), Some(&Stage::Staged));
@@ -66,7 +66,7 @@
 fn a_drain_that_would_leave_too_few_hosts_by_now_is_not_retried() {
     let mut log = ChangeLog::default();
     let number = set_aside_change(&mut log, &[("hosts.h0.drained", "true"), ("hosts.h1.drained", "true")]);
-    log.applied(7.0, 0.0, number);
+    log.document_applied(7.0, 0.0, number);
     // The other hosts have left the list meanwhile.
     let mut left = pool(4);
     left.hosts.retain(|name, _| name == "h0" || name == "h1");
@@ -75,12 +75,12 @@
     assert!(log.document().is_empty());
 }
 
-#[test_case(false, 306.0, EndReason::NeverCalm ; "service never recovers")]
-#[test_case(true, 306.0, EndReason::NeverCalm ; "changes frozen for too long")]
+#[test_case(false, 306.0, EndReason::NotRecovered ; "service never recovers")]
+#[test_case(true, 306.0, EndReason::NotRecovered ; "changes frozen for too long")]
 fn a_change_that_is_set_aside_too_long_is_undone(frozen: bool, at: f64, why: EndReason) {
     let mut log = ChangeLog::default();
     let number = set_aside_change(&mut log, &[("hosts.h0.weight", "2")]);
-    log.applied(7.0, 0.0, number);
+    log.document_applied(7.0, 0.0, number);
     if frozen {
         log.freeze(0.0, "op".into(), "until Monday".into());
     }
@@ -100,5 +100,5 @@
         acts.contains(&ChangeEffect::EndAnalysis(number))
             && !acts.iter().any(|act| matches!(act, ChangeEffect::ApplyDocument { .. }))
     );
-    assert!(matches!(log.stage(number), Some(Stage::Undone(EndReason::Asked { .. }))));
+    assert!(matches!(log.stage(number), Some(Stage::Undone(EndReason::ByOperator { .. }))));
 }
--- a/crates/director/changes/src/change_log/tests/submission.rs
+++ b/crates/director/changes/src/change_log/tests/submission.rs
@@ -11,13 +11,13 @@
     let (number, _) =
         log.submit(0.0, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]), &known(), &pool(4)).unwrap();
     assert_eq!(log.tick(0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "not written yet");
-    log.written(0.0, number);
+    log.record_written(0.0, number);
     let acts = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
     assert!(matches!(acts.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
-    log.applied(0.3, 0.0, number);
+    log.document_applied(0.3, 0.0, number);
     assert_eq!(log.stage(number), Some(&Stage::Trial));
     log.tick(60.4, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
+    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::TrialPassed)));
 }
 
 #[test_case(true ; "a before b")]
@@ -58,10 +58,10 @@
     let submit = |log: &mut ChangeLog, fields: &[(&str, &str)]| {
         log.submit(0.0, 0.0, submission(0, "a", fields), &known(), &pool(4)).map(drop)
     };
-    assert!(matches!(submit(&mut log, &all), Err(Refusal::Pool(_))));
+    assert!(matches!(submit(&mut log, &all), Err(Refusal::TooFewHosts(_))));
     let apart: Vec<(String, &str)> = (0..4).map(|k| (format!("apart.2.h{k}"), "true")).collect();
     let apart: Vec<(&str, &str)> = apart.iter().map(|(field, value)| (field.as_str(), *value)).collect();
-    assert!(matches!(submit(&mut log, &apart), Err(Refusal::Pool(what)) if what.contains("slice 2")));
+    assert!(matches!(submit(&mut log, &apart), Err(Refusal::TooFewHosts(what)) if what.contains("slice 2")));
     assert_eq!(submit(&mut log, &all[..3]), Ok(()));
 }
 
@@ -79,10 +79,10 @@
     let first = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
     let (second, _) =
         log.submit(1.0, 0.0, submission(0, "a", &[("hosts.h1.weight", "2")]), &known(), &pool(4)).unwrap();
-    log.unwritten(0.0, Some(second), "disk full");
-    assert!(matches!(log.stage(second), Some(Stage::Dropped(EndReason::Unwritten { .. }))));
+    log.write_failed(0.0, Some(second), "disk full");
+    assert!(matches!(log.stage(second), Some(Stage::Dropped(EndReason::WriteFailed { .. }))));
     let third = log.submit(2.0, 0.0, submission(0, "a", &[("hosts.h2.weight", "2")]), &known(), &pool(4));
-    assert!(matches!(third, Err(Refusal::History(_))));
+    assert!(matches!(third, Err(Refusal::WriteFailed(_))));
     log.report_harm(3.0, 0.0, first, ("found".into(), false), &pool(4));
     assert!(log.document().is_empty());
 }
--- a/crates/director/changes/src/change_log/tests/trial.rs
+++ b/crates/director/changes/src/change_log/tests/trial.rs
@@ -4,7 +4,7 @@
 use crate::change_log::trial::APPLY_TIMEOUT;
 use test_case::test_case;
 
-#[test_case(AnalysisState { has_baseline: true, has_reports: false, has_recovered: false }, EndReason::Unjudged ; "reports that stop")]
+#[test_case(AnalysisState { has_baseline: true, has_reports: false, has_recovered: false }, EndReason::TooFewReports ; "reports that stop")]
 fn a_trial_without_reports_is_undone_after_twice_its_length(ready: AnalysisState, why: EndReason) {
     let mut log = ChangeLog::default();
     let number = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
@@ -19,13 +19,13 @@
     let mut log = ChangeLog::default();
     let (number, _) =
         log.submit(0.0, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]), &known(), &pool(4)).unwrap();
-    log.written(0.0, number);
+    log.record_written(0.0, number);
     log.tick(0.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
     let acts = log.tick(APPLY_TIMEOUT + 0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
     assert!(acts
         .iter()
         .any(|act| matches!(act, ChangeEffect::ApplyDocument { document, .. } if document.is_empty())));
-    assert_eq!(log.stage(number), Some(&Stage::Undone(EndReason::Unsettled)));
+    assert_eq!(log.stage(number), Some(&Stage::Undone(EndReason::ApplyTimeout)));
 }
 
 #[test]
@@ -35,5 +35,5 @@
     log.tick(59.0, -1e9, &pool(4), &|_| REPORTS_RECEIVED);
     assert_eq!(log.stage(number), Some(&Stage::Trial));
     log.tick(60.0, -2e9, &pool(4), &|_| REPORTS_RECEIVED);
-    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
+    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::TrialPassed)));
 }
--- a/crates/director/changes/src/change_log/transition.rs
+++ b/crates/director/changes/src/change_log/transition.rs
@@ -70,7 +70,7 @@
     ) -> Vec<ChangeEffect> {
         let text = match &to {
             Stage::Kept(Keep::Confirmed { who }) => format!("kept, confirmed by {who}"),
-            Stage::Kept(Keep::Judged) => "kept, its trial showed no harm".to_string(),
+            Stage::Kept(Keep::TrialPassed) => "kept, its trial showed no harm".to_string(),
             Stage::Dropped(why) => format!("dropped, {why}"),
             Stage::Undone(why) => format!("undone while it was set aside, {why}"),
             Stage::Suspended { found } => format!("set aside until the fleet is well, {found}"),
--- a/crates/director/changes/src/change_log/trial.rs
+++ b/crates/director/changes/src/change_log/trial.rs
@@ -19,17 +19,17 @@
 
 impl ChangeLog {
     /// The proxies have what came of the change.
-    pub fn applied(&mut self, now: f64, wall: f64, number: Version) -> Vec<ChangeEffect> {
+    pub fn document_applied(&mut self, now: f64, wall: f64, number: Version) -> Vec<ChangeEffect> {
         match self.stage(number) {
             Some(Stage::Suspended { .. }) => {
                 self.active.entry(number).and_modify(|active| active.withdrawn = true);
                 Vec::new()
             }
             Some(Stage::Applied) if self.is_undo(number) => {
-                self.transition_and_record(wall, number, Stage::Kept(Keep::Undoing))
+                self.transition_and_record(wall, number, Stage::Kept(Keep::IsUndo))
             }
             Some(Stage::Applied) if self.active.get(&number).is_none_or(|active| active.trial == 0.0) => {
-                self.transition_and_record(wall, number, Stage::Kept(Keep::Untried))
+                self.transition_and_record(wall, number, Stage::Kept(Keep::WithoutTrial))
             }
             Some(Stage::Applied) => {
                 let acts = self.transition_and_record(wall, number, Stage::Trial);
@@ -73,19 +73,19 @@
         match self.stage(number) {
             // An undo has no time-out: there is nothing to return to.
             Some(Stage::Applied) if !self.is_undo(number) && in_stage > APPLY_TIMEOUT => {
-                self.undo_by_new_change(now, wall, number, EndReason::Unsettled, pool)
+                self.undo_by_new_change(now, wall, number, EndReason::ApplyTimeout, pool)
             }
             Some(Stage::Trial) if now >= trial_end && ready(Some(number)).has_reports => {
-                self.keep(wall, number, Keep::Judged)
+                self.keep(wall, number, Keep::TrialPassed)
             }
             Some(Stage::Suspended { .. }) if in_stage > SET_ASIDE_TIMEOUT => {
-                self.end_set_aside(wall, number, EndReason::NeverCalm)
+                self.end_set_aside(wall, number, EndReason::NotRecovered)
             }
             Some(Stage::Suspended { .. }) if active.withdrawn && ready(Some(number)).has_recovered => {
                 self.retry(now, wall, number, pool)
             }
             Some(Stage::Trial) if now >= trial_end + (UNJUDGED_TRIAL_FACTOR - 1.0) * active.trial => {
-                self.undo_by_new_change(now, wall, number, EndReason::Unjudged, pool)
+                self.undo_by_new_change(now, wall, number, EndReason::TooFewReports, pool)
             }
             _ => Vec::new(),
         }
@@ -184,7 +184,7 @@
     pub fn confirm(&mut self, wall: f64, number: Version, who: String) -> Result<Vec<ChangeEffect>, Refusal> {
         let stage = &self.find(number)?.stage;
         if *stage != Stage::Trial {
-            return Err(Refusal::NotIn { number, stage: stage.name(), wanted: "on trial" });
+            return Err(Refusal::WrongStage { number, stage: stage.name(), wanted: "on trial" });
         }
         Ok(self.keep(wall, number, Keep::Confirmed { who }))
     }
@@ -197,9 +197,9 @@
     pub fn extend(&mut self, number: Version, by: f64, who: &str) -> Result<Vec<ChangeEffect>, Refusal> {
         let stage = self.find(number)?.stage.name();
         let active = self.active.get_mut(&number).filter(|_| stage == Stage::Trial.name());
-        let active = active.ok_or(Refusal::NotIn { number, stage, wanted: "on trial" })?;
+        let active = active.ok_or(Refusal::WrongStage { number, stage, wanted: "on trial" })?;
         if !(1.0..=3600.0).contains(&by) {
-            return Err(Refusal::Unsound(vec!["by: expected seconds from 1 to 3600".to_string()]));
+            return Err(Refusal::Invalid(vec!["by: expected seconds from 1 to 3600".to_string()]));
         }
         active.extension += by;
         let text = format!("trial extended by {by} s, by {who}");
--- a/crates/director/changes/src/change_log/undo.rs
+++ b/crates/director/changes/src/change_log/undo.rs
@@ -39,7 +39,7 @@
         pool: &HostPool,
     ) -> Result<Vec<ChangeEffect>, Refusal> {
         let change = self.find(number)?;
-        let (why, stage) = (EndReason::Asked { who, why }, change.stage.name());
+        let (why, stage) = (EndReason::ByOperator { who, why }, change.stage.name());
         match change.stage {
             Stage::Drafted | Stage::Checked | Stage::Staged => {
                 Ok(self.transition_and_record(wall, number, Stage::Dropped(why)))
@@ -48,7 +48,7 @@
             Stage::Applied | Stage::Trial | Stage::Kept(_) if change.undoes.is_none() => {
                 Ok(self.undo_by_new_change(now, wall, number, why, pool))
             }
-            _ => Err(Refusal::NotIn { number, stage, wanted: "in force and undoes nothing itself" }),
+            _ => Err(Refusal::WrongStage { number, stage, wanted: "in force and undoes nothing itself" }),
         }
     }
 
--- a/crates/director/changes/src/host_pool.rs
+++ b/crates/director/changes/src/host_pool.rs
@@ -15,7 +15,7 @@
     /// Past its slow start.
     pub warm: bool,
     /// Calls a second that it can serve, a conservative estimate; infinite where it is unknown.
-    pub carries: f64,
+    pub capacity_per_s: f64,
 }
 
 /// The hosts as the director knows them now.
@@ -75,7 +75,7 @@
             let text = "it would leave no open, warm host to any slice".to_string();
             return Some(Shortfall { severity: f64::INFINITY, text });
         }
-        let capacity: f64 = available.iter().map(|host| self.hosts[*host].carries).sum();
+        let capacity: f64 = available.iter().map(|host| self.hosts[*host].capacity_per_s).sum();
         if capacity >= self.calls {
             return None;
         }
@@ -90,8 +90,9 @@
     fn shutdown_shortfall(&self, document: &Document, available: &BTreeSet<&str>) -> Option<Shortfall> {
         for down in down_together(document) {
             let remaining = available.iter().filter(|host| !down.contains(host));
-            let (count, capacity) = remaining
-                .fold((0, 0.0), |(count, capacity), host| (count + 1, capacity + self.hosts[*host].carries));
+            let (count, capacity) = remaining.fold((0, 0.0), |(count, capacity), host| {
+                (count + 1, capacity + self.hosts[*host].capacity_per_s)
+            });
             if count == 0 || capacity < self.calls {
                 let (calls, hosts) = (self.calls, down.join(" "));
                 let text = format!(
--- a/crates/director/changes/src/lib.rs
+++ b/crates/director/changes/src/lib.rs
@@ -20,7 +20,7 @@
 pub use change::{Change, Submission, Version};
 pub use change_log::ChangeLog;
 pub use host_pool::{HostPool, PoolHost};
-pub use planned_shutdown::{announced, ShutdownPhase, EXPIRES, LEAD};
+pub use planned_shutdown::{planned_shutdowns, ShutdownPhase, ANNOUNCEMENT_LIFETIME_S, DRAIN_LEAD_S};
 pub use record::Record;
 pub use record_error::RecordError;
 pub use refusal::Refusal;
--- a/crates/director/changes/src/planned_shutdown/tests.rs
+++ b/crates/director/changes/src/planned_shutdown/tests.rs
@@ -3,9 +3,9 @@
 use super::*;
 use test_case::test_case;
 
-#[test_case(50.0, None, ShutdownPhase::Ahead ; "long before")]
-#[test_case(90.0, None, ShutdownPhase::Moving ; "while its slices are moved")]
-#[test_case(110.0, Some(3.0), ShutdownPhase::Moving ; "while it shuts down")]
+#[test_case(50.0, None, ShutdownPhase::Scheduled ; "long before")]
+#[test_case(90.0, None, ShutdownPhase::Draining ; "while its slices are moved")]
+#[test_case(110.0, Some(3.0), ShutdownPhase::Draining ; "while it shuts down")]
 #[test_case(110.0, Some(105.0), ShutdownPhase::Over ; "it has restarted")]
 #[test_case(96.0, Some(95.0), ShutdownPhase::Over ; "it has restarted early")]
 #[test_case(221.0, None, ShutdownPhase::Over ; "it has expired")]
@@ -27,7 +27,7 @@
 
 #[test]
 fn phases_change_in_order() {
-    assert_eq!(ShutdownPhase::turns(0.0, 100.0), 90.0);
-    assert_eq!(ShutdownPhase::turns(90.0, 100.0), 220.0);
-    assert_eq!(ShutdownPhase::turns(220.0, 100.0), f64::INFINITY);
+    assert_eq!(ShutdownPhase::next_transition_at(0.0, 100.0), 90.0);
+    assert_eq!(ShutdownPhase::next_transition_at(90.0, 100.0), 220.0);
+    assert_eq!(ShutdownPhase::next_transition_at(220.0, 100.0), f64::INFINITY);
 }
--- a/crates/director/changes/src/refusal.rs
+++ b/crates/director/changes/src/refusal.rs
@@ -36,22 +36,22 @@
     },
     /// Fields or parameters are out of their bounds; one text a fault.
     #[error("{}", .0.join("; "))]
-    Unsound(Vec<String>),
+    Invalid(Vec<String>),
     /// Every edit is in force already.
     #[error("it changes nothing")]
-    Empty,
+    NoEffect,
     /// Too few hosts would be left.
     #[error("{0}")]
-    Pool(String),
+    TooFewHosts(String),
     /// The limit of changes under way, or of drafts, is reached.
     #[error("{0} changes are under way already; wait for one to end")]
-    Crowded(usize),
+    TooMany(usize),
     /// There is no change with this number, or it ended too long ago.
     #[error("change {0}: there is none of that number")]
-    NoSuch(Version),
+    UnknownChange(Version),
     /// The command does not apply to a change in this stage.
     #[error("change {number}: it is {stage}; expected one that is {wanted}")]
-    NotIn {
+    WrongStage {
         /// The change.
         number: Version,
         /// Its stage.
@@ -61,5 +61,5 @@
     },
     /// The change log's file has failed.
     #[error("the history cannot be written: {0}")]
-    History(String),
+    WriteFailed(String),
 }
--- a/crates/director/changes/src/stage.rs
+++ b/crates/director/changes/src/stage.rs
@@ -8,16 +8,19 @@
 #[serde(rename_all = "kebab-case")]
 pub enum Keep {
     /// Its trial showed no harm.
-    Judged,
+    #[serde(rename = "judged")]
+    TrialPassed,
     /// An operator ended the trial early.
     Confirmed {
         /// The operator.
         who: String,
     },
     /// It was submitted without a trial.
-    Untried,
+    #[serde(rename = "untried")]
+    WithoutTrial,
     /// It undoes another change; such changes have no trial.
-    Undoing,
+    #[serde(rename = "undoing")]
+    IsUndo,
 }
 
 /// Why a change was undone or dropped.
@@ -30,20 +33,24 @@
         found: String,
     },
     /// An operator undid it.
-    Asked {
+    #[serde(rename = "asked")]
+    ByOperator {
         /// The operator.
         who: String,
         /// The reason that was given; may be empty.
         why: String,
     },
     /// The trial ended without enough reports to analyse it.
-    Unjudged,
+    #[serde(rename = "unjudged")]
+    TooFewReports,
     /// Its assignments were not applied by the proxies in time.
-    Unsettled,
+    #[serde(rename = "unsettled")]
+    ApplyTimeout,
     /// The director stopped during its trial.
     Restarted,
     /// It could not be written to the change log.
-    Unwritten {
+    #[serde(rename = "unwritten")]
+    WriteFailed {
         /// The error.
         why: String,
     },
@@ -53,21 +60,24 @@
         why: String,
     },
     /// It was set aside, and service did not recover enough for a second trial.
-    NeverCalm,
+    #[serde(rename = "never-calm")]
+    NotRecovered,
 }
 
 impl fmt::Display for EndReason {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
             EndReason::Harm { found } => write!(formatter, "service dropped: {found}"),
-            EndReason::Asked { who, why } if why.is_empty() => write!(formatter, "by {who}"),
-            EndReason::Asked { who, why } => write!(formatter, "by {who}: {why}"),
-            EndReason::Unjudged => formatter.write_str("its trial ended without sums enough to judge it"),
-            EndReason::Unsettled => formatter.write_str("its orders were not settled in time"),
+            EndReason::ByOperator { who, why } if why.is_empty() => write!(formatter, "by {who}"),
+            EndReason::ByOperator { who, why } => write!(formatter, "by {who}: {why}"),
+            EndReason::TooFewReports => {
+                formatter.write_str("its trial ended without sums enough to judge it")
+            }
+            EndReason::ApplyTimeout => formatter.write_str("its orders were not settled in time"),
             EndReason::Restarted => formatter.write_str("the director ended during its trial"),
-            EndReason::Unwritten { why } => write!(formatter, "the history could not be written: {why}"),
+            EndReason::WriteFailed { why } => write!(formatter, "the history could not be written: {why}"),
             EndReason::Stale { why } => write!(formatter, "stale: {why}"),
-            EndReason::NeverCalm => formatter
+            EndReason::NotRecovered => formatter
                 .write_str("it was set aside, and the fleet did not become calm enough to try it again"),
         }
     }
--- a/crates/director/changes/tests/error_texts.rs
+++ b/crates/director/changes/tests/error_texts.rs
@@ -16,16 +16,16 @@
             "field guard.mode: held by change 4 of ann, kept, which its base does not know",
         ),
         (Refusal::BaseAhead { base: number, head: Version(3) }, "base 4: expected a version up to 3"),
-        (Refusal::Unsound(vec!["a".into(), "b".into()]), "a; b"),
-        (Refusal::Empty, "it changes nothing"),
-        (Refusal::Pool("p".into()), "p"),
-        (Refusal::Crowded(8), "8 changes are under way already; wait for one to end"),
-        (Refusal::NoSuch(number), "change 4: there is none of that number"),
+        (Refusal::Invalid(vec!["a".into(), "b".into()]), "a; b"),
+        (Refusal::NoEffect, "it changes nothing"),
+        (Refusal::TooFewHosts("p".into()), "p"),
+        (Refusal::TooMany(8), "8 changes are under way already; wait for one to end"),
+        (Refusal::UnknownChange(number), "change 4: there is none of that number"),
         (
-            Refusal::NotIn { number, stage: "kept", wanted: "on trial" },
+            Refusal::WrongStage { number, stage: "kept", wanted: "on trial" },
             "change 4: it is kept; expected one that is on trial",
         ),
-        (Refusal::History("disk full".into()), "the history cannot be written: disk full"),
+        (Refusal::WriteFailed("disk full".into()), "the history cannot be written: disk full"),
     ];
     for (refusal, text) in table {
         assert_eq!(refusal.to_string(), text);
--- a/crates/director/changes/tests/wire_format.rs
+++ b/crates/director/changes/tests/wire_format.rs
@@ -51,10 +51,10 @@
         (Value::Flag(true), "true"),
         (Value::Flag(false), "false"),
         (Value::Number(1.0), "1.0"),
-        (Value::Again(RouteRetryPolicy::Never), r#""never""#),
-        (Value::Again(RouteRetryPolicy::IfNeverRan), r#""if-never-ran""#),
-        (Value::Again(RouteRetryPolicy::Once), r#""once""#),
-        (Value::Again(RouteRetryPolicy::Twice), r#""twice""#),
+        (Value::RetryPolicy(RouteRetryPolicy::Never), r#""never""#),
+        (Value::RetryPolicy(RouteRetryPolicy::IfNeverRan), r#""if-never-ran""#),
+        (Value::RetryPolicy(RouteRetryPolicy::Once), r#""once""#),
+        (Value::RetryPolicy(RouteRetryPolicy::Twice), r#""twice""#),
         (Value::Guard(GuardMode::Off), r#""off""#),
         (Value::Guard(GuardMode::Watch), r#""watch""#),
         (Value::Guard(GuardMode::On), r#""on""#),
@@ -66,23 +66,23 @@
 fn each_stage_with_its_reason_keeps_its_bytes() {
     let (who, why) = (|| "ann".to_string(), || "w".to_string());
     let keeps = [
-        (Keep::Judged, r#""judged""#),
+        (Keep::TrialPassed, r#""judged""#),
         (Keep::Confirmed { who: who() }, r#"{"confirmed":{"who":"ann"}}"#),
-        (Keep::Untried, r#""untried""#),
-        (Keep::Undoing, r#""undoing""#),
+        (Keep::WithoutTrial, r#""untried""#),
+        (Keep::IsUndo, r#""undoing""#),
     ];
     for (keep, text) in keeps {
         assert_text(Stage::Kept(keep), &format!(r#"{{"kept":{text}}}"#));
     }
     let reasons = [
         (EndReason::Harm { found: "f".into() }, r#"{"harm":{"found":"f"}}"#),
-        (EndReason::Asked { who: who(), why: why() }, r#"{"asked":{"who":"ann","why":"w"}}"#),
-        (EndReason::Unjudged, r#""unjudged""#),
-        (EndReason::Unsettled, r#""unsettled""#),
+        (EndReason::ByOperator { who: who(), why: why() }, r#"{"asked":{"who":"ann","why":"w"}}"#),
+        (EndReason::TooFewReports, r#""unjudged""#),
+        (EndReason::ApplyTimeout, r#""unsettled""#),
         (EndReason::Restarted, r#""restarted""#),
-        (EndReason::Unwritten { why: why() }, r#"{"unwritten":{"why":"w"}}"#),
+        (EndReason::WriteFailed { why: why() }, r#"{"unwritten":{"why":"w"}}"#),
         (EndReason::Stale { why: why() }, r#"{"stale":{"why":"w"}}"#),
-        (EndReason::NeverCalm, r#""never-calm""#),
+        (EndReason::NotRecovered, r#""never-calm""#),
     ];
     for (reason, text) in reasons {
         assert_text(Stage::Undone(reason.clone()), &format!(r#"{{"undone":{text}}}"#));
@@ -103,8 +103,13 @@
 fn each_record_of_the_change_log_keeps_its_bytes() {
     let (number, wall, who, why) = (Version(4), 1.5, || "ann".to_string(), || "w".to_string());
     let document = vec![(Field::Trial, Value::Number(60.0))];
-    let undo =
-        Record::Undo { number, of: Version(2), wall, why: EndReason::Unjudged, lost: vec![Field::Guard] };
+    let undo = Record::Undo {
+        number,
+        of: Version(2),
+        wall,
+        why: EndReason::TooFewReports,
+        lost: vec![Field::Guard],
+    };
     let table = [
         (
             Record::Founded { wall, document },
--- a/crates/director/operator-config/src/field.rs
+++ b/crates/director/operator-config/src/field.rs
@@ -79,7 +79,7 @@
 
     /// Whether the value has the field's type and is within its bounds. 0.01 is the smallest weight that the director
     /// distinguishes from 0.
-    pub fn fits(&self, value: &Value) -> bool {
+    pub fn accepts(&self, value: &Value) -> bool {
         match (self, value) {
             (Field::HostWeight(_) | Field::ZoneWeight(_), Value::Number(number)) => {
                 (0.01..=100.0).contains(number)
@@ -90,7 +90,7 @@
             (Field::Trial, Value::Number(number)) => (5.0..=3600.0).contains(number),
             (Field::AntiAffinity(..), Value::Flag(apart)) => *apart,
             (Field::HostDrained(_) | Field::Analysis, Value::Flag(_)) => true,
-            (Field::RouteRetries(_), Value::Again(_)) | (Field::Guard, Value::Guard(_)) => true,
+            (Field::RouteRetries(_), Value::RetryPolicy(_)) | (Field::Guard, Value::Guard(_)) => true,
             _ => false,
         }
     }
@@ -99,7 +99,7 @@
     ///
     /// # Errors
     ///
-    /// The text is no value, or none that [`Field::fits`] accepts.
+    /// The text is no value, or none that [`Field::accepts`] accepts.
     pub fn parse_value(&self, text: &str) -> Result<Option<Value>, ValueError> {
         let invalid = || ValueError { found: text.to_string(), expected: self.expected() };
         let value = match text {
@@ -111,7 +111,7 @@
                 None => Value::Number(text.parse().map_err(|_| invalid())?),
             },
         };
-        if self.fits(&value) {
+        if self.accepts(&value) {
             Ok(Some(value))
         } else {
             Err(invalid())
--- a/crates/director/operator-config/src/lib.rs
+++ b/crates/director/operator-config/src/lib.rs
@@ -2,7 +2,7 @@
 //! as single fields, which is the form in which it is changed, compared and undone.
 //!
 //! [`read_operator_file`] reads a file; [`Field`] and [`Value`] are one setting each; [`Document`] is all that is set and [`Edits`]
-//! what a change sets. The bounds of a value are in [`Field::fits`]; what depends on the director's settings, for
+//! what a change sets. The bounds of a value are in [`Field::accepts`]; what depends on the director's settings, for
 //! example the names of zones, is checked against [`SettingsNames`].
 
 mod error;
--- a/crates/director/operator-config/src/operator_file/tests.rs
+++ b/crates/director/operator-config/src/operator_file/tests.rs
@@ -7,9 +7,9 @@
 use test_case::test_case;
 
 fn known() -> SettingsNames {
-    let route = |name: &str, repeatable| RouteName { name: name.into(), repeatable };
+    let route = |name: &str, idempotent| RouteName { name: name.into(), idempotent };
     let routes = vec![route("lookup", true), route("order", false)];
-    SettingsNames { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: true }
+    SettingsNames { zones: vec!["a".into(), "b".into()], routes, slices: 8, has_admission_control: true }
 }
 
 const VALID: &str = r#"{
--- a/crates/director/operator-config/src/validation.rs
+++ b/crates/director/operator-config/src/validation.rs
@@ -10,7 +10,7 @@
     /// Its name.
     pub name: String,
     /// Its calls are idempotent: they may run again.
-    pub repeatable: bool,
+    pub idempotent: bool,
 }
 
 /// What the director's settings name, against which fields are validated.
@@ -23,7 +23,7 @@
     /// Number of slices; a slice's number is below it.
     pub slices: u64,
     /// Whether admission limits and retry policies can be set at all.
-    pub admits: bool,
+    pub has_admission_control: bool,
 }
 
 /// Validates one edit as it comes from a command line or a socket; `None` unsets the field, which is always valid.
@@ -49,7 +49,7 @@
     value: &Value,
     known: Option<&SettingsNames>,
 ) -> Option<String> {
-    if !field.fits(value) {
+    if !field.accepts(value) {
         return Some(field.expected().to_string());
     }
     expected_by_settings(field, value, known?)
@@ -75,12 +75,12 @@
     let Some(route) = known.routes.iter().find(|route| route.name == name) else {
         return Some(one_of("a route", known.routes.iter().map(|route| route.name.as_str()).collect()));
     };
-    let retries = matches!(value, Value::Again(policy) if *policy > RouteRetryPolicy::IfNeverRan);
-    if retries && !route.repeatable {
+    let retries = matches!(value, Value::RetryPolicy(policy) if *policy > RouteRetryPolicy::IfNeverRan);
+    if retries && !route.idempotent {
         // Rule 2 of the director's contract: it answers for whatever it lets proxies retry.
         return Some("never or if-never-ran, as this route's calls must not run twice".to_string());
     }
-    (!known.admits).then(|| "nothing: the settings let no levels be set".to_string())
+    (!known.has_admission_control).then(|| "nothing: the settings let no levels be set".to_string())
 }
 
 fn one_of(what: &str, names: Vec<&str>) -> String {
--- a/crates/director/operator-config/src/value.rs
+++ b/crates/director/operator-config/src/value.rs
@@ -66,7 +66,7 @@
     /// A weight, a share, or seconds; the field says which.
     Number(f64),
     /// A retry policy.
-    Again(RouteRetryPolicy),
+    RetryPolicy(RouteRetryPolicy),
     /// A mode of the capacity guard.
     Guard(GuardMode),
 }
@@ -74,7 +74,7 @@
 impl Value {
     /// The value with this name, if a retry policy or guard mode has it.
     pub(crate) fn from_name(name: &str) -> Option<Value> {
-        let retry_policy = find_name(&RouteRetryPolicy::NAMES, name).map(Value::Again);
+        let retry_policy = find_name(&RouteRetryPolicy::NAMES, name).map(Value::RetryPolicy);
         retry_policy.or_else(|| find_name(&GuardMode::NAMES, name).map(Value::Guard))
     }
 }
@@ -84,7 +84,7 @@
         match self {
             Value::Flag(flag) => write!(formatter, "{flag}"),
             Value::Number(number) => write!(formatter, "{number}"),
-            Value::Again(retry_policy) => write!(formatter, "{retry_policy}"),
+            Value::RetryPolicy(retry_policy) => write!(formatter, "{retry_policy}"),
             Value::Guard(mode) => write!(formatter, "{mode}"),
         }
     }
--- a/crates/director/operator-config/tests/error_texts.rs
+++ b/crates/director/operator-config/tests/error_texts.rs
@@ -24,10 +24,15 @@
 
 #[test]
 fn an_edit_that_the_settings_do_not_allow_names_the_field() {
-    let routes = vec![RouteName { name: "order".into(), repeatable: false }];
-    let known = SettingsNames { zones: vec!["a".into(), "b".into()], routes, slices: 8, admits: false };
+    let routes = vec![RouteName { name: "order".into(), idempotent: false }];
+    let known = SettingsNames {
+        zones: vec!["a".into(), "b".into()],
+        routes,
+        slices: 8,
+        has_admission_control: false,
+    };
     let text = |field: Field, value| check_edit(&field, Some(&value), Some(&known)).unwrap_err().to_string();
-    let retries = |name: &str, policy| text(Field::RouteRetries(name.into()), Value::Again(policy));
+    let retries = |name: &str, policy| text(Field::RouteRetries(name.into()), Value::RetryPolicy(policy));
     assert_eq!(
         retries("order", RouteRetryPolicy::Once),
         "field routes.order.again: expected never or if-never-ran, as this route's calls must not run twice"
--- a/crates/director/service/src/reducer/decisions.rs
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -59,8 +59,8 @@
             Some(operators) => (operators.guard_mode(), operators.pending_shutdowns(now, &self.names)),
             None => (Mode::Off, Vec::new()),
         };
-        self.director.mode(mode);
-        self.director.pending(pending);
+        self.director.set_mode(mode);
+        self.director.set_pending_events(pending);
         let orders = self.director.handle(now, &inputs);
         self.copy_guard_counts();
         self.outbox.counters.decisions += 1;
@@ -85,7 +85,7 @@
         let counts = self.director.counts;
         let counters = &mut self.outbox.counters;
         counters.guard_judged = counts.judged;
-        counters.guard_least_bad = counts.least_bad;
+        counters.guard_least_bad = counts.improvements;
         counters.guard_refused = counts.refused;
         counters.guard_overruled = counts.overruled;
     }
@@ -127,7 +127,7 @@
         self.calls.proxies_unknown = !state_known;
         let director = &self.director;
         let writable = |request: WriteRequest| {
-            director.writable(now, request.orders, request.is_retry, request.proxies_unknown)
+            director.writable_orders(now, request.orders, request.is_retry, request.proxies_unknown)
         };
         self.calls.poll(now, writable, &mut self.outbox);
         self.subscription.slices_in_flight = self.calls.slices_in_flight();
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -249,7 +249,7 @@
     }
 
     fn log_counters(&mut self) {
-        self.outbox.counters.lines_may_wait = self.director.may_wait() as u64;
+        self.outbox.counters.lines_may_wait = self.director.max_pending_lines() as u64;
         let counters = self.outbox.counters.log_line();
         self.outbox.info(counters);
     }
--- a/crates/director/service/src/reducer/operators/commands.rs
+++ b/crates/director/service/src/reducer/operators/commands.rs
@@ -68,7 +68,7 @@
             }
             Request::List { before } => return Ok(Outcome::answer(self.list_changes(before))),
             Request::Show { number } => {
-                let change = log.change(number).cloned().ok_or(Refusal::NoSuch(number))?;
+                let change = log.change(number).cloned().ok_or(Refusal::UnknownChange(number))?;
                 return Ok(Outcome::answer(Answer::Change(Box::new(change))));
             }
             Request::Stage { number } => log.stage_draft(now, wall_time, number, &self.known, &pool)?,
--- a/crates/director/service/src/reducer/operators/effects.rs
+++ b/crates/director/service/src/reducer/operators/effects.rs
@@ -63,7 +63,7 @@
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        let actions = self.change_log.written(self.wall_time(now), number);
+        let actions = self.change_log.record_written(self.wall_time(now), number);
         self.carry_out(now, actions, context, outbox);
         if let Some(command) = self.pending_answers.remove(&number) {
             outbox.effects.push(Effect::AnswerAdminRequest(command, self.accepted(number)));
@@ -84,10 +84,10 @@
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        let actions = self.change_log.unwritten(self.wall_time(now), number, reason);
+        let actions = self.change_log.write_failed(self.wall_time(now), number, reason);
         self.carry_out(now, actions, context, outbox);
         if let Some(command) = number.and_then(|number| self.pending_answers.remove(&number)) {
-            let reason = Refusal::History(reason.to_string()).to_string();
+            let reason = Refusal::WriteFailed(reason.to_string()).to_string();
             outbox.effects.push(Effect::AnswerAdminRequest(command, Answer::Rejected { reason }));
         }
     }
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -123,7 +123,7 @@
         }
         let records = history.unwrap_or_default();
         if records.is_empty() {
-            let (change_log, record) = ChangeLog::found(sheet.document.clone(), self.wall_start_s);
+            let (change_log, record) = ChangeLog::create(sheet.document.clone(), self.wall_start_s);
             self.change_log = change_log;
             outbox.effects.push(Effect::AppendToChangeLog(record));
             return Ok(());
@@ -224,16 +224,19 @@
         let guard_pool = (self.guard_mode() == Mode::On).then_some(context.director.guard().pool());
         let capacity = |host: &HostId| {
             let pool = guard_pool?;
-            Some(pool.hosts.get(host)?.unit(now, &pool.bounds) * pool.bounds.capacity?.low)
+            Some(
+                pool.hosts.get(host)?.relative_capacity(now, &pool.capacity_model)
+                    * pool.capacity_model.capacity?.low,
+            )
         };
         let mut hosts = Vec::new();
         for (host, listed) in &self.hosts {
             let is_warm = listed.started_at.is_none_or(|started_at| now - started_at >= self.slow_start_s);
-            let carries = capacity(host).unwrap_or(f64::INFINITY);
+            let capacity_per_s = capacity(host).unwrap_or(f64::INFINITY);
             let name = context.names.host_name(*host).to_string();
-            hosts.push((name, PoolHost { ready: listed.is_ready, warm: is_warm, carries }));
+            hosts.push((name, PoolHost { ready: listed.is_ready, warm: is_warm, capacity_per_s }));
         }
-        HostPool { hosts: hosts.into_iter().collect(), calls: context.director.asked() }
+        HostPool { hosts: hosts.into_iter().collect(), calls: context.director.total_demand() }
     }
 
     /// Does what has become due, and returns the overrides for the decisions if they have changed.
--- a/crates/director/service/src/reducer/operators/overrides.rs
+++ b/crates/director/service/src/reducer/operators/overrides.rs
@@ -42,7 +42,7 @@
                     overrides.routes.entry(route).or_default().admission_limit = Some(*limit);
                 }
             }
-            (Field::RouteRetries(name), Value::Again(policy)) => {
+            (Field::RouteRetries(name), Value::RetryPolicy(policy)) => {
                 if let Ok(route) = names.route(name) {
                     overrides.routes.entry(route).or_default().retry_policy = Some(retry(*policy));
                 }
--- a/crates/director/service/src/reducer/operators/shutdowns.rs
+++ b/crates/director/service/src/reducer/operators/shutdowns.rs
@@ -4,7 +4,7 @@
 use crate::reducer::outbox::Outbox;
 use coppersail::interface::HostId;
 use coppersail_capacity_guard::{HostEvent, PendingEvent};
-use coppersail_changes::{announced, ShutdownPhase};
+use coppersail_changes::{planned_shutdowns, ShutdownPhase};
 use coppersail_settings::Names;
 use std::collections::BTreeSet;
 
@@ -16,7 +16,7 @@
 
 impl Operators {
     fn announced_shutdowns<'a>(&'a self, names: &'a Names) -> impl Iterator<Item = Shutdown> + 'a {
-        announced(self.change_log.document()).filter_map(|(name, wall_time)| {
+        planned_shutdowns(self.change_log.document()).filter_map(|(name, wall_time)| {
             Some(Shutdown { host: names.known_host_id(name)?, at: wall_time - self.wall_start_s })
         })
     }
@@ -35,10 +35,10 @@
         let mut shutting_down = BTreeSet::new();
         let mut next_phase_at = f64::INFINITY;
         for shutdown in self.announced_shutdowns(context.names) {
-            if self.phase(now, &shutdown) == ShutdownPhase::Moving {
+            if self.phase(now, &shutdown) == ShutdownPhase::Draining {
                 shutting_down.insert(shutdown.host);
             }
-            next_phase_at = f64::min(next_phase_at, ShutdownPhase::turns(now, shutdown.at));
+            next_phase_at = f64::min(next_phase_at, ShutdownPhase::next_transition_at(now, shutdown.at));
         }
         self.next_shutdown_phase_at = next_phase_at;
         if shutting_down == self.shutting_down {
@@ -59,7 +59,7 @@
         let mut pending = Vec::new();
         for shutdown in self.announced_shutdowns(names) {
             if self.phase(now, &shutdown) != ShutdownPhase::Over {
-                pending.push(PendingEvent { at: shutdown.at, host: shutdown.host, what: HostEvent::Leaves });
+                pending.push(PendingEvent { at: shutdown.at, host: shutdown.host, event: HostEvent::Leaves });
             }
         }
         pending
--- a/crates/director/service/src/reducer/operators/trials.rs
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -71,7 +71,7 @@
         }
         let Some(applying) = self.applying.take() else { return };
         self.analysis.extend_scope(TrialId(applying.version.0), applying.slices);
-        let actions = self.change_log.applied(now, self.wall_time(now), applying.version);
+        let actions = self.change_log.document_applied(now, self.wall_time(now), applying.version);
         self.carry_out(now, actions, context, outbox);
     }
 }
--- a/crates/director/settings/src/decisions.rs
+++ b/crates/director/settings/src/decisions.rs
@@ -57,11 +57,11 @@
     let settings = decision_settings(boot);
     let known_route = |(class, route): (&RouteClass, &api::Route)| RouteName {
         name: class.name.clone().unwrap_or_default(),
-        repeatable: route.idempotency == api::Idempotency::Idempotent,
+        idempotent: route.idempotency == api::Idempotency::Idempotent,
     };
     SettingsNames {
         routes: boot.classes.iter().zip(&settings.routes).map(known_route).collect(),
-        admits: settings.admission_unit == api::AdmissionUnit::Fraction,
+        has_admission_control: settings.admission_unit == api::AdmissionUnit::Fraction,
         slices: settings.slice_count,
         zones: settings.zone_names,
     }
--- a/crates/director/settings/tests/settings_format.rs
+++ b/crates/director/settings/tests/settings_format.rs
@@ -186,9 +186,9 @@
 #[test]
 fn an_operators_file_is_checked_against_the_names_of_the_settings() {
     let names = known_names(&read(SETTINGS));
-    assert_eq!((names.routes[0].name.as_str(), names.routes[0].repeatable), ("r", false));
+    assert_eq!((names.routes[0].name.as_str(), names.routes[0].idempotent), ("r", false));
     assert_eq!(
-        (names.admits, names.slices, names.zones),
+        (names.has_admission_control, names.slices, names.zones),
         (false, 14, vec!["a".to_string(), "b".to_string()])
     );
 }
--- a/crates/tools/cli/src/commands/announce.rs
+++ b/crates/tools/cli/src/commands/announce.rs
@@ -3,7 +3,7 @@
 use super::error::CommandError;
 use super::session::Session;
 use crate::edits::parse_field;
-use coppersail_changes::{Submission, EXPIRES};
+use coppersail_changes::{Submission, ANNOUNCEMENT_LIFETIME_S};
 use coppersail_operator_config::{Edits, Field, Value};
 use std::time::{SystemTime, UNIX_EPOCH};
 
@@ -58,7 +58,7 @@
 
 fn expired_departures(in_force: &[(Field, Value)], now: f64) -> Edits {
     let expired = |(field, value): &&(Field, Value)| match (field, value) {
-        (Field::HostShutdown(_), Value::Number(at)) => now > at + EXPIRES,
+        (Field::HostShutdown(_), Value::Number(at)) => now > at + ANNOUNCEMENT_LIFETIME_S,
         _ => false,
     };
     in_force.iter().filter(expired).map(|(field, _)| (field.clone(), None)).collect()
--- a/crates/tools/cli/src/fleet_files.rs
+++ b/crates/tools/cli/src/fleet_files.rs
@@ -161,7 +161,7 @@
 fn build_pool(file: PoolFile, names: &mut Names) -> Pool {
     let BoundsFile { cold_from, ramp_time, fall_multiple, carries } = file.bounds;
     let carries = carries.map(|EstimateFile { low, middle }| Estimate { low, middle });
-    let bounds = CapacityModel {
+    let capacity_model = CapacityModel {
         cold_capacity_share: cold_from,
         slow_start_duration: ramp_time,
         collapse_multiple: fall_multiple,
@@ -173,7 +173,7 @@
         let zone = ZoneId(intern(&mut names.zones, &host.zone) as u16);
         hosts.insert(id, build_host(&host, zone));
     }
-    Pool { hosts, bounds }
+    Pool { hosts, capacity_model }
 }
 
 fn build_host(file: &HostFile, zone: ZoneId) -> Host {
@@ -241,5 +241,5 @@
         ChangeFile::Leaves => HostEvent::Leaves,
         ChangeFile::Opens => HostEvent::Opens,
     };
-    Ok(PendingEvent { at: file.at, host: names.host_id(&file.host)?, what: event })
+    Ok(PendingEvent { at: file.at, host: names.host_id(&file.host)?, event })
 }
--- a/crates/tools/cli/src/names.rs
+++ b/crates/tools/cli/src/names.rs
@@ -40,12 +40,12 @@
     pub(crate) fn describe_reason(&self, reason: &Reason) -> String {
         match reason {
             Reason::Uncovered { slice } => format!("slice {}: no open host", slice.0),
-            Reason::ColdOverload { host, calls, stands } => {
+            Reason::ColdOverload { host, calls, limit } => {
                 let host = self.host_name(*host);
-                format!("cold host {host}: {calls:.1} calls a second, it stands {stands:.1}")
+                format!("cold host {host}: {calls:.1} calls a second, it stands {limit:.1}")
             }
-            Reason::WarmOverload { host, calls, carries } => {
-                format!("host {}: {calls:.1} calls a second, at most {carries:.1}", self.host_name(*host))
+            Reason::WarmOverload { host, calls, limit } => {
+                format!("host {}: {calls:.1} calls a second, at most {limit:.1}", self.host_name(*host))
             }
             Reason::HostConcentration { route, host, share, bound } => {
                 let (host, route) = (self.host_name(*host), &self.routes[route.0 as usize]);
