--- a/crates/director/capacity-guard/benches/judgement_cost.rs
+++ b/crates/director/capacity-guard/benches/judgement_cost.rs
@@ -1,5 +1,5 @@
-//! Cost of a judgement: one changed weight and a batch of a hundred, by size of the fleet; and of the load index
-//! against computing all loads anew.
+//! Cost of an evaluation of one changed weight and of a batch of a hundred, by size of the fleet; and of an
+//! update of the load index compared with recomputing all loads.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
 use coppersail_capacity_guard::{CapacityModel, Estimate, Guard, Host, LoadIndex, Pool, Table};
@@ -23,7 +23,7 @@
     (Pool { hosts: (0..hosts).map(host).collect(), capacity_model }, (0..slices).map(table).collect())
 }
 
-fn line(slice: u16, host: u32) -> Order {
+fn set_weight(slice: u16, host: u32) -> Order {
     Order::SetWeight { slice: SliceId(slice), host: HostId(host), weight: 0.5 }
 }
 
@@ -31,11 +31,11 @@
     for (proxies, hosts, slices) in [(150, 30, 210), (1600, 120, 840), (10_000, 2000, 14_000)] {
         let (pool, tables) = fleet(hosts, slices);
         let mut guard = Guard::new(pool.clone(), &tables, 2);
-        let one = [vec![line(5, 9)]];
+        let one = [vec![set_weight(5, 9)]];
         criterion.bench_function(&format!("one line, {proxies} proxies, {hosts} hosts"), |bencher| {
             bencher.iter(|| guard.judge(&one, &[], 100.0));
         });
-        let batch = [(0..100).map(|n| line(n, (u32::from(n) + 3) % hosts)).collect::<Vec<Order>>()];
+        let batch = [(0..100).map(|n| set_weight(n, (u32::from(n) + 3) % hosts)).collect::<Vec<Order>>()];
         criterion.bench_function(&format!("a batch of 100, {proxies} proxies, {hosts} hosts"), |bencher| {
             bencher.iter(|| guard.judge(&batch, &[], 100.0));
         });
--- a/crates/director/capacity-guard/examples/confusion.rs
+++ b/crates/director/capacity-guard/examples/confusion.rs
@@ -1,12 +1,12 @@
-//! Generated pools, tables and proposals against the oracle: what was accepted and refused rightly. And repairs of
-//! small ones against the best that there is. `cargo run --release -p coppersail-capacity-guard --example confusion
-//! [CASES] [SMALL]`
+//! Compares verdicts on random pools, tables and proposals with the oracle, and repairs of small cases with
+//! the best possible ones. `cargo run --release -p coppersail-capacity-guard --example confusion [CASES]
+//! [SMALL]`
 
 mod model;
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
 use coppersail_capacity_guard::{CapacityModel, Estimate, Guard, Host, Pool, Table, Verdict};
-use model::{badness, best, is_unsafe, less, told, worsens, Case, World};
+use model::{after_proposal, best, is_unsafe, less, severity, worsens, Case, World};
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Instant;
 
@@ -15,7 +15,7 @@
     let (cases, small) = (args.next().unwrap_or(100_000), args.next().unwrap_or(5_000));
     let mut verdicts = [[0_u64; 3]; 2];
     for seed in 0..cases {
-        let case = Case::drawn(seed, 2 + (seed % 7) as usize, 1 + (seed % 9) as usize);
+        let case = Case::random(seed, 2 + (seed % 7) as usize, 1 + (seed % 9) as usize);
         let verdict = case.guard().judge(&case.calls, &case.pending, case.now);
         let given = match verdict {
             Verdict::Accepted => 0,
@@ -32,7 +32,7 @@
     }
     let mut statistics = RepairStatistics::default();
     for seed in 0..small {
-        statistics.add(&Case::drawn(1_000_000 + seed, 4, 3));
+        statistics.add(&Case::random(1_000_000 + seed, 4, 3));
     }
     println!("\n{small} cases of 4 hosts and 3 slices, against all tables of one or two even lines\n");
     statistics.print();
@@ -44,15 +44,17 @@
     }
 }
 
-/// What became of small cases, beside the best that there is.
+/// Results of the small cases, compared with the best possible ones.
 #[derive(Default)]
 struct RepairStatistics {
     least: u64,
-    /// Of these: a slice was without a host, and is not any more; else there is a safe table.
+    /// Of these, the proposals that assign an open host to a slice without one, and the others for which a
+    /// safe table exists.
     covers_slice: u64,
     least_with_safe_table: u64,
     refused: u64,
-    /// A table exists by which nothing is wrong, and one that is safe to tell; and such were found.
+    /// Refused proposals for which a table exists with which nothing is unsafe, and a safe one; and those for
+    /// which such were found.
     complete_exists: u64,
     complete: u64,
     safe_exists: u64,
@@ -74,8 +76,8 @@
         match verdict {
             Verdict::Improvement(_) => {
                 self.least += 1;
-                let bare = |world: World| badness(&world.ahead(case))[0];
-                let covers_slice = bare(told(case)) < bare(World::of(case));
+                let uncovered = |world: World| severity(&world.ahead(case))[0];
+                let covers_slice = uncovered(after_proposal(case)) < uncovered(World::of(case));
                 self.covers_slice += u64::from(covers_slice);
                 self.least_with_safe_table += u64::from(!covers_slice && best.safe.is_some());
             }
@@ -84,16 +86,16 @@
                 self.complete_exists += u64::from(best.fewest.is_some());
                 self.safe_exists += u64::from(best.safe.is_some());
                 let Some(repair) = refusal.repair else { return };
-                let (before, mut world) = (World::of(case).ahead(case), told(case));
+                let (before, mut world) = (World::of(case).ahead(case), after_proposal(case));
                 repair.orders().iter().for_each(|order| world.apply(order));
                 let after = world.ahead(case);
-                let sound = !worsens(&before, &after) && less(&badness(&after), &badness(&before));
+                let sound = !worsens(&before, &after) && less(&severity(&after), &severity(&before));
                 assert!(
-                    !refusal.repair_is_safe || sound || badness(&after) == [0.0; 4],
+                    !refusal.repair_is_safe || sound || severity(&after) == [0.0; 4],
                     "what is said to be safe is so: {case:?}"
                 );
                 self.safe += u64::from(refusal.repair_is_safe);
-                if badness(&after) == [0.0; 4] {
+                if severity(&after) == [0.0; 4] {
                     self.complete += 1;
                     let changed: BTreeSet<SliceId> = repair.moves.iter().map(|made| made.slice).collect();
                     let over = changed.len().saturating_sub(best.fewest.unwrap_or(changed.len()));
@@ -126,7 +128,8 @@
     }
 }
 
-/// A proposal that piles some of a fleet's slices on one host: how long the answer with its repair takes.
+/// Measures how long the verdict with its repair takes on a proposal that concentrates some of a fleet's
+/// slices on one host.
 fn measure_fleet(hosts: u32, slices: u16, times: u64) {
     let mut rng = fastrand::Rng::with_seed(1);
     let capacity = Some(Estimate { low: 80.0, middle: 100.0 });
@@ -148,10 +151,10 @@
     let (mut took, mut unsafe_ones, mut complete) = (Vec::new(), 0, 0);
     for _ in 0..times {
         let to = HostId(rng.u32(0..hosts));
-        // Up to three times what it carries is piled on it, by tables that then name it alone.
+        // Up to three times the capacity of the host is moved to it, with tables that contain no other host.
         let many = (rng.f64() * 3.0 * 100.0 / each) as usize + 4;
-        let piled: BTreeSet<u16> = (0..many).map(|_| rng.u16(0..slices)).collect();
-        let lines = piled.iter().flat_map(|slice| {
+        let moved: BTreeSet<u16> = (0..many).map(|_| rng.u16(0..slices)).collect();
+        let lines = moved.iter().flat_map(|slice| {
             let slice = SliceId(*slice);
             [Order::ClearTable(slice), Order::SetWeight { slice, host: to, weight: 1.0 }]
         });
--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -1,5 +1,6 @@
-//! Pools, tables and proposals by chance, and an oracle that reckons everything anew by the definitions of
-//! `docs/guard.md`, sharing no code with the guard; on small pools also the best table there is, by trying all.
+//! Random pools, tables and proposals, and an oracle that evaluates them by the definitions of
+//! `docs/guard.md` without sharing code with the guard. For small pools it also finds the best table, by
+//! exhaustive search.
 
 use coppersail::interface::{HostId, Order, SliceId, ZoneId};
 use coppersail_capacity_guard::{
@@ -19,14 +20,14 @@
     pub(crate) now: f64,
 }
 
-fn pick<T: Copy>(chance: &mut Rng, of: &[T]) -> T {
-    of[chance.usize(0..of.len())]
+fn pick<T: Copy>(rng: &mut Rng, of: &[T]) -> T {
+    of[rng.usize(0..of.len())]
 }
 
 impl Case {
-    pub(crate) fn drawn(seed: u64, hosts: usize, slices: usize) -> Case {
-        let mut chance = Rng::with_seed(seed);
-        let c = &mut chance;
+    pub(crate) fn random(seed: u64, hosts: usize, slices: usize) -> Case {
+        let mut rng = Rng::with_seed(seed);
+        let c = &mut rng;
         let now = 100.0;
         let capacity = (c.u8(0..5) > 0).then_some(Estimate { low: 8.0, middle: 10.0 });
         let capacity_model = CapacityModel {
@@ -87,11 +88,12 @@
     }
 }
 
-/// What is wrong, by kind and about whom, and by how much.
-pub(crate) type Wrongs = BTreeMap<(u8, u32, u16), f64>;
+/// What is unsafe: the excess by kind, subject and route.
+pub(crate) type Excesses = BTreeMap<(u8, u32, u16), f64>;
 
-/// Bare slices, cold hosts pushed, warm ones overloaded, piles: each summed.
-pub(crate) type Badness = [f64; 4];
+/// The sums of the excesses: slices without an open host, overloaded cold hosts, overloaded warm hosts, and
+/// concentrations.
+pub(crate) type OracleSeverity = [f64; 4];
 
 #[derive(Clone)]
 pub(crate) struct World {
@@ -99,7 +101,7 @@
     pub(crate) lines: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
 }
 
-/// Load of one host: in all routes, if all others in its tables fail, and by route.
+/// The load of one host: in all routes, if all other hosts of its tables fail, and by route.
 #[derive(Default)]
 struct OracleHostLoad {
     calls: f64,
@@ -111,7 +113,7 @@
 struct OracleLoad {
     hosts: BTreeMap<HostId, OracleHostLoad>,
     totals: [f64; ROUTES],
-    /// By route, the greatest demand of one slice.
+    /// By route, the highest demand of one slice.
     largest: [f64; ROUTES],
     uncovered: BTreeSet<SliceId>,
 }
@@ -174,21 +176,21 @@
         load
     }
 
-    /// All that is unsafe at a time, computed from the definitions.
-    pub(crate) fn wrongs(&self, case: &Case, at: f64) -> Wrongs {
+    /// Everything that is unsafe at a time, computed from the definitions.
+    pub(crate) fn excesses(&self, case: &Case, at: f64) -> Excesses {
         let load = self.load(case);
-        let mut wrongs: Wrongs =
+        let mut excesses: Excesses =
             load.uncovered.iter().map(|slice| ((0, u32::from(slice.0), 0), 1.0)).collect();
-        self.host_wrongs(case, at, &load, &mut wrongs);
-        self.zone_wrongs(case, at, &load, &mut wrongs);
-        wrongs
+        self.host_excesses(case, at, &load, &mut excesses);
+        self.zone_excesses(case, at, &load, &mut excesses);
+        excesses
     }
 
     fn open_hosts(&self) -> impl Iterator<Item = (&HostId, &Host)> {
         self.hosts.iter().filter(|(id, _)| self.open(id))
     }
 
-    fn host_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
+    fn host_excesses(&self, case: &Case, at: f64, load: &OracleLoad, excesses: &mut Excesses) {
         let (model, totals) = (&case.pool.capacity_model, &load.totals);
         let relative_capacity = |h: &Host| h.weight * capacity_share(model, h, at);
         let all: f64 = self.open_hosts().map(|(_, h)| relative_capacity(h)).sum();
@@ -204,22 +206,22 @@
                 let limit = f64::max(relative_capacity(h) * capacity_at_weight_1 * multiple, fair);
                 let collapse_limit = relative_capacity(h) * capacity.low * model.collapse_multiple;
                 if host.calls > limit * 1.001 {
-                    wrongs.insert((if cold { 1 } else { 2 }, id.0, 0), host.calls / limit - 1.0);
+                    excesses.insert((if cold { 1 } else { 2 }, id.0, 0), host.calls / limit - 1.0);
                 } else if cold && host.worst_case > collapse_limit * 1.001 {
-                    wrongs.insert((1, id.0, 0), host.worst_case / collapse_limit - 1.0);
+                    excesses.insert((1, id.0, 0), host.worst_case / collapse_limit - 1.0);
                 }
             }
             let is_judged = |route: &usize| self.open_hosts().count() >= 4 && totals[*route] >= 1.0;
             for route in (0..ROUTES).filter(is_judged) {
                 let bound = 3.0 * relative_capacity(h) / all + load.largest[route] / totals[route];
                 if host.by_route[route] / totals[route] > bound * 1.001 {
-                    wrongs.insert((3, id.0, route as u16), host.by_route[route] / totals[route] - bound);
+                    excesses.insert((3, id.0, route as u16), host.by_route[route] / totals[route] - bound);
                 }
             }
         }
     }
 
-    fn zone_wrongs(&self, case: &Case, at: f64, load: &OracleLoad, wrongs: &mut Wrongs) {
+    fn zone_excesses(&self, case: &Case, at: f64, load: &OracleLoad, excesses: &mut Excesses) {
         let (model, totals) = (&case.pool.capacity_model, &load.totals);
         let relative_capacity = |h: &Host| h.weight * capacity_share(model, h, at);
         let all: f64 = self.open_hosts().map(|(_, h)| relative_capacity(h)).sum();
@@ -232,19 +234,19 @@
                 let zone_capacity = within().map(|(_, h)| relative_capacity(h)).sum::<f64>();
                 let bound = 2.0 * zone_capacity / all + load.largest[route] / totals[route];
                 if share > bound * 1.001 {
-                    wrongs.insert((4, zone.0.into(), route as u16), share - bound);
+                    excesses.insert((4, zone.0.into(), route as u16), share - bound);
                 }
             }
         }
     }
 
-    /// The same at each moment ahead, beginning with now.
-    pub(crate) fn ahead(&self, case: &Case) -> Vec<Wrongs> {
+    /// What is unsafe now, and at the time of each pending event.
+    pub(crate) fn ahead(&self, case: &Case) -> Vec<Excesses> {
         let mut world = self.clone();
         let mut pending: Vec<&PendingEvent> =
             case.pending.iter().filter(|event| event.at <= case.now + 15.0).collect();
         pending.sort_by(|a, b| a.at.total_cmp(&b.at));
-        let mut found = vec![self.wrongs(case, case.now)];
+        let mut found = vec![self.excesses(case, case.now)];
         for (k, event) in pending.iter().enumerate() {
             world.hosts.entry(event.host).and_modify(|host| match event.event {
                 HostEvent::Leaves => (host.state, host.proven) = (ListedState::Draining, true),
@@ -253,38 +255,40 @@
                 }
             });
             if pending.get(k + 1).is_none_or(|next| next.at > event.at) {
-                found.push(world.wrongs(case, event.at));
+                found.push(world.excesses(case, event.at));
             }
         }
         found
     }
 }
 
-pub(crate) fn badness(moments: &[Wrongs]) -> Badness {
-    let of = |wrongs: &Wrongs| {
+pub(crate) fn severity(moments: &[Excesses]) -> OracleSeverity {
+    let of = |excesses: &Excesses| {
         let mut sums = [0.0; 4];
-        wrongs.iter().for_each(|((kind, ..), much)| sums[(*kind as usize).min(3)] += much);
+        excesses.iter().for_each(|((kind, ..), excess)| sums[(*kind as usize).min(3)] += excess);
         sums
     };
     moments.iter().map(of).fold([0.0; 4], |a, b| if less(&a, &b) { b } else { a })
 }
 
-pub(crate) fn less(a: &Badness, b: &Badness) -> bool {
+pub(crate) fn less(a: &OracleSeverity, b: &OracleSeverity) -> bool {
     let first = a.iter().zip(b).find(|(a, b)| (*a - *b).abs() > 1e-6);
     first.is_some_and(|(a, b)| a < b)
 }
 
-fn known(old: &Wrongs, about: &(u8, u32, u16), much: f64) -> bool {
-    old.get(about).is_some_and(|old| much <= old * 1.01 + 0.01 + 1e-9)
+fn known(old: &Excesses, subject: &(u8, u32, u16), excess: f64) -> bool {
+    old.get(subject).is_some_and(|old| excess <= old * 1.01 + 0.01 + 1e-9)
 }
 
-/// Whether anything is unsafe at any moment that is not so, or not as much, at the same moment before.
-pub(crate) fn worsens(before: &[Wrongs], after: &[Wrongs]) -> bool {
-    let worse = |(new, old): (&Wrongs, &Wrongs)| new.iter().any(|(about, much)| !known(old, about, *much));
+/// Whether at any time something is unsafe that is not, or is less so, in `before` at the same time.
+pub(crate) fn worsens(before: &[Excesses], after: &[Excesses]) -> bool {
+    let worse = |(new, old): (&Excesses, &Excesses)| {
+        new.iter().any(|(subject, excess)| !known(old, subject, *excess))
+    };
     after.iter().zip(before).any(worse)
 }
 
-/// Whether the proposal makes anything unsafe that would not be so without it.
+/// Whether the proposal makes anything unsafe that would be safe without it.
 pub(crate) fn is_unsafe(case: &Case) -> bool {
     let mut world = World::of(case);
     let before = world.ahead(case);
@@ -292,37 +296,39 @@
     for (k, call) in case.calls.iter().enumerate() {
         call.iter().for_each(|order| world.apply(order));
         if k + 1 < case.calls.len() {
-            between.push(world.wrongs(case, case.now));
+            between.push(world.excesses(case, case.now));
         }
     }
     let after = world.ahead(case);
     let passing = between.iter().any(|new| {
-        new.iter().any(|(about, much)| !known(&before[0], about, *much) && !known(&after[0], about, *much))
+        new.iter().any(|(subject, excess)| {
+            !known(&before[0], subject, *excess) && !known(&after[0], subject, *excess)
+        })
     });
     worsens(&before, &after) || passing
 }
 
-/// The world with all calls told.
-pub(crate) fn told(case: &Case) -> World {
+/// The world with all calls of the proposal applied.
+pub(crate) fn after_proposal(case: &Case) -> World {
     let mut world = World::of(case);
     case.calls.iter().flatten().for_each(|order| world.apply(order));
     world
 }
 
-/// Of all tables of one or two even lines, and the lines as proposed.
-#[allow(dead_code)] // The tests need no best table; it costs too much for them.
+/// The best results among all tables with one or two equal weights and the proposed tables.
+#[allow(dead_code)] // The tests do not search for the best table, which would take too long.
 pub(crate) struct Best {
-    /// The least bad that there is.
-    pub(crate) least: Badness,
-    /// The fewest changed tables by which nothing at all is wrong; and by which nothing is worse than without the
-    /// proposal, and all together less bad.
+    /// The lowest severity.
+    pub(crate) least: OracleSeverity,
+    /// The fewest changed tables with which nothing is unsafe.
     pub(crate) fewest: Option<usize>,
+    /// The fewest changed tables with which nothing is worse than without the proposal, and the severity is lower.
     pub(crate) safe: Option<usize>,
 }
 
 #[allow(dead_code)]
 pub(crate) fn best(case: &Case) -> Best {
-    let (proposed, before) = (told(case), World::of(case).ahead(case));
+    let (proposed, before) = (after_proposal(case), World::of(case).ahead(case));
     let hosts: Vec<HostId> = case.pool.hosts.keys().copied().collect();
     let mut choices: Vec<BTreeMap<HostId, f64>> =
         hosts.iter().map(|host| BTreeMap::from([(*host, 1.0)])).collect();
@@ -330,7 +336,7 @@
         choices.extend(hosts[k + 1..].iter().map(|b| BTreeMap::from([(*a, 1.0), (*b, 1.0)])));
     }
     let slices: Vec<SliceId> = proposed.lines.keys().copied().collect();
-    let mut best = Best { least: badness(&proposed.ahead(case)), fewest: None, safe: None };
+    let mut best = Best { least: severity(&proposed.ahead(case)), fewest: None, safe: None };
     let mut at = vec![0; slices.len()];
     loop {
         let mut world = proposed.clone();
@@ -340,16 +346,16 @@
             }
         }
         let ahead = world.ahead(case);
-        let bad = badness(&ahead);
-        if less(&bad, &best.least) {
-            best.least = bad;
+        let current = severity(&ahead);
+        if less(&current, &best.least) {
+            best.least = current;
         }
         let changed = at.iter().filter(|choice| **choice > 0).count();
         let fewer = |of: Option<usize>| Some(of.map_or(changed, |fewest| fewest.min(changed)));
-        if bad == [0.0; 4] {
+        if current == [0.0; 4] {
             best.fewest = fewer(best.fewest);
         }
-        if !worsens(&before, &ahead) && less(&bad, &badness(&before)) {
+        if !worsens(&before, &ahead) && less(&current, &severity(&before)) {
             best.safe = fewer(best.safe);
         }
         let Some(turn) = at.iter().position(|choice| *choice < choices.len()) else { break };
--- a/crates/director/capacity-guard/src/bound.rs
+++ b/crates/director/capacity-guard/src/bound.rs
@@ -1,29 +1,34 @@
-//! The load that each host and each zone may have.
+//! Upper bounds of the load of each host and each zone.
 
 use crate::load_index::{HostLoad, LoadIndex};
 use crate::pool::{Host, Pool};
 use coppersail::interface::{HostId, RouteId, ZoneId};
 use std::collections::BTreeMap;
 
-/// A host may have so many times its fair share of a route, and a zone so many times its own.
+/// Highest load of a host in a route, as a multiple of its fair share.
 const MAX_HOST_CONCENTRATION: f64 = 3.0;
+/// Highest load of a zone in a route, as a multiple of its fair share.
 const MAX_ZONE_CONCENTRATION: f64 = 2.0;
-/// With fewer open hosts, or fewer calls a second, a concentration can hardly be told from chance.
+/// With fewer open hosts, a concentration can hardly be distinguished from chance.
 const MIN_CONCENTRATION_HOSTS: usize = 4;
-const MIN_CONCENTRATION_CALLS: f64 = 1.0;
-/// Capacities are estimates: a warm host is overloaded when it gets so many times its capacity...
+/// With fewer calls per second, a concentration can hardly be distinguished from chance.
+const MIN_CONCENTRATION_CALLS_PER_S: f64 = 1.0;
+/// A warm host is overloaded if its load exceeds this multiple of its capacity, which is only an estimate,
+/// and [`MAX_FAIR_SHARE_MULTIPLE`].
 const MAX_CAPACITY_MULTIPLE: f64 = 1.25;
-/// ... and so many times its fair share of all calls: where a whole fleet is overloaded some host must have too much,
-/// and levelling that is the decision module's business.
+/// The multiple of its fair share of all calls that the load of an overloaded host must exceed too: if the
+/// whole fleet is overloaded, some hosts exceed their capacity with any table, and balancing that load is up
+/// to the decision module.
 const MAX_FAIR_SHARE_MULTIPLE: f64 = 2.0;
 
-/// The sizes of all open hosts and zones, by which fair shares are measured.
+/// The relative capacities of all open hosts and zones, from which fair shares are computed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct FleetSizes {
     total_relative_capacity: f64,
     open_hosts: usize,
     zone_relative_capacity: BTreeMap<ZoneId, f64>,
-    /// By route, the greatest demand of one slice: load cannot be divided finer than that.
+    /// By route, the highest demand of one slice. A slice may be on a single host, so bounds allow for one
+    /// slice of this size.
     largest_demand: Vec<f64>,
 }
 
@@ -47,10 +52,10 @@
     }
 
     fn is_too_small(&self, route_total: f64) -> bool {
-        self.open_hosts < MIN_CONCENTRATION_HOSTS || route_total < MIN_CONCENTRATION_CALLS
+        self.open_hosts < MIN_CONCENTRATION_HOSTS || route_total < MIN_CONCENTRATION_CALLS_PER_S
     }
 
-    /// The load of a route that a host with this fair share may have, in calls a second.
+    /// Upper bound of the load of a route at a host with this fair share, in calls per second.
     fn host_route_bound(&self, loads: &LoadIndex, route: RouteId, host_share: f64) -> f64 {
         let total = loads.route_total(route);
         if self.is_too_small(total) {
@@ -59,7 +64,7 @@
         MAX_HOST_CONCENTRATION * host_share * total + self.largest_demand[usize::from(route.0)]
     }
 
-    /// The load of a route that a zone may have, in calls a second.
+    /// Upper bound of the load of a route in a zone, in calls per second.
     pub(crate) fn zone_route_bound(&self, loads: &LoadIndex, route: RouteId, zone: ZoneId) -> f64 {
         let total = loads.route_total(route);
         if self.zone_relative_capacity.len() < 2 || self.is_too_small(total) {
@@ -70,21 +75,21 @@
     }
 }
 
-/// The load that a host may have, in calls a second; infinite where nothing bounds it.
+/// Upper bounds of the load of a host, in calls per second; infinite where there is no bound.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct LoadBound {
-    /// In all routes.
+    /// Load in all routes together.
     pub(crate) calls: f64,
-    /// If all other hosts of its tables fail.
+    /// Load if all other hosts of its tables fail.
     pub(crate) worst_case_calls: f64,
     /// By route.
     pub(crate) by_route: Vec<f64>,
-    /// By route, for its whole zone.
+    /// By route, load of its whole zone.
     pub(crate) zone_by_route: Vec<f64>,
 }
 
 impl LoadBound {
-    /// The bound of a host; 0 for an unknown one.
+    /// The bounds of a host; 0 for an unknown one.
     pub(crate) fn of(pool: &Pool, loads: &LoadIndex, sizes: &FleetSizes, id: HostId, now: f64) -> LoadBound {
         let Some(host) = pool.hosts.get(&id) else {
             return LoadBound { calls: 0.0, worst_case_calls: 0.0, by_route: vec![], zone_by_route: vec![] };
@@ -100,8 +105,8 @@
         }
     }
 
-    /// This bound, or the present load of the host and its zone where that is more.
-    pub(crate) fn or_present_load(&self, loads: &LoadIndex, load: &HostLoad, zone: ZoneId) -> LoadBound {
+    /// For each load the bound, or the current load of the host or its zone if that is higher.
+    pub(crate) fn or_current_load(&self, loads: &LoadIndex, load: &HostLoad, zone: ZoneId) -> LoadBound {
         let host_calls = |route: usize| load.by_route.get(route).copied().unwrap_or(0.0);
         let zone_calls = |route: usize| loads.zone_calls(RouteId(route as u16), zone);
         let by_route = self.by_route.iter().enumerate();
@@ -116,12 +121,12 @@
 
     /// The lower of the two bounds, for each load.
     pub(crate) fn min(&self, other: &LoadBound) -> LoadBound {
-        let each = |a: &[f64], b: &[f64]| a.iter().zip(b).map(|(a, b)| a.min(*b)).collect();
+        let minima = |a: &[f64], b: &[f64]| a.iter().zip(b).map(|(a, b)| a.min(*b)).collect();
         LoadBound {
             calls: self.calls.min(other.calls),
             worst_case_calls: self.worst_case_calls.min(other.worst_case_calls),
-            by_route: each(&self.by_route, &other.by_route),
-            zone_by_route: each(&self.zone_by_route, &other.zone_by_route),
+            by_route: minima(&self.by_route, &other.by_route),
+            zone_by_route: minima(&self.zone_by_route, &other.zone_by_route),
         }
     }
 }
--- a/crates/director/capacity-guard/src/demand.rs
+++ b/crates/director/capacity-guard/src/demand.rs
@@ -1,10 +1,10 @@
-//! The demand of each slice, estimated from call counts that are reported at irregular times.
+//! Estimates the demand of each slice from call counts that are reported at irregular times.
 
 use coppersail::interface::{RouteId, SliceId};
 use std::collections::BTreeMap;
 
-/// Half-life of a report, in seconds: about as long as the demand of a slice lasts.
-const HALF_LIFE: f64 = 8.0;
+/// Half-life of a report, in seconds: about the time for which the demand of a slice stays the same.
+const HALF_LIFE_S: f64 = 8.0;
 
 /// Exponentially decayed sums of the reports of one slice in one route.
 #[derive(Clone, Copy, Debug, Default)]
@@ -16,7 +16,7 @@
 
 impl DecayedRate {
     fn add(&mut self, now: f64, calls: f64, seconds: f64) {
-        let decay = 0.5_f64.powf((now - self.updated_at).max(0.0) / HALF_LIFE);
+        let decay = 0.5_f64.powf((now - self.updated_at).max(0.0) / HALF_LIFE_S);
         self.calls = self.calls * decay + calls;
         self.seconds = self.seconds * decay + seconds;
         self.updated_at = now;
@@ -31,24 +31,24 @@
     }
 }
 
-/// Estimates the demand by slice and route, in calls a second.
+/// Estimates the demand by slice and route, in calls per second.
 #[derive(Clone, Debug, Default)]
 pub struct DemandEstimator {
     routes: usize,
     rates: BTreeMap<SliceId, Vec<DecayedRate>>,
 }
 
-fn is_demanded(rates: &[f64]) -> bool {
+fn has_demand(rates: &[f64]) -> bool {
     rates.iter().sum::<f64>() > 0.0
 }
 
 impl DemandEstimator {
-    /// An estimator for so many routes, without reports.
+    /// An estimator for this number of routes, without reports.
     pub fn new(routes: usize) -> Self {
         DemandEstimator { routes, rates: BTreeMap::new() }
     }
 
-    /// Adds a report of `calls` in `span` seconds. One for an unknown route is ignored.
+    /// Adds a report of `calls` in `window` seconds. A report for an unknown route is ignored.
     pub fn report(&mut self, now: f64, slice: SliceId, route: RouteId, calls: f64, window: f64) {
         let rates = self.rates.entry(slice).or_insert(vec![DecayedRate::default(); self.routes]);
         if let Some(rate) = rates.get_mut(usize::from(route.0)) {
@@ -61,8 +61,9 @@
         self.rates.remove(&slice);
     }
 
-    /// The demand of the slices by route, in calls a second. A slice without reports counts as the average one. Without
-    /// any report each counts as one call a second, so that shares can be judged, if not sums.
+    /// The demand of the slices by route, in calls per second. A slice without reports gets the average
+    /// demand. If there are no reports at all, each slice gets one call per second, so that at least the
+    /// shares of routes can be checked.
     pub fn demand(&self, slices: impl Iterator<Item = SliceId>) -> BTreeMap<SliceId, Vec<f64>> {
         let rates_of = |slice: &SliceId| match self.rates.get(slice) {
             Some(rates) => rates.iter().map(DecayedRate::calls_per_s).collect(),
@@ -70,16 +71,16 @@
         };
         let reported: BTreeMap<SliceId, Vec<f64>> = slices.map(|slice| (slice, rates_of(&slice))).collect();
         let average = self.average(&reported);
-        let or_average = |rates: Vec<f64>| if is_demanded(&rates) { rates } else { average.clone() };
+        let or_average = |rates: Vec<f64>| if has_demand(&rates) { rates } else { average.clone() };
         reported.into_iter().map(|(slice, rates)| (slice, or_average(rates))).collect()
     }
 
     /// The mean by route over the slices with any demand.
     fn average(&self, reported: &BTreeMap<SliceId, Vec<f64>>) -> Vec<f64> {
-        let demanded = || reported.values().filter(|rates| is_demanded(rates));
-        let count = demanded().count();
+        let with_demand = || reported.values().filter(|rates| has_demand(rates));
+        let count = with_demand().count();
         let mut average = vec![0.0; self.routes];
-        for rates in demanded() {
+        for rates in with_demand() {
             average.iter_mut().zip(rates).for_each(|(sum, rate)| *sum += rate / count as f64);
         }
         if count == 0 {
--- a/crates/director/capacity-guard/src/drain.rs
+++ b/crates/director/capacity-guard/src/drain.rs
@@ -1,55 +1,58 @@
-//! Drain plans: how many hosts at a time, in which order, and how long to wait in between, so that those that stay have
-//! the capacity for all calls.
+//! Drain plans: how many hosts to drain at a time, in which order, and how long to wait in between, so that
+//! the remaining hosts have the capacity for all calls.
 
 use crate::pool::{Host, Pool};
 use coppersail::interface::HostId;
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest utilisation of the hosts that stay, 0 to 1: the rest is for retries and for one host that fails.
+/// Highest utilisation of the remaining hosts, 0 to 1; the rest is headroom for retries and for the failure
+/// of one host.
 const MAX_UTILISATION: f64 = 0.85;
-/// Where capacities are unknown, this share of the initial size must always be there.
+/// Where capacities are unknown, at least this share of the initial relative capacity must remain.
 const MIN_REMAINING_SHARE: f64 = 0.8;
-/// Seconds that a step takes at least: new tables are computed, sent and applied, and the hosts' calls end.
-const STEP_TIME: f64 = 5.0;
-/// Seconds after which a step is taken although there is no room for it.
-const MAX_WAIT: f64 = 600.0;
-/// Seconds by which the plan advances while it waits.
-const TICK: f64 = 1.0;
-
-/// What is to be drained.
+/// Minimum time between two steps, in seconds: new tables are computed, sent and applied, and calls in flight
+/// at the drained hosts end.
+const STEP_TIME_S: f64 = 5.0;
+/// Seconds after which one host is drained although the remaining ones lack the capacity.
+const MAX_WAIT_S: f64 = 600.0;
+/// Time step of the plan while it waits, in seconds.
+const TICK_S: f64 = 1.0;
+
+/// What to drain.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainRequest {
     /// The hosts; their order is chosen by the plan.
     pub hosts: BTreeSet<HostId>,
-    /// Each comes back cold so many seconds after it was drained; `None`: it stays away.
+    /// Seconds after which each drained host returns, cold; `None`: it does not return.
     pub return_after: Option<f64>,
-    /// The greatest number at a time; `None`: as many as there is room for.
+    /// Limit of hosts that are out of service at a time; `None`: limited by capacity only.
     pub max_hosts_at_once: Option<usize>,
-    /// Calls a second of all slices.
+    /// Total load of all slices, in calls per second.
     pub calls: f64,
 }
 
 /// One step of a plan: hosts that are drained at the same time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct DrainPlanStep {
-    /// Seconds from the beginning of the plan.
+    /// Time from the start of the plan, in seconds.
     pub at: f64,
     /// The hosts.
     pub hosts: Vec<HostId>,
-    /// Utilisation of the hosts that stay meanwhile, 0 to 1 or more; `None`: capacities are unknown.
+    /// Utilisation of the remaining hosts during the step; above 1 if they are overloaded. `None`: capacities
+    /// are unknown.
     pub utilisation: Option<f64>,
-    /// The hosts that stay have not enough capacity, and waiting does not help.
+    /// The remaining hosts lack the capacity, and waiting did not help.
     pub forced: bool,
 }
 
-/// Where a host is in the course of the plan. Times are seconds from its beginning.
+/// State of a host in the plan. Times are seconds from the start of the plan.
 #[derive(Clone, Copy, PartialEq)]
 enum Progress {
     NotDrained,
     Waiting,
     Drained,
-    BackSince(f64),
+    ReturnedAt(f64),
 }
 
 struct Returning {
@@ -60,43 +63,44 @@
 struct Planner<'a> {
     pool: &'a Pool,
     drain: &'a DrainRequest,
-    /// The time at which the plan begins.
-    begin: f64,
-    /// Seconds from the beginning.
+    /// Clock time at which the plan starts, in seconds.
+    started_at: f64,
+    /// Seconds since the plan started.
     elapsed: f64,
     hosts: BTreeMap<HostId, Progress>,
     returning: Vec<Returning>,
     initial_capacity: f64,
 }
 
-/// Plans to drain hosts, from `now` on. Of the hosts that wait the one whose zone has most left without it goes
-/// first, of equals the smallest, so a zone is never drained whole while another could give a host. The last open
-/// host stays.
-pub fn drain(pool: &Pool, wanted: &DrainRequest, now: f64) -> Vec<DrainPlanStep> {
-    let mut planner = Planner::new(pool, wanted, now);
+/// Plans to drain hosts, starting at `now`. The next host is always the one whose zone keeps the most
+/// capacity without it, and among equals the smallest, so no zone is drained completely while another zone
+/// can spare a host. The last open host is not drained.
+pub fn drain(pool: &Pool, request: &DrainRequest, now: f64) -> Vec<DrainPlanStep> {
+    let mut planner = Planner::new(pool, request, now);
     let mut steps = Vec::new();
     let mut waited = 0.0;
-    // Each turn drains a host or advances by a tick, and the waiting time of a step is bounded.
+    // The loop ends: each iteration drains a host or advances by a tick, and the waiting time of a step is
+    // bounded.
     while planner.has_waiting() {
         planner.return_hosts();
         let room = planner.room();
         let mut hosts = planner.drain_within_capacity(room);
-        let forced = hosts.is_empty() && waited >= MAX_WAIT && room > 0;
+        let forced = hosts.is_empty() && waited >= MAX_WAIT_S && room > 0;
         if forced {
             let Some(host) = planner.drain_by_force() else { break };
             hosts.push(host);
         }
         if hosts.is_empty() {
-            planner.elapsed += TICK;
-            waited += TICK;
-            if waited > MAX_WAIT + TICK {
+            planner.elapsed += TICK_S;
+            waited += TICK_S;
+            if waited > MAX_WAIT_S + TICK_S {
                 break;
             }
             continue;
         }
         planner.schedule_return(&hosts);
         steps.push(DrainPlanStep { at: planner.elapsed, hosts, utilisation: planner.utilisation(), forced });
-        planner.elapsed += STEP_TIME;
+        planner.elapsed += STEP_TIME_S;
         waited = 0.0;
     }
     steps
@@ -110,7 +114,7 @@
         let mut planner = Planner {
             pool,
             drain,
-            begin: now,
+            started_at: now,
             elapsed: 0.0,
             hosts,
             returning: vec![],
@@ -127,17 +131,17 @@
     fn return_hosts(&mut self) {
         let elapsed = self.elapsed;
         for returning in self.returning.extract_if(.., |returning| returning.at <= elapsed) {
-            self.hosts.insert(returning.host, Progress::BackSince(elapsed));
+            self.hosts.insert(returning.host, Progress::ReturnedAt(elapsed));
         }
     }
 
-    /// Hosts that may be drained now by the limit of the request.
+    /// Number of further hosts that the limit of the request allows to drain now.
     fn room(&self) -> usize {
         let drained = self.hosts.values().filter(|progress| **progress == Progress::Drained).count();
         self.drain.max_hosts_at_once.unwrap_or(usize::MAX).saturating_sub(drained)
     }
 
-    /// Drains hosts while those that stay have the capacity for all calls.
+    /// Drains hosts as long as the remaining ones have the capacity for all calls.
     fn drain_within_capacity(&mut self, room: usize) -> Vec<HostId> {
         let mut drained = Vec::new();
         while drained.len() < room {
@@ -163,12 +167,12 @@
         }
     }
 
-    /// Drains one host without regard to capacity; `None` if no other one would be left.
+    /// Drains one host regardless of capacity; `None` if no other host would be left.
     fn drain_by_force(&mut self) -> Option<HostId> {
         let id = self.next_host()?;
         self.hosts.insert(id, Progress::Drained);
-        let nobody_left = self.serving_capacity() <= 0.0;
-        (!nobody_left).then_some(id)
+        let none_left = self.serving_capacity() <= 0.0;
+        (!none_left).then_some(id)
     }
 
     fn schedule_return(&mut self, hosts: &[HostId]) {
@@ -177,34 +181,34 @@
         self.returning.extend(hosts.iter().map(|host| Returning { at, host: *host }));
     }
 
-    /// The size of a host at this time of the plan, see [`Host::relative_capacity`].
+    /// The relative capacity of a host at this time of the plan, see [`Host::relative_capacity`].
     fn relative_capacity(&self, id: HostId, progress: Progress) -> f64 {
         let host = &self.pool.hosts[&id];
-        let now = self.begin + self.elapsed;
+        let now = self.started_at + self.elapsed;
         match progress {
             Progress::NotDrained | Progress::Waiting => {
                 host.relative_capacity(now, &self.pool.capacity_model)
             }
             Progress::Drained => 0.0,
-            Progress::BackSince(since) => {
-                let restarted = Host { started_at: Some(self.begin + since), ..*host };
+            Progress::ReturnedAt(since) => {
+                let restarted = Host { started_at: Some(self.started_at + since), ..*host };
                 restarted.relative_capacity(now, &self.pool.capacity_model)
             }
         }
     }
 
-    /// The size of all hosts that serve.
+    /// Total relative capacity of the hosts in service.
     fn serving_capacity(&self) -> f64 {
         self.hosts.iter().map(|(id, progress)| self.relative_capacity(*id, *progress)).sum()
     }
 
-    /// Utilisation of the hosts that serve; `None`: capacities are unknown.
+    /// Utilisation of the hosts in service; `None`: capacities are unknown.
     fn utilisation(&self) -> Option<f64> {
         let capacity = self.pool.capacity_model.capacity?;
         Some(self.drain.calls / (self.serving_capacity() * capacity.low).max(1e-9))
     }
 
-    /// The waiting host that goes next.
+    /// The next host to drain.
     fn next_host(&self) -> Option<HostId> {
         let waiting = self.hosts.iter().filter(|(_, progress)| **progress == Progress::Waiting);
         let key = |id: HostId| (-self.zone_capacity_without(id), self.relative_capacity(id, self.hosts[&id]));
--- a/crates/director/capacity-guard/src/guard.rs
+++ b/crates/director/capacity-guard/src/guard.rs
@@ -1,5 +1,5 @@
-//! The state that proposals are judged against: the hosts and tables in force. Proposals and pending events are applied
-//! on trial and reverted.
+//! The state that proposals are evaluated against: the hosts and tables in force. Proposals and pending
+//! events are applied speculatively and then rolled back.
 
 use crate::bound::FleetSizes;
 use crate::inspection::Inspection;
@@ -11,23 +11,24 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::rc::Rc;
 
-/// How far ahead pending events are considered, in seconds. Later ones will have been answered by other tables: new
-/// ones reach the proxies within a few seconds even where the channel is slow.
-const LOOK_AHEAD: f64 = 15.0;
-/// Fleet sizes are measured again after so many seconds: hosts warm up slowly.
-const SIZES_MAX_AGE: f64 = 0.5;
+/// How far ahead pending events are considered, in seconds. New tables reach the proxies within a few seconds
+/// even over a slow channel, so there is time to react to later events with another proposal.
+const LOOK_AHEAD_S: f64 = 15.0;
+/// Maximum age of the cached fleet sizes, in seconds. Hosts warm up slowly, so sizes change little in this
+/// time.
+const MAX_SIZES_AGE_S: f64 = 0.5;
 
-/// A change on trial, as it was before.
+/// An undo log entry: the value that a speculative change replaced.
 enum Undo {
     Weight { slice: SliceId, host: HostId, weight: f64 },
     Host { id: HostId, host: Host },
 }
 
-/// The changes on trial, in the order in which they were made.
+/// The undo log of the speculative changes, in the order in which they were made.
 #[derive(Default)]
 pub(crate) struct Trial(Vec<Undo>);
 
-/// Fleet sizes cost by the fleet, so they are kept for a while.
+/// Cached fleet sizes: the cost of measuring them grows with the number of hosts.
 #[derive(Clone)]
 struct CachedSizes {
     measured_at: f64,
@@ -35,17 +36,17 @@
     sizes: Rc<FleetSizes>,
 }
 
-/// The hosts and the tables in force.
+/// Evaluates proposed tables against the hosts and the tables in force.
 pub struct Guard {
     pub(crate) pool: Pool,
     pub(crate) loads: LoadIndex,
     sizes: Option<CachedSizes>,
-    /// Counts changes of hosts.
+    /// Incremented with each change of a host.
     host_version: u64,
 }
 
 impl Guard {
-    /// A guard of these hosts and tables, for so many routes.
+    /// Creates a guard for these hosts and tables, with `routes` routes.
     pub fn new(pool: Pool, tables: &BTreeMap<SliceId, Table>, routes: usize) -> Self {
         let loads = LoadIndex::from_tables(&pool, tables, routes);
         Guard { pool, loads, sizes: None, host_version: 0 }
@@ -61,12 +62,12 @@
         &self.loads
     }
 
-    /// What holds for all hosts, to be changed.
+    /// The capacity parameters that all hosts share, for updates.
     pub fn capacity_model_mut(&mut self) -> &mut CapacityModel {
         &mut self.pool.capacity_model
     }
 
-    /// Sets a host.
+    /// Adds or updates a host.
     pub fn set_host(&mut self, id: HostId, host: Host) {
         self.loads.set_host(id, &host);
         if self.pool.hosts.insert(id, host) != Some(host) {
@@ -89,7 +90,8 @@
         self.loads.set_demand(slice, demand);
     }
 
-    /// Sets a weight that is in force. Orders that were judged are taken in by [`Guard::commit`].
+    /// Sets a weight that is already in force. Orders that [`Guard::judge`] has evaluated are applied with
+    /// [`Guard::commit`].
     pub fn set_weight(&mut self, slice: SliceId, host: HostId, weight: f64) {
         self.loads.set_weight(slice, host, weight);
     }
@@ -99,13 +101,13 @@
         self.loads.remove_slice(slice);
     }
 
-    /// Takes in orders that are being sent: from now on they are in force.
+    /// Applies orders that are being sent to the proxies: from now on they are in force.
     pub fn commit(&mut self, orders: &[Order]) {
         let mut trial = Trial::default();
         orders.iter().for_each(|order| self.apply(order, &mut trial));
     }
 
-    /// Applies an order on trial.
+    /// Applies an order speculatively, and records in `trial` how to undo it.
     pub(crate) fn apply(&mut self, order: &Order, trial: &mut Trial) {
         match order {
             Order::SetWeight { slice, host, weight } => {
@@ -121,27 +123,27 @@
                 let undo = |(host, weight)| Undo::Weight { slice: *slice, host, weight };
                 trial.0.extend(old.into_iter().map(undo));
             }
-            Order::SetWithdrawn { host: id, withdrawn: out } => {
+            Order::SetWithdrawn { host: id, withdrawn } => {
                 let Some(host) = self.pool.hosts.get(id).copied() else { return };
-                self.set_host(*id, Host { withdrawn: *out, ..host });
+                self.set_host(*id, Host { withdrawn: *withdrawn, ..host });
                 trial.0.push(Undo::Host { id: *id, host });
             }
             _ => {}
         }
     }
 
-    /// Applies a pending event on trial.
+    /// Applies a pending event speculatively, and records in `trial` how to undo it.
     fn apply_event(&mut self, event: &PendingEvent, trial: &mut Trial) {
         let Some(host) = self.pool.hosts.get(&event.host).copied() else { return };
-        let (state, out) = match event.event {
+        let (state, withdrawn) = match event.event {
             HostEvent::Leaves => (ListedState::Draining, host.withdrawn),
             HostEvent::Opens => (ListedState::Ready, false),
         };
-        self.set_host(event.host, Host { state, proven: true, withdrawn: out, ..host });
+        self.set_host(event.host, Host { state, proven: true, withdrawn, ..host });
         trial.0.push(Undo::Host { id: event.host, host });
     }
 
-    /// Reverts what was applied on trial.
+    /// Rolls back the speculative changes.
     pub(crate) fn revert(&mut self, trial: Trial) {
         for undo in trial.0.into_iter().rev() {
             match undo {
@@ -155,11 +157,11 @@
         self.loads.placement_version() + self.host_version
     }
 
-    /// The sizes of the fleet, measured or cached.
+    /// The sizes of the fleet, from the cache if it is recent.
     pub(crate) fn fleet_sizes(&mut self, now: f64) -> Rc<FleetSizes> {
         let version = self.version();
         if let Some(cached) = &self.sizes {
-            if cached.version == version && (now - cached.measured_at).abs() < SIZES_MAX_AGE {
+            if cached.version == version && (now - cached.measured_at).abs() < MAX_SIZES_AGE_S {
                 return cached.sizes.clone();
             }
         }
@@ -168,14 +170,14 @@
         sizes
     }
 
-    /// The reasons of these hosts in the present state.
+    /// The reasons for which the current state is unsafe, limited to these hosts and their zones.
     pub(crate) fn inspect(&mut self, hosts: &BTreeSet<HostId>, now: f64) -> Vec<Reason> {
         let sizes = self.fleet_sizes(now);
         Inspection { pool: &self.pool, loads: &self.loads, sizes: &sizes, now }.reasons(hosts)
     }
 
-    /// Evaluates the present state, and the state after each time at which pending events are complete. The guard is as
-    /// before when this returns.
+    /// Calls `evaluate` for the current state, and for the state after each time at which pending events
+    /// complete. The guard is unchanged when this returns.
     pub(crate) fn at_each_moment<T>(
         &mut self,
         pending: &[PendingEvent],
@@ -187,14 +189,15 @@
         let mut trial = Trial::default();
         for (index, event) in pending.iter().enumerate() {
             self.apply_event(event, &mut trial);
-            // Events at the same time make one moment.
+            // Events that complete at the same time are evaluated together.
             if pending.get(index + 1).is_none_or(|next| next.at > event.at) {
                 results.push(evaluate(self, Moment::At(event.at), event.at));
             }
         }
         if !trial.0.is_empty() {
             self.revert(trial);
-            // The state is the same again under a new version, so what was cached is valid under that.
+            // The rollback restored the state but incremented the version, so the cache entry is valid for
+            // the new version.
             let restored = self.version();
             self.sizes = cached.map(|cached| CachedSizes {
                 version: if cached.version == version { restored } else { cached.version },
@@ -204,7 +207,8 @@
         results
     }
 
-    /// The reasons of these hosts in the present state, and of all hosts at each moment ahead.
+    /// The reasons for which the current state is unsafe, limited to these hosts, and those of all hosts at
+    /// the time of each pending event.
     pub(crate) fn inspect_ahead(
         &mut self,
         hosts: &BTreeSet<HostId>,
@@ -218,7 +222,7 @@
         })
     }
 
-    /// The severity of the present state and the moments ahead, whichever is worst.
+    /// The highest severity among the current state and the states at the pending events.
     pub(crate) fn severity(
         &mut self,
         hosts: &BTreeSet<HostId>,
@@ -254,12 +258,11 @@
     }
 }
 
-/// The pending events that are near enough to matter, in the order of their times. Those that are overdue count as
-/// complete now.
+/// The pending events within [`LOOK_AHEAD_S`], sorted by time. Overdue events count as completing now.
 pub(crate) fn near_events(pending: &[PendingEvent], now: f64) -> Vec<PendingEvent> {
-    let is_near = |event: &&PendingEvent| event.at <= now + LOOK_AHEAD;
-    let not_past = |event: &PendingEvent| PendingEvent { at: event.at.max(now), ..*event };
-    let mut near: Vec<PendingEvent> = pending.iter().filter(is_near).map(not_past).collect();
+    let is_near = |event: &&PendingEvent| event.at <= now + LOOK_AHEAD_S;
+    let clamped = |event: &PendingEvent| PendingEvent { at: event.at.max(now), ..*event };
+    let mut near: Vec<PendingEvent> = pending.iter().filter(is_near).map(clamped).collect();
     near.sort_by(|a, b| a.at.total_cmp(&b.at));
     near
 }
--- a/crates/director/capacity-guard/src/guarded_director.rs
+++ b/crates/director/capacity-guard/src/guarded_director.rs
@@ -1,5 +1,5 @@
-//! The decision module with the capacity guard behind it, called like the module alone. Refused orders are reported
-//! back to the module, which decides again a bounded number of times.
+//! Wraps the decision module so that the capacity guard screens its orders; the interface is that of the
+//! module. Refused orders are reported back to the module, which decides again a bounded number of times.
 
 use crate::capacity::CapacityEstimator;
 use crate::demand::DemandEstimator;
@@ -12,27 +12,28 @@
 use coppersail::Director;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often the module may decide again within one batch of inputs. What it then still wants goes out as far as it is
-/// safe.
+/// Limit of repeated decisions within one batch of inputs. Of the last proposal, the orders that are not
+/// refused are sent.
 const MAX_RETRIES: usize = 2;
-/// Seconds after which demand and capacities are estimated again: as often as reports arrive.
-const ESTIMATE_INTERVAL: f64 = 1.0;
-/// Orders in a call, about: the relay's limit in bytes over the length of a usual order.
+/// Interval at which demand and capacities are estimated, in seconds: that of the reports.
+const ESTIMATE_INTERVAL_S: f64 = 1.0;
+/// Approximate number of orders in a call: the relay's limit in bytes divided by the length of a typical
+/// order.
 const MAX_CALL_ORDERS: usize = 2000;
-/// Log lines about refusals in a second.
+/// Limit of log lines about refusals, per second.
 const MAX_LOGS_PER_S: usize = 5;
-/// Demand that changes by less than this share is not updated: reports are no more accurate.
+/// Relative change of demand below which the guard is not updated, as reports are no more accurate than this.
 const DEMAND_TOLERANCE: f64 = 0.1;
-/// The least demand by which the tolerance is measured, in calls a second.
-const MIN_TOLERANCE_DEMAND: f64 = 0.01;
+/// Lower limit of the demand that [`DEMAND_TOLERANCE`] applies to, in calls per second.
+const MIN_TOLERANCE_DEMAND_PER_S: f64 = 0.01;
 
-/// What the guard does.
+/// Mode of the guard.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
-    /// Nothing is judged.
+    /// Proposals are not evaluated.
     #[default]
     Off,
-    /// Proposals are judged, logged and counted, and sent all the same.
+    /// Proposals are evaluated, and unsafe ones are logged and counted; all are sent.
     Watch,
     /// Unsafe proposals are refused.
     On,
@@ -41,21 +42,22 @@
 /// Counters since the start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Counts {
-    /// Proposals that were judged.
+    /// Proposals that were evaluated.
     pub judged: u64,
     /// Proposals that were accepted.
     pub accepted: u64,
-    /// Unsafe proposals that were sent as they were less severe than the state in force.
+    /// Unsafe proposals that were sent because they were less severe than the state in force.
     pub improvements: u64,
     /// Proposals that were refused, in whole or in part.
     pub refused: u64,
-    /// Refused proposals that were sent, as all their slices had been refused too often.
+    /// Refused proposals of which no slice was held back, for example because all their slices had been
+    /// refused too often.
     pub overruled: u64,
 }
 
 #[derive(Default)]
-struct LogLimit {
-    second_began_at: f64,
+struct LogRateLimit {
+    window_started_at: f64,
     lines: usize,
 }
 
@@ -75,14 +77,15 @@
 pub struct GuardedDirector {
     director: Director,
     mode: Mode,
-    /// There is no guard: nothing is kept for it, and it cannot be switched on.
+    /// The guard is disabled permanently: no state is kept for it, and [`GuardedDirector::set_mode`] has no
+    /// effect.
     unguarded: bool,
     guard: Guard,
     demand: DemandEstimator,
     capacity: CapacityEstimator,
     reports: HostReports,
     listed: BTreeSet<HostId>,
-    /// Announced events.
+    /// Announced events, such as planned shutdowns.
     pending: Vec<PendingEvent>,
     /// Slices that this director is responsible for.
     slices: BTreeSet<SliceId>,
@@ -91,7 +94,7 @@
     has_new_slices: bool,
     started: bool,
     refusals: RefusalHistory,
-    logs: LogLimit,
+    logs: LogRateLimit,
     /// Counters since the start.
     pub counts: Counts,
 }
@@ -102,7 +105,7 @@
         GuardedDirector { unguarded: true, ..GuardedDirector::new(settings, seed, Mode::Off) }
     }
 
-    /// The module with a guard. `seed`: of the module's random choices.
+    /// The module with a guard. `seed` seeds the module's random choices.
     pub fn new(settings: Settings, seed: u64, mode: Mode) -> Self {
         let capacity_model = CapacityModel {
             cold_capacity_share: settings.cold_capacity_share,
@@ -126,22 +129,22 @@
             has_new_slices: false,
             started: false,
             refusals: RefusalHistory::default(),
-            logs: LogLimit::default(),
+            logs: LogRateLimit::default(),
             counts: Counts::default(),
         }
     }
 
-    /// Switches the guard to another mode.
+    /// Sets the mode of the guard.
     pub fn set_mode(&mut self, mode: Mode) {
         self.mode = mode;
     }
 
-    /// Sets all events that are announced.
+    /// Replaces the list of announced events.
     pub fn set_pending_events(&mut self, pending: Vec<PendingEvent>) {
         self.pending = pending;
     }
 
-    /// The state that proposals are judged against.
+    /// The state that proposals are evaluated against.
     pub fn guard(&self) -> &Guard {
         &self.guard
     }
@@ -153,7 +156,7 @@
         }
         inputs.iter().for_each(|input| self.observe(now, input));
         self.started = true;
-        if now - self.estimated_at >= ESTIMATE_INTERVAL {
+        if now - self.estimated_at >= ESTIMATE_INTERVAL_S {
             self.estimated_at = now;
             self.estimate(now);
         }
@@ -193,7 +196,7 @@
         self.director.max_pending_lines()
     }
 
-    /// Demand of this director's slices in calls a second; 0 without reports.
+    /// Total demand of this director's slices, in calls per second; 0 without reports.
     pub fn total_demand(&self) -> f64 {
         let loads = self.guard.loads();
         if self.demand.has_reports() {
@@ -210,8 +213,9 @@
                 self.guard.remove_slice(*slice);
                 self.slices.insert(*slice);
                 self.guard.set_demand(*slice, &[]);
-                // Until demand is estimated the slice would count as one without any: of six that were changed in the
-                // store, five were once concentrated on one host in that second.
+                // Until the next estimate the slice would count as one without demand, and the guard would
+                // allow any number of such slices on one host: five of six slices that were changed in the
+                // store at once were all moved to one host in that second.
                 self.has_new_slices = true;
             }
             Input::SliceRevoked(slice) => {
@@ -288,8 +292,9 @@
     fn estimate(&mut self, now: f64) {
         self.reports.evaluate(now, self.guard.pool(), &mut self.capacity);
         self.update_demand();
-        // Demand is reported for this director's slices alone, so capacity is what hosts have left beside the calls of
-        // other directors. Without reports of demand it would mean nothing.
+        // Demand and answered calls are those of this director's slices only, so the estimate is the part of
+        // a host's capacity that the other directors leave. Without reports of demand there is nothing to
+        // compare it with.
         self.guard.capacity_model_mut().capacity =
             if self.demand.has_reports() { self.capacity.estimate() } else { None };
         self.refusals.compact();
@@ -306,14 +311,15 @@
         }
     }
 
-    /// Judges a proposal of the module.
+    /// Has the guard evaluate a proposal of the module.
     fn judge(&mut self, now: f64, orders: Vec<Order>) -> Screening {
         if orders.iter().all(|order| table_of(order).is_none()) {
             return Screening::accepted(orders);
         }
         self.counts.judged += 1;
         let calls: Vec<Vec<Order>> = orders.chunks(MAX_CALL_ORDERS).map(<[Order]>::to_vec).collect();
-        // Hosts that drain by the list are closed at once, so only announced events are pending.
+        // Hosts that the endpoint list marks as draining count as closed at once, so only announced events
+        // are pending.
         match self.guard.judge(&calls, &self.pending, now) {
             Verdict::Accepted => {
                 self.counts.accepted += 1;
@@ -323,9 +329,11 @@
                 self.counts.improvements += 1;
                 Screening::accepted(orders)
             }
-            // What is less severe than the state in force is sent although the guard knows a safe repair: the module
-            // does not know it, and the state in force costs more meanwhile. Refusing it, for a turn or three times,
-            // cost 0.03 on a day of crashes and a deploy (`docs/guard.md`). Files and operators' tables do not pass so.
+            // A proposal that is less severe than the state in force is sent although the guard knows a safe
+            // repair: the module does not know the repair, and the worse state would stay in force until it
+            // finds one. Refusing such proposals once or three times cost 0.03 of the score on a simulated
+            // day with crashes and a deployment (`docs/guard.md`). Tables from files or operators are refused
+            // in this case.
             Verdict::Refused(refused) if refused.is_improvement => {
                 self.counts.improvements += 1;
                 Screening::accepted(orders)
@@ -334,7 +342,7 @@
         }
     }
 
-    /// Holds back the orders of the slices that a proposal is refused for.
+    /// Drops the orders of the slices that cause the refusal; the other orders are accepted.
     fn refuse(&mut self, now: f64, orders: Vec<Order>, refused: &Findings) -> Screening {
         self.counts.refused += 1;
         let mut accepted: Vec<Order> = self.log_line(now, refused).into_iter().collect();
@@ -356,24 +364,25 @@
         Screening { accepted, refusals }
     }
 
-    /// What the module is told of a refused slice: each host that it wanted, and the table in force.
+    /// The inputs that report a refused slice to the module: one for each host that it proposed and one
+    /// without a host, each with the table in force.
     fn refusal_inputs(&self, slice: SliceId, orders: &[Order]) -> Vec<Input> {
         let table = self.guard.loads().tables().get(&slice);
-        let lines = table.map(|table| table.weights.clone()).unwrap_or_default();
+        let weights = table.map(|table| table.weights.clone()).unwrap_or_default();
         let hosts = orders.iter().filter_map(|order| match order {
             Order::SetWeight { slice: of, host, weight } if *of == slice && *weight > 0.0 => {
                 Some(Some(*host))
             }
             _ => None,
         });
-        let input = |host| Input::WeightsRejected { slice, host, weights: lines.clone() };
+        let input = |host| Input::WeightsRejected { slice, host, weights: weights.clone() };
         hosts.chain([None]).map(input).collect()
     }
 
-    /// A log line about a refusal; `None` when there were too many in this second.
+    /// A log line about a refusal; `None` if the limit of this second is reached.
     fn log_line(&mut self, now: f64, refused: &Findings) -> Option<Order> {
-        if now - self.logs.second_began_at >= 1.0 {
-            self.logs = LogLimit { second_began_at: now, lines: 0 };
+        if now - self.logs.window_started_at >= 1.0 {
+            self.logs = LogRateLimit { window_started_at: now, lines: 0 };
         }
         self.logs.lines += 1;
         if self.logs.lines > MAX_LOGS_PER_S {
@@ -400,6 +409,7 @@
 }
 
 fn is_similar(old: &[f64], new: &[f64]) -> bool {
-    let is_close = |(a, b): (&f64, &f64)| (a - b).abs() <= DEMAND_TOLERANCE * b.max(MIN_TOLERANCE_DEMAND);
+    let is_close =
+        |(a, b): (&f64, &f64)| (a - b).abs() <= DEMAND_TOLERANCE * b.max(MIN_TOLERANCE_DEMAND_PER_S);
     old.len() == new.len() && old.iter().zip(new).all(is_close)
 }
--- a/crates/director/capacity-guard/src/host_reports.rs
+++ b/crates/director/capacity-guard/src/host_reports.rs
@@ -1,14 +1,14 @@
-//! Reports about hosts since they were last evaluated.
+//! Collects reports about hosts until they are evaluated.
 
 use crate::capacity::{CapacityEstimator, HostObservation};
 use crate::pool::Pool;
 use coppersail::interface::{HostId, LoadReport, ZoneId};
 use std::collections::BTreeMap;
 
-/// The least length of a reporting interval, in seconds.
-const MIN_SPAN: f64 = 0.01;
+/// Minimum length of a reporting interval, in seconds; avoids a division by zero.
+const MIN_WINDOW_S: f64 = 0.01;
 
-/// Attempts of the proxies of one zone at one host.
+/// Attempts at one host by the proxies of one zone.
 #[derive(Clone, Copy, Debug, Default)]
 struct AttemptSum {
     answered: f64,
@@ -16,7 +16,7 @@
     seconds: f64,
 }
 
-/// The attempts by host and zone of the proxies, and the load that hosts reported last.
+/// The attempts by host and zone of the proxies, and the latest reported load of each host.
 #[derive(Default)]
 pub(crate) struct HostReports {
     attempts: BTreeMap<(HostId, ZoneId), AttemptSum>,
@@ -24,21 +24,21 @@
 }
 
 impl HostReports {
-    /// Adds a report of attempts in `span` seconds.
+    /// Adds a report of attempts in `window` seconds.
     pub(crate) fn add(&mut self, host: HostId, zone: ZoneId, answered: u64, failed: u64, window: f64) {
         let sum = self.attempts.entry((host, zone)).or_default();
         sum.answered += answered as f64;
         sum.failed += failed as f64;
-        sum.seconds += window.max(MIN_SPAN);
+        sum.seconds += window.max(MIN_WINDOW_S);
     }
 
     pub(crate) fn set_load(&mut self, host: HostId, load: LoadReport) {
         self.loads.insert(host, load);
     }
 
-    /// Hands the reports on to the estimator, and begins anew.
+    /// Passes the collected reports to the estimator, and clears them.
     pub(crate) fn evaluate(&mut self, now: f64, pool: &Pool, estimator: &mut CapacityEstimator) {
-        // The zones report at different intervals, so their rates are added and not their sums.
+        // The proxies of each zone report at intervals of their own, so rates are added, not counts.
         let mut observations: BTreeMap<HostId, HostObservation> = BTreeMap::new();
         for ((id, _), sum) in std::mem::take(&mut self.attempts) {
             let observation = observations.entry(id).or_default();
--- a/crates/director/capacity-guard/src/inspection.rs
+++ b/crates/director/capacity-guard/src/inspection.rs
@@ -1,4 +1,4 @@
-//! Inspection of a state of the tables: all reasons for which it is unsafe.
+//! Finds all reasons for which a state of the tables is unsafe.
 
 use crate::bound::{FleetSizes, LoadBound};
 use crate::load_index::{HostLoad, LoadIndex};
@@ -7,10 +7,10 @@
 use coppersail::interface::{HostId, RouteId, ZoneId};
 use std::collections::BTreeSet;
 
-/// Sums are rounded: a bound is exceeded when it is exceeded by more than this factor.
+/// Factor by which a load must exceed its bound to count, as the sums have rounding errors.
 const ROUNDING_FACTOR: f64 = 1.001;
 
-/// What is inspected.
+/// The state to inspect.
 pub(crate) struct Inspection<'a> {
     pub(crate) pool: &'a Pool,
     pub(crate) loads: &'a LoadIndex,
@@ -19,7 +19,7 @@
 }
 
 impl Inspection<'_> {
-    /// The reasons of all slices, of these hosts, and of the zones that these hosts are in.
+    /// The reasons that concern any slice, one of these hosts, or one of their zones.
     pub(crate) fn reasons(&self, hosts: &BTreeSet<HostId>) -> Vec<Reason> {
         let uncovered = self.loads.uncovered().iter();
         let mut reasons: Vec<Reason> = uncovered.map(|slice| Reason::Uncovered { slice: *slice }).collect();
--- a/crates/director/capacity-guard/src/judgement.rs
+++ b/crates/director/capacity-guard/src/judgement.rs
@@ -1,4 +1,5 @@
-//! The judgement of a proposal: accepted, accepted as less severe than the state in force, or refused.
+//! Evaluation of a proposal: it is accepted, accepted because it is less severe than the state in force, or
+//! refused.
 
 use crate::guard::{near_events, Guard, Trial};
 use crate::pool::PendingEvent;
@@ -8,26 +9,28 @@
 use coppersail::interface::{HostId, Order};
 use std::collections::BTreeSet;
 
-/// What is unsafe about a proposal.
+/// What makes a proposal unsafe.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Findings {
-    /// What the proposal makes unsafe, the most severe kind first; 100 at most.
+    /// The violations that the proposal causes, the most severe kind first; at most 100.
     pub reasons: Vec<Violation>,
-    /// Changes that make the proposal safe, or the least severe that was found.
+    /// Additional changes that make the proposal safe or, if none were found, the ones with the least severe
+    /// result.
     pub repair: Option<Repair>,
-    /// With its repair the proposal would be accepted, and be less severe than the state in force.
+    /// The proposal together with `repair` would be accepted, and is less severe than the state in force.
     pub repair_is_safe: bool,
-    /// As it is, the proposal is less severe than the state in force.
+    /// Without the repair, the proposal is unsafe but less severe than the state in force.
     pub is_improvement: bool,
 }
 
-/// The answer to a proposal.
+/// The verdict on a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
-    /// It makes nothing unsafe.
+    /// It causes no violation.
     Accepted,
-    /// It is unsafe, but less so than the state in force, and no safe repair was found or it gives a slice without a
-    /// host one: the fleet must not be stopped. There may be a repair that improves it further.
+    /// It is unsafe, but less severe than the state in force; and no safe repair was found, or it assigns an
+    /// open host to a slice that has none. Refusing it would keep a worse state in force. There may be a
+    /// repair that improves it further.
     Improvement(Findings),
     /// It is unsafe.
     Refused(Findings),
@@ -41,8 +44,8 @@
 }
 
 impl Guard {
-    /// Judges a proposal: the orders of calls that are sent one after the other. `now` and the times of the pending
-    /// events are in seconds. The guard is as before when this returns.
+    /// Evaluates a proposal: the orders of calls that are sent one after the other. `now` and the times of
+    /// the pending events are in seconds. The guard is unchanged when this returns.
     pub fn judge(&mut self, calls: &[Vec<Order>], pending: &[PendingEvent], now: f64) -> Verdict {
         let pending = near_events(pending, now);
         let touched = self.touched_hosts(calls.iter().flatten());
@@ -58,13 +61,15 @@
         let (severity_before, severity_after) = (worst_severity(&before), worst_severity(&after));
         let is_improvement = severity_after.is_less(&severity_before);
         let covers_slice = severity_after.uncovered < severity_before.uncovered;
-        // What is unsafe only between two calls is repaired by their order, not by other weights.
+        // A state that is unsafe only between two calls is avoided by reordering the calls, not by other
+        // weights.
         let is_transient = violations.iter().all(|found| matches!(found.when, Moment::BetweenCalls(_)));
         let found = if is_transient { None } else { find_repair(self, calls, &touched, &pending, now) };
         let repair_is_safe = found.as_ref().is_some_and(|found| found.is_safe);
         let repair = found.map(|found: FoundRepair| found.repair);
         let refused = Findings { reasons: violations, repair, repair_is_safe, is_improvement };
-        // A slice without a host loses every call, so it does not wait for a better table.
+        // A slice without an open host loses every call, so its table is sent even though a better one
+        // exists.
         if is_improvement && !is_transient && (!repair_is_safe || covers_slice) {
             Verdict::Improvement(refused)
         } else {
@@ -72,7 +77,8 @@
         }
     }
 
-    /// Applies the calls on trial. Returns the reasons after each but the last.
+    /// Applies the calls speculatively. Returns the reasons for which the state after each call but the last
+    /// is unsafe.
     fn apply_calls(
         &mut self,
         calls: &[Vec<Order>],
--- a/crates/director/capacity-guard/src/lib.rs
+++ b/crates/director/capacity-guard/src/lib.rs
@@ -1,22 +1,23 @@
-//! Capacity guard: whether tables are safe before they are sent to the proxies. It stands between whoever makes tables
-//! (the decision module, operators' changes, a store) and the channel.
+//! Capacity guard: checks that tables are safe before they are sent to the proxies. It sits between the
+//! sources of tables (the decision module, operators' changes, a store) and the channel to the proxies.
 //!
-//! [`Guard::judge`] compares a proposal with the state in force, at every moment that matters: after each of its calls,
-//! and when pending events are complete. A refusal names every reason and, where one was found, the smallest repair.
-//! [`drain`] plans deploys. `docs/guard.md` has the definitions, the design and the measurements.
+//! [`Guard::judge`] compares a proposal with the state in force at each relevant time: after each of its
+//! calls, and when pending events complete. A refusal lists the violations and, if one was found, a repair.
+//! [`drain`] plans the draining of hosts, for example for a deployment. `docs/guard.md` has the definitions,
+//! the design and the measurements.
 //!
 //! | module | concern |
 //! | --- | --- |
 //! | `pool` | hosts, their capacity, pending events |
 //! | `demand`, `capacity` | estimates of demand and of capacity from reports |
-//! | `load_index` | load of hosts and zones by the tables |
-//! | `bound` | the load that hosts and zones may have |
+//! | `load_index` | load that the tables bring to hosts and zones |
+//! | `bound` | upper bounds of the load of hosts and zones |
 //! | `reason`, `inspection` | why a state is unsafe |
-//! | `violation` | what a proposal makes unsafe |
+//! | `violation` | violations that a proposal causes |
 //! | `guard`, `judgement` | the state in force, and the verdict on a proposal |
 //! | `repair` | greedy search, and linear programming |
 //! | `drain` | drain plans |
-//! | `guarded_director`, `host_reports`, `refusals` | the decision module behind its guard |
+//! | `guarded_director`, `host_reports`, `refusals` | the decision module with its orders screened |
 //!
 //! The package is pure: no clock, no I/O, no random draws. The same hosts, tables and orders always give the same
 //! verdict.
--- a/crates/director/capacity-guard/src/load_index.rs
+++ b/crates/director/capacity-guard/src/load_index.rs
@@ -1,25 +1,25 @@
-//! The load that the tables bring to each host and zone, as an index that is kept up to date with each changed
-//! weight: a change costs by the size of its own table and not by that of the fleet.
+//! Index of the load that the tables bring to each host and zone. It is updated incrementally, so the cost of
+//! a change depends on the size of the changed table and not on that of the fleet.
 
 use crate::pool::{Host, Pool};
 use coppersail::interface::{HostId, RouteId, SliceId, ZoneId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Changes after which all sums are computed anew. Adding and subtracting leaves a rounding error each time; after so
-/// many it is a millionth of a call at most.
-const MAX_CHANGES: usize = 1 << 18;
+/// Number of changes after which all sums are recomputed. Each addition and subtraction adds a rounding
+/// error; after this many changes it is at most a millionth of a call per second.
+const MAX_CHANGES_UNTIL_RECOMPUTE: usize = 1 << 18;
 
 /// The table of one slice: its demand, and the hosts that share it.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Table {
-    /// Calls a second, by route.
+    /// Calls per second, by route.
     pub demand: Vec<f64>,
-    /// The weight of each host; an open host gets calls in proportion to it.
+    /// The weight of each host; open hosts get calls in proportion to their weights.
     pub weights: BTreeMap<HostId, f64>,
 }
 
 impl Table {
-    /// Calls a second in all routes.
+    /// Calls per second in all routes together.
     pub fn calls(&self) -> f64 {
         self.demand.iter().sum()
     }
@@ -28,24 +28,24 @@
 /// The load of one host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct HostLoad {
-    /// Calls a second in all routes.
+    /// Calls per second in all routes together.
     pub calls: f64,
-    /// Calls a second by route.
+    /// Calls per second by route.
     pub by_route: Vec<f64>,
-    /// All calls of all tables that name the host: its load if all others in them fail.
+    /// All calls of all tables that contain the host: its load if all other hosts in them fail.
     pub worst_case_calls: f64,
-    /// The tables that name it.
+    /// The slices whose tables contain it.
     pub tables: BTreeSet<SliceId>,
 }
 
-/// What of a host matters for the division of calls.
+/// The properties of a host that determine where calls go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 struct Placement {
     open: bool,
     zone: ZoneId,
 }
 
-/// Whether a table's load is added to the sums or taken off.
+/// Whether a table's load is added to or subtracted from the sums.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Sign {
     Plus,
@@ -61,29 +61,29 @@
     }
 }
 
-/// The tables, and the load that follows from them.
+/// The tables, and the load that results from them.
 #[derive(Clone, Debug)]
 pub struct LoadIndex {
     routes: usize,
     tables: BTreeMap<SliceId, Table>,
     hosts: BTreeMap<HostId, Placement>,
     host_loads: BTreeMap<HostId, HostLoad>,
-    /// Calls a second that go to a zone.
+    /// Calls per second by route and zone.
     zone_calls: BTreeMap<(RouteId, ZoneId), f64>,
-    /// Calls a second by route.
+    /// Calls per second by route.
     route_totals: Vec<f64>,
-    /// By route, the greatest demand of one slice; `None`: to be looked up again.
+    /// By route, the highest demand of one slice; `None`: must be recomputed.
     largest_demand: Vec<Option<f64>>,
-    /// Counts changes of which hosts are open, and in which zone.
+    /// Incremented whenever a host opens, closes or moves to another zone.
     placement_version: u64,
     /// Slices whose table names no open host.
     uncovered: BTreeSet<SliceId>,
-    /// Changes since all sums were last computed.
+    /// Changes since all sums were last recomputed.
     changes: usize,
 }
 
 impl LoadIndex {
-    /// An index without tables, for so many routes.
+    /// An index without tables, for this number of routes.
     pub fn new(routes: usize) -> Self {
         LoadIndex {
             routes,
@@ -115,7 +115,7 @@
         &self.tables
     }
 
-    /// The load of a host; `None` if no table has ever named it.
+    /// The load of a host; `None` if no table has ever contained it.
     pub fn host_load(&self, host: HostId) -> Option<&HostLoad> {
         self.host_loads.get(&host)
     }
@@ -125,7 +125,7 @@
         &self.uncovered
     }
 
-    /// Calls a second of a route; 0 for an unknown one.
+    /// Calls per second of a route; 0 for an unknown one.
     pub fn route_total(&self, route: RouteId) -> f64 {
         self.route_totals.get(usize::from(route.0)).copied().unwrap_or(0.0)
     }
@@ -140,12 +140,13 @@
         (0..self.routes).map(|route| RouteId(route as u16))
     }
 
-    /// Calls a second of a route that go to a zone.
+    /// Calls per second of a route that go to a zone.
     pub fn zone_calls(&self, route: RouteId, zone: ZoneId) -> f64 {
         self.zone_calls.get(&(route, zone)).copied().unwrap_or(0.0)
     }
 
-    /// By route, the greatest demand of one slice: load cannot be divided finer than that.
+    /// By route, the highest demand of one slice. A slice may be on a single host, so this is the granularity
+    /// of the load.
     pub fn largest_demand(&mut self) -> Vec<f64> {
         for (route, largest) in self.largest_demand.iter_mut().enumerate() {
             if largest.is_none() {
@@ -155,7 +156,7 @@
         self.largest_demand.iter().map(|largest| largest.unwrap_or(0.0)).collect()
     }
 
-    /// Rises whenever a host opens, closes or changes its zone.
+    /// A version that increases whenever a host opens, closes or moves to another zone.
     pub fn placement_version(&self) -> u64 {
         self.placement_version
     }
@@ -172,7 +173,8 @@
         open().map(|(host, weight)| (*host, weight / sum)).collect()
     }
 
-    /// Sets the demand of a slice in calls a second, by route; missing routes have none.
+    /// Sets the demand of a slice by route, in calls per second; routes that are missing at the end have no
+    /// demand.
     pub fn set_demand(&mut self, slice: SliceId, demand: &[f64]) {
         let mut demand = demand.to_vec();
         demand.resize(self.routes, 0.0);
@@ -183,7 +185,7 @@
             *total += demand[route] - old;
             self.largest_demand[route] = match self.largest_demand[route] {
                 Some(largest) if demand[route] >= largest => Some(demand[route]),
-                // The largest one has fallen: which one is the largest now is looked up when it is needed.
+                // The highest demand has decreased; the new highest one is looked up when it is needed.
                 Some(largest) if old >= largest => None,
                 largest => largest,
             };
@@ -226,7 +228,8 @@
         self.uncovered.remove(&slice);
     }
 
-    /// Sets a host. One that opens, closes or changes its zone costs by the tables that name it.
+    /// Adds or updates a host. If it opens, closes or moves to another zone, the cost grows with the number
+    /// of tables that contain it.
     pub fn set_host(&mut self, id: HostId, host: &Host) {
         let placement = Placement { open: host.is_open(), zone: host.zone };
         if self.hosts.get(&id) == Some(&placement) {
@@ -240,10 +243,10 @@
         tables.iter().for_each(|slice| self.add_table(*slice, Sign::Plus));
     }
 
-    /// Removes a host, unless a table still names it.
+    /// Removes a host, unless a table still contains it.
     pub fn remove_host(&mut self, id: HostId) {
-        let is_named = self.host_loads.get(&id).is_some_and(|load| !load.tables.is_empty());
-        if !is_named {
+        let is_in_table = self.host_loads.get(&id).is_some_and(|load| !load.tables.is_empty());
+        if !is_in_table {
             self.hosts.remove(&id);
             self.host_loads.remove(&id);
         }
@@ -254,12 +257,12 @@
         change(self.tables.entry(slice).or_default());
         self.add_table(slice, Sign::Plus);
         self.changes += 1;
-        if self.changes > MAX_CHANGES {
+        if self.changes > MAX_CHANGES_UNTIL_RECOMPUTE {
             self.recompute();
         }
     }
 
-    /// Adds the load of a table to all sums, or takes it off.
+    /// Adds the load of a table to all sums, or subtracts it.
     fn add_table(&mut self, slice: SliceId, sign: Sign) {
         let Some(table) = self.tables.get(&slice) else { return };
         let (shares, demand, calls) = (self.shares(table), table.demand.clone(), table.calls());
@@ -283,7 +286,7 @@
         }
     }
 
-    /// Computes all sums anew from the tables.
+    /// Recomputes all sums from the tables.
     fn recompute(&mut self) {
         self.changes = 0;
         for load in self.host_loads.values_mut() {
--- a/crates/director/capacity-guard/src/reason.rs
+++ b/crates/director/capacity-guard/src/reason.rs
@@ -4,17 +4,17 @@
 use std::cmp::Ordering;
 use std::fmt;
 
-/// Differences of severity below this are rounding.
+/// Differences of severity below this are attributed to rounding.
 const ROUNDING: f64 = 1e-6;
 
-/// When a state is in force.
+/// The time for which a state is evaluated.
 #[derive(Clone, Copy, Debug, PartialEq, PartialOrd)]
 pub enum Moment {
-    /// With all calls of the proposal sent.
+    /// After all calls of the proposal have been sent.
     AfterProposal,
     /// After this call of the proposal, counted from 0, and before the next one.
     BetweenCalls(usize),
-    /// When a pending event is complete, at this time in seconds.
+    /// After the pending events of this time (in seconds) have completed.
     At(f64),
 }
 
@@ -30,7 +30,7 @@
     }
 }
 
-/// Why a state is unsafe. Loads are in calls a second, shares from 0 to 1.
+/// Why a state is unsafe. Loads are in calls per second, shares are from 0 to 1.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Reason {
     /// The table of the slice names no open host: all of its calls are lost.
@@ -38,13 +38,13 @@
         /// The slice.
         slice: SliceId,
     },
-    /// A cold host would collapse.
+    /// The load of a cold host can make it collapse.
     ColdOverload {
         /// The host.
         host: HostId,
         /// Its load.
         calls: f64,
-        /// The load that it withstands.
+        /// The highest load that it is allowed.
         limit: f64,
     },
     /// A warm host is overloaded.
@@ -53,7 +53,7 @@
         host: HostId,
         /// Its load.
         calls: f64,
-        /// The load that it may have.
+        /// The highest load that it is allowed.
         limit: f64,
     },
     /// A route is concentrated on one host.
@@ -64,7 +64,7 @@
         host: HostId,
         /// The host's share of the route.
         share: f64,
-        /// The share that it may have.
+        /// The highest share that it is allowed.
         bound: f64,
     },
     /// A route is concentrated on one zone.
@@ -75,12 +75,12 @@
         zone: ZoneId,
         /// The zone's share of the route.
         share: f64,
-        /// The share that it may have.
+        /// The highest share that it is allowed.
         bound: f64,
     },
 }
 
-/// The kinds of reasons, the most severe first.
+/// The kinds of reasons, most severe first.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum ReasonKind {
     /// [`Reason::Uncovered`].
@@ -95,7 +95,7 @@
     ZoneConcentration,
 }
 
-/// What a reason is about, by which it is recognised in another state of the tables.
+/// What a reason is about: identifies the same reason in two states of the tables.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Subject {
     /// The kind of the reason.
@@ -107,7 +107,7 @@
 }
 
 impl Reason {
-    /// What it is about.
+    /// The subject of the reason.
     pub fn subject(&self) -> Subject {
         let subject = |kind, number, route| Subject { kind, number, route };
         match self {
@@ -123,7 +123,8 @@
         }
     }
 
-    /// How severe it is among those of its kind: the relative excess of a load, or the excess of a share.
+    /// How severe it is compared with others of its kind: the relative excess of a load, or the absolute
+    /// excess of a share.
     pub fn excess(&self) -> f64 {
         match self {
             Reason::Uncovered { .. } => 1.0,
@@ -175,22 +176,23 @@
     }
 }
 
-/// How unsafe a state is: the summed excess by kind. The order of the fields is that of the operators' rules: first
-/// that no slice is without a host, then that no cold host collapses, then what costs calls but breaks no rule.
+/// How unsafe a state is: the sum of the excesses by kind. The order of the fields is the priority of the
+/// operators' rules: no slice may be without an open host, then no cold host may collapse; the other kinds
+/// lose calls but break no rule.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Severity {
     /// Slices without an open host.
     pub uncovered: f64,
-    /// Excess of cold hosts.
+    /// Summed excess load of cold hosts.
     pub collapsing: f64,
-    /// Excess of warm hosts.
+    /// Summed excess load of warm hosts.
     pub overloaded: f64,
-    /// Excess of shares of routes, at hosts and in zones.
+    /// Summed excess shares of routes, at hosts and in zones.
     pub concentrated: f64,
 }
 
 impl Severity {
-    /// The sum over the reasons.
+    /// The severity of a state that is unsafe for these reasons.
     pub fn of<'a>(reasons: impl IntoIterator<Item = &'a Reason>) -> Self {
         let mut severity = Severity::default();
         for reason in reasons {
@@ -207,7 +209,7 @@
         severity
     }
 
-    /// Lexicographic order by the first kind in which the two differ by more than rounding.
+    /// Lexicographic comparison: the first kind in which the two differ by more than rounding decides.
     pub fn compare(&self, other: &Severity) -> Ordering {
         let kinds = |severity: &Severity| {
             [severity.uncovered, severity.collapsing, severity.overloaded, severity.concentrated]
--- a/crates/director/capacity-guard/src/refusals.rs
+++ b/crates/director/capacity-guard/src/refusals.rs
@@ -1,4 +1,5 @@
-//! Which slices a refused proposal is refused for, and which are let through as they were refused too often.
+//! Determines which slices of a refused proposal are held back, and which are let through because they have
+//! been refused too often.
 
 use crate::pool::Pool;
 use crate::reason::{Reason, ReasonKind};
@@ -6,26 +7,26 @@
 use coppersail::interface::{HostId, Order, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A slice that was refused so often within [`REFUSAL_WINDOW`] is let through: the guard may be wrong, and a slice that
-/// cannot be moved is a harm of its own. This holds neither for the two reasons that break an operators' rule, nor for
-/// an excess above [`MAX_OVERRULED_EXCESS`].
+/// A slice that was refused this often within [`REFUSAL_WINDOW_S`] is let through: the guard's estimates may
+/// be wrong, and a slice that cannot be moved does harm too. This applies neither to the two kinds of reasons
+/// that break an operators' rule nor to an excess above [`MAX_OVERRULED_EXCESS`].
 const MAX_REFUSALS: usize = 3;
-/// Seconds for which a refusal counts.
-const REFUSAL_WINDOW: f64 = 10.0;
-/// The greatest excess of a slice that is let through, see [`Reason::excess`].
+/// Time for which a refusal counts, in seconds.
+const REFUSAL_WINDOW_S: f64 = 10.0;
+/// Highest excess with which a slice is let through, see [`Reason::excess`].
 const MAX_OVERRULED_EXCESS: f64 = 0.25;
 
 /// The refusals of each slice.
 #[derive(Default)]
 pub(crate) struct RefusalHistory {
-    /// Times in seconds.
+    /// Times of the recent refusals, in seconds.
     refused_at: BTreeMap<SliceId, Vec<f64>>,
 }
 
-/// An order as a change of one table.
+/// The change that an order makes to one table.
 struct TableChange {
     slice: SliceId,
-    /// The host that is added or gets another weight.
+    /// The host that is added or whose weight is set; `None` if a host is removed.
     host: Option<HostId>,
 }
 
@@ -59,7 +60,7 @@
 }
 
 impl RefusalHistory {
-    /// The slices whose orders contribute to the violations, without those that are let through.
+    /// The slices whose orders contribute to the violations, except those that are let through.
     pub(crate) fn slices_to_refuse(
         &mut self,
         now: f64,
@@ -77,7 +78,7 @@
         }
         slices.retain(|slice, severe| {
             let recent = self.refused_at.entry(*slice).or_default();
-            recent.retain(|at| now - at <= REFUSAL_WINDOW);
+            recent.retain(|at| now - at <= REFUSAL_WINDOW_S);
             *severe || recent.len() < MAX_REFUSALS
         });
         slices.into_keys().collect()
--- a/crates/director/capacity-guard/src/repair/forecast.rs
+++ b/crates/director/capacity-guard/src/repair/forecast.rs
@@ -1,4 +1,4 @@
-//! The load that each host may have at all moments ahead.
+//! Bounds of the load of each host that hold now and at all pending events.
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
@@ -6,15 +6,15 @@
 use coppersail::interface::HostId;
 use std::collections::BTreeMap;
 
-/// The lowest bound of a host at all moments ahead.
+/// The lowest bounds of a host, of now and of all pending events.
 pub(crate) struct BoundForecast {
-    /// With it nothing is unsafe.
+    /// Within these bounds, the host is never unsafe.
     pub(crate) strict: LoadBound,
-    /// The same, or the present load where that is more: with it nothing becomes worse.
+    /// The higher of the strict bounds and the current load: within these bounds, nothing becomes worse.
     pub(crate) relaxed: LoadBound,
 }
 
-/// The bounds of all hosts, with the tables that the guard now has.
+/// The bounds of all hosts, given the guard's current tables.
 pub(crate) fn forecast_bounds(
     guard: &mut Guard,
     pending: &[PendingEvent],
@@ -40,7 +40,7 @@
         let strict = LoadBound::of(&guard.pool, &guard.loads, &sizes, *id, at);
         let load = guard.loads.host_load(*id).filter(|_| guard.loads.is_open(*id));
         let relaxed = match load {
-            Some(load) => strict.or_present_load(&guard.loads, load, host.zone),
+            Some(load) => strict.or_current_load(&guard.loads, load, host.zone),
             None => strict.clone(),
         };
         (*id, BoundForecast { strict, relaxed })
--- a/crates/director/capacity-guard/src/repair/greedy.rs
+++ b/crates/director/capacity-guard/src/repair/greedy.rs
@@ -1,5 +1,5 @@
-//! A greedy repair: each step moves the one weight that does most about the most severe reason that is left. What
-//! cannot be repaired is skipped. Cold hosts get calls only if no warm host has room.
+//! Greedy repair: each step moves one weight to relieve the most severe remaining reason. Reasons that cannot
+//! be repaired are skipped. Cold hosts get calls only if no warm host has headroom.
 
 use crate::guard::Guard;
 use crate::load_index::Table;
@@ -10,19 +10,19 @@
 use std::cmp::{Ordering, Reverse};
 use std::collections::BTreeSet;
 
-/// The greatest number of steps: tables that need more should be computed anew, not repaired.
+/// Limit of steps: tables that need more should be recomputed instead of repaired.
 pub const MAX_STEPS: usize = 2000;
 
-/// The load of a host that is to be lowered.
+/// The kind of load of a host that a step reduces.
 #[derive(Clone, Copy)]
 enum LoadKind {
     AllCalls,
-    /// If all other hosts of its tables fail.
+    /// The load if all other hosts of its tables fail.
     WorstCase,
     Route(RouteId),
 }
 
-/// A load that is to be lowered by `calls` a second.
+/// An excess load: `calls` per second more than the host is allowed.
 struct Excess {
     host: HostId,
     kind: LoadKind,
@@ -34,13 +34,13 @@
 /// A table that brings load to a host.
 struct Contribution {
     slice: SliceId,
-    /// The load of the kind that is to be lowered, calls a second.
+    /// The load of the excess kind, in calls per second.
     relief: f64,
-    /// The load in all routes, calls a second.
+    /// The load in all routes, in calls per second.
     calls: f64,
 }
 
-/// Repairs the tables that the guard now has. The guard is as before when this returns.
+/// Repairs the guard's current tables. The guard is unchanged when this returns.
 pub(crate) fn repair(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
@@ -60,15 +60,15 @@
             skipped.insert(reason.subject());
             continue;
         };
-        make(guard, &step);
+        apply_move(guard, &step);
         hosts.insert(step.to);
         moves.push(step);
     }
-    // Of all hosts, as a weight may have gone to one that was unsafe already.
+    // The severity of all hosts, as a weight may have been moved to a host that was unsafe already.
     let all_hosts = guard.all_hosts();
     let after = weights_of(guard, moves.iter().map(|step| &step.slice));
     let left = guard.severity(&all_hosts, pending, now);
-    moves.iter().rev().for_each(|step| revert(guard, step));
+    moves.iter().rev().for_each(|step| revert_move(guard, step));
     let before = weights_of(guard, moves.iter().map(|step| &step.slice));
     let proposed = guard.severity(&all_hosts, pending, now);
     left.is_less(&proposed).then(|| Repair {
@@ -78,17 +78,17 @@
     })
 }
 
-fn make(guard: &mut Guard, step: &Move) {
+fn apply_move(guard: &mut Guard, step: &Move) {
     guard.loads.set_weight(step.slice, step.to, step.weight);
     step.from.into_iter().for_each(|from| guard.loads.set_weight(step.slice, from, 0.0));
 }
 
-fn revert(guard: &mut Guard, step: &Move) {
+fn revert_move(guard: &mut Guard, step: &Move) {
     step.from.into_iter().for_each(|from| guard.loads.set_weight(step.slice, from, step.weight));
     guard.loads.set_weight(step.slice, step.to, 0.0);
 }
 
-/// The most severe reason at any moment that was not skipped.
+/// The most severe reason at any time, except those that were skipped.
 fn most_severe(
     guard: &mut Guard,
     hosts: &BTreeSet<HostId>,
@@ -105,13 +105,13 @@
 /// One step of the search.
 struct Step<'a> {
     guard: &'a Guard,
-    /// Hosts that are known to leave; they get nothing.
+    /// Hosts with a pending departure; no weight is moved to them.
     leaving: &'a BTreeSet<HostId>,
     now: f64,
 }
 
 impl Step<'_> {
-    /// The move that does most about a reason. `None`: no host can take what would have to move.
+    /// The move that best relieves a reason. `None`: no host has headroom for a move.
     fn find_move(&self, reason: &Reason) -> Option<Move> {
         let loads = &self.guard.loads;
         let excess = |host, kind, calls| Excess { host, kind, calls, excluded_zone: None };
@@ -140,7 +140,8 @@
         }
     }
 
-    /// Gives a slice without an open host one: if no host has room, the one that is overloaded least.
+    /// Assigns an open host to a slice that has none; if no host has headroom, the one with the lowest
+    /// relative load.
     fn cover(&self, slice: SliceId) -> Option<Move> {
         let table = self.guard.loads.tables().get(&slice)?;
         let to = self.host_with_headroom(table, table.calls(), None).or_else(|| self.least_loaded(table))?;
@@ -155,7 +156,8 @@
         in_zone.map(|(id, _)| id).max_by(|a, b| load(a).total_cmp(&load(b)))
     }
 
-    /// Moves a weight off a host: the smallest one that suffices, else the greatest one that another host can take.
+    /// Moves a weight from a host: the smallest one that removes the excess, otherwise the largest one for
+    /// which another host has headroom.
     fn relieve(&self, excess: &Excess) -> Option<Move> {
         let mut contributions = self.contributions(excess)?;
         let suffices = |relief: f64| relief >= excess.calls;
@@ -169,7 +171,7 @@
         })
     }
 
-    /// The tables that bring a host the load that is to be lowered.
+    /// The tables that contribute to the excess load.
     fn contributions(&self, excess: &Excess) -> Option<Vec<Contribution>> {
         let loads = &self.guard.loads;
         let mut contributions = Vec::new();
@@ -194,8 +196,8 @@
         Some(contributions)
     }
 
-    /// The host outside a table that has most room for so many more of its calls; a cold one only if no warm one has
-    /// any.
+    /// The host outside a table that has the most headroom for `calls` more of its calls; a cold host only if
+    /// no warm host has headroom.
     fn host_with_headroom(&self, table: &Table, calls: f64, excluded_zone: Option<ZoneId>) -> Option<HostId> {
         let model = &self.guard.pool.capacity_model;
         let allowed = self.guard.pool.open_hosts().filter(|(id, host)| {
@@ -207,8 +209,8 @@
         keyed.max_by(|a, b| a.0.partial_cmp(&b.0).unwrap_or(Ordering::Equal)).map(|(_, id)| id)
     }
 
-    /// What a host could be sent beyond so many more calls of a table; by its load while capacities are unknown.
-    /// `None`: it has no room.
+    /// The headroom of a host after adding `calls` calls of a table; while capacities are unknown, the
+    /// negated current load, for comparison only. `None`: the calls do not fit.
     fn headroom(&self, id: HostId, host: &Host, table: &Table, calls: f64) -> Option<f64> {
         let model = &self.guard.pool.capacity_model;
         let load = self.guard.loads.host_load(id);
@@ -220,8 +222,8 @@
         fits.then_some(if headroom.is_finite() { headroom } else { -present })
     }
 
-    /// The host outside a table that would have the least load for its size; one that stays before one that leaves, a
-    /// warm one before a cold one.
+    /// The host outside a table with the lowest load relative to its capacity. Hosts without a pending
+    /// departure come first, then warm hosts.
     fn least_loaded(&self, table: &Table) -> Option<HostId> {
         let model = &self.guard.pool.capacity_model;
         let key = |id: HostId, host: &Host| {
@@ -230,7 +232,7 @@
             let load = (present + table.calls()) / relative_capacity.max(1e-9);
             (self.leaving.contains(&id), (!host.is_warm(self.now, model), load))
         };
-        // A host that leaves soon is better than none, but does not help where the table has one already.
+        // A host that leaves soon is better than none, but is no use if the table already has an open host.
         let is_uncovered = !table.weights.keys().any(|host| self.guard.loads.is_open(*host));
         let is_allowed =
             |id: &HostId| !table.weights.contains_key(id) && (is_uncovered || !self.leaving.contains(id));
--- a/crates/director/capacity-guard/src/repair/linear_program.rs
+++ b/crates/director/capacity-guard/src/repair/linear_program.rs
@@ -1,9 +1,11 @@
-//! A repair by linear programming, where moving single weights does not suffice: the variables are the shares of the
-//! tables concerned, the constraints are the bounds of all hosts and zones at all moments ahead, and the objective is
-//! the number of calls moved. The solver is a simplex method (`microlp`). The result is offered only if the guard,
-//! inspecting it like any proposal, finds it less severe.
+//! Repair by linear programming, for cases in which moving single weights is not enough. The variables are
+//! the shares of the involved tables, the constraints are the bounds of all hosts and zones now and at all
+//! pending events, and the objective is to move as few calls as possible. The solver (`microlp`) uses the
+//! simplex method. The result is used only if the guard, which inspects it like any proposal, finds it less
+//! severe.
 //!
-//! It costs milliseconds where the greedy search costs microseconds, so it runs only when that one left something.
+//! It takes milliseconds where the greedy search takes microseconds, so it runs only if the greedy search
+//! found no complete repair.
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
@@ -16,27 +18,30 @@
 };
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A share below this is left out: it would be sent to every proxy for about a call a minute.
+/// Shares below this are dropped: they would cost a message to every proxy for about one call per minute.
 const MIN_SHARE: f64 = 0.005;
-/// Weights that differ by less than this share stay as they are.
+/// Weights that differ by less than this share are left unchanged.
 const SAME_SHARE: f64 = 1e-6;
-/// Cost of a call moved to a cold host, relative to a warm one: its caches are empty.
+/// Cost of moving a call to a cold host, relative to a warm one: the caches of a cold host are empty.
 const COLD_COST: f64 = 3.0;
-/// Cost of a call moved to a host that the table did not name: the new weight is a message to each proxy.
+/// Cost of moving a call to a host that is new in the table, relative to one that is in it: the new weight is
+/// a message to each proxy.
 const NEW_HOST_COST: f64 = 1.2;
-/// Calls a second that a table without demand is taken to have, or it would be moved without a cost.
-const MIN_CALLS: f64 = 0.01;
+/// Lower limit of the calls per second of a table in the objective; a table without demand could otherwise be
+/// moved at no cost.
+const MIN_CALLS_PER_S: f64 = 0.01;
 
-/// A variable is the share of a host in a table, by the table's index.
+/// Identifies a variable: the share of a host in the table with this index.
 type CellId = (usize, HostId);
 
-/// Load that the program cannot change, in calls a second.
+/// Load from tables outside the program, in calls per second.
 struct FixedLoad {
     calls: f64,
     by_route: Vec<f64>,
 }
 
-/// Repairs the tables that the guard now has, within the bounds of the hosts. The guard is as before when this returns.
+/// Repairs the guard's current tables, within the bounds of the hosts. The guard is unchanged when this
+/// returns.
 pub(crate) fn repair<'b>(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
@@ -45,7 +50,8 @@
     bound: &dyn Fn(HostId) -> &'b LoadBound,
 ) -> Option<Repair> {
     let leaving = hosts_of(pending, HostEvent::Leaves);
-    // Only hosts that are open at all moments ahead get a share: not those that leave, nor those that open later.
+    // Only hosts that are open now and stay open get a share: not those that leave, nor those that open
+    // later.
     let open = guard.pool.open_hosts().map(|(id, _)| id).filter(|id| !leaving.contains(id));
     let bounds: HostBounds = open.map(|id| (id, bound(id))).collect();
     let tables = program_tables(guard, touched, pending, now, &bounds)?;
@@ -80,7 +86,7 @@
 }
 
 impl Program<'_> {
-    /// The shares that move fewest calls within all bounds. `None`: there are none for these hosts.
+    /// The shares that move the fewest calls within all bounds. `None`: the program has no solution.
     fn solve(&self) -> Option<BTreeMap<CellId, f64>> {
         let mut variables = ProblemVariables::new();
         let mut cells: BTreeMap<CellId, Variable> = BTreeMap::new();
@@ -99,8 +105,8 @@
         Some(cells.into_iter().map(|(cell, share)| (cell, solution.value(share))).collect())
     }
 
-    /// Adds a variable for each share, and one for its increase where the table names the host already. Returns the
-    /// cost.
+    /// Adds a variable for each share, and one for its increase if the table already contains the host.
+    /// Returns the objective.
     fn add_variables(
         &self,
         variables: &mut ProblemVariables,
@@ -113,7 +119,7 @@
                 let share = variables.add(variable().min(0.0).max(1.0));
                 cells.insert((index, *host), share);
                 let is_warm = self.guard.pool.hosts[host].is_warm(self.now, &self.guard.pool.capacity_model);
-                let call_cost = table.calls.max(MIN_CALLS) * if is_warm { 1.0 } else { COLD_COST };
+                let call_cost = table.calls.max(MIN_CALLS_PER_S) * if is_warm { 1.0 } else { COLD_COST };
                 match table.shares.get(host).copied().unwrap_or(0.0) {
                     proposed if proposed > 0.0 => {
                         let increase = variables.add(variable().min(0.0));
@@ -146,7 +152,7 @@
         fixed
     }
 
-    /// The load that the program gives a host, by what each table has of it.
+    /// The load that the program assigns to a host; `calls` gives the calls of a table that count.
     fn host_load(
         &self,
         cells: &BTreeMap<CellId, Variable>,
@@ -204,7 +210,7 @@
     }
 }
 
-/// The weights of the tables that the program has changed, as they would be sent.
+/// The new weights of the tables that the program changes.
 fn changed_weights(
     guard: &Guard,
     tables: &[ProgramTable],
@@ -218,7 +224,7 @@
         if table.shares.keys().chain(&table.allowed).all(is_same) {
             continue;
         }
-        // Shares become weights in the scale of the table, so that weights that stay need not be sent again.
+        // Shares are scaled to the weights of the table, so that unchanged weights need not be sent again.
         let old = &guard.loads.tables()[&table.slice].weights;
         let scale: f64 = old.iter().filter(|(host, _)| proposed(host) > 0.0).map(|(_, weight)| weight).sum();
         let scale = if scale > 0.0 { scale } else { 1.0 };
--- a/crates/director/capacity-guard/src/repair/mod.rs
+++ b/crates/director/capacity-guard/src/repair/mod.rs
@@ -1,6 +1,6 @@
-//! Repairs of an unsafe proposal, from the cheapest search to the dearest: `greedy` moves single weights,
-//! `linear_program` computes all weights of the tables concerned, with the limits of `forecast` and for the tables of
-//! `program_tables`. `search` chooses among what they find.
+//! Repairs of an unsafe proposal, from the cheapest strategy to the most expensive: `greedy` moves single
+//! weights; `linear_program` computes all weights of the tables from `program_tables`, within the bounds from
+//! `forecast`. `search` selects the best result.
 
 mod forecast;
 mod greedy;
--- a/crates/director/capacity-guard/src/repair/moves.rs
+++ b/crates/director/capacity-guard/src/repair/moves.rs
@@ -1,4 +1,4 @@
-//! A repair, as changes of single weights.
+//! A repair as a list of changes of single weights.
 
 use crate::guard::Guard;
 use crate::reason::Severity;
@@ -8,39 +8,39 @@
 /// The weights of a table.
 pub(crate) type Weights = BTreeMap<HostId, f64>;
 
-/// A change of one table. The weight of `from` moves to `to`; without `from` the host is added; with `from` equal to
-/// `to` the host gets another weight, or with weight 0 is removed.
+/// A change of one table: the weight of `from` moves to `to`. Without `from`, `to` is added; if `from` equals
+/// `to`, the host's weight is set, or with weight 0 the host is removed.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Move {
     /// The slice whose table changes.
     pub slice: SliceId,
     /// The host that is removed from the table, if any.
     pub from: Option<HostId>,
-    /// The host that gets the weight.
+    /// The host whose weight is set.
     pub to: HostId,
     /// The weight.
     pub weight: f64,
 }
 
-/// Changes to make beside a proposal.
+/// Changes to make in addition to a proposal.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Repair {
     /// The changes.
     pub moves: Vec<Move>,
-    /// What remains unsafe with them; zero if nothing does.
+    /// The severity that remains with them; zero if nothing is unsafe.
     pub left: Severity,
-    /// The search stopped at its greatest number of steps.
+    /// The search stopped at its limit of steps.
     pub cut_off: bool,
 }
 
 impl Repair {
-    /// The orders to send beside the proposal. Weights are added before others are removed, so no table is empty in
-    /// between.
+    /// The orders to send in addition to the proposal. Weights are added before others are removed, so that
+    /// no table is empty in between.
     pub fn orders(&self) -> Vec<Order> {
-        let line = |slice, host, weight| Order::SetWeight { slice, host, weight };
-        let added = self.moves.iter().map(|change| line(change.slice, change.to, change.weight));
+        let set_weight = |slice, host, weight| Order::SetWeight { slice, host, weight };
+        let added = self.moves.iter().map(|change| set_weight(change.slice, change.to, change.weight));
         let moved = self.moves.iter().filter(|change| change.from != Some(change.to));
-        let removed = moved.filter_map(|change| Some(line(change.slice, change.from?, 0.0)));
+        let removed = moved.filter_map(|change| Some(set_weight(change.slice, change.from?, 0.0)));
         added.chain(removed).collect()
     }
 
@@ -49,7 +49,7 @@
         self.left == Severity::default()
     }
 
-    /// Whether it leaves less than the other, or as much with fewer moves.
+    /// Whether less severity remains than with the other repair, or the same with fewer moves.
     pub(crate) fn is_better(&self, other: &Repair) -> bool {
         self.left.compare(&other.left).then(self.moves.len().cmp(&other.moves.len())).is_lt()
     }
@@ -64,8 +64,8 @@
     slices.map(|slice| (*slice, weights(slice).unwrap_or_default())).collect()
 }
 
-/// The moves that lead from one state of some tables to another: a weight that was moved twice was moved once, and one
-/// that came back was not.
+/// The moves that turn one state of some tables into another. A weight that was moved several times gives one
+/// move, and one that was moved back gives none.
 pub(crate) fn net_moves(
     before: &BTreeMap<SliceId, Weights>,
     after: &BTreeMap<SliceId, Weights>,
--- a/crates/director/capacity-guard/src/repair/program_tables.rs
+++ b/crates/director/capacity-guard/src/repair/program_tables.rs
@@ -1,4 +1,4 @@
-//! The tables that a linear program may change, and the hosts that each of them may name.
+//! Selects the tables that the linear program may change, and the hosts that each of them may contain.
 
 use crate::bound::LoadBound;
 use crate::guard::Guard;
@@ -8,37 +8,38 @@
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest number of variables, tables times hosts. So many are solved in some milliseconds; `docs/guard.md` has
-/// the measured times.
+/// Limit of the number of variables (tables times hosts). A program of this size is solved in a few
+/// milliseconds; `docs/guard.md` has the measured times.
 const MAX_VARIABLES: usize = 1500;
-/// Hosts that any table may be given, those with most room first: more enlarge the program and hardly improve it.
+/// Limit of the hosts that may be added to any table, starting with the least loaded: more hosts enlarge the
+/// program but hardly improve the result.
 const MAX_RECEIVERS: usize = 12;
 
-/// Bounds are reduced by this factor, for what is lost by rounding.
+/// Factor by which bounds are reduced, as a margin for rounding errors.
 pub(crate) const BOUND_MARGIN: f64 = 0.995;
 
-/// The bounds of the hosts that are open at all moments ahead.
+/// The bounds of the hosts that are open now and stay open.
 pub(crate) type HostBounds<'b> = BTreeMap<HostId, &'b LoadBound>;
 
 /// One table within the program.
 pub(crate) struct ProgramTable {
     pub(crate) slice: SliceId,
-    /// Calls a second in all routes.
+    /// Calls per second in all routes together.
     pub(crate) calls: f64,
-    /// Calls a second by route.
+    /// Calls per second by route.
     pub(crate) demand: Vec<f64>,
-    /// The share of each open host as proposed.
+    /// The share of each open host in the proposal.
     pub(crate) shares: BTreeMap<HostId, f64>,
-    /// The hosts that the table may name.
+    /// The hosts that the table may contain.
     pub(crate) allowed: BTreeSet<HostId>,
 }
 
-/// The hosts of pending events of a kind.
+/// The hosts with a pending event of this kind.
 pub(crate) fn hosts_of(pending: &[PendingEvent], change: HostEvent) -> BTreeSet<HostId> {
     pending.iter().filter(|event| event.event == change).map(|event| event.host).collect()
 }
 
-/// The tables that are involved in what is unsafe. `None`: there are none, or they are too many for a program.
+/// The tables that are involved in a reason. `None`: there are none, or they are too many for the program.
 pub(crate) fn program_tables(
     guard: &mut Guard,
     touched: &BTreeSet<HostId>,
@@ -71,7 +72,7 @@
     (!tables.is_empty()).then_some(tables)
 }
 
-/// Hosts that are unsafe, that leave or open, or that are in a zone that is unsafe.
+/// Hosts that a reason is about, that have a pending event, or that are in a zone that a reason is about.
 fn involved_hosts(guard: &Guard, reasons: &[Reason], pending: &[PendingEvent]) -> BTreeSet<HostId> {
     let mut hosts: BTreeSet<HostId> = reasons.iter().filter_map(Reason::host).collect();
     hosts.extend(hosts_of(pending, HostEvent::Leaves));
@@ -82,7 +83,8 @@
     hosts
 }
 
-/// The hosts that any table may be given: warm ones first, then those with least load for their size.
+/// The hosts that may be added to any table: warm ones first, then those with the lowest load relative to
+/// their capacity.
 fn receivers(guard: &Guard, now: f64, bounds: &HostBounds) -> Vec<HostId> {
     let key = |id: &HostId| {
         let host = &guard.pool.hosts[id];
@@ -96,8 +98,8 @@
     receivers
 }
 
-/// All calls of a cold host's tables come to it when their other hosts fail, so it may be named only by as many
-/// tables as it withstands. Those that name it already come first, then the smallest.
+/// If the other hosts of its tables fail, a cold host gets all their calls. So it may be in only as many
+/// tables as it can handle in this case. Tables that already contain it come first, then the smallest.
 fn limit_cold_hosts(guard: &Guard, now: f64, bounds: &HostBounds, tables: &mut [ProgramTable]) {
     let is_cold = |id: &&HostId| !guard.pool.hosts[*id].is_warm(now, &guard.pool.capacity_model);
     for id in bounds.keys().filter(is_cold) {
--- a/crates/director/capacity-guard/src/repair/search.rs
+++ b/crates/director/capacity-guard/src/repair/search.rs
@@ -1,4 +1,4 @@
-//! The choice of a repair among those that the searches find.
+//! Selects the best of the repairs that the strategies find.
 
 use crate::guard::{Guard, Trial};
 use crate::pool::PendingEvent;
@@ -9,27 +9,28 @@
 use coppersail::interface::{HostId, Order};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A repair, and whether with it the proposal would be accepted and be less severe than the state in force.
+/// A repair, and whether the proposal together with it would be accepted and is less severe than the state in
+/// force.
 pub(crate) struct FoundRepair {
     pub(crate) repair: Repair,
     pub(crate) is_safe: bool,
 }
 
-/// How a repair is searched, from the cheapest to the dearest.
+/// Search strategies, from the cheapest to the most expensive.
 #[derive(Clone, Copy)]
 enum Strategy {
     /// Moves single weights to other hosts.
     Greedy,
-    /// Computes weights with which nothing is unsafe.
+    /// Computes weights within the strict bounds, so that nothing is unsafe.
     LinearProgram,
-    /// Computes weights with which nothing is worse than without the proposal.
+    /// Computes weights within the relaxed bounds, so that nothing is worse than without the proposal.
     RelaxedLinearProgram,
 }
 
 impl Strategy {
     const ALL: [Strategy; 3] = [Strategy::Greedy, Strategy::LinearProgram, Strategy::RelaxedLinearProgram];
 
-    /// Repairs the tables that the guard now has. The guard is as before when this returns.
+    /// Repairs the guard's current tables. The guard is unchanged when this returns.
     fn repair(
         self,
         guard: &mut Guard,
@@ -48,8 +49,8 @@
     }
 }
 
-/// The best repair of a proposal that was found: a safe one if there is any, then the least severe one. The guard,
-/// without the proposal, is as before when this returns.
+/// The best repair found for a proposal: a safe one if there is any, otherwise the one with the least severe
+/// result. `guard` must not contain the proposal; it is unchanged when this returns.
 pub(crate) fn find_repair(
     guard: &mut Guard,
     calls: &[Vec<Order>],
@@ -73,7 +74,7 @@
         if is_best {
             best = Some(FoundRepair { repair, is_safe });
         }
-        // The dearer strategies could not leave less.
+        // Nothing is left for the more expensive strategies to improve.
         if is_complete {
             break;
         }
@@ -82,7 +83,7 @@
     best
 }
 
-/// Whether the proposal with its repair makes nothing unsafe, and is less severe than the state in force.
+/// Whether the proposal with its repair causes no violation, and is less severe than the state in force.
 fn is_safe(
     guard: &mut Guard,
     repair: &Repair,
--- a/crates/director/capacity-guard/src/violation.rs
+++ b/crates/director/capacity-guard/src/violation.rs
@@ -1,21 +1,22 @@
-//! What a proposal makes unsafe, by comparison of the states with and without it.
+//! Finds the violations that a proposal causes, by comparing the states with and without it.
 
 use crate::reason::{Moment, Reason, Severity};
 use std::fmt;
 
-/// A reason that is known already counts again when its excess has grown by more than this share, or this much.
+/// A reason that applies without the proposal too counts only if its excess grows by more than this share
+/// plus this amount.
 const MAX_GROWTH: f64 = 0.01;
-/// The order in which sums were made must not decide whether an excess has grown.
+/// Tolerance for rounding errors: the order of summation must not decide whether an excess has grown.
 const ROUNDING: f64 = 1e-9;
-/// Violations that one verdict names at most.
+/// Limit of the violations in one verdict.
 const MAX_VIOLATIONS: usize = 100;
 
-/// A reason that a proposal causes, and when.
+/// A reason that a proposal causes, and the time at which it applies.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
     /// Why the state is unsafe.
     pub reason: Reason,
-    /// When it is in force.
+    /// The time at which the state is unsafe.
     pub when: Moment,
 }
 
@@ -25,13 +26,13 @@
     }
 }
 
-/// The reasons at one moment.
+/// The reasons for which the state is unsafe at one time.
 pub(crate) struct MomentReasons {
     pub(crate) moment: Moment,
     pub(crate) reasons: Vec<Reason>,
 }
 
-/// The severity of the worst moment.
+/// The highest severity of all the times.
 pub(crate) fn worst_severity(moments: &[MomentReasons]) -> Severity {
     moments.iter().map(|at| Severity::of(&at.reasons)).fold(Severity::default(), Severity::worst)
 }
@@ -43,8 +44,9 @@
     })
 }
 
-/// What the proposal makes unsafe or worse, at each moment compared with the same moment without it; and between its
-/// calls, what is unsafe neither before nor after. The most severe kind comes first.
+/// The violations that the proposal causes or makes worse at any time, compared with the same time without
+/// it; and those between its calls that are present neither before nor after the proposal. The most severe
+/// kind comes first.
 pub(crate) fn caused_violations(
     before: &[MomentReasons],
     between: &[MomentReasons],
--- a/crates/director/capacity-guard/tests/guarded.rs
+++ b/crates/director/capacity-guard/tests/guarded.rs
@@ -1,5 +1,5 @@
-//! The decision module with the guard behind it, on random fleets: refusals are bounded, no slice is without a host,
-//! and the guard's tables are those of the proxies.
+//! The decision module with the guard, on random fleets: refusals are bounded, no slice is without an open
+//! host, and the guard's tables match those of the proxies.
 
 use coppersail::interface::*;
 use coppersail_capacity_guard::{GuardedDirector, HostEvent, Mode, PendingEvent};
@@ -59,16 +59,16 @@
     HostListEntry { host: HostId(host), state, started_at, weight: 1.0, zone, cell, machine_type: kind }
 }
 
-/// What proxies hold, as told.
+/// The tables of the proxies, updated by the orders.
 #[derive(Default)]
 struct Proxies {
     tables: BTreeMap<SliceId, BTreeMap<HostId, f64>>,
-    out: BTreeMap<HostId, bool>,
+    withdrawn: BTreeMap<HostId, bool>,
     lines: usize,
 }
 
 impl Proxies {
-    fn take(&mut self, orders: &[Order]) {
+    fn apply(&mut self, orders: &[Order]) {
         for order in orders {
             match order {
                 Order::SetWeight { slice, host, weight } => {
@@ -76,7 +76,7 @@
                     let table = self.tables.entry(*slice).or_default();
                     _ = if *weight > 0.0 { table.insert(*host, *weight) } else { table.remove(host) };
                 }
-                Order::SetWithdrawn { host, withdrawn: out } => _ = self.out.insert(*host, *out),
+                Order::SetWithdrawn { host, withdrawn } => _ = self.withdrawn.insert(*host, *withdrawn),
                 _ => {}
             }
         }
@@ -102,11 +102,11 @@
     inputs
 }
 
-/// One second's reports of all slices, of which one is hot, and of all hosts, whose loads are random.
-fn reports(hosts: u32, chance: &mut Rng) -> Vec<Input> {
+/// Reports of one second for all slices, one of which is hot, and for all hosts, with random loads.
+fn reports(hosts: u32, rng: &mut Rng) -> Vec<Input> {
     let mut inputs = Vec::new();
     for slice in (0..24).map(SliceId) {
-        let calls = if slice.0 == 3 { 200 } else { 2 + chance.u64(0..9) };
+        let calls = if slice.0 == 3 { 200 } else { 2 + rng.u64(0..9) };
         inputs.push(Input::SliceDemand {
             slice,
             route: RouteId(slice.0 % 2),
@@ -116,8 +116,8 @@
         });
     }
     for host in (0..hosts).map(HostId) {
-        let load = LoadReport { queued: Some(chance.f64() * 4.0), ..LoadReport::default() };
-        let attempts = 5 + chance.u64(0..40);
+        let load = LoadReport { queued: Some(rng.f64() * 4.0), ..LoadReport::default() };
+        let attempts = 5 + rng.u64(0..40);
         let (zone, window, dropped, mean_response_time) = (ZoneId(0), 1.0, 0, 0.1);
         inputs.push(Input::AttemptStats { host, zone, window, attempts, dropped, mean_response_time, load });
         inputs.push(Input::ProbeFinished { host, outcome: Outcome::Succeeded, duration: 0.01, load });
@@ -125,9 +125,9 @@
     inputs
 }
 
-/// A random host drains, or comes back cold if it had drained.
-fn list_change(hosts: u32, tick: u64, open: &mut Vec<u32>, chance: &mut Rng) -> Option<Input> {
-    let host = chance.u32(0..hosts);
+/// A random host drains, or returns cold if it was drained.
+fn list_change(hosts: u32, tick: u64, open: &mut Vec<u32>, rng: &mut Rng) -> Option<Input> {
+    let host = rng.u32(0..hosts);
     let back = !open.contains(&host);
     let leaves = !back && open.len() > 2;
     if !back && !leaves {
@@ -140,9 +140,10 @@
     Some(Input::HostListUpdate { scope: ListScope::Delta, version: 2 + tick, entries })
 }
 
-/// A minute of a fleet in which hosts drain and come back cold, a slice is hot, and reported loads are random.
-fn minute(seed: u64, mode: Mode) -> (GuardedDirector, Proxies, Vec<u32>) {
-    let mut chance = Rng::with_seed(seed);
+/// Runs a fleet for a run_minute, in which hosts drain and return cold, one slice is hot, and reported loads are
+/// random.
+fn run_minute(seed: u64, mode: Mode) -> (GuardedDirector, Proxies, Vec<u32>) {
+    let mut rng = Rng::with_seed(seed);
     let (mut guarded, mut proxies) = (GuardedDirector::new(settings(), seed, mode), Proxies::default());
     let hosts = 6_u32;
     let mut open: Vec<u32> = (0..hosts).collect();
@@ -150,23 +151,23 @@
     for tick in 0..600_u64 {
         let now = tick as f64 / 10.0;
         if tick % 10 == 0 {
-            inputs.extend(reports(hosts, &mut chance));
+            inputs.extend(reports(hosts, &mut rng));
         }
         if tick % 37 == 36 {
-            inputs.extend(list_change(hosts, tick, &mut open, &mut chance));
+            inputs.extend(list_change(hosts, tick, &mut open, &mut rng));
         }
         let orders = guarded.handle(now, &inputs);
-        proxies.take(&orders);
-        let marks = orders.iter().filter_map(|order| match order {
-            Order::RequestAcknowledgement { round: mark, .. } => Some(*mark),
+        proxies.apply(&orders);
+        let rounds = orders.iter().filter_map(|order| match order {
+            Order::RequestAcknowledgement { round, .. } => Some(*round),
             _ => None,
         });
-        let marks: Vec<RoundId> = marks.collect();
+        let rounds: Vec<RoundId> = rounds.collect();
         inputs = vec![Input::TimerFired(TimerId(1))];
         for proxy in (0..4).map(ProxyId) {
-            inputs.extend(marks.iter().map(|mark| Input::RoundAcknowledged {
+            inputs.extend(rounds.iter().map(|round| Input::RoundAcknowledged {
                 proxy,
-                round: *mark,
+                round: *round,
                 latency: 0.1,
             }));
         }
@@ -177,19 +178,23 @@
 #[test]
 fn refusals_are_bounded_and_no_slice_is_without_an_open_host() {
     for seed in 0..60 {
-        let (guarded, proxies, open) = minute(seed, Mode::On);
+        let (guarded, proxies, open) = run_minute(seed, Mode::On);
         let counts = guarded.counts;
-        // A slice may be refused three times in ten seconds: 24 slices for a minute, far below one a tick.
+        // A slice may be refused three times in ten seconds; this is the bound for 24 slices in a run_minute, far
+        // below one refusal per tick.
         assert!(counts.refused <= 300, "seed {seed}: {counts:?}");
         assert!(counts.judged <= 2000, "seed {seed}: {counts:?}");
         assert!(proxies.lines <= 6000, "seed {seed}: {} lines", proxies.lines);
         for (slice, table) in &proxies.tables {
-            let serves = |host: &HostId| open.contains(&host.0) && proxies.out.get(host) != Some(&true);
+            let serves = |host: &HostId| open.contains(&host.0) && proxies.withdrawn.get(host) != Some(&true);
             assert!(table.keys().any(serves), "seed {seed}: {slice:?} has {table:?}, open are {open:?}");
         }
         let known = guarded.guard().loads().tables();
         for (slice, table) in &proxies.tables {
-            assert_eq!(&known[slice].weights, table, "seed {seed}: the guard knows what proxies hold");
+            assert_eq!(
+                &known[slice].weights, table,
+                "seed {seed}: the guard and the proxies have the same tables"
+            );
         }
     }
 }
@@ -197,17 +202,17 @@
 #[test]
 fn in_watch_mode_all_orders_are_sent_as_without_a_guard() {
     for seed in 0..10 {
-        let watched = minute(seed, Mode::Watch);
-        let alone = minute(seed, Mode::Off);
+        let watched = run_minute(seed, Mode::Watch);
+        let alone = run_minute(seed, Mode::Off);
         assert_eq!(watched.1.tables, alone.1.tables, "seed {seed}");
         assert_eq!(watched.1.lines, alone.1.lines, "seed {seed}");
     }
 }
 
-/// Operators keep a slice away from all hosts but the one that is announced to leave: with the announcement in mind it
-/// stays where it is, without it goes there.
+/// Operators exclude a slice from all hosts except one. If that host is announced to leave, the slice must
+/// stay where it is; otherwise it must move to that host.
 #[test]
-fn an_announced_leave_is_considered_by_a_running_director() {
+fn a_running_director_takes_an_announced_shutdown_into_account() {
     for announced in [true, false] {
         let mut guarded = GuardedDirector::new(settings(), 1, Mode::On);
         let mut proxies = Proxies::default();
@@ -238,12 +243,12 @@
                 }));
             }
             let orders = guarded.handle(now, &inputs);
-            proxies.take(&orders);
+            proxies.apply(&orders);
             inputs = vec![Input::TimerFired(TimerId(1))];
             for order in &orders {
-                if let Order::RequestAcknowledgement { round: mark, .. } = order {
+                if let Order::RequestAcknowledgement { round, .. } = order {
                     let applied =
-                        |n| Input::RoundAcknowledged { proxy: ProxyId(n), round: *mark, latency: 0.1 };
+                        |n| Input::RoundAcknowledged { proxy: ProxyId(n), round: *round, latency: 0.1 };
                     inputs.extend((0..4).map(applied));
                 }
             }
@@ -266,15 +271,15 @@
     };
     first.extend((0..4).flat_map(stored));
     guarded.handle(0.0, &first);
-    let asked = |slice| Input::SliceDemand {
+    let demand = |slice| Input::SliceDemand {
         slice: SliceId(slice),
         route: RouteId(0),
         requests: 9,
         dropped: 0,
         window: 1.0,
     };
-    guarded.handle(1.0, &(0..4).map(asked).collect::<Vec<_>>());
-    // Changed in the store, and given anew well before demand is next reckoned.
+    guarded.handle(1.0, &(0..4).map(demand).collect::<Vec<_>>());
+    // The slice is changed in the store and assigned again well before the next estimate of demand.
     guarded.handle(1.3, &stored(2));
     assert_eq!(guarded.guard().loads().tables()[&SliceId(2)].demand, [9.0, 0.0]);
 }
--- a/crates/director/change-analysis/examples/detection_rates.rs
+++ b/crates/director/change-analysis/examples/detection_rates.rs
@@ -1,5 +1,6 @@
-//! Prints how many harmful changes are undone, how soon, and how many harmless ones wrongly: by harm, by delay of the
-//! reports, and by noise. `cargo run --release -p coppersail-change-analysis --example detection_rates [SEEDS]`
+//! Prints the share of harmful changes that are undone and how soon, and the share of harmless ones that are
+//! undone wrongly, by harm, report delay and noise. `cargo run --release -p coppersail-change-analysis
+//! --example detection_rates [SEEDS]`
 
 mod fleet_model;
 
@@ -7,26 +8,26 @@
 
 const DEFAULT_SEEDS: u64 = 200;
 const TRIAL_SECONDS: usize = 60;
-/// Seconds from the change within which a finding counts as soon.
-const SOON: f64 = 30.0;
+/// Time after the change within which a finding counts as early, in seconds.
+const EARLY_FINDING_S: f64 = 30.0;
 
-/// One row of the table: what the model is run with.
+/// The parameters of the model for one row of the table.
 struct Experiment {
     noise: Noise,
     report_delay: f64,
-    /// The share of the touched calls that the change loses.
+    /// The share of the touched calls that are lost because of the change.
     harm: f64,
-    /// One slice in so many is touched.
+    /// The change touches one in this number of slices.
     one_in: u16,
 }
 
 impl Experiment {
     fn run(&self, seed: u64) -> Outcome {
         let mut fleet = Fleet::new(seed, self.noise, self.report_delay);
-        let touch = fleet.touch_one_in(self.one_in);
+        let scope = fleet.touch_one_in(self.one_in);
         let touched_slices = fleet.slices / self.one_in;
         let harm = |slice, _, _| if slice < touched_slices { self.harm } else { 0.0 };
-        fleet.run_trial(&touch, &harm, TRIAL_SECONDS)
+        fleet.run_trial(&scope, &harm, TRIAL_SECONDS)
     }
 
     fn row(&self, seeds: u64) -> String {
@@ -34,7 +35,7 @@
         let percent = |count: usize| 100.0 * count as f64 / seeds as f64;
         let found_at =
             sorted(outcomes.iter().filter_map(|outcome| outcome.first_finding.as_ref().map(|(at, _)| *at)));
-        let soon = found_at.iter().filter(|at| **at <= SOON).count();
+        let early = found_at.iter().filter(|at| **at <= EARLY_FINDING_S).count();
         let resumed = outcomes.iter().filter(|outcome| outcome.resumed_at.is_some()).count();
         let undone = outcomes.iter().filter(|outcome| outcome.undone.is_some()).count();
         let in_force = sorted(outcomes.iter().map(|outcome| outcome.seconds_in_force));
@@ -43,7 +44,7 @@
             "{points:.0} | {:.1} | {:.1}% | {:.1}% | {} | {} | {:.1}% | {:.1}% | {}",
             points / f64::from(self.one_in),
             percent(found_at.len()),
-            percent(soon),
+            percent(early),
             seconds(found_at.get(found_at.len() / 2)),
             seconds(found_at.last()),
             percent(resumed),
--- a/crates/director/change-analysis/examples/fleet_model/mod.rs
+++ b/crates/director/change-analysis/examples/fleet_model/mod.rs
@@ -1,5 +1,6 @@
-//! A random model of the reports of a fleet: calls by slice and route arrive at random, losses drift for the fleet and
-//! for each slice, reports are late, and an outage may hit all slices, though unevenly.
+//! A random model of the reports of a fleet: calls arrive at random by slice and route, loss rates of the
+//! fleet and of each slice drift, reports are delayed, and an outage may affect all slices to different
+//! degrees.
 
 use coppersail::interface::{RouteId, SliceId};
 use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, HarmFinding, TrialId};
@@ -23,10 +24,10 @@
     pub(crate) calls_per_s: f64,
     /// Each route's share of the calls.
     pub(crate) route_shares: Vec<f64>,
-    /// The share of calls that is lost without any harm.
+    /// The share of calls that is lost without harm by the change.
     pub(crate) base_loss: f64,
     pub(crate) noise: Noise,
-    /// Seconds by which reports are late.
+    /// Delay of the reports, in seconds.
     pub(crate) report_delay: f64,
     rng: Rng,
 }
@@ -34,31 +35,33 @@
 /// The harm of a change: the share of calls that is lost, by slice, route and seconds since the change came into force.
 pub(crate) type Harm<'a> = &'a dyn Fn(u16, usize, f64) -> f64;
 
-/// What became of a trial. Times are seconds from the change.
+/// The outcome of a trial. Times are in seconds since the change.
 #[derive(Default)]
 pub(crate) struct Outcome {
     /// When the change was first taken out of force, and why.
     pub(crate) first_finding: Option<(f64, HarmFinding)>,
     /// When it came into force again after it was suspended.
     pub(crate) resumed_at: Option<f64>,
-    /// When it was undone for good, and why.
+    /// When it was finally undone, and why.
     pub(crate) undone: Option<(f64, HarmFinding)>,
     pub(crate) seconds_in_force: f64,
 }
 
-/// Second of the run in which the change comes into force.
+/// Time at which the change comes into force, in seconds since the start of the run.
 const CHANGE_AT: f64 = 60.0;
-/// The outage begins at a random time within so many seconds...
+/// Length of the interval in which the outage begins at a random time, in seconds.
 const OUTAGE_SPREAD: f64 = 20.0;
-/// ... from so many seconds before the change,
+/// Time before the change at which this interval starts, in seconds.
 const OUTAGE_LEAD: f64 = 5.0;
-/// and lasts so many seconds.
+/// Duration of the outage, in seconds.
 const OUTAGE_LENGTH: f64 = 15.0;
-/// The mean share of calls that an outage loses.
+/// Mean share of calls that are lost in an outage.
 const OUTAGE_LOSS: f64 = 0.2;
-/// Seconds for which a suspended change stays in force, until its orders have reached the proxies.
+/// Time for which a suspended change is still in force, until the orders have reached the proxies, in
+/// seconds.
 const SUSPENSION_DELAY: f64 = 1.0;
-/// Seconds after which a suspended change without recovery is given up, as in `coppersail-changes`.
+/// Time after which a suspended change is undone if service does not recover, as in `coppersail-changes`, in
+/// seconds.
 const MAX_SUSPENSION: f64 = 300.0;
 const IMPORTANCE: [f64; 2] = [3.0, 9.0];
 const SLO_TIME: f64 = 1.5;
@@ -87,7 +90,7 @@
     lost: u64,
 }
 
-/// When the change is in force, and when the run ends; seconds of the run.
+/// When the change is in force, and when the run ends, in seconds since the start of the run.
 struct Schedule {
     in_force_from: f64,
     in_force_until: f64,
@@ -104,7 +107,7 @@
     }
 }
 
-/// Loss rates without the change.
+/// Loss rates without the effect of the change.
 struct BackgroundLoss {
     base: f64,
     noise: Noise,
@@ -136,7 +139,7 @@
         *drift = 0.9 * *drift + 0.2 * normal(rng);
     }
 
-    /// The share of a slice's calls that is served in spite of noise and outage.
+    /// The share of a slice's calls that is served despite noise and outage.
     fn served_share(&self, slice: u16, now: f64) -> f64 {
         let slice = usize::from(slice);
         let noise = match self.noise {
@@ -166,10 +169,10 @@
         }
     }
 
-    /// Runs a minute before the change and a trial of so many seconds. The analysis is evaluated as reports arrive; an
-    /// uncertain first finding suspends the change, as `coppersail-changes` does.
-    pub(crate) fn run_trial(&mut self, touch: &ChangeScope, harm: Harm, trial_seconds: usize) -> Outcome {
-        let mut judge = ChangeAnalysis::new(1.0, IMPORTANCE[..self.route_shares.len()].to_vec(), SLO_TIME);
+    /// Runs a minute before the change and a trial of `trial_seconds`. The analysis is evaluated each second;
+    /// an uncertain first finding suspends the change, as in `coppersail-changes`.
+    pub(crate) fn run_trial(&mut self, scope: &ChangeScope, harm: Harm, trial_seconds: usize) -> Outcome {
+        let mut analysis = ChangeAnalysis::new(1.0, IMPORTANCE[..self.route_shares.len()].to_vec(), SLO_TIME);
         let mut background = BackgroundLoss::new(self);
         let mut schedule = Schedule::in_force(CHANGE_AT, trial_seconds as f64);
         let mut reports: VecDeque<Report> = VecDeque::new();
@@ -181,11 +184,11 @@
             }
             self.serve_second(now, &mut background, &schedule, harm, &mut reports);
             if now == CHANGE_AT {
-                judge.start_trial(TRIAL, touch.clone(), 0.0);
+                analysis.start_trial(TRIAL, scope.clone(), 0.0);
             }
-            deliver_reports(&mut judge, &mut reports, now + 1.0);
+            deliver_reports(&mut analysis, &mut reports, now + 1.0);
             outcome.seconds_in_force += f64::from(schedule.is_in_force(now));
-            let finding = judge.close_periods(now + 1.0).into_iter().next();
+            let finding = analysis.close_periods(now + 1.0).into_iter().next();
             if let Some((_, finding)) = finding.filter(|_| schedule.is_in_force(now)) {
                 let at = now + 1.0 - CHANGE_AT;
                 outcome.first_finding.get_or_insert((at, finding.clone()));
@@ -193,12 +196,12 @@
                     outcome.undone = Some((at, finding));
                     return outcome;
                 }
-                judge.suspend(TRIAL);
+                analysis.suspend(TRIAL);
                 schedule.in_force_until = now + 1.0 + SUSPENSION_DELAY;
                 schedule.end = now + MAX_SUSPENSION;
             }
-            if now > schedule.in_force_until && judge.has_recovered(TRIAL) {
-                judge.resume(TRIAL);
+            if now > schedule.in_force_until && analysis.has_recovered(TRIAL) {
+                analysis.resume(TRIAL);
                 outcome.resumed_at = Some(now + 1.0 - CHANGE_AT);
                 schedule = Schedule::in_force(now + 1.0, trial_seconds as f64);
             }
@@ -206,7 +209,7 @@
         outcome
     }
 
-    /// Draws one second's calls and losses. Their reports arrive when the second is over, and later.
+    /// Draws the calls and losses of one second. Their reports arrive `report_delay` after its end.
     fn serve_second(
         &mut self,
         now: f64,
@@ -232,15 +235,15 @@
         }
     }
 
-    /// A change that touches one slice in `one_in`: the first ones.
+    /// The scope of a change that touches one in `one_in` slices, starting with the first.
     pub(crate) fn touch_one_in(&self, one_in: u16) -> ChangeScope {
         ChangeScope { slices: (0..self.slices / one_in).map(SliceId).collect(), ..ChangeScope::default() }
     }
 }
 
-fn deliver_reports(judge: &mut ChangeAnalysis, reports: &mut VecDeque<Report>, before: f64) {
+fn deliver_reports(analysis: &mut ChangeAnalysis, reports: &mut VecDeque<Report>, before: f64) {
     while reports.front().is_some_and(|report| report.arrives_at < before) {
         let Some(report) = reports.pop_front() else { break };
-        judge.report_calls(report.slice, report.route, report.calls, report.lost);
+        analysis.report_calls(report.slice, report.route, report.calls, report.lost);
     }
 }
--- a/crates/director/change-analysis/src/judge.rs
+++ b/crates/director/change-analysis/src/analysis.rs
@@ -1,4 +1,4 @@
-//! All trials under way, advanced by periods.
+//! The change analysis: all trials in progress, advanced period by period.
 
 use crate::finding::HarmFinding;
 use crate::history::History;
@@ -7,25 +7,26 @@
 use coppersail::interface::{HostId, RouteId, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The greatest probability with which a harmless change is rejected. An undoing that was not needed costs an operator
-/// a second attempt and callers nothing, while harm that stays costs callers: one in two hundred is rare enough.
+/// Upper bound of the probability that a harmless change is rejected. An unnecessary undo costs an operator a
+/// second attempt and callers nothing, while undetected harm costs callers calls, so one in two hundred is
+/// rare enough.
 pub const MAX_FALSE_POSITIVE_RATE: f64 = 0.005;
-/// Periods with calls without which there is no baseline.
+/// Minimum number of periods with calls for a baseline.
 const MIN_BASELINE_PERIODS: usize = 12;
-/// Periods with calls without which a trial of any length has not enough evidence.
+/// Minimum number of periods with calls for sufficient evidence, whatever the length of the trial.
 const MIN_OBSERVED_PERIODS: f64 = 3.0;
-/// The share of a trial's periods that must have had calls.
+/// Minimum share of a trial's periods with calls.
 const MIN_OBSERVED_SHARE: f64 = 0.5;
-/// Where a change touches more than this share of the hosts, the others have to carry what these shed, and are no
-/// measure any more.
-const MAX_TOUCHED_HOSTS: f64 = 1.0 / 3.0;
-/// The least length of a period, in seconds.
-const MIN_PERIOD: f64 = 0.1;
-/// After a standstill of more than so many periods they are skipped.
+/// If a change touches more than this share of the hosts, the load that they lose overloads the other hosts,
+/// which can then not serve as control group.
+const MAX_TOUCHED_HOST_SHARE: f64 = 1.0 / 3.0;
+/// Minimum length of a period, in seconds.
+const MIN_PERIOD_S: f64 = 0.1;
+/// If the caller is late by more than this number of periods, the missed periods are skipped.
 const MAX_LATE_PERIODS: f64 = 10.0;
 
-/// The change analysis: reports go in, and [`ChangeAnalysis::close_periods`] gives findings. Times are in seconds, on
-/// any clock that the caller keeps to.
+/// The change analysis: takes reports, and returns findings from [`ChangeAnalysis::close_periods`]. Times are
+/// in seconds, on any clock that the caller uses consistently.
 pub struct ChangeAnalysis {
     period: f64,
     importance: Vec<f64>,
@@ -36,10 +37,11 @@
 }
 
 impl ChangeAnalysis {
-    /// `period`: time between reports, seconds; `importance`: weight by route; `slo`: the shortest SLO time, seconds.
-    /// At hosts an answer after it counts as lost.
+    /// `period`: interval between reports, in seconds; `importance`: weight of each route; `slo`: the
+    /// shortest response time objective (SLO) of the routes, in seconds. Attempts at hosts that are answered
+    /// later count as lost.
     pub fn new(period: f64, importance: Vec<f64>, slo: f64) -> Self {
-        let period = period.max(MIN_PERIOD);
+        let period = period.max(MIN_PERIOD_S);
         ChangeAnalysis {
             period,
             importance,
@@ -58,9 +60,10 @@
         }
     }
 
-    /// Adds reported attempts at a host. `mean_response_time`: of those that were answered, in seconds.
+    /// Adds reported attempts at a host. `mean_response_time` is that of the answered attempts, in seconds.
     pub fn report_attempts(&mut self, host: HostId, attempts: u64, dropped: u64, mean_response_time: f64) {
-        // The share of response times above the SLO time, if they are distributed exponentially, as waiting times are.
+        // The share of response times above the SLO, assuming an exponential distribution, which is typical
+        // of waiting times.
         let late_share =
             if mean_response_time > 0.0 { (-self.slo_time / mean_response_time).exp() } else { 0.0 };
         let dropped = dropped.min(attempts);
@@ -83,16 +86,16 @@
         self.trials.get(&trial).map_or(0, Trial::observed_periods)
     }
 
-    /// Whether a trial of so many seconds has been reported on sufficiently: in half of its periods at least.
+    /// Whether a trial of `seconds` seconds has enough reports: at least half of its periods must have calls.
     pub fn has_sufficient_reports(&self, trial: TrialId, seconds: f64) -> bool {
         let needed = (MIN_OBSERVED_SHARE * seconds / self.period).max(MIN_OBSERVED_PERIODS);
         self.observed_periods(trial) as f64 >= needed
     }
 
-    /// Begins a trial: the change is in force from now on, and the time until now is its baseline. `expected_loss`: the
-    /// loss that the change's author announced, in percent of the calls.
-    pub fn start_trial(&mut self, id: TrialId, touch: ChangeScope, expected_loss: f64) {
-        let trial = Trial::new(touch, expected_loss / 100.0, self.history.baseline());
+    /// Starts a trial: the change is in force from now on, and the periods until now are its baseline.
+    /// `expected_loss` is the loss that the change's author announced, in percent of the calls.
+    pub fn start_trial(&mut self, id: TrialId, scope: ChangeScope, expected_loss: f64) {
+        let trial = Trial::new(scope, expected_loss / 100.0, self.history.baseline());
         self.trials.insert(id, trial);
         self.measure_baselines();
     }
@@ -100,23 +103,23 @@
     /// Extends the scope of a trial by slices. No effect for an unknown trial.
     pub fn extend_scope(&mut self, id: TrialId, slices: impl IntoIterator<Item = SliceId>) {
         let Some(trial) = self.trials.get_mut(&id) else { return };
-        let before = trial.touch.slices.len();
-        trial.touch.slices.extend(slices);
-        if trial.touch.slices.len() > before {
+        let before = trial.scope.slices.len();
+        trial.scope.slices.extend(slices);
+        if trial.scope.slices.len() > before {
             self.measure_baselines();
         }
     }
 
-    /// Suspends a trial: the change is taken back for the time being, as it cannot be told from a trouble of the fleet.
-    /// No effect for an unknown trial.
+    /// Suspends a trial: the change is temporarily out of force, as its harm cannot be distinguished from a
+    /// fault of the fleet. No effect for an unknown trial.
     pub fn suspend(&mut self, id: TrialId) {
         let Some(trial) = self.trials.get_mut(&id) else { return };
         trial.suspend();
         self.measure_baselines();
     }
 
-    /// Whether service has been as in the baseline for long enough since the trial was suspended. `false` for a trial
-    /// that is in force or unknown.
+    /// Whether service has been as in the baseline for long enough since the trial was suspended. `false` for
+    /// a trial that is not suspended or unknown.
     pub fn has_recovered(&self, id: TrialId) -> bool {
         self.trials.get(&id).is_some_and(Trial::has_recovered)
     }
@@ -135,7 +138,7 @@
         }
     }
 
-    /// Ends the periods that are over. Returns the trials whose change has turned out harmful, with the highest id
+    /// Closes the periods that have ended. Returns the trials whose change is found harmful, highest id
     /// first.
     pub fn close_periods(&mut self, now: f64) -> Vec<(TrialId, HarmFinding)> {
         let mut findings: BTreeMap<TrialId, HarmFinding> = BTreeMap::new();
@@ -153,16 +156,16 @@
         self.keep_latest_of_overlapping(findings)
     }
 
-    /// Of two changes that overlap and both look harmful, the later one is reported and the other one's evidence begins
-    /// anew, as it may have suffered from the later one.
+    /// Of two changes that overlap and both appear harmful, the later one is reported, and the evidence
+    /// against the other is reset, as the later one may have caused it.
     fn keep_latest_of_overlapping(
         &mut self,
         findings: BTreeMap<TrialId, HarmFinding>,
     ) -> Vec<(TrialId, HarmFinding)> {
         let mut reported: Vec<(TrialId, HarmFinding)> = Vec::new();
         for (id, finding) in findings.into_iter().rev() {
-            let touch = &self.trials[&id].touch;
-            if !reported.iter().any(|(later, _)| touch.overlaps(&self.trials[later].touch)) {
+            let scope = &self.trials[&id].scope;
+            if !reported.iter().any(|(later, _)| scope.overlaps(&self.trials[later].scope)) {
                 reported.push((id, finding));
             } else if let Some(trial) = self.trials.get_mut(&id) {
                 trial.reset_evidence();
@@ -171,26 +174,27 @@
         reported
     }
 
-    /// Measures the baselines of all trials. Needed when a trial begins, ends or grows, or its change goes into or
-    /// out of force: what one change touches is no measure for another.
+    /// Measures the baselines of all trials. Required when a trial starts or ends, its scope grows, or its
+    /// change comes into or goes out of force: calls that another change touches cannot serve as control
+    /// group.
     fn measure_baselines(&mut self) {
         let in_force: Vec<(TrialId, ChangeScope)> = self
             .trials
             .iter()
             .filter(|(_, trial)| trial.is_in_force())
-            .map(|(id, trial)| (*id, trial.touch.clone()))
+            .map(|(id, trial)| (*id, trial.scope.clone()))
             .collect();
         let known_hosts = self.known_hosts();
         for (id, trial) in &mut self.trials {
             let others: Vec<&ChangeScope> =
-                in_force.iter().filter(|(other, _)| other != id).map(|(_, touch)| touch).collect();
-            let touched_hosts = trial.touch.hosts.len() as f64;
-            let untouched_unusable = touched_hosts > MAX_TOUCHED_HOSTS * known_hosts as f64;
+                in_force.iter().filter(|(other, _)| other != id).map(|(_, scope)| scope).collect();
+            let touched_hosts = trial.scope.hosts.len() as f64;
+            let untouched_unusable = touched_hosts > MAX_TOUCHED_HOST_SHARE * known_hosts as f64;
             trial.measure_baselines(&others, &self.importance, untouched_unusable);
         }
     }
 
-    /// Hosts in the reports of the last minute; at least 1.
+    /// Number of hosts in the reports of the kept periods; at least 1.
     fn known_hosts(&self) -> usize {
         let reported = self.history.periods().flat_map(|period| &period.hosts);
         reported.map(|host| host.host).collect::<BTreeSet<HostId>>().len().max(1)
--- a/crates/director/change-analysis/src/baseline.rs
+++ b/crates/director/change-analysis/src/baseline.rs
@@ -1,32 +1,33 @@
-//! Loss rates of a part of service before the change, and how much they scatter.
+//! Loss rates of a part of service before the change, and their variance.
 
 use crate::history::Period;
 use crate::sides::Sides;
 use crate::sums::SideSums;
 
-/// A loss rate below this is taken as this: no fleet is without any loss for long.
+/// Lower limit of loss rates: no fleet is without loss for long.
 const MIN_LOSS_RATE: f64 = 0.005;
-/// A loss rate above this is taken as this, which keeps variances above zero.
+/// Upper limit of loss rates, which keeps variances above zero.
 const MAX_LOSS_RATE: f64 = 0.95;
-/// An untouched side with less than this share of the touched side's calls is no measure.
+/// An untouched side with less than this share of the touched side's calls is too small to compare with.
 const MIN_UNTOUCHED_SHARE: f64 = 0.05;
-/// The least number of blocks from which a variance is estimated; most parts have dozens.
+/// Minimum number of blocks from which a variance is estimated; most parts have dozens.
 const MIN_BLOCKS: usize = 3;
-/// Consecutive blocks that are combined to measure noise that lasts longer than one.
+/// Number of consecutive blocks that are combined to measure noise that lasts longer than one block.
 const LONG_CHUNK: usize = 5;
-/// Few blocks may look calmer than they are: this, divided by their number, is added to the measured noise.
+/// Safety margin, as the variance of few blocks may be underestimated: the measured noise is multiplied by 1
+/// plus this divided by the number of blocks.
 const FEW_BLOCKS_MARGIN: f64 = 3.0;
-/// A trouble of the whole fleet may affect the touched side more than the untouched side by this factor.
+/// Factor by which a fault of the whole fleet may affect the touched side more than the untouched side.
 const UNEVEN_FACTOR: f64 = 1.5;
 
-/// What a part of service was like before the change. Rates are shares of calls, 0 to 1.
+/// Loss rates of a part of service before the change. Rates are shares of calls, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Baseline {
     touched_rate: f64,
     pub(crate) untouched_rate: f64,
-    /// There is no usable untouched side.
+    /// There is no untouched side to compare with.
     pub(crate) without_untouched: bool,
-    /// Standard error of `touched_rate`, as it was measured over a limited number of calls.
+    /// Standard error of `touched_rate`, which is measured over a limited number of calls.
     pub(crate) standard_error: f64,
     /// Overdispersion: variance divided by that of independent calls (binomial), 1 or more.
     pub(crate) overdispersion: f64,
@@ -58,14 +59,15 @@
         Some(baseline)
     }
 
-    /// The loss rate to be expected on the touched side if the change does nothing, by that of the untouched side.
+    /// The expected loss rate on the touched side if the change has no effect, derived from that of the
+    /// untouched side.
     pub(crate) fn expected_touched_rate(&self, untouched_rate: f64) -> f64 {
         let worse =
             if self.without_untouched { 0.0 } else { (untouched_rate - self.untouched_rate).max(0.0) };
         (self.touched_rate + UNEVEN_FACTOR * worse).clamp(MIN_LOSS_RATE, MAX_LOSS_RATE)
     }
 
-    /// Noise from one block to the next, and noise that lasts over several: the greater of them counts.
+    /// The higher of the noise from block to block and the noise that lasts over several blocks.
     fn measure_overdispersion(&self, blocks: &[SideSums]) -> f64 {
         let few_blocks = 1.0 + FEW_BLOCKS_MARGIN / blocks.len() as f64;
         let short = self.chunk_variance(blocks, 1).unwrap_or(1.0);
@@ -80,10 +82,11 @@
         if count < MIN_BLOCKS {
             return None;
         }
-        // Few long chunks scatter by themselves: what chance may have added (a standard error) is taken off.
-        let chance = 1.0 + if chunk_size > 1 { (2.0 / (count.max(2) - 1) as f64).sqrt() } else { 0.0 };
+        // The variance of few long chunks is itself uncertain, so it is divided by 1 plus its relative
+        // standard error.
+        let uncertainty = 1.0 + if chunk_size > 1 { (2.0 / (count.max(2) - 1) as f64).sqrt() } else { 0.0 };
         let deviations = chunks.iter().map(|chunk| self.relative_squared_deviation(chunk));
-        Some(deviations.sum::<f64>() / (count - 1) as f64 / chance)
+        Some(deviations.sum::<f64>() / (count - 1) as f64 / uncertainty)
     }
 
     fn relative_squared_deviation(&self, sums: &SideSums) -> f64 {
@@ -95,7 +98,8 @@
     }
 }
 
-/// Combines periods with too few calls with those that follow. An insufficient rest at the end is dropped.
+/// Combines periods with too few calls with those that follow. An insufficient remainder at the end is
+/// dropped.
 fn sufficient_blocks(by_period: Vec<SideSums>, without_untouched: bool) -> Vec<SideSums> {
     let mut pending = SideSums::default();
     let mut blocks = Vec::new();
--- a/crates/director/change-analysis/src/comparison.rs
+++ b/crates/director/change-analysis/src/comparison.rs
@@ -7,38 +7,39 @@
 use crate::sums::SideSums;
 use std::collections::VecDeque;
 
-/// Loss rates this much above the expected one are below what anybody would undo a change for, and below what is
-/// known of the noise. Twice as much is tolerated where there is no untouched side.
+/// Loss rates up to this much above the expected one are tolerated: nobody would undo a change for so little,
+/// and the noise is not known more precisely. Without an untouched side twice as much is tolerated.
 const TOLERATED_LOSS: f64 = 0.005;
-/// Standard errors of the baseline that are decided in favour of the change. What is beyond them, one time in twenty,
-/// is still far too little to look like harm by itself.
+/// Number of standard errors of the baseline that are added to the bound in favour of the change. The true
+/// rate is higher in about one of twenty cases, but even then by far too little to look like harm.
 const BASELINE_ERRORS: f64 = 1.6;
-/// The greatest loss rate without harm that is assumed, below 1 so that logarithms stay finite.
+/// Upper limit of the loss rate that is explained without harm; below 1 so that logarithms stay finite.
 const MAX_BOUND: f64 = 0.98;
-/// Weight of the current period in the exponentially smoothed rate of the untouched side, as its own noise must not
-/// look like a trouble of the fleet.
+/// Weight of the current period in the exponentially smoothed loss rate of the untouched side. The rate is
+/// smoothed so that its noise does not look like a fault of the fleet.
 const SMOOTHING: f64 = 0.3;
-/// The current period of the untouched side counts unsmoothed if it is this many standard errors above.
+/// Number of standard errors that are subtracted from the unsmoothed rate of the untouched side; if the
+/// result exceeds the smoothed rate, it is used instead.
 const SUDDEN_ERRORS: f64 = 2.0;
-/// Observations over which recovery is evaluated: one alone scatters too much.
+/// Number of observations over which recovery is evaluated: a single one has too much variance.
 const RECOVERY_WINDOW: usize = 5;
-/// Standard errors by which a window may exceed the bound and still count as recovered.
+/// Number of standard errors by which a window may exceed the bound and still count as recovered.
 const RECOVERY_ERRORS: f64 = 2.0;
 
-/// What one period, or several combined ones, shows of the touched side. Rates are shares of calls, 0 to 1.
+/// The touched side in one period or in several combined ones. Rates are shares of calls, 0 to 1.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Observation {
     /// Effective calls.
     pub(crate) calls: f64,
     pub(crate) loss_rate: f64,
-    /// The greatest loss rate that is explained without harm.
+    /// The highest loss rate that is explained without harm.
     pub(crate) bound: f64,
     /// See [`Baseline::overdispersion`].
     pub(crate) overdispersion: f64,
     expected_rate: f64,
 }
 
-/// Calls of one observation in the recovery window.
+/// The calls of one observation in the recovery window.
 struct WindowEntry {
     calls: f64,
     lost: f64,
@@ -48,7 +49,7 @@
 pub(crate) struct Comparison {
     pub(crate) sides: Sides,
     baseline: Baseline,
-    /// Periods with too few calls to be evaluated by themselves.
+    /// Calls of periods that have too few to be evaluated on their own.
     pending: SideSums,
     /// The loss rate of the untouched side, exponentially smoothed.
     smoothed_untouched_rate: f64,
@@ -67,14 +68,15 @@
         }
     }
 
-    /// Forgets the periods since the change; the baseline stays.
+    /// Discards the periods since the change; the baseline is kept.
     pub(crate) fn reset(&mut self) {
         self.pending = SideSums::default();
         self.smoothed_untouched_rate = self.baseline.untouched_rate;
         self.recovery_window.clear();
     }
 
-    /// Whether the last periods were as before the change. `None` if too few calls were reported to decide.
+    /// Whether the loss in the last periods was as before the change. `None` if too few calls were reported
+    /// to decide.
     pub(crate) fn has_recovered(&mut self, period: &Period, announced_loss: f64) -> Option<bool> {
         let observation = self.observe(period, announced_loss)?;
         let lost = observation.calls * observation.loss_rate;
@@ -91,8 +93,8 @@
             .then_some(lost / calls <= bound + RECOVERY_ERRORS * standard_error)
     }
 
-    /// Takes in a period. `announced_loss`: the loss rate that the change's author announced. `None` if the calls
-    /// since the last observation are too few; they count with the next period.
+    /// Adds a period. `announced_loss` is the loss rate that the change's author announced. Returns `None` if
+    /// there were too few calls since the last observation; they are combined with the next period.
     pub(crate) fn observe(&mut self, period: &Period, announced_loss: f64) -> Option<Observation> {
         let baseline = &self.baseline;
         self.pending = self.pending.combined(self.sides.split(period));
@@ -117,7 +119,7 @@
         })
     }
 
-    /// The finding that an observation gives; its odds are set by the caller.
+    /// The finding for an observation; the caller sets its odds.
     pub(crate) fn finding(&self, observation: &Observation) -> HarmFinding {
         let untouched = UntouchedLoss {
             now_percent: 100.0 * self.smoothed_untouched_rate,
--- a/crates/director/change-analysis/src/finding.rs
+++ b/crates/director/change-analysis/src/finding.rs
@@ -1,16 +1,16 @@
-//! What the analysis reports against a change.
+//! The finding that the analysis reports against a change.
 
 use crate::scope::ServicePart;
 use std::fmt;
 
-/// Percentage points by which the smoothed loss of the untouched side must exceed its baseline to put the finding in
-/// doubt: twice what is tolerated on the touched side.
-const UNTOUCHED_WORSE_BY: f64 = 1.0;
+/// Percentage points by which the smoothed loss of the untouched side must exceed its baseline to make the
+/// finding uncertain: twice the tolerance of the touched side.
+const UNTOUCHED_TOLERANCE_PERCENT: f64 = 1.0;
 
 /// Loss on the side that the change does not touch, in percent of the calls.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UntouchedLoss {
-    /// In the current period, smoothed.
+    /// Exponentially smoothed loss, including the current period.
     pub now_percent: f64,
     /// In the baseline.
     pub before_percent: f64,
@@ -19,29 +19,31 @@
 /// A finding against a change: the part of service that shows the strongest evidence of harm.
 #[derive(Clone, Debug, PartialEq)]
 pub struct HarmFinding {
-    /// The part of service that lost most clearly.
+    /// The part of service with the strongest evidence.
     pub part: ServicePart,
     /// Loss on the touched side in the last period, in percent of the calls.
     pub lost_percent: f64,
-    /// Loss to be expected there if the change did nothing, in percent of the calls.
+    /// Expected loss there if the change had no effect, in percent of the calls.
     pub expected_percent: f64,
     /// Loss on the untouched side; `None` if there is no untouched side to compare with.
     pub untouched: Option<UntouchedLoss>,
-    /// Calls on the touched side in the last period, as the equivalent number of calls of equal weight.
+    /// Effective number of calls on the touched side in the last period: the number of calls of equal weight
+    /// with the same variance.
     pub calls: f64,
-    /// How many times likelier the reports are with harm than without.
+    /// How many times more likely the reports are with harm than without.
     pub odds: f64,
 }
 
 impl HarmFinding {
-    /// Whether the fleet may be at fault instead of the change: there was no untouched side to compare with, or that
-    /// side has become worse in the same time.
+    /// Whether a fault of the fleet may be the cause instead of the change: there was no untouched side to
+    /// compare with, or it became worse at the same time.
     ///
-    /// A trouble of some hosts (a quarter of them slow, in the lab's experiments) may affect the touched side many
-    /// times as much as the rest; without this doubt one harmless change in twenty was undone there.
+    /// A fault of some hosts may affect the touched side many times more than the rest. In simulations with a
+    /// quarter of the hosts slow, one harmless change in twenty was undone without this check.
     pub fn is_uncertain(&self) -> bool {
-        self.untouched
-            .is_none_or(|untouched| untouched.now_percent > untouched.before_percent + UNTOUCHED_WORSE_BY)
+        self.untouched.is_none_or(|untouched| {
+            untouched.now_percent > untouched.before_percent + UNTOUCHED_TOLERANCE_PERCENT
+        })
     }
 }
 
--- a/crates/director/change-analysis/src/history.rs
+++ b/crates/director/change-analysis/src/history.rs
@@ -1,11 +1,11 @@
-//! Reported calls by the period in which the reports arrived. Only what was reported is kept, so memory grows with the
-//! number of reported slices and hosts and not with the fleet.
+//! Reported calls by the period in which the reports arrived. Only reported values are kept, so memory use
+//! grows with the number of reported slices and hosts and not with the size of the fleet.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
 use std::collections::{BTreeMap, VecDeque};
 use std::rc::Rc;
 
-/// Periods that are kept: as many as a baseline has.
+/// Number of periods that are kept, which is the length of a baseline.
 const BASELINE_PERIODS: usize = 60;
 
 /// Calls of one slice in one route.
@@ -25,7 +25,7 @@
     pub(crate) lost: f32,
 }
 
-/// A period that is over, in the order of slices, routes and hosts.
+/// A closed period, sorted by slice and route, and by host.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(crate) struct Period {
     pub(crate) slices: Vec<SliceCalls>,
@@ -55,7 +55,7 @@
     }
 }
 
-/// The current period: reports for the same slice and route, or for the same host, add up.
+/// The current period; reports for the same slice and route, or for the same host, are summed.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct OpenPeriod {
     slices: BTreeMap<(SliceId, RouteId), Count>,
@@ -87,7 +87,7 @@
     }
 }
 
-/// The current period, and the last [`BASELINE_PERIODS`] before it.
+/// The current period, and up to [`BASELINE_PERIODS`] closed ones before it.
 #[derive(Default)]
 pub(crate) struct History {
     pub(crate) open: OpenPeriod,
@@ -100,7 +100,7 @@
         self.closed.iter().map(|period| &**period)
     }
 
-    /// The closed periods as a baseline that a trial keeps for as long as it lasts.
+    /// The closed periods, shared, as the baseline of a trial.
     pub(crate) fn baseline(&self) -> Vec<Rc<Period>> {
         self.closed.iter().cloned().collect()
     }
--- a/crates/director/change-analysis/src/sides.rs
+++ b/crates/director/change-analysis/src/sides.rs
@@ -6,15 +6,16 @@
 use coppersail::interface::{HostId, RouteId, SliceId};
 use std::collections::BTreeSet;
 
-/// Effective calls on a side below which a period is combined with the next one: fewer show nothing.
-const MIN_CALLS: f64 = 10.0;
+/// Effective calls on a side below which a period is combined with the next one, as fewer calls are not
+/// significant.
+const MIN_EFFECTIVE_CALLS: f64 = 10.0;
 
 /// How the calls of one part of service are divided between the two sides.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Sides {
     part: ServicePart,
-    touch: ChangeScope,
-    /// What other trials touch is on neither side, as it is no measure for this one.
+    scope: ChangeScope,
+    /// Calls that other trials touch are on neither side, as they cannot serve as control group.
     excluded_slices: BTreeSet<SliceId>,
     excluded_routes: BTreeSet<RouteId>,
     excluded_hosts: BTreeSet<HostId>,
@@ -23,18 +24,18 @@
 }
 
 impl Sides {
-    /// `others`: scopes of the other changes in force; `importance`: weight by route; `untouched_unusable`: the change
-    /// is so wide that what it does not touch is no measure.
+    /// `others`: scopes of the other changes in force; `importance`: weight of each route;
+    /// `untouched_unusable`: the change affects so much that the rest cannot serve as control group.
     pub(crate) fn new(
         part: ServicePart,
-        touch: &ChangeScope,
+        scope: &ChangeScope,
         others: &[&ChangeScope],
         importance: &[f64],
         untouched_unusable: bool,
     ) -> Self {
         Sides {
             part,
-            touch: touch.clone(),
+            scope: scope.clone(),
             excluded_slices: others.iter().flat_map(|other| other.slices.iter().copied()).collect(),
             excluded_routes: others.iter().flat_map(|other| other.routes.iter().copied()).collect(),
             excluded_hosts: others.iter().flat_map(|other| other.hosts.iter().copied()).collect(),
@@ -62,7 +63,7 @@
     fn split_attempts(&self, period: &Period) -> SideSums {
         let mut sums = SideSums::default();
         for host in &period.hosts {
-            let side = if self.touch.hosts.contains(&host.host) {
+            let side = if self.scope.hosts.contains(&host.host) {
                 &mut sums.touched
             } else if self.excluded_hosts.contains(&host.host) {
                 continue;
@@ -78,7 +79,7 @@
         let mut sums = SideSums::default();
         for calls in &period.slices {
             let touched =
-                self.touch.slices.contains(&calls.slice) || self.touch.routes.contains(&calls.route);
+                self.scope.slices.contains(&calls.slice) || self.scope.routes.contains(&calls.route);
             let Some(weight) = self.weight(calls, touched) else { continue };
             let side = if touched {
                 &mut sums.touched
@@ -94,12 +95,12 @@
         sums
     }
 
-    /// The weight of calls in this part; `None` if they do not belong to it.
+    /// The weight of these calls in this part; `None` if they do not belong to it.
     fn weight(&self, calls: &SliceCalls, touched: bool) -> Option<f64> {
         match self.part {
             ServicePart::Route(route) if calls.route == route => Some(1.0),
-            // A route that is touched everywhere is compared with the others.
-            ServicePart::Route(route) if self.touch.routes.contains(&route) && !touched => Some(1.0),
+            // A route that the change touches for every slice is compared with the other routes.
+            ServicePart::Route(route) if self.scope.routes.contains(&route) && !touched => Some(1.0),
             ServicePart::Route(_) => None,
             ServicePart::AllCalls => Some(1.0),
             ServicePart::AllByImportance | ServicePart::Hosts => {
@@ -108,9 +109,9 @@
         }
     }
 
-    /// Whether the sums have enough calls to be evaluated by themselves.
+    /// Whether the sums have enough calls to be evaluated on their own.
     pub(crate) fn are_sufficient(sums: &SideSums, without_untouched: bool) -> bool {
-        sums.touched.effective_calls() >= MIN_CALLS
-            && (without_untouched || sums.untouched.effective_calls() >= MIN_CALLS)
+        sums.touched.effective_calls() >= MIN_EFFECTIVE_CALLS
+            && (without_untouched || sums.untouched.effective_calls() >= MIN_EFFECTIVE_CALLS)
     }
 }
--- a/crates/director/change-analysis/src/sums.rs
+++ b/crates/director/change-analysis/src/sums.rs
@@ -1,6 +1,6 @@
 //! Weighted sums of calls, on the touched and on the untouched side.
 
-/// Calls with weights.
+/// Sums of weighted calls.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub(crate) struct WeightedSum {
     calls: f64,
@@ -32,7 +32,7 @@
         }
     }
 
-    /// The share of the calls that was lost, 0 to 1.
+    /// The weighted share of calls that were lost, 0 to 1.
     pub(crate) fn loss_rate(&self) -> f64 {
         self.lost / self.calls.max(1e-9)
     }
--- a/crates/director/change-analysis/src/trial.rs
+++ b/crates/director/change-analysis/src/trial.rs
@@ -1,4 +1,4 @@
-//! One change under trial: its parts of service, each with its comparison and its evidence.
+//! A change on trial: its parts of service, each with its comparison and its evidence.
 
 use crate::baseline::Baseline;
 use crate::comparison::Comparison;
@@ -10,21 +10,22 @@
 use coppersail::interface::RouteId;
 use std::rc::Rc;
 
-/// Consecutive periods that must be as before a suspended change. With the window over which each is evaluated this is
-/// ten seconds at one period a second: a trouble that only pauses for a report or two is not over.
+/// Number of consecutive periods in which service must be as before a suspended change. With the window of
+/// each evaluation this is ten seconds at one period per second, so a fault that pauses for one or two
+/// reports does not count as over.
 const RECOVERED_PERIODS: usize = 5;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum TrialState {
     InForce,
-    /// The change is taken back for the time being.
+    /// The change is temporarily out of force.
     Suspended {
         /// Consecutive periods in which service was as before the change.
         recovered_periods: usize,
     },
 }
 
-/// A part of service under trial.
+/// A part of service that is monitored during a trial.
 struct MonitoredPart {
     comparison: Comparison,
     evidence: Evidence,
@@ -39,12 +40,13 @@
     }
 }
 
-/// A change under trial.
+/// A change on trial.
 pub(crate) struct Trial {
-    pub(crate) touch: ChangeScope,
+    pub(crate) scope: ChangeScope,
     /// The loss rate that the change's author announced, 0 to 1.
     announced_loss: f64,
-    /// The periods before the change. Kept, as a suspended change is compared with the same periods again.
+    /// The periods before the change. They are kept because a resumed change is compared with the same
+    /// periods again.
     baseline_periods: Vec<Rc<Period>>,
     /// Periods with calls since the change came into force.
     observed_periods: usize,
@@ -53,9 +55,9 @@
 }
 
 impl Trial {
-    pub(crate) fn new(touch: ChangeScope, announced_loss: f64, baseline_periods: Vec<Rc<Period>>) -> Self {
+    pub(crate) fn new(scope: ChangeScope, announced_loss: f64, baseline_periods: Vec<Rc<Period>>) -> Self {
         Trial {
-            touch,
+            scope,
             announced_loss,
             baseline_periods,
             observed_periods: 0,
@@ -72,7 +74,7 @@
         self.state == TrialState::InForce
     }
 
-    /// Whether service has been as before a suspended change for long enough.
+    /// Whether the trial is suspended and service has been as in the baseline for long enough.
     pub(crate) fn has_recovered(&self) -> bool {
         matches!(self.state, TrialState::Suspended { recovered_periods } if recovered_periods >= RECOVERED_PERIODS)
     }
@@ -87,7 +89,8 @@
         self.restart();
     }
 
-    /// Evidence belongs to one time in which the change was in force, and does not count for another.
+    /// Resets observations and evidence: evidence counts only for the time in force in which it was
+    /// collected.
     fn restart(&mut self) {
         self.observed_periods = 0;
         for part in &mut self.parts {
@@ -100,8 +103,8 @@
         self.parts.iter_mut().for_each(MonitoredPart::reset_evidence);
     }
 
-    /// Measures the baseline of each part anew. `others`: scopes of the other changes in force; `importance`: weight by
-    /// route; `untouched_unusable`: see [`Sides::new`].
+    /// Measures the baseline of each part again. `others`: scopes of the other changes in force;
+    /// `importance`: weight of each route; `untouched_unusable`: see [`Sides::new`].
     pub(crate) fn measure_baselines(
         &mut self,
         others: &[&ChangeScope],
@@ -110,10 +113,10 @@
     ) {
         let mut parts: Vec<MonitoredPart> = Vec::new();
         for part in self.compared_parts(importance.len()) {
-            let sides = Sides::new(part, &self.touch, others, importance, untouched_unusable);
+            let sides = Sides::new(part, &self.scope, others, importance, untouched_unusable);
             let periods = self.baseline_periods.iter().map(|period| &**period);
             let Some(baseline) = Baseline::measure(&sides, periods) else { continue };
-            // Evidence stays valid where the sides are the same; the other parts begin anew.
+            // Evidence is kept for parts whose sides are unchanged; the other parts start without evidence.
             let previous = self.parts.iter().find(|previous| previous.comparison.sides == sides);
             parts.push(MonitoredPart {
                 evidence: previous.map_or_else(Evidence::default, |previous| previous.evidence.clone()),
@@ -128,13 +131,13 @@
         let mut parts: Vec<ServicePart> =
             (0..routes).map(|route| ServicePart::Route(RouteId(route as u16))).collect();
         parts.extend([ServicePart::AllByImportance, ServicePart::AllCalls]);
-        if !self.touch.hosts.is_empty() {
+        if !self.scope.hosts.is_empty() {
             parts.push(ServicePart::Hosts);
         }
         parts
     }
 
-    /// Takes in a period that is over. Returns the finding if the odds of harm reach `rejection_odds`.
+    /// Adds a closed period. Returns a finding if the odds of harm reach `rejection_odds`.
     pub(crate) fn observe(&mut self, period: &Period, rejection_odds: f64) -> Option<HarmFinding> {
         self.observed_periods += usize::from(period.has_calls());
         match self.state {
@@ -157,7 +160,8 @@
                 part.last_finding = Some(part.comparison.finding(&observation));
             }
             let odds = part.evidence.odds();
-            // The mean of such odds keeps their property, whatever the dependence between the parts.
+            // The mean of the odds keeps the property that its expected value without harm is at most 1,
+            // however the parts depend on each other.
             mean_odds += odds / part_count;
             if let Some(finding) = &part.last_finding {
                 if worst.is_none_or(|(worst_odds, _)| odds > worst_odds) {
@@ -172,7 +176,8 @@
     /// Returns the number of consecutive recovered periods after this one.
     fn observe_suspended(&mut self, period: &Period, recovered_periods: usize) -> usize {
         let announced_loss = self.announced_loss;
-        // Each part is evaluated, also after one that has not recovered, as each keeps a window of its own.
+        // All parts are evaluated, even after one that has not recovered, as each has its own recovery
+        // window.
         let recovered: Vec<Option<bool>> =
             self.parts.iter_mut().map(|part| part.comparison.has_recovered(period, announced_loss)).collect();
         if recovered.contains(&Some(false)) {
@@ -180,7 +185,7 @@
         } else if recovered.contains(&Some(true)) {
             recovered_periods + 1
         } else {
-            // Too few calls to decide: the periods before still count.
+            // Too few calls to decide: the previous periods still count.
             recovered_periods
         }
     }
--- a/crates/director/change-analysis/tests/trials.rs
+++ b/crates/director/change-analysis/tests/trials.rs
@@ -1,5 +1,4 @@
-//! Change analysis on random fleets and on constructed reports: which changes are rejected, how soon, and which are
-//! not.
+//! Change analysis on random fleets and on constructed reports: which changes are rejected and how soon.
 
 use coppersail::interface::{HostId, RouteId, SliceId};
 use coppersail_change_analysis::{ChangeAnalysis, ChangeScope, ServicePart, TrialId};
@@ -54,7 +53,7 @@
     }
 }
 
-/// The change touches every slice, so nothing distinguishes it from a trouble of the fleet.
+/// The change touches every slice, so nothing distinguishes its effect from a fault of the fleet.
 #[test]
 fn a_harmless_change_without_control_group_survives_an_outage_of_the_fleet() {
     let (mut suspended, mut undone) = (0, 0);
@@ -119,9 +118,10 @@
     }
 }
 
-/// Reports seconds of ten calls for each of ten slices, `lost` of them by slice. Returns the rejected trials.
+/// Reports `count` seconds with ten calls for each of ten slices, of which `lost` gives the lost calls.
+/// Returns the rejected trials.
 fn run_seconds(
-    judge: &mut ChangeAnalysis,
+    analysis: &mut ChangeAnalysis,
     from: usize,
     count: usize,
     lost: impl Fn(u16) -> u64,
@@ -129,10 +129,10 @@
     let mut rejected = Vec::new();
     for second in from..from + count {
         for slice in 0..10 {
-            judge.report_calls(SliceId(slice), RouteId(0), 10, lost(slice));
-            judge.report_attempts(HostId(slice.into()), 10, lost(slice), 0.1);
+            analysis.report_calls(SliceId(slice), RouteId(0), 10, lost(slice));
+            analysis.report_attempts(HostId(slice.into()), 10, lost(slice), 0.1);
         }
-        rejected.extend(judge.close_periods((second + 1) as f64).into_iter().map(|(id, _)| id));
+        rejected.extend(analysis.close_periods((second + 1) as f64).into_iter().map(|(id, _)| id));
     }
     rejected
 }
@@ -143,90 +143,92 @@
 
 #[test]
 fn of_two_disjoint_trials_only_the_harmful_one_is_rejected() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
-    judge.start_trial(TrialId(2), slices(&[2, 3]), 0.0);
-    let found = run_seconds(&mut judge, 20, 20, |slice| if slice == 2 || slice == 3 { 3 } else { 0 });
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
+    analysis.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
+    analysis.start_trial(TrialId(2), slices(&[2, 3]), 0.0);
+    let found = run_seconds(&mut analysis, 20, 20, |slice| if slice == 2 || slice == 3 { 3 } else { 0 });
     assert!(!found.is_empty() && found.iter().all(|id| *id == TrialId(2)), "{found:?}");
 }
 
 #[test]
 fn of_two_overlapping_trials_the_later_one_is_rejected_first() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
-    judge.start_trial(TrialId(2), slices(&[0, 1]), 0.0);
-    let found = run_seconds(&mut judge, 20, 6, |slice| if slice < 2 { 5 } else { 0 });
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
+    analysis.start_trial(TrialId(1), slices(&[0, 1]), 0.0);
+    analysis.start_trial(TrialId(2), slices(&[0, 1]), 0.0);
+    let found = run_seconds(&mut analysis, 20, 6, |slice| if slice < 2 { 5 } else { 0 });
     assert_eq!(found.first(), Some(&TrialId(2)));
     assert!(!found.contains(&TrialId(1)), "its evidence begins anew");
 }
 
 #[test]
 fn an_announced_loss_is_no_harm() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.start_trial(TrialId(1), slices(&[0, 1]), 40.0);
-    assert_eq!(run_seconds(&mut judge, 20, 30, |slice| if slice < 2 { 3 } else { 0 }), vec![]);
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
+    analysis.start_trial(TrialId(1), slices(&[0, 1]), 40.0);
+    assert_eq!(run_seconds(&mut analysis, 20, 30, |slice| if slice < 2 { 3 } else { 0 }), vec![]);
 }
 
 #[test]
 fn a_trial_without_reports_has_insufficient_evidence() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
-    assert!(judge.has_baseline());
-    judge.start_trial(TrialId(1), slices(&[0]), 0.0);
-    run_seconds(&mut judge, 20, 10, |_| 0);
-    assert_eq!(judge.close_periods(80.0), vec![]);
-    assert!(!judge.has_sufficient_reports(TrialId(1), 60.0));
-    run_seconds(&mut judge, 80, 25, |_| 0);
-    assert!(judge.has_sufficient_reports(TrialId(1), 60.0));
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
+    assert!(analysis.has_baseline());
+    analysis.start_trial(TrialId(1), slices(&[0]), 0.0);
+    run_seconds(&mut analysis, 20, 10, |_| 0);
+    assert_eq!(analysis.close_periods(80.0), vec![]);
+    assert!(!analysis.has_sufficient_reports(TrialId(1), 60.0));
+    run_seconds(&mut analysis, 80, 25, |_| 0);
+    assert!(analysis.has_sufficient_reports(TrialId(1), 60.0));
 }
 
 #[test]
 fn a_change_to_most_hosts_has_no_control_group() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
     let hosts = (0..5).map(HostId).collect();
-    judge.start_trial(TrialId(1), ChangeScope { hosts, ..slices(&[0, 1, 2, 3, 4]) }, 0.0);
-    // The untouched hosts are overloaded by what the touched ones shed, so their loss is the change's harm too.
-    let found = run_seconds(&mut judge, 20, 20, |_| 3);
+    analysis.start_trial(TrialId(1), ChangeScope { hosts, ..slices(&[0, 1, 2, 3, 4]) }, 0.0);
+    // The load that moves away from the touched hosts overloads the others, so the change causes their loss
+    // too.
+    let found = run_seconds(&mut analysis, 20, 20, |_| 3);
     assert_eq!(found.first(), Some(&TrialId(1)));
 }
 
 #[test]
 fn a_suspended_trial_recovers_only_after_a_lasting_calm_and_keeps_its_baseline() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
     let all: Vec<u16> = (0..10).collect();
-    judge.start_trial(TrialId(1), slices(&all), 0.0);
-    assert_eq!(run_seconds(&mut judge, 20, 8, |_| 3).first(), Some(&TrialId(1)));
-    judge.suspend(TrialId(1));
-    // The fleet goes on losing calls, pauses, and loses again: a change out of force is not rejected.
-    assert_eq!(run_seconds(&mut judge, 28, 100, |_| 3), vec![]);
-    run_seconds(&mut judge, 128, 6, |_| 0);
-    assert!(!judge.has_recovered(TrialId(1)));
-    run_seconds(&mut judge, 134, 3, |_| 3);
-    run_seconds(&mut judge, 137, 8, |_| 0);
-    assert!(!judge.has_recovered(TrialId(1)), "a pause is no recovery");
-    run_seconds(&mut judge, 145, 8, |_| 0);
-    assert!(judge.has_recovered(TrialId(1)));
-    judge.resume(TrialId(1));
-    assert!(!judge.has_recovered(TrialId(1)) && judge.observed_periods(TrialId(1)) == 0);
-    // A minute of trouble has passed by now, but the baseline is the time before the change was first in force.
-    let found = run_seconds(&mut judge, 153, 8, |_| 1);
+    analysis.start_trial(TrialId(1), slices(&all), 0.0);
+    assert_eq!(run_seconds(&mut analysis, 20, 8, |_| 3).first(), Some(&TrialId(1)));
+    analysis.suspend(TrialId(1));
+    // The fleet keeps losing calls, pauses, and loses again: a change that is out of force is not rejected.
+    assert_eq!(run_seconds(&mut analysis, 28, 100, |_| 3), vec![]);
+    run_seconds(&mut analysis, 128, 6, |_| 0);
+    assert!(!analysis.has_recovered(TrialId(1)));
+    run_seconds(&mut analysis, 134, 3, |_| 3);
+    run_seconds(&mut analysis, 137, 8, |_| 0);
+    assert!(!analysis.has_recovered(TrialId(1)), "a pause is no recovery");
+    run_seconds(&mut analysis, 145, 8, |_| 0);
+    assert!(analysis.has_recovered(TrialId(1)));
+    analysis.resume(TrialId(1));
+    assert!(!analysis.has_recovered(TrialId(1)) && analysis.observed_periods(TrialId(1)) == 0);
+    // More than a minute of losses has passed, but the baseline is still the time before the change first
+    // came into force.
+    let found = run_seconds(&mut analysis, 153, 8, |_| 1);
     assert_eq!(found.first(), Some(&TrialId(1)));
 }
 
 #[test]
 fn slices_added_to_a_trial_are_compared_with_its_original_baseline() {
-    let mut judge = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
-    run_seconds(&mut judge, 0, 20, |_| 0);
-    judge.start_trial(TrialId(1), slices(&[0]), 0.0);
-    run_seconds(&mut judge, 20, 3, |_| 0);
-    judge.extend_scope(TrialId(1), [SliceId(1)]);
+    let mut analysis = ChangeAnalysis::new(1.0, vec![1.0], 1.0);
+    run_seconds(&mut analysis, 0, 20, |_| 0);
+    analysis.start_trial(TrialId(1), slices(&[0]), 0.0);
+    run_seconds(&mut analysis, 20, 3, |_| 0);
+    analysis.extend_scope(TrialId(1), [SliceId(1)]);
     assert_eq!(
-        run_seconds(&mut judge, 23, 20, |slice| if slice == 1 { 3 } else { 0 }).first(),
+        run_seconds(&mut analysis, 23, 20, |slice| if slice == 1 { 3 } else { 0 }).first(),
         Some(&TrialId(1))
     );
 }
--- a/crates/director/changes/src/change.rs
+++ b/crates/director/changes/src/change.rs
@@ -1,11 +1,11 @@
-//! One change: its number, what was submitted, and how far it has come.
+//! A change: its number, its submission and its stage.
 
 use crate::stage::Stage;
 use coppersail_operator_config::{Document, Edits, Field, Value};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// A change's number. The newest one is also the version of the configuration; 0: nothing was ever set.
+/// A change's number. The newest one is also the version of the configuration; 0 if there has been no change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct Version(pub u64);
@@ -27,24 +27,25 @@
     pub why: String,
     /// What it sets and unsets.
     pub edits: Edits,
-    /// Length of its trial, seconds; `None`: the default; 0: it is kept without a trial.
+    /// Length of its trial, in seconds; `None`: the default; 0: it is kept without a trial.
     pub trial: Option<f64>,
-    /// Loss of service that its author expects where it takes effect, percentage points from 0 to 100.
+    /// Share of calls that its author expects to be lost where it takes effect, in percentage points from 0
+    /// to 100.
     #[serde(default)]
     pub expected_loss: f64,
     /// Idempotency token: a resubmission with the same token is the same change; empty: none.
     #[serde(default)]
     pub token: String,
-    /// It is a draft: it waits until it is staged.
+    /// It is a draft, which is not applied until it is staged.
     #[serde(default)]
     pub draft: bool,
-    /// The operators' file's whole content, if the change comes from there.
+    /// The complete content of the operators' file, if the change comes from it.
     #[serde(default)]
     pub file: Option<Vec<(Field, Value)>>,
 }
 
 impl Submission {
-    /// The operators' file's content, if the change comes from there.
+    /// The complete content of the operators' file, if the change comes from it.
     pub fn document(&self) -> Option<Document> {
         self.file.as_ref().map(|fields| fields.iter().cloned().collect())
     }
@@ -55,14 +56,14 @@
 pub struct Change {
     /// Its number.
     pub number: Version,
-    /// When it was submitted, seconds since 1970 by the wall clock; shown, never used in decisions.
+    /// Wall-clock time of the submission, in seconds since 1970; for display only, never used in decisions.
     pub wall: f64,
     /// What was submitted.
     pub submission: Submission,
-    /// How far it has come.
+    /// Its stage.
     pub stage: Stage,
-    /// The change that it undoes, if it is an undo.
+    /// The change that it undoes; `None` if it is no undo.
     pub undoes: Option<Version>,
-    /// The values of its fields before it was applied, to show what it changed.
+    /// The values of its fields before it was applied, for display.
     pub before: Edits,
 }
