--- a/crates/director/changes/src/change_log.rs
+++ b/crates/director/changes/src/change_log.rs
@@ -1,6 +1,6 @@
-//! The log of all changes with their state. Each concern has its module: `submission` and `trial` take commands and
-//! time, `undo` makes changes that undo others, `transition` is the only one that moves a change from stage to stage,
-//! and `recovery` rebuilds the state at a start.
+//! The log of all changes with their state. `submission` and `trial` handle commands and timeouts, `undo`
+//! creates changes that undo others, `transition` is the only module that changes the stage of a change, and
+//! `recovery` rebuilds the state at startup.
 
 mod recovery;
 mod submission;
@@ -15,18 +15,18 @@
 use coppersail_operator_config::{Document, Edits};
 use std::collections::{BTreeMap, VecDeque};
 
-/// What is known of a change that has not ended. Times are seconds of the monotonic clock.
+/// State of a change that has not ended. Times are in seconds, on the monotonic clock.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct ActiveChange {
     /// When it entered its stage.
     since: f64,
-    /// Length of its trial, seconds; 0: it has none.
+    /// Length of its trial, in seconds; 0: it has none.
     trial: f64,
-    /// By how much operators have extended the trial, seconds.
+    /// Total time by which operators have extended the trial, in seconds.
     extension: f64,
-    /// It was set aside before, so this is its second trial.
+    /// It was suspended before, so this is its second trial.
     retried: bool,
-    /// It is set aside, and the proxies have the document without it.
+    /// It is suspended, and the proxies have applied the document without it.
     withdrawn: bool,
 }
 
@@ -41,32 +41,32 @@
     }
 }
 
-/// All changes that can be shown, confirmed or undone, and the document that is in force. Times `now` are seconds of a
-/// monotonic clock, times `wall` seconds since 1970, which are only recorded.
+/// All changes that can be shown, confirmed or undone, and the document in force. `now` is the time of a
+/// monotonic clock in seconds; `wall` is the wall-clock time in seconds since 1970, which is only recorded.
 #[derive(Clone, Debug, Default)]
 pub struct ChangeLog {
     changes: BTreeMap<Version, Change>,
     newest: Version,
     histories: FieldHistories,
-    /// What is in force; always what `histories` give.
+    /// The document in force; always equal to the one that `histories` give.
     document: Document,
     /// Content of the operators' file when it was last applied.
     file: Document,
     /// Who froze all changes, and why.
     frozen: Option<(String, String)>,
-    /// The changes by their idempotency tokens.
+    /// Changes by idempotency token.
     tokens: BTreeMap<String, Version>,
     active: BTreeMap<Version, ActiveChange>,
-    /// Durable changes that wait to be applied, in order.
+    /// Durable changes that are waiting to be applied, in order.
     staged: VecDeque<Version>,
-    /// Changes that have ended, in the order in which they did.
+    /// Ended changes, in the order in which they ended.
     ended: VecDeque<Version>,
-    /// Why the log's file has failed; no change is accepted until a restart.
+    /// The error of the log's file, if it has failed; then no change is accepted until a restart.
     write_error: Option<String>,
 }
 
 impl ChangeLog {
-    /// Number of the newest change: the version of the configuration.
+    /// The number of the newest change, which is the version of the configuration.
     pub fn head(&self) -> Version {
         self.newest
     }
@@ -96,18 +96,18 @@
         self.changes.values().rev()
     }
 
-    /// The changes on trial, with the length of their trials in seconds, without extensions.
+    /// The changes on trial, with the lengths of their trials in seconds, excluding extensions.
     pub fn trials(&self) -> impl Iterator<Item = (Version, f64)> + '_ {
         let trials = self.active.iter().filter(|(number, _)| self.stage(**number) == Some(&Stage::Trial));
         trials.map(|(number, active)| (*number, active.trial))
     }
 
-    /// Whether no change is under way; drafts do not count.
+    /// Whether no change is in progress; drafts do not count.
     pub fn idle(&self) -> bool {
         self.active.is_empty() && self.staged.is_empty()
     }
 
-    /// Seconds until the change's trial ends; `None`: it is not on trial.
+    /// Remaining time of the change's trial, in seconds; `None` if it is not on trial.
     pub fn trial_left(&self, now: f64, number: Version) -> Option<f64> {
         let active = self.active.get(&number).filter(|_| self.stage(number) == Some(&Stage::Trial))?;
         Some((active.trial_end() - now).max(0.0))
@@ -126,7 +126,7 @@
         self.changes.get(&number).ok_or(Refusal::UnknownChange(number))
     }
 
-    /// The document as it would be with these edits in force.
+    /// The document in force with these edits applied.
     fn document_with(&self, edits: &Edits) -> Document {
         let mut document = self.document.clone();
         for (field, value) in edits {
--- a/crates/director/changes/src/change_log/recovery.rs
+++ b/crates/director/changes/src/change_log/recovery.rs
@@ -1,36 +1,39 @@
-//! The first start, and recovery from the records of earlier runs.
+//! Creation of a log at the first start, and recovery from the records of earlier runs.
 
 use super::undo::Undo;
 use super::ChangeLog;
-use crate::act::ChangeEffect;
 use crate::change::Version;
+use crate::effect::ChangeEffect;
 use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::record_error::RecordError;
 use crate::stage::{EndReason, Keep, Stage};
 use coppersail_operator_config::{Document, Edits};
 
-/// The version of what the operators' file holds at the first start; no change has it, so it cannot be undone.
-const FOUNDING_VERSION: Version = Version(0);
+/// The version of the operators' file's content at the first start. No change has this number, so the content
+/// cannot be undone.
+const INITIAL_VERSION: Version = Version(0);
 
 impl ChangeLog {
-    /// The first start: the content of the operators' file is in force. Returns the record to be written.
+    /// Creates a log at the first start, with the content of the operators' file in force. Returns the record
+    /// to write.
     pub fn create(document: Document, wall: f64) -> (Self, Record) {
         let record = Record::Founded { wall, document: document.clone().into_iter().collect() };
         let mut log = ChangeLog::default();
-        log.set_founding_document(document);
+        log.set_initial_document(document);
         (log, record)
     }
 
-    fn set_founding_document(&mut self, document: Document) {
+    fn set_initial_document(&mut self, document: Document) {
         let edits: Edits = document.iter().map(|(field, value)| (field.clone(), Some(*value))).collect();
-        self.histories.claim(FOUNDING_VERSION, &edits);
-        self.histories.enforce(FOUNDING_VERSION, &edits);
+        self.histories.claim(INITIAL_VERSION, &edits);
+        self.histories.enforce(INITIAL_VERSION, &edits);
         self.file = document.clone();
         self.document = document;
     }
 
-    /// The state as it was when the last of these records was written. [`ChangeLog::resume`] is to be called next.
+    /// Rebuilds the state at the time when the last of these records was written. [`ChangeLog::resume`] must
+    /// be called next.
     ///
     /// # Errors
     ///
@@ -45,7 +48,7 @@
 
     fn replay(&mut self, record: Record) -> Result<(), RecordError> {
         match record {
-            Record::Founded { document, .. } => self.set_founding_document(document.into_iter().collect()),
+            Record::Founded { document, .. } => self.set_initial_document(document.into_iter().collect()),
             Record::Accepted { number, .. } if number <= self.newest => {
                 return Err(RecordError::AcceptedTwice(number));
             }
@@ -60,16 +63,16 @@
         Ok(())
     }
 
-    /// Goes on after [`ChangeLog::recover`]. Staged changes stay staged. Changes on trial are undone: the baseline that
-    /// they are compared with is lost, and they may be why the director stopped.
+    /// Resumes operation after [`ChangeLog::recover`]. Staged changes stay staged. Changes on trial are
+    /// undone: their baseline is lost, and they may be the reason why the director stopped.
     pub fn resume(&mut self, now: f64, wall: f64, pool: &HostPool) -> Vec<ChangeEffect> {
         let all: Vec<(Version, Stage)> =
             self.changes.values().map(|change| (change.number, change.stage.clone())).collect();
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         for (number, stage) in all {
-            acts.extend(self.resume_change(now, wall, number, &stage, pool));
+            effects.extend(self.resume_change(now, wall, number, &stage, pool));
         }
-        acts
+        effects
     }
 
     fn resume_change(
@@ -89,14 +92,14 @@
                 self.activate(number, now);
                 Vec::new()
             }
-            // The whole document is given to the director at a start, so the undo has taken effect.
+            // The director gets the whole document at startup, so the undo has taken effect.
             Stage::Applied if self.is_undo(number) => {
                 self.transition_and_record(wall, number, Stage::Kept(Keep::IsUndo))
             }
             Stage::Applied | Stage::Trial => {
                 self.undo_by_new_change(now, wall, number, EndReason::Restarted, pool)
             }
-            Stage::Suspended { .. } => self.end_set_aside(wall, number, EndReason::Restarted),
+            Stage::Suspended { .. } => self.end_suspended(wall, number, EndReason::Restarted),
             Stage::Drafted | Stage::Kept(_) | Stage::Undone(_) | Stage::Dropped(_) => Vec::new(),
         }
     }
--- a/crates/director/changes/src/change_log/submission.rs
+++ b/crates/director/changes/src/change_log/submission.rs
@@ -1,23 +1,25 @@
-//! Submissions: validation, conflicts, idempotent resubmission, drafts, durability; and freezing, which refuses them.
+//! Submissions: validation, conflicts, idempotent resubmission, drafts, durability, and the freeze of
+//! changes.
 
 use super::{ActiveChange, ChangeLog};
-use crate::act::ChangeEffect;
 use crate::change::{Submission, Version};
+use crate::effect::ChangeEffect;
 use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::refusal::Refusal;
 use crate::stage::{EndReason, Keep, Stage};
 use coppersail_operator_config::{check_edit, Edits, Field, SettingsNames, Value};
 
-/// Length of a trial where neither the change nor the document sets one, seconds: twice the time within which a loss of
-/// five points is found.
-const DEFAULT_TRIAL: f64 = 60.0;
-/// Limit of the changes under way. Each costs an analysis, and more of them hide each other's effects.
+/// Default length of a trial, in seconds, if neither the change nor the document sets one: twice the time
+/// within which the analysis finds a loss of five percentage points.
+const DEFAULT_TRIAL_S: f64 = 60.0;
+/// Limit of the changes in progress. Each needs an analysis, and more of them would hide each other's
+/// effects.
 pub(super) const MAX_ACTIVE: usize = 8;
 /// Limit of the drafts.
 const MAX_DRAFTS: usize = 64;
 
-/// What is out of bounds in a submission's parameters, one text a fault.
+/// The errors in a submission's parameters, one text each.
 fn parameter_faults(submission: &Submission) -> Vec<String> {
     let mut faults = Vec::new();
     if submission.trial.is_some_and(|trial| trial != 0.0 && !(5.0..=3600.0).contains(&trial)) {
@@ -30,12 +32,12 @@
 }
 
 impl ChangeLog {
-    /// Accepts a submission, or refuses all of it. A resubmission, by its token, returns the change that it became
-    /// before, and no acts.
+    /// Accepts a submission, or refuses it as a whole. A resubmission with the token of an earlier change
+    /// returns that change, and no effects.
     ///
     /// # Errors
     ///
-    /// It is invalid, conflicts with another change, or there are too many.
+    /// The submission is invalid, conflicts with another change, or too many changes are in progress.
     pub fn submit(
         &mut self,
         now: f64,
@@ -65,21 +67,21 @@
         Ok((number, vec![ChangeEffect::Log { about: Some(number), text }, ChangeEffect::Write(record)]))
     }
 
-    /// The change that was submitted with this idempotency token.
+    /// The earlier change with this idempotency token, if any.
     fn submitted_before(&self, token: &str) -> Option<Version> {
         self.tokens.get(token).filter(|_| !token.is_empty()).copied()
     }
 
-    /// What a submission would change: the fields with their values in force and their new ones. Fields that already
-    /// have the value are left out.
+    /// What a submission would change: the fields with their current and their new values. Fields that
+    /// already have the new value are left out.
     pub fn preview(&self, edits: &Edits) -> Vec<(Field, Option<Value>, Option<Value>)> {
         let in_force = |field: &Field| self.document.get(field).copied();
         let differing = edits.iter().filter(|(field, value)| in_force(field) != **value);
         differing.map(|(field, value)| (field.clone(), in_force(field), *value)).collect()
     }
 
-    /// Everything that can refuse a submission but the limits. `except` is the change that it is itself, if it is a
-    /// draft.
+    /// All checks of a submission except the limits on the number of changes. `except` is the change's own
+    /// number when a draft is staged.
     fn validate(
         &self,
         submission: &Submission,
@@ -114,15 +116,17 @@
         }
     }
 
-    /// Optimistic locking: each field's newest change must be known to the base. It must have ended too, even if the
-    /// base knows it: as long as it may be undone by itself, nothing can be built on it.
+    /// Optimistic locking: the newest change of each field must not be newer than the base. It must also have
+    /// ended, even if the base includes it: as long as it can still be undone automatically, no other change
+    /// may depend on it.
     fn check_conflicts(&self, base: Version, edits: &Edits, except: Option<Version>) -> Result<(), Refusal> {
         for field in edits.keys() {
             let newest = self.histories.newest(field).filter(|newest| Some(*newest) != except);
             let Some(holder) = newest else { continue };
             let (who, stage) = match self.changes.get(&holder) {
                 Some(change) => (change.submission.who.clone(), &change.stage),
-                // Forgotten, or set by the first file.
+                // The change has been forgotten, or the field was set by the operators' file at the first
+                // start.
                 None => (String::new(), &Stage::Kept(Keep::TrialPassed)),
             };
             if holder > base || !stage.ended() {
@@ -148,11 +152,11 @@
         Ok(())
     }
 
-    /// The change is under way from now on.
+    /// Marks the change as in progress.
     pub(super) fn activate(&mut self, number: Version, now: f64) {
         let default = match self.document.get(&Field::Trial) {
             Some(Value::Number(trial)) => *trial,
-            _ => DEFAULT_TRIAL,
+            _ => DEFAULT_TRIAL_S,
         };
         let own = self.changes.get(&number).and_then(|change| change.submission.trial);
         self.active.insert(number, ActiveChange::new(now, own.unwrap_or(default)));
@@ -162,7 +166,7 @@
     ///
     /// # Errors
     ///
-    /// It is no draft, is no longer valid, or too many changes are under way.
+    /// The change is no draft, is no longer valid, or too many changes are in progress.
     pub fn stage_draft(
         &mut self,
         now: f64,
@@ -177,13 +181,13 @@
         }
         self.check_active_limit()?;
         self.validate(&change.submission, known, pool, Some(number))?;
-        let mut acts = self.transition_and_record(wall, number, Stage::Checked);
+        let mut effects = self.transition_and_record(wall, number, Stage::Checked);
         self.activate(number, now);
-        acts.extend(self.transition_and_record(wall, number, Stage::Staged));
-        Ok(acts)
+        effects.extend(self.transition_and_record(wall, number, Stage::Staged));
+        Ok(effects)
     }
 
-    /// The change is durable: its author may be answered, and it may be applied.
+    /// To be called when the change is durable: its author may then be answered, and it may be applied.
     pub fn record_written(&mut self, wall: f64, number: Version) -> Vec<ChangeEffect> {
         if self.stage(number) == Some(&Stage::Checked) {
             return self.transition_and_record(wall, number, Stage::Staged);
@@ -191,24 +195,24 @@
         Vec::new()
     }
 
-    /// The log's file has failed: the change, if it was about one, is dropped, and no other is accepted until a
-    /// restart. Changes on trial may still be undone.
+    /// To be called when a write to the log's file has failed. The change of the failed record, if any, is
+    /// dropped, and no other is accepted until a restart. Changes on trial can still be undone.
     pub fn write_failed(&mut self, wall: f64, number: Option<Version>, why: &str) -> Vec<ChangeEffect> {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         if self.write_error.is_none() {
             self.write_error = Some(why.to_string());
             let text = format!("history: cannot be written, no change is taken before a start: {why}");
-            acts.push(ChangeEffect::Log { about: None, text });
+            effects.push(ChangeEffect::Log { about: None, text });
         }
-        let Some(number) = number else { return acts };
+        let Some(number) = number else { return effects };
         if matches!(self.stage(number), Some(Stage::Checked | Stage::Drafted)) {
             let why = EndReason::WriteFailed { why: why.to_string() };
-            acts.extend(self.transition_and_record(wall, number, Stage::Dropped(why)));
+            effects.extend(self.transition_and_record(wall, number, Stage::Dropped(why)));
         }
-        acts
+        effects
     }
 
-    /// Refuses all submissions until [`ChangeLog::thaw`]. Trials go on, and changes may still be undone.
+    /// Refuses all submissions until [`ChangeLog::thaw`]. Trials continue, and changes can still be undone.
     pub fn freeze(&mut self, wall: f64, who: String, why: String) -> Vec<ChangeEffect> {
         let text = format!("changes frozen by {who}: {why}");
         self.frozen = Some((who.clone(), why.clone()));
--- a/crates/director/changes/src/change_log/tests/mod.rs
+++ b/crates/director/changes/src/change_log/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Each test drives a change log through a few calls; those of `recovery` through random ones, by seed.
+//! Each test drives a change log through a few calls; those of `recovery` through random calls, by seed.
 
 mod recovery;
 mod set_aside;
@@ -6,9 +6,9 @@
 mod trial;
 mod undo;
 
-use crate::act::{AnalysisState, ChangeEffect};
 use crate::change::{Submission, Version};
 use crate::change_log::ChangeLog;
+use crate::effect::{AnalysisState, ChangeEffect};
 use crate::host_pool::{HostPool, PoolHost};
 use crate::stage::{EndReason, Keep, Stage};
 use coppersail_operator_config::{Edits, Field, RouteName, SettingsNames};
@@ -45,7 +45,7 @@
 const REPORTS_RECEIVED: AnalysisState =
     AnalysisState { has_baseline: true, has_reports: true, has_recovered: false };
 
-/// Submits a change and brings it on trial.
+/// Submits a change and starts its trial.
 fn on_trial(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
     let (number, _) = log.submit(now, 0.0, submitted, &known(), &pool(4)).unwrap();
     log.record_written(0.0, number);
@@ -55,7 +55,7 @@
     number
 }
 
-/// Submits a change, and has an operator keep it.
+/// Submits a change, and confirms it as an operator.
 fn kept_change(log: &mut ChangeLog, now: f64, submitted: Submission) -> Version {
     let number = on_trial(log, now, submitted);
     log.confirm(0.0, number, "op".into()).unwrap();
--- a/crates/director/changes/src/change_log/tests/recovery.rs
+++ b/crates/director/changes/src/change_log/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! Recovery of the same state from the records, with a crash after every one of them.
+//! Recovery from the records restores the same state, whichever record a crash follows.
 
 use super::*;
 use crate::change::Change;
@@ -28,8 +28,8 @@
     }
 }
 
-fn written_records(acts: Vec<ChangeEffect>) -> impl Iterator<Item = Record> {
-    acts.into_iter().filter_map(|act| match act {
+fn written_records(effects: Vec<ChangeEffect>) -> impl Iterator<Item = Record> {
+    effects.into_iter().filter_map(|effect| match effect {
         ChangeEffect::Write(record) => Some(record),
         _ => None,
     })
@@ -43,23 +43,25 @@
         let weight = (1 + k % 90).to_string();
         let submitted =
             Submission { trial: Some(0.0), ..submission(log.head().0, "a", &[("hosts.h0.weight", &weight)]) };
-        let (number, acts) = log.submit(k as f64, 0.0, submitted, &known(), &pool(4)).unwrap();
-        let mut acts: Vec<ChangeEffect> = acts.into_iter().chain(log.record_written(0.0, number)).collect();
-        acts.extend(log.tick(k as f64, 0.0, &pool(4), &|_| REPORTS_RECEIVED));
-        acts.extend(log.document_applied(k as f64, 0.0, number));
-        records.extend(written_records(acts));
+        let (number, effects) = log.submit(k as f64, 0.0, submitted, &known(), &pool(4)).unwrap();
+        let mut effects: Vec<ChangeEffect> =
+            effects.into_iter().chain(log.record_written(0.0, number)).collect();
+        effects.extend(log.tick(k as f64, 0.0, &pool(4), &|_| REPORTS_RECEIVED));
+        effects.extend(log.document_applied(k as f64, 0.0, number));
+        records.extend(written_records(effects));
     }
     assert_eq!((log.changes().count(), log.document().len()), (MAX_ENDED, 1));
     assert!(matches!(log.undo(0.0, 0.0, Version(5), operator(), &pool(4)), Err(Refusal::UnknownChange(_))));
     assert_eq!(RecoveredState::of(&ChangeLog::recover(records).unwrap()), RecoveredState::of(&log));
 }
 
-/// What should be in force, from the list of all changes alone: each field's value of the newest change in force.
+/// The expected document, computed from the list of changes only: the value of each field in the newest
+/// change in force.
 fn expected_document(log: &ChangeLog) -> Document {
     let mut fields: BTreeMap<Field, Option<Value>> = BTreeMap::new();
     for change in log.changes.values().filter(|change| change.stage.in_force()) {
         for (field, value) in &change.submission.edits {
-            // An undo sets no value itself; here no host is gone.
+            // An undo sets no value itself, as no host leaves the pool in this test.
             if change.undoes.is_none() {
                 fields.insert(field.clone(), *value);
             }
@@ -68,7 +70,7 @@
     fields.into_iter().filter_map(|(field, value)| Some((field, value?))).collect()
 }
 
-/// Sixty random calls, by seed; `inspect` sees the log and all its records after each.
+/// Makes sixty random calls, by seed; `inspect` gets the log and all its records after each call.
 fn simulate(log: &mut ChangeLog, seed: u64, inspect: &mut dyn FnMut(&ChangeLog, &[Record])) {
     let (mut random, mut now, mut records) = (fastrand::Rng::with_seed(seed), 0.0, Vec::new());
     let fields =
@@ -76,7 +78,7 @@
     for _ in 0..60 {
         now += random.f64() * 20.0;
         let number = Version(1 + random.u64(0..12));
-        let acts = match random.u8(0..10) {
+        let effects = match random.u8(0..10) {
             0..=3 => {
                 let count = random.usize(1..3);
                 let value = |field: &str, random: &mut fastrand::Rng| match field {
@@ -91,9 +93,9 @@
                 let base = log.head().0.saturating_sub(random.u64(0..3));
                 let draft = random.u8(0..6) == 0;
                 let submitted = Submission { draft, ..submission(base, "a", &edits) };
-                log.submit(now, 0.0, submitted, &known(), &pool(4)).map_or(vec![], |(number, acts)| {
+                log.submit(now, 0.0, submitted, &known(), &pool(4)).map_or(vec![], |(number, effects)| {
                     let written = if random.u8(0..4) > 0 { log.record_written(0.0, number) } else { vec![] };
-                    acts.into_iter().chain(written).collect()
+                    effects.into_iter().chain(written).collect()
                 })
             }
             4 => log.stage_draft(now, 0.0, number, &known(), &pool(4)).unwrap_or_default(),
@@ -102,21 +104,21 @@
             7 => log.confirm(0.0, number, "op".into()).unwrap_or_default(),
             _ => {
                 let (heard, calm) = (random.bool(), random.bool());
-                let mut acts = log.tick(now, 0.0, &pool(4), &|_| AnalysisState {
+                let mut effects = log.tick(now, 0.0, &pool(4), &|_| AnalysisState {
                     has_baseline: true,
                     has_reports: heard,
                     has_recovered: calm,
                 });
                 let applied: Vec<Version> = log.active.keys().copied().collect();
                 if random.u8(0..4) > 0 {
-                    acts.extend(
+                    effects.extend(
                         applied.into_iter().flat_map(|number| log.document_applied(now, 0.0, number)),
                     );
                 }
-                acts
+                effects
             }
         };
-        records.extend(written_records(acts));
+        records.extend(written_records(effects));
         inspect(log, &records);
     }
 }
@@ -138,19 +140,19 @@
     }
 }
 
-/// A start from these records loses and duplicates nothing, leaves no change on trial, and a second crash right after
-/// it recovers the same state.
+/// A start from these records loses and duplicates no change and leaves none on trial, and a second crash
+/// immediately after it recovers the same state.
 fn assert_recovers(records: &[Record], case: &str) {
     let mut log = ChangeLog::recover(records.to_vec()).unwrap_or_else(|error| panic!("{case}: {error}"));
     let adds_change = |record: &&Record| matches!(record, Record::Accepted { .. } | Record::Undo { .. });
     let accepted = records.iter().filter(adds_change).count();
     assert_eq!(log.changes.len(), accepted, "{case}: none lost, none duplicated");
-    let acts = log.resume(0.0, 0.0, &pool(4));
+    let effects = log.resume(0.0, 0.0, &pool(4));
     let is_unresolved =
         |change: &&Change| matches!(change.stage, Stage::Trial | Stage::Checked | Stage::Suspended { .. });
     assert_eq!(log.changes.values().filter(is_unresolved).count(), 0, "{case}");
     assert_eq!(log.document(), &expected_document(&log), "{case}");
-    let all_records = records.iter().cloned().chain(written_records(acts));
+    let all_records = records.iter().cloned().chain(written_records(effects));
     let second_recovery = ChangeLog::recover(all_records).unwrap();
     assert_eq!(RecoveredState::of(&second_recovery), RecoveredState::of(&log), "{case}");
 }
--- a/crates/director/changes/src/change_log/tests/submission.rs
+++ b/crates/director/changes/src/change_log/tests/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions that conflict, are invalid, sent twice, or made while changes are frozen.
+//! Submissions that conflict, are invalid, are sent twice, or are made while changes are frozen.
 
 use super::*;
 use crate::host_pool::HostPool;
@@ -12,8 +12,8 @@
         log.submit(0.0, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]), &known(), &pool(4)).unwrap();
     assert_eq!(log.tick(0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "not written yet");
     log.record_written(0.0, number);
-    let acts = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert!(matches!(acts.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
+    let effects = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
+    assert!(matches!(effects.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
     log.document_applied(0.3, 0.0, number);
     assert_eq!(log.stage(number), Some(&Stage::Trial));
     log.tick(60.4, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
@@ -35,7 +35,7 @@
         .unwrap_err();
     let field = "hosts.h0.weight".parse().unwrap();
     assert_eq!(refusal, Refusal::Conflict { field, holder: number, who: first.into(), stage: "kept" });
-    // With a base that knows the other, or on another field, it is accepted.
+    // With a base that includes the other change, or for another field, it is accepted.
     kept_change(&mut log, 1.0, submission(number.0, second, &[("hosts.h0.weight", "3")]));
     kept_change(&mut log, 2.0, submission(0, second, &[("hosts.h1.weight", "3")]));
     assert_eq!(log.document().len(), 3);
--- a/crates/director/changes/src/change_log/tests/trial.rs
+++ b/crates/director/changes/src/change_log/tests/trial.rs
@@ -1,7 +1,7 @@
-//! Trials without reports, without settled proxies, and under a wall clock that jumps.
+//! Trials without reports, with proxies that do not apply the change, and with a wall clock that jumps.
 
 use super::*;
-use crate::change_log::trial::APPLY_TIMEOUT;
+use crate::change_log::trial::APPLY_TIMEOUT_S;
 use test_case::test_case;
 
 #[test_case(AnalysisState { has_baseline: true, has_reports: false, has_recovered: false }, EndReason::TooFewReports ; "reports that stop")]
@@ -15,16 +15,16 @@
 }
 
 #[test]
-fn a_change_that_the_proxies_do_not_have_in_time_is_undone() {
+fn a_change_that_the_proxies_do_not_apply_in_time_is_undone() {
     let mut log = ChangeLog::default();
     let (number, _) =
         log.submit(0.0, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]), &known(), &pool(4)).unwrap();
     log.record_written(0.0, number);
     log.tick(0.0, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    let acts = log.tick(APPLY_TIMEOUT + 0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert!(acts
+    let effects = log.tick(APPLY_TIMEOUT_S + 0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
+    assert!(effects
         .iter()
-        .any(|act| matches!(act, ChangeEffect::ApplyDocument { document, .. } if document.is_empty())));
+        .any(|effect| matches!(effect, ChangeEffect::ApplyDocument { document, .. } if document.is_empty())));
     assert_eq!(log.stage(number), Some(&Stage::Undone(EndReason::ApplyTimeout)));
 }
 
--- a/crates/director/changes/src/change_log/tests/undo.rs
+++ b/crates/director/changes/src/change_log/tests/undo.rs
@@ -1,4 +1,4 @@
-//! Undos while other changes, drains and departures of hosts have happened.
+//! Undo after later changes, drains and departures of hosts.
 
 use super::*;
 use crate::refusal::Refusal;
@@ -10,8 +10,8 @@
     let weight =
         on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2"), ("hosts.h1.weight", "2")]));
     kept_change(&mut log, 1.0, submission(weight.0, "b", &[("hosts.h0.drained", "true")]));
-    let acts = log.report_harm(2.0, 0.0, weight, ("found".into(), false), &pool(4));
-    let given = acts.iter().find_map(|act| match act {
+    let effects = log.report_harm(2.0, 0.0, weight, ("found".into(), false), &pool(4));
+    let given = effects.iter().find_map(|effect| match effect {
         ChangeEffect::ApplyDocument { document, .. } => Some(document.clone()),
         _ => None,
     });
@@ -25,15 +25,15 @@
     let first =
         kept_change(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2"), ("zones.z.weight", "3")]));
     kept_change(&mut log, 1.0, submission(first.0, "b", &[("hosts.h0.weight", "5")]));
-    let acts = log.undo(2.0, 0.0, first, operator(), &pool(4)).unwrap();
+    let effects = log.undo(2.0, 0.0, first, operator(), &pool(4)).unwrap();
     let weight = Document::from([("hosts.h0.weight".parse().unwrap(), Value::Number(5.0))]);
     assert_eq!(log.document(), &weight);
-    let named = |act: &ChangeEffect| matches!(act, ChangeEffect::Log { text, .. } if text.contains("later changes stand: hosts.h0.weight (change 2)"));
-    assert!(acts.iter().any(named), "{acts:?}");
+    let named = |effect: &ChangeEffect| matches!(effect, ChangeEffect::Log { text, .. } if text.contains("later changes stand: hosts.h0.weight (change 2)"));
+    assert!(effects.iter().any(named), "{effects:?}");
 }
 
 #[test]
-fn an_undo_restores_the_value_below_and_not_one_of_an_undone_change() {
+fn an_undo_restores_the_previous_value_in_force_and_not_one_of_an_undone_change() {
     let mut log = ChangeLog::default();
     let first = kept_change(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
     let second = kept_change(&mut log, 1.0, submission(first.0, "b", &[("hosts.h0.weight", "5")]));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn an_undo_unsets_the_fields_of_hosts_that_are_gone() {
+fn an_undo_unsets_the_fields_of_hosts_that_are_no_longer_listed() {
     let mut log = ChangeLog::default();
     let first = kept_change(&mut log, 0.0, submission(0, "a", &[("hosts.h3.weight", "2")]));
     let second = kept_change(&mut log, 1.0, submission(first.0, "b", &[("hosts.h3.weight", "5")]));
--- a/crates/director/changes/src/change_log/transition.rs
+++ b/crates/director/changes/src/change_log/transition.rs
@@ -1,15 +1,15 @@
-//! Transitions of a change from stage to stage, with what follows for the fields in force. New records and recovered
-//! ones go through the same code.
+//! Transitions of a change between stages, with their effect on the fields in force. New and recovered
+//! records use the same code.
 
 use super::ChangeLog;
-use crate::act::ChangeEffect;
 use crate::change::{Change, Submission, Version};
+use crate::effect::ChangeEffect;
 use crate::record::Record;
 use crate::record_error::RecordError;
 use crate::stage::{Keep, Stage};
 use coppersail_operator_config::{Edits, Field};
 
-/// Limit of the ended changes that are remembered one by one; older ones cannot be undone.
+/// Limit of the ended changes that are kept individually; older ones cannot be undone.
 pub(super) const MAX_ENDED: usize = 1000;
 
 impl ChangeLog {
@@ -61,7 +61,8 @@
         Ok(())
     }
 
-    /// Moves a change to another stage, and returns the record and log line of it; nothing if it cannot move there.
+    /// Moves a change to another stage, and returns the record and the log line of the transition; nothing if
+    /// the transition is invalid.
     pub(super) fn transition_and_record(
         &mut self,
         wall: f64,
@@ -85,7 +86,7 @@
         ]
     }
 
-    /// What the change sets is in force from now on.
+    /// Puts the values that the change sets into force.
     fn enforce(&mut self, number: Version, edits: &Edits) {
         self.staged.retain(|staged| *staged != number);
         let before = self.values_in_force(edits.keys());
@@ -99,12 +100,12 @@
         self.refresh_document(edits.keys());
     }
 
-    /// The fields with their values in force, `None` for those that are not set.
+    /// The fields with their values in force; `None` for fields that are not set.
     pub(super) fn values_in_force<'a>(&self, fields: impl Iterator<Item = &'a Field>) -> Edits {
         fields.map(|field| (field.clone(), self.document.get(field).copied())).collect()
     }
 
-    /// Takes the fields' values from their histories into the document.
+    /// Updates the fields in the document from their histories.
     pub(super) fn refresh_document<'a>(&mut self, fields: impl Iterator<Item = &'a Field>) {
         for field in fields {
             match self.histories.value(field) {
@@ -114,7 +115,7 @@
         }
     }
 
-    /// Bounds the memory: the oldest ended changes are forgotten, and their values cannot be undone any more.
+    /// Bounds the memory use: the oldest ended changes are dropped and can no longer be undone.
     fn forget_oldest(&mut self) {
         while self.ended.len() > MAX_ENDED {
             let Some(change) = self.ended.pop_front().and_then(|number| self.changes.remove(&number)) else {
--- a/crates/director/changes/src/change_log/trial.rs
+++ b/crates/director/changes/src/change_log/trial.rs
@@ -1,24 +1,27 @@
-//! Applying staged changes one at a time, and their trials: kept, extended, set aside, retried or undone.
+//! Applies staged changes one at a time, and runs their trials: a change is kept, extended, suspended,
+//! retried or undone.
 
 use super::{ActiveChange, ChangeLog};
-use crate::act::{AnalysisState, ChangeEffect};
 use crate::change::Version;
+use crate::effect::{AnalysisState, ChangeEffect};
 use crate::host_pool::HostPool;
 use crate::refusal::Refusal;
 use crate::stage::{EndReason, Keep, Stage};
 
-/// A change that the proxies do not have so many seconds after it was applied is undone. Far longer than any repeated
-/// request to them, and half of the time within which harm must be undone.
-pub(super) const APPLY_TIMEOUT: f64 = 15.0;
-/// How long a change waits for the analysis to have a baseline, seconds; then it is applied without.
-const BASELINE_TIMEOUT: f64 = 20.0;
-/// How long a change stays set aside, seconds. Its author does not expect a change to come into force later.
-const SET_ASIDE_TIMEOUT: f64 = 300.0;
-/// A trial without enough reports to analyse it goes on for so many times its length; then the change is undone.
-const UNJUDGED_TRIAL_FACTOR: f64 = 2.0;
+/// Seconds after which a change is undone if the proxies have not applied it. This is much longer than any
+/// retry of a request to them, and half of the time within which harm must be undone.
+pub(super) const APPLY_TIMEOUT_S: f64 = 15.0;
+/// How long a change waits for the analysis to have a baseline, in seconds; then it is applied without one.
+const BASELINE_TIMEOUT_S: f64 = 20.0;
+/// How long a change may stay suspended, in seconds. Its author does not expect a change to come into force
+/// after that.
+const SUSPENSION_TIMEOUT_S: f64 = 300.0;
+/// A trial without enough reports to analyse it is extended to this multiple of its length; then the change
+/// is undone.
+const MAX_TRIAL_EXTENSION_FACTOR: f64 = 2.0;
 
 impl ChangeLog {
-    /// The proxies have what came of the change.
+    /// To be called when the proxies have applied the assignments that result from the change.
     pub fn document_applied(&mut self, now: f64, wall: f64, number: Version) -> Vec<ChangeEffect> {
         match self.stage(number) {
             Some(Stage::Suspended { .. }) => {
@@ -32,15 +35,16 @@
                 self.transition_and_record(wall, number, Stage::Kept(Keep::WithoutTrial))
             }
             Some(Stage::Applied) => {
-                let acts = self.transition_and_record(wall, number, Stage::Trial);
+                let effects = self.transition_and_record(wall, number, Stage::Trial);
                 self.active.entry(number).and_modify(|active| active.since = now);
-                acts
+                effects
             }
             _ => Vec::new(),
         }
     }
 
-    /// Does what has become due. `ready` gives the state of the analysis, of a change or, with `None`, in general.
+    /// Handles everything that is due at `now`. `ready` returns the state of the analysis of a change, or
+    /// with `None` of the analysis in general.
     pub fn tick(
         &mut self,
         now: f64,
@@ -48,17 +52,17 @@
         pool: &HostPool,
         ready: &dyn Fn(Option<Version>) -> AnalysisState,
     ) -> Vec<ChangeEffect> {
-        let mut acts = Vec::new();
+        let mut effects = Vec::new();
         let all: Vec<(Version, ActiveChange)> =
             self.active.iter().map(|(number, active)| (*number, *active)).collect();
         for (number, active) in all {
-            acts.extend(self.advance(now, wall, number, &active, pool, ready));
+            effects.extend(self.advance(now, wall, number, &active, pool, ready));
         }
-        acts.extend(self.apply_next(now, wall, ready(None)));
-        acts
+        effects.extend(self.apply_next(now, wall, ready(None)));
+        effects
     }
 
-    /// Does what has become due of one change.
+    /// Handles everything that is due for one change.
     fn advance(
         &mut self,
         now: f64,
@@ -71,20 +75,20 @@
         let in_stage = now - active.since;
         let trial_end = active.trial_end();
         match self.stage(number) {
-            // An undo has no time-out: there is nothing to return to.
-            Some(Stage::Applied) if !self.is_undo(number) && in_stage > APPLY_TIMEOUT => {
+            // An undo has no timeout: there is no earlier state to return to.
+            Some(Stage::Applied) if !self.is_undo(number) && in_stage > APPLY_TIMEOUT_S => {
                 self.undo_by_new_change(now, wall, number, EndReason::ApplyTimeout, pool)
             }
             Some(Stage::Trial) if now >= trial_end && ready(Some(number)).has_reports => {
                 self.keep(wall, number, Keep::TrialPassed)
             }
-            Some(Stage::Suspended { .. }) if in_stage > SET_ASIDE_TIMEOUT => {
-                self.end_set_aside(wall, number, EndReason::NotRecovered)
+            Some(Stage::Suspended { .. }) if in_stage > SUSPENSION_TIMEOUT_S => {
+                self.end_suspended(wall, number, EndReason::NotRecovered)
             }
             Some(Stage::Suspended { .. }) if active.withdrawn && ready(Some(number)).has_recovered => {
                 self.retry(now, wall, number, pool)
             }
-            Some(Stage::Trial) if now >= trial_end + (UNJUDGED_TRIAL_FACTOR - 1.0) * active.trial => {
+            Some(Stage::Trial) if now >= trial_end + (MAX_TRIAL_EXTENSION_FACTOR - 1.0) * active.trial => {
                 self.undo_by_new_change(now, wall, number, EndReason::TooFewReports, pool)
             }
             _ => Vec::new(),
@@ -93,12 +97,12 @@
 
     /// Ends a trial: the change stays in force.
     fn keep(&mut self, wall: f64, number: Version, why: Keep) -> Vec<ChangeEffect> {
-        let mut acts = self.transition_and_record(wall, number, Stage::Kept(why));
-        acts.push(ChangeEffect::EndAnalysis(number));
-        acts
+        let mut effects = self.transition_and_record(wall, number, Stage::Kept(why));
+        effects.push(ChangeEffect::EndAnalysis(number));
+        effects
     }
 
-    /// Whether a change is on its way to the proxies, or its withdrawal is.
+    /// Whether the proxies are still applying a change or its suspension.
     fn is_applying(&self) -> bool {
         self.active.iter().any(|(number, active)| match self.stage(*number) {
             Some(Stage::Applied) => true,
@@ -107,46 +111,46 @@
         })
     }
 
-    /// Applies the first staged change. Only one is on its way to the proxies at a time, so that the effects of each
-    /// can be distinguished.
+    /// Applies the first staged change. Only one change is applied at a time, so that their effects can be
+    /// distinguished.
     fn apply_next(&mut self, now: f64, wall: f64, ready: AnalysisState) -> Vec<ChangeEffect> {
         let next = self.staged.front().copied().filter(|_| !self.is_applying());
         let Some(number) = next else { return Vec::new() };
         let active = self.active.get(&number);
         let waited = active.map_or(f64::INFINITY, |active| now - active.since);
         let has_no_trial = active.is_some_and(|active| active.trial == 0.0);
-        if !ready.has_baseline && waited < BASELINE_TIMEOUT && !has_no_trial {
+        if !ready.has_baseline && waited < BASELINE_TIMEOUT_S && !has_no_trial {
             return Vec::new();
         }
-        let mut acts = self.transition_and_record(wall, number, Stage::Applied);
+        let mut effects = self.transition_and_record(wall, number, Stage::Applied);
         self.active.entry(number).and_modify(|active| active.since = now);
         if !has_no_trial {
-            acts.push(ChangeEffect::StartAnalysis(number));
+            effects.push(ChangeEffect::StartAnalysis(number));
         }
-        acts.push(self.give(number));
-        acts
+        effects.push(self.apply_document(number));
+        effects
     }
 
-    /// Applies a change that was set aside for its second trial, if it still leaves enough hosts. While changes are
-    /// frozen it waits.
+    /// Applies a suspended change again for its second trial, if it still leaves enough hosts. It waits while
+    /// changes are frozen.
     fn retry(&mut self, now: f64, wall: f64, number: Version, pool: &HostPool) -> Vec<ChangeEffect> {
         let waits = self.is_applying() || self.frozen.is_some();
         let Some(change) = self.changes.get(&number).filter(|_| !waits) else { return Vec::new() };
         let new = self.document_with(&change.submission.edits);
         if let Some(shortfall) = pool.worse_shortfall(&self.document, &new) {
-            return self.end_set_aside(wall, number, EndReason::Stale { why: shortfall.text });
+            return self.end_suspended(wall, number, EndReason::Stale { why: shortfall.text });
         }
-        let mut acts = self.transition_and_record(wall, number, Stage::Applied);
+        let mut effects = self.transition_and_record(wall, number, Stage::Applied);
         self.active.entry(number).and_modify(|active| (active.since, active.retried) = (now, true));
-        acts.push(ChangeEffect::ResumeAnalysis(number));
-        acts.push(self.give(number));
-        acts
+        effects.push(ChangeEffect::ResumeAnalysis(number));
+        effects.push(self.apply_document(number));
+        effects
     }
 
-    /// The analysis has found harm. `unsure`: a fault of the fleet may be the cause, as there was no unaffected traffic
-    /// to compare with, or that has got worse too. Then the change is only set aside, and retried when service has
-    /// recovered: harm that comes back with it is its own. The price is that callers meet a harmful change twice, each
-    /// time until it is found.
+    /// To be called when the analysis has found harm. `unsure`: a fault of the fleet may be the cause
+    /// instead, as there was no unaffected traffic to compare with, or that traffic got worse too. Then the
+    /// change is only suspended, and retried when service has recovered: if the harm returns, the change is
+    /// the cause. The cost is that a harmful change affects callers twice, each time until it is detected.
     pub fn report_harm(
         &mut self,
         now: f64,
@@ -163,20 +167,20 @@
         if !unsure {
             return self.undo_by_new_change(now, wall, number, EndReason::Harm { found }, pool);
         }
-        let mut acts = self.transition_and_record(wall, number, Stage::Suspended { found });
+        let mut effects = self.transition_and_record(wall, number, Stage::Suspended { found });
         self.active.entry(number).and_modify(|active| (active.since, active.withdrawn) = (now, false));
-        // The document is replaced whether or not the record can be written, as for an undo.
-        acts.push(ChangeEffect::SuspendAnalysis(number));
-        acts.push(self.give(number));
-        acts
+        // The document is replaced whether or not the record can be written, as with an undo.
+        effects.push(ChangeEffect::SuspendAnalysis(number));
+        effects.push(self.apply_document(number));
+        effects
     }
 
-    /// Has the director use the document in force.
-    pub(super) fn give(&self, by: Version) -> ChangeEffect {
+    /// The effect that makes the director use the document in force.
+    pub(super) fn apply_document(&self, by: Version) -> ChangeEffect {
         ChangeEffect::ApplyDocument { by, document: self.document.clone() }
     }
 
-    /// Ends a trial early: the operator keeps the change.
+    /// Ends a trial early on an operator's command: the change is kept.
     ///
     /// # Errors
     ///
@@ -189,11 +193,11 @@
         Ok(self.keep(wall, number, Keep::Confirmed { who }))
     }
 
-    /// Extends a trial by so many seconds, from 1 to 3600.
+    /// Extends a trial by `by` seconds, from 1 to 3600.
     ///
     /// # Errors
     ///
-    /// The change is not on trial, or the time is out of its bounds.
+    /// The change is not on trial, or `by` is out of bounds.
     pub fn extend(&mut self, number: Version, by: f64, who: &str) -> Result<Vec<ChangeEffect>, Refusal> {
         let stage = self.find(number)?.stage.name();
         let active = self.active.get_mut(&number).filter(|_| stage == Stage::Trial.name());
--- a/crates/director/changes/src/change_log/undo.rs
+++ b/crates/director/changes/src/change_log/undo.rs
@@ -1,8 +1,9 @@
-//! Undoing: a new change restores, for each field that the undone one still determines, the value below it.
+//! Undo: a new change restores the previous value of each field whose value in force comes from the undone
+//! change.
 
 use super::{ActiveChange, ChangeLog};
-use crate::act::ChangeEffect;
 use crate::change::{Change, Submission, Version};
+use crate::effect::ChangeEffect;
 use crate::host_pool::HostPool;
 use crate::record::Record;
 use crate::record_error::RecordError;
@@ -11,10 +12,10 @@
 use coppersail_operator_config::{Edits, Field};
 use std::collections::BTreeSet;
 
-/// The author of undos.
+/// The author of undo changes.
 const UNDO_AUTHOR: &str = "coppersail";
 
-/// What a [`Record::Undo`] holds.
+/// The content of a [`Record::Undo`].
 #[derive(Clone, Copy)]
 pub(super) struct Undo<'a> {
     pub(super) number: Version,
@@ -29,7 +30,7 @@
     ///
     /// # Errors
     ///
-    /// The change has ended out of force already, or is an undo itself.
+    /// The change has been undone or dropped already, or is an undo itself.
     pub fn undo(
         &mut self,
         now: f64,
@@ -44,7 +45,7 @@
             Stage::Drafted | Stage::Checked | Stage::Staged => {
                 Ok(self.transition_and_record(wall, number, Stage::Dropped(why)))
             }
-            Stage::Suspended { .. } => Ok(self.end_set_aside(wall, number, why)),
+            Stage::Suspended { .. } => Ok(self.end_suspended(wall, number, why)),
             Stage::Applied | Stage::Trial | Stage::Kept(_) if change.undoes.is_none() => {
                 Ok(self.undo_by_new_change(now, wall, number, why, pool))
             }
@@ -52,14 +53,15 @@
         }
     }
 
-    /// Undoes a change that is set aside. None of it is in force, so there is nothing to restore.
-    pub(super) fn end_set_aside(&mut self, wall: f64, number: Version, why: EndReason) -> Vec<ChangeEffect> {
-        let mut acts = self.transition_and_record(wall, number, Stage::Undone(why));
-        acts.push(ChangeEffect::EndAnalysis(number));
-        acts
+    /// Undoes a suspended change. None of its values is in force, so there is nothing to restore.
+    pub(super) fn end_suspended(&mut self, wall: f64, number: Version, why: EndReason) -> Vec<ChangeEffect> {
+        let mut effects = self.transition_and_record(wall, number, Stage::Undone(why));
+        effects.push(ChangeEffect::EndAnalysis(number));
+        effects
     }
 
-    /// Undoes a change that is in force. Values that later changes set stay; fields of hosts that are gone are unset.
+    /// Undoes a change that is in force. Values that later changes have set stay; fields of hosts that are no
+    /// longer listed are unset.
     pub(super) fn undo_by_new_change(
         &mut self,
         now: f64,
@@ -76,13 +78,13 @@
         if self.insert_undo(Undo { number, of, wall, why: &why, lost: &lost }).is_err() {
             return Vec::new();
         }
-        // It is applied at once; its time in the stage shows for how long the proxies have not had it.
+        // It is applied immediately; it stays active until the proxies have applied it.
         self.active.insert(number, ActiveChange::new(now, 0.0));
         vec![
             ChangeEffect::Log { about: Some(of), text },
             ChangeEffect::EndAnalysis(of),
             // The document is replaced whether or not the record can be written.
-            self.give(number),
+            self.apply_document(number),
             ChangeEffect::Write(Record::Undo { number, of, wall, why, lost }),
         ]
     }
@@ -101,7 +103,7 @@
         text
     }
 
-    /// Adds the change that undoes another one, as applied.
+    /// Adds a change that undoes another one, in stage applied.
     pub(super) fn insert_undo(&mut self, undo: Undo) -> Result<(), RecordError> {
         let Undo { number, of, wall, why, lost } = undo;
         let change = self.changes.get(&of).ok_or(RecordError::UnknownUndone(of))?;
--- a/crates/director/changes/src/field_history.rs
+++ b/crates/director/changes/src/field_history.rs
@@ -1,5 +1,5 @@
-//! For each field, the changes that set it, oldest first. What is in force, and what an undo restores, are derived from
-//! this, so neither is stored a second time.
+//! For each field, the changes that set it, oldest first. The values in force and the values that an undo
+//! restores are derived from these histories, so they are not stored separately.
 
 use crate::change::Version;
 #[cfg(test)]
@@ -11,9 +11,10 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry {
     by: Version,
-    /// What it sets, `Some(None)` unsets the field; `None`: it only records that the field changed then.
+    /// The value that the change sets; `Some(None)` unsets the field; `None`: the entry only records that the
+    /// field changed.
     sets: Option<Option<Value>>,
-    /// Not in force: not applied yet, or set aside.
+    /// Not in force: the change is not applied yet, or suspended.
     suspended: bool,
 }
 
@@ -29,12 +30,12 @@
         }
     }
 
-    /// What the change sets is in force from now on.
+    /// Puts the values that the change sets into force.
     pub(crate) fn enforce(&mut self, by: Version, edits: &Edits) {
         self.set_suspended(by, edits, false);
     }
 
-    /// The change keeps its position in the histories, but what it sets is not in force any more.
+    /// Puts the values that the change sets out of force; it keeps its position in the histories.
     pub(crate) fn suspend(&mut self, by: Version, edits: &Edits) {
         self.set_suspended(by, edits, true);
     }
@@ -69,7 +70,7 @@
         self.0.get(field).and_then(|entries| entries.last()).map(|entry| entry.by)
     }
 
-    /// The change whose value is in force.
+    /// The change that determines the field's value in force.
     pub(crate) fn effective(&self, field: &Field) -> Option<Version> {
         let entries = self.0.get(field)?;
         entries.iter().rev().find(|entry| entry.sets.is_some() && !entry.suspended).map(|entry| entry.by)
@@ -81,13 +82,13 @@
         entries.iter().rev().filter(|entry| !entry.suspended).find_map(|entry| entry.sets).flatten()
     }
 
-    /// The document in force, derived anew; the change log's own must be equal.
+    /// The document in force, derived from the histories; the change log's document must be equal.
     #[cfg(test)]
     pub(crate) fn document(&self) -> Document {
         self.0.keys().filter_map(|field| Some((field.clone(), self.value(field)?))).collect()
     }
 
-    /// Changes up to this one cannot be undone any more: drops the entries that no undo can restore.
+    /// Drops the entries that no undo can restore, as changes up to this one can no longer be undone.
     pub(crate) fn compact(&mut self, up_to: Version, edits: &Edits) {
         for field in edits.keys() {
             if let Some(entries) = self.0.get_mut(field) {
--- a/crates/director/changes/src/host_pool.rs
+++ b/crates/director/changes/src/host_pool.rs
@@ -1,20 +1,21 @@
-//! Whether a document would leave too few hosts for the traffic.
+//! Checks whether a document would leave too few hosts for the traffic.
 
 use crate::planned_shutdown::down_together;
 use coppersail_operator_config::{Document, Field, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Smallest capacity that severities are divided by, calls a second.
-const MIN_CAPACITY: f64 = 1e-9;
+/// Lower limit of the capacity that severities are divided by, in calls per second; avoids a division by
+/// zero.
+const MIN_CAPACITY_PER_S: f64 = 1e-9;
 
 /// What is known of a host's capacity.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct PoolHost {
-    /// In the endpoint list, and neither draining nor gone.
+    /// It is in the endpoint list, and neither draining nor removed.
     pub ready: bool,
-    /// Past its slow start.
+    /// Its slow start is over.
     pub warm: bool,
-    /// Calls a second that it can serve, a conservative estimate; infinite where it is unknown.
+    /// Conservative estimate of its capacity, in calls per second; infinite if it is unknown.
     pub capacity_per_s: f64,
 }
 
@@ -23,14 +24,14 @@
 pub struct HostPool {
     /// Each host by its name.
     pub hosts: BTreeMap<String, PoolHost>,
-    /// Offered load, calls a second; 0 where it is unknown.
+    /// Offered load, in calls per second; 0 if it is unknown.
     pub calls: f64,
 }
 
-/// A lack of hosts.
+/// A lack of hosts or capacity.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct Shortfall {
-    /// To compare one shortfall with another; larger is worse.
+    /// Severity for comparisons with other shortfalls; larger is worse.
     pub(crate) severity: f64,
     /// One line for operators.
     pub(crate) text: String,
@@ -42,13 +43,14 @@
         self.hosts.contains_key(host)
     }
 
-    /// What the new document would lack, if that is worse than what the current one lacks.
+    /// The shortfall of the new document, if it is worse than that of the current one.
     pub(crate) fn worse_shortfall(&self, current: &Document, new: &Document) -> Option<Shortfall> {
         let severity = self.shortfall(current).map_or(0.0, |shortfall| shortfall.severity);
         self.shortfall(new).filter(|shortfall| shortfall.severity > severity)
     }
 
-    /// What the document would lack. A pool that has no ready host at all is no document's fault.
+    /// The shortfall of a document. `None` if the pool has no ready host at all, as no document causes or
+    /// prevents that.
     fn shortfall(&self, document: &Document) -> Option<Shortfall> {
         if self.available(&Document::new()).is_empty() {
             return None;
@@ -59,7 +61,7 @@
             .or_else(|| slice_shortfall(document, &available))
     }
 
-    /// Ready hosts that operators have not drained; only the warm ones, if any ready host is warm.
+    /// Ready hosts that the document does not drain; only the warm ones, if any ready host is warm.
     fn available(&self, document: &Document) -> BTreeSet<&str> {
         let drained =
             |host: &str| document.get(&Field::HostDrained(host.to_string())) == Some(&Value::Flag(true));
@@ -69,7 +71,7 @@
         available.map(|(name, _)| name.as_str()).collect()
     }
 
-    /// Too few hosts, or too little capacity, now.
+    /// Too few hosts, or too little capacity, at present.
     fn capacity_shortfall(&self, available: &BTreeSet<&str>) -> Option<Shortfall> {
         if available.is_empty() {
             let text = "it would leave no open, warm host to any slice".to_string();
@@ -83,7 +85,7 @@
         let text = format!(
             "it would leave {count} hosts that carry {capacity:.0} calls a second, and {calls:.0} come"
         );
-        Some(Shortfall { severity: calls / capacity.max(MIN_CAPACITY), text })
+        Some(Shortfall { severity: calls / capacity.max(MIN_CAPACITY_PER_S), text })
     }
 
     /// Too few hosts, or too little capacity, during a planned shutdown.
@@ -99,7 +101,7 @@
                     "with {hosts} away together it would leave {count} hosts that carry {capacity:.0} calls a \
                      second, and {calls:.0} come"
                 );
-                let severity = if count == 0 { f64::MAX } else { calls / capacity.max(MIN_CAPACITY) };
+                let severity = if count == 0 { f64::MAX } else { calls / capacity.max(MIN_CAPACITY_PER_S) };
                 return Some(Shortfall { severity, text });
             }
         }
@@ -107,7 +109,7 @@
     }
 }
 
-/// A slice that anti-affinity keeps from every available host.
+/// A slice that anti-affinity excludes from every available host.
 fn slice_shortfall(document: &Document, available: &BTreeSet<&str>) -> Option<Shortfall> {
     let mut excluded_hosts: BTreeMap<u16, usize> = BTreeMap::new();
     for field in document.keys() {
--- a/crates/director/changes/src/planned_shutdown/tests.rs
+++ b/crates/director/changes/src/planned_shutdown/tests.rs
@@ -19,7 +19,7 @@
 
 #[test]
 fn hosts_that_shut_down_within_one_second_are_down_together() {
-    // By name the earlier one comes last: it must not hide that both are down.
+    // In the order of names, the earlier shutdown comes last; both must still count as down together.
     let leaves = |host: &str, at| (format!("hosts.{host}.leaves").parse().unwrap(), Value::Number(at));
     let document = Document::from([leaves("a", 1.7e9 + 0.7), leaves("b", 1.7e9 + 0.2)]);
     assert!(down_together(&document).contains(&vec!["a", "b"]));
--- a/crates/director/changes/src/record.rs
+++ b/crates/director/changes/src/record.rs
@@ -10,7 +10,7 @@
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "record", rename_all = "kebab-case")]
 pub enum Record {
-    /// The first start.
+    /// The log was created at the first start.
     Founded {
         /// Time of writing.
         wall: f64,
@@ -45,7 +45,7 @@
         wall: f64,
         /// Why it is undone.
         why: EndReason,
-        /// Fields of hosts that are gone: they are unset instead of restored.
+        /// Fields of hosts that are no longer listed: they are unset instead of restored.
         lost: Vec<Field>,
     },
     /// Changes were frozen.
--- a/crates/director/changes/src/record_error.rs
+++ b/crates/director/changes/src/record_error.rs
@@ -2,19 +2,20 @@
 
 use crate::change::Version;
 
-/// A record that contradicts the records before it: the log is damaged, or of a program with other rules.
+/// A record that contradicts earlier records: the log is damaged, or was written by a version with other
+/// rules.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecordError {
-    /// A number that is not above all before it.
+    /// A change number that is not higher than all earlier ones.
     #[error("change {0} accepted twice")]
     AcceptedTwice(Version),
-    /// A stage of a change that is not in the log.
+    /// A new stage of a change that is not in the log.
     #[error("change {0} that was never accepted")]
     UnknownChange(Version),
     /// An undo of a change that is not in the log.
     #[error("undoing of change {0} that was never accepted")]
     UnknownUndone(Version),
-    /// A stage that cannot follow, see [`crate::Stage::leads_to`].
+    /// An invalid transition, see [`crate::Stage::leads_to`].
     #[error("change {number} {to} that was {from}")]
     InvalidTransition {
         /// The change.
--- a/crates/director/changes/src/stage.rs
+++ b/crates/director/changes/src/stage.rs
@@ -27,7 +27,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum EndReason {
-    /// The analysis found that service dropped because of it.
+    /// The analysis found that it made service worse.
     Harm {
         /// What was found.
         found: String,
@@ -43,10 +43,10 @@
     /// The trial ended without enough reports to analyse it.
     #[serde(rename = "unjudged")]
     TooFewReports,
-    /// Its assignments were not applied by the proxies in time.
+    /// The proxies did not apply its assignments in time.
     #[serde(rename = "unsettled")]
     ApplyTimeout,
-    /// The director stopped during its trial.
+    /// The director was restarted during its trial.
     Restarted,
     /// It could not be written to the change log.
     #[serde(rename = "unwritten")]
@@ -54,12 +54,12 @@
         /// The error.
         why: String,
     },
-    /// The state on which it was based changed while it was set aside.
+    /// The state on which it was based changed while it was suspended.
     Stale {
-        /// What it would do now.
+        /// What applying it now would cause.
         why: String,
     },
-    /// It was set aside, and service did not recover enough for a second trial.
+    /// It was suspended, and service did not recover in time for a second trial.
     #[serde(rename = "never-calm")]
     NotRecovered,
 }
@@ -83,11 +83,11 @@
     }
 }
 
-/// How far a change has come.
+/// The stage of a change.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Stage {
-    /// Waits until its author stages it.
+    /// A draft that waits until its author stages it.
     Drafted,
     /// Valid and without conflict, but not yet durable.
     Checked,
@@ -95,35 +95,36 @@
     Staged,
     /// In force in the director; the proxies are being updated.
     Applied,
-    /// The proxies have it; its effect on service is analysed.
+    /// The proxies have applied it; its effect on service is analysed.
     Trial,
-    /// Out of force for the time being: service dropped, and no unaffected traffic showed whether the change or a
+    /// Temporarily out of force: service got worse, and no unaffected traffic showed whether the change or a
     /// fault of the fleet is the cause. It gets a second trial when service has recovered.
     #[serde(rename = "aside")]
     Suspended {
         /// What was found.
         found: String,
     },
-    /// In force for good, until another change replaces it or it is undone.
+    /// In force permanently, until another change replaces it or it is undone.
     Kept(Keep),
-    /// Out of force; its values were replaced by those below it.
+    /// Out of force; the values of earlier changes are in force instead.
     Undone(EndReason),
     /// Ended before it was applied.
     Dropped(EndReason),
 }
 
 impl Stage {
-    /// Whether what it sets is in force.
+    /// Whether the values that the change sets are in force.
     pub fn in_force(&self) -> bool {
         matches!(self, Stage::Applied | Stage::Trial | Stage::Kept(_))
     }
 
-    /// Whether nothing more happens to it by itself.
+    /// Whether the change leaves this stage only on a command.
     pub fn ended(&self) -> bool {
         matches!(self, Stage::Kept(_) | Stage::Undone(_) | Stage::Dropped(_))
     }
 
-    /// Whether a change may move from this stage to that one. Other transitions are refused, also in a recovered log.
+    /// Whether a change may move from this stage to `to`. Other transitions are refused, also during
+    /// recovery.
     pub fn leads_to(&self, to: &Stage) -> bool {
         use Stage::*;
         matches!(
@@ -138,7 +139,7 @@
         )
     }
 
-    /// The stage as texts for operators have it.
+    /// The name of the stage in texts for operators.
     pub fn name(&self) -> &'static str {
         match self {
             Stage::Drafted => "drafted",
--- a/crates/director/changes/tests/error_texts.rs
+++ b/crates/director/changes/tests/error_texts.rs
@@ -1,4 +1,5 @@
-//! Operators read these texts, and the director stops with those of records: each is one line, and stays as it is.
+//! These texts are shown to operators; those of record errors are logged when the director refuses to start.
+//! Each is one line and must not change.
 use coppersail_changes::{ChangeLog, EndReason, Record, RecordError, Refusal, Stage, Submission, Version};
 
 fn accepted(number: u64) -> Record {
--- a/crates/director/changes/tests/wire_format.rs
+++ b/crates/director/changes/tests/wire_format.rs
@@ -1,11 +1,11 @@
-//! These bytes are read by builds of other versions: records of changes stand in a director's log, and are read again
-//! at each start. A change here breaks rolling upgrades or stored data.
+//! Other versions of the director read these bytes: the records are stored in the change log and are read at
+//! each start. A different format would break rolling upgrades or stored data.
 use coppersail_changes::{Change, EndReason, Keep, Record, Stage, Submission, Version};
 use coppersail_operator_config::{Edits, Field, GuardMode, RouteRetryPolicy, Value};
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// The value is written as exactly this text, and the text is read as an equal value.
+/// The value serializes to exactly this text, and the text deserializes to an equal value.
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
--- a/crates/director/jsonnet/src/lib.rs
+++ b/crates/director/jsonnet/src/lib.rs
@@ -1,5 +1,6 @@
-//! Evaluates Jsonnet files to JSON, with a bound on the depth of calls and imports from the file's own folder alone.
-//! Bounds of time and memory are set by whoever starts the process that evaluates.
+//! Evaluates Jsonnet files to JSON. The depth of calls is limited, and imports are restricted to the file's
+//! own folder. Limits of time and memory are up to the caller, which runs the evaluation in a process of its
+//! own.
 
 use jrsonnet_evaluator::manifest::JsonFormat;
 use jrsonnet_evaluator::stack::set_stack_depth_limit;
@@ -8,10 +9,11 @@
 use jrsonnet_gcmodule::Acyclic;
 use std::path::{Path, PathBuf};
 
-/// Calls in calls; deeper is a runaway recursion.
-const MAX_DEPTH: usize = 200;
+/// Limit of nested calls; deeper nesting is runaway recursion.
+const MAX_CALL_DEPTH: usize = 200;
 
-/// Resolves imports within one folder: a path is judged after links are followed, so none leads out.
+/// Resolves imports within one folder. Paths are checked after symbolic links are resolved, so no link leads
+/// out of it.
 #[derive(Acyclic)]
 struct FolderImports {
     root: PathBuf,
@@ -40,29 +42,30 @@
     }
 }
 
-/// Why a file could not be evaluated, as one line: file, line where it is known, cause.
+/// Why a file could not be evaluated. The message is one line with the file, the line if it is known, and the
+/// cause.
 #[derive(Debug, thiserror::Error)]
 pub enum EvaluateError {
-    /// There is no such file, or it cannot be read.
+    /// The file does not exist or cannot be read.
     #[error("{}: the file: expected a file ({source})", path.display())]
     Unreadable {
-        /// As it was given.
+        /// Path of the file, as given by the caller.
         path: PathBuf,
-        /// What the operating system answered.
+        /// The error from the operating system.
         source: std::io::Error,
     },
-    /// The evaluator found a mistake.
+    /// The evaluator found an error.
     #[error(
         "{}{}: the file: expected a template that can be evaluated: {message}",
         path.display(),
         line.map(|line| format!(":{line}")).unwrap_or_default()
     )]
     Invalid {
-        /// The file with the mistake: the one given, or one that it imports.
+        /// The file with the error: the given one, or one that it imports.
         path: PathBuf,
-        /// Counted from 1; none where the evaluator names no place.
+        /// Line of the error, from 1; `None` if the evaluator gives no location.
         line: Option<usize>,
-        /// The evaluator's words, on one line.
+        /// The evaluator's message, on one line.
         message: String,
     },
 }
@@ -71,9 +74,9 @@
     let message = error.error().to_string().replace('\n', " ");
     let location = error.trace().0.iter().find_map(|element| element.location.as_ref());
     match location {
-        Some(window) => {
-            let file = window.0.source_path().path().map_or(path.to_path_buf(), Path::to_path_buf);
-            let line = window.0.map_source_locations(&[window.1])[0].line;
+        Some(span) => {
+            let file = span.0.source_path().path().map_or(path.to_path_buf(), Path::to_path_buf);
+            let line = span.0.map_source_locations(&[span.1])[0].line;
             EvaluateError::Invalid { path: file, line: Some(line), message }
         }
         None => EvaluateError::Invalid { path: path.to_path_buf(), line: None, message },
@@ -83,12 +86,12 @@
 /// The JSON to which the file evaluates, on one line.
 ///
 /// # Errors
-/// [`EvaluateError`]: the file cannot be read, or is no sound template.
+/// [`EvaluateError`] if the file cannot be read or evaluated.
 pub fn evaluate(path: &Path) -> std::result::Result<String, EvaluateError> {
     let unreadable = |source| EvaluateError::Unreadable { path: path.to_path_buf(), source };
     let canonical = path.canonicalize().map_err(unreadable)?;
     let root = canonical.parent().unwrap_or(Path::new("/")).to_path_buf();
-    set_stack_depth_limit(MAX_DEPTH);
+    set_stack_depth_limit(MAX_CALL_DEPTH);
     let library = jrsonnet_stdlib::ContextInitializer::new(PathResolver::new_cwd_fallback());
     let mut builder = State::builder();
     builder
--- a/crates/director/operator-config/src/error.rs
+++ b/crates/director/operator-config/src/error.rs
@@ -1,8 +1,8 @@
-//! Errors of single fields and their values. Each text is one line, as operators see it.
+//! Errors of single fields and their values. Each text is one line that is shown to the operator.
 
 use crate::field::Field;
 
-/// A text that is no path of a field.
+/// A text that is not the path of a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "field {path}: expected hosts.NAME.weight, hosts.NAME.drained, hosts.NAME.leaves, zones.NAME.weight, \
@@ -13,22 +13,23 @@
     pub path: String,
 }
 
-/// A text that is no value of a field. It prints only what was expected, as its users name the field themselves.
+/// A text that is not a valid value of a field. The message contains only the expected values, as the caller
+/// adds the name of the field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{expected}")]
 pub struct ValueError {
     /// The text that was found.
     pub found: String,
-    /// What the field's values are, see [`Field::expected`].
+    /// Description of the valid values, see [`Field::expected`].
     pub expected: &'static str,
 }
 
-/// A value that a field cannot have: out of its bounds, or about something that the director's settings do not name.
+/// An invalid value of a field: out of bounds, or for a name that is not in the director's settings.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("field {field}: expected {expected}")]
 pub struct EditError {
     /// The field that was to be set.
     pub field: Field,
-    /// What its values are here.
+    /// Description of the valid values with these settings.
     pub expected: String,
 }
--- a/crates/director/operator-config/src/fault.rs
+++ b/crates/director/operator-config/src/fault.rs
@@ -1,17 +1,17 @@
-//! One fault of a configuration file.
+//! An error in a configuration file.
 
 use std::fmt;
 
-/// What is wrong with a file, where, and what was expected there.
+/// An error in a file: its location, and what was expected there.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Fault {
-    /// Path of the file as it was given.
+    /// Path of the file, as given by the user.
     pub file: String,
     /// Line, from 1; 0: unknown.
     pub line: usize,
-    /// Names from the outermost, separated by dots; empty: the whole file.
+    /// Path of the field, with names separated by dots; empty: the whole file.
     pub field: String,
-    /// What the field's values are.
+    /// Description of the valid values.
     pub expected: String,
 }
 
--- a/crates/director/operator-config/src/json.rs
+++ b/crates/director/operator-config/src/json.rs
@@ -1,10 +1,11 @@
-//! Any JSON value, with duplicate names of an object as an error; `serde_json::Value` would silently keep the last one.
+//! A JSON value whose deserialization rejects duplicate names in an object; `serde_json::Value` would
+//! silently keep the last one.
 
 use serde::de::{Error, MapAccess, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 use std::fmt;
 
-/// How the error of a duplicate name ends; it distinguishes that error from malformed JSON.
+/// The end of the error message for a duplicate name, which distinguishes that error from malformed JSON.
 pub(crate) const DUPLICATE_NAME: &str = "once, it stands twice";
 
 /// A JSON value; objects keep the order of the file.
--- a/crates/director/operator-config/src/lib.rs
+++ b/crates/director/operator-config/src/lib.rs
@@ -1,9 +1,10 @@
-//! The operators' file, without I/O: its form, its validation with the line of each fault, and the same configuration
-//! as single fields, which is the form in which it is changed, compared and undone.
+//! The operators' file, without I/O: its format, its validation with the line of each error, and the
+//! configuration as a set of single fields, which is how it is changed, compared and undone.
 //!
-//! [`read_operator_file`] reads a file; [`Field`] and [`Value`] are one setting each; [`Document`] is all that is set and [`Edits`]
-//! what a change sets. The bounds of a value are in [`Field::accepts`]; what depends on the director's settings, for
-//! example the names of zones, is checked against [`SettingsNames`].
+//! [`read_operator_file`] reads a file. A [`Field`] and its [`Value`] form one setting; a [`Document`]
+//! contains all settings, and [`Edits`] those that a change sets. [`Field::accepts`] checks the bounds of a
+//! value; constraints that depend on the director's settings, for example the names of zones, are checked
+//! against [`SettingsNames`].
 
 mod error;
 mod fault;
--- a/crates/director/operator-config/src/line_lookup.rs
+++ b/crates/director/operator-config/src/line_lookup.rs
@@ -1,5 +1,5 @@
-//! Which line of a file a field is on. Exact for JSON, and for Jsonnet that writes its field names literally; where a
-//! name is computed, the line of the innermost name that is found.
+//! Finds the line of a field in a file. The result is exact for JSON, and for Jsonnet with literal field
+//! names; if a name is computed, it is the line of the innermost enclosing name that is found.
 
 use std::iter::Peekable;
 use std::str::Chars;
@@ -83,7 +83,7 @@
     }
 }
 
-/// The line, from 1, of the field with these names from the outermost; 0 where none of them is found.
+/// The line, from 1, of the field with this path of names, outermost first; 0 if none of the names is found.
 pub(crate) fn line_of(source: &str, path: &[&str]) -> usize {
     let tokens = Lexer::tokens(source);
     let (mut position, mut line) = (0, 0);
--- a/crates/director/operator-config/src/operator_file.rs
+++ b/crates/director/operator-config/src/operator_file.rs
@@ -1,4 +1,4 @@
-//! The operators' file as a whole. Reading goes on after a fault, so that one run reports all of them.
+//! Reads the complete operators' file. Reading continues after an error, so that one run reports all errors.
 
 use crate::fault::Fault;
 use crate::field::{Document, Field, MAX_FIELDS};
@@ -9,17 +9,17 @@
 
 /// The version of the file format that this program reads.
 const FORMAT_VERSION: f64 = 1.0;
-/// Limit of a socket's path, bytes; no system allows a longer one.
-const MAX_SOCKET_PATH: usize = 100;
-/// Limit of a file's path, bytes.
-const MAX_FILE_PATH: usize = 4096;
+/// Limit of a socket's path, in bytes; operating systems allow little more.
+const MAX_SOCKET_PATH_BYTES: usize = 100;
+/// Limit of a file's path, in bytes.
+const MAX_FILE_PATH_BYTES: usize = 4096;
 
-/// What takes effect only at a start of the director.
+/// Settings that take effect only when the director starts.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StartConfig {
     /// Path of the socket for operators' commands; `None`: there is none.
     pub socket: Option<String>,
-    /// Path of the log of changes; `None`: they are kept in memory only.
+    /// Path of the change log; `None`: changes are kept in memory only.
     pub history: Option<String>,
     /// Format of the program's log.
     pub log: LogFormat,
@@ -38,18 +38,18 @@
 /// The content of a valid file.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct OperatorFile {
-    /// What takes effect only at a start.
+    /// Settings that take effect only when the director starts.
     pub start: StartConfig,
     /// The fields that may change while the director runs.
     pub document: Document,
 }
 
-/// Reads a file and validates it, against the director's settings too if `known` is given. `json` is the evaluated
-/// file; `source` is its text, in which lines are looked up. For plain JSON they are the same.
+/// Reads and validates a file; if `known` is given, also against the director's settings. `json` is the
+/// evaluated file; `source` is its text, in which lines are looked up. For plain JSON both are the same.
 ///
 /// # Errors
 ///
-/// All faults of the file, in the order of the file.
+/// All errors in the file, in the order of the file.
 pub fn read(
     file: &str,
     source: &str,
@@ -90,7 +90,8 @@
         self.faults.push(Fault { file: self.file.to_string(), line, field, expected });
     }
 
-    /// Lines of the evaluated file mean something to its author only where it was plain JSON.
+    /// Reports a syntax error. The line is included only for plain JSON, as lines of evaluated Jsonnet mean
+    /// nothing to its author.
     fn report_syntax(&mut self, error: &serde_json::Error, is_plain_json: bool) {
         let line = if is_plain_json { error.line() } else { 0 };
         let text = error.to_string();
@@ -128,7 +129,8 @@
         }
     }
 
-    /// The sections `hosts`, `zones` and `routes`: names, each with its own few fields.
+    /// Reads the sections `hosts`, `zones` and `routes`, which map names to objects with the `allowed`
+    /// properties.
     fn read_named(&mut self, section: &str, value: &JsonValue, allowed: &[&str]) {
         for (name, properties) in self.object(&[section], value) {
             for (property, value) in self.object(&[section, name], properties) {
@@ -168,7 +170,8 @@
                 "trial" => self.set(&["changes", name], Field::Trial, value),
                 "judge" => self.set(&["changes", name], Field::Analysis, value),
                 "history" => {
-                    self.content.start.history = self.file_path(&["changes", name], value, MAX_FILE_PATH);
+                    self.content.start.history =
+                        self.file_path(&["changes", name], value, MAX_FILE_PATH_BYTES);
                 }
                 _ => self.report(&["changes", name], "one of trial, judge, history"),
             }
@@ -188,7 +191,8 @@
         for (name, value) in self.object(&["control"], value) {
             match name.as_str() {
                 "socket" => {
-                    self.content.start.socket = self.file_path(&["control", name], value, MAX_SOCKET_PATH);
+                    self.content.start.socket =
+                        self.file_path(&["control", name], value, MAX_SOCKET_PATH_BYTES);
                 }
                 _ => self.report(&["control", name], "socket"),
             }
@@ -227,7 +231,7 @@
         }
     }
 
-    /// A path of the file system, at most `limit` bytes long.
+    /// A file system path of at most `limit` bytes.
     fn file_path(&mut self, path: &[&str], value: &JsonValue, limit: usize) -> Option<String> {
         match value {
             JsonValue::Null => None,
--- a/crates/director/operator-config/src/validation.rs
+++ b/crates/director/operator-config/src/validation.rs
@@ -1,32 +1,32 @@
-//! Validation of one field's value: by its bounds, and against what the director's settings name.
+//! Validation of a field's value: against its bounds, and against the names in the director's settings.
 
 use crate::error::EditError;
 use crate::field::Field;
 use crate::value::{RouteRetryPolicy, Value};
 
-/// A route of the director's settings.
+/// A route in the director's settings.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct RouteName {
     /// Its name.
     pub name: String,
-    /// Its calls are idempotent: they may run again.
+    /// Its calls are idempotent: they may be executed more than once.
     pub idempotent: bool,
 }
 
-/// What the director's settings name, against which fields are validated.
+/// The names and limits in the director's settings against which fields are validated.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct SettingsNames {
     /// Names of the zones.
     pub zones: Vec<String>,
     /// The routes.
     pub routes: Vec<RouteName>,
-    /// Number of slices; a slice's number is below it.
+    /// Number of slices; slice numbers are below this.
     pub slices: u64,
     /// Whether admission limits and retry policies can be set at all.
     pub has_admission_control: bool,
 }
 
-/// Validates one edit as it comes from a command line or a socket; `None` unsets the field, which is always valid.
+/// Validates an edit from a command line or a socket; `None` unsets the field, which is always valid.
 ///
 /// # Errors
 ///
@@ -43,7 +43,7 @@
     }
 }
 
-/// What is expected of the field here, if the value is not that; none for a valid value.
+/// A description of the valid values if the value is invalid; `None` for a valid value.
 pub(crate) fn unmet_expectation(
     field: &Field,
     value: &Value,
@@ -55,7 +55,8 @@
     expected_by_settings(field, value, known?)
 }
 
-/// What the settings allow instead, if they do not allow a value that is within the field's bounds.
+/// A description of the values that the settings allow, if they do not allow a value that is within the
+/// field's bounds.
 fn expected_by_settings(field: &Field, value: &Value, known: &SettingsNames) -> Option<String> {
     match field {
         Field::ZoneWeight(zone) if !known.zones.contains(zone) => {
@@ -77,7 +78,8 @@
     };
     let retries = matches!(value, Value::RetryPolicy(policy) if *policy > RouteRetryPolicy::IfNeverRan);
     if retries && !route.idempotent {
-        // Rule 2 of the director's contract: it answers for whatever it lets proxies retry.
+        // The director must not let proxies retry calls that are not idempotent, as they could be executed
+        // twice.
         return Some("never or if-never-ran, as this route's calls must not run twice".to_string());
     }
     (!known.has_admission_control).then(|| "nothing: the settings let no levels be set".to_string())
--- a/crates/director/operator-config/src/value.rs
+++ b/crates/director/operator-config/src/value.rs
@@ -3,15 +3,15 @@
 use serde::{Deserialize, Serialize};
 use std::fmt;
 
-/// What the capacity guard does with a table that is not safe.
+/// How the capacity guard treats an unsafe table.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum GuardMode {
     /// Tables are not checked.
     Off,
-    /// It logs the fault and lets the table pass.
+    /// Unsafe tables are logged and sent.
     Watch,
-    /// It keeps the table from the proxies.
+    /// Unsafe tables are not sent to the proxies.
     On,
 }
 
@@ -27,13 +27,14 @@
     }
 }
 
-/// A route's retry policy: when proxies retry a call at another host. Ordered from the fewest retries to the most.
+/// A route's retry policy: when proxies retry a call on another host. Ordered from the fewest retries to the
+/// most.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum RouteRetryPolicy {
     /// No retry.
     Never,
-    /// Only where the call cannot have run, for example after a refused connection.
+    /// Only if the call cannot have been executed, for example after a refused connection.
     IfNeverRan,
     /// One retry after any failure; the call must be idempotent.
     Once,
@@ -63,7 +64,7 @@
 pub enum Value {
     /// `true` or `false`.
     Flag(bool),
-    /// A weight, a share, or seconds; the field says which.
+    /// A weight, a share, or a time in seconds, depending on the field.
     Number(f64),
     /// A retry policy.
     RetryPolicy(RouteRetryPolicy),
--- a/crates/director/operator-config/tests/error_texts.rs
+++ b/crates/director/operator-config/tests/error_texts.rs
@@ -1,4 +1,4 @@
-//! Operators and their scripts read these texts: each is one line, and stays as it is.
+//! Operators and their scripts read these texts: each is one line and must not change.
 use coppersail_operator_config::{check_edit, Field, RouteName, RouteRetryPolicy, SettingsNames, Value};
 
 #[test]
