--- a/crates/director/capacity-guard/examples/model/mod.rs
+++ b/crates/director/capacity-guard/examples/model/mod.rs
@@ -152,7 +152,7 @@
         self.hosts.get(host).is_some_and(|h| h.state == ListedState::Ready && h.proven && !h.withdrawn)
     }
 
-    /// The load of each host and route, computed from the tables alone.
+    /// The load of each host and route, computed directly from the tables.
     fn load(&self, case: &Case) -> OracleLoad {
         let mut load = OracleLoad::default();
         for (slice, lines) in &self.lines {
--- a/crates/director/capacity-guard/src/guard.rs
+++ b/crates/director/capacity-guard/src/guard.rs
@@ -85,7 +85,7 @@
         self.loads.remove_host(id);
     }
 
-    /// Sets the demand of a slice in calls a second, by route.
+    /// Sets the demand of a slice by route, in calls per second.
     pub fn set_demand(&mut self, slice: SliceId, demand: &[f64]) {
         self.loads.set_demand(slice, demand);
     }
--- a/crates/director/capacity-guard/src/refusals.rs
+++ b/crates/director/capacity-guard/src/refusals.rs
@@ -54,7 +54,7 @@
     }
 }
 
-fn is_severe(reason: &Reason) -> bool {
+fn cannot_be_overruled(reason: &Reason) -> bool {
     matches!(reason.subject().kind, ReasonKind::Uncovered | ReasonKind::ColdOverload)
         || reason.excess() > MAX_OVERRULED_EXCESS
 }
@@ -72,7 +72,7 @@
         for change in orders.iter().filter_map(TableChange::of) {
             for violation in violations {
                 if change.contributes_to(&violation.reason, pool) {
-                    *slices.entry(change.slice).or_default() |= is_severe(&violation.reason);
+                    *slices.entry(change.slice).or_default() |= cannot_be_overruled(&violation.reason);
                 }
             }
         }
--- a/crates/director/changes/src/change_log/tests/recovery.rs
+++ b/crates/director/changes/src/change_log/tests/recovery.rs
@@ -103,11 +103,11 @@
             6 => log.report_harm(now, 0.0, number, ("found".into(), random.bool()), &pool(4)),
             7 => log.confirm(0.0, number, "op".into()).unwrap_or_default(),
             _ => {
-                let (heard, calm) = (random.bool(), random.bool());
+                let (has_reports, has_recovered) = (random.bool(), random.bool());
                 let mut effects = log.tick(now, 0.0, &pool(4), &|_| AnalysisState {
                     has_baseline: true,
-                    has_reports: heard,
-                    has_recovered: calm,
+                    has_reports,
+                    has_recovered,
                 });
                 let applied: Vec<Version> = log.active.keys().copied().collect();
                 if random.u8(0..4) > 0 {
--- a/crates/director/changes/src/change_log/tests/set_aside.rs
+++ b/crates/director/changes/src/change_log/tests/set_aside.rs
@@ -84,9 +84,9 @@
     if frozen {
         log.freeze(0.0, "op".into(), "until Monday".into());
     }
-    let ready = if frozen { RECOVERED } else { REPORTS_RECEIVED };
-    assert_eq!(log.tick(300.0, 0.0, &pool(4), &|_| ready), vec![]);
-    log.tick(at, 0.0, &pool(4), &|_| ready);
+    let analysis_state = if frozen { RECOVERED } else { REPORTS_RECEIVED };
+    assert_eq!(log.tick(300.0, 0.0, &pool(4), &|_| analysis_state), vec![]);
+    log.tick(at, 0.0, &pool(4), &|_| analysis_state);
     assert_eq!(log.stage(number), Some(&Stage::Undone(why)));
     assert!(log.idle() && log.document().is_empty());
 }
--- a/crates/director/changes/src/change_log/tests/trial.rs
+++ b/crates/director/changes/src/change_log/tests/trial.rs
@@ -5,12 +5,12 @@
 use test_case::test_case;
 
 #[test_case(AnalysisState { has_baseline: true, has_reports: false, has_recovered: false }, EndReason::TooFewReports ; "reports that stop")]
-fn a_trial_without_reports_is_undone_after_twice_its_length(ready: AnalysisState, why: EndReason) {
+fn a_trial_without_reports_is_undone_after_twice_its_length(analysis_state: AnalysisState, why: EndReason) {
     let mut log = ChangeLog::default();
     let number = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
-    log.tick(119.0, 0.0, &pool(4), &|_| ready);
+    log.tick(119.0, 0.0, &pool(4), &|_| analysis_state);
     assert_eq!(log.stage(number), Some(&Stage::Trial), "it waits as long again");
-    log.tick(121.0, 0.0, &pool(4), &|_| ready);
+    log.tick(121.0, 0.0, &pool(4), &|_| analysis_state);
     assert_eq!(log.stage(number), Some(&Stage::Undone(why)));
 }
 
--- a/crates/director/changes/src/change_log/trial.rs
+++ b/crates/director/changes/src/change_log/trial.rs
@@ -43,22 +43,22 @@
         }
     }
 
-    /// Handles everything that is due at `now`. `ready` returns the state of the analysis of a change, or
+    /// Handles everything that is due at `now`. `analysis_state` returns the state of the analysis of a change, or
     /// with `None` of the analysis in general.
     pub fn tick(
         &mut self,
         now: f64,
         wall: f64,
         pool: &HostPool,
-        ready: &dyn Fn(Option<Version>) -> AnalysisState,
+        analysis_state: &dyn Fn(Option<Version>) -> AnalysisState,
     ) -> Vec<ChangeEffect> {
         let mut effects = Vec::new();
         let all: Vec<(Version, ActiveChange)> =
             self.active.iter().map(|(number, active)| (*number, *active)).collect();
         for (number, active) in all {
-            effects.extend(self.advance(now, wall, number, &active, pool, ready));
+            effects.extend(self.advance(now, wall, number, &active, pool, analysis_state));
         }
-        effects.extend(self.apply_next(now, wall, ready(None)));
+        effects.extend(self.apply_next(now, wall, analysis_state(None)));
         effects
     }
 
@@ -70,7 +70,7 @@
         number: Version,
         active: &ActiveChange,
         pool: &HostPool,
-        ready: &dyn Fn(Option<Version>) -> AnalysisState,
+        analysis_state: &dyn Fn(Option<Version>) -> AnalysisState,
     ) -> Vec<ChangeEffect> {
         let in_stage = now - active.since;
         let trial_end = active.trial_end();
@@ -79,13 +79,15 @@
             Some(Stage::Applied) if !self.is_undo(number) && in_stage > APPLY_TIMEOUT_S => {
                 self.undo_by_new_change(now, wall, number, EndReason::ApplyTimeout, pool)
             }
-            Some(Stage::Trial) if now >= trial_end && ready(Some(number)).has_reports => {
+            Some(Stage::Trial) if now >= trial_end && analysis_state(Some(number)).has_reports => {
                 self.keep(wall, number, Keep::TrialPassed)
             }
             Some(Stage::Suspended { .. }) if in_stage > SUSPENSION_TIMEOUT_S => {
                 self.end_suspended(wall, number, EndReason::NotRecovered)
             }
-            Some(Stage::Suspended { .. }) if active.withdrawn && ready(Some(number)).has_recovered => {
+            Some(Stage::Suspended { .. })
+                if active.withdrawn && analysis_state(Some(number)).has_recovered =>
+            {
                 self.retry(now, wall, number, pool)
             }
             Some(Stage::Trial) if now >= trial_end + (MAX_TRIAL_EXTENSION_FACTOR - 1.0) * active.trial => {
@@ -113,13 +115,13 @@
 
     /// Applies the first staged change. Only one change is applied at a time, so that their effects can be
     /// distinguished.
-    fn apply_next(&mut self, now: f64, wall: f64, ready: AnalysisState) -> Vec<ChangeEffect> {
+    fn apply_next(&mut self, now: f64, wall: f64, analysis_state: AnalysisState) -> Vec<ChangeEffect> {
         let next = self.staged.front().copied().filter(|_| !self.is_applying());
         let Some(number) = next else { return Vec::new() };
         let active = self.active.get(&number);
         let waited = active.map_or(f64::INFINITY, |active| now - active.since);
         let has_no_trial = active.is_some_and(|active| active.trial == 0.0);
-        if !ready.has_baseline && waited < BASELINE_TIMEOUT_S && !has_no_trial {
+        if !analysis_state.has_baseline && waited < BASELINE_TIMEOUT_S && !has_no_trial {
             return Vec::new();
         }
         let mut effects = self.transition_and_record(wall, number, Stage::Applied);
