--- a/crates/director/changes/src/change_log/tests/submission.rs
+++ b/crates/director/changes/src/change_log/tests/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions that conflict, are invalid, sent twice, or made while changes are frozen.
+//! Submissions that conflict, are invalid, are sent twice, or are made while changes are frozen.
 
 use super::*;
 use crate::host_pool::HostPool;
@@ -11,13 +11,13 @@
     let (number, _) =
         log.submit(0.0, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]), &known(), &pool(4)).unwrap();
     assert_eq!(log.tick(0.1, 0.0, &pool(4), &|_| REPORTS_RECEIVED), vec![], "not written yet");
-    log.written(0.0, number);
-    let acts = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert!(matches!(acts.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
-    log.applied(0.3, 0.0, number);
+    log.record_written(0.0, number);
+    let effects = log.tick(0.2, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
+    assert!(matches!(effects.last(), Some(ChangeEffect::ApplyDocument { by, .. }) if *by == number));
+    log.document_applied(0.3, 0.0, number);
     assert_eq!(log.stage(number), Some(&Stage::Trial));
     log.tick(60.4, 0.0, &pool(4), &|_| REPORTS_RECEIVED);
-    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::Judged)));
+    assert_eq!(log.stage(number), Some(&Stage::Kept(Keep::TrialPassed)));
 }
 
 #[test_case(true ; "a before b")]
@@ -35,7 +35,7 @@
         .unwrap_err();
     let field = "hosts.h0.weight".parse().unwrap();
     assert_eq!(refusal, Refusal::Conflict { field, holder: number, who: first.into(), stage: "kept" });
-    // With a base that knows the other, or on another field, it is accepted.
+    // With a base that includes the other change, or for another field, it is accepted.
     kept_change(&mut log, 1.0, submission(number.0, second, &[("hosts.h0.weight", "3")]));
     kept_change(&mut log, 2.0, submission(0, second, &[("hosts.h1.weight", "3")]));
     assert_eq!(log.document().len(), 3);
@@ -58,10 +58,10 @@
     let submit = |log: &mut ChangeLog, fields: &[(&str, &str)]| {
         log.submit(0.0, 0.0, submission(0, "a", fields), &known(), &pool(4)).map(drop)
     };
-    assert!(matches!(submit(&mut log, &all), Err(Refusal::Pool(_))));
+    assert!(matches!(submit(&mut log, &all), Err(Refusal::TooFewHosts(_))));
     let apart: Vec<(String, &str)> = (0..4).map(|k| (format!("apart.2.h{k}"), "true")).collect();
     let apart: Vec<(&str, &str)> = apart.iter().map(|(field, value)| (field.as_str(), *value)).collect();
-    assert!(matches!(submit(&mut log, &apart), Err(Refusal::Pool(what)) if what.contains("slice 2")));
+    assert!(matches!(submit(&mut log, &apart), Err(Refusal::TooFewHosts(what)) if what.contains("slice 2")));
     assert_eq!(submit(&mut log, &all[..3]), Ok(()));
 }
 
@@ -79,10 +79,10 @@
     let first = on_trial(&mut log, 0.0, submission(0, "a", &[("hosts.h0.weight", "2")]));
     let (second, _) =
         log.submit(1.0, 0.0, submission(0, "a", &[("hosts.h1.weight", "2")]), &known(), &pool(4)).unwrap();
-    log.unwritten(0.0, Some(second), "disk full");
-    assert!(matches!(log.stage(second), Some(Stage::Dropped(EndReason::Unwritten { .. }))));
+    log.write_failed(0.0, Some(second), "disk full");
+    assert!(matches!(log.stage(second), Some(Stage::Dropped(EndReason::WriteFailed { .. }))));
     let third = log.submit(2.0, 0.0, submission(0, "a", &[("hosts.h2.weight", "2")]), &known(), &pool(4));
-    assert!(matches!(third, Err(Refusal::History(_))));
+    assert!(matches!(third, Err(Refusal::WriteFailed(_))));
     log.report_harm(3.0, 0.0, first, ("found".into(), false), &pool(4));
     assert!(log.document().is_empty());
 }
