--- a/crates/director/admin-socket/src/lib.rs
+++ b/crates/director/admin-socket/src/lib.rs
@@ -9,8 +9,8 @@
 
 /// Longest line either way, in bytes: a submission of all the fields that a file may hold.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
-/// Most changes in one answer.
-pub const PAGE: usize = 100;
+/// Maximum number of changes in one [`Answer::Changes`].
+pub const MAX_CHANGES_PER_ANSWER: usize = 100;
 
 /// What an operator asks of a director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
@@ -28,7 +28,7 @@
         /// The fields and their new values.
         edits: Edits,
     },
-    /// Changes from the newest below `before` back, [`PAGE`] at most.
+    /// Changes from the newest below `before` back, [`MAX_CHANGES_PER_ANSWER`] at most.
     List {
         /// None: from the newest.
         before: Option<Version>,
--- a/crates/director/service/src/reducer/operators/commands.rs
+++ b/crates/director/service/src/reducer/operators/commands.rs
@@ -4,7 +4,7 @@
 use crate::reducer::effect::Effect;
 use crate::reducer::ids::AdminRequestId;
 use crate::reducer::outbox::Outbox;
-use coppersail_admin_socket::{Answer, Difference, Request, Status, Trial, PAGE};
+use coppersail_admin_socket::{Answer, Difference, Request, Status, Trial, MAX_CHANGES_PER_ANSWER};
 use coppersail_change_analysis::TrialId;
 use coppersail_changes::{ChangeEffect, Refusal, Submission, Version};
 
@@ -106,7 +106,7 @@
     fn list_changes(&self, before: Option<Version>) -> Answer {
         let is_older = |number: Version| before.is_none_or(|before| number < before);
         let mut older = self.change_log.changes().filter(|change| is_older(change.number));
-        let changes = older.by_ref().take(PAGE).cloned().collect();
+        let changes = older.by_ref().take(MAX_CHANGES_PER_ANSWER).cloned().collect();
         Answer::Changes { changes, more: older.next().is_some() }
     }
 
