--- a/crates/director/admin-socket/src/lib.rs
+++ b/crates/director/admin-socket/src/lib.rs
@@ -1,65 +1,67 @@
-//! Messages between the operators' command line and a director, over a Unix socket: one JSON object a line, a request
-//! and its answer. A request that cannot be read is answered so and its connection stays; one that is too long ends it.
+//! Messages between the operators' command line and a director, over a Unix socket. Each request and each answer is a
+//! JSON object on a line of its own. A request that cannot be parsed is answered with [`Answer::Unreadable`] and its
+//! connection stays open; a request longer than [`MAX_LINE_BYTES`] closes the connection.
 //!
-//! The names on the wire are those of the serde attributes; `tests/wire_format.rs` holds them.
+//! The names on the wire are those of the serde attributes; `tests/wire_format.rs` fixes them.
 
 use coppersail_changes::{Change, Submission, Version};
 use coppersail_operator_config::{Edits, Field, Value};
 use serde::{Deserialize, Serialize};
 
-/// Longest line either way, in bytes: a submission of all the fields that a file may hold.
+/// Maximum length of a request or answer, in bytes. It leaves room for a submission of all the fields that an
+/// operators' file may hold.
 pub const MAX_LINE_BYTES: usize = 1 << 20;
 /// Maximum number of changes in one [`Answer::Changes`].
 pub const MAX_CHANGES_PER_ANSWER: usize = 100;
 
-/// What an operator asks of a director.
+/// A request from an operator to a director.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "do", rename_all = "kebab-case")]
 pub enum Request {
-    /// How the director and its changes stand.
+    /// Returns the state of the director and of its changes.
     Status,
-    /// A new change.
+    /// Submits a new change.
     Submit {
-        /// Its edits, its author, and the version that it is based on.
+        /// The change's edits, its author, and the version that it is based on.
         submission: Submission,
     },
-    /// What a submission would change.
+    /// Returns what a submission of these edits would change.
     Diff {
         /// The fields and their new values.
         edits: Edits,
     },
-    /// Changes from the newest below `before` back, [`MAX_CHANGES_PER_ANSWER`] at most.
+    /// Lists changes, the newest first, at most [`MAX_CHANGES_PER_ANSWER`] of them.
     List {
-        /// None: from the newest.
+        /// Only changes with a lower number than this; `None` starts at the newest change.
         before: Option<Version>,
     },
-    /// One change.
+    /// Returns one change.
     Show {
-        /// Its number.
+        /// The change's number.
         number: Version,
     },
-    /// A draft is to be applied.
+    /// Applies a draft.
     Stage {
         /// The draft's number.
         number: Version,
     },
-    /// A trial ends now and the change is kept.
+    /// Ends a trial now and keeps its change.
     Confirm {
         /// The change on trial.
         number: Version,
         /// The operator.
         who: String,
     },
-    /// A trial lasts longer.
+    /// Extends a trial.
     Extend {
         /// The change on trial.
         number: Version,
-        /// Seconds.
+        /// Additional time, in seconds.
         by: f64,
         /// The operator.
         who: String,
     },
-    /// A change is undone by a further one.
+    /// Undoes a change by a further change.
     Undo {
         /// The change to undo.
         number: Version,
@@ -68,58 +70,58 @@
         /// The reason, kept with the change.
         why: String,
     },
-    /// No change is applied until [`Request::Thaw`].
+    /// Stops the application of changes until [`Request::Thaw`].
     Freeze {
         /// The operator.
         who: String,
         /// The reason.
         why: String,
     },
-    /// Changes are applied again.
+    /// Resumes the application of changes after [`Request::Freeze`].
     Thaw {
         /// The operator.
         who: String,
     },
 }
 
-/// One trial as it stands.
+/// The current state of one trial.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Trial {
     /// The change on trial.
     pub number: Version,
-    /// Seconds until it is kept, if its sums suffice by then.
+    /// Seconds until the change is kept, provided that the reports suffice for a verdict by then.
     #[serde(rename = "left")]
     pub remaining_seconds: f64,
-    /// Reports received since it began.
+    /// Number of reports received since the trial began.
     #[serde(rename = "heard")]
     pub reports: usize,
-    /// Whether they suffice for a verdict.
+    /// Whether the reports suffice for a verdict.
     #[serde(rename = "believed")]
     pub sufficient: bool,
 }
 
-/// How a director and its changes stand.
+/// The current state of a director and of its changes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Status {
-    /// The director's own.
+    /// Name of the director.
     pub name: String,
-    /// The newest change: what a submission is based on.
+    /// Number of the newest change, on which a new submission is based.
     pub version: Version,
-    /// Changes are kept on a disk; else they are forgotten when the director ends.
+    /// Whether changes are stored on disk; otherwise they are lost when the director exits.
     pub durable: bool,
     /// Who froze changes, and why, if they are frozen.
     pub frozen: Option<(String, String)>,
-    /// Enough reports of the time until now are there to compare a change against.
+    /// Whether enough reports have been received to serve as the baseline that a change is compared against.
     pub baseline: bool,
     /// Changes on trial.
     pub trials: Vec<Trial>,
-    /// What operators have set, by field.
+    /// The values that operators have set, by field.
     pub in_force: Vec<(Field, Value)>,
-    /// Hosts in the list.
+    /// Number of hosts in the endpoint list.
     pub hosts: usize,
-    /// Slices that this director owns.
+    /// Number of slices that this director owns.
     pub slices: usize,
-    /// Proxies that are connected.
+    /// Number of connected proxies.
     pub proxies: usize,
 }
 
@@ -128,87 +130,87 @@
 pub struct Difference {
     /// Which field.
     pub field: Field,
-    /// Its value now; none: unset.
+    /// Its current value; `None` if it is unset.
     #[serde(rename = "is")]
     pub current: Option<Value>,
-    /// Its value afterwards; none: unset.
+    /// Its value after the submission; `None` if it is unset.
     #[serde(rename = "becomes")]
     pub proposed: Option<Value>,
 }
 
-/// What a director answers.
+/// A director's answer to a request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(tag = "is", rename_all = "kebab-case")]
 pub enum Answer {
-    /// To [`Request::Status`].
+    /// Answer to [`Request::Status`].
     Status(Box<Status>),
     /// The change is in the history and will be applied.
     Accepted {
-        /// Its number.
+        /// The change's number.
         number: Version,
-        /// The history is on a disk.
+        /// Whether the history is stored on disk.
         durable: bool,
     },
-    /// Carried out.
+    /// The request was carried out.
     Done,
-    /// To [`Request::Diff`].
+    /// Answer to [`Request::Diff`].
     Diff {
-        /// Only fields that differ.
+        /// The fields whose value would change.
         differs: Vec<Difference>,
     },
-    /// To [`Request::List`].
+    /// Answer to [`Request::List`].
     Changes {
-        /// The newest first.
+        /// The changes, the newest first.
         changes: Vec<Change>,
-        /// There are older ones.
+        /// Whether there are older changes.
         more: bool,
     },
-    /// To [`Request::Show`].
+    /// Answer to [`Request::Show`].
     Change(Box<Change>),
-    /// Read, and not carried out; nothing has changed.
+    /// The request was valid but was not carried out; nothing has changed.
     #[serde(rename = "refused")]
     Rejected {
-        /// One line.
+        /// The reason, on one line.
         #[serde(rename = "why")]
         reason: String,
     },
-    /// Not read.
+    /// The request could not be parsed.
     Unreadable {
-        /// One line.
+        /// The parse error, on one line.
         #[serde(rename = "why")]
         reason: String,
     },
 }
 
-/// A line that is no message of this version.
+/// A line that is not a valid message of this version.
 #[derive(Debug, thiserror::Error)]
 #[error("{kind}: {source}")]
 pub struct ParseError {
-    /// "a request" or "an answer".
+    /// The expected message: "a request" or "an answer".
     kind: &'static str,
-    /// What serde found.
+    /// The deserializer's error.
     source: serde_json::Error,
 }
 
-/// A message as a line, with its end of line.
+/// Encodes a message as a line, including the line feed.
 pub fn encode<T: Serialize>(message: &T) -> Vec<u8> {
     let mut line = serde_json::to_vec(message).unwrap_or_default();
     line.push(b'\n');
     line
 }
 
-/// Reads a request from a line without its end.
+/// Parses a request from a line without its line feed.
 ///
 /// # Errors
-/// If it is no request of this version.
+/// The line is not a valid request of this version.
 pub fn parse_request(line: &[u8]) -> Result<Request, ParseError> {
     serde_json::from_slice(line).map_err(|source| ParseError { kind: "a request", source })
 }
 
-/// Reads an answer from a line without its end.
+/// Parses an answer from a line without its line feed.
 ///
 /// # Errors
-/// If it is no answer of this version.
+/// The line is not a valid answer of this version.
 pub fn parse_answer(line: &[u8]) -> Result<Answer, ParseError> {
     serde_json::from_slice(line).map_err(|source| ParseError { kind: "an answer", source })
 }
--- a/crates/director/admin-socket/src/tests.rs
+++ b/crates/director/admin-socket/src/tests.rs
@@ -1,4 +1,4 @@
-//! Requests that are cut or unknown.
+//! Encoding of requests, and rejection of truncated and unknown ones.
 use super::*;
 
 #[test]
--- a/crates/director/admin-socket/tests/wire_format.rs
+++ b/crates/director/admin-socket/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! These bytes are read by builds of other versions: operators' commands and a director say them to each other over a
-//! Unix socket. A change here breaks rolling upgrades or stored data.
+//! The exact bytes that operators' commands and a director exchange over a Unix socket. Builds of other versions read
+//! them, so a change here breaks rolling upgrades or stored data.
 use coppersail_admin_socket::{
     encode, parse_answer, parse_request, Answer, Difference, ParseError, Request, Status, Trial,
 };
@@ -8,14 +8,14 @@
 use serde::Serialize;
 use std::fmt::Debug;
 
-/// The message is written as exactly this line, and the line is read as an equal message.
-fn assert_text<T: Serialize + PartialEq + Debug>(
-    read: fn(&[u8]) -> Result<T, ParseError>,
+/// Asserts that the message is written as exactly this line, and that the line is parsed to an equal message.
+fn assert_round_trip<T: Serialize + PartialEq + Debug>(
+    parse: fn(&[u8]) -> Result<T, ParseError>,
     value: T,
     text: &str,
 ) {
     assert_eq!(String::from_utf8(encode(&value)).unwrap(), format!("{text}\n"));
-    assert_eq!(read(text.as_bytes()).unwrap(), value);
+    assert_eq!(parse(text.as_bytes()).unwrap(), value);
 }
 
 const SUBMISSION: &str = concat!(
@@ -59,7 +59,7 @@
         (Request::Thaw { who: who() }, r#"{"do":"thaw","who":"ann"}"#),
     ];
     for (message, text) in table {
-        assert_text(parse_request, message, &text.replace("SUBMISSION", SUBMISSION));
+        assert_round_trip(parse_request, message, &text.replace("SUBMISSION", SUBMISSION));
     }
 }
 
@@ -116,7 +116,7 @@
         (Answer::Unreadable { reason: why() }, r#"{"is":"unreadable","why":"w"}"#.into()),
     ];
     for (message, text) in table {
-        assert_text(parse_answer, message, &text.replace("SUBMISSION", SUBMISSION));
+        assert_round_trip(parse_answer, message, &text.replace("SUBMISSION", SUBMISSION));
     }
 }
 
--- a/crates/director/append-log/src/lib.rs
+++ b/crates/director/append-log/src/lib.rs
@@ -1,9 +1,10 @@
 //! An append-only, checksummed log of records on one disk.
 //!
-//! A record is one line: the CRC-32 of its JSON in eight hex digits, a space, the JSON. What [`Log::append`] has
-//! returned from is synced. A crash in the middle of a write leaves an incomplete last line, which is truncated when
-//! the log is opened again; all records before it stand. A corrupt line further up cannot come from a crash: the file
-//! is then left untouched and the log refuses to open until somebody has looked at it.
+//! A record is one line: the CRC-32 of its JSON in eight hex digits, a space, and the JSON. When [`Log::append`]
+//! returns without an error, its records are synced to disk. A crash in the middle of a write leaves an incomplete
+//! last line, which is truncated when the log is next opened; all records before it are kept. A corrupt line before
+//! the last cannot come from a crash: the file is then left untouched, and opening the log fails until an operator has
+//! repaired or removed the file.
 
 mod log;
 mod record;
@@ -17,12 +18,12 @@
 /// Why a log could not be opened. Its text is one line: path, line number if any, and the cause.
 #[derive(Debug, thiserror::Error)]
 pub enum OpenError {
-    /// The file or its folder cannot be read, created, truncated or synced.
+    /// The file or its directory cannot be read, created, truncated or synced.
     #[error("{}: {source}", path.display())]
     Io {
         /// The log's file.
         path: PathBuf,
-        /// What the operating system answered.
+        /// The operating system's error.
         source: io::Error,
     },
     /// Another process holds the file's lock; two writers would interleave their records.
@@ -31,12 +32,12 @@
         /// The log's file.
         path: PathBuf,
     },
-    /// A line that no interrupted write can explain.
+    /// The file holds a line that an interrupted write cannot have caused.
     #[error("{}:{}: {}", path.display(), corruption.line, corruption.kind)]
     Corrupt {
         /// The log's file.
         path: PathBuf,
-        /// Which line, and what is wrong with it.
+        /// The number of the line, and what is wrong with it.
         corruption: Corruption,
     },
 }
--- a/crates/director/append-log/src/log.rs
+++ b/crates/director/append-log/src/log.rs
@@ -1,4 +1,4 @@
-//! The log's file: opening, locking, appending.
+//! The log's file: opening, locking and appending.
 
 use crate::{encode, read, OpenError, Prefix};
 use serde::de::DeserializeOwned;
@@ -8,34 +8,35 @@
 use std::marker::PhantomData;
 use std::path::Path;
 
-/// A longer line is refused, in bytes: no record of the director comes near it.
+/// Maximum length of a line, in bytes. Longer records are rejected; those of the director are far shorter.
 const MAX_LINE_BYTES: usize = 16 << 20;
 
-/// A log that is open for writing, by this process alone.
+/// A log that is open for writing, locked by this process.
 pub struct Log<T> {
     pub(crate) file: File,
-    /// Length of what is synced, in bytes.
-    pub(crate) bytes: u64,
-    /// A write failed and could not be taken back: what the file holds is not known any more.
+    /// Length of the synced records, in bytes.
+    pub(crate) synced_bytes: u64,
+    /// A write failed and the file could not be truncated afterwards, so its content is unknown.
     pub(crate) failed: bool,
     pub(crate) record: PhantomData<T>,
 }
 
-/// A log just opened, and what it holds.
+/// A log that has just been opened, and its records.
 pub struct Opened<T> {
-    /// Ready for further records.
+    /// The log, ready for further records.
     pub log: Log<T>,
-    /// All records, in the order of their writes.
+    /// All records, in the order in which they were written.
     pub records: Vec<T>,
-    /// Bytes of an interrupted write that were truncated.
+    /// Number of bytes of an interrupted write that were truncated.
     pub torn: usize,
 }
 
 impl<T: Serialize + DeserializeOwned> Log<T> {
-    /// Opens or creates the log, locks it, and truncates what an interrupted write left at its end.
+    /// Opens or creates the log, locks it, and truncates an incomplete record that an interrupted write left at its
+    /// end.
     ///
     /// # Errors
-    /// [`OpenError`]; the file is then as it was.
+    /// [`OpenError`]; the file's content is then unchanged.
     pub fn open(path: &Path) -> Result<Opened<T>, OpenError> {
         let io_error = |source: io::Error| OpenError::Io { path: path.to_path_buf(), source };
         let is_new = !path.exists();
@@ -50,15 +51,15 @@
         if torn > 0 {
             file.set_len(bytes as u64).and_then(|()| file.sync_all()).map_err(io_error)?;
         }
-        let log = Log { file, bytes: bytes as u64, failed: false, record: PhantomData };
+        let log = Log { file, synced_bytes: bytes as u64, failed: false, record: PhantomData };
         Ok(Opened { log, records, torn })
     }
 
-    /// Appends records in one write; they are synced when it returns.
+    /// Appends records in one write and syncs them to disk before it returns.
     ///
     /// # Errors
-    /// If the disk refuses. The log is then as it was before or, if the partial write could not be taken back,
-    /// refuses every later append.
+    /// The write or the sync fails. The partial write is then truncated; if that fails too, every later append returns
+    /// an error.
     pub fn append(&mut self, records: &[T]) -> io::Result<()> {
         if self.failed {
             return Err(io::Error::other("an earlier write failed and could not be taken back"));
@@ -66,16 +67,17 @@
         let bytes = encode_all(records)?;
         let written = self.file.write_all(&bytes).and_then(|()| self.file.sync_data());
         if let Err(error) = written {
-            self.failed = !self.take_back();
+            self.failed = !self.truncate_partial_write();
             return Err(error);
         }
-        self.bytes += bytes.len() as u64;
+        self.synced_bytes += bytes.len() as u64;
         Ok(())
     }
 
-    /// Truncates a partial write: an incomplete line before further ones would be corruption.
-    fn take_back(&mut self) -> bool {
-        let truncated = self.file.set_len(self.bytes).and_then(|()| self.file.sync_data());
+    /// Truncates the file to its synced records and returns whether this succeeded. Without it, an incomplete line
+    /// followed by further records would count as corruption.
+    fn truncate_partial_write(&mut self) -> bool {
+        let truncated = self.file.set_len(self.synced_bytes).and_then(|()| self.file.sync_data());
         truncated.is_ok() && self.file.seek(SeekFrom::End(0)).is_ok()
     }
 }
@@ -91,10 +93,10 @@
     }
 }
 
-/// The name of a new file is durable only once its folder is synced.
+/// Syncs the directory of a new file, without which the file itself may be missing after a crash.
 fn sync_parent(path: &Path) -> io::Result<()> {
-    let parent = path.parent().filter(|folder| !folder.as_os_str().is_empty());
-    File::open(parent.unwrap_or(Path::new("."))).and_then(|folder| folder.sync_all())
+    let parent = path.parent().filter(|directory| !directory.as_os_str().is_empty());
+    File::open(parent.unwrap_or(Path::new("."))).and_then(|directory| directory.sync_all())
 }
 
 fn encode_all<T: Serialize>(records: &[T]) -> io::Result<Vec<u8>> {
--- a/crates/director/append-log/src/record.rs
+++ b/crates/director/append-log/src/record.rs
@@ -1,16 +1,16 @@
-//! The form of one record, and reading of the longest valid prefix of a log.
+//! The encoding of one record, and the decoding of the longest valid prefix of a log.
 
 use serde::de::DeserializeOwned;
 use serde::Serialize;
 use std::io;
 
-/// Eight hex digits of the checksum and a space.
+/// Length of the checksum, eight hex digits, and of the space that follows it.
 const CHECKSUM_BYTES: usize = 9;
 
-/// One record as a line of a log, with its end of line.
+/// Encodes a record as a line of a log, including the line feed.
 ///
 /// # Errors
-/// If the record cannot be written as JSON.
+/// The record cannot be written as JSON.
 pub fn encode<T: Serialize>(record: &T) -> io::Result<Vec<u8>> {
     let json = serde_json::to_vec(record)?;
     let mut line = format!("{:08x} ", crc32fast::hash(&json)).into_bytes();
@@ -22,18 +22,18 @@
 /// The valid prefix of a log's bytes.
 #[derive(Debug, PartialEq)]
 pub struct Prefix<T> {
-    /// All complete records, in the order of their writes.
+    /// All complete records, in the order in which they were written.
     pub records: Vec<T>,
     /// Length of the prefix, in bytes.
     pub bytes: usize,
-    /// Bytes behind the prefix: what a crash left of a write.
+    /// Number of bytes after the prefix, left by an interrupted write.
     pub torn: usize,
 }
 
-/// A line that no interrupted write can explain.
+/// A line that an interrupted write cannot have caused.
 #[derive(Debug, PartialEq, Eq)]
 pub struct Corruption {
-    /// Counted from 1.
+    /// Number of the line, counted from 1.
     pub line: usize,
     /// What is wrong with it.
     pub kind: CorruptionKind,
@@ -42,16 +42,16 @@
 /// What is wrong with a line.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CorruptionKind {
-    /// Fewer bytes than a checksum has.
+    /// The line has fewer bytes than a checksum.
     #[error("too short for a checksum")]
     TooShort,
-    /// It does not begin with a checksum.
+    /// The line does not begin with a checksum.
     #[error("expected a checksum of 8 hex digits")]
     NoChecksum,
-    /// The checksum is that of another text.
+    /// The checksum differs from that of the line's JSON.
     #[error("its checksum does not fit; the file was damaged or changed by hand")]
     ChecksumMismatch,
-    /// The checksum fits, but the JSON is no record of this version.
+    /// The checksum matches, but the JSON is not a valid record of this version.
     #[error("no record of this version ({0})")]
     UnknownRecord(String),
 }
@@ -67,11 +67,11 @@
     serde_json::from_slice(json).map_err(|error| CorruptionKind::UnknownRecord(error.to_string()))
 }
 
-/// Reads the longest valid prefix. An incomplete last line is left out, as a crash explains it.
+/// Decodes the longest valid prefix. An invalid last line is left out, as an interrupted write may have caused it.
 ///
 /// # Errors
-/// A bad line that others follow, or a complete last line with a valid checksum that is no record of this version:
-/// neither comes from an interrupted write.
+/// An invalid line is followed by others, or the last line is complete and has a matching checksum but is not a record
+/// of this version. An interrupted write causes neither.
 pub fn read<T: DeserializeOwned>(bytes: &[u8]) -> Result<Prefix<T>, Corruption> {
     let (mut records, mut position, mut line) = (Vec::new(), 0, 0);
     while position < bytes.len() {
--- a/crates/director/protocol/src/collector.rs
+++ b/crates/director/protocol/src/collector.rs
@@ -1,4 +1,4 @@
-//! Messages to the director's own address: a JSON object a line, from collectors and from health checks.
+//! Messages that collectors and health checkers send to the director's listening address, one JSON object per line.
 
 use crate::load::Report;
 use crate::number::non_negative;
@@ -6,17 +6,17 @@
 use serde::Deserialize;
 use std::borrow::Cow;
 
-/// Longest message, in bytes.
+/// Maximum length of a message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 1 << 20;
 
-/// Longest period that a report can cover, in milliseconds: an hour. Collectors report each second, so one that has
-/// accumulated more has long been disconnected.
+/// Longest period that a report may cover, in milliseconds: an hour. Collectors report each second, so a collector that
+/// has accumulated a longer period was disconnected for nearly all of it.
 const MAX_WINDOW_MS: f64 = 3_600_000.0;
 
 /// The answer to [`CollectorMessage::HealthCheck`].
 pub const HEALTH_CHECK_RESPONSE: &[u8] = b"{\"msg\":\"alive\"}\n";
 
-/// One message. Names borrow from the line wherever nothing in them is escaped.
+/// One message. Names borrow from the line unless they hold JSON escapes.
 #[derive(Debug, PartialEq)]
 pub enum CollectorMessage<'a> {
     /// A health check of the director itself, answered with [`HEALTH_CHECK_RESPONSE`].
@@ -31,37 +31,38 @@
         host: Cow<'a, str>,
         /// Attempts that ended in the period, dropped ones included.
         attempts: u64,
-        /// Attempts without a usable answer. May exceed `tries`: attempts that began in an earlier period end in this
-        /// one.
+        /// Attempts without a usable answer. May exceed `attempts`: attempts that began in an earlier period end in
+        /// this one.
         dropped: u64,
         /// Mean response time of the answered attempts, seconds; 0 where none was answered.
         mean_response_time: f64,
         /// Length of the period, seconds.
         window: f64,
-        /// A load report of the host that the proxies have received; empty if there is none.
+        /// The host's load report as received by the proxies; empty if there is none.
         report: Report,
     },
-    /// The requests that all proxies received for one slice in one route.
+    /// The requests that all proxies received for one slice and one route.
     DemandReport {
         /// Number of the slice.
         slice: u16,
         /// Name of the route.
         route: Cow<'a, str>,
-        /// Requests that came in the period.
+        /// Requests received in the period.
         requests: u64,
-        /// Requests that were dropped; may exceed `calls`, as in `Tries`.
+        /// Requests that were dropped. May exceed `requests`: requests that were received in an earlier period may be
+        /// dropped in this one.
         dropped: u64,
         /// Length of the period, seconds.
         window: f64,
     },
 }
 
-/// Borrows a name from the input; an `Option<Cow<str>>` by itself would always be copied.
+/// Borrows a name from the input. Serde always copies the text of a plain `Option<Cow<str>>`.
 #[derive(Deserialize)]
 #[serde(transparent)]
 struct Name<'a>(#[serde(borrow)] Cow<'a, str>);
 
-/// The fields of all messages. Error texts quote the name of this type, so it stays.
+/// The fields of all messages. Serde's error texts contain the name of this type, so it must not be renamed.
 #[derive(Deserialize)]
 struct Raw<'a> {
     #[serde(borrow)]
@@ -84,7 +85,7 @@
     report: Option<serde_json::Value>,
 }
 
-/// What reports of outcomes and of demand have in common.
+/// The fields that attempt reports and demand reports have in common.
 struct Counts {
     count: u64,
     dropped: u64,
@@ -109,9 +110,9 @@
         })
     }
 
-    fn into_outcomes(self) -> Result<CollectorMessage<'a>, ParseError> {
+    fn into_attempt_report(self) -> Result<CollectorMessage<'a>, ParseError> {
         let Counts { count, dropped, period } = self.counts()?;
-        // An average that is absent must not pass for answers that took no time.
+        // A missing average must not be taken for a response time of 0.
         let average_ms = if count > dropped { required(self.average_ms, "avg")? } else { 0.0 };
         let average_ms = non_negative(average_ms, "avg")?;
         Ok(CollectorMessage::AttemptReport {
@@ -125,7 +126,7 @@
         })
     }
 
-    fn into_demand(self) -> Result<CollectorMessage<'a>, ParseError> {
+    fn into_demand_report(self) -> Result<CollectorMessage<'a>, ParseError> {
         let Counts { count, dropped, period } = self.counts()?;
         Ok(CollectorMessage::DemandReport {
             slice: required(self.partition, "partition")?,
@@ -141,30 +142,31 @@
     /// Parses one line.
     ///
     /// # Errors
-    /// The line is no JSON object, its `msg` is unknown, or a field of that message is missing or invalid.
+    /// The line is not a JSON object, its `msg` is unknown, or a field of that message is missing or invalid.
     pub fn parse(line: &'a [u8]) -> Result<Self, ParseError> {
         let raw: Raw<'a> = serde_json::from_slice(line)?;
         match raw.msg.as_ref() {
             "probe" => Ok(CollectorMessage::HealthCheck),
             "agent" => Ok(CollectorMessage::Register(required(raw.az, "az")?.0)),
-            "outcomes" => raw.into_outcomes(),
-            "hot" => raw.into_demand(),
+            "outcomes" => raw.into_attempt_report(),
+            "hot" => raw.into_demand_report(),
             unknown => Err(ParseError::invalid("msg", unknown, "agent, outcomes, hot or probe")),
         }
     }
 }
 
-/// Whether a line is a JSON object, and so a message, even if an invalid one.
+/// Whether a line is a JSON object and therefore counts as a message, even if it is an invalid one.
 pub fn is_message(line: &[u8]) -> bool {
     line.trim_ascii_start().starts_with(b"{") && serde_json::from_slice::<serde::de::IgnoredAny>(line).is_ok()
 }
 
-/// Whether a line can no longer become a message: `begun` is the line so far, `piece` its newest part. JSON allows no
-/// control characters except white space between its tokens.
-pub fn cannot_become_message(begun: &[u8], piece: &[u8]) -> bool {
+/// Whether an incomplete line can no longer become a message. `line` is what has been received of it so far, and
+/// `new_bytes` is the part that was received last. JSON allows no control characters except white space between its
+/// tokens.
+pub fn cannot_become_message(line: &[u8], new_bytes: &[u8]) -> bool {
     let is_forbidden = |byte: &u8| *byte < b' ' && !b"\t\r\n".contains(byte);
-    let first = begun.iter().find(|byte| !byte.is_ascii_whitespace());
-    first.is_some_and(|first| *first != b'{') || piece.iter().any(is_forbidden)
+    let first = line.iter().find(|byte| !byte.is_ascii_whitespace());
+    first.is_some_and(|first| *first != b'{') || new_bytes.iter().any(is_forbidden)
 }
 
 #[cfg(test)]
--- a/crates/director/protocol/src/config.rs
+++ b/crates/director/protocol/src/config.rs
@@ -13,7 +13,7 @@
 pub struct Config {
     /// Name of this director.
     pub name: String,
-    /// Address on which collectors and health checks reach it.
+    /// Address on which the director listens for collectors and health checks.
     pub listen: SocketAddr,
     /// Address of the discovery service.
     pub discovery: SocketAddr,
@@ -21,20 +21,21 @@
     pub relay: SocketAddr,
     /// Seed of the director's random numbers; 16 hex digits in the file.
     pub seed: u64,
-    /// The last known endpoint list, as JSON in discovery's form.
+    /// The last known endpoint list, as JSON in the format of the discovery service.
     pub known_endpoints: Option<Vec<u8>>,
-    /// The settings by their paths: names from the outermost, joined by dots. See `coppersail_settings::Boot`.
+    /// The settings by path. A path joins the names of the nested fields by dots, the outermost first. See
+    /// `coppersail_settings::DirectorSettings`.
     pub settings: BTreeMap<String, String>,
     /// Resource limits of the process.
     pub limits: Limits,
 }
 
-/// Resources that the director may use; none: not limited by the configuration.
+/// Resources that the director may use; `None` where the configuration sets no limit.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Limits {
-    /// Open sockets at a time.
+    /// Maximum number of open sockets.
     pub sockets: Option<u64>,
-    /// Memory, mebibytes.
+    /// Maximum memory, in mebibytes.
     pub memory_mb: Option<u64>,
 }
 
@@ -42,7 +43,7 @@
     /// Parses the file.
     ///
     /// # Errors
-    /// The file is no JSON, or a field is missing or invalid; the error names the field's path.
+    /// The file is not JSON, or a field is missing or invalid; the error names the field's path.
     pub fn parse(bytes: &[u8]) -> Result<Self, ParseError> {
         let config: Value = serde_json::from_slice(bytes)?;
         let settings = config.get("settings").ok_or_else(|| ParseError::missing("settings"))?;
@@ -56,14 +57,14 @@
             discovery: address(&config, "discovery")?,
             relay: address(&config, "relay.address")?,
             seed: parse_seed(seed)?,
-            known_endpoints: known_list(&config),
+            known_endpoints: known_endpoints(&config),
             settings: paths::flatten(settings),
             limits: Limits { sockets: limit(&config, "sockets")?, memory_mb: limit(&config, "memory_mb")? },
         })
     }
 
-    /// The fields that only a restart applies, each with a digest by which a change is detected. Digests hold within
-    /// one process only.
+    /// The fields whose changes only a restart applies, each with a digest by which a change is detected. Digests can
+    /// only be compared within one process.
     pub fn restart_only_fields(&self) -> [(&'static str, u64); 4] {
         [
             ("name", digest(&self.name)),
@@ -96,7 +97,7 @@
     u64::from_str_radix(text, 16).map_err(|_| ParseError::invalid("seed", text, "16 hex digits"))
 }
 
-fn known_list(config: &Value) -> Option<Vec<u8>> {
+fn known_endpoints(config: &Value) -> Option<Vec<u8>> {
     let list = config.get("known").filter(|list| !list.is_null())?;
     Some(list.to_string().into_bytes())
 }
--- a/crates/director/protocol/src/config/paths.rs
+++ b/crates/director/protocol/src/config/paths.rs
@@ -1,14 +1,15 @@
-//! Flattens nested settings to texts by path.
+//! Flattens nested settings into a map from path to text.
 
 use serde_json::Value;
 use std::collections::BTreeMap;
 
-/// Stands before each value of a list, as names may hold commas but not this character.
+/// Precedes each value of a list. Names may contain commas but not this character.
 const UNIT_SEPARATOR: char = '\u{1f}';
 
-/// The values of a JSON object by path: names from the outermost, joined by dots. The items of a list that holds
-/// objects have their index, from 0, as name, and `count` beside them is the list's length. Other lists are one text,
-/// with a unit separator before each value. Null values are absent.
+/// Maps the path of each value of a JSON object to its text. A path joins the names of the nested fields by dots, the
+/// outermost first. The items of a list that holds objects are named by their index, from 0, and an additional field
+/// `count` holds the list's length. Any other list becomes one text, with a unit separator before each value. Null
+/// values are left out.
 pub(super) fn flatten(settings: &Value) -> BTreeMap<String, String> {
     let mut values = BTreeMap::new();
     insert("", settings, &mut values);
--- a/crates/director/protocol/src/discovery.rs
+++ b/crates/director/protocol/src/discovery.rs
@@ -1,5 +1,5 @@
-//! Discovery's endpoint lists: the complete list on request, and the changes after a version as a stream of JSON
-//! objects, one a line.
+//! The endpoint lists of the discovery service: the complete list on request, and the changes after a version as a
+//! stream of JSON objects, one per line.
 
 use crate::number::non_negative;
 use crate::ParseError;
@@ -8,26 +8,26 @@
 use std::borrow::Cow;
 use std::net::SocketAddr;
 
-/// Characters that separate the orders and the words of the relay's lines, in which host ids stand.
+/// Separators of the relay's line protocol. Host ids are written into its lines and must not contain them.
 const RELAY_SEPARATORS: [char; 5] = [',', ';', ' ', '\r', '\n'];
 
-/// Whether a host takes requests.
+/// Whether a host accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum EndpointState {
-    /// In service.
+    /// The host accepts requests.
     Ready,
-    /// Finishes what it has and takes nothing new.
+    /// The host finishes its current requests and accepts no new ones.
     Draining,
-    /// Terminated.
+    /// The host has terminated.
     Gone,
 }
 
-/// One host of the list. Names borrow from the list's text wherever nothing in them is escaped.
+/// One host of the list. Names borrow from the list's text unless they hold JSON escapes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Endpoint<'a> {
-    /// Id of the host, safe to be written in an order to the relay.
+    /// Id of the host, free of the separators of the relay's protocol.
     pub id: Cow<'a, str>,
-    /// Where it serves.
+    /// Address at which it serves requests.
     pub address: SocketAddr,
     /// Name of its zone.
     pub zone: Cow<'a, str>,
@@ -35,19 +35,19 @@
     pub kind: Cow<'a, str>,
     /// The small group of hosts in its zone that it belongs to.
     pub cell: u64,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub state: EndpointState,
-    /// Capacity in relation to the others, not negative.
+    /// Capacity relative to the other hosts, not negative.
     pub weight: f64,
-    /// When its process started: Unix time, milliseconds; 0: unknown, long ago.
+    /// Unix time at which its process started, in milliseconds; 0 means an unknown time long ago.
     pub started_ms: u64,
 }
 
-/// An entry that could not be used. Its text is that of `fault`.
+/// An entry that could not be parsed. Its text is that of `error`.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 #[error("{error}")]
 pub struct InvalidEntry {
-    /// Id of its host, if that can be told.
+    /// Id of its host, if the entry has a readable one.
     pub id: Option<String>,
     /// What is wrong with it.
     pub error: ParseError,
@@ -56,15 +56,15 @@
 /// An endpoint list, or changes of it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct EndpointList<'a> {
-    /// Version of the list after this message; it only rises.
+    /// Version of the list after this message; it only increases.
     pub version: u64,
-    /// The list is complete: hosts that are not in it are gone.
+    /// Whether this is the complete list, so that hosts missing from it are gone.
     pub is_complete: bool,
-    /// The entries. An invalid one does not spoil the others.
+    /// The entries. An invalid entry does not affect the others.
     pub entries: Vec<Result<Endpoint<'a>, InvalidEntry>>,
 }
 
-// Error texts quote the names of the following types.
+// Serde's error texts contain the names of the following types, so these must not be renamed.
 
 #[derive(Deserialize)]
 struct RawList<'a> {
@@ -130,9 +130,9 @@
 
 fn parse_entry(entry: &RawValue) -> Result<Endpoint<'_>, InvalidEntry> {
     let text = entry.get();
-    Endpoint::parse(text).map_err(|fault| {
+    Endpoint::parse(text).map_err(|error| {
         let id = serde_json::from_str::<RawId>(text).ok().map(|raw| raw.id);
-        InvalidEntry { id, error: fault }
+        InvalidEntry { id, error }
     })
 }
 
@@ -140,18 +140,19 @@
     /// Parses one object.
     ///
     /// # Errors
-    /// The object is no endpoint list. Errors of single entries stand in [`EndpointList::entries`].
+    /// The object is not an endpoint list. Errors of single entries are kept in [`EndpointList::entries`].
     pub fn parse(object: &'a [u8]) -> Result<Self, ParseError> {
         let raw: RawList<'a> = serde_json::from_slice(object)?;
-        let servers = raw.servers.into_iter().map(parse_entry).collect();
-        Ok(EndpointList { version: raw.version, is_complete: raw.full, entries: servers })
+        let entries = raw.servers.into_iter().map(parse_entry).collect();
+        Ok(EndpointList { version: raw.version, is_complete: raw.full, entries })
     }
 }
 
-/// Path of the complete list.
+/// Path of the complete endpoint list.
 pub const ENDPOINTS_PATH: &str = "/v1/endpoints";
 
-/// Path and query of the stream of changes after version `since`; without a version it begins with the complete list.
+/// Path and query of the stream of changes after version `since`. Without a version, the stream begins with the
+/// complete list.
 pub fn watch_path(since: Option<u64>) -> String {
     match since {
         Some(version) => format!("{ENDPOINTS_PATH}?follow=1&since={version}"),
--- a/crates/director/protocol/src/discovery/tests.rs
+++ b/crates/director/protocol/src/discovery/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn an_entry_that_loses_a_field_is_noticed() {
+fn each_field_of_an_entry_is_parsed() {
     let text = list(ENTRY);
     let list = EndpointList::parse(text.as_bytes()).unwrap();
     let server = list.entries[0].as_ref().unwrap();
@@ -22,23 +22,23 @@
 #[test_case("terminating", "asleep", Some("s-5") ; "an unknown state")]
 #[test_case("127.0.0.1:8000", "nowhere", Some("s-5") ; "no address")]
 #[test_case(r#""id":"s-5","#, "", None ; "no id")]
-#[test_case(r#""id":"s-5""#, r#""id":"s;DEL,4""#, Some("s;DEL,4") ; "an id that would be an order")]
-fn an_invalid_entry_does_not_spoil_the_others(valid: &str, invalid: &str, id: Option<&str>) {
+#[test_case(r#""id":"s-5""#, r#""id":"s;DEL,4""#, Some("s;DEL,4") ; "an id that contains an order")]
+fn an_invalid_entry_does_not_affect_the_others(valid: &str, invalid: &str, id: Option<&str>) {
     let text = list(&format!("{},{ENTRY}", ENTRY.replace(valid, invalid)));
     let list = EndpointList::parse(text.as_bytes()).unwrap();
     assert_eq!(list.entries[0].as_ref().unwrap_err().id.as_deref(), id);
     assert!(list.entries[1].is_ok());
 }
 
-#[test_case(b"{\"version\":43" ; "cut off")]
+#[test_case(b"{\"version\":43" ; "truncated")]
 #[test_case(b"{\"version\":-1,\"full\":true,\"servers\":[]}" ; "a negative version")]
-#[test_case(b"<html>" ; "no object")]
+#[test_case(b"<html>" ; "not an object")]
 fn a_malformed_list_is_rejected(text: &[u8]) {
     assert!(EndpointList::parse(text).is_err());
 }
 
 #[test]
-fn a_watch_without_its_version_is_noticed() {
+fn a_watch_path_holds_the_version_if_there_is_one() {
     assert_eq!(watch_path(Some(41)), "/v1/endpoints?follow=1&since=41");
     assert_eq!(watch_path(None), "/v1/endpoints?follow=1");
 }
--- a/crates/director/protocol/src/error.rs
+++ b/crates/director/protocol/src/error.rs
@@ -1,68 +1,69 @@
-//! Why a message could not be used.
+//! The error of parsing a message.
 
 use std::fmt::Display;
 use std::str::Utf8Error;
 
-/// Longest excerpt of the input that an error keeps, in characters. Senders choose the length of what they send.
+/// Longest excerpt of the input that an error keeps, in characters. Without a limit, the sender would determine the
+/// length of log lines.
 const MAX_EXCERPT_CHARS: usize = 200;
 
-/// Why a message could not be used. The text fits on one log line and names fields as they stand on the wire.
+/// Why a message could not be parsed. The text is a single line and names fields as on the wire.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ParseError {
-    /// The text is not JSON, or not of the form of this message. Carries the parser's position and text instead of its
-    /// error, which can be neither cloned nor compared.
+    /// The text is not JSON, or does not have this message's structure. Holds the position and the text of the JSON
+    /// parser's error instead of the error itself, which can be neither cloned nor compared.
     #[error("{reason}")]
     MalformedJson {
-        /// Line in the text, from 1; 0 where the parser gives none.
+        /// Line in the text, from 1; 0 if the parser reports none.
         line: usize,
-        /// Column in that line, from 1; 0 where the parser gives none.
+        /// Column in that line, from 1; 0 if the parser reports none.
         column: usize,
-        /// The parser's text, which may quote the input: at most 200 characters.
+        /// The parser's error text, which may quote the input, cut at 200 characters.
         reason: String,
     },
-    /// A field that the message needs is absent.
+    /// A required field is missing.
     #[error("field {field}: missing")]
     MissingField {
         /// Name of the field on the wire; names of nested fields are joined by dots.
         field: String,
     },
-    /// The value of a field cannot be used.
+    /// The value of a field is invalid.
     #[error("field {field}: expected {expected}")]
     InvalidField {
         /// Name of the field on the wire; names of nested fields are joined by dots.
         field: String,
-        /// The value, at most 200 characters of it; none where whoever checked it doesn't tell.
+        /// The value, cut at 200 characters; `None` if it was not available to the check.
         found: Option<String>,
-        /// What a valid value is.
+        /// Description of a valid value.
         expected: String,
     },
     /// An update of the relay is not UTF-8.
     #[error("news that is no text")]
     UpdateNotUtf8(#[source] Utf8Error),
-    /// A line of the relay is no update that is known.
+    /// A line of the relay is not a known update.
     #[error("no line of news")]
     UnknownUpdate {
-        /// The line, at most 200 characters of it.
+        /// The line, cut at 200 characters.
         found: String,
     },
     /// A collector's line exceeds [`MAX_MESSAGE_BYTES`](crate::collector::MAX_MESSAGE_BYTES) bytes.
     #[error("a line that is too long")]
     LineTooLong,
-    /// The relay sends more than a line can hold without ending the line.
+    /// The relay has sent more than the maximum length of a line without a line feed.
     #[error("a line without an end")]
     UnterminatedLine,
-    /// A sender reports before it has said which zone it is the collector of.
+    /// A collector has sent a report before it registered with its zone.
     #[error("a report before joining")]
     ReportBeforeJoining,
 }
 
 impl ParseError {
-    /// The field is absent.
+    /// The error of a missing field.
     pub fn missing(field: &str) -> Self {
         ParseError::MissingField { field: field.to_string() }
     }
 
-    /// The field's value is `found`, where `expected` says what a valid one is.
+    /// The error of an invalid field with the value `found`; `expected` describes a valid value.
     pub fn invalid(field: &str, found: impl Display, expected: impl Display) -> Self {
         ParseError::InvalidField {
             field: field.to_string(),
@@ -71,7 +72,7 @@
         }
     }
 
-    /// As [`ParseError::invalid`], where the value is not at hand.
+    /// As [`ParseError::invalid`], for a value that is not available.
     pub fn expected(field: &str, expected: impl Display) -> Self {
         ParseError::InvalidField { field: field.to_string(), found: None, expected: expected.to_string() }
     }
@@ -91,7 +92,7 @@
     }
 }
 
-/// The first characters of a text.
+/// The first [`MAX_EXCERPT_CHARS`] characters of a text.
 fn excerpt(text: &str) -> String {
     text.chars().take(MAX_EXCERPT_CHARS).collect()
 }
--- a/crates/director/protocol/src/lib.rs
+++ b/crates/director/protocol/src/lib.rs
@@ -1,8 +1,8 @@
-//! The messages that a director exchanges on its sockets, parsed and written without I/O: collectors' reports, calls to
-//! the relay and its updates, discovery's endpoint lists, load reports, and the configuration file.
+//! Parsers and encoders, without I/O, for the messages that a director exchanges over its sockets: collectors' reports,
+//! calls to the relay and the relay's updates, discovery's endpoint lists, load reports, and the configuration file.
 //!
-//! The names on the wire stay inside this package. Only the fields that a director needs are parsed; others are
-//! ignored.
+//! Only this package uses the names on the wire; its types have names of their own. Only the fields that a director
+//! needs are parsed; others are ignored.
 
 pub mod collector;
 pub mod config;
--- a/crates/director/protocol/src/load.rs
+++ b/crates/director/protocol/src/load.rs
@@ -1,27 +1,27 @@
-//! Load reports of hosts: pairs of name and number, as JSON within collectors' messages and as text in the answers to
+//! Load reports of hosts: pairs of a name and a number, as JSON in collectors' messages or as text in the responses to
 //! health checks.
 
 use serde_json::Value;
 
-/// First word of a report as text.
+/// First word of a report in text form.
 const TEXT_FORMAT: &str = "TEXT";
 
-/// Path at which a host answers whether it serves.
+/// Path of a host's health check.
 pub const HEALTH_PATH: &str = "/health";
 
-/// Path at which a host answers whether it serves, with its load report as body.
+/// Path of a host's health check whose response carries the host's load report as its body.
 pub const LOAD_PATH: &str = "/status/load";
 
-/// One load report: numbers by the names that the settings give them.
+/// One load report: numbers by their names, which the settings list.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Report {
     values: Vec<(String, f64)>,
-    /// Number of entries that were ignored, as they were no finite number of 0 or more.
+    /// Number of entries that were ignored because their value was not a finite number of 0 or more.
     pub invalid_entries: u64,
 }
 
 impl Report {
-    /// The value under this name; the first, if several are given.
+    /// The value with this name; the first one if there are several.
     pub fn get(&self, name: &str) -> Option<f64> {
         self.values.iter().find(|(known, _)| known == name).map(|(_, value)| *value)
     }
@@ -33,7 +33,8 @@
         }
     }
 
-    /// Reads a report from JSON; null reports nothing, and anything else but an object counts as one ignored entry.
+    /// Parses a report from JSON. Null is an empty report; any other value that is not an object counts as one invalid
+    /// entry.
     pub(crate) fn from_json(value: &Value) -> Self {
         let mut report = Report::default();
         match value {
@@ -48,8 +49,8 @@
         report
     }
 
-    /// Reads a report from text such as `TEXT inflight=7, queue=2`. An empty text reports nothing, and any other form
-    /// counts as one ignored entry.
+    /// Parses a report from text such as `TEXT inflight=7, queue=2`. An empty text is an empty report; a text that does
+    /// not begin with `TEXT` counts as one invalid entry.
     pub fn parse_text(body: &[u8]) -> Self {
         let mut report = Report::default();
         let text = String::from_utf8_lossy(body);
--- a/crates/director/protocol/src/number.rs
+++ b/crates/director/protocol/src/number.rs
@@ -1,8 +1,8 @@
-//! Checks that the numbers of several messages have in common.
+//! Validation of numbers, shared by several messages.
 
 use crate::ParseError;
 
-/// Checks a number that counts or weighs something: finite and not negative.
+/// Returns the number if it is finite and not negative, and an error that names the field otherwise.
 pub(crate) fn non_negative(value: f64, field: &str) -> Result<f64, ParseError> {
     if value.is_finite() && value >= 0.0 {
         Ok(value)
--- a/crates/director/protocol/src/relay.rs
+++ b/crates/director/protocol/src/relay.rs
@@ -1,5 +1,5 @@
-//! The relay's lines: calls with orders, their answers on the same connection, and updates on a connection of their
-//! own.
+//! The relay's line protocol: calls, which carry orders, and their answers share a connection; updates are sent on a
+//! separate connection.
 
 mod answer;
 mod order;
@@ -9,10 +9,10 @@
 pub use order::{write_call, Order, RetryPolicy};
 pub use update::RelayEvent;
 
-/// Longest text of all orders of a call, in bytes, separators included.
+/// Maximum length of the orders of a call with their separators, in bytes.
 pub const MAX_CALL_BYTES: usize = 60_000;
 
-/// Asks for updates on a new connection; the relay sends the current state first.
+/// Request for updates, sent on a new connection. The relay first sends the current state.
 pub const WATCH_REQUEST: &[u8] = b"follow\r\n";
 
 #[cfg(test)]
--- a/crates/director/protocol/src/relay/answer.rs
+++ b/crates/director/protocol/src/relay/answer.rs
@@ -3,18 +3,18 @@
 /// The answer to one call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// This many orders were applied, from the first on.
+    /// The first orders of the call were applied, this many.
     Applied(usize),
-    /// The whole call was rejected for now and may be sent again.
+    /// The whole call was rejected because of throttling and may be sent again later.
     Throttled,
     /// The relay could not parse the call.
     Invalid,
-    /// The line is no answer that is known.
+    /// The line is not a known answer.
     Unreadable,
 }
 
 impl Answer {
-    /// Reads one line. What the relay says in an error is matched by whole words, wherever they stand.
+    /// Parses one line. Errors are recognized by a whole word anywhere in the line.
     pub fn parse(line: &[u8]) -> Self {
         let Ok(text) = std::str::from_utf8(line) else {
             return Answer::Unreadable;
--- a/crates/director/protocol/src/relay/tests.rs
+++ b/crates/director/protocol/src/relay/tests.rs
@@ -3,7 +3,7 @@
 use test_case::test_case;
 
 #[test]
-fn an_order_that_the_relay_cannot_read_is_noticed() {
+fn orders_are_encoded_in_the_relays_format() {
     let orders = [
         Order::SetWeight { slice: 4, host: "s-5be2a07c", weight: 1.5 },
         Order::ClearTable { slice: 4 },
@@ -32,7 +32,7 @@
 #[test_case(b"-ERR Throttling: wait", Answer::Throttled)]
 #[test_case(b"ValidationError", Answer::Invalid)]
 #[test_case(b"\xf3\x01", Answer::Unreadable)]
-fn an_answer_that_is_misread_is_noticed(line: &[u8], answer: Answer) {
+fn each_answer_is_parsed(line: &[u8], answer: Answer) {
     assert_eq!(Answer::parse(line), answer);
 }
 
@@ -44,15 +44,15 @@
 #[test_case("* lease 88 1", RelayEvent::SliceAssigned { slice: 88 })]
 #[test_case("* lease 88 0", RelayEvent::SliceRevoked { slice: 88 })]
 #[test_case("* line 88 s-5 1.0", RelayEvent::StoredWeight { slice: 88, host: "s-5", weight: 1.0 })]
-fn an_update_that_is_misread_is_noticed(line: &str, update: RelayEvent) {
+fn each_update_is_parsed(line: &str, update: RelayEvent) {
     assert_eq!(RelayEvent::parse(line.as_bytes()), Ok(update));
 }
 
-#[test_case(b"* hello 70000 a 1 1", "sidecar" ; "a number too high")]
+#[test_case(b"* hello 70000 a 1 1", "sidecar" ; "a number above the maximum")]
 #[test_case(b"* line 88 s-5 -1", "weight" ; "a negative weight")]
-#[test_case(b"* lease 88 2", "yes" ; "neither given nor taken")]
-#[test_case(b"* hell", "no line" ; "cut off")]
-#[test_case(b"\xff", "no text" ; "no text")]
+#[test_case(b"* lease 88 2", "yes" ; "a flag other than 0 and 1")]
+#[test_case(b"* hell", "no line" ; "truncated")]
+#[test_case(b"\xff", "no text" ; "not UTF-8")]
 fn an_invalid_update_is_rejected_with_its_field(line: &[u8], expected: &str) {
     let error = RelayEvent::parse(line).unwrap_err().to_string();
     assert!(error.contains(expected), "{error}");
--- a/crates/director/protocol/src/relay/update.rs
+++ b/crates/director/protocol/src/relay/update.rs
@@ -1,4 +1,4 @@
-//! Updates that the relay sends without being asked again.
+//! Updates that the relay streams after a single request.
 
 use crate::number::non_negative;
 use crate::ParseError;
@@ -6,7 +6,7 @@
 /// One update. Names borrow from the line.
 #[derive(Clone, Debug, PartialEq)]
 pub enum RelayEvent<'a> {
-    /// The subscription is accepted; the current state follows.
+    /// The relay has accepted the request for updates; the current state follows.
     Start,
     /// A heartbeat.
     Heartbeat,
@@ -16,9 +16,9 @@
         proxy: u16,
         /// Name of its zone.
         zone: &'a str,
-        /// Requests per second that it carries.
+        /// Requests per second that it serves.
         requests_per_s: f64,
-        /// It has had no table from this director since its own start.
+        /// Whether it has received no table from this director since its own start.
         without_tables: bool,
     },
     /// A proxy has disconnected.
@@ -26,13 +26,14 @@
         /// Number of the proxy.
         proxy: u16,
     },
-    /// A proxy acknowledges the orders up to a mark.
+    /// A proxy has acknowledged all orders up to a
+    /// [`RequestAcknowledgement`](super::Order::RequestAcknowledgement).
     RoundAcknowledged {
         /// Number of the proxy.
         proxy: u16,
-        /// The number given in `Order::RequestAcknowledgement`.
+        /// Number of the round, as given in that order.
         round: u16,
-        /// Time from the order to its application, seconds.
+        /// Time from the order to its application at the proxy, in seconds.
         latency: f64,
     },
     /// This director now owns the slice.
@@ -45,13 +46,13 @@
         /// Number of the slice.
         slice: u16,
     },
-    /// A weight that the relay has stored for a slice.
+    /// The weight of a host that the relay has stored for a slice.
     StoredWeight {
         /// Number of the slice.
         slice: u16,
         /// Id of the host.
         host: &'a str,
-        /// Its weight in the slice's table.
+        /// The host's weight in the slice's table.
         weight: f64,
     },
 }
@@ -60,36 +61,36 @@
     /// Parses one line.
     ///
     /// # Errors
-    /// The line is not UTF-8, no update that is known, or one of its fields is invalid.
+    /// The line is not UTF-8, it is not a known update, or one of its fields is invalid.
     pub fn parse(line: &'a [u8]) -> Result<Self, ParseError> {
         let text = std::str::from_utf8(line).map_err(ParseError::UpdateNotUtf8)?;
         let words: Vec<&str> = text.trim_end().split(' ').collect();
         match words[..] {
             ["OK"] => Ok(RelayEvent::Start),
             ["*"] => Ok(RelayEvent::Heartbeat),
-            ["*", "hello", proxy, zone, share, standing] => Ok(RelayEvent::ProxyJoined {
+            ["*", "hello", proxy, zone, rate, without_tables] => Ok(RelayEvent::ProxyJoined {
                 proxy: parse_number(proxy, "sidecar")?,
                 zone,
-                requests_per_s: parse_amount(share, "share")?,
-                without_tables: parse_flag(standing, "standing")?,
+                requests_per_s: parse_amount(rate, "share")?,
+                without_tables: parse_flag(without_tables, "standing")?,
             }),
             ["*", "bye", proxy] => Ok(RelayEvent::ProxyLeft { proxy: parse_number(proxy, "sidecar")? }),
-            ["*", "ack", proxy, version, lag_ms] => Ok(RelayEvent::RoundAcknowledged {
+            ["*", "ack", proxy, round, latency_ms] => Ok(RelayEvent::RoundAcknowledged {
                 proxy: parse_number(proxy, "sidecar")?,
-                round: parse_number(version, "version")?,
-                latency: parse_amount(lag_ms, "lag_ms")? / 1e3,
+                round: parse_number(round, "version")?,
+                latency: parse_amount(latency_ms, "lag_ms")? / 1e3,
             }),
-            ["*", "lease", partition, owned] => {
-                let is_owner = parse_flag(owned, "yes")?;
-                let slice = parse_number(partition, "partition")?;
+            ["*", "lease", slice, is_owner] => {
+                let is_owner = parse_flag(is_owner, "yes")?;
+                let slice = parse_number(slice, "partition")?;
                 Ok(if is_owner {
                     RelayEvent::SliceAssigned { slice }
                 } else {
                     RelayEvent::SliceRevoked { slice }
                 })
             }
-            ["*", "line", partition, host, weight] => Ok(RelayEvent::StoredWeight {
-                slice: parse_number(partition, "partition")?,
+            ["*", "line", slice, host, weight] => Ok(RelayEvent::StoredWeight {
+                slice: parse_number(slice, "partition")?,
                 host,
                 weight: parse_amount(weight, "weight")?,
             }),
--- a/crates/director/protocol/tests/wire_format.rs
+++ b/crates/director/protocol/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! These bytes are exchanged with programs that this repository doesn't build: collectors, the relay, discovery, hosts,
-//! and the operators' configuration file. A change here breaks the director against all of them.
+//! The exact bytes that a director exchanges with programs of other repositories (collectors, the relay, discovery and
+//! hosts) and reads from the operators' configuration file. A change here breaks compatibility with them.
 use coppersail_protocol::collector::{self, CollectorMessage};
 use coppersail_protocol::config::{Config, Limits};
 use coppersail_protocol::discovery::{self, EndpointList, EndpointState};
@@ -7,7 +7,7 @@
 use coppersail_protocol::relay::{self, Answer, Order, RelayEvent, RetryPolicy};
 use std::fmt::Debug;
 
-/// The one-line text of the error, as it stands in log lines and in the answers to operators.
+/// The error's one-line text, as it appears in log lines and in the answers to operators.
 fn error_text<T: Debug, E: ToString + Debug>(parsed: Result<T, E>) -> String {
     parsed.unwrap_err().to_string()
 }
@@ -16,7 +16,7 @@
     use super::*;
 
     #[test]
-    fn the_limits_and_the_answer_to_a_probe_keep_their_bytes() {
+    fn the_length_limit_and_the_health_check_response_keep_their_bytes() {
         assert_eq!(collector::MAX_MESSAGE_BYTES, 1_048_576);
         assert_eq!(collector::HEALTH_CHECK_RESPONSE, b"{\"msg\":\"alive\"}\n");
         assert_eq!(CollectorMessage::parse(br#"{"msg":"probe"}"#), Ok(CollectorMessage::HealthCheck));
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn an_average_is_needed_only_where_calls_were_answered() {
+    fn a_mean_time_is_required_only_where_attempts_were_answered() {
         let text = br#"{"msg":"outcomes","az":"a","host":"h","n":3,"bad":3,"avg":7.0,"window":1.0}"#;
         assert!(
             matches!(CollectorMessage::parse(text), Ok(CollectorMessage::AttemptReport { mean_response_time, .. }) if mean_response_time == 0.0)
@@ -108,9 +108,9 @@
         );
     }
 
-    /// Texts of errors name the types that are read.
+    /// Serde's error texts contain the names of the types that are parsed.
     #[test]
-    fn errors_of_other_json_than_an_object_keep_their_text() {
+    fn errors_of_json_that_is_not_an_object_keep_their_text() {
         let table: [(&[u8], &str); 4] = [
             (b"[]", "invalid length 0, expected struct Raw with 10 elements at line 1 column 2"),
             (b"7", "invalid type: integer `7`, expected struct Raw at line 1 column 1"),
@@ -145,12 +145,7 @@
 
     #[test]
     fn each_order_keeps_its_text() {
-        let admit = |slice, routes, level, retry_policy| Order::SetAdmission {
-            slice,
-            routes,
-            level,
-            retry: retry_policy,
-        };
+        let admit = |slice, routes, level, retry| Order::SetAdmission { slice, routes, level, retry };
         let table = [
             (Order::SetWeight { slice: 4, host: "s-5", weight: 1.5 }, "SET,4,s-5,1.5"),
             (Order::SetWeight { slice: 4, host: "s-5", weight: 1.0 }, "SET,4,s-5,1"),
@@ -195,11 +190,11 @@
 
     #[test]
     fn each_update_keeps_its_words_and_units() {
-        let joined = |fresh| RelayEvent::ProxyJoined {
+        let joined = |without_tables| RelayEvent::ProxyJoined {
             proxy: 17,
             zone: "a",
             requests_per_s: 21.5,
-            without_tables: fresh,
+            without_tables,
         };
         let table = [
             ("OK", RelayEvent::Start),
@@ -299,9 +294,9 @@
         }
     }
 
-    /// Texts of errors name the types that are read.
+    /// Serde's error texts contain the names of the types that are parsed.
     #[test]
-    fn errors_of_other_json_than_an_object_keep_their_text() {
+    fn errors_of_json_that_is_not_an_object_keep_their_text() {
         for (entry, expected) in [
             ("7", "invalid type: integer `7`, expected struct RawServer at line 1 column 1"),
             ("[]", "invalid length 0, expected struct RawServer with 8 elements at line 1 column 2"),
@@ -338,8 +333,8 @@
     #[test]
     fn a_report_in_a_body_keeps_its_form() {
         let report = Report::parse_text(b"TEXT q=2, lat_ms=181.685,rif=x,");
-        let figures = [report.get("q"), report.get("lat_ms"), report.get("rif")];
-        assert_eq!((figures, report.invalid_entries), ([Some(2.0), Some(181.685), None], 1));
+        let values = [report.get("q"), report.get("lat_ms"), report.get("rif")];
+        assert_eq!((values, report.invalid_entries), ([Some(2.0), Some(181.685), None], 1));
         assert_eq!(Report::parse_text(b" \n").invalid_entries, 0);
         assert_eq!(Report::parse_text(b"text q=2").invalid_entries, 1);
     }
