--- a/crates/director/settings/src/boot.rs
+++ b/crates/director/settings/src/boot.rs
@@ -1,4 +1,4 @@
-//! The settings by section, read from and written as pairs of path and value.
+//! The settings by section, and their parsing from and writing to pairs of a path and a value.
 
 mod sections;
 mod values;
@@ -13,42 +13,43 @@
 use sections::read_optional;
 use std::fmt::Write;
 
-/// Most classes that settings may have.
+/// Maximum number of classes in the settings.
 const MAX_CLASSES: u64 = 32;
 
-/// All settings. Each may be absent.
+/// All settings of a director. Each may be absent.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct DirectorSettings {
-    /// Those without a section.
+    /// The settings outside of any section.
     pub general: General,
-    /// The classes, by which routes are named and numbered: paths `classes.0.` and so on.
+    /// The classes, which give the names and numbers of the routes. Their paths begin with `classes.0.`, `classes.1.`
+    /// and so on.
     pub classes: Vec<RouteClass>,
     /// Goals of the service.
     pub goals: Goals,
     /// What hosts, proxies and the list guarantee.
     pub guarantees: Guarantees,
-    /// What the director may do and use.
+    /// Actions and resources that the director is allowed.
     pub limits: Limits,
     /// Properties of the platform that the director runs on.
     pub specifics: Specifics,
-    /// Costs.
+    /// Relative costs of resources and events.
     pub tariffs: Tariffs,
 }
 
 impl DirectorSettings {
-    /// Reads the settings from their paths; unknown paths are ignored.
+    /// Parses the settings from their texts by path; unknown paths are ignored.
     ///
     /// # Errors
-    /// A value cannot be read, or there are more than 32 classes.
+    /// A value is invalid, or there are more than 32 classes.
     pub fn read(paths: &Paths<'_>) -> Result<Self, InvalidField> {
         let class_count = read_class_count(paths)?;
         let mut classes = Vec::new();
-        let top = General::read(paths, "")?;
+        let general = General::read(paths, "")?;
         for index in 0..class_count {
             classes.push(RouteClass::read(paths, &class_prefix(index))?);
         }
         Ok(DirectorSettings {
-            general: top,
+            general,
             classes,
             goals: Goals::read(paths, "goal.")?,
             guarantees: Guarantees::read(paths, "guarantees.")?,
@@ -58,7 +59,7 @@
         })
     }
 
-    /// Appends the settings that are present as `path=value`, with a space before each.
+    /// Appends each setting that is present as `path=value`, preceded by a space.
     pub fn write(&self, out: &mut String) {
         self.general.write("", out);
         // Writing to a string cannot fail.
@@ -88,7 +89,7 @@
     Ok(count)
 }
 
-/// The settings as the fields of a line, each under its path; the field's own name does not stand on the line.
+/// The settings become several fields of a line, each named by its path; the `name` parameter is not used.
 impl LineField for Box<DirectorSettings> {
     fn read(fields: &Fields<'_>, _name: &str) -> Result<Self, InvalidField> {
         let paths = fields.pairs().collect();
--- a/crates/director/settings/src/boot/values.rs
+++ b/crates/director/settings/src/boot/values.rs
@@ -1,22 +1,22 @@
-//! The types of settings that are no plain numbers and texts.
+//! The types of settings that are not plain numbers or texts.
 
 use crate::{word_enum, Value};
 
-/// Stands before each item of a list whose items may hold commas.
+/// Precedes each item of a list whose items may contain commas.
 const UNIT_SEPARATOR: char = '\u{1f}';
 
 word_enum!(
-    /// Whether a request may run more than once.
+    /// Whether a request may be executed more than once.
     Semantics, "safe, keyed or unsafe",
-    /// It is idempotent.
+    /// The request is idempotent.
     "safe" => Idempotent,
-    /// It carries a key by which hosts drop repetitions for some time.
+    /// The request carries an idempotency key, by which hosts drop repetitions for a limited time.
     "keyed" => IdempotencyKey,
-    /// It must not run twice.
+    /// The request must not be executed twice.
     "unsafe" => NotIdempotent,
 );
 word_enum!(
-    /// Which hosts share the keys of repeated requests.
+    /// Which hosts share the idempotency keys of requests.
     KeyScope, "all, zone or cell",
     /// All hosts.
     "all" => All,
@@ -26,21 +26,21 @@
     "cell" => Cell,
 );
 word_enum!(
-    /// How the endpoint list comes.
+    /// How a director receives the endpoint list.
     Discovery, "pushed or on_request",
-    /// By itself.
+    /// The list is pushed to the director.
     "pushed" => Pushed,
-    /// When the director asks or subscribes.
+    /// The director requests the list or subscribes to it.
     "on_request" => OnRequest,
 );
 word_enum!(
-    /// What proxies can limit admission by.
+    /// How proxies can limit admission.
     Admission, "fraction, per_second or silent",
-    /// A share of the requests.
+    /// To a share of the requests.
     "fraction" => Fraction,
-    /// A rate of requests.
+    /// To a rate of requests.
     "per_second" => PerSecond,
-    /// They can't.
+    /// They cannot limit admission.
     "silent" => Silent,
 );
 word_enum!(
@@ -56,7 +56,7 @@
 word_enum!(
     /// Where the weights of the endpoint list come from.
     WeightSource, "silent, nominal, rough or live",
-    /// The list has none.
+    /// The list has no weights.
     "silent" => Silent,
     /// The nominal capacities.
     "nominal" => Nominal,
@@ -66,25 +66,25 @@
     "live" => Live,
 );
 word_enum!(
-    /// How load reports come.
+    /// How a director receives load reports.
     ReportSource, "piggyback, pull or silent",
-    /// With the collectors' reports.
+    /// Within the collectors' reports.
     "piggyback" => Piggyback,
-    /// In the answers to health checks.
+    /// In the responses to health checks.
     "pull" => Pull,
-    /// They don't.
+    /// There are no load reports.
     "silent" => Silent,
 );
 word_enum!(
-    /// What the value of an answer is counted by.
+    /// Unit in which the value of an answer is counted.
     ValueUnit, "request or work",
     /// Each request counts the same.
     "request" => Request,
-    /// A request counts by its work.
+    /// A request counts in proportion to its work.
     "work" => Work,
 );
 
-/// `true` or `false`; 1 and 0 are read, too.
+/// A boolean, written as `true` or `false`; `1` and `0` are accepted as well.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Flag(pub bool);
 
@@ -104,8 +104,8 @@
     }
 }
 
-/// A list: its items are separated by commas, or, where items may hold commas, each follows a unit separator (U+001F).
-/// Empty items are ignored.
+/// A list. Its items are separated by commas or, where items may contain commas, each is preceded by a unit separator
+/// (U+001F). Empty items are ignored. The written form always uses commas.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct List<T>(pub Vec<T>);
 
--- a/crates/director/settings/src/clock.rs
+++ b/crates/director/settings/src/clock.rs
@@ -1,34 +1,34 @@
-//! Conversion between the nanoseconds of a foreign clock and the seconds of the decisions.
+//! Conversion between the nanoseconds of an external clock and the seconds that the decisions use.
 
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A duration of this many nanoseconds, in seconds.
+/// Converts a duration from nanoseconds to seconds.
 pub fn seconds(nanoseconds: u64) -> f64 {
     nanoseconds as f64 / NANOSECONDS_PER_SECOND
 }
 
-/// Outside, points in time are whole nanoseconds of a clock with any origin. Inside they are seconds since the
-/// director's start, which a float holds to the nanosecond for weeks.
+/// Converts points in time. An external clock gives whole nanoseconds since an arbitrary origin; the decisions use
+/// seconds since the director's start, which an `f64` represents to the nanosecond for weeks.
 #[derive(Clone, Copy)]
 pub struct Clock {
     origin_ns: u64,
 }
 
 impl Clock {
-    /// A clock whose second 0 is this time of the foreign clock, in nanoseconds.
+    /// A clock whose second 0 is this time of the external clock, in nanoseconds.
     pub fn starting_at(origin_ns: u64) -> Self {
         Clock { origin_ns }
     }
 
-    /// Seconds since the origin, negative before it, at this time of the foreign clock in nanoseconds.
+    /// Converts a time of the external clock, in nanoseconds, to seconds since the origin; times before it are negative.
     pub fn seconds(self, ns: u64) -> f64 {
         let after_origin = ns.saturating_sub(self.origin_ns);
         let before_origin = self.origin_ns.saturating_sub(ns);
         seconds(after_origin) - seconds(before_origin)
     }
 
-    /// The foreign clock's time in nanoseconds, to the nearest, at this many seconds since the origin. It saturates at
-    /// the ends of the foreign clock.
+    /// Converts seconds since the origin to a time of the external clock, rounded to the nearest nanosecond. It
+    /// saturates at the ends of the external clock's range.
     pub fn nanoseconds(self, at: f64) -> u64 {
         let ns = (at * NANOSECONDS_PER_SECOND).round();
         if ns < 0.0 {
--- a/crates/director/settings/src/decisions.rs
+++ b/crates/director/settings/src/decisions.rs
@@ -1,4 +1,5 @@
-//! The settings as the decisions take them, and as operators' files are checked against them.
+//! Conversion of the settings to the input of the decisions, and to the names against which operators' files are
+//! validated.
 
 use crate::boot::{
     Admission, DirectorSettings, Discovery, Flag, KeyScope, List, RouteClass, Semantics, Specifics,
@@ -8,21 +9,22 @@
 use coppersail::interface as api;
 use coppersail_operator_config::{RouteName, SettingsNames};
 
-/// The settings as the decisions take them. An absent setting gets the value under which the director may do least.
-pub fn decision_settings(boot: &DirectorSettings) -> api::Settings {
-    let DirectorSettings { general: top, guarantees, limits, specifics, .. } = boot;
-    let zones = names(&top.zones);
+/// Converts the settings to the input of the decisions. An absent setting gets the value that permits the director the
+/// fewest actions.
+pub fn decision_settings(director_settings: &DirectorSettings) -> api::Settings {
+    let DirectorSettings { general, guarantees, limits, specifics, .. } = director_settings;
+    let zones = names(&general.zones);
     let is_weighted = |source| source != WeightSource::Silent;
     api::Settings {
-        peer_id: api::PeerId(top.director_id.unwrap_or(0)),
-        director_count: top.directors.unwrap_or(1),
-        zone: zone_id(top.zone.as_deref(), &zones),
+        peer_id: api::PeerId(general.director_id.unwrap_or(0)),
+        director_count: general.directors.unwrap_or(1),
+        zone: zone_id(general.zone.as_deref(), &zones),
         zone_names: zones,
-        machine_types: names(&top.kinds),
-        routes: routes(&boot.classes, specifics),
-        host_list_is_pushed: top.discovery != Some(Discovery::OnRequest),
+        machine_types: names(&general.kinds),
+        routes: routes(&director_settings.classes, specifics),
+        host_list_is_pushed: general.discovery != Some(Discovery::OnRequest),
         host_list_max_silence: optional_seconds(guarantees.notified_within_ns),
-        listed_weights: top.weight_source.is_some_and(is_weighted),
+        listed_weights: general.weight_source.is_some_and(is_weighted),
         probes_allowed: is_set(limits.health_checks),
         peer_messages_allowed: is_set(limits.peer_messages),
         cold_capacity_share: guarantees.cold_capacity_share.unwrap_or(0.0),
@@ -36,8 +38,8 @@
         slice_count: specifics.slices.unwrap_or(0),
         proxy_count: specifics.proxy_count.unwrap_or(0),
         exclusive_ownership: is_set(specifics.exclusive),
-        admission_unit: admission(specifics.admission),
-        default_retry_policy: default_retry(specifics.default_retries),
+        admission_unit: admission_unit(specifics.admission),
+        default_retry_policy: retry_policy(specifics.default_retries),
         proxy_ejection_threshold: specifics.eject_after_failures.unwrap_or(0),
         message_overhead_lines: specifics.message_overhead.unwrap_or(0.0),
         channel_lines_per_s: specifics.lines_per_s.unwrap_or(0.0),
@@ -52,15 +54,15 @@
     }
 }
 
-/// The names and limits of the settings, against which an operators' file is checked.
-pub fn known_names(boot: &DirectorSettings) -> SettingsNames {
-    let settings = decision_settings(boot);
+/// The names and limits of the settings, against which an operators' file is validated.
+pub fn known_names(director_settings: &DirectorSettings) -> SettingsNames {
+    let settings = decision_settings(director_settings);
     let known_route = |(class, route): (&RouteClass, &api::Route)| RouteName {
         name: class.name.clone().unwrap_or_default(),
         repeatable: route.idempotency == api::Idempotency::Idempotent,
     };
     SettingsNames {
-        routes: boot.classes.iter().zip(&settings.routes).map(known_route).collect(),
+        routes: director_settings.classes.iter().zip(&settings.routes).map(known_route).collect(),
         admits: settings.admission_unit == api::AdmissionUnit::Fraction,
         slices: settings.slice_count,
         zones: settings.zone_names,
@@ -87,9 +89,9 @@
 fn routes(classes: &[RouteClass], specifics: &Specifics) -> Vec<api::Route> {
     let mut routes = Vec::new();
     for (index, class) in classes.iter().enumerate() {
-        let mutating = flag_of_class(&specifics.mutating, index).unwrap_or(true);
-        let own_zone_only = flag_of_class(&specifics.class_own_zone, index).unwrap_or(false);
-        routes.push(route(class, mutating, own_zone_only));
+        let is_write = flag_of_class(&specifics.mutating, index).unwrap_or(true);
+        let zone_local = flag_of_class(&specifics.class_own_zone, index).unwrap_or(false);
+        routes.push(route(class, is_write, zone_local));
     }
     routes
 }
@@ -99,29 +101,29 @@
     Some(flag.0)
 }
 
-fn route(class: &RouteClass, mutating: bool, own_zone_only: bool) -> api::Route {
+fn route(class: &RouteClass, is_write: bool, zone_local: bool) -> api::Route {
     api::Route {
         latency_target: optional_seconds(class.latency_target_ns),
         deadline: optional_seconds(class.deadline_ns.or(class.latency_target_ns)),
         value: class.weight.unwrap_or(1.0),
-        idempotency: semantics(class),
-        is_write: mutating,
-        zone_local: own_zone_only,
+        idempotency: idempotency(class),
+        is_write,
+        zone_local,
     }
 }
 
-fn semantics(class: &RouteClass) -> api::Idempotency {
+fn idempotency(class: &RouteClass) -> api::Idempotency {
     match class.semantics {
         Some(Semantics::Idempotent) => api::Idempotency::Idempotent,
         Some(Semantics::IdempotencyKey) => api::Idempotency::Deduplicated {
-            scope: keyed_group(class.key_scope),
+            scope: deduplication_scope(class.key_scope),
             window: optional_seconds(class.key_window_ns),
         },
         Some(Semantics::NotIdempotent) | None => api::Idempotency::NotIdempotent,
     }
 }
 
-fn keyed_group(scope: Option<KeyScope>) -> api::DeduplicationScope {
+fn deduplication_scope(scope: Option<KeyScope>) -> api::DeduplicationScope {
     match scope {
         Some(KeyScope::All) => api::DeduplicationScope::Fleet,
         Some(KeyScope::Zone) => api::DeduplicationScope::Zone,
@@ -129,7 +131,7 @@
     }
 }
 
-fn admission(admission: Option<Admission>) -> api::AdmissionUnit {
+fn admission_unit(admission: Option<Admission>) -> api::AdmissionUnit {
     match admission {
         Some(Admission::Fraction) => api::AdmissionUnit::Fraction,
         Some(Admission::PerSecond) => api::AdmissionUnit::RequestsPerSecond,
@@ -137,8 +139,8 @@
     }
 }
 
-/// Numbers are those of the relay's `LIMIT`.
-fn default_retry(number: Option<u64>) -> api::RetryPolicy {
+/// Maps a number of the relay's order `LIMIT` to its retry policy; other numbers mean no retry.
+fn retry_policy(number: Option<u64>) -> api::RetryPolicy {
     match number {
         Some(1) => api::RetryPolicy::IfNotExecuted,
         Some(2) => api::RetryPolicy::Once,
--- a/crates/director/settings/src/decisions/tests.rs
+++ b/crates/director/settings/src/decisions/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn an_absent_setting_that_allows_more_than_it_must_is_noticed() {
+fn absent_settings_permit_the_fewest_actions() {
     let settings = decision_settings(&DirectorSettings {
         classes: vec![RouteClass::default()],
         ..DirectorSettings::default()
--- a/crates/director/settings/src/lib.rs
+++ b/crates/director/settings/src/lib.rs
@@ -1,7 +1,7 @@
-//! What a director is told at its start: the settings by their paths, the names that they give, and the values that
-//! the decisions take.
+//! The settings that a director receives at its start: their parsing by path, the names that they define, and their
+//! conversion to the input of the decisions.
 //!
-//! The text form of single values, and of lines of `name=value` fields, is shared with the bench's codec.
+//! The text format of single values, and of lines of `name=value` fields, is shared with the benchmark's codec.
 
 pub mod boot;
 mod clock;
--- a/crates/director/settings/src/line.rs
+++ b/crates/director/settings/src/line.rs
@@ -15,31 +15,31 @@
         Fields { text, pairs }
     }
 
-    /// The whole text, as it was given.
+    /// The text that was passed to [`Fields::new`].
     pub fn text(&self) -> &'a str {
         self.text
     }
 
-    /// The value of the first field of this name.
+    /// The value of the first field with this name.
     pub fn get(&self, name: &str) -> Option<&'a str> {
         self.pairs.iter().find(|(known, _)| *known == name).map(|(_, value)| *value)
     }
 
-    /// All fields, as pairs of name and value, in the order of the line.
+    /// All fields, as pairs of a name and a value, in the order of the line.
     pub fn pairs(&self) -> impl Iterator<Item = (&'a str, &'a str)> + '_ {
         self.pairs.iter().copied()
     }
 }
 
-/// What one or several fields of a line hold.
+/// A value that is stored in one or several fields of a line.
 pub trait LineField: Sized {
-    /// Reads the field of this name.
+    /// Parses the field with this name.
     ///
     /// # Errors
     /// The field is missing or invalid.
     fn read(fields: &Fields<'_>, name: &str) -> Result<Self, InvalidField>;
 
-    /// Appends the field to a line, with a space before it.
+    /// Appends the field to a line, preceded by a space.
     fn write(&self, name: &str, out: &mut String);
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// The field may be missing, but not invalid.
+/// An optional field: it may be missing but must not be invalid.
 impl<T: Value> LineField for Option<T> {
     fn read(fields: &Fields<'_>, name: &str) -> Result<Self, InvalidField> {
         match fields.get(name) {
--- a/crates/director/settings/src/line/tests.rs
+++ b/crates/director/settings/src/line/tests.rs
@@ -2,7 +2,7 @@
 use super::*;
 
 #[test]
-fn an_invalid_field_without_the_value_found_is_noticed() {
+fn an_invalid_field_is_reported_with_the_value_found() {
     let invalid = |found: Option<&str>| InvalidField {
         field: "set".to_string(),
         found: found.map(str::to_string),
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn an_optional_field_that_is_invalid_does_not_pass_for_a_missing_one() {
+fn an_invalid_optional_field_is_not_treated_as_missing() {
     assert_eq!(Option::<bool>::read(&Fields::new("other=1"), "set"), Ok(None));
     assert!(Option::<bool>::read(&Fields::new("set=2"), "set").is_err());
 }
--- a/crates/director/settings/src/load.rs
+++ b/crates/director/settings/src/load.rs
@@ -1,8 +1,8 @@
-//! The names of the figures in load reports.
+//! The names of the values in load reports.
 
 use coppersail::interface as api;
 
-/// A load report, in which `value` finds the figures by their names; those that it doesn't find are absent.
+/// Builds a load report from a function that looks up values by name. Values that it does not find are absent.
 pub fn load_from_report(value: impl Fn(&str) -> Option<f64>) -> api::LoadReport {
     api::LoadReport {
         in_flight: value("rif"),
--- a/crates/director/settings/src/names.rs
+++ b/crates/director/settings/src/names.rs
@@ -1,11 +1,11 @@
-//! Names of zones, machine kinds, routes and hosts, and the numbers by which the decisions know them.
+//! Names of zones, machine kinds, routes and hosts, and the numeric ids that the decisions use for them.
 
 use crate::boot::{DirectorSettings, List};
 use coppersail::interface as api;
 use std::collections::BTreeMap;
 use std::fmt;
 
-/// What a name stands for.
+/// The kind of object that a name refers to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NameKind {
     /// A zone.
@@ -26,19 +26,19 @@
     }
 }
 
-/// A name that the settings don't give. Its text says what was expected instead, to follow the name of a field.
+/// A name that the settings do not define. Its text states what was expected, for use after the name of a field.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{kind} of the settings, one of {}", .known.join(", "))]
 pub struct UnknownName {
     /// The name that was found.
     pub name: String,
-    /// What it was to stand for.
+    /// The kind of object that it was expected to refer to.
     pub kind: NameKind,
-    /// The names that the settings give.
+    /// The names of this kind that the settings define.
     pub known: Vec<String>,
 }
 
-/// The names of one director's settings, and the hosts that it knows.
+/// The names that a director's settings define, and the names of the hosts that it knows.
 pub struct Names {
     zones: Vec<String>,
     machine_kinds: Vec<String>,
@@ -46,26 +46,27 @@
     host_names: BTreeMap<api::HostId, String>,
     /// The reverse of `host_names`.
     host_ids: BTreeMap<String, api::HostId>,
-    /// Ids are not reused, so that a late message about a forgotten host concerns no other host.
+    /// Id of the next new host. Ids are not reused, so that a delayed message about a removed host cannot be applied to
+    /// another host.
     next_host_id: u32,
 }
 
 impl Names {
-    /// The names of the settings, and no hosts.
-    pub fn new(boot: &DirectorSettings) -> Self {
+    /// The names that the settings define, without any hosts.
+    pub fn new(settings: &DirectorSettings) -> Self {
         let list = |names: &Option<List<String>>| names.clone().unwrap_or_default().0;
         let route_name = |class: &crate::boot::RouteClass| class.name.clone().unwrap_or_default();
         Names {
-            zones: list(&boot.general.zones),
-            machine_kinds: list(&boot.general.kinds),
-            routes: boot.classes.iter().map(route_name).collect(),
+            zones: list(&settings.general.zones),
+            machine_kinds: list(&settings.general.kinds),
+            routes: settings.classes.iter().map(route_name).collect(),
             host_names: BTreeMap::new(),
             host_ids: BTreeMap::new(),
             next_host_id: 0,
         }
     }
 
-    /// The host's id, a new one when the name is seen for the first time or was forgotten.
+    /// The host's id. An unknown or removed name gets a new id.
     pub fn host_id(&mut self, name: &str) -> api::HostId {
         if let Some(host) = self.host_ids.get(name) {
             return *host;
@@ -82,12 +83,12 @@
         self.host_ids.get(name).copied()
     }
 
-    /// The host's name, or `(forgotten)`.
+    /// The host's name, or `(forgotten)` if the host is not known any more.
     pub fn host_name(&self, host: api::HostId) -> &str {
         self.host_names.get(&host).map_or("(forgotten)", String::as_str)
     }
 
-    /// Removes a host.
+    /// Removes a host and its name.
     pub fn forget(&mut self, host: api::HostId) {
         if let Some(name) = self.host_names.remove(&host) {
             self.host_ids.remove(&name);
@@ -99,7 +100,7 @@
         self.host_names.len()
     }
 
-    /// The text of a log line, followed by the names of the hosts that it is about.
+    /// The text of a log line, followed by the names of the hosts that it concerns.
     pub fn log_line(&self, text: &str, hosts: &[api::HostId]) -> String {
         if hosts.is_empty() {
             return text.to_string();
@@ -108,26 +109,26 @@
         format!("{text}: {}", names.join(" "))
     }
 
-    /// The number of a zone.
+    /// The id of a zone.
     ///
     /// # Errors
-    /// The settings give no zone of this name.
+    /// The settings define no zone with this name.
     pub fn zone(&self, name: &str) -> Result<api::ZoneId, UnknownName> {
         index_of(name, &self.zones, NameKind::Zone).map(api::ZoneId)
     }
 
-    /// The number of a machine kind.
+    /// The id of a machine kind.
     ///
     /// # Errors
-    /// The settings give no machine kind of this name.
+    /// The settings define no machine kind with this name.
     pub fn machine_kind(&self, name: &str) -> Result<api::MachineTypeId, UnknownName> {
         index_of(name, &self.machine_kinds, NameKind::MachineKind).map(api::MachineTypeId)
     }
 
-    /// The number of a route.
+    /// The id of a route.
     ///
     /// # Errors
-    /// The settings give no route of this name.
+    /// The settings define no route with this name.
     pub fn route(&self, name: &str) -> Result<api::RouteId, UnknownName> {
         index_of(name, &self.routes, NameKind::Route).map(api::RouteId)
     }
@@ -135,7 +136,7 @@
     /// The name of a route.
     ///
     /// # Panics
-    /// The settings have fewer routes.
+    /// The settings define no route with this id.
     pub fn route_name(&self, route: api::RouteId) -> &str {
         &self.routes[usize::from(route.0)]
     }
--- a/crates/director/settings/src/value.rs
+++ b/crates/director/settings/src/value.rs
@@ -1,16 +1,16 @@
-//! Values as texts, one type each, parsed and written by the same rules.
+//! Types of single values, each with the text format that it is parsed from and written to.
 
 use std::fmt::Write;
 
-/// A value that stands in one field.
+/// A value of a single field.
 pub trait Value: Sized {
-    /// What a valid text is, for errors.
+    /// Description of a valid text, for error messages.
     const EXPECTED: &'static str;
 
-    /// Parses the text; none if it is invalid.
+    /// Parses the text; `None` if it is invalid.
     fn parse(text: &str) -> Option<Self>;
 
-    /// Appends the text to `out`.
+    /// Appends the value's text to `out`.
     fn write_text(&self, out: &mut String);
 }
 
@@ -55,7 +55,7 @@
     }
 }
 
-/// Finite only.
+/// Only finite numbers are valid.
 impl Value for f64 {
     const EXPECTED: &'static str = "a number";
 
@@ -68,7 +68,7 @@
     }
 }
 
-/// Not empty.
+/// The empty text is invalid.
 impl Value for String {
     const EXPECTED: &'static str = "a word";
 
@@ -81,7 +81,7 @@
     }
 }
 
-/// Declares an enum whose variants stand as words, with its [`Value`].
+/// Declares an enum whose variants are written as words, with its implementation of [`Value`].
 #[macro_export]
 macro_rules! word_enum {
     ($(#[$attribute:meta])* $name:ident, $expected:literal,
--- a/crates/director/settings/tests/settings_format.rs
+++ b/crates/director/settings/tests/settings_format.rs
@@ -1,11 +1,11 @@
-//! Settings come from the operators' files and from the bench by these paths, and errors name them; a change here makes
-//! a director pass over what it is told.
+//! The paths and texts of the settings. Operators' files and the benchmark use them and errors name them; after a
+//! change here, a director would silently ignore settings that it is given.
 use coppersail::interface::{
     AdmissionUnit, DeduplicationScope, Idempotency, PeerId, RetryPolicy, Route, ZoneId,
 };
 use coppersail_settings::{decision_settings, known_names, DirectorSettings, Names};
 
-/// Every setting, in the order in which they are written.
+/// Every setting, in the order in which the settings are written.
 const SETTINGS: &str = concat!(
     " az=b balancers=2 discovery=on_request family=f kinds=k,l me=1 round-ns=5 value-by=work weight-source=rough",
     " zones=a,b report.columns=q,rif report.source=pull",
@@ -37,9 +37,9 @@
         .unwrap()
 }
 
-fn written(boot: &DirectorSettings) -> String {
+fn written(settings: &DirectorSettings) -> String {
     let mut text = String::new();
-    boot.write(&mut text);
+    settings.write(&mut text);
     text
 }
 
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn absent_and_unknown_settings_are_passed_over() {
+fn absent_and_unknown_settings_are_ignored() {
     assert_eq!(written(&read("")), " classes.count=0");
     assert_eq!(written(&read("new.thing=1 me=4")), " me=4 classes.count=0");
 }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn an_unknown_name_is_answered_with_the_names_of_the_settings() {
+fn the_error_of_an_unknown_name_lists_the_names_of_the_settings() {
     let names = Names::new(&read(SETTINGS));
     let errors = [
         names.zone("x").unwrap_err().to_string(),
@@ -144,9 +144,9 @@
     assert_eq!(names.log_line("gone", &[first, second]), "gone: h:1 (forgotten)");
 }
 
-/// Seconds where the settings say nanoseconds.
+/// The decisions use seconds where the settings use nanoseconds.
 #[test]
-fn each_setting_reaches_the_director_in_its_unit() {
+fn each_setting_is_converted_to_the_unit_of_the_decisions() {
     let settings = decision_settings(&read(SETTINGS));
     assert_eq!((settings.peer_id, settings.director_count, settings.zone), (PeerId(1), 2, Some(ZoneId(1))));
     assert_eq!(
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_operators_file_is_checked_against_the_names_of_the_settings() {
+fn operators_files_are_validated_against_the_names_of_the_settings() {
     let names = known_names(&read(SETTINGS));
     assert_eq!((names.routes[0].name.as_str(), names.routes[0].repeatable), ("r", false));
     assert_eq!(
