--- a/crates/director/admin-socket/src/lib.rs
+++ b/crates/director/admin-socket/src/lib.rs
@@ -40,7 +40,7 @@
         /// The change's number.
         number: Version,
     },
-    /// Applies a draft.
+    /// Stages a draft, so that it will be applied.
     Stage {
         /// The draft's number.
         number: Version,
@@ -61,7 +61,7 @@
         /// The operator.
         who: String,
     },
-    /// Undoes a change by a further change.
+    /// Undoes a change by submitting a further change.
     Undo {
         /// The change to undo.
         number: Version,
