--- a/crates/director/service/src/adapters/health_prober.rs
+++ b/crates/director/service/src/adapters/health_prober.rs
@@ -37,12 +37,12 @@
             // Released when the task ends, whatever its end.
             let Ok(_permit) = in_flight_limit.acquire_owned().await else { return };
             let started = Instant::now();
-            let (end, body) = match tokio::time::timeout(PROBE_TIMEOUT, probe(address, path)).await {
+            let (outcome, body) = match tokio::time::timeout(PROBE_TIMEOUT, probe(address, path)).await {
                 Ok(result) => result,
                 Err(_) => (ProbeOutcome::TimedOut, Vec::new()),
             };
-            let took = started.elapsed().as_secs_f64();
-            let _ = events.send(Event::ProbeFinished { host, end, took, body }).await;
+            let duration = started.elapsed().as_secs_f64();
+            let _ = events.send(Event::ProbeFinished { host, outcome, duration, body }).await;
         });
     }
 }
--- a/crates/director/service/src/reducer/event.rs
+++ b/crates/director/service/src/reducer/event.rs
@@ -62,9 +62,9 @@
         /// The host that was checked.
         host: HostId,
         /// How the check ended.
-        end: ProbeOutcome,
+        outcome: ProbeOutcome,
         /// How long it took, in seconds.
-        took: f64,
+        duration: f64,
         /// The body of the answer, empty if there was none.
         body: Vec<u8>,
     },
--- a/crates/director/service/src/reducer/health_checks.rs
+++ b/crates/director/service/src/reducer/health_checks.rs
@@ -25,12 +25,12 @@
         &mut self,
         now: f64,
         host: HostId,
-        end: ProbeOutcome,
-        took: f64,
+        probe_outcome: ProbeOutcome,
+        duration: f64,
         body: &[u8],
     ) {
         let counters = &mut self.outbox.counters;
-        let (outcome, counter) = match end {
+        let (outcome, counter) = match probe_outcome {
             ProbeOutcome::Status(STATUS_OK) => (Outcome::Succeeded, &mut counters.probes_answered),
             ProbeOutcome::Status(STATUS_SERVICE_UNAVAILABLE) => {
                 (Outcome::Throttled, &mut counters.probes_throttled)
@@ -45,6 +45,6 @@
         *counter += 1;
         let report = Report::parse_text(if outcome == Outcome::Succeeded { body } else { b"" });
         let load = self.plausible_load(now, &report);
-        self.outbox.inputs.push(Input::ProbeFinished { host, outcome, duration: took, load });
+        self.outbox.inputs.push(Input::ProbeFinished { host, outcome, duration, load });
     }
 }
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -55,7 +55,7 @@
 
 /// Why operators' changes cannot be taken.
 #[derive(Debug, thiserror::Error)]
-pub enum OperateError {
+pub enum OperatorChangesError {
     /// The configuration cannot be used.
     #[error(transparent)]
     Config(#[from] ConfigError),
@@ -150,7 +150,7 @@
         wall_ns: u64,
         sheet: &OperatorFile,
         history: Option<Vec<Record>>,
-    ) -> Result<Vec<Effect>, OperateError> {
+    ) -> Result<Vec<Effect>, OperatorChangesError> {
         let settings = decision_settings(&CheckedConfig::new(config)?.boot);
         let mut operators = Operators::new(&config.name, &settings, self.known.clone(), wall_ns);
         // Nothing has been decided yet, so the decisions can begin anew with the guard.
@@ -205,8 +205,8 @@
                 }
             }
             Event::WatchEnded(link, reason) => self.watch_down(now, link, &reason),
-            Event::ProbeFinished { host, end, took, body } => {
-                self.health_check_ended(now, host, end, took, &body)
+            Event::ProbeFinished { host, outcome, duration, body } => {
+                self.health_check_ended(now, host, outcome, duration, &body)
             }
             Event::Reload(config) => self.reload(now, *config),
             Event::AdminRequest(..)
--- a/crates/director/service/src/reducer/tests/channel_model/run.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/run.rs
@@ -271,8 +271,11 @@
             Effect::ConnectRelay(link, _) => self.answer(now + STEP_S, Event::RelayConnected(link)),
             Effect::CloseRelay(link) => self.channel.close_stream(link),
             Effect::StartProbe { host, .. } => {
-                let end = ProbeOutcome::Status(200);
-                self.answer(now + STEP_S, Event::ProbeFinished { host, end, took: 0.01, body: vec![] });
+                let outcome = ProbeOutcome::Status(200);
+                self.answer(
+                    now + STEP_S,
+                    Event::ProbeFinished { host, outcome, duration: 0.01, body: vec![] },
+                );
             }
             Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
                 let call = String::from_utf8(bytes).unwrap();
--- a/crates/director/service/src/reducer/tests/health_checks.rs
+++ b/crates/director/service/src/reducer/tests/health_checks.rs
@@ -18,7 +18,8 @@
     let mut reducer = new_reducer();
     let host = reducer.names.host_id("h");
     let body = format!("TEXT {figures}").into_bytes();
-    reducer.reduce(0.0, Event::ProbeFinished { host, end: ProbeOutcome::Status(200), took: 0.1, body });
+    reducer
+        .reduce(0.0, Event::ProbeFinished { host, outcome: ProbeOutcome::Status(200), duration: 0.1, body });
     let Some(Input::ProbeFinished { load, .. }) = reducer.outbox.inputs.pop() else { panic!("no answer") };
     assert_eq!((load.queued, load.service_time), (waiting, service_time));
     let is_corrupt = waiting.is_none() || service_time.is_none();
@@ -31,7 +32,7 @@
     let host = reducer.names.host_id("h");
     reducer.reduce(
         0.0,
-        Event::ProbeFinished { host, end: ProbeOutcome::Unreadable, took: 0.1, body: Vec::new() },
+        Event::ProbeFinished { host, outcome: ProbeOutcome::Unreadable, duration: 0.1, body: Vec::new() },
     );
     assert!(matches!(
         reducer.outbox.inputs[..],
--- a/crates/director/service/src/reducer/tests/retention.rs
+++ b/crates/director/service/src/reducer/tests/retention.rs
@@ -36,9 +36,12 @@
             let snapshot = ["OK", "* hello 0 a 5.0 0", "* lease 0 1", "* line 0 h0 1.0", "*"];
             Some(Event::RelayLines(link, lines(&snapshot)))
         }
-        Effect::StartProbe { host, .. } => {
-            Some(Event::ProbeFinished { host, end: ProbeOutcome::Status(200), took: 0.01, body: Vec::new() })
-        }
+        Effect::StartProbe { host, .. } => Some(Event::ProbeFinished {
+            host,
+            outcome: ProbeOutcome::Status(200),
+            duration: 0.01,
+            body: Vec::new(),
+        }),
         _ => None,
     }
 }
--- a/crates/tools/lab/src/reduced/surroundings.rs
+++ b/crates/tools/lab/src/reduced/surroundings.rs
@@ -181,7 +181,7 @@
     ) {
         let pending = self.pending_health_checks.get_mut(&host);
         let Some(asked) = pending.and_then(VecDeque::pop_front) else { return };
-        let end = match outcome {
+        let probe_outcome = match outcome {
             Outcome::Succeeded => ProbeOutcome::Status(STATUS_OK),
             Outcome::Throttled => ProbeOutcome::Status(STATUS_UNAVAILABLE),
             Outcome::TimedOut => ProbeOutcome::TimedOut,
@@ -193,7 +193,12 @@
             Outcome::Succeeded => Platform::health_check_body(load),
             _ => String::new(),
         };
-        events.push_back(Event::ProbeFinished { host: asked, end, took, body: body.into_bytes() });
+        events.push_back(Event::ProbeFinished {
+            host: asked,
+            outcome: probe_outcome,
+            duration: took,
+            body: body.into_bytes(),
+        });
     }
 
     /// Carries out an effect of the reducer. What follows from it goes to `events`, orders of the director to `orders`.
