--- a/crates/director/service/src/adapters/admin_socket.rs
+++ b/crates/director/service/src/adapters/admin_socket.rs
@@ -1,5 +1,5 @@
-//! Operators' requests on a Unix socket that only its owner may use: a few connections at a time, one request of each
-//! outstanding.
+//! Operators' requests on a Unix socket that only its owner and root may use. It serves a few connections at a time,
+//! each with one outstanding request.
 
 use super::sockets::{timeout_error, ACCEPT_RETRY_DELAY};
 use super::task::AbortOnDropTask;
@@ -19,25 +19,25 @@
 use tokio::sync::{oneshot, Semaphore};
 use tokio::task::JoinSet;
 
-/// Operators at a time; each may have a line of the greatest length in memory.
+/// Maximum number of connections; each may buffer a line of the maximum length.
 const MAX_CONNECTIONS: usize = 4;
-/// An operator who sends nothing for so long makes room for others.
+/// A connection on which nothing is received for this long is closed, to make room for others.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
-/// A change log on a disk that stalls must not leave its operator waiting for ever.
+/// Limits how long an operator waits for the answer, for example while the change log's disk stalls.
 const ANSWER_TIMEOUT: Duration = Duration::from_secs(10);
 const READ_BUFFER_BYTES: usize = 1 << 13;
-/// Read and write for the owner alone.
+/// Read and write permission for the owner only.
 const SOCKET_MODE: u32 = 0o600;
 const ROOT_UID: u32 = 0;
 
-/// Requests that wait for the reducer's answer.
+/// Requests that the reducer has not answered yet.
 #[derive(Default)]
 struct PendingRequests {
     last_id: u64,
     senders: BTreeMap<AdminRequestId, oneshot::Sender<Answer>>,
 }
 
-/// The requests that all connections have outstanding.
+/// The outstanding requests of all connections.
 #[derive(Clone, Default)]
 struct SharedPendingRequests(Arc<Mutex<PendingRequests>>);
 
@@ -46,7 +46,7 @@
         self.0.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// A new request, and where its answer will come.
+    /// Registers a new request; its answer arrives at the returned receiver.
     fn add(&self) -> (AdminRequestId, oneshot::Receiver<Answer>) {
         let (sender, answer) = oneshot::channel();
         let mut pending = self.lock();
@@ -61,7 +61,7 @@
     }
 }
 
-/// The socket, and the answers that are owed. Dropping it removes the socket's file.
+/// The socket and its outstanding requests. Dropping it removes the socket's file.
 pub(crate) struct AdminSocket {
     path: PathBuf,
     pending: SharedPendingRequests,
@@ -69,7 +69,7 @@
 }
 
 impl AdminSocket {
-    /// Listens at `path`; requests go to `events`.
+    /// Binds the socket at `path`; requests are sent to `events`.
     pub(crate) fn bind(path: &str, events: Sender<Event>) -> io::Result<Self> {
         let path = PathBuf::from(path);
         remove_stale_socket(&path)?;
@@ -81,7 +81,7 @@
         Ok(AdminSocket { path, pending, _accept_task: accept_task })
     }
 
-    /// Answers a request, unless whoever asked has gone.
+    /// Answers a request, unless it has timed out or its connection is closed.
     pub(crate) fn answer(&self, id: AdminRequestId, answer: Answer) {
         if let Some(sender) = self.pending.remove(id) {
             let _ = sender.send(answer);
@@ -95,19 +95,20 @@
     }
 }
 
-/// Removes a socket that a killed director left behind, but not one that somebody listens at, nor any other file.
+/// Removes a socket that a killed director left behind, but neither one on which a process listens nor any other
+/// file.
 fn remove_stale_socket(path: &Path) -> io::Result<()> {
     let Ok(found) = std::fs::symlink_metadata(path) else { return Ok(()) };
     if !found.file_type().is_socket() {
-        return Err(io::Error::other("something that is no socket is there"));
+        return Err(io::Error::other("the path exists and is not a socket"));
     }
     if std::os::unix::net::UnixStream::connect(path).is_ok() {
-        return Err(io::Error::other("another process listens there"));
+        return Err(io::Error::other("another process is listening on it"));
     }
     std::fs::remove_file(path)
 }
 
-/// Accepts connections; their tasks end with this one.
+/// Accepts connections; their tasks are aborted when this one ends.
 async fn accept(listener: UnixListener, owner: u32, events: Sender<Event>, pending: SharedPendingRequests) {
     let permits = Arc::new(Semaphore::new(MAX_CONNECTIONS));
     let mut tasks = JoinSet::new();
@@ -118,7 +119,7 @@
             tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
-        // Before the socket's permissions were set, anybody could have connected.
+        // Any user may have connected between the bind and the setting of the socket's permissions.
         let is_allowed = stream.peer_cred().is_ok_and(|peer| peer.uid() == owner || peer.uid() == ROOT_UID);
         if !is_allowed {
             continue;
@@ -160,7 +161,7 @@
     }
 }
 
-/// The reducer's answer to the request in a line, or why there is none.
+/// Has the reducer answer the request in a line; returns its answer, or a refusal that says why there is none.
 async fn answer_to(line: &[u8], events: &Sender<Event>, pending: &SharedPendingRequests) -> Answer {
     let request = match parse_request(line) {
         Ok(request) => request,
--- a/crates/director/service/src/adapters/change_log_writer.rs
+++ b/crates/director/service/src/adapters/change_log_writer.rs
@@ -1,5 +1,5 @@
-//! Writes the log of operators' changes to a disk, on a thread of its own: a disk that stalls delays only those who
-//! wait for a record to be durable.
+//! Writes the log of operators' changes to disk on a separate thread, so that a stalled disk delays only the answers
+//! that wait for a record to be durable.
 
 use coppersail_append_log::{Log, OpenError};
 use coppersail_changes::Record;
@@ -8,29 +8,30 @@
 use std::sync::mpsc::{channel, Receiver, Sender};
 use std::time::Duration;
 
-/// How long the director's end waits for the last records to be written.
+/// How long the director's exit waits for the last records to be written.
 const SHUTDOWN_TIMEOUT: Duration = Duration::from_millis(200);
 
-/// The writer's thread. Dropping it waits a moment for the last records.
+/// Handle of the writer thread. Dropping it waits up to [`SHUTDOWN_TIMEOUT`] for the last records to be written.
 ///
-/// Its queue has no bound: records come at the pace of operators, so that few wait.
+/// The queue is unbounded: operators cause the records, so only a few wait at a time.
 pub(crate) struct ChangeLogWriter {
     records: Option<Sender<Record>>,
     finished: Receiver<()>,
 }
 
-/// A log that was opened.
+/// An opened log.
 pub(crate) struct OpenedChangeLog {
-    /// Takes further records.
+    /// Appends further records.
     pub(crate) writer: ChangeLogWriter,
-    /// The records that the log holds, in their order.
+    /// The records in the log, in their order.
     pub(crate) records: Vec<Record>,
     /// Bytes of an interrupted write that were truncated.
     pub(crate) truncated_bytes: usize,
 }
 
 impl ChangeLogWriter {
-    /// Opens the log or creates it, and starts the thread; `Written` or `Unwritten` go to `events`.
+    /// Opens or creates the log and starts the thread, which sends [`Event::ChangeLogged`] and
+    /// [`Event::ChangeLogFailed`] to `events`.
     pub(crate) fn open(
         path: &str,
         events: tokio::sync::mpsc::Sender<Event>,
@@ -56,10 +57,10 @@
     }
 }
 
-/// The event loop has ended and takes no events.
+/// The event loop has ended and receives no further events.
 struct EventLoopEnded;
 
-/// Writes records until their sender is gone, all that wait in one write.
+/// Writes records until their sender is dropped; all records that wait are written together.
 fn write_records(
     mut log: Log<Record>,
     queue: Receiver<Record>,
--- a/crates/director/service/src/adapters/collector_listener.rs
+++ b/crates/director/service/src/adapters/collector_listener.rs
@@ -1,6 +1,6 @@
 //! The director's listening socket: accepts collectors' connections and reads from them.
 //!
-//! Accepted connections are kept in one table until the reducer says to close them, also after their peer has ended.
+//! An accepted connection is kept until the reducer closes it, even if the peer has closed its side.
 
 use super::sockets::ACCEPT_RETRY_DELAY;
 use super::task::AbortOnDropTask;
@@ -12,8 +12,8 @@
 use tokio::net::TcpListener;
 use tokio::sync::mpsc::Sender;
 
-/// Bytes read at a time. The buffer exists only while its bytes are on their way, so that hundreds of idle connections
-/// hold no memory.
+/// Maximum number of bytes per read. A buffer is allocated only once a connection is readable, so that hundreds of
+/// idle connections hold no buffers.
 const READ_BUFFER_BYTES: usize = 1 << 13;
 
 struct Connection {
@@ -30,13 +30,14 @@
 }
 
 impl CollectorListener {
-    /// Listens at `address`; what connections send goes to `events`.
+    /// Listens at `address`; bytes received on connections are sent to `events`.
     pub(crate) async fn bind(address: SocketAddr, events: Sender<Event>) -> std::io::Result<Self> {
         let socket = TcpListener::bind(address).await?;
         Ok(CollectorListener { socket, events, connections: BTreeMap::new(), next_id: 0 })
     }
 
-    /// Accepts one connection. The reducer answers with whom to close for the next one, or that none is to be accepted.
+    /// Accepts one connection. The reducer then decides which connections to close to make room for the next one, or
+    /// to stop accepting.
     pub(crate) async fn accept(&mut self) -> Event {
         loop {
             match self.socket.accept().await {
@@ -48,13 +49,14 @@
                     self.connections.insert(id, Connection { writer, _reader: reader });
                     return Event::Accepted(id);
                 }
-                // The peer has left again, or there are no descriptors until others are closed.
+                // The peer has closed the connection already, or no file descriptors are left until others are
+                // closed.
                 Err(_) => tokio::time::sleep(ACCEPT_RETRY_DELAY).await,
             }
         }
     }
 
-    /// Writes a few bytes without waiting; a peer that does not read even these is disconnected.
+    /// Writes a few bytes without blocking; if the socket's buffer does not take them, the connection is closed.
     pub(crate) fn send(&mut self, id: ConnectionId, bytes: &[u8]) {
         let Some(connection) = self.connections.get(&id) else { return };
         let is_written = connection.writer.try_write(bytes).is_ok_and(|count| count == bytes.len());
--- a/crates/director/service/src/adapters/discovery_client.rs
+++ b/crates/director/service/src/adapters/discovery_client.rs
@@ -1,4 +1,5 @@
-//! Watches of discovery: each is a long HTTP response on a connection of its own, whose lines go to the reducer.
+//! Watches of the discovery service: each is a streaming HTTP response on a separate connection, whose lines are sent
+//! to the reducer.
 
 use super::http_client;
 use super::task::AbortOnDropTask;
@@ -10,11 +11,11 @@
 use std::time::Duration;
 use tokio::sync::mpsc::Sender;
 
-/// Discovery's agent is on this machine; a connect that takes longer has met nobody.
+/// Discovery's agent runs on the same machine; if connecting takes longer, the agent does not respond.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
 const STATUS_OK: u16 = 200;
 
-/// The open watches, by the numbers that the reducer has given them.
+/// The open watches, by the ids that the reducer has assigned.
 pub(crate) struct DiscoveryClient {
     events: Sender<Event>,
     max_line_bytes: usize,
@@ -22,12 +23,12 @@
 }
 
 impl DiscoveryClient {
-    /// No watches yet; the lines of later ones, each of `max_line_bytes` at most, go to `events`.
+    /// Creates a client without watches. The lines of later ones, of at most `max_line_bytes`, are sent to `events`.
     pub(crate) fn new(events: Sender<Event>, max_line_bytes: usize) -> Self {
         DiscoveryClient { events, max_line_bytes, watches: BTreeMap::new() }
     }
 
-    /// Opens a watch; `WatchLines` follow, and `WatchDown` when it ends by itself.
+    /// Opens a watch. [`Event::WatchLines`] follow, and [`Event::WatchEnded`] unless the reducer closes it.
     pub(crate) fn watch(&mut self, id: LinkId, address: SocketAddr, path: String) {
         let events = self.events.clone();
         let max_line_bytes = self.max_line_bytes;
@@ -38,13 +39,13 @@
         self.watches.insert(id, task);
     }
 
-    /// Ends a watch; nothing more is heard of it.
+    /// Closes a watch without a further event.
     pub(crate) fn unwatch(&mut self, id: LinkId) {
         self.watches.remove(&id);
     }
 }
 
-/// Reads a watch to its end; returns why it ended, which stands in the log.
+/// Reads a watch to its end; returns why it ended, for the log.
 async fn follow(
     id: LinkId,
     address: SocketAddr,
@@ -70,7 +71,7 @@
         };
         let lines = framer.push(&data);
         if !lines.is_empty() && events.send(Event::WatchLines(id, lines)).await.is_err() {
-            return "the director has ended".to_string();
+            return "the event loop has ended".to_string();
         }
     }
 }
--- a/crates/director/service/src/adapters/health_prober.rs
+++ b/crates/director/service/src/adapters/health_prober.rs
@@ -1,4 +1,4 @@
-//! Health probes of hosts: each is one HTTP request on a connection of its own.
+//! Health probes of hosts: each is one HTTP request on a separate connection.
 
 use super::http_client::{self, RequestError};
 use coppersail::interface::HostId;
@@ -10,31 +10,31 @@
 use tokio::sync::mpsc::Sender;
 use tokio::sync::Semaphore;
 
-/// Many times what a connect takes on the way to a host; a machine that vanished never answers it.
+/// Many times the usual time for connecting to a host; a machine that is down never answers.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// For the whole probe. A live host answers in hundredths of a second; this leaves room for a queue before the answer.
+/// Limit of the whole probe. A live host answers in hundredths of a second; the rest allows for queueing at the host.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(700);
 /// A load report is one line.
 const MAX_BODY_BYTES: usize = 4096;
 
-/// Starts probes, of which a limited number is in flight at a time.
+/// Starts probes, with a limit of how many are in flight.
 pub(crate) struct HealthProber {
     events: Sender<Event>,
     in_flight_limit: Arc<Semaphore>,
 }
 
 impl HealthProber {
-    /// At most `max_in_flight` probes run at a time, the others wait; results go to `events`.
+    /// Creates a prober with at most `max_in_flight` probes at a time; results are sent to `events`.
     pub(crate) fn new(events: Sender<Event>, max_in_flight: usize) -> Self {
         HealthProber { events, in_flight_limit: Arc::new(Semaphore::new(max_in_flight)) }
     }
 
-    /// Starts a probe; `Probed` follows.
+    /// Starts a probe, or queues it at the limit; [`Event::ProbeFinished`] follows.
     pub(crate) fn start(&mut self, host: HostId, address: SocketAddr, path: &'static str) {
         let events = self.events.clone();
         let in_flight_limit = self.in_flight_limit.clone();
         tokio::spawn(async move {
-            // Released when the task ends, whatever its end.
+            // The permit is released when the task ends, also if it panics.
             let Ok(_permit) = in_flight_limit.acquire_owned().await else { return };
             let started = Instant::now();
             let (outcome, body) = match tokio::time::timeout(PROBE_TIMEOUT, probe(address, path)).await {
@@ -47,9 +47,10 @@
     }
 }
 
-/// A connection that was established and broke says nothing of the host, as the network resets any: the request is
-/// retried once. A host that died refuses the retry. Without it, two resets in a row would have a healthy host
-/// withdrawn from service and then treated as newly started.
+/// Sends a probe, and retries it once if its connection broke. A broken connection does not show that the host is
+/// unhealthy, since the network resets connections at random; a host that is down refuses the retry. Without the
+/// retry, two such resets in a row would withdraw a healthy host from service, which would then be treated as newly
+/// started.
 async fn probe(address: SocketAddr, path: &str) -> (ProbeOutcome, Vec<u8>) {
     match request(address, path).await {
         (ProbeOutcome::Broken, _) => request(address, path).await,
@@ -67,7 +68,7 @@
     let status = response.status().as_u16();
     match Limited::new(response.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => (ProbeOutcome::Status(status), body.to_bytes().to_vec()),
-        // The status shows that the host is alive; only the load report is lost.
+        // The status is enough to know that the host is alive; only the load report is lost.
         Err(_) => (ProbeOutcome::Status(status), Vec::new()),
     }
 }
--- a/crates/director/service/src/adapters/http_client.rs
+++ b/crates/director/service/src/adapters/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP request on a connection of its own, by hyper's connection-level client.
+//! One HTTP request on a separate connection, with hyper's connection-level client.
 
 use super::sockets;
 use super::task::AbortOnDropTask;
@@ -13,22 +13,23 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Why a request has no response. The texts stand in the log.
+/// Why a request has no response. The texts appear in the log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub(crate) enum RequestError {
     /// No connection was established.
     #[error("unreachable")]
     Unreachable,
-    /// The connection broke before the response.
+    /// The connection broke before the response arrived.
     #[error("broken")]
     Broken,
-    /// The peer sent something that is no HTTP response.
+    /// The peer sent something that is not an HTTP response.
     #[error("unreadable")]
     Unreadable,
 }
 
-/// What a failed connect says of the peer. The network resets connections of healthy peers as well, often before they
-/// are seen to be established; the machine of a process that died refuses them.
+/// Classifies a failed connect. A reset counts as a broken connection, since the network also resets connections to
+/// healthy peers, often while they are being established. If the peer's process has died, its machine refuses the
+/// connection instead.
 fn connect_error(kind: ErrorKind) -> RequestError {
     match kind {
         ErrorKind::ConnectionReset => RequestError::Broken,
@@ -44,7 +45,8 @@
     }
 }
 
-/// The response's head. Its body comes as long as the returned task, which drives the connection, is kept.
+/// Sends a GET request and returns the response's head. The returned task drives the connection: the body can be read
+/// only while it is kept.
 pub(crate) async fn get(
     address: SocketAddr,
     path: &str,
@@ -52,7 +54,7 @@
 ) -> Result<(Response<Incoming>, AbortOnDropTask), RequestError> {
     let connected = sockets::connect(address, connect_timeout).await;
     let stream = connected.map_err(|error| connect_error(error.kind()))?;
-    // Without it a request may wait for the peer's acknowledgement.
+    // With Nagle's algorithm a request could be delayed until the peer acknowledges earlier data.
     stream.set_nodelay(true).map_err(|_| RequestError::Broken)?;
     let handshake = http1::handshake(TokioIo::new(stream)).await;
     let (mut sender, connection) = handshake.map_err(|_| RequestError::Broken)?;
--- a/crates/director/service/src/adapters/mod.rs
+++ b/crates/director/service/src/adapters/mod.rs
@@ -1,4 +1,4 @@
-//! The reducer's effects, performed on real sockets, timers and disks, one module for each kind of peer.
+//! Performs the reducer's effects on real sockets, timers and disks, with one module for each kind of peer.
 
 mod admin_socket;
 mod change_log_writer;
@@ -29,17 +29,17 @@
     pub(crate) listener: CollectorListener,
     /// Connections to the relay.
     pub(crate) relay: RelayClient,
-    /// Watches of discovery.
+    /// Watches of the discovery service.
     pub(crate) discovery: DiscoveryClient,
     /// Probes of hosts.
     pub(crate) prober: HealthProber,
-    /// When the reducer is next called without an event.
+    /// Wakes the event loop at the time that the reducer has set.
     pub(crate) timer: WakeTimer,
     /// Whether further connections are accepted.
     pub(crate) is_accepting: bool,
-    /// Present if operators' changes are on and their file asks for it.
+    /// Present if the operators' file names a socket.
     pub(crate) admin_socket: Option<AdminSocket>,
-    /// Present if operators' changes are on and their file asks for it.
+    /// Present if the operators' file names a history.
     pub(crate) change_log: Option<ChangeLogWriter>,
 }
 
--- a/crates/director/service/src/adapters/relay_client.rs
+++ b/crates/director/service/src/adapters/relay_client.rs
@@ -1,4 +1,4 @@
-//! Connections to the relay, for calls as well as for its news: connects, reads lines, writes calls.
+//! Connections to the relay, for calls and for subscriptions to its updates.
 
 use super::sockets;
 use super::task::AbortOnDropTask;
@@ -11,14 +11,14 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::sync::mpsc::{channel, Receiver, Sender};
 
-/// Many times what a connect takes on the way to the relay, and short against the time limits.
+/// Many times the usual time for connecting to the relay, and short compared with the callers' time limits.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// A call fits the buffers on the way; one that can't be written in this time is stuck.
+/// A call fits into the socket buffers, so a write that takes longer means that the connection is stalled.
 const WRITE_TIMEOUT: Duration = Duration::from_millis(200);
-/// The relay's lines are short; a longer one is none of its.
+/// The relay's lines are far shorter; a longer one is corrupt.
 const MAX_LINE_BYTES: usize = 1 << 16;
 const READ_BUFFER_BYTES: usize = 1 << 14;
-/// One call is outstanding at a time, so that a queue of two is never full on a live connection.
+/// Only one call is outstanding at a time, so a queue of two is never full on a working connection.
 const WRITE_QUEUE_LENGTH: usize = 2;
 
 struct Connection {
@@ -26,26 +26,26 @@
     _task: AbortOnDropTask,
 }
 
-/// The relay's connections, by the numbers that the reducer has given them.
+/// The connections to the relay, by the ids that the reducer has assigned.
 pub(crate) struct RelayClient {
     events: Sender<Event>,
     connections: BTreeMap<LinkId, Connection>,
 }
 
 impl RelayClient {
-    /// No connections yet; what happens on later ones goes to `events`.
+    /// Creates a client without connections; events of later ones are sent to `events`.
     pub(crate) fn new(events: Sender<Event>) -> Self {
         RelayClient { events, connections: BTreeMap::new() }
     }
 
-    /// Starts to connect; `RelayUp` or `RelayDown` follows.
+    /// Starts to connect; [`Event::RelayConnected`] or [`Event::RelayDisconnected`] follows.
     pub(crate) fn connect(&mut self, id: LinkId, address: SocketAddr) {
         let (writes, queue) = channel(WRITE_QUEUE_LENGTH);
         let task = AbortOnDropTask::spawn(run(id, address, queue, self.events.clone()));
         self.connections.insert(id, Connection { writes, _task: task });
     }
 
-    /// Queues bytes to be written; a connection that takes none is closed.
+    /// Queues bytes to be written; if the queue is full, the connection is closed.
     pub(crate) fn send(&mut self, id: LinkId, bytes: Vec<u8>) {
         let Some(connection) = self.connections.get(&id) else { return };
         if connection.writes.try_send(bytes).is_err() {
@@ -53,13 +53,13 @@
         }
     }
 
-    /// Closes a connection; nothing more is heard of it.
+    /// Closes a connection without a further event.
     pub(crate) fn close(&mut self, id: LinkId) {
         self.connections.remove(&id);
     }
 }
 
-/// Runs a connection to its end and reports the cause, which stands in the log.
+/// Runs a connection to its end and reports the cause, for the log.
 async fn run(id: LinkId, address: SocketAddr, queue: Receiver<Vec<u8>>, events: Sender<Event>) {
     let cause = match exchange(id, address, queue, &events).await {
         Ok(()) => "closed by the relay".to_string(),
@@ -68,8 +68,8 @@
     let _ = events.send(Event::RelayDisconnected(id, cause)).await;
 }
 
-fn director_ended() -> io::Error {
-    io::Error::other("the director has ended")
+fn event_loop_ended() -> io::Error {
+    io::Error::other("the event loop has ended")
 }
 
 async fn exchange(
@@ -80,7 +80,7 @@
 ) -> io::Result<()> {
     let mut stream = sockets::connect(address, CONNECT_TIMEOUT).await?;
     stream.set_nodelay(true)?;
-    events.send(Event::RelayConnected(id)).await.map_err(|_| director_ended())?;
+    events.send(Event::RelayConnected(id)).await.map_err(|_| event_loop_ended())?;
     let (mut reader, mut writer) = stream.split();
     let mut framer = LineFramer::new(MAX_LINE_BYTES);
     let mut buffer = vec![0; READ_BUFFER_BYTES];
@@ -93,7 +93,7 @@
                 }
                 let lines = framer.push(&buffer[..count]);
                 if !lines.is_empty() {
-                    events.send(Event::RelayLines(id, lines)).await.map_err(|_| director_ended())?;
+                    events.send(Event::RelayLines(id, lines)).await.map_err(|_| event_loop_ended())?;
                 }
             }
             Some(bytes) = queue.recv() => {
--- a/crates/director/service/src/adapters/task.rs
+++ b/crates/director/service/src/adapters/task.rs
@@ -1,9 +1,9 @@
-//! Tasks that end with their owner.
+//! Tasks that are aborted when their owner is dropped.
 
 use std::future::Future;
 use tokio::task::JoinHandle;
 
-/// A task that runs until it ends or this is dropped; what it holds is released with it.
+/// Handle of a task that aborts it when dropped, which releases what the task holds.
 pub(crate) struct AbortOnDropTask(JoinHandle<()>);
 
 impl AbortOnDropTask {
--- a/crates/director/service/src/adapters/wake_timer.rs
+++ b/crates/director/service/src/adapters/wake_timer.rs
@@ -1,34 +1,34 @@
-//! The program's only timer: the reducer says when it next wants to be called.
+//! The program's only timer, which the reducer sets to the time at which it next has something to do.
 
 use std::time::{Duration, Instant};
 
-/// A moment that is further off is waited for in several steps.
+/// Longest single sleep; a longer wait is split.
 const MAX_SLEEP_S: f64 = 3600.0;
 
-/// Wakes the event loop at the moment that the reducer asked for last.
+/// Wakes the event loop at the time that the reducer has set last.
 pub(crate) struct WakeTimer {
     started: Instant,
-    /// Seconds since the start.
+    /// In seconds since the start.
     wake_at: f64,
 }
 
 impl WakeTimer {
-    /// A timer that elapses at once. `started` is the zero of all times that the reducer sees.
+    /// Creates a timer that elapses immediately. The reducer's times count from `started`.
     pub(crate) fn new(started: Instant) -> Self {
         WakeTimer { started, wake_at: 0.0 }
     }
 
-    /// Seconds since the start, by the only clock that the reducer knows.
+    /// Returns the seconds since the start, by the clock that all of the reducer's times refer to.
     pub(crate) fn now(&self) -> f64 {
         self.started.elapsed().as_secs_f64()
     }
 
-    /// Replaces the moment that was set before; `at` is in seconds since the start.
+    /// Sets the time, in seconds since the start; it replaces the one that was set before.
     pub(crate) fn set(&mut self, at: f64) {
         self.wake_at = at;
     }
 
-    /// Returns when the moment has come, or after an hour, when the reducer asks for it anew.
+    /// Waits until the time is reached, or for an hour; the reducer then sets the timer again.
     pub(crate) async fn elapsed(&self) {
         let remaining = (self.wake_at - self.now()).clamp(0.0, MAX_SLEEP_S);
         tokio::time::sleep(Duration::from_secs_f64(remaining)).await;
--- a/crates/director/service/src/config_file.rs
+++ b/crates/director/service/src/config_file.rs
@@ -5,13 +5,13 @@
 use std::env::VarError;
 use std::io;
 
-/// Names the file.
+/// The environment variable that holds the path of the file.
 const CONFIG_VARIABLE: &str = "EDGE_CONFIG";
 
-/// Why there is no usable configuration.
+/// Why the configuration file cannot be used.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum ConfigFileError {
-    /// The environment does not name the file.
+    /// The environment variable is not set.
     #[error("EDGE_CONFIG is not set")]
     NotSet(#[source] VarError),
     /// The file cannot be read.
@@ -22,7 +22,7 @@
     Invalid(#[source] ParseError),
 }
 
-/// The configuration as the file has it now, all of it checked before any of it is used.
+/// Reads and parses the file as it is now.
 pub(crate) fn read() -> Result<Config, ConfigFileError> {
     let path = std::env::var(CONFIG_VARIABLE).map_err(ConfigFileError::NotSet)?;
     let bytes = std::fs::read(&path).map_err(ConfigFileError::Unreadable)?;
--- a/crates/director/service/src/counters.rs
+++ b/crates/director/service/src/counters.rs
@@ -1,14 +1,14 @@
-//! What the director has received, sent and answered since its start.
+//! Counters of what the director has received, sent and answered since its start.
 
 macro_rules! counters {
     ($($(#[$doc:meta])* $name:ident),+ $(,)?) => {
-        /// Counts of events since the start. The fields' names and their order are those of the log line, which other
-        /// programs read.
+        /// Counters since the start. Other programs read the log line, which has the fields under these names and in
+        /// this order.
         #[derive(Clone, Debug, Default, PartialEq)]
         pub struct Counters { $($(#[$doc])* pub $name: u64),+ }
 
         impl Counters {
-            /// The log line: `counters` and all of them as `name=count`, in the order of the fields.
+            /// The log line: `counters`, then each counter as `name=count` in the order of the fields.
             pub fn log_line(&self) -> String {
                 let pairs: Vec<String> = vec![$(format!("{}={}", stringify!($name), self.$name)),+];
                 format!("counters {}", pairs.join(" "))
@@ -20,45 +20,45 @@
 counters! {
     /// Accepted connections.
     connections_taken,
-    /// Connections that their peer has ended, or that broke.
+    /// Accepted connections that the peer closed, or that broke.
     connections_ended,
     /// Connections closed by the director before the peer had joined as a collector.
     strangers_dropped,
     /// Connections of collectors closed by the director.
     collectors_dropped,
-    /// Lines on accepted connections.
+    /// Lines received on accepted connections.
     lines_in,
     /// Lines of collectors that were skipped as invalid.
     lines_bad,
-    /// Requests for a sign of life that were answered.
+    /// Liveness probes of the director that were answered.
     alive_answers,
-    /// Collectors that have joined, by naming their zone.
+    /// Collectors that have joined by naming their zone.
     zones_named,
-    /// Reports of the attempts at one host.
+    /// Reports of the attempts to call one host.
     sums_of_tries,
     /// Reports of the calls to one slice.
     sums_of_calls,
-    /// Figures of hosts' load reports that were skipped as invalid.
+    /// Figures in hosts' load reports that were ignored as invalid.
     load_figures_odd,
-    /// Lists of hosts, full ones and updates, that were applied.
+    /// Host lists, complete or incremental, that were applied.
     lists,
-    /// Lists of hosts that were skipped as invalid or outdated.
+    /// Host lists that were skipped as invalid or outdated.
     lists_bad,
-    /// Entries that were skipped as invalid in lists that were applied.
+    /// Invalid entries that were skipped in lists that were applied.
     entries_unsound,
-    /// Hosts of which nothing is kept any more.
+    /// Hosts that have left and whose state was released.
     hosts_forgotten,
-    /// Watches of discovery that were opened.
+    /// Watches of the discovery service that were opened.
     watches_opened,
-    /// Watches of discovery that ended.
+    /// Watches of the discovery service that ended.
     watches_lost,
-    /// Lines of the relay's news.
+    /// Lines received on the relay's update streams.
     news_lines,
-    /// Lines of news that were invalid or named something unknown.
+    /// Lines of update streams that were invalid or named something unknown.
     news_bad,
-    /// News connections that were opened.
+    /// Update streams that were opened.
     news_opened,
-    /// News connections that ended after they had been established.
+    /// Update streams that ended after they had been established.
     news_lost,
     /// Proxies that have joined.
     proxies_joined,
@@ -66,37 +66,37 @@
     proxies_left,
     /// Slices that were assigned to this director.
     slices_given,
-    /// Slices that were taken from this director.
+    /// Slices that were revoked from this director.
     slices_taken,
-    /// Acknowledgements by proxies of the tables that they have.
+    /// Acknowledgements by proxies of a round of messages.
     receipts,
-    /// Times that the decisions were asked for.
+    /// Batches of inputs that were given to the decision logic.
     decisions,
     /// Calls written to the relay, repeats included.
     calls_sent,
-    /// Calls that the relay has answered as done, wholly or in part.
+    /// Calls that the relay has answered as carried out, wholly or in part.
     calls_answered,
-    /// Calls that the relay has turned away as too many.
+    /// Calls that the relay has rejected by its rate limit.
     calls_throttled,
-    /// Calls that were repeated as their outcome was unknown.
+    /// Calls that were retried because their outcome was unknown.
     calls_repeated,
-    /// Calls that were dropped as the relay has called them invalid twice.
+    /// Calls that were dropped because the relay answered twice that they are invalid.
     calls_invalid,
     /// Waiting calls that were merged into one.
     calls_merged,
-    /// Calls that waited for room in the channel to the proxies.
+    /// Calls that waited for capacity of the channel to the proxies.
     calls_held,
-    /// Parts of calls that were sent before the rest, as the channel had no room for the whole.
+    /// Parts of calls that were sent before the rest, because the channel had no capacity for the whole call.
     calls_cut,
-    /// Lines that may be queued in the channel now, by the director's estimate.
+    /// The director's upper estimate of the lines that are queued in the channel now.
     lines_may_wait,
-    /// Orders that the decisions have given.
+    /// Orders for the relay that the decision logic has given.
     orders_given,
     /// Orders that the relay has carried out.
     orders_taken,
     /// Orders that the relay has refused.
     orders_refused,
-    /// Orders of a kind that the relay has no call for.
+    /// Orders that cannot be expressed in a call to the relay.
     orders_unknown,
     /// Probes of hosts that were started.
     probes_sent,
@@ -106,28 +106,28 @@
     probes_throttled,
     /// Probes answered with another status, or unreadably.
     probes_failed,
-    /// Probes without an answer in time.
+    /// Probes that were not answered within the timeout.
     probes_timed_out,
     /// Probes for which no connection was established.
     probes_unreachable,
     /// Probes whose connection broke.
     probes_broken,
-    /// Configurations that were read again and applied.
+    /// Configurations that were reloaded and applied.
     configurations_taken,
-    /// Configurations and operators' files that were read again and found invalid.
+    /// Configurations and operators' files that were reloaded and could not be used.
     configurations_bad,
     /// Operators' commands.
     commands,
-    /// Operators' commands that were not carried out.
+    /// Operators' commands that were rejected.
     commands_refused,
-    /// Times that what operators' changes ask for was handed to the decisions.
+    /// Times that the operators' overrides were given to the decision logic.
     wishes_given,
     /// Batches of table lines that the capacity guard has judged.
     guard_judged,
-    /// Batches that went out as they were less harmful than the present tables.
+    /// Batches that were sent because they are less harmful than the present tables.
     guard_least_bad,
     /// Batches that the capacity guard has refused.
     guard_refused,
-    /// Batches that went out as the capacity guard had refused them too often.
+    /// Batches that were sent because the capacity guard had refused them too often.
     guard_overruled,
 }
--- a/crates/director/service/src/event_loop.rs
+++ b/crates/director/service/src/event_loop.rs
@@ -8,23 +8,24 @@
 use std::ops::ControlFlow;
 use tokio::sync::mpsc::{Receiver, Sender};
 
-/// The director after its start.
-// The order of the fields is that in which they are dropped: the change log's thread must find the receiver of its
-// events alive while the adapters shut down.
+/// The running director.
+// Fields are dropped in this order: the adapters shut down before the event receiver, to which the change log's
+// thread still sends its last events.
 pub(crate) struct EventLoop {
-    /// The operators' file is being read again. A later reading replaces it, as the file counts as it is last.
+    /// Reloads the operators' file. A later reload replaces one that is still running, as only the file's last
+    /// content counts.
     operator_file_task: Option<AbortOnDropTask>,
     adapters: Adapters,
     events: Receiver<Event>,
     event_sender: Sender<Event>,
     reducer: Reducer,
     signals: Signals,
-    /// None: operators' changes are off.
+    /// `None` if operators' changes are disabled.
     operator_file_path: Option<String>,
 }
 
 impl EventLoop {
-    /// A loop whose adapters send to `event_sender`, the other end of `events`.
+    /// Creates the loop; the adapters send to `event_sender`, the other end of `events`.
     pub(crate) fn new(
         reducer: Reducer,
         adapters: Adapters,
@@ -44,11 +45,11 @@
         }
     }
 
-    /// Runs until the reducer asks for the exit.
+    /// Runs until the reducer requests the exit.
     pub(crate) async fn run(mut self) {
         let mut batch = vec![Event::TimerFired];
         loop {
-            // What has come meanwhile is one batch: the reducer decides on it together.
+            // Everything that has arrived in the meantime forms one batch, which the reducer decides on as a whole.
             while let Ok(event) = self.events.try_recv() {
                 batch.push(event);
             }
@@ -59,7 +60,7 @@
         }
     }
 
-    /// Hands the batch over as of one moment, and performs what comes of it.
+    /// Handles all events of the batch at the same point in time, and performs the effects.
     fn reduce(&mut self, batch: &mut Vec<Event>) -> ControlFlow<()> {
         let now = self.adapters.timer.now();
         for event in batch.drain(..).chain([Event::EndOfBatch]) {
@@ -82,8 +83,8 @@
         }
     }
 
-    /// The configuration as it is now. The operators' file follows as a further event: a template takes its time to be
-    /// evaluated, and the loop must not wait for it.
+    /// Reads the configuration again. The operators' file follows as an event of its own, since evaluating a template
+    /// takes time and must not block the loop.
     fn reload(&mut self) -> Event {
         let config = config_file::read().map_err(FileError::new);
         if let Some(path) = self.operator_file_path.clone() {
--- a/crates/director/service/src/framing.rs
+++ b/crates/director/service/src/framing.rs
@@ -1,35 +1,37 @@
 //! Splits the bytes of a connection into lines.
 
-/// What a connection's bytes have completed.
+/// A line that a connection's bytes have completed, or one that is too long.
 #[derive(Clone, Debug, PartialEq)]
 pub enum FramedLine {
     /// A line without its end.
     Line(Vec<u8>),
-    /// A line was longer than allowed. It is reported once, as soon as this is known, and discarded to its end.
+    /// A line was longer than allowed. It is reported once, as soon as the limit is exceeded, and discarded up to its
+    /// end.
     TooLong,
 }
 
-/// Buffers an incomplete line until its end comes.
+/// Buffers an incomplete line until its end arrives.
 pub struct LineFramer {
-    /// Most bytes in a line, without its LF; it may change between two lines.
+    /// Maximum length of a line in bytes, without its LF; it may be changed between two lines.
     pub max_line_bytes: usize,
     buffer: Vec<u8>,
-    /// The current line is too long: it is discarded to its end.
+    /// The current line is too long and is discarded up to its end.
     discarding: bool,
 }
 
 impl LineFramer {
-    /// An empty buffer for lines of `most` bytes at most.
-    pub fn new(most: usize) -> Self {
-        LineFramer { max_line_bytes: most, buffer: Vec::new(), discarding: false }
+    /// Creates an empty buffer for lines of at most `max_line_bytes`.
+    pub fn new(max_line_bytes: usize) -> Self {
+        LineFramer { max_line_bytes, buffer: Vec::new(), discarding: false }
     }
 
-    /// The lines that `bytes` complete.
+    /// Returns the lines that `bytes` complete.
     pub fn push(&mut self, mut bytes: &[u8]) -> Vec<FramedLine> {
         std::iter::from_fn(|| self.next_line(&mut bytes)).collect()
     }
 
-    /// The next line that `bytes` complete; `bytes` is then what follows it. A CR before the LF belongs to the end.
+    /// Returns the next line that `bytes` complete, and leaves in `bytes` what follows it. A CR before the LF is part
+    /// of the line's end.
     pub fn next_line(&mut self, bytes: &mut &[u8]) -> Option<FramedLine> {
         while let Some(end) = bytes.iter().position(|byte| *byte == b'\n') {
             let (head, rest) = (&bytes[..end], &bytes[end + 1..]);
@@ -52,7 +54,7 @@
             return None;
         }
         if self.buffer.len() + rest.len() > self.max_line_bytes {
-            // Nothing of the line is kept until its end comes.
+            // The rest of the line is not buffered.
             self.discarding = true;
             self.buffer = Vec::new();
             return Some(FramedLine::TooLong);
@@ -61,12 +63,12 @@
         None
     }
 
-    /// What has come of the current line.
+    /// The bytes received so far of the current line.
     pub fn partial_line(&self) -> &[u8] {
         &self.buffer
     }
 
-    /// Whether the current line is longer than allowed and goes on.
+    /// Whether the current line is too long and its end has not arrived yet.
     pub fn is_discarding(&self) -> bool {
         self.discarding
     }
--- a/crates/director/service/src/lib.rs
+++ b/crates/director/service/src/lib.rs
@@ -1,4 +1,5 @@
-//! The director without its I/O: the reducer, which holds all state, and what it needs of the way bytes come in.
+//! The director without its I/O: the reducer, which holds all state, with the line framing, the counters and the
+//! resource limits that it shares with the program.
 //!
 //! The program (`main.rs`) connects the reducer with sockets, timers and disks; the lab runs the same reducer in
 //! simulated time.
--- a/crates/director/service/src/logger.rs
+++ b/crates/director/service/src/logger.rs
@@ -1,9 +1,9 @@
 //! The log on standard error, for tracing's events.
 //!
-//! A line has the seconds since the start, the level and the text, or the same as JSON with the change that it is about
-//! as a field of its own. Warnings, which bad input may cause in floods, are limited to what can be read; what is
-//! decided or asked for is always written, as long as somebody reads the log. A thread of its own writes, so that a
-//! reader that stalls holds nobody up.
+//! A line has the seconds since the start, the level and the text, or the same as JSON with the number of the change
+//! that it is about as a separate field. Warnings are rate-limited, because invalid input may cause floods of them;
+//! other lines are written as long as the log is read. A separate thread writes the lines, so that a stalled reader
+//! of the log blocks nothing else.
 
 use coppersail_changes::Version;
 use std::fmt::{Debug, Write as _};
@@ -17,20 +17,20 @@
 use tracing_subscriber::layer::{Context, SubscriberExt};
 use tracing_subscriber::Layer;
 
-/// More are counted and left out, as nobody reads more.
+/// Further warnings in the same second are suppressed and counted, as nobody can read more.
 const MAX_WARNINGS_PER_SECOND: u32 = 200;
-/// Lines that wait to be written; when there are as many, further ones are left out.
+/// Lines that wait to be written; while the queue is full, further lines are suppressed and counted.
 const QUEUE_LENGTH: usize = 1024;
 /// How long [`LogHandle::flush`] waits for the last lines to be written.
 const FLUSH_TIMEOUT: Duration = Duration::from_millis(200);
-/// Libraries log as well; the log is the director's.
+/// Only events of this project's crates are logged, not those of libraries.
 const TARGET_PREFIX: &str = "coppersail";
-/// The field of a tracing event that has the number of a change.
+/// The field of a tracing event that holds the number of a change.
 const CHANGE_FIELD: &str = "change";
-/// The field in which tracing has an event's text.
+/// The field of a tracing event that holds its text.
 const MESSAGE_FIELD: &str = "message";
 
-/// Logs a text, with the change that it is about, if any.
+/// Logs a text and, if it is about a change, that change's number.
 pub(crate) fn log(level: Level, change: Option<Version>, text: &str) {
     let change = change.map(|number| number.0);
     match level {
@@ -40,10 +40,10 @@
     }
 }
 
-/// Starts the writing thread and takes all events of this process; a second call has no effect but a log that nobody
-/// writes to.
+/// Starts the writer thread and installs the process' tracing subscriber. To be called once: a further call installs
+/// nothing, and its log stays empty.
 pub(crate) fn start(started: Instant) -> LogHandle {
-    let budget = Mutex::new(WarningBudget { second: 0, written: 0, left_out: 0 });
+    let budget = Mutex::new(WarningBudget { second: 0, written: 0, suppressed: 0 });
     let (queue, entries) = sync_channel(QUEUE_LENGTH);
     std::thread::spawn(move || write_entries(entries));
     let json = Arc::new(AtomicBool::new(false));
@@ -52,19 +52,19 @@
     LogHandle { json, queue }
 }
 
-/// The log from outside: its format may still be chosen, and its end be waited for.
+/// Sets the format of the log and flushes it.
 pub(crate) struct LogHandle {
     json: Arc<AtomicBool>,
     queue: SyncSender<QueueEntry>,
 }
 
 impl LogHandle {
-    /// Whether further lines are JSON.
+    /// Sets whether further lines are JSON.
     pub(crate) fn set_json(&self, json: bool) {
         self.json.store(json, Ordering::Relaxed);
     }
 
-    /// Waits a moment for what has been logged to be written.
+    /// Waits until all queued lines are written, for at most [`FLUSH_TIMEOUT`].
     pub(crate) fn flush(&self) {
         let (done_sender, done) = sync_channel(1);
         if self.queue.try_send(QueueEntry::Flush(done_sender)).is_ok() {
@@ -75,47 +75,48 @@
 
 enum QueueEntry {
     Line(String),
-    /// To be answered when all lines before it are written.
+    /// Answered once all lines before it are written.
     Flush(SyncSender<()>),
 }
 
 fn write_entries(entries: Receiver<QueueEntry>) {
     for entry in entries {
         match entry {
-            // Whoever reads the log may be gone; the director goes on without it.
+            // If the log cannot be written, for example because its reader has exited, the director continues.
             QueueEntry::Line(line) => drop(writeln!(std::io::stderr(), "{line}")),
             QueueEntry::Flush(done) => drop(done.try_send(())),
         }
     }
 }
 
-/// How many warnings were written in the current second.
+/// Limits the warnings per second.
 struct WarningBudget {
-    /// Since the start.
+    /// The current second since the start.
     second: u64,
     written: u32,
-    left_out: u32,
+    suppressed: u32,
 }
 
 impl WarningBudget {
-    /// None: no warning may be written in this second any more. Otherwise how many were left out in earlier seconds.
+    /// Returns `None` if no further warning may be written in this second, otherwise the number of warnings that were
+    /// suppressed in earlier seconds.
     fn take(&mut self, second: u64) -> Option<u32> {
-        let mut left_out_before = 0;
+        let mut suppressed_before = 0;
         if second != self.second {
-            left_out_before = std::mem::take(&mut self.left_out);
+            suppressed_before = std::mem::take(&mut self.suppressed);
             self.second = second;
             self.written = 0;
         }
         if self.written >= MAX_WARNINGS_PER_SECOND {
-            self.left_out += 1;
+            self.suppressed += 1;
             return None;
         }
         self.written += 1;
-        Some(left_out_before)
+        Some(suppressed_before)
     }
 }
 
-/// What an event says, and the change that it is about.
+/// The text of a tracing event, and the change that it is about.
 #[derive(Default)]
 struct EventFields {
     text: String,
@@ -136,7 +137,7 @@
     }
 }
 
-/// Turns tracing's events into lines.
+/// Formats tracing events as lines.
 struct LogLayer {
     started: Instant,
     budget: Mutex<WarningBudget>,
@@ -153,10 +154,10 @@
         let at = self.started.elapsed();
         let json = self.json.load(Ordering::Relaxed);
         let Ok(mut budget) = self.budget.lock() else { return };
-        let left_out = if level < Level::INFO { budget.take(at.as_secs()) } else { Some(0) };
-        let Some(left_out) = left_out else { return };
-        if left_out > 0 {
-            let text = format!("{left_out} warnings left out");
+        let suppressed = if level < Level::INFO { budget.take(at.as_secs()) } else { Some(0) };
+        let Some(suppressed) = suppressed else { return };
+        if suppressed > 0 {
+            let text = format!("{suppressed} warnings suppressed");
             let line = format_line(json, at.as_secs_f64(), "WARN", None, &text);
             let _ = self.queue.try_send(QueueEntry::Line(line));
         }
@@ -164,12 +165,12 @@
         event.record(&mut fields);
         let line = format_line(json, at.as_secs_f64(), level.as_str(), fields.change, &fields.text);
         if self.queue.try_send(QueueEntry::Line(line)).is_err() {
-            budget.left_out += 1;
+            budget.suppressed += 1;
         }
     }
 }
 
-/// `at` is in seconds since the start.
+/// Formats a line; `at` is in seconds since the start.
 fn format_line(json: bool, at: f64, level: &str, change: Option<u64>, text: &str) -> String {
     if json {
         let text = serde_json::Value::from(text);
--- a/crates/director/service/src/logger/tests.rs
+++ b/crates/director/service/src/logger/tests.rs
@@ -3,7 +3,7 @@
 
 #[test]
 fn a_flood_of_warnings_is_limited_and_counted() {
-    let mut budget = WarningBudget { second: 0, written: 0, left_out: 0 };
+    let mut budget = WarningBudget { second: 0, written: 0, suppressed: 0 };
     let written = (0..MAX_WARNINGS_PER_SECOND + 7).filter(|_| budget.take(3).is_some()).count();
     assert_eq!((written as u32, budget.take(4)), (MAX_WARNINGS_PER_SECOND, Some(7)));
 }
--- a/crates/director/service/src/main.rs
+++ b/crates/director/service/src/main.rs
@@ -1,7 +1,8 @@
-//! `coppersail-director`: the program of the director, which runs the reducer on real sockets.
+//! `coppersail-director`: the director's program, which runs the reducer on real sockets.
 //!
-//! `EDGE_CONFIG` names its configuration and `EDGE_OPERATOR`, if set, the operators' file. SIGHUP has both read again,
-//! SIGUSR1 the counters logged; on SIGTERM it ends with status 0. A start that fails prints its cause and ends with 2.
+//! The environment variable `EDGE_CONFIG` holds the path of its configuration file and `EDGE_OPERATOR`, if set, that
+//! of the operators' file. SIGHUP reloads both files, SIGUSR1 logs the counters, and SIGTERM exits with status 0. If
+//! the start fails, the program prints the cause and exits with status 2.
 
 mod adapters;
 mod config_file;
@@ -17,14 +18,14 @@
 use std::process::ExitCode;
 use std::time::{Instant, SystemTime, UNIX_EPOCH};
 
-/// The status of a director that could not start.
+/// Exit status of a director that could not start.
 const START_FAILED_STATUS: u8 = 2;
 
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
-            // The error's text has that of its source in it.
+            // The error's text already contains the text of its source.
             eprintln!("coppersail-director: {report}");
             ExitCode::from(START_FAILED_STATUS)
         }
--- a/crates/director/service/src/operator_file_reader.rs
+++ b/crates/director/service/src/operator_file_reader.rs
@@ -1,7 +1,7 @@
 //! Reads the operators' file.
 //!
-//! Plain JSON is read here. A template is evaluated by `coppersail evaluate` in a process of its own, which has limits
-//! of time and memory and cannot take the director down with it.
+//! Plain JSON is parsed here. A template is evaluated by `coppersail evaluate` in a child process with limits of time
+//! and memory, so that a faulty template cannot take the director down.
 
 use coppersail_operator_config::{read_operator_file, Fault, OperatorFile, SettingsNames};
 use std::fmt::{Arguments, Write as _};
@@ -12,25 +12,25 @@
 use std::time::Duration;
 use tokio::process::Command;
 
-/// A file that takes longer is wrong; honest ones take some hundredths of a second.
+/// A valid file is evaluated in some hundredths of a second; one that takes longer is treated as faulty.
 const EVALUATION_TIMEOUT: Duration = Duration::from_secs(5);
-/// Address space of the evaluation, in the shell's KiB: far more than any honest file takes.
+/// Limit of the evaluator's address space, in KiB as `ulimit -v` takes it: far more than any valid file needs.
 const EVALUATION_MEMORY_KIB: u64 = 1 << 20;
-/// Of the file, in bytes.
+/// Maximum size of the file, in bytes.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// A program beside the director's own.
+/// The program that evaluates templates, in the same directory as the director's.
 const EVALUATOR: &str = "coppersail";
 const JSON_EXTENSION: &str = "json";
 
-/// Why the operators' file cannot be used. The texts have the form of a [`Fault`] of the whole file.
+/// Why the operators' file cannot be used. The texts have the form of a [`Fault`] that concerns the whole file.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum OperatorFileError {
-    /// There is no file, or it may not be looked at.
+    /// The file does not exist, or its metadata cannot be read.
     #[error("{}", whole_file_fault(path, format_args!("a file ({source})")))]
     NotFound {
         /// The file.
         path: String,
-        /// What the operating system answered.
+        /// The operating system's error.
         source: io::Error,
     },
     /// It is longer than [`MAX_FILE_BYTES`].
@@ -44,15 +44,15 @@
     NotText {
         /// The file.
         path: String,
-        /// What reading it failed with.
+        /// The error of reading it.
         source: io::Error,
     },
-    /// Where the director's own program is, and so its evaluator, is unknown.
+    /// The path of the director's program is unknown, and with it that of the evaluator.
     #[error("{}", whole_file_fault(path, format_args!("its evaluator ({source})")))]
     NoEvaluator {
         /// The file.
         path: String,
-        /// What the operating system answered.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The shell that runs the evaluator cannot be started or waited for.
@@ -60,7 +60,7 @@
     EvaluatorNotStarted {
         /// The file.
         path: String,
-        /// What the operating system answered.
+        /// The operating system's error.
         source: io::Error,
     },
     /// The evaluation took longer than [`EVALUATION_TIMEOUT`].
@@ -72,16 +72,16 @@
         /// The file.
         path: String,
     },
-    /// The evaluator ended without a word, as it does when it is out of memory.
+    /// The evaluator failed without a message, as it does when it is out of memory.
     #[error("{}", whole_file_fault(path, format_args!("a file that can be evaluated within its bounds")))]
     EvaluationAborted {
         /// The file.
         path: String,
     },
-    /// The evaluator found the file to be wrong.
+    /// The evaluator reported an error in the file.
     #[error("{message}")]
     EvaluationFailed {
-        /// What it printed, on one line.
+        /// The evaluator's message, on one line.
         message: String,
     },
     /// The evaluation's result is not UTF-8.
@@ -89,13 +89,13 @@
     ResultNotText {
         /// The file.
         path: String,
-        /// Where the first bad byte is.
+        /// The error, which tells the position of the first invalid byte.
         source: FromUtf8Error,
     },
-    /// Its fields are wrong.
+    /// Some of its fields are invalid.
     #[error("{}", one_per_line(faults))]
     Invalid {
-        /// All of them.
+        /// All invalid fields.
         faults: Vec<Fault>,
     },
 }
@@ -113,7 +113,7 @@
     text
 }
 
-/// The file's settings, or all of its faults, a line each. `known` is what they may refer to.
+/// Reads the file; `known` are the names that it may refer to. The error's text has one line for each fault.
 pub(crate) async fn read(path: &str, known: &SettingsNames) -> Result<OperatorFile, OperatorFileError> {
     let metadata = std::fs::metadata(path);
     let metadata =
@@ -129,7 +129,7 @@
         .map_err(|faults| OperatorFileError::Invalid { faults })
 }
 
-/// The JSON that the template evaluates to.
+/// Evaluates the template and returns the resulting JSON.
 async fn evaluate(path: &str) -> Result<String, OperatorFileError> {
     let output = run_evaluator(path).await?;
     if output.status.success() {
@@ -143,7 +143,7 @@
     Err(OperatorFileError::EvaluationFailed { message })
 }
 
-/// What the evaluator has printed, within its limits of time and memory.
+/// Runs the evaluator within its limits of time and memory, and returns its output.
 async fn run_evaluator(path: &str) -> Result<Output, OperatorFileError> {
     let own_program = std::env::current_exe()
         .map_err(|source| OperatorFileError::NoEvaluator { path: path.to_string(), source })?;
--- a/crates/director/service/src/reducer/collector_connections.rs
+++ b/crates/director/service/src/reducer/collector_connections.rs
@@ -1,7 +1,7 @@
-//! Connections accepted at the director's address. A peer is new until it joins by naming a zone of the settings, and
-//! has a second for that; then it is a collector. A new peer may only join or send a `probe`, in a short line; for
-//! anything else its connection is closed at once. A collector's corrupt line costs only itself, but a stream that
-//! stays unreadable is closed.
+//! Connections accepted at the director's address. A peer is new until it joins as a collector by naming a zone of
+//! the settings, for which it has a second. A new peer may only join or send a `probe`, in a short line; anything
+//! else closes its connection at once. A collector's corrupt line is skipped, but a stream that stays unreadable is
+//! closed.
 
 use super::effect::Effect;
 use super::ids::ConnectionId;
@@ -12,23 +12,23 @@
 use coppersail_protocol::collector::{cannot_become_message, MAX_MESSAGE_BYTES as MAX_LINE_BYTES};
 use std::collections::BTreeMap;
 
-/// A new peer that has not joined by then is no collector, which joins within milliseconds of its connection.
+/// Time within which a new peer must join; a collector does so within milliseconds of its connection.
 const JOIN_TIMEOUT_S: f64 = 1.0;
-/// Longest line of a new peer: many times a joining or a `probe`.
+/// Longest line of a new peer: many times the length of the messages that it may send.
 const MAX_NEW_LINE_BYTES: usize = 1024;
-/// A new peer that has said nothing is kept for so long before it may have to make room: what it said at once has come
-/// by then.
+/// A new peer whose `probe` was not answered may be evicted only after this time, by which a message that it sent
+/// right after connecting has arrived.
 const NEW_GRACE_S: f64 = 0.25;
-/// Unreadable lines in a row after which a stream is closed. One corrupt line that holds an LF makes two.
+/// Consecutive unreadable lines after which a stream is closed. One corrupt line that contains an LF counts as two.
 const MAX_UNREADABLE_LINES: u32 = 3;
-/// How long a collector's line may go on that cannot become a message.
+/// How long a collector's line may continue once it cannot become a valid message.
 const MAX_UNREADABLE_S: f64 = 0.5;
-/// How many bytes of it may come.
+/// Maximum number of bytes of such a line.
 const MAX_UNREADABLE_BYTES: usize = 1 << 14;
-/// A collector that was silent for so long is taken to have returned when another joins for its zone.
+/// A collector that was silent for this long is taken to have reconnected when another one joins for its zone.
 const STALE_AFTER_S: f64 = 10.0;
 
-/// The part of a line that has come since the line could no longer become a message.
+/// The part of a line that was received since the line can no longer become a valid message.
 #[derive(Clone, Copy)]
 struct UnreadableTail {
     since: f64,
@@ -48,7 +48,7 @@
     unreadable_tail: Option<UnreadableTail>,
 }
 
-/// Who has sent a line, as that decides what it may say.
+/// The kind of peer that sent a line, which determines the messages that are allowed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sender {
     /// A peer that has not joined.
@@ -60,7 +60,7 @@
 /// The accepted connections.
 pub(super) struct CollectorConnections {
     max_connections: usize,
-    /// Bytes of incomplete lines that all connections together may hold.
+    /// Maximum total size in bytes of the incomplete lines of all connections.
     max_incomplete_bytes: usize,
     peers: BTreeMap<ConnectionId, Peer>,
     accepting: bool,
@@ -93,8 +93,8 @@
         self.peers.insert(conn, peer);
     }
 
-    /// The next line that `bytes` complete, and who has sent it; none if they complete no line, or if the connection
-    /// is closed. `bytes` are then the rest.
+    /// Returns the next line that `bytes` complete and the kind of its sender, and leaves in `bytes` what follows it.
+    /// `None` if `bytes` complete no line, or if the connection is closed.
     pub(super) fn next_line(
         &mut self,
         now: f64,
@@ -121,14 +121,14 @@
             let unreadable = UnreadableTail { since: before.since, bytes: before.bytes + tail.len() };
             peer.unreadable_tail = Some(unreadable);
             if sender == Sender::New || unreadable.bytes > MAX_UNREADABLE_BYTES {
-                self.drop(now, conn, "what it says cannot be read", outbox);
+                self.drop(now, conn, "its line cannot become a valid message", outbox);
             }
         }
         None
     }
 
-    /// Bytes that a line of this connection may have, so that all incomplete lines together stay within their part of
-    /// the memory.
+    /// Maximum length of a line on this connection in bytes, such that the incomplete lines of all connections
+    /// together stay within `max_incomplete_bytes`.
     fn available_bytes(&self, conn: ConnectionId) -> usize {
         let others = self.peers.iter().filter(|(other, _)| **other != conn);
         let incomplete_bytes: usize = others.map(|(_, peer)| peer.framer.partial_line().len()).sum();
@@ -142,7 +142,7 @@
         let stale: Vec<ConnectionId> =
             self.peers.iter().filter(|(_, peer)| is_stale(peer)).map(|(conn, _)| *conn).collect();
         for old in stale {
-            self.drop(now, old, "silent, and another has joined for its zone", outbox);
+            self.drop(now, old, "it was silent, and another collector has joined for its zone", outbox);
         }
         if let Some(peer) = self.peers.get_mut(&conn) {
             peer.zone = Some(zone);
@@ -150,16 +150,16 @@
         }
     }
 
-    /// Answers the `probe` of a new peer. Nothing is ever written to a collector.
-    pub(super) fn answer(&mut self, conn: ConnectionId, alive: &'static [u8], outbox: &mut Outbox) {
+    /// Answers the `probe` of a new peer. Nothing is ever sent to a collector.
+    pub(super) fn answer(&mut self, conn: ConnectionId, response: &'static [u8], outbox: &mut Outbox) {
         if let Some(peer) = self.peers.get_mut(&conn).filter(|peer| peer.zone.is_none()) {
             peer.answered = true;
             outbox.counters.alive_answers += 1;
-            outbox.effects.push(Effect::SendToConnection(conn, alive));
+            outbox.effects.push(Effect::SendToConnection(conn, response));
         }
     }
 
-    /// A line was a message, sound or not, or was none.
+    /// Counts consecutive unreadable lines. `is_message` is also true for a message with invalid fields.
     pub(super) fn line_checked(
         &mut self,
         now: f64,
@@ -170,7 +170,7 @@
         let Some(peer) = self.peers.get_mut(&conn) else { return };
         peer.unreadable_lines = if is_message { 0 } else { peer.unreadable_lines + 1 };
         if peer.unreadable_lines >= MAX_UNREADABLE_LINES {
-            self.drop(now, conn, "its stream goes on with what cannot be read", outbox);
+            self.drop(now, conn, "too many unreadable lines in a row", outbox);
         }
     }
 
@@ -182,30 +182,30 @@
         }
     }
 
-    /// Closes a connection for this reason.
+    /// Closes a connection and logs the reason.
     pub(super) fn drop(&mut self, now: f64, conn: ConnectionId, reason: &str, outbox: &mut Outbox) {
         let Some(peer) = self.peers.get(&conn) else { return };
-        let who = match peer.sender() {
+        let peer_kind = match peer.sender() {
             Sender::Joined => {
                 outbox.counters.collectors_dropped += 1;
                 "collector"
             }
             Sender::New => {
                 outbox.counters.strangers_dropped += 1;
-                "stranger"
+                "unjoined peer"
             }
         };
-        self.log.warn(now, format!("{who}: connection dropped, {reason}"), outbox);
+        self.log.warn(now, format!("{peer_kind}: connection closed: {reason}"), outbox);
         self.release(conn, outbox);
     }
 
-    /// The only place where an accepted connection is released.
+    /// Releases an accepted connection; no other function does.
     fn release(&mut self, conn: ConnectionId, outbox: &mut Outbox) {
         self.peers.remove(&conn);
         outbox.effects.push(Effect::CloseConnection(conn));
     }
 
-    /// Closes connections whose time is over, and makes room for one more.
+    /// Closes connections whose deadline has passed, and makes room for one more.
     pub(super) fn poll(&mut self, now: f64, outbox: &mut Outbox) {
         let mut expired = Vec::new();
         for (conn, peer) in &self.peers {
@@ -218,9 +218,9 @@
         }
         while self.peers.len() >= self.max_connections {
             let Some(conn) = self.select_for_eviction(now) else { break };
-            self.drop(now, conn, "to make room", outbox);
+            self.drop(now, conn, "to make room for another connection", outbox);
         }
-        // Connections that are not accepted wait in the system's queue, for a quarter of a second at most.
+        // Connections that are not accepted yet wait in the listener's backlog, for at most `NEW_GRACE_S`.
         let accepting = self.peers.len() < self.max_connections;
         if self.accepting != accepting {
             self.accepting = accepting;
@@ -228,9 +228,9 @@
         }
     }
 
-    /// Who makes room: a new peer that has its answer or, after a while, one that has said nothing. A collector only if
-    /// collectors fill more than half by themselves: then the one that was silent longest, as one that vanished never
-    /// closes its connection.
+    /// Selects the connection to evict: a new peer whose `probe` was answered or, after `NEW_GRACE_S`, one that has
+    /// not joined. A collector is evicted only if collectors use more than half of the connections: the one that was
+    /// silent longest, since a machine that is down never closes its connection.
     fn select_for_eviction(&self, now: f64) -> Option<ConnectionId> {
         let new = self.peers.iter().filter(|(_, peer)| peer.zone.is_none());
         let evictable = new.filter(|(_, peer)| peer.answered || now - peer.accepted_at >= NEW_GRACE_S);
@@ -248,14 +248,14 @@
         longest_idle.map(|(conn, _)| *conn)
     }
 
-    /// When `poll` may have something to do by itself; infinity if never.
+    /// When `poll` next has something to do without a further event; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let mut next = f64::INFINITY;
         for peer in self.peers.values() {
             if let Some(deadline) = peer.deadline() {
                 next = next.min(deadline.at);
             }
-            // While no connections are accepted, the first new peer that may make room.
+            // While no connections are accepted, the first new peer that may be evicted.
             if peer.zone.is_none() && !self.accepting {
                 next = next.min(peer.accepted_at + NEW_GRACE_S);
             }
@@ -269,7 +269,7 @@
     }
 }
 
-/// When a connection is closed if it goes on like this, and why.
+/// When a connection is closed unless its state changes, and why.
 struct Deadline {
     at: f64,
     reason: &'static str,
@@ -295,12 +295,15 @@
 
     fn deadline(&self) -> Option<Deadline> {
         if self.zone.is_none() {
-            return Some(Deadline { at: self.accepted_at + JOIN_TIMEOUT_S, reason: "not joined in time" });
+            return Some(Deadline {
+                at: self.accepted_at + JOIN_TIMEOUT_S,
+                reason: "it did not join in time",
+            });
         }
         let unreadable = self.unreadable_tail?;
         Some(Deadline {
             at: unreadable.since + MAX_UNREADABLE_S,
-            reason: "a line that cannot be read goes on",
+            reason: "an unreadable line did not end in time",
         })
     }
 }
--- a/crates/director/service/src/reducer/collector_reports.rs
+++ b/crates/director/service/src/reducer/collector_reports.rs
@@ -1,4 +1,4 @@
-//! Messages of collectors: joining, liveness checks, and reports of calls and attempts.
+//! Messages of collectors: joining, liveness probes, and reports of calls and attempts.
 
 use super::collector_connections::Sender;
 use super::message_fields::{resolved, unexpected};
@@ -11,8 +11,8 @@
 use coppersail_settings::load_from_report;
 
 impl Reducer {
-    /// Handles bytes from an accepted connection. A peer that has not joined is dropped at its first fault; a
-    /// collector only loses the line.
+    /// Handles bytes from an accepted connection. The connection of a peer that has not joined is closed at its first
+    /// invalid line; a collector's invalid line is skipped.
     pub(super) fn bytes_received(&mut self, now: f64, conn: ConnectionId, mut bytes: &[u8]) {
         while let Some((sender, line)) = self.collectors.next_line(now, conn, &mut bytes, &mut self.outbox) {
             let handled = match &line {
@@ -28,7 +28,7 @@
                 return;
             }
             self.outbox.counters.lines_bad += 1;
-            let text = format!("collector: line passed over, {fault}");
+            let text = format!("collector: line ignored: {fault}");
             self.bad_lines_log.warn(now, text, &mut self.outbox);
             let is_message = matches!(&line, FramedLine::Line(line) if is_message(line));
             self.collectors.line_checked(now, conn, is_message, &mut self.outbox);
@@ -95,7 +95,7 @@
         Ok(())
     }
 
-    /// The figures of a load report that are plausible.
+    /// Returns the plausible figures of a load report.
     pub(super) fn plausible_load(&mut self, now: f64, report: &Report) -> LoadReport {
         let reported = load_from_report(|name| report.get(name));
         self.plausible.load(now, reported, report.invalid_entries, &mut self.outbox)
--- a/crates/director/service/src/reducer/configuration.rs
+++ b/crates/director/service/src/reducer/configuration.rs
@@ -6,7 +6,7 @@
 use coppersail_protocol::ParseError;
 use coppersail_settings::DirectorSettings;
 
-/// Slice numbers have two bytes, and the last one stands for all slices.
+/// Slice numbers have two bytes, and the largest number stands for all slices.
 const MAX_SLICES: u64 = 65_535;
 /// Proxy numbers have two bytes.
 const MAX_PROXIES: u64 = 65_536;
@@ -25,7 +25,7 @@
         /// What was expected there.
         expected: &'static str,
     },
-    /// There are more slices or proxies than numbers for them.
+    /// There are more slices or proxies than can be numbered.
     #[error("field settings.specifics.{field}: {found}, expected {max} at most")]
     TooMany {
         /// Name of the field below `settings.specifics`.
@@ -35,27 +35,27 @@
         /// The largest value that can be used.
         max: u64,
     },
-    /// The list of hosts that the configuration remembers cannot be read.
+    /// The host list that is cached in the configuration cannot be parsed.
     #[error("field known: {0}")]
     KnownHosts(#[source] ParseError),
 }
 
-/// A configuration of which every field can be used.
+/// A configuration whose fields are all valid.
 pub(super) struct CheckedConfig<'a> {
-    pub(super) boot: DirectorSettings,
-    /// The list of hosts that the configuration remembers, possibly outdated.
+    pub(super) director_settings: DirectorSettings,
+    /// The host list that is cached in the configuration, possibly outdated.
     pub(super) known_hosts: Option<discovery::EndpointList<'a>>,
 }
 
 impl<'a> CheckedConfig<'a> {
     pub(super) fn new(config: &'a Config) -> Result<Self, ConfigError> {
         let settings = config.settings.iter().map(|(path, value)| (path.as_str(), value.as_str())).collect();
-        let boot = DirectorSettings::read(&settings)
+        let director_settings = DirectorSettings::read(&settings)
             .map_err(|invalid| ConfigError::Setting { field: invalid.field, expected: invalid.expected })?;
-        check_maximum("slices", boot.specifics.slices, MAX_SLICES)?;
-        check_maximum("proxy-count", boot.specifics.proxy_count, MAX_PROXIES)?;
+        check_maximum("slices", director_settings.specifics.slices, MAX_SLICES)?;
+        check_maximum("proxy-count", director_settings.specifics.proxy_count, MAX_PROXIES)?;
         let known_hosts = config.known_endpoints.as_deref().map(discovery::EndpointList::parse).transpose();
-        Ok(CheckedConfig { boot, known_hosts: known_hosts.map_err(ConfigError::KnownHosts)? })
+        Ok(CheckedConfig { director_settings, known_hosts: known_hosts.map_err(ConfigError::KnownHosts)? })
     }
 }
 
--- a/crates/director/service/src/reducer/decision_timers.rs
+++ b/crates/director/service/src/reducer/decision_timers.rs
@@ -1,4 +1,4 @@
-//! Times at which the decisions have asked to be woken.
+//! Timers that the decisions have set.
 
 use coppersail::interface::TimerId;
 
@@ -9,18 +9,18 @@
 }
 
 impl DecisionTimers {
-    /// Fires `wake` at the time `at`, in seconds since the start.
-    pub(super) fn set(&mut self, at: f64, wake: TimerId) {
-        self.pending.push((at, wake));
+    /// Sets `timer` to fire at the time `at`, in seconds since the start.
+    pub(super) fn set(&mut self, at: f64, timer: TimerId) {
+        self.pending.push((at, timer));
     }
 
     /// Removes the timers that are due, in the order in which they were set.
     pub(super) fn take_due(&mut self, now: f64) -> Vec<TimerId> {
         let mut due = Vec::new();
-        self.pending.retain(|(at, wake)| {
+        self.pending.retain(|(at, timer)| {
             let is_due = *at <= now;
             if is_due {
-                due.push(*wake);
+                due.push(*timer);
             }
             !is_due
         });
--- a/crates/director/service/src/reducer/decisions.rs
+++ b/crates/director/service/src/reducer/decisions.rs
@@ -1,4 +1,4 @@
-//! The end of a batch: asks the decisions and carries out what they order.
+//! The end of a batch: runs the decisions and carries out their orders.
 
 use super::relay_calls::WriteRequest;
 use super::{Effect, Reducer};
@@ -6,23 +6,23 @@
 use coppersail_capacity_guard::Mode;
 
 impl Reducer {
-    /// The batch is complete: does what has become due, asks the decisions, and says when to wake up next.
+    /// The batch is complete: does what has become due, runs the decisions, and sets the timer for the next wake-up.
     pub(super) fn finish_batch(&mut self, now: f64) {
         self.collectors.poll(now, &mut self.outbox);
         self.discovery.poll(now, &mut self.outbox);
         self.subscription.poll(now, &mut self.outbox);
-        for wake in self.timers.take_due(now) {
-            self.outbox.inputs.push(Input::TimerFired(wake));
+        for timer in self.timers.take_due(now) {
+            self.outbox.inputs.push(Input::TimerFired(timer));
         }
         self.poll_operators(now);
-        // The first batch that brings no input is decided on all the same, so that a director without any input
-        // begins to work.
-        let decide = if self.outbox.inputs.is_empty() {
+        // The decisions also run for the first batch without inputs, so that a director that receives no input starts
+        // to work.
+        let runs_decisions = if self.outbox.inputs.is_empty() {
             !std::mem::replace(&mut self.decided_without_input, true)
         } else {
             true
         };
-        if decide {
+        if runs_decisions {
             self.decide(now);
         }
         self.poll_relay_calls(now);
@@ -30,7 +30,8 @@
         self.outbox.effects.push(Effect::SetTimer(self.next_timeout()));
     }
 
-    /// Lets the operators' changes see the inputs, and adds what operators demand if that has changed.
+    /// Passes the inputs to the operators' changes, and adds the operators' overrides as an input if they have
+    /// changed.
     fn poll_operators(&mut self, now: f64) {
         if let Some(operators) = &mut self.operators {
             operators.observe(&self.outbox.inputs);
@@ -94,7 +95,7 @@
         let mut call = Vec::new();
         for order in orders {
             match order {
-                Order::SetTimer { timer: wake, fires_at: at } => self.timers.set(at, wake),
+                Order::SetTimer { timer, fires_at } => self.timers.set(fires_at, timer),
                 Order::Log { text, hosts } => {
                     let text = self.names.log_line(&text, &hosts);
                     self.outbox.info(format!("decided: {text}"));
@@ -133,8 +134,7 @@
         self.subscription.slices_in_flight = self.calls.slices_in_flight();
     }
 
-    /// Releases what is kept for forgotten hosts that no queued order and no weight table names. This is the only
-    /// place where that happens.
+    /// Releases the state of forgotten hosts that no queued order and no weight table names; no other function does.
     fn release_forgotten_hosts(&mut self) {
         let calls = &self.calls;
         let subscription = &self.subscription;
@@ -146,7 +146,7 @@
         }
     }
 
-    /// When the reducer next wants to be called; infinity if nothing is due by itself.
+    /// When the reducer next has something to do without a further event; infinity if never.
     fn next_timeout(&self) -> f64 {
         let operators = self.operators.as_ref().map_or(f64::INFINITY, |operators| operators.next_timeout());
         self.timers
--- a/crates/director/service/src/reducer/discovery_watch.rs
+++ b/crates/director/service/src/reducer/discovery_watch.rs
@@ -1,5 +1,6 @@
-//! The list of hosts from the discovery service: one watch, opened again when it ends or falls silent. When discovery
-//! moves, the old watch is kept until the new one has brought a line.
+//! The host list of the discovery service ("discovery" here), received on one watch, which is reopened when it ends
+//! or times out. When discovery moves to another address, the old watch is kept until a line has arrived on the new
+//! one.
 
 use super::effect::Effect;
 use super::ids::LinkId;
@@ -13,20 +14,20 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-/// An empty line comes each 2 s while nothing changes; a watch without a line for so long is given up.
+/// A watch without a line for this long is closed. Discovery sends an empty line every 2 s while nothing changes.
 const IDLE_TIMEOUT_S: f64 = 2.6;
-/// Discovery answers a watch at once; a new one without a line after this has met a silent server.
+/// A new watch without a line for this long is closed; a discovery server that works answers at once.
 const FIRST_LINE_TIMEOUT_S: f64 = 1.0;
-/// Between watches that fail.
+/// Delay before a watch that has ended is reopened.
 const REOPEN_DELAY_S: f64 = 0.25;
 const NANOSECONDS_PER_MILLISECOND: u64 = 1_000_000;
 
 struct Watch {
     link: LinkId,
     address: SocketAddr,
-    /// It has brought a line.
+    /// A line has arrived on it.
     has_answered: bool,
-    /// It is given up if no line comes by then.
+    /// It is closed if no line arrives by then.
     deadline: f64,
 }
 
@@ -36,23 +37,24 @@
     address: SocketAddr,
 }
 
-/// The watches of discovery, and the hosts that they have listed.
+/// The open watches, and the hosts that they have listed.
 pub(super) struct DiscoveryWatch {
     clock: Clock,
     address: SocketAddr,
-    /// One at `address`, and those that serve until it has answered.
+    /// One at `address`, and those at old addresses that stay in use until a line has arrived on it.
     watches: Vec<Watch>,
-    /// The next watch is not opened before.
+    /// The next watch is not opened before this time.
     reopen_at: f64,
+    /// Version of the newest list.
     version: Option<u64>,
     hosts: BTreeMap<HostId, ListedHost>,
-    /// The next watch asks for the full list.
+    /// The next watch requests the complete list.
     full_list_wanted: bool,
-    /// An outage was logged, and no list has come since.
+    /// An outage was logged, and no list has arrived since.
     outage_logged: bool,
 }
 
-/// Tells decisions that fetch their list that this failed.
+/// Tells the decisions that a host list that they requested could not be fetched.
 pub(super) fn list_failed() -> Input {
     Input::HostListUpdate { scope: ListScope::Failed, version: 0, entries: Vec::new() }
 }
@@ -75,19 +77,20 @@
         self.watches.iter().any(|watch| watch.link == link)
     }
 
-    /// The address of a host, if it was listed.
+    /// Returns the address of a host that was listed.
     pub(super) fn address(&self, host: HostId) -> Option<SocketAddr> {
         self.hosts.get(&host).map(|listed| listed.address)
     }
 
-    /// Opens a watch that begins with the full list.
+    /// Closes all watches and has `poll` open one that begins with the complete list.
     pub(super) fn request_full_list(&mut self, now: f64, outbox: &mut Outbox) {
         self.reopen_at = now;
         self.full_list_wanted = true;
         self.close_watches(|_| true, outbox);
     }
 
-    /// Discovery has another address from now on. Watches that have answered serve until the new one has.
+    /// Sets a new address of discovery. Watches on which a line has arrived stay in use until one arrives on the new
+    /// one.
     pub(super) fn set_address(&mut self, now: f64, address: SocketAddr, outbox: &mut Outbox) {
         if self.address == address {
             return;
@@ -97,7 +100,7 @@
         self.close_watches(|watch| !watch.has_answered, outbox);
     }
 
-    /// The only place where watches are closed.
+    /// Closes the selected watches; no other function closes any.
     fn close_watches(&mut self, is_closed: impl Fn(&Watch) -> bool, outbox: &mut Outbox) {
         for watch in self.watches.iter().filter(|watch| is_closed(watch)) {
             outbox.effects.push(Effect::CloseWatch(watch.link));
@@ -109,7 +112,7 @@
         self.watches.iter().any(|watch| watch.address == self.address)
     }
 
-    /// Releases what is kept for a host.
+    /// Releases the state of a host.
     pub(super) fn forget(&mut self, host: HostId) {
         self.hosts.remove(&host);
     }
@@ -119,8 +122,8 @@
         self.hosts.len()
     }
 
-    /// The list that the configuration remembers, possibly outdated.
-    pub(super) fn remembered_list(
+    /// Takes the host list that is cached in the configuration, which may be outdated.
+    pub(super) fn cached_list(
         &mut self,
         list: &discovery::EndpointList<'_>,
         names: &mut Names,
@@ -131,12 +134,12 @@
         Input::HostListUpdate { scope: ListScope::CachedSnapshot, version: list.version, entries }
     }
 
-    /// Gives up silent watches, and opens one if there is none at the current address.
+    /// Closes watches that have timed out, and opens one if there is none at the current address.
     pub(super) fn poll(&mut self, now: f64, outbox: &mut Outbox) {
         let timed_out: Vec<LinkId> =
             self.watches.iter().filter(|watch| now >= watch.deadline).map(|watch| watch.link).collect();
         for link in timed_out {
-            self.connection_down(now, link, "silent", outbox);
+            self.connection_down(now, link, "no line within the timeout", outbox);
             self.reopen_at = now;
         }
         if !self.has_watch_at_address() && now >= self.reopen_at {
@@ -153,18 +156,18 @@
         outbox.effects.push(Effect::OpenWatch(link, self.address, discovery::watch_path(since)));
     }
 
-    /// A watch has ended or is given up.
+    /// A watch has ended or is to be closed.
     pub(super) fn connection_down(&mut self, now: f64, link: LinkId, reason: &str, outbox: &mut Outbox) {
         outbox.counters.watches_lost += 1;
-        // One log line for an outage, however many watches are opened in vain.
+        // Only one log line per outage, however many watches fail.
         if !std::mem::replace(&mut self.outage_logged, true) {
-            outbox.warn(format!("discovery: watch lost, {reason}"));
+            outbox.warn(format!("discovery: watch lost: {reason}"));
         }
         self.reopen_at = now + REOPEN_DELAY_S;
         self.close_watches(|watch| watch.link == link, outbox);
     }
 
-    /// Handles one line of a watch and returns what it tells the decisions. An empty line is a keep-alive.
+    /// Handles one line of a watch and returns the resulting input of the decisions. An empty line is a keep-alive.
     pub(super) fn handle_line(
         &mut self,
         now: f64,
@@ -187,22 +190,23 @@
         let list = match discovery::EndpointList::parse(&line) {
             Ok(list) => list,
             Err(fault) => {
-                // The next watch asks for changes since the version that is held, so nothing is missed.
+                // The next watch requests the changes since the current version, so none is missed.
                 outbox.counters.lists_bad += 1;
                 self.connection_down(now, link, &fault.to_string(), outbox);
                 return None;
             }
         };
-        if self.version.is_some_and(|held| list.version < held) {
+        if self.version.is_some_and(|current| list.version < current) {
             outbox.counters.lists_bad += 1;
-            let text = format!("discovery: list passed over, version {} is older than held", list.version);
+            let text =
+                format!("discovery: list ignored: version {} is older than the current one", list.version);
             outbox.warn(text);
             return None;
         }
-        Some(self.take_list(&list, names, outbox))
+        Some(self.apply_list(&list, names, outbox))
     }
 
-    fn take_list(
+    fn apply_list(
         &mut self,
         list: &discovery::EndpointList<'_>,
         names: &mut Names,
@@ -219,7 +223,8 @@
         Input::HostListUpdate { scope, version: list.version, entries }
     }
 
-    /// The sound entries. In a full list a host whose entry is unsound stays as it was, or it would seem to be gone.
+    /// Returns the valid entries. In a complete list, the last entry of a host replaces one that is invalid, as the
+    /// host would otherwise seem to have left.
     fn entries(
         &mut self,
         list: &discovery::EndpointList<'_>,
@@ -236,14 +241,14 @@
                     }
                     Err(fault) => (Some(server.id.as_ref()), fault),
                 },
-                Err(unsound) => (unsound.id.as_deref(), unsound.error.clone()),
+                Err(invalid) => (invalid.id.as_deref(), invalid.error.clone()),
             };
             outbox.counters.entries_unsound += 1;
-            outbox.warn(format!("discovery: entry passed over, {fault}"));
+            outbox.warn(format!("discovery: entry ignored: {fault}"));
             if list.is_complete {
                 let host = id.and_then(|id| names.known_host_id(id));
-                let held = host.and_then(|host| self.hosts.get(&host));
-                entries.extend(held.map(|listed| listed.listing.clone()));
+                let last = host.and_then(|host| self.hosts.get(&host));
+                entries.extend(last.map(|listed| listed.listing.clone()));
             }
         }
         entries
@@ -271,7 +276,7 @@
         Ok(listing)
     }
 
-    /// When `poll` may have something to do by itself; infinity if never.
+    /// When `poll` next has something to do without a further event; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let reopen = if self.has_watch_at_address() { f64::INFINITY } else { self.reopen_at };
         self.watches.iter().map(|watch| watch.deadline).fold(reopen, f64::min)
--- a/crates/director/service/src/reducer/effect.rs
+++ b/crates/director/service/src/reducer/effect.rs
@@ -1,4 +1,4 @@
-//! What the reducer asks the I/O around it to do.
+//! The reducer's outputs, which the surrounding I/O performs.
 
 use super::ids::{AdminRequestId, ConnectionId, LinkId};
 use coppersail::interface::HostId;
@@ -7,14 +7,14 @@
 use std::net::SocketAddr;
 use tracing::Level;
 
-/// One output of the reducer, to be carried out in the order in which they are returned.
+/// One output of the reducer. Effects are performed in the order in which they are returned.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Effect {
     /// Write these bytes to an accepted connection.
     SendToConnection(ConnectionId, &'static [u8]),
     /// Close an accepted connection.
     CloseConnection(ConnectionId),
-    /// Whether further connections are to be accepted.
+    /// Start or stop accepting connections.
     SetAccepting(bool),
     /// Connect to the relay at this address.
     ConnectRelay(LinkId, SocketAddr),
@@ -43,7 +43,7 @@
     AppendToChangeLog(Record),
     /// Answer an operator's command.
     AnswerAdminRequest(AdminRequestId, Answer),
-    /// Write a log line, about this change if any.
+    /// Write a log line and, if it is about a change, that change's number.
     Log(Level, Option<Version>, String),
     /// Exit.
     Exit,
--- a/crates/director/service/src/reducer/event.rs
+++ b/crates/director/service/src/reducer/event.rs
@@ -1,4 +1,4 @@
-//! What the I/O around the reducer reports to it.
+//! The reducer's inputs, which the surrounding I/O reports.
 
 use super::ids::{AdminRequestId, ConnectionId, LinkId};
 use crate::framing::FramedLine;
@@ -8,7 +8,7 @@
 use coppersail_operator_config::OperatorFile;
 use coppersail_protocol::config::Config;
 
-/// Why a file that was read again cannot be used. The reason is kept as text, since events are cloned and compared.
+/// Why a reloaded file cannot be used. The reason is kept as text, since events are cloned and compared.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{reason}")]
 pub struct FileError {
@@ -17,7 +17,7 @@
 }
 
 impl FileError {
-    /// The error whose text is the reason.
+    /// Creates an error whose text is the reason.
     pub fn new(reason: impl ToString) -> Self {
         FileError { reason: reason.to_string() }
     }
@@ -28,13 +28,13 @@
 pub enum ProbeOutcome {
     /// An HTTP answer with this status.
     Status(u16),
-    /// No answer came within the probe's timeout.
+    /// No answer arrived within the probe's timeout.
     TimedOut,
     /// No connection could be established.
     Unreachable,
     /// The connection was closed or reset before the answer was complete.
     Broken,
-    /// The bytes that came back are not an HTTP answer.
+    /// The received bytes are not an HTTP response.
     Unreadable,
 }
 
@@ -43,19 +43,19 @@
 pub enum Event {
     /// The listener has accepted a connection.
     Accepted(ConnectionId),
-    /// Bytes have come on an accepted connection.
+    /// Bytes were received on an accepted connection.
     Received(ConnectionId, Vec<u8>),
     /// The peer has closed an accepted connection.
     ConnectionClosed(ConnectionId),
     /// A connection to the relay is established.
     RelayConnected(LinkId),
-    /// Lines have come on a connection to the relay.
+    /// Lines were received on a connection to the relay.
     RelayLines(LinkId, Vec<FramedLine>),
     /// A connection to the relay has ended or could not be established; the text says why.
     RelayDisconnected(LinkId, String),
-    /// Lines have come on a watch of discovery.
+    /// Lines were received on a watch of the discovery service.
     WatchLines(LinkId, Vec<FramedLine>),
-    /// A watch of discovery has ended or could not be opened; the text says why.
+    /// A watch of the discovery service has ended or could not be opened; the text says why.
     WatchEnded(LinkId, String),
     /// A health check has ended.
     ProbeFinished {
@@ -75,11 +75,11 @@
     /// The history failed to store the acceptance of this change or, without a number, another record; the text says
     /// why.
     ChangeLogFailed(Option<Version>, String),
-    /// The operators' file was read again.
+    /// The operators' file was reloaded.
     OperatorFile(Box<Result<OperatorFile, FileError>>),
-    /// The configuration file was read again.
+    /// The configuration file was reloaded.
     Reload(Box<Result<Config, FileError>>),
-    /// The time of the last [`Effect::SetTimer`](super::Effect::SetTimer) has come.
+    /// The time of the last [`Effect::SetTimer`](super::Effect::SetTimer) is reached.
     TimerFired,
     /// The batch is complete.
     EndOfBatch,
--- a/crates/director/service/src/reducer/forgotten_hosts.rs
+++ b/crates/director/service/src/reducer/forgotten_hosts.rs
@@ -1,4 +1,5 @@
-//! Hosts that the decisions have forgotten. What is kept by host here is released once nothing refers to it.
+//! Hosts that the decisions have released. The reducer's own state of such a host is released once nothing refers to
+//! it.
 
 use coppersail::interface::{HostId, Input};
 use std::collections::BTreeSet;
@@ -10,12 +11,12 @@
 }
 
 impl ForgottenHosts {
-    /// The decisions have forgotten the host.
+    /// The decisions have released the host.
     pub(super) fn insert(&mut self, host: HostId) {
         self.hosts.insert(host);
     }
 
-    /// Keeps the hosts that these inputs name, as the decisions learn of them again.
+    /// Keeps the hosts that these inputs name, since the inputs make them known to the decisions again.
     pub(super) fn keep_named(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
--- a/crates/director/service/src/reducer/health_checks.rs
+++ b/crates/director/service/src/reducer/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of hosts: what the decisions ask for, and how the checks end.
+//! Health checks of hosts: starts those that the decisions order, and reports their outcomes.
 
 use super::{Effect, ProbeOutcome, Reducer};
 use coppersail::interface::{HostId, Input, Outcome};
@@ -8,7 +8,7 @@
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Reducer {
-    /// Starts a health check that the decisions ask for.
+    /// Starts a health check that the decisions have ordered.
     pub(super) fn start_health_check(&mut self, now: f64, host: HostId) {
         match self.discovery.address(host) {
             Some(address) => {
@@ -20,7 +20,7 @@
         }
     }
 
-    /// Reports the outcome to the decisions; the body of a successful answer may hold a load report.
+    /// Reports the outcome to the decisions. The body of a successful answer may contain a load report.
     pub(super) fn health_check_ended(
         &mut self,
         now: f64,
--- a/crates/director/service/src/reducer/ids.rs
+++ b/crates/director/service/src/reducer/ids.rs
@@ -1,4 +1,4 @@
-//! Numbers by which the reducer and the I/O around it refer to connections and commands.
+//! Ids by which the reducer and the surrounding I/O refer to connections and requests.
 
 /// An accepted connection, numbered by the listener.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
@@ -8,6 +8,6 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct LinkId(pub u64);
 
-/// An operator's command that is owed an answer, numbered by the control socket.
+/// An operator's unanswered request, numbered by the admin socket.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct AdminRequestId(pub u64);
--- a/crates/director/service/src/reducer/message_fields.rs
+++ b/crates/director/service/src/reducer/message_fields.rs
@@ -4,12 +4,12 @@
 use coppersail_protocol::ParseError;
 use std::fmt::Display;
 
-/// The fault of a field whose value is not what was expected.
+/// The error for a field whose value is not what was expected.
 pub(super) fn unexpected(field: &str, expected: impl Display) -> ParseError {
     ParseError::expected(field, expected)
 }
 
-/// The id for a name in a message; the error of a look-up says what was expected.
+/// The id for a name in a message. The error of the lookup is the text of what was expected.
 pub(super) fn resolved<T>(field: &str, found: Result<T, impl Display>) -> Result<T, ParseError> {
     found.map_err(|expected| unexpected(field, expected))
 }
--- a/crates/director/service/src/reducer/mod.rs
+++ b/crates/director/service/src/reducer/mod.rs
@@ -1,6 +1,6 @@
-//! All state of the director, and all changes to it: `(now, event) -> effects`. It reads no clock and does no I/O;
-//! the effects ask for that. The events up to an [`Event::EndOfBatch`] are one batch: the decisions see it as a
-//! whole, and their orders go to the relay as one call.
+//! All state of the director, and all changes to it: `(now, event) -> effects`. The reducer reads no clock and does
+//! no I/O; effects request it. The events up to an [`Event::EndOfBatch`] form one batch, which the decision logic
+//! (called "the decisions" here) gets as a whole. Its orders are sent to the relay as one call.
 //!
 //! Times are seconds since the start of the director unless a name says otherwise.
 
@@ -41,7 +41,7 @@
 use coppersail_operator_config::{OperatorFile, SettingsNames};
 use coppersail_protocol::config::Config;
 use coppersail_protocol::load::{HEALTH_PATH, LOAD_PATH};
-use coppersail_settings::{decision_settings, known_names as known_by, Clock, Names};
+use coppersail_settings::{decision_settings, known_names, Clock, Names};
 use decision_timers::DecisionTimers;
 use discovery_watch::DiscoveryWatch;
 use forgotten_hosts::ForgottenHosts;
@@ -53,7 +53,7 @@
 use relay_calls::RelayCalls;
 use relay_subscription::RelaySubscription;
 
-/// Why operators' changes cannot be taken.
+/// Why operators' changes cannot be enabled.
 #[derive(Debug, thiserror::Error)]
 pub enum OperatorChangesError {
     /// The configuration cannot be used.
@@ -69,7 +69,7 @@
     director: GuardedDirector,
     names: Names,
     id_ranges: IdRanges,
-    /// The decisions fetch the list of hosts themselves, and are told when a watch fails.
+    /// The decisions request the host list themselves, and are told when a watch fails.
     fetches_list: bool,
     health_check_path: &'static str,
     collectors: CollectorConnections,
@@ -78,39 +78,39 @@
     calls: RelayCalls,
     subscription: RelaySubscription,
     discovery: DiscoveryWatch,
-    /// None while operators' changes are off.
+    /// `None` while operators' changes are disabled.
     operators: Option<Operators>,
-    known: SettingsNames,
+    settings_names: SettingsNames,
     forgotten: ForgottenHosts,
     timers: DecisionTimers,
-    /// A batch without inputs has been decided on.
+    /// The decisions have been run once for a batch without inputs.
     decided_without_input: bool,
-    /// The relay's state was known when last looked.
+    /// Whether the relay's state was known at the end of the last batch.
     relay_state_known: bool,
-    /// Digests of the fields that a running director cannot change, by name.
+    /// Names and digests of the configuration fields that take effect only at the start.
     fixed_at_start: [(&'static str, u64); 4],
     outbox: Outbox,
 }
 
 impl Reducer {
-    /// A director that has had no event yet. `wall_ns` is what the wall clock showed at the zero of all further
-    /// times, in nanoseconds since the Unix epoch.
+    /// Creates a director before its first event. `wall_ns` is the wall clock's time, in nanoseconds since the Unix
+    /// epoch, at the moment from which all further times count.
     ///
     /// # Errors
     ///
     /// A field of the configuration cannot be used.
     pub fn new(config: &Config, wall_ns: u64) -> Result<Self, ConfigError> {
-        let CheckedConfig { boot, known_hosts } = CheckedConfig::new(config)?;
-        let settings = decision_settings(&boot);
+        let CheckedConfig { director_settings, known_hosts } = CheckedConfig::new(config)?;
+        let settings = decision_settings(&director_settings);
         let has_load_reports =
-            boot.general.report_columns.as_ref().is_some_and(|columns| !columns.0.is_empty());
+            director_settings.general.report_columns.as_ref().is_some_and(|columns| !columns.0.is_empty());
         let bounds = ResourceLimits::from_config_limits(&config.limits);
         let mut reducer = Reducer {
             id_ranges: IdRanges { slices: settings.slice_count, proxies: settings.proxy_count },
             plausible: PlausibleFigures::new(&settings),
             fetches_list: !settings.host_list_is_pushed,
             director: GuardedDirector::plain(settings, config.seed),
-            names: Names::new(&boot),
+            names: Names::new(&director_settings),
             health_check_path: if has_load_reports { LOAD_PATH } else { HEALTH_PATH },
             collectors: CollectorConnections::new(bounds.max_connections, bounds.max_buffered_bytes),
             bad_lines_log: RateLimitedLog::default(),
@@ -118,7 +118,7 @@
             subscription: RelaySubscription::new(config.relay),
             discovery: DiscoveryWatch::new(Clock::starting_at(wall_ns), config.discovery),
             operators: None,
-            known: known_by(&boot),
+            settings_names: known_names(&director_settings),
             forgotten: ForgottenHosts::default(),
             timers: DecisionTimers::default(),
             decided_without_input: false,
@@ -127,19 +127,20 @@
             outbox: Outbox::default(),
         };
         if let Some(list) = known_hosts {
-            let input = reducer.discovery.remembered_list(&list, &mut reducer.names, &mut reducer.outbox);
+            let input = reducer.discovery.cached_list(&list, &mut reducer.names, &mut reducer.outbox);
             reducer.outbox.inputs.push(input);
         }
         Ok(reducer)
     }
 
-    /// The names in the settings, against which an operators' file is checked.
+    /// Returns the names in the settings, against which an operators' file is checked.
     pub fn settings_names(&self) -> &SettingsNames {
-        &self.known
+        &self.settings_names
     }
 
-    /// Takes operators' changes from now on, beginning with the records of their history, if one is kept, and their
-    /// file. To be called before the first event; `config` and `wall_ns` are those given to [`Reducer::new`].
+    /// Enables operators' changes, beginning with the records of the history, if there is one, and the operators'
+    /// file. Must be called before the first event, with the `config` and `wall_ns` that were given to
+    /// [`Reducer::new`].
     ///
     /// # Errors
     ///
@@ -148,26 +149,27 @@
         &mut self,
         config: &Config,
         wall_ns: u64,
-        sheet: &OperatorFile,
+        operator_file: &OperatorFile,
         history: Option<Vec<Record>>,
     ) -> Result<Vec<Effect>, OperatorChangesError> {
-        let settings = decision_settings(&CheckedConfig::new(config)?.boot);
-        let mut operators = Operators::new(&config.name, &settings, self.known.clone(), wall_ns);
-        // Nothing has been decided yet, so the decisions can begin anew with the guard.
+        let settings = decision_settings(&CheckedConfig::new(config)?.director_settings);
+        let mut operators = Operators::new(&config.name, &settings, self.settings_names.clone(), wall_ns);
+        // The decisions have no state yet, so they can be replaced by ones with a capacity guard.
         self.director = GuardedDirector::new(settings, config.seed, Mode::Off);
-        // The list that the configuration remembers is all that is known of hosts yet.
+        // So far the only known hosts are those of the list that is cached in the configuration.
         operators.observe(&self.outbox.inputs);
         self.operators = Some(operators);
         let mut started = Ok(());
         self.with_operators(|operators, context, outbox| {
-            started = operators.start(sheet, history, context, outbox);
+            started = operators.start(operator_file, history, context, outbox);
         });
         started?;
         Ok(std::mem::take(&mut self.outbox.effects))
     }
 
-    /// Calls `act` with what operators' changes need of the other parts, unless these changes are off.
-    fn with_operators(&mut self, act: impl FnOnce(&mut Operators, &OperatorContext, &mut Outbox)) {
+    /// Calls `action` with the state that operators' changes need of the other parts, unless these changes are
+    /// disabled.
+    fn with_operators(&mut self, action: impl FnOnce(&mut Operators, &OperatorContext, &mut Outbox)) {
         if let Some(operators) = &mut self.operators {
             let context = OperatorContext {
                 names: &self.names,
@@ -175,11 +177,12 @@
                 calls_idle: self.calls.is_idle(),
                 director: &self.director,
             };
-            act(operators, &context, &mut self.outbox);
+            action(operators, &context, &mut self.outbox);
         }
     }
 
-    /// Handles one event at the time `now`, in seconds since the start, and returns what is to be done in order.
+    /// Handles one event at the time `now`, in seconds since the start, and returns the effects in the order in which
+    /// they are to be performed.
     pub fn reduce(&mut self, now: f64, event: Event) -> Vec<Effect> {
         match event {
             Event::Accepted(conn) => self.collectors.accepted(now, conn, &mut self.outbox),
--- a/crates/director/service/src/reducer/operators/commands.rs
+++ b/crates/director/service/src/reducer/operators/commands.rs
@@ -8,20 +8,20 @@
 use coppersail_change_analysis::TrialId;
 use coppersail_changes::{ChangeEffect, Refusal, Submission, Version};
 
-/// What a command comes to: its answer, and what the change log wants done before it.
+/// The result of a command: its answer, and the change log's effects to carry out before it.
 struct Outcome {
-    /// None if the answer waits for the history.
+    /// `None` if the answer is sent once the history has stored a record.
     answer: Option<Answer>,
-    actions: Vec<ChangeEffect>,
+    effects: Vec<ChangeEffect>,
 }
 
 impl Outcome {
     fn answer(answer: Answer) -> Self {
-        Outcome { answer: Some(answer), actions: Vec::new() }
+        Outcome { answer: Some(answer), effects: Vec::new() }
     }
 
-    fn done(actions: Vec<ChangeEffect>) -> Self {
-        Outcome { answer: Some(Answer::Done), actions }
+    fn done(effects: Vec<ChangeEffect>) -> Self {
+        Outcome { answer: Some(Answer::Done), effects }
     }
 }
 
@@ -40,7 +40,7 @@
             outbox.counters.commands_refused += 1;
             Outcome::answer(Answer::Rejected { reason: refusal.to_string() })
         });
-        self.carry_out(now, outcome.actions, context, outbox);
+        self.carry_out(now, outcome.effects, context, outbox);
         if let Some(answer) = outcome.answer {
             outbox.effects.push(Effect::AnswerAdminRequest(command, answer));
         }
@@ -56,7 +56,7 @@
         let wall_time = self.wall_time(now);
         let pool = self.host_pool(now, context);
         let log = &mut self.change_log;
-        let actions = match request {
+        let effects = match request {
             Request::Status => return Ok(Outcome::answer(self.status(now, context))),
             Request::Submit { submission } => return self.submit_command(now, command, submission, context),
             Request::Diff { edits } => {
@@ -78,10 +78,10 @@
             Request::Freeze { who, why } => log.freeze(wall_time, who, why),
             Request::Thaw { who } => log.thaw(wall_time, who),
         };
-        Ok(Outcome::done(actions))
+        Ok(Outcome::done(effects))
     }
 
-    /// Submits a change. It is answered once it is in the history, or at once if it was submitted before.
+    /// Submits a change. It is answered once the history has stored it, or at once if it was submitted before.
     fn submit_command(
         &mut self,
         now: f64,
@@ -94,12 +94,12 @@
             !token.is_empty() && self.change_log.changes().any(|change| change.submission.token == token);
         let pool = self.host_pool(now, context);
         let wall_time = self.wall_time(now);
-        let (number, actions) = self.change_log.submit(now, wall_time, submission, &self.known, &pool)?;
+        let (number, effects) = self.change_log.submit(now, wall_time, submission, &self.known, &pool)?;
         if is_repeated {
-            return Ok(Outcome { answer: Some(self.accepted(number)), actions });
+            return Ok(Outcome { answer: Some(self.accepted(number)), effects });
         }
         self.pending_answers.insert(number, command);
-        Ok(Outcome { answer: None, actions })
+        Ok(Outcome { answer: None, effects })
     }
 
     /// A page of the changes that are older than `before`, the newest first.
--- a/crates/director/service/src/reducer/operators/effects.rs
+++ b/crates/director/service/src/reducer/operators/effects.rs
@@ -1,4 +1,4 @@
-//! What the change log wants done.
+//! Carries out the effects of the change log.
 
 use super::{ApplyingChange, OperatorContext, Operators, TICK_S};
 use crate::reducer::effect::Effect;
@@ -9,19 +9,19 @@
 use std::collections::BTreeSet;
 use tracing::Level;
 
-/// Log lines of the change log that begin like this are warnings.
+/// Log lines of the change log with one of these prefixes are warnings.
 const WARNING_PREFIXES: [&str; 3] = ["undone", "dropped", "set aside"];
 
 impl Operators {
     pub(super) fn carry_out(
         &mut self,
         now: f64,
-        actions: Vec<ChangeEffect>,
+        effects: Vec<ChangeEffect>,
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        for action in actions {
-            match action {
+        for effect in effects {
+            match effect {
                 ChangeEffect::Write(record) => self.write_record(now, record, context, outbox),
                 ChangeEffect::ApplyDocument { by, .. } => self.apply(now, by),
                 ChangeEffect::StartAnalysis(number) => {
@@ -33,12 +33,12 @@
                 ChangeEffect::EndAnalysis(number) => self.analysis.end_trial(TrialId(number.0)),
                 ChangeEffect::SuspendAnalysis(number) => self.analysis.suspend(TrialId(number.0)),
                 ChangeEffect::ResumeAnalysis(number) => self.analysis.resume(TrialId(number.0)),
-                ChangeEffect::Log { about, text } => log_action(about, text, outbox),
+                ChangeEffect::Log { about, text } => log_change(about, text, outbox),
             }
         }
     }
 
-    /// Appends to the history. Without one, an accepted change counts as written at once.
+    /// Appends a record to the history. Without a history, an accepted change counts as stored at once.
     fn write_record(&mut self, now: f64, record: Record, context: &OperatorContext, outbox: &mut Outbox) {
         if self.is_durable {
             outbox.effects.push(Effect::AppendToChangeLog(record));
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The configuration in force is given to the decisions, as this change has changed it.
+    /// The next `poll` gives the configuration, which this change has modified, to the decisions.
     fn apply(&mut self, now: f64, version: Version) {
         self.overrides_outdated = true;
         let slices = BTreeSet::new();
@@ -55,7 +55,7 @@
         self.next_tick_at = self.next_tick_at.min(now + TICK_S);
     }
 
-    /// The history holds the acceptance of a change: whoever submitted it gets the answer.
+    /// The history has stored the acceptance of a change: its submitter is answered.
     pub(super) fn record_written(
         &mut self,
         now: f64,
@@ -63,8 +63,8 @@
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        let actions = self.change_log.written(self.wall_time(now), number);
-        self.carry_out(now, actions, context, outbox);
+        let effects = self.change_log.written(self.wall_time(now), number);
+        self.carry_out(now, effects, context, outbox);
         if let Some(command) = self.pending_answers.remove(&number) {
             outbox.effects.push(Effect::AnswerAdminRequest(command, self.accepted(number)));
         }
@@ -84,8 +84,8 @@
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) {
-        let actions = self.change_log.unwritten(self.wall_time(now), number, reason);
-        self.carry_out(now, actions, context, outbox);
+        let effects = self.change_log.unwritten(self.wall_time(now), number, reason);
+        self.carry_out(now, effects, context, outbox);
         if let Some(command) = number.and_then(|number| self.pending_answers.remove(&number)) {
             let reason = Refusal::History(reason.to_string()).to_string();
             outbox.effects.push(Effect::AnswerAdminRequest(command, Answer::Rejected { reason }));
@@ -93,7 +93,7 @@
     }
 }
 
-fn log_action(about: Option<Version>, text: String, outbox: &mut Outbox) {
+fn log_change(about: Option<Version>, text: String, outbox: &mut Outbox) {
     let is_warning = WARNING_PREFIXES.iter().any(|prefix| text.starts_with(prefix));
     let level = if is_warning { Level::WARN } else { Level::INFO };
     let text = match about {
--- a/crates/director/service/src/reducer/operators/mod.rs
+++ b/crates/director/service/src/reducer/operators/mod.rs
@@ -1,6 +1,6 @@
-//! Operators' changes within the reducer: what the change log puts in force becomes overrides for the decisions, what
-//! comes in goes to the analysis of trials as well, and what the change log wants done becomes effects. What is decided
-//! about a change is decided in `coppersail-changes` and `coppersail-change-analysis`.
+//! Connects operators' changes with the reducer: turns the configuration in force into overrides for the decisions,
+//! passes the decisions' inputs to the analysis of trials as well, and carries out the effects of the change log. The
+//! logic of changes and of their analysis is in `coppersail-changes` and `coppersail-change-analysis`.
 
 mod commands;
 mod effects;
@@ -25,11 +25,11 @@
 use coppersail_settings::Names;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Between two looks at what has become due in the change log.
+/// Interval between ticks of the change log, in seconds.
 const TICK_S: f64 = 0.25;
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
 
-/// A host as the list of discovery has it.
+/// A host in the list of discovery.
 #[derive(Clone, Copy)]
 struct ListedHost {
     is_ready: bool,
@@ -38,17 +38,17 @@
     zone: ZoneId,
 }
 
-/// A change that was given to the decisions and whose orders are not acknowledged.
+/// A change that was given to the decisions and whose orders are not complete and acknowledged yet.
 struct ApplyingChange {
     version: Version,
     since: f64,
     /// When a weight was last ordered.
     last_order_at: f64,
-    /// Slices in which weights were ordered.
+    /// Slices in which the decisions have ordered weights since.
     slices: BTreeSet<SliceId>,
 }
 
-/// What operators' changes need of the other parts of the reducer.
+/// The state of other parts of the reducer that operators' changes need.
 pub(super) struct OperatorContext<'a> {
     pub(super) names: &'a Names,
     pub(super) relay_state: &'a RelayState,
@@ -57,7 +57,7 @@
     pub(super) director: &'a GuardedDirector,
 }
 
-/// The change log, the analysis of trials, and what connects them with the decisions.
+/// The change log, the analysis of trials, and their connection with the decisions.
 pub(super) struct Operators {
     director_name: String,
     change_log: ChangeLog,
@@ -67,16 +67,16 @@
     zone_count: usize,
     /// A history is kept on disk.
     is_durable: bool,
-    /// What the wall clock showed at the zero of all times, in seconds since the Unix epoch.
+    /// The wall clock's time from which all times of the reducer count, in seconds since the Unix epoch.
     wall_start_s: f64,
     hosts: BTreeMap<HostId, ListedHost>,
     /// The overrides that the decisions were last given.
     sent_overrides: OperatorOverrides,
-    /// The configuration in force has changed, or a host has come that it may name.
+    /// The configuration in force has changed, or a host that it may name was listed.
     overrides_outdated: bool,
     /// Hosts that give up their slices because of an announced shutdown.
     shutting_down: BTreeSet<HostId>,
-    /// When `shutting_down` changes next by itself.
+    /// When `shutting_down` next changes without a further event.
     next_shutdown_phase_at: f64,
     applying: Option<ApplyingChange>,
     /// Commands that are answered once their change is in the history.
@@ -108,22 +108,24 @@
         }
     }
 
-    /// Begins with the history, if there is one, or with the file alone. What differs in the file from when it was last
-    /// taken is a change like any other.
+    /// Starts from the history, if there is one, or else from the file alone. Differences between the file and its
+    /// last accepted content are submitted as a change.
     pub(super) fn start(
         &mut self,
-        sheet: &OperatorFile,
+        operator_file: &OperatorFile,
         history: Option<Vec<Record>>,
         context: &OperatorContext,
         outbox: &mut Outbox,
     ) -> Result<(), RecordError> {
         self.is_durable = history.is_some();
         if !self.is_durable {
-            outbox.info("operators: changes are kept in memory alone and end with the director".to_string());
+            outbox.info(
+                "operators: changes are kept in memory only and are lost when the director exits".to_string(),
+            );
         }
         let records = history.unwrap_or_default();
         if records.is_empty() {
-            let (change_log, record) = ChangeLog::found(sheet.document.clone(), self.wall_start_s);
+            let (change_log, record) = ChangeLog::found(operator_file.document.clone(), self.wall_start_s);
             self.change_log = change_log;
             outbox.effects.push(Effect::AppendToChangeLog(record));
             return Ok(());
@@ -131,9 +133,9 @@
         outbox.info(format!("operators: {} records in the history", records.len()));
         self.change_log = ChangeLog::recover(records)?;
         let pool = self.host_pool(0.0, context);
-        let actions = self.change_log.resume(0.0, self.wall_start_s, &pool);
-        self.carry_out(0.0, actions, context, outbox);
-        self.submit_file(0.0, Ok(sheet.clone()), context, outbox);
+        let effects = self.change_log.resume(0.0, self.wall_start_s, &pool);
+        self.carry_out(0.0, effects, context, outbox);
+        self.submit_file(0.0, Ok(operator_file.clone()), context, outbox);
         Ok(())
     }
 
@@ -158,7 +160,7 @@
         }
     }
 
-    /// What has come in, as the decisions get it.
+    /// Observes the inputs of the decisions.
     pub(super) fn observe(&mut self, inputs: &[Input]) {
         for input in inputs {
             match input {
@@ -219,7 +221,7 @@
         self.hosts.get(&host).and_then(|listed| listed.started_at)
     }
 
-    /// The hosts, against which the change log checks that enough stay in service.
+    /// The hosts, which the change log uses to check that enough of them stay in service.
     fn host_pool(&self, now: f64, context: &OperatorContext) -> HostPool {
         let guard_pool = (self.guard_mode() == Mode::On).then_some(context.director.guard().pool());
         let capacity = |host: &HostId| {
@@ -260,7 +262,7 @@
         Some(overrides)
     }
 
-    /// When `poll` may have something to do by itself; infinity if never.
+    /// When `poll` next has something to do without a further event; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let tick = if self.change_log.idle() { f64::INFINITY } else { self.next_tick_at };
         self.analysis.period_ends_at().min(tick).min(self.next_shutdown_phase_at)
--- a/crates/director/service/src/reducer/operators/overrides.rs
+++ b/crates/director/service/src/reducer/operators/overrides.rs
@@ -1,4 +1,4 @@
-//! The configuration in force as overrides for the decisions, by the ids that they know.
+//! Converts the configuration in force into overrides for the decisions, with names resolved to ids.
 
 use super::Operators;
 use coppersail::interface::{OperatorOverrides, RetryPolicy, SliceId};
@@ -9,7 +9,7 @@
 const DEFAULT_ZONE_WEIGHT: f64 = 1.0;
 
 impl Operators {
-    /// Everything that operators have set. Hosts that are not known yet follow when they are.
+    /// Everything that operators have set. Hosts that are not known yet are added once they are listed.
     pub(super) fn overrides(&self, names: &Names) -> OperatorOverrides {
         let mut overrides = OperatorOverrides::default();
         for (field, value) in self.change_log.document() {
--- a/crates/director/service/src/reducer/operators/scope.rs
+++ b/crates/director/service/src/reducer/operators/scope.rs
@@ -1,4 +1,4 @@
-//! The parts of the service that a change is about.
+//! The parts of the service that a change affects.
 
 use super::{OperatorContext, Operators};
 use coppersail::interface::{HostId, SliceId};
@@ -7,7 +7,7 @@
 use coppersail_operator_config::Field;
 
 impl Operators {
-    /// The hosts, slices and routes that a change is about, by the tables before it.
+    /// The hosts, slices and routes that a change affects, according to the tables before it.
     pub(super) fn change_scope(&self, number: Version, context: &OperatorContext) -> ChangeScope {
         let mut scope = ChangeScope::default();
         let Some(change) = self.change_log.change(number) else { return scope };
--- a/crates/director/service/src/reducer/operators/shutdowns.rs
+++ b/crates/director/service/src/reducer/operators/shutdowns.rs
@@ -8,9 +8,10 @@
 use coppersail_settings::Names;
 use std::collections::BTreeSet;
 
-/// An announced shutdown of a host that is known.
+/// An announced shutdown of a known host.
 struct Shutdown {
     host: HostId,
+    /// In seconds since the start.
     at: f64,
 }
 
@@ -25,7 +26,7 @@
         ShutdownPhase::of(now, shutdown.at, self.started_at(shutdown.host))
     }
 
-    /// Hosts whose announced time has come give up their slices, and may serve again when it is over.
+    /// Updates which hosts have to give up their slices: those whose announced shutdown is near, until it is over.
     pub(super) fn update_announced_shutdowns(
         &mut self,
         now: f64,
@@ -54,7 +55,7 @@
         self.overrides_outdated = true;
     }
 
-    /// Announced shutdowns for which the capacity guard has to plan.
+    /// Announced shutdowns that are not over, for which the capacity guard has to plan.
     pub(in super::super) fn pending_shutdowns(&self, now: f64, names: &Names) -> Vec<PendingEvent> {
         let mut pending = Vec::new();
         for shutdown in self.announced_shutdowns(names) {
--- a/crates/director/service/src/reducer/operators/submissions.rs
+++ b/crates/director/service/src/reducer/operators/submissions.rs
@@ -1,4 +1,4 @@
-//! Changes that come with the operators' file.
+//! Changes that are made in the operators' file.
 
 use super::{OperatorContext, Operators};
 use crate::reducer::event::FileError;
@@ -7,7 +7,7 @@
 use coppersail_operator_config::{difference, OperatorFile};
 
 impl Operators {
-    /// The file was read: what differs from when it was last taken is submitted as a change.
+    /// The file was read: the differences from its last accepted content are submitted as a change.
     pub(super) fn submit_file(
         &mut self,
         now: f64,
@@ -19,7 +19,7 @@
             Ok(operator_file) => operator_file,
             Err(error) => {
                 outbox.counters.configurations_bad += 1;
-                outbox.warn(format!("operators' file: all stays as it was, {error}"));
+                outbox.warn(format!("operators' file: not applied: {error}"));
                 return;
             }
         };
@@ -37,7 +37,7 @@
         };
         if let Err(refusal) = self.submit(now, submission, context, outbox) {
             outbox.counters.configurations_bad += 1;
-            outbox.warn(format!("operators' file: not taken, {refusal}"));
+            outbox.warn(format!("operators' file: change refused: {refusal}"));
         }
     }
 
@@ -50,8 +50,8 @@
     ) -> Result<(), Refusal> {
         let pool = self.host_pool(now, context);
         let wall_time = self.wall_time(now);
-        let (_, actions) = self.change_log.submit(now, wall_time, submission, &self.known, &pool)?;
-        self.carry_out(now, actions, context, outbox);
+        let (_, effects) = self.change_log.submit(now, wall_time, submission, &self.known, &pool)?;
+        self.carry_out(now, effects, context, outbox);
         Ok(())
     }
 }
--- a/crates/director/service/src/reducer/operators/trials.rs
+++ b/crates/director/service/src/reducer/operators/trials.rs
@@ -1,4 +1,5 @@
-//! Trials of changes: when a change has reached the relay, what the analysis finds, and what becomes due.
+//! Trials of changes: detects when a change has reached the relay, reports the findings of the analysis, and runs the
+//! change log's ticks.
 
 use super::{OperatorContext, Operators};
 use crate::reducer::outbox::Outbox;
@@ -8,14 +9,14 @@
 use coppersail_settings::Names;
 use std::collections::BTreeSet;
 
-/// Without a newly ordered weight for so long, the orders that a change makes are taken to be complete...
+/// The orders that a change causes are taken to be complete once no weight was ordered for this long.
 const QUIET_PERIOD_S: f64 = 1.0;
-/// ...or so long after it was given to the decisions, as balancing may go on by itself. A large change takes the
-/// channel some rounds.
+/// They are taken to be complete at the latest this long after the change was given to the decisions, since load
+/// balancing may order weights all the time. A large change takes several rounds of messages.
 const MAX_APPLY_S: f64 = 10.0;
 
 impl Operators {
-    /// Closes the analysis' period if it is over, and reports harm that was found.
+    /// Ends the analysis' period if it is over, and reports the harm that was found.
     pub(super) fn poll_analysis(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
         if now < self.analysis.period_ends_at() {
             return;
@@ -28,12 +29,12 @@
             let pool = self.host_pool(now, context);
             let description = (describe(&finding, context.names), finding.is_uncertain());
             let wall_time = self.wall_time(now);
-            let actions = self.change_log.report_harm(now, wall_time, Version(number), description, &pool);
-            self.carry_out(now, actions, context, outbox);
+            let effects = self.change_log.report_harm(now, wall_time, Version(number), description, &pool);
+            self.carry_out(now, effects, context, outbox);
         }
     }
 
-    /// Lets the change log do what has become due.
+    /// Runs a tick of the change log, which does what has become due.
     pub(super) fn tick(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
         self.poll_applying(now, context, outbox);
         let wall_time = self.wall_time(now);
@@ -53,15 +54,15 @@
             has_recovered: number
                 .is_some_and(|number| is_enabled && analysis.has_recovered(TrialId(number.0))),
         };
-        let actions = self.change_log.tick(now, wall_time, &pool, &ready);
-        self.carry_out(now, actions, context, outbox);
+        let effects = self.change_log.tick(now, wall_time, &pool, &ready);
+        self.carry_out(now, effects, context, outbox);
     }
 
     fn is_analysis_enabled(&self) -> bool {
         self.change_log.document().get(&Field::Analysis) != Some(&Value::Flag(false))
     }
 
-    /// Tells the change log once the orders of the change that was given last are complete and acknowledged.
+    /// Tells the change log when the orders of the change that is being applied are complete and acknowledged.
     fn poll_applying(&mut self, now: f64, context: &OperatorContext, outbox: &mut Outbox) {
         let Some(applying) = &self.applying else { return };
         let is_complete =
@@ -71,8 +72,8 @@
         }
         let Some(applying) = self.applying.take() else { return };
         self.analysis.extend_scope(TrialId(applying.version.0), applying.slices);
-        let actions = self.change_log.applied(now, self.wall_time(now), applying.version);
-        self.carry_out(now, actions, context, outbox);
+        let effects = self.change_log.applied(now, self.wall_time(now), applying.version);
+        self.carry_out(now, effects, context, outbox);
     }
 }
 
--- a/crates/director/service/src/reducer/plausible_figures.rs
+++ b/crates/director/service/src/reducer/plausible_figures.rs
@@ -1,5 +1,6 @@
-//! Upper limits for the figures of a report, from the settings and from what the proxies ask for. A larger figure is
-//! corrupt: one such count would outweigh a day of sound ones in the measurements, which only halve from time to time.
+//! Upper limits for the figures of a report, derived from the settings and from the request rates that proxies
+//! announce. A larger figure is treated as corrupt: the measurements decay slowly, by halving from time to time, so
+//! one such count would outweigh a day of valid ones.
 
 use super::message_fields::unexpected;
 use super::outbox::Outbox;
@@ -7,21 +8,21 @@
 use coppersail::interface::{Input, LoadReport, Settings};
 use coppersail_protocol::ParseError;
 
-/// Figures are rough, and calls are retried: so many times the expected figure is still plausible.
+/// A figure is plausible up to this multiple of the expected one, since figures are rough and calls are retried.
 const TOLERANCE: f64 = 10.0;
-/// So many calls are always plausible, as a short interval may hold all calls of a longer one.
+/// This many calls are plausible in any interval, as a short interval may contain the calls of a longer one.
 const ALWAYS_PLAUSIBLE_CALLS: f64 = 100.0;
-/// Calls per second that no fleet has, used until a proxy has said how many it has.
+/// More calls per second than any fleet has; used until a proxy has announced its rate.
 const MAX_CALLS_PER_S: f64 = 1e6;
-/// Largest busy share that is plausible: the whole, with the noise of its measurement.
+/// Largest plausible utilisation: all of the capacity, plus measurement noise.
 const MAX_BUSY_SHARE: f64 = 2.0;
 
 /// The limits, and the log of load reports that exceed them.
 pub(super) struct PlausibleFigures {
-    /// Longest mean response time in seconds. Callers give up after the longest time limit, so no mean of answered
-    /// attempts is twice that.
+    /// Largest plausible mean response time, in seconds. Callers give up after their time limit, so the mean over
+    /// answered attempts stays below twice the longest limit.
     max_response_time: f64,
-    /// Most calls per second that the joined proxies together have been said to have; 0 if none has joined yet.
+    /// Highest total request rate, in calls per second, that the joined proxies have announced; 0 before the first.
     calls_per_s: f64,
     log: RateLimitedLog,
 }
@@ -33,7 +34,7 @@
         PlausibleFigures { max_response_time, calls_per_s: 0.0, log: RateLimitedLog::default() }
     }
 
-    /// A proxy has joined; `joined` are the joining inputs of all proxies that are connected now.
+    /// A proxy has joined; `joined` are the `ProxyJoined` inputs of all proxies that are connected now.
     pub(super) fn proxies_joined<'a>(&mut self, joined: impl Iterator<Item = &'a Input>) {
         let calls_per_s = joined.map(|input| match input {
             Input::ProxyJoined { requests_per_s: calls_per_s, .. } => *calls_per_s,
@@ -48,7 +49,7 @@
         Ok(seconds)
     }
 
-    /// Checks the numbers of calls, and of dropped ones among them, in an interval of `span` seconds.
+    /// Checks the number of calls, and of dropped ones among them, in an interval of `window` seconds.
     pub(super) fn calls(&self, calls: u64, dropped: u64, window: f64) -> Result<(), ParseError> {
         let calls_per_s = if self.calls_per_s > 0.0 { self.calls_per_s } else { MAX_CALLS_PER_S };
         let max = TOLERANCE * calls_per_s * window + ALWAYS_PLAUSIBLE_CALLS;
@@ -56,8 +57,9 @@
         at_most(dropped as f64, max, "bad")
     }
 
-    /// The plausible figures of a load report; `unreadable` others are counted with those that are not. A host goes on
-    /// with calls whose callers have given up, so its service times may be far longer than theirs.
+    /// Returns the plausible figures of a load report and counts the others, including `unreadable` ones that could
+    /// not be parsed. A host continues to work on calls whose callers have given up, so its service times may far
+    /// exceed the callers' time limits.
     pub(super) fn load(
         &mut self,
         now: f64,
@@ -81,7 +83,7 @@
         };
         if ignored > 0 {
             outbox.counters.load_figures_odd += ignored;
-            self.log.warn(now, format!("load report: {ignored} figures passed over"), outbox);
+            self.log.warn(now, format!("load report: {ignored} figures ignored"), outbox);
         }
         load
     }
--- a/crates/director/service/src/reducer/rate_limited_log.rs
+++ b/crates/director/service/src/reducer/rate_limited_log.rs
@@ -1,8 +1,8 @@
-//! Log lines of a kind that may come in floods.
+//! Rate limit for log lines that may occur in floods.
 
 use super::outbox::Outbox;
 
-/// Shortest time between two lines, in seconds.
+/// Minimum time between two lines, in seconds.
 const MIN_INTERVAL_S: f64 = 1.0;
 
 /// Logs at most one line per interval; the next line says how many were suppressed.
@@ -22,7 +22,7 @@
         self.next_line_at = now + MIN_INTERVAL_S;
         match std::mem::take(&mut self.suppressed) {
             0 => outbox.warn(text),
-            suppressed => outbox.warn(format!("{text}; {suppressed} more like it before")),
+            suppressed => outbox.warn(format!("{text}; {suppressed} similar warnings suppressed before")),
         }
     }
 }
--- a/crates/director/service/src/reducer/relay_calls/answers.rs
+++ b/crates/director/service/src/reducer/relay_calls/answers.rs
@@ -1,4 +1,4 @@
-//! What an answer of the relay says of the call in flight.
+//! Handles the relay's answers to the call in flight.
 
 use super::order::RelayOrder;
 use super::{RelayCalls, RECONNECT_DELAY_S};
@@ -10,7 +10,7 @@
 use tracing::Level;
 
 impl RelayCalls {
-    /// Handles an answer and returns the orders that are in force by it.
+    /// Handles an answer and returns the orders that the relay has accepted.
     pub(crate) fn answer(
         &mut self,
         now: f64,
@@ -19,13 +19,13 @@
         outbox: &mut Outbox,
     ) -> Vec<RelayOrder> {
         if !self.connections.is_open(link) {
-            // Nothing was asked for on the connection to the relay's new address.
-            self.connection_down(now, link, "an answer out of turn", outbox);
+            // No call was sent on this connection, which leads to the relay's new address.
+            self.connection_down(now, link, "unexpected answer", outbox);
             return Vec::new();
         }
         if self.answer_deadline.is_none() || self.queue.is_empty() {
-            // An answer that nothing was asked for: the next one could not be told from it.
-            outbox.warn("relay: an answer out of turn".to_string());
+            // No call is in flight, so the answer could be mistaken for the next call's.
+            outbox.warn("relay: unexpected answer".to_string());
             self.connections.close_current(outbox);
             return Vec::new();
         }
@@ -45,20 +45,21 @@
                 Vec::new()
             }
             Answer::Applied(_) | Answer::Unreadable => {
-                self.retry(now, "its answer cannot be read", outbox);
+                self.retry(now, "its answer is unreadable", outbox);
                 Vec::new()
             }
         }
     }
 
-    /// The relay has accepted the first orders of the call, and stopped at one that it cannot use if that is not all.
+    /// The relay has accepted the first `accepted` orders of the call and, if there are more, rejected the next one
+    /// and ignored the rest.
     fn accepted(&mut self, now: f64, link: LinkId, accepted: usize, outbox: &mut Outbox) -> Vec<RelayOrder> {
         outbox.counters.calls_answered += 1;
         outbox.counters.orders_taken += accepted as u64;
         let mut in_force = std::mem::take(&mut self.queue[0]);
         let mut rest = in_force.split_off(accepted);
-        // What follows a rejected order is sound. A corrupt answer may say the same of an order that was accepted, so
-        // the order goes out once more, with the rest, before it is dropped.
+        // The orders after a rejected one may be valid. The answer may also be corrupt and the order not rejected, so
+        // it is sent once more, with the rest, before it is dropped.
         if accepted == 0 && self.rejected_once && !rest.is_empty() {
             outbox.counters.orders_refused += 1;
             let rejected = rest.remove(0).text;
@@ -76,26 +77,26 @@
         in_force
     }
 
-    /// The relay says that the call is not valid. It is repeated once, as the answer may be corrupt; then it is
-    /// dropped, as it would be rejected for ever and block all calls behind it.
+    /// The relay answers that the call is invalid. The call is repeated once, as the answer may be corrupt, and then
+    /// dropped, as it would be rejected each time and block all later calls.
     fn invalid(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
         if !self.rejected_once {
             self.rejected_once = true;
-            self.retry(now, "it is not valid, as its answer is read", outbox);
+            self.retry(now, "the relay answered that it is invalid", outbox);
             return;
         }
         self.rejected_once = false;
         outbox.counters.calls_invalid += 1;
-        let text = "relay: call dropped, not valid".to_string();
+        let text = "relay: call dropped: the relay answered twice that it is invalid".to_string();
         outbox.effects.push(Effect::Log(Level::ERROR, None, text));
         self.queue.pop_front();
         self.outcome_known(now, link, outbox);
     }
 
-    /// It is known what became of the first call.
+    /// The outcome of the first call is known.
     fn outcome_known(&mut self, now: f64, link: LinkId, outbox: &mut Outbox) {
         if self.retries > 1 {
-            outbox.warn(format!("relay: call settled after {} repeats", self.retries));
+            outbox.warn(format!("relay: outcome of the call known after {} repeats", self.retries));
         }
         self.answer_deadline = None;
         self.retries = 0;
--- a/crates/director/service/src/reducer/relay_calls/connections.rs
+++ b/crates/director/service/src/reducer/relay_calls/connections.rs
@@ -1,4 +1,5 @@
-//! The connections to the relay that calls go out on: one in use and, while the relay moves, one to its new address.
+//! The connections on which calls are sent to the relay: one in use and, while the relay moves to another address,
+//! one to the new address.
 
 use crate::reducer::effect::Effect;
 use crate::reducer::ids::LinkId;
@@ -36,7 +37,7 @@
     /// The relay's current address.
     address: SocketAddr,
     current: Connection,
-    /// To `address`; replaces `current` once it is open and no call is in flight.
+    /// A connection to `address` that replaces `current` once it is open and no call is in flight.
     successor: Option<Connection>,
     /// When a successor that could not connect is dialled again.
     redial_at: f64,
@@ -63,7 +64,7 @@
         self.current.is(id)
     }
 
-    /// The connection in use is established to this id.
+    /// Whether this is the connection in use, and it is established.
     pub(super) fn is_open(&self, id: LinkId) -> bool {
         matches!(self.current, Connection::Open { link, .. } if link == id)
     }
@@ -105,8 +106,8 @@
         self.redial_at = redial_at;
     }
 
-    /// The relay has another address from now on. A call in flight is answered where it went, as long as that
-    /// serves.
+    /// Sets a new address of the relay. A call in flight is still answered on the connection on which it was sent,
+    /// unless that breaks.
     pub(super) fn set_address(&mut self, address: SocketAddr, outbox: &mut Outbox) {
         if self.address == address {
             return;
--- a/crates/director/service/src/reducer/relay_calls/mod.rs
+++ b/crates/director/service/src/reducer/relay_calls/mod.rs
@@ -1,5 +1,6 @@
-//! The ordered queue of calls to the relay. A call goes out when the one before it is acknowledged: answered, or
-//! repeated until it is. Repeating is safe, as every order sets a state; it only costs the proxies further lines.
+//! The ordered queue of calls to the relay. A call is sent once the previous one is answered; a call without an
+//! answer is repeated until it has one. Repeating is safe, as every order is idempotent; it only sends further lines
+//! to the proxies.
 
 mod answers;
 mod connections;
@@ -17,33 +18,33 @@
 use std::collections::{BTreeSet, VecDeque};
 use std::net::SocketAddr;
 
-/// The relay answers within 50 ms or never; twice that, as the director's own machine may be slow.
+/// The relay answers within 50 ms or never; the timeout is twice that, as the director's own machine may be slow.
 const ANSWER_TIMEOUT_S: f64 = 0.1;
-/// The relay closes idle connections after some seconds; one that has been idle for this long is not trusted with a
-/// call.
+/// A connection that was idle for this long is replaced before the next call, since the relay closes idle connections
+/// after some seconds.
 const MAX_IDLE_S: f64 = 1.0;
-/// Between attempts to reach a relay that cannot be reached, or that throttles.
+/// Delay before a relay that is unreachable, or that has throttled a call, is tried again.
 const RECONNECT_DELAY_S: f64 = 0.1;
-/// Before a call's second repeat, and more before each further one: a silent relay may still hold every connection
-/// that was given up, and it accepts few.
+/// Backoff before a call's second repeat; it grows with each further one. A relay that does not respond may still
+/// hold every connection that was closed here, and it accepts only a few.
 const RETRY_BACKOFF_S: f64 = 0.05;
 /// Longest backoff between two repeats of a call.
 const MAX_RETRY_BACKOFF_S: f64 = 0.4;
-/// Before the decisions are asked again whether a call may go; they decide ten times a second.
+/// Interval between checks of whether the channel has capacity for a call; the decisions run ten times a second.
 const CAPACITY_POLL_S: f64 = 0.05;
-/// The relay's state is known within about a second of a dial. A relay that takes calls but sends no updates is
-/// written to all the same after this.
+/// The relay's state is known within about a second of connecting. After this time, calls are sent without it, in
+/// case the relay accepts calls but sends no updates.
 const MAX_WAIT_FOR_STATE_S: f64 = 1.5;
-/// Queued calls beyond which they are merged to one, which names each target once.
+/// If more calls than this are queued, they are merged into one that has each target only once.
 const MAX_QUEUED_CALLS: usize = 16;
 
-/// A call that is about to be written, as the decisions need it to say how many of its orders may go.
+/// A call that is about to be written; the decisions determine how many of its orders may be sent.
 pub(super) struct WriteRequest {
     /// Number of orders in the call.
     pub(super) orders: usize,
     /// The call may have been written before.
     pub(super) is_retry: bool,
-    /// Proxies may have joined of which the relay has not told yet.
+    /// Proxies may have joined that the relay has not reported yet.
     pub(super) proxies_unknown: bool,
 }
 
@@ -51,20 +52,20 @@
 pub(super) struct RelayCalls {
     queue: VecDeque<Vec<RelayOrder>>,
     connections: RelayConnections,
-    /// The first call is in flight, and its answer is due by then.
+    /// While the first call is in flight: when its answer times out.
     answer_deadline: Option<f64>,
-    /// Nothing is written before.
+    /// No call is written before this time.
     earliest_write: f64,
-    /// Nor before this, while the relay's state is not known.
+    /// While the relay's state is unknown: no call is written before this time.
     wait_for_state_until: Option<f64>,
     /// How often the first call has been repeated.
     retries: u32,
-    /// An answer rejected the first order, or the whole call, once. The answer may have been corrupt, so the same is
-    /// asked again before it is believed.
+    /// An answer has rejected the first order, or the whole call, once. The answer may have been corrupt, so the same
+    /// is sent again before the rejection is accepted.
     rejected_once: bool,
     /// The first call waits for capacity of the channel to the proxies.
     waits_for_capacity: bool,
-    /// Proxies may have joined of which the relay has not told yet.
+    /// Proxies may have joined that the relay has not reported yet.
     pub(super) proxies_unknown: bool,
     /// When the first call was last written.
     pub(super) sent_at: f64,
@@ -86,8 +87,8 @@
         }
     }
 
-    /// Queues orders that were given together as one call, or as several if it would be too long. Neighbouring orders
-    /// of one slice stay in one call: a proxy must never hold half of what a table becomes.
+    /// Queues orders that were given together as one call, or as several if it would be too long. Adjacent orders of
+    /// one slice stay in one call, so that no proxy holds a partly changed table.
     pub(super) fn enqueue(&mut self, orders: Vec<RelayOrder>) {
         let mut bytes = 0;
         let mut call: Vec<RelayOrder> = Vec::new();
@@ -97,7 +98,7 @@
                 self.queue.push_back(std::mem::take(&mut call));
                 bytes = 0;
             }
-            // No table is so long that it fills a call alone; should one be, it is cut, as it could never go out.
+            // Tables are shorter than a call. If one is not, it is split, as it could never be sent otherwise.
             for order in group {
                 if bytes + order.encoded_len() > relay::MAX_CALL_BYTES {
                     self.queue.push_back(std::mem::take(&mut call));
@@ -112,7 +113,8 @@
         }
     }
 
-    /// Merges what waits to one call. A call that is not acknowledged stays as it is: nothing later goes out with it.
+    /// Merges the queued calls into one. An unacknowledged call stays separate, as no later order may be sent with
+    /// it.
     fn merge_queue(&mut self, outbox: &mut Outbox) {
         let unacknowledged = if self.is_first_unacknowledged() { self.queue.pop_front() } else { None };
         let merged = merge(self.queue.drain(..).flatten().collect());
@@ -121,8 +123,8 @@
         outbox.counters.calls_merged += 1;
     }
 
-    /// Removes queued orders for a slice that was assigned anew or revoked: they were decided on a table that is no
-    /// more. A weight written now would stand in the new table without the decisions knowing.
+    /// Removes queued orders for a slice that was assigned again or revoked, as they refer to a table that no longer
+    /// exists. A weight written now would be in the new table without the decisions knowing of it.
     pub(super) fn discard_slice(&mut self, slice: SliceId) {
         let in_flight = self.answer_deadline.is_some() as usize;
         for call in self.queue.iter_mut().skip(in_flight) {
@@ -135,14 +137,14 @@
         self.queue.retain(|call| !call.is_empty());
     }
 
-    /// Whether the relay's state is known. While it is not, what is queued may have been decided on tables that are no
-    /// more, so it waits for the state. It goes out all the same after a while, and again so long after each call that
-    /// was lost.
+    /// Sets whether the relay's state is known. While it is not, queued calls may refer to tables that no longer
+    /// exist, so they wait for the state, for at most `MAX_WAIT_FOR_STATE_S`. The wait starts again after each call
+    /// that was lost.
     pub(super) fn set_relay_state_known(&mut self, now: f64, known: bool) {
         self.wait_for_state_until = if known { None } else { Some(now + MAX_WAIT_FOR_STATE_S) };
     }
 
-    /// The slices of which the unacknowledged call sets weights.
+    /// The slices whose tables the unacknowledged call changes.
     pub(super) fn slices_in_flight(&self) -> BTreeSet<SliceId> {
         match self.queue.front() {
             Some(call) if self.is_first_unacknowledged() => {
@@ -165,7 +167,7 @@
         })
     }
 
-    /// Writes the next call if one may go. `writable` says how many of its orders may be written now.
+    /// Writes the next call if that is possible. `writable` returns how many of its orders may be written now.
     pub(super) fn poll(&mut self, now: f64, writable: impl Fn(WriteRequest) -> usize, outbox: &mut Outbox) {
         if self.answer_deadline.is_some_and(|deadline| now >= deadline) {
             self.retry(now, "no answer in time", outbox);
@@ -178,8 +180,9 @@
         if self.answer_deadline.is_some() || now < self.write_time() {
             return;
         }
-        // A repeat may find its first copy in the channel, and more proxies than when it was decided: the decisions
-        // say what still keeps to the backlog, as they estimate what waits there.
+        // The first copy of a repeated call may still be in the channel, and more proxies may have joined since the
+        // call was decided. The decisions estimate the channel's queue and return how many orders keep it within the
+        // backlog.
         let request = WriteRequest {
             orders: call.len(),
             is_retry: self.is_first_unacknowledged(),
@@ -211,15 +214,12 @@
             outbox.counters.calls_cut += 1;
         }
         let call = &self.queue[0];
-        let mark = call.iter().find_map(|order| match order.target {
-            OrderTarget::Mark(mark) => Some(mark),
+        let round = call.iter().find_map(|order| match order.target {
+            OrderTarget::Round(round) => Some(round),
             _ => None,
         });
-        let written = RelayCallEvent::Sent {
-            round: mark,
-            orders: call.len(),
-            unannounced_proxies: self.proxies_unknown,
-        };
+        let written =
+            RelayCallEvent::Sent { round, orders: call.len(), unannounced_proxies: self.proxies_unknown };
         outbox.inputs.push(Input::RelayCall(written));
         self.answer_deadline = Some(now + ANSWER_TIMEOUT_S);
         self.sent_at = now;
@@ -228,22 +228,23 @@
         outbox.effects.push(Effect::SendToRelay(link, bytes));
     }
 
-    /// Splits the first call so that it has at most `max_orders` orders, if possible not within neighbouring orders of
-    /// one slice. Each part gets the mark, as receipts show what has passed. False if the call is short enough.
+    /// Splits the first call so that it has at most `max_orders` orders, if possible not between adjacent orders of
+    /// one slice. Each part ends the round, since its acknowledgements show which messages have passed the channel.
+    /// Returns false if the call is short enough.
     fn split_first(&mut self, max_orders: usize) -> bool {
         let call = &mut self.queue[0];
         if max_orders >= call.len() {
             return false;
         }
-        let mark = call.iter().find(|order| matches!(order.target, OrderTarget::Mark(_))).cloned();
-        let max_orders = max_orders.saturating_sub(mark.is_some() as usize).max(1);
+        let round = call.iter().find(|order| matches!(order.target, OrderTarget::Round(_))).cloned();
+        let max_orders = max_orders.saturating_sub(round.is_some() as usize).max(1);
         let splits_slice = |at: &usize| {
             let slice = call[*at].slice();
             slice.is_some() && slice == call[*at - 1].slice()
         };
         let at = (1..=max_orders).rev().find(|at| !splits_slice(at)).unwrap_or(max_orders);
         let rest = call.split_off(at);
-        call.extend(mark);
+        call.extend(round);
         self.queue.insert(1, rest);
         true
     }
@@ -253,7 +254,7 @@
         self.earliest_write.max(self.wait_for_state_until.unwrap_or(0.0))
     }
 
-    /// The relay has another address from now on.
+    /// Sets a new address of the relay.
     pub(super) fn set_address(&mut self, address: SocketAddr, outbox: &mut Outbox) {
         self.connections.set_address(address, outbox);
     }
@@ -276,25 +277,25 @@
             self.retry(now, reason, outbox);
             return;
         }
-        // An idle connection may end; one that could not be established is tried again after a delay.
+        // The end of an idle connection needs no delay; one that could not be established is retried after a delay.
         if matches!(self.connections.current(), Connection::Connecting(_)) {
             self.earliest_write = now + RECONNECT_DELAY_S;
         }
         self.connections.close_current(outbox);
     }
 
-    /// The first call was written, and it is not known yet whether it was carried out.
+    /// The first call was written, and its outcome is not known yet.
     fn is_first_unacknowledged(&self) -> bool {
         self.answer_deadline.is_some() || self.retries > 0 || self.rejected_once
     }
 
-    /// It cannot be known whether the first call was carried out. It goes out again before anything else, on a new
-    /// connection, as a late answer on the old one would be taken for the next call's.
+    /// Has the first call sent again, because its outcome cannot be known. It is sent before any other call and on a
+    /// new connection, as a late answer on the old one would be mistaken for the next call's.
     fn retry(&mut self, now: f64, reason: &str, outbox: &mut Outbox) {
         outbox.counters.calls_repeated += 1;
-        // One log line for a call, however long the relay stays away.
+        // Only one log line per call, however long the relay is unreachable.
         if self.retries == 0 {
-            outbox.warn(format!("relay: call repeated, {reason}"));
+            outbox.warn(format!("relay: call repeated: {reason}"));
         }
         let backoff = RETRY_BACKOFF_S * f64::from(self.retries) * f64::from(self.retries);
         self.retries += 1;
@@ -306,7 +307,7 @@
         self.connections.close_current(outbox);
     }
 
-    /// When `poll` may have something to do by itself; infinity if never.
+    /// When `poll` next has something to do without a further event; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let is_connecting = matches!(self.connections.current(), Connection::Connecting(_));
         let next_call = match self.answer_deadline {
--- a/crates/director/service/src/reducer/relay_calls/order.rs
+++ b/crates/director/service/src/reducer/relay_calls/order.rs
@@ -1,9 +1,9 @@
-//! Orders as they stand in calls.
+//! Encoded orders in calls to the relay.
 
 use coppersail::interface::{HostId, RoundId, RouteId, SliceId};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an order sets: of two orders with the same target the later one stands.
+/// The state that an order sets. Of two orders with the same target, the later one takes effect.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) enum OrderTarget {
     /// The weight of a host in a slice's table.
@@ -14,27 +14,27 @@
     Withdraw(HostId),
     /// The admission limit and retry policy of these routes, in one slice or everywhere.
     Admit(Option<SliceId>, Vec<RouteId>),
-    /// A mark whose receipt proxies acknowledge.
-    Mark(RoundId),
+    /// The end of a round, which proxies acknowledge.
+    Round(RoundId),
 }
 
 impl OrderTarget {
-    /// Orders with the same key are merged; the last mark stands for all.
+    /// Of orders with the same key only the last is kept when calls are merged. All ends of rounds have the same key.
     fn merge_key(&self) -> OrderTarget {
         match self {
-            OrderTarget::Mark(_) => OrderTarget::Mark(RoundId(0)),
+            OrderTarget::Round(_) => OrderTarget::Round(RoundId(0)),
             target => target.clone(),
         }
     }
 }
 
-/// An order as it stands in a call.
+/// An encoded order.
 #[derive(Clone, Debug, PartialEq)]
 pub(crate) struct RelayOrder {
     pub(crate) target: OrderTarget,
     /// The weight that is set, 0 for other targets.
     pub(crate) weight: f64,
-    /// The order as the relay takes it, without a separator.
+    /// The order's text in a call, without a separator.
     pub(crate) text: String,
 }
 
@@ -47,7 +47,7 @@
         }
     }
 
-    /// The slice that the order is about: it changes its table or its limits.
+    /// The slice whose table or admission limits the order changes.
     pub(crate) fn affected_slice(&self) -> Option<SliceId> {
         match self.target {
             OrderTarget::Weight(slice, _) | OrderTarget::Clear(slice) => Some(slice),
@@ -56,13 +56,13 @@
         }
     }
 
-    /// Bytes of the order in a call, with its separator.
+    /// Length of the order in a call in bytes, with its separator.
     pub(crate) fn encoded_len(&self) -> usize {
         self.text.len() + 1
     }
 }
 
-/// The last order for each target, in the order in which they were given.
+/// Returns the last order for each target, in the order in which they were given.
 pub(crate) fn merge(orders: Vec<RelayOrder>) -> Vec<RelayOrder> {
     let mut seen = BTreeSet::new();
     let mut merged = Vec::new();
@@ -75,8 +75,9 @@
     merged
 }
 
-/// Moves the orders of each slice to where the first of them stands, new weights before those that are removed. The
-/// part of a call that goes out first then never leaves a table with the old hosts gone and the new ones not there yet.
+/// Moves the orders of each slice to the position of the first of them, with weights that are set before those that
+/// are removed. If a call is split, its first part then never removes old hosts from a table without adding the new
+/// ones.
 pub(crate) fn group_by_slice(orders: Vec<RelayOrder>) -> Vec<RelayOrder> {
     let mut groups: Vec<Vec<RelayOrder>> = Vec::new();
     let mut group_of_slice: BTreeMap<SliceId, usize> = BTreeMap::new();
@@ -93,7 +94,7 @@
         }
     }
     for group in &mut groups {
-        // A table that is cleared is cleared first.
+        // The order that clears a table comes first.
         group.sort_by_key(|order| (!matches!(order.target, OrderTarget::Clear(_)), order.weight <= 0.0));
     }
     groups.into_iter().flatten().collect()
--- a/crates/director/service/src/reducer/relay_lines.rs
+++ b/crates/director/service/src/reducer/relay_lines.rs
@@ -20,7 +20,7 @@
     }
 
     fn handle_call_answer(&mut self, now: f64, link: LinkId, line: FramedLine) {
-        // A line that is too long is an answer that cannot be read.
+        // A line that is too long counts as an unreadable answer.
         let line = match line {
             FramedLine::Line(line) => line,
             FramedLine::TooLong => Vec::new(),
@@ -29,8 +29,8 @@
         for order in self.calls.answer(now, link, &line, &mut self.outbox) {
             match order.target {
                 OrderTarget::Weight(slice, host) => {
-                    // If the slice was assigned anew while the call was in flight, the weight is now in a table for
-                    // which it was not meant, and the decisions have to know.
+                    // If the slice was assigned again while the call was in flight, the weight may have been written
+                    // to the new table, so it is reported to the decisions.
                     let reassigned = self.subscription.assigned_at(slice).is_some_and(|at| at > sent_at);
                     if reassigned && order.weight > 0.0 {
                         self.outbox.inputs.push(weight_input(slice, host, order.weight));
@@ -38,7 +38,7 @@
                     self.subscription.weight_written(slice, host, order.weight);
                 }
                 OrderTarget::Clear(slice) => self.subscription.weights_cleared(slice),
-                OrderTarget::Withdraw(_) | OrderTarget::Admit(..) | OrderTarget::Mark(_) => {}
+                OrderTarget::Withdraw(_) | OrderTarget::Admit(..) | OrderTarget::Round(_) => {}
             }
         }
     }
@@ -49,37 +49,37 @@
             FramedLine::Line(line) => RelayEvent::parse(line),
             FramedLine::TooLong => Err(ParseError::UnterminatedLine),
         };
-        let news = match parsed {
-            Ok(news) => news,
+        let event = match parsed {
+            Ok(event) => event,
             Err(fault) => {
-                // The rest of the stream cannot be relied on either; a new connection starts with the whole state.
+                // The rest of the stream may be corrupt as well; a new connection starts with a complete snapshot.
                 self.outbox.counters.news_bad += 1;
                 self.subscription.connection_down(now, link, &fault.to_string(), &mut self.outbox);
                 return;
             }
         };
-        match self.resolve_update(news) {
+        match self.resolve_update(event) {
             Ok(update) => self.subscription.apply(now, link, update, &mut self.outbox),
             Err(fault) => {
                 self.outbox.counters.news_bad += 1;
-                self.outbox.warn(format!("relay: news passed over, {fault}"));
+                self.outbox.warn(format!("relay: update ignored: {fault}"));
             }
         }
     }
 
-    fn resolve_update(&mut self, news: RelayEvent<'_>) -> Result<RelayUpdate, ParseError> {
+    fn resolve_update(&mut self, event: RelayEvent<'_>) -> Result<RelayUpdate, ParseError> {
         let ids = &self.id_ranges;
-        Ok(match news {
+        Ok(match event {
             RelayEvent::Start => RelayUpdate::SnapshotStart,
             RelayEvent::Heartbeat => RelayUpdate::KeepAlive,
-            RelayEvent::ProxyJoined { proxy, zone, requests_per_s: calls_per_s, without_tables: fresh } => {
+            RelayEvent::ProxyJoined { proxy, zone, requests_per_s, without_tables } => {
                 let proxy = ids.proxy(proxy)?;
                 let zone = resolved("az", self.names.zone(zone))?;
-                RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh }
+                RelayUpdate::ProxyJoined { proxy, zone, requests_per_s, without_tables }
             }
             RelayEvent::ProxyLeft { proxy } => RelayUpdate::ProxyLeft(ids.proxy(proxy)?),
-            RelayEvent::RoundAcknowledged { proxy, round: mark, latency: took } => {
-                RelayUpdate::Applied { proxy: ids.proxy(proxy)?, mark: RoundId(mark), took }
+            RelayEvent::RoundAcknowledged { proxy, round, latency } => {
+                RelayUpdate::RoundAcknowledged { proxy: ids.proxy(proxy)?, round: RoundId(round), latency }
             }
             RelayEvent::SliceAssigned { slice } => RelayUpdate::SliceAssigned(ids.slice(slice)?),
             RelayEvent::SliceRevoked { slice } => RelayUpdate::SliceRevoked(ids.slice(slice)?),
--- a/crates/director/service/src/reducer/relay_orders.rs
+++ b/crates/director/service/src/reducer/relay_orders.rs
@@ -1,4 +1,4 @@
-//! Orders of the decisions in the form that the relay takes.
+//! Encodes orders of the decisions for calls to the relay.
 
 use super::relay_calls::{OrderTarget, RelayOrder};
 use super::Reducer;
@@ -6,7 +6,7 @@
 use coppersail_protocol::relay;
 
 impl Reducer {
-    /// The order as it stands in a call; none if it is not for the relay.
+    /// Encodes an order; `None` if it is not for the relay.
     pub(super) fn relay_order(&self, order: Order) -> Option<RelayOrder> {
         match order {
             Order::SetWeight { slice, host, weight } => Some(self.weight_order(slice, host, weight)),
@@ -14,14 +14,14 @@
                 let text = relay::Order::ClearTable { slice: slice.0 }.to_text();
                 Some(RelayOrder { target: OrderTarget::Clear(slice), weight: 0.0, text })
             }
-            Order::SetWithdrawn { host, withdrawn: out } => Some(self.withdraw_order(host, out)),
+            Order::SetWithdrawn { host, withdrawn } => Some(self.withdraw_order(host, withdrawn)),
             Order::SetAdmission { scope, routes, level, retry } => {
                 Some(self.admit_order(scope, routes, level, retry))
             }
-            Order::RequestAcknowledgement { round: mark, include_idle_proxies: all } => {
-                let text = relay::Order::RequestAcknowledgement { round: mark.0, include_idle_proxies: all }
-                    .to_text();
-                Some(RelayOrder { target: OrderTarget::Mark(mark), weight: 0.0, text })
+            Order::RequestAcknowledgement { round, include_idle_proxies } => {
+                let text =
+                    relay::Order::RequestAcknowledgement { round: round.0, include_idle_proxies }.to_text();
+                Some(RelayOrder { target: OrderTarget::Round(round), weight: 0.0, text })
             }
             _ => None,
         }
@@ -32,10 +32,13 @@
         RelayOrder { target: OrderTarget::Weight(slice, host), weight, text: order.to_text() }
     }
 
-    fn withdraw_order(&self, host: HostId, out: bool) -> RelayOrder {
+    fn withdraw_order(&self, host: HostId, withdrawn: bool) -> RelayOrder {
         let name = self.names.host_name(host);
-        let order =
-            if out { relay::Order::Withdraw { host: name } } else { relay::Order::Restore { host: name } };
+        let order = if withdrawn {
+            relay::Order::Withdraw { host: name }
+        } else {
+            relay::Order::Restore { host: name }
+        };
         RelayOrder { target: OrderTarget::Withdraw(host), weight: 0.0, text: order.to_text() }
     }
 
--- a/crates/director/service/src/reducer/relay_subscription/mod.rs
+++ b/crates/director/service/src/reducer/relay_subscription/mod.rs
@@ -1,5 +1,6 @@
-//! The subscription to the relay's updates, on two streams: one leads, the other stands by with the same knowledge, so
-//! that a break of the first costs nothing. What the leading stream tells goes to the decisions as inputs.
+//! The subscription to the relay's updates on two streams, a primary and a standby. The updates of the primary stream
+//! become inputs of the decisions. The standby tracks the same state, so that no update is lost if the primary
+//! breaks.
 
 mod state;
 mod updates;
@@ -15,15 +16,15 @@
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
 
-/// A keep-alive comes each second; a stream that is silent for so long is given up.
+/// A stream without a line for this long is closed; the relay sends a keep-alive every second.
 const IDLE_TIMEOUT_S: f64 = 1.7;
-/// The timeout is looked at so much later, so that it is certainly over.
+/// Added to the time of the wake-up for a timeout, so that the timeout has certainly passed by then.
 const TIMER_MARGIN_S: f64 = 1e-3;
-/// Between connections that came to nothing.
+/// Delay before connecting again after a stream that was never synchronized.
 const RECONNECT_DELAY_S: f64 = 0.2;
-/// One that leads and one that stands by; the relay accepts 32 of them.
+/// A primary and a standby; the relay accepts 32 of them.
 const MAX_STREAMS: usize = 2;
-/// Two streams tell the same update within this time.
+/// Maximum time between the arrivals of the same update on two streams.
 const MAX_STREAM_SKEW_S: f64 = 0.5;
 
 struct UpdateStream {
@@ -31,25 +32,26 @@
     address: SocketAddr,
     is_connected: bool,
     last_activity: f64,
-    /// The snapshot at its start is complete.
+    /// The initial snapshot is complete.
     is_synchronized: bool,
     state: RelayState,
-    /// Slices that were held before and stand in the snapshot: to be compared once it is complete.
+    /// Slices of the snapshot that were already assigned to this director; their tables are compared with the known
+    /// ones once the snapshot is complete.
     to_compare: BTreeSet<SliceId>,
 }
 
-/// The streams of updates, and what the decisions know by them.
+/// The update streams, and the state that was reported to the decisions.
 pub(super) struct RelaySubscription {
-    /// The relay's current address; streams elsewhere serve until one here is synchronized.
+    /// The relay's current address. Streams to old addresses stay in use until one to this address is synchronized.
     address: SocketAddr,
-    /// The first one leads.
+    /// The first one is the primary.
     streams: Vec<UpdateStream>,
-    /// What the decisions have been told, and the weights that the relay has accepted from this director.
+    /// The state that was reported to the decisions, with the weights that the relay has accepted from this director.
     pub(super) reported: RelayState,
-    /// Slices whose weights are in a call that is not acknowledged: their tables may be old or new.
+    /// Slices whose tables an unacknowledged call changes: the relay may have the old or the new tables.
     pub(super) slices_in_flight: BTreeSet<SliceId>,
     connect_at: f64,
-    /// An outage was logged, and no stream was synchronized since.
+    /// An outage was logged, and no stream has been synchronized since.
     outage_logged: bool,
 }
 
@@ -65,7 +67,8 @@
         }
     }
 
-    /// The relay has another address from now on. Streams that are synchronized serve until one there is.
+    /// Sets a new address of the relay. Synchronized streams stay in use until one to the new address is
+    /// synchronized.
     pub(super) fn set_address(&mut self, now: f64, address: SocketAddr, outbox: &mut Outbox) {
         if self.address == address {
             return;
@@ -75,7 +78,7 @@
         self.close_streams(|stream| stream.address != address && !stream.is_synchronized, outbox);
     }
 
-    /// The only place where streams are closed.
+    /// Closes the selected streams; no other function closes any.
     fn close_streams(&mut self, is_closed: impl Fn(&UpdateStream) -> bool, outbox: &mut Outbox) {
         for stream in self.streams.iter().filter(|stream| is_closed(stream)) {
             outbox.effects.push(Effect::CloseRelay(stream.link));
@@ -84,10 +87,10 @@
     }
 
     /// Whether another stream to the relay's address may be opened. The second one waits until the first is
-    /// synchronized, so that the snapshot is not sent twice at a time.
+    /// synchronized, so that the relay does not send two snapshots at the same time.
     fn may_open_stream(&self) -> bool {
-        let here = || self.streams.iter().filter(|stream| stream.address == self.address);
-        here().count() < MAX_STREAMS && here().all(|stream| stream.is_synchronized)
+        let at_address = || self.streams.iter().filter(|stream| stream.address == self.address);
+        at_address().count() < MAX_STREAMS && at_address().all(|stream| stream.is_synchronized)
     }
 
     pub(super) fn owns(&self, link: LinkId) -> bool {
@@ -98,7 +101,7 @@
         self.streams.iter().position(|stream| stream.link == link)
     }
 
-    /// Gives up silent streams, and opens one that is missing.
+    /// Closes streams that have timed out, and opens a missing one.
     pub(super) fn poll(&mut self, now: f64, outbox: &mut Outbox) {
         let timed_out: Vec<LinkId> = self
             .streams
@@ -107,7 +110,7 @@
             .map(|stream| stream.link)
             .collect();
         for link in timed_out {
-            self.connection_down(now, link, "silent", outbox);
+            self.connection_down(now, link, "no line within the timeout", outbox);
         }
         if self.may_open_stream() && now >= self.connect_at {
             let link = outbox.allocate_link();
@@ -134,7 +137,7 @@
         }
     }
 
-    /// A stream has ended, could not be established, or is given up.
+    /// A stream has ended, could not be established, or is to be closed.
     pub(super) fn connection_down(&mut self, now: f64, link: LinkId, reason: &str, outbox: &mut Outbox) {
         let Some(index) = self.position(link) else { return };
         let was_synchronized = self.streams[index].is_synchronized;
@@ -142,36 +145,37 @@
             outbox.counters.news_lost += 1;
         }
         self.close_streams(|stream| stream.link == link, outbox);
-        // One log line for an outage, however often the relay is dialled in vain.
+        // Only one log line per outage, however often connecting fails.
         if !std::mem::replace(&mut self.outage_logged, true) {
-            outbox.warn(format!("relay: news lost, {reason}"));
+            outbox.warn(format!("relay: update stream lost: {reason}"));
         }
         // A relay that accepts connections only to reset them must not be dialled in a tight loop.
         if !was_synchronized {
             self.connect_at = now + RECONNECT_DELAY_S;
         }
         if index == 0 {
-            // The next stream may have told already of receipts that this one would have told next.
+            // The other stream may already have received acknowledgements that this one had not; they were ignored
+            // there.
             outbox.inputs.push(Input::RelayCall(RelayCallEvent::AcknowledgementsLost));
             self.promote_first(now, outbox);
         }
     }
 
-    /// The first stream leads from now on: reports what only it has told.
+    /// The first stream becomes the primary: reports what the previous primary has not.
     fn promote_first(&mut self, now: f64, outbox: &mut Outbox) {
         let Some(stream) = self.streams.first_mut() else { return };
         let reported = &mut self.reported;
-        for (proxy, told) in &stream.state.proxies {
+        for (proxy, announced) in &stream.state.proxies {
             let known = reported.proxies.get(proxy);
-            if known.is_none_or(|known| told.joined_at > known.joined_at + MAX_STREAM_SKEW_S) {
-                let input = told.input.clone();
+            if known.is_none_or(|known| announced.joined_at > known.joined_at + MAX_STREAM_SKEW_S) {
+                let input = announced.input.clone();
                 reported.proxies.insert(*proxy, ProxyState { joined_at: now, input: input.clone() });
                 outbox.inputs.push(input);
             }
         }
-        for (slice, told) in &stream.state.slices {
+        for (slice, announced) in &stream.state.slices {
             let known = reported.slices.get(slice);
-            if known.is_none_or(|known| told.assigned_at > known.assigned_at + MAX_STREAM_SKEW_S) {
+            if known.is_none_or(|known| announced.assigned_at > known.assigned_at + MAX_STREAM_SKEW_S) {
                 stream.to_compare.insert(*slice);
             }
         }
@@ -180,8 +184,8 @@
         }
     }
 
-    /// The leading stream is synchronized: what is not in its state is gone, and slices that were changed elsewhere
-    /// are reported as assigned anew.
+    /// The primary stream is synchronized: reports proxies and slices that are missing in its state as gone, and
+    /// slices whose tables were changed by somebody else as newly assigned.
     fn reconcile(&mut self, now: f64, outbox: &mut Outbox) {
         let Some(stream) = self.streams.first_mut() else { return };
         let state = &stream.state;
@@ -215,7 +219,7 @@
         }
     }
 
-    /// The relay has accepted this weight: so it stands, whether or not a snapshot has told it.
+    /// The relay has accepted this weight, so it is in the table even if a snapshot does not contain it.
     pub(super) fn weight_written(&mut self, slice: SliceId, host: HostId, weight: f64) {
         for weights in self.tables(slice) {
             if weight > 0.0 {
@@ -233,34 +237,34 @@
         }
     }
 
-    /// The slice's table in each state that knows it.
+    /// The slice's table in each state that contains the slice.
     fn tables(&mut self, slice: SliceId) -> impl Iterator<Item = &mut Weights> {
         let states = self.streams.iter_mut().map(|stream| &mut stream.state).chain([&mut self.reported]);
         states.filter_map(move |state| Some(&mut state.slices.get_mut(&slice)?.weights))
     }
 
-    /// Whether a table names the host, as far as it was told.
+    /// Whether a known table names the host.
     pub(super) fn mentions(&self, host: HostId) -> bool {
         let states = self.streams.iter().map(|stream| &stream.state).chain([&self.reported]);
         states.flat_map(|state| state.slices.values()).any(|slice| slice.weights.contains_key(&host))
     }
 
-    /// The relay's state is known, and updates come in.
+    /// Whether the relay's state is known and updates are received.
     pub(super) fn is_synchronized(&self) -> bool {
         self.streams.first().is_some_and(|stream| stream.is_synchronized)
     }
 
-    /// The inputs that have told the decisions of the proxies that are joined now.
+    /// The `ProxyJoined` inputs of the proxies that are joined now.
     pub(super) fn joined_proxies(&self) -> impl Iterator<Item = &Input> {
         self.reported.proxies.values().map(|proxy| &proxy.input)
     }
 
-    /// When a slice was assigned, as far as the decisions know.
+    /// When a slice was assigned, according to what was reported to the decisions.
     pub(super) fn assigned_at(&self, slice: SliceId) -> Option<f64> {
         self.reported.slices.get(&slice).map(|slice| slice.assigned_at)
     }
 
-    /// When `poll` may have something to do by itself; infinity if never.
+    /// When `poll` next has something to do without a further event; infinity if never.
     pub(super) fn next_timeout(&self) -> f64 {
         let connect = if self.may_open_stream() { self.connect_at } else { f64::INFINITY };
         let idle = self.streams.iter().map(|stream| stream.last_activity + IDLE_TIMEOUT_S + TIMER_MARGIN_S);
@@ -268,7 +272,7 @@
     }
 }
 
-/// Tells the decisions of a weight that stands at the relay.
+/// Tells the decisions of a weight in a table of the relay.
 pub(super) fn weight_input(slice: SliceId, host: HostId, weight: f64) -> Input {
     Input::StoredWeight { slice, host, weight }
 }
--- a/crates/director/service/src/reducer/relay_subscription/updates.rs
+++ b/crates/director/service/src/reducer/relay_subscription/updates.rs
@@ -1,4 +1,4 @@
-//! How one update changes what its stream has told and, if the stream leads, what the decisions know.
+//! Applies an update to the state of its stream and, if that is the primary stream, reports it to the decisions.
 
 use super::state::{ProxyState, RelayUpdate, SliceState};
 use super::{weight_input, RelaySubscription};
@@ -10,32 +10,31 @@
     /// Applies one update of a stream.
     pub(crate) fn apply(&mut self, now: f64, link: LinkId, update: RelayUpdate, outbox: &mut Outbox) {
         let Some(index) = self.position(link) else { return };
-        let leads = index == 0;
+        let is_primary = index == 0;
         self.streams[index].last_activity = now;
         match update {
             RelayUpdate::SnapshotStart => {}
             RelayUpdate::KeepAlive => self.keep_alive(now, index, outbox),
-            RelayUpdate::ProxyJoined { proxy, zone, calls_per_s, fresh } => {
-                let input =
-                    Input::ProxyJoined { proxy, zone, requests_per_s: calls_per_s, without_tables: fresh };
+            RelayUpdate::ProxyJoined { proxy, zone, requests_per_s, without_tables } => {
+                let input = Input::ProxyJoined { proxy, zone, requests_per_s, without_tables };
                 self.proxy_joined(now, index, proxy, input, outbox);
             }
             RelayUpdate::ProxyLeft(proxy) => {
                 self.streams[index].state.proxies.remove(&proxy);
-                if leads && self.reported.proxies.remove(&proxy).is_some() {
+                if is_primary && self.reported.proxies.remove(&proxy).is_some() {
                     outbox.inputs.push(Input::ProxyLeft(proxy));
                 }
             }
-            RelayUpdate::Applied { proxy, mark, took } => {
-                if leads && self.reported.proxies.contains_key(&proxy) {
-                    outbox.inputs.push(Input::RoundAcknowledged { proxy, round: mark, latency: took });
+            RelayUpdate::RoundAcknowledged { proxy, round, latency } => {
+                if is_primary && self.reported.proxies.contains_key(&proxy) {
+                    outbox.inputs.push(Input::RoundAcknowledged { proxy, round, latency });
                 }
             }
             RelayUpdate::SliceAssigned(slice) => self.slice_assigned(now, index, slice, outbox),
             RelayUpdate::SliceRevoked(slice) => {
                 self.streams[index].state.slices.remove(&slice);
                 self.streams[index].to_compare.remove(&slice);
-                if leads && self.reported.slices.remove(&slice).is_some() {
+                if is_primary && self.reported.slices.remove(&slice).is_some() {
                     outbox.inputs.push(Input::SliceRevoked(slice));
                 }
             }
@@ -55,12 +54,12 @@
         let proxies = stream.state.proxies.len();
         let slices = stream.state.slices.len();
         let is_at_address = stream.address == self.address;
-        outbox.info(format!("relay: news open, {proxies} proxies, {slices} slices"));
+        outbox.info(format!("relay: update stream open, {proxies} proxies, {slices} slices"));
         self.outage_logged = false;
         if index == 0 {
             self.reconcile(now, outbox);
         } else if is_at_address && self.streams[0].address != self.address {
-            // The first synchronized stream at the relay's new address: those at the old one have served.
+            // The first synchronized stream to the relay's new address replaces those to the old one.
             let address = self.address;
             self.close_streams(|stream| stream.address != address, outbox);
             self.promote_first(now, outbox);
@@ -69,12 +68,12 @@
 
     fn proxy_joined(&mut self, now: f64, index: usize, proxy: ProxyId, input: Input, outbox: &mut Outbox) {
         let stream = &mut self.streams[index];
-        let leads = index == 0;
-        // A known proxy in the snapshot of a stream that stands by has not joined again.
-        let known = self.reported.proxies.get(&proxy).filter(|_| !stream.is_synchronized && !leads);
+        let is_primary = index == 0;
+        // A known proxy in the snapshot of a standby stream has not joined again.
+        let known = self.reported.proxies.get(&proxy).filter(|_| !stream.is_synchronized && !is_primary);
         let joined_at = known.map_or(now, |known| known.joined_at);
         stream.state.proxies.insert(proxy, ProxyState { joined_at, input: input.clone() });
-        if leads {
+        if is_primary {
             self.reported.proxies.insert(proxy, ProxyState { joined_at: now, input: input.clone() });
             outbox.inputs.push(input);
         }
@@ -110,7 +109,7 @@
             return;
         }
         if let Some(state) = self.reported.slices.get_mut(&slice) {
-            // A weight that is known already would count twice.
+            // A weight that is already known must not be reported twice.
             if state.weights.insert(host, weight).is_none() {
                 outbox.inputs.push(weight_input(slice, host, weight));
             }
--- a/crates/director/service/src/reducer/reload.rs
+++ b/crates/director/service/src/reducer/reload.rs
@@ -1,11 +1,11 @@
-//! What changes when the configuration file is read again.
+//! Applies a reloaded configuration file.
 
 use super::configuration::{CheckedConfig, ConfigError};
 use super::event::FileError;
 use super::Reducer;
 use coppersail_protocol::config::Config;
 
-/// The configuration that was read again, if all of it can be used.
+/// The reloaded configuration, if all of it can be used.
 fn usable(config: Result<Config, FileError>) -> Result<Config, ConfigError> {
     let config = config?;
     CheckedConfig::new(&config)?;
@@ -13,13 +13,14 @@
 }
 
 impl Reducer {
-    /// Uses all of a new configuration or none of it. Connections stay until those to the new addresses serve.
+    /// Applies all of a new configuration or none of it. Connections to old addresses stay in use until those to the
+    /// new addresses work.
     pub(super) fn reload(&mut self, now: f64, config: Result<Config, FileError>) {
         let config = match usable(config) {
             Ok(config) => config,
             Err(error) => {
                 self.outbox.counters.configurations_bad += 1;
-                self.outbox.warn(format!("configuration: all stays as it was, {error}"));
+                self.outbox.warn(format!("configuration: not applied: {error}"));
                 return;
             }
         };
@@ -30,15 +31,15 @@
         let suffix = if ignored.is_empty() {
             String::new()
         } else {
-            format!("; only a start takes {}", ignored.join(", "))
+            format!("; a restart is needed for {}", ignored.join(", "))
         };
-        self.outbox.info(format!("configuration: taken, discovery {discovery}, relay {relay}{suffix}"));
+        self.outbox.info(format!("configuration: applied, discovery {discovery}, relay {relay}{suffix}"));
         self.discovery.set_address(now, discovery, &mut self.outbox);
         self.subscription.set_address(now, relay, &mut self.outbox);
         self.calls.set_address(relay, &mut self.outbox);
     }
 
-    /// Names of the fields that differ from those at the start and that a running director cannot change.
+    /// Names of the fields that differ from those at the start and take effect only at the next start.
     fn changes_that_need_a_restart(&self, config: &Config) -> Vec<&'static str> {
         let mut changed = Vec::new();
         for (at_start, now) in self.fixed_at_start.iter().zip(config.restart_only_fields()) {
--- a/crates/director/service/src/reducer/tests/channel_model/channel.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/channel.rs
@@ -1,29 +1,29 @@
-//! The true channel, with the relay before it.
+//! The model of the relay and of its channel to the proxies.
 
 use super::random::Random;
 use super::scenario::{Scenario, MESSAGE_WINDOW_S, OVERHEAD, SLICES};
 use crate::reducer::LinkId;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A message of less than this many lines has passed.
+/// A message with at most this many lines left has passed.
 const ROUNDING: f64 = 1e-9;
-/// A receipt comes so long after its message has passed, at least...
-const MIN_RECEIPT_DELAY_S: f64 = 0.05;
-/// ...and up to so much later.
-const RECEIPT_DELAY_SPREAD_S: f64 = 0.4;
+/// Minimum time from the passing of a message to its acknowledgement.
+const MIN_ACKNOWLEDGEMENT_DELAY_S: f64 = 0.05;
+/// Maximum additional time until the acknowledgement.
+const ACKNOWLEDGEMENT_DELAY_SPREAD_S: f64 = 0.4;
 
-/// A message that waits in the channel.
+/// A message that is queued in the channel.
 struct Message {
     proxy: u16,
-    /// Lines of it that have not passed.
+    /// Lines of it that have not passed yet.
     lines: f64,
-    mark: Option<String>,
+    round: Option<String>,
 }
 
-struct Receipt {
+struct Acknowledgement {
     at: f64,
     proxy: u16,
-    mark: String,
+    round: String,
 }
 
 /// When a host was withdrawn.
@@ -32,21 +32,21 @@
     last: f64,
 }
 
-/// An update that is on its way on a stream.
+/// An update that is in transit on a stream.
 struct PendingUpdate {
     at: f64,
     line: String,
 }
 
-/// The channel: messages pass one after the other at a speed that nobody tells.
+/// The channel: messages pass one after the other, at a speed that the director does not know.
 pub(super) struct Channel {
     messages: VecDeque<Message>,
-    /// Lines that wait.
+    /// Lines that are queued.
     queued_lines: f64,
-    /// Most lines that have waited.
+    /// Most lines that were queued at a time.
     pub(super) max_queued_lines: f64,
     pub(super) joined: BTreeSet<u16>,
-    receipts: VecDeque<Receipt>,
+    acknowledgements: VecDeque<Acknowledgement>,
     /// When messages were sent to a proxy within the window.
     message_times: BTreeMap<u16, VecDeque<f64>>,
     /// Most messages to a proxy within the window.
@@ -58,8 +58,8 @@
     pub(super) longest_call: usize,
     streams: BTreeMap<LinkId, VecDeque<PendingUpdate>>,
     update_delay_s: f64,
-    /// Receipts come in bulk once a second.
-    bulk_receipts: bool,
+    /// Acknowledgements are sent in bulk once a second.
+    bulk_acknowledgements: bool,
 }
 
 impl Channel {
@@ -69,7 +69,7 @@
             queued_lines: 0.0,
             max_queued_lines: 0.0,
             joined: (0..scenario.proxies).collect(),
-            receipts: VecDeque::new(),
+            acknowledgements: VecDeque::new(),
             message_times: BTreeMap::new(),
             max_messages: 0,
             tables: BTreeMap::new(),
@@ -77,7 +77,7 @@
             longest_call: 0,
             streams: BTreeMap::new(),
             update_delay_s: scenario.update_delay_s,
-            bulk_receipts: scenario.limits_messages,
+            bulk_acknowledgements: scenario.limits_messages,
         };
         for slice in 0..SLICES {
             channel.add_table(scenario, slice);
@@ -90,11 +90,11 @@
         self.tables.insert(slice, table);
     }
 
-    /// The director has restarted: nothing is left but what stands at the relay.
+    /// The director has restarted: only the relay's tables and proxies are left.
     pub(super) fn restart(&mut self) {
         self.queued_lines = 0.0;
         self.messages.clear();
-        self.receipts.clear();
+        self.acknowledgements.clear();
         self.streams.clear();
         self.message_times.clear();
         self.withdrawals.clear();
@@ -104,13 +104,13 @@
     pub(super) fn carry_out(&mut self, now: f64, call: &str) -> String {
         self.longest_call = self.longest_call.max(call.len());
         let orders: Vec<&str> = call.trim_start_matches("txn ").trim_end().split(';').collect();
-        let mark = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+        let round = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
         for order in &orders {
             self.carry_out_order(now, order);
         }
         let lines = OVERHEAD + orders.len() as f64;
         for proxy in self.joined.clone() {
-            self.messages.push_back(Message { proxy, lines, mark: mark.map(str::to_string) });
+            self.messages.push_back(Message { proxy, lines, round: round.map(str::to_string) });
             self.queued_lines += lines;
             self.count_message(now, proxy);
         }
@@ -145,26 +145,27 @@
         self.max_messages = self.max_messages.max(times.len());
     }
 
-    /// Passes so many lines, and sends the receipts that are due.
-    pub(super) fn pass(&mut self, now: f64, lines: f64, lost_receipts: u32, random: &mut Random) {
-        self.pass_lines(now, lines, lost_receipts, random);
-        // In bulk: all that came within a second, at its end.
-        let until = if self.bulk_receipts { now.floor() } else { now };
-        let (due, later) = self.receipts.drain(..).partition(|receipt| receipt.at <= until);
-        self.receipts = later;
-        let due: VecDeque<Receipt> = due;
-        for receipt in due {
-            if !self.joined.contains(&receipt.proxy) {
+    /// Lets this many lines pass, and sends the acknowledgements that are due.
+    pub(super) fn pass(&mut self, now: f64, lines: f64, lost_acknowledgements: u32, random: &mut Random) {
+        self.pass_lines(now, lines, lost_acknowledgements, random);
+        // In bulk: all acknowledgements of a second are sent at its end.
+        let until = if self.bulk_acknowledgements { now.floor() } else { now };
+        let (due, later) =
+            self.acknowledgements.drain(..).partition(|acknowledgement| acknowledgement.at <= until);
+        self.acknowledgements = later;
+        let due: VecDeque<Acknowledgement> = due;
+        for acknowledgement in due {
+            if !self.joined.contains(&acknowledgement.proxy) {
                 continue;
             }
-            let line = format!("* ack {} {} 90.0", receipt.proxy, receipt.mark);
+            let line = format!("* ack {} {} 90.0", acknowledgement.proxy, acknowledgement.round);
             for stream in self.streams.values_mut() {
                 stream.push_back(PendingUpdate { at: now, line: line.clone() });
             }
         }
     }
 
-    fn pass_lines(&mut self, now: f64, mut lines: f64, lost_receipts: u32, random: &mut Random) {
+    fn pass_lines(&mut self, now: f64, mut lines: f64, lost_acknowledgements: u32, random: &mut Random) {
         while let Some(message) = self.messages.front_mut() {
             let passed = message.lines.min(lines);
             message.lines -= passed;
@@ -173,11 +174,11 @@
             if message.lines > ROUNDING {
                 break;
             }
-            let Some(Message { proxy, mark, .. }) = self.messages.pop_front() else { break };
-            let Some(mark) = mark.filter(|_| self.joined.contains(&proxy)) else { continue };
-            if !random.percent(lost_receipts) {
-                let at = now + MIN_RECEIPT_DELAY_S + RECEIPT_DELAY_SPREAD_S * random.share();
-                self.receipts.push_back(Receipt { at, proxy, mark });
+            let Some(Message { proxy, round, .. }) = self.messages.pop_front() else { break };
+            let Some(round) = round.filter(|_| self.joined.contains(&proxy)) else { continue };
+            if !random.percent(lost_acknowledgements) {
+                let at = now + MIN_ACKNOWLEDGEMENT_DELAY_S + ACKNOWLEDGEMENT_DELAY_SPREAD_S * random.share();
+                self.acknowledgements.push_back(Acknowledgement { at, proxy, round });
             }
         }
     }
@@ -212,7 +213,7 @@
         }
     }
 
-    /// The other directors get their slices back.
+    /// The slices are assigned to the other directors again.
     pub(super) fn hand_back(&mut self, now: f64, random: &mut Random) {
         for slice in SLICES..5 * SLICES {
             self.tables.remove(&slice);
@@ -253,7 +254,7 @@
         self.streams.remove(&link);
     }
 
-    /// Closes all streams and returns their numbers.
+    /// Closes all streams and returns their ids.
     pub(super) fn break_streams(&mut self) -> Vec<LinkId> {
         std::mem::take(&mut self.streams).into_keys().collect()
     }
@@ -278,13 +279,13 @@
         self.tables.values().any(|table| table.contains_key(host))
     }
 
-    /// The host was withdrawn after `since`, or no table names it.
+    /// Whether the host was withdrawn after `since`, or no table names it.
     pub(super) fn is_withdrawn_or_unused(&self, since: f64, host: &str) -> bool {
         let withdrawal = self.withdrawals.get(host);
         withdrawal.is_some_and(|withdrawal| withdrawal.last > since) || !self.mentions(host)
     }
 
-    /// A table names the host, which was never withdrawn.
+    /// Whether a table names the host although it was never withdrawn.
     pub(super) fn is_missed(&self, host: &str) -> bool {
         !self.withdrawals.contains_key(host) && self.mentions(host)
     }
--- a/crates/director/service/src/reducer/tests/channel_model/random.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/random.rs
@@ -1,4 +1,4 @@
-//! Random numbers of a run, the same for the same seed.
+//! Pseudorandom numbers of a run, which are the same for the same seed.
 
 /// A linear congruential generator.
 pub(super) struct Random(u64);
@@ -14,7 +14,7 @@
         (self.0 >> 40) as f64 / (1u64 << 24) as f64
     }
 
-    /// True in so many percent of the draws.
+    /// Returns true with this probability in percent.
     pub(super) fn percent(&mut self, percent: u32) -> bool {
         self.share() * 100.0 < f64::from(percent)
     }
