--- a/crates/director/service/src/reducer/tests/channel_model/run.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/run.rs
@@ -1,4 +1,4 @@
-//! One simulated run: the reducer, the channel and the hosts in steps of some milliseconds.
+//! One simulated run of the reducer, the channel and the hosts, in steps of `STEP_S`.
 
 use super::super::{host_entry, host_list, lines, CONFIG};
 use super::channel::Channel;
@@ -14,13 +14,13 @@
 const RELAY_KEEP_ALIVE_STEP: usize = 0;
 const DISCOVERY_KEEP_ALIVE_STEP: usize = 25;
 const REPLACEMENT_STEP: usize = 10;
-/// A host that drains is gone after so many seconds.
+/// Seconds until a host that drains has terminated.
 const DRAIN_S: usize = 2;
-/// Calls with a fault that are carried out all the same, in percent.
+/// Calls with a fault that are nevertheless carried out, in percent.
 const CARRIED_OUT_PERCENT: u32 = 70;
-/// Answers come within this time.
+/// Maximum delay of an answer.
 const MAX_ANSWER_DELAY_S: f64 = 0.05;
-/// Proxies that were away come back within this time.
+/// Time over which the return of proxies is spread.
 const RETURN_SPREAD_S: f64 = 0.6;
 const WATCH_LINK: LinkId = LinkId(1);
 const NANOSECONDS_PER_SECOND: f64 = 1e9;
@@ -29,20 +29,20 @@
 /// The measurements of a run.
 #[derive(Debug)]
 pub(super) struct Measured {
-    /// Most lines that waited in the channel.
+    /// Most lines that were queued in the channel.
     pub(super) max_queued_lines: f64,
     /// Most messages to a proxy within the window.
     pub(super) max_messages: usize,
     /// Drained hosts that a table still names at the end, and that were not withdrawn.
     pub(super) missed: Vec<String>,
-    /// The longest time in seconds from a drain to its call, where the host was in a table; and from the assignment of
-    /// a slice that names a host which is gone to that call, or until no table names it.
+    /// The longest time in seconds from a drain to the withdrawal of its host, if a table named the host; also from
+    /// the assignment of a slice whose table names a drained host until the host is withdrawn or no table names it.
     pub(super) slowest_drain_s: f64,
     /// Bytes of the longest call.
     pub(super) longest_call: usize,
 }
 
-/// A drain, or a slice with a drained host, that the director has to withdraw.
+/// A drained host that the director has to withdraw, since its drain or since the assignment of a slice with it.
 struct Drain {
     since: f64,
     host: String,
@@ -68,7 +68,7 @@
     hosts: BTreeMap<usize, String>,
     list_version: usize,
     events: VecDeque<Event>,
-    /// Answers that are on their way.
+    /// Answers that are in transit.
     answers: Vec<TimedEvent>,
     /// The scenario's exoduses that have not happened.
     exoduses: Vec<Exodus>,
@@ -81,7 +81,7 @@
     slowest_drain_s: f64,
 }
 
-/// Plays a scenario.
+/// Runs a scenario.
 pub(super) fn run(scenario: &Scenario) -> Measured {
     let mut run = Run::new(scenario);
     for step in 0..(scenario.end / STEP_S) as usize {
@@ -142,8 +142,8 @@
         let now = step as f64 * STEP_S;
         let has_faults = now < self.scenario.faults_end;
         let passed_lines = STEP_S * self.scenario.speed(now) * self.scenario.lines_per_s();
-        let lost_receipts = if has_faults { self.scenario.lost_receipts } else { 0 };
-        self.channel.pass(now, passed_lines, lost_receipts, &mut self.random);
+        let lost_acknowledgements = if has_faults { self.scenario.lost_acknowledgements } else { 0 };
+        self.channel.pass(now, passed_lines, lost_acknowledgements, &mut self.random);
         if step % STEPS_PER_SECOND == REPLACEMENT_STEP && has_faults {
             self.replace_host(now, step / STEPS_PER_SECOND);
         }
@@ -188,7 +188,7 @@
         self.events.push_back(Event::WatchLines(WATCH_LINK, lines(&[&list])));
     }
 
-    /// Nothing is left of the director but what stands at the relay, and its time for drains begins anew.
+    /// The director loses its state, and its time for drains starts again.
     fn restart(&mut self, now: f64) {
         self.measure_drains();
         for drain in &mut self.drains {
@@ -225,7 +225,7 @@
         }
     }
 
-    /// Slices of other directors come and go back.
+    /// Slices of other directors are assigned to this one and revoked again.
     fn move_slices(&mut self, now: f64) {
         let is_handed_back = self.scenario.handback.is_some_and(|at| now >= at);
         if is_handed_back && self.channel.has_taken_over() {
@@ -233,7 +233,7 @@
         }
         let is_taken_over = self.scenario.takeover.is_some_and(|at| now >= at) && !is_handed_back;
         if is_taken_over && !self.channel.has_taken_over() {
-            // Their director had not come to clear them of all that went.
+            // Their tables still name the hosts that have drained.
             for drain in &self.drains {
                 self.taken_over.push(Drain { since: now, host: drain.host.clone() });
             }
@@ -241,7 +241,7 @@
         }
     }
 
-    /// At most one break a step.
+    /// Breaks all update streams, at most once per step.
     fn break_streams(&mut self, now: f64) {
         if self.scenario.stream_breaks.get(self.breaks_done).is_some_and(|at| *at <= now) {
             self.breaks_done += 1;
@@ -279,7 +279,7 @@
             }
             Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
                 let call = String::from_utf8(bytes).unwrap();
-                self.take_call(now, link, &call);
+                self.carry_out_call(now, link, &call);
             }
             Effect::SendToRelay(link, _) => {
                 let snapshot = self.channel.subscribe(link);
@@ -289,7 +289,7 @@
         }
     }
 
-    fn take_call(&mut self, now: f64, link: LinkId, call: &str) {
+    fn carry_out_call(&mut self, now: f64, link: LinkId, call: &str) {
         let fate = self.scenario.call_fate(now, &mut self.random);
         let is_carried_out = self.random.percent(CARRIED_OUT_PERCENT);
         if fate == CallFate::Throttled {
@@ -312,7 +312,7 @@
         }
     }
 
-    /// Settled hosts of slices that were taken over.
+    /// Measures drained hosts in slices that were taken over, once they are withdrawn or unused.
     fn measure_taken_over(&mut self, now: f64) {
         let channel = &self.channel;
         let mut slowest = self.slowest_drain_s;
@@ -326,7 +326,7 @@
         self.slowest_drain_s = slowest;
     }
 
-    /// The longest time from a drain to its call so far.
+    /// Updates the longest time from a drain to the withdrawal of its host.
     fn measure_drains(&mut self) {
         for drain in &self.drains {
             if let Some(first) = self.channel.first_withdrawal(&drain.host) {
--- a/crates/director/service/src/reducer/tests/channel_model/scenario.rs
+++ b/crates/director/service/src/reducer/tests/channel_model/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in one simulated run.
+//! The parameters of a simulated run.
 
 use super::random::Random;
 use proptest::prelude::*;
@@ -7,7 +7,7 @@
 pub(super) const SLICES: u16 = 48;
 /// Hosts that are in service at the start.
 pub(super) const HOSTS: usize = 12;
-/// Hosts that stand in the tables at the start.
+/// Hosts that the tables name at the start.
 pub(super) const HOSTS_IN_TABLES: usize = 9;
 /// Lines that each message to a proxy costs on top of its orders.
 pub(super) const OVERHEAD: f64 = 12.0;
@@ -17,10 +17,10 @@
 pub(super) const MESSAGE_WINDOW_S: f64 = 4.0;
 /// Lines per second for each proxy.
 const LINES_PER_S_EACH: f64 = 40.0;
-/// How many seconds of lines may wait in the channel.
+/// The backlog as a time: how long the queued lines may take to pass.
 const BACKLOG_S: f64 = 2.0;
 
-/// What becomes of a call, in percent; the others are answered.
+/// Probabilities of the faults of a call, in percent; the other calls are answered.
 #[derive(Clone, Copy, Debug)]
 pub(super) struct FaultOdds {
     pub(super) unanswered: u32,
@@ -31,7 +31,7 @@
 
 pub(super) const NO_FAULTS: FaultOdds = FaultOdds { unanswered: 0, broken: 0, corrupt: 0, throttled: 0 };
 
-/// What becomes of one call.
+/// How the relay handles a call.
 #[derive(Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallFate {
     Answered,
@@ -41,12 +41,12 @@
     Unanswered,
     /// The connection breaks.
     Broken,
-    /// The answer cannot be read.
+    /// The answer is unreadable.
     Corrupt,
 }
 
 impl FaultOdds {
-    /// The fate for a roll from 0 to 99.
+    /// The fate for a random number from 0 to 99.
     pub(super) fn fate(self, roll: u32) -> CallFate {
         let faults = [
             (self.throttled, CallFate::Throttled),
@@ -71,7 +71,7 @@
     pub(super) at: f64,
     /// How many of the proxies, in percent.
     pub(super) percent: u32,
-    /// How long they stay away at least, in seconds.
+    /// Minimum time until they come back, in seconds.
     pub(super) away_s: f64,
 }
 
@@ -80,37 +80,37 @@
 pub(super) struct Scenario {
     pub(super) seed: u64,
     pub(super) proxies: u16,
-    /// When faults end, and the release with them.
+    /// When the faults and the release end.
     pub(super) faults_end: f64,
     pub(super) end: f64,
     pub(super) odds: FaultOdds,
-    /// The channel's speed as a share of the stated one, by spells of two seconds; then as stated.
+    /// The channel's speed relative to the configured one, for successive periods of two seconds; 1 after the last.
     pub(super) speeds: Vec<f64>,
     pub(super) exoduses: Vec<Exodus>,
-    /// What waits for a proxy that leaves stays in the channel.
+    /// Messages to a proxy that leaves stay in the channel.
     pub(super) keeps_lines_of_leavers: bool,
-    /// Receipts that are lost, in percent.
-    pub(super) lost_receipts: u32,
-    /// How late updates may be, in seconds.
+    /// Acknowledgements that are lost, in percent.
+    pub(super) lost_acknowledgements: u32,
+    /// Maximum delay of updates, in seconds.
     pub(super) update_delay_s: f64,
     /// When all update streams break at once.
     pub(super) stream_breaks: Vec<f64>,
-    /// Messages are limited too, and receipts come in bulk once a second.
+    /// The number of messages is limited too, and acknowledgements are sent in bulk once a second.
     pub(super) limits_messages: bool,
-    /// The backlog that the director is told, as a share of the true one.
+    /// The backlog that the director is configured with, relative to the true one.
     pub(super) stated_backlog: f64,
-    /// When four other directors are lost, whose slices come to this one.
+    /// When four other directors fail, whose slices are assigned to this one.
     pub(super) takeover: Option<f64>,
-    /// When these are back and take their slices.
+    /// When these are back and their slices are assigned to them again.
     pub(super) handback: Option<f64>,
-    /// When this director is stopped and starts again from nothing.
+    /// When this director restarts without its state.
     pub(super) restart: Option<f64>,
-    /// Bytes of a host's name: long ones make calls that are split by their length.
+    /// Length of host names in bytes. Long ones cause calls to be split by their length.
     pub(super) host_name_len: usize,
 }
 
 impl Scenario {
-    /// Ten seconds of a release on a channel as stated.
+    /// Ten seconds of a release on a channel with the configured speed.
     pub(super) fn calm(seed: u64, proxies: u16, odds: FaultOdds) -> Self {
         Scenario {
             seed,
@@ -121,7 +121,7 @@
             speeds: vec![],
             exoduses: vec![],
             keeps_lines_of_leavers: true,
-            lost_receipts: 0,
+            lost_acknowledgements: 0,
             update_delay_s: 0.0,
             stream_breaks: vec![],
             limits_messages: false,
@@ -133,14 +133,14 @@
         }
     }
 
-    /// Found before calls in the channel were accounted for one by one: answers that cannot be read, on a channel far
-    /// slower than stated. The call queue repeated by a count of its own at the stated speed, and receipts of one copy
-    /// were taken for another's.
+    /// Unreadable answers on a channel far slower than configured. This exceeded the backlog when calls in the
+    /// channel were not accounted for one by one: the call queue repeated calls by an estimate of its own at the
+    /// configured speed, and acknowledgements of one copy of a call were attributed to another.
     pub(super) fn slow_and_corrupt() -> Self {
         let odds = FaultOdds { corrupt: 7, ..NO_FAULTS };
         Scenario {
             speeds: vec![0.02, 0.12, 0.5, 0.02, 1.0, 0.5, 1.0, 1.0],
-            lost_receipts: 3,
+            lost_acknowledgements: 3,
             keeps_lines_of_leavers: false,
             faults_end: 16.0,
             end: 36.0,
@@ -148,12 +148,12 @@
         }
     }
 
-    /// Lines per second that the channel passes as stated.
+    /// The configured speed of the channel, in lines per second.
     pub(super) fn lines_per_s(&self) -> f64 {
         LINES_PER_S_EACH * f64::from(self.proxies)
     }
 
-    /// Lines that may wait in the channel.
+    /// Lines that may be queued in the channel.
     pub(super) fn backlog(&self) -> f64 {
         BACKLOG_S * self.lines_per_s()
     }
@@ -162,12 +162,12 @@
         format!("h{host:0>width$}", width = self.host_name_len - 1)
     }
 
-    /// The table of a slice before the director has changed anything.
+    /// The host in the table of a slice before the director has changed anything.
     pub(super) fn host_in_table(&self, slice: u16) -> String {
         self.host_name(slice as usize % HOSTS_IN_TABLES)
     }
 
-    /// The channel's speed as a share of the stated one.
+    /// The channel's speed relative to the configured one.
     pub(super) fn speed(&self, now: f64) -> f64 {
         self.speeds.get((now / 2.0) as usize).copied().unwrap_or(1.0)
     }
@@ -202,15 +202,24 @@
     let exoduses = proptest::collection::vec(exodus(), 0..3);
     let stream_breaks = proptest::collection::vec(1.0..14.0, 0..2);
     let speeds = proptest::collection::vec(speed, 8);
-    // Another director is away for a while; this one restarts. Long names make calls past their length.
+    // The slices of other directors are taken over for a while; this director restarts. With long host names, calls
+    // exceed their maximum length.
     let takeover = proptest::option::of((1.0..20.0, 2.0..6.0));
     let restart = proptest::option::of(1.0..20.0);
     let restarts = (takeover, restart, prop_oneof![Just(3usize), Just(3000)]);
     let channel =
         (fault_odds(), speeds, exoduses, any::<bool>(), 0..6u32, 0.0..0.06, stream_breaks, any::<bool>());
     (any::<u64>(), channel, restarts).prop_map(|(seed, channel, (takeover, restart, host_name_len))| {
-        let (odds, speeds, exoduses, keeps_lines_of_leavers, lost_receipts, delay, breaks, limits_messages) =
-            channel;
+        let (
+            odds,
+            speeds,
+            exoduses,
+            keeps_lines_of_leavers,
+            lost_acknowledgements,
+            delay,
+            breaks,
+            limits_messages,
+        ) = channel;
         let mut stream_breaks = breaks;
         stream_breaks.sort_by(f64::total_cmp);
         Scenario {
@@ -219,7 +228,7 @@
             speeds,
             exoduses,
             keeps_lines_of_leavers,
-            lost_receipts,
+            lost_acknowledgements,
             update_delay_s: delay,
             stream_breaks,
             limits_messages,
--- a/crates/director/service/src/reducer/tests/collector_connections.rs
+++ b/crates/director/service/src/reducer/tests/collector_connections.rs
@@ -1,4 +1,4 @@
-//! Accepted connections when there are too many, or when they hold too much.
+//! Accepted connections at the limits of their number and of their buffered bytes.
 
 use crate::framing::FramedLine;
 use crate::reducer::collector_connections::{CollectorConnections, Sender};
@@ -8,8 +8,8 @@
 use coppersail_protocol::collector::HEALTH_CHECK_RESPONSE;
 use test_case::test_case;
 
-/// Connections with these numbers, accepted at time 0, with room for four and memory for a line and a half of the
-/// longest.
+/// Connections with these ids, accepted at time 0. The limits are four connections, and buffers for one and a half
+/// lines of the maximum length.
 fn accepted_connections(ids: &[u64]) -> (CollectorConnections, Outbox) {
     let mut connections = CollectorConnections::new(4, 3 << 19);
     let mut outbox = Outbox::default();
@@ -19,29 +19,29 @@
     (connections, outbox)
 }
 
-/// Numbers of the connections that were closed, in order.
+/// Ids of the connections that were closed, in order.
 fn dropped_connections(outbox: &Outbox) -> Vec<u64> {
     let drop = |effect: &Effect| if let Effect::CloseConnection(conn) = effect { Some(conn.0) } else { None };
     outbox.effects.iter().filter_map(drop).collect()
 }
 
 #[test]
-fn flood_of_connections_evicts_no_collector_and_nobody_unheard() {
+fn flood_of_connections_evicts_no_collector_and_no_peer_before_its_grace_time() {
     let (mut connections, mut outbox) = accepted_connections(&[1, 2, 3, 4]);
     connections.joined(0.0, ConnectionId(1), ZoneId(0), &mut outbox);
     connections.poll(0.1, &mut outbox);
-    assert_eq!(outbox.effects, [Effect::SetAccepting(false)], "nobody has had its chance yet");
+    assert_eq!(outbox.effects, [Effect::SetAccepting(false)], "no peer may be evicted yet");
     connections.answer(ConnectionId(3), HEALTH_CHECK_RESPONSE, &mut outbox);
     connections.poll(0.1, &mut outbox);
-    assert_eq!(dropped_connections(&outbox), [3], "it has its answer");
+    assert_eq!(dropped_connections(&outbox), [3], "its probe is answered");
     assert_eq!(outbox.effects.last(), Some(&Effect::SetAccepting(true)));
     connections.accepted(0.2, ConnectionId(5), &mut outbox);
     connections.poll(0.25, &mut outbox);
-    assert_eq!(dropped_connections(&outbox), [3, 2], "the one that came first and has said nothing");
+    assert_eq!(dropped_connections(&outbox), [3, 2], "the oldest one that has sent nothing");
 }
 
 #[test]
-fn vanished_collectors_make_room_at_last() {
+fn longest_silent_collector_is_evicted_if_collectors_use_all_connections() {
     let (mut connections, mut outbox) = accepted_connections(&[1, 2, 3, 4]);
     for id in 1..=4u32 {
         connections.joined(f64::from(id), ConnectionId(id.into()), ZoneId(0), &mut outbox);
@@ -54,8 +54,8 @@
     assert_eq!(dropped_connections(&outbox), [4], "the one that was silent longest");
 }
 
-#[test_case(9.0, &[] ; "that was heard lately")]
-#[test_case(11.0, &[1] ; "that was silent long")]
+#[test_case(9.0, &[] ; "that was active recently")]
+#[test_case(11.0, &[1] ; "that was silent for long")]
 fn returning_collector_replaces_its_stale_connection(at: f64, expected: &[u64]) {
     let (mut connections, mut outbox) = accepted_connections(&[1]);
     connections.joined(0.0, ConnectionId(1), ZoneId(0), &mut outbox);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn incomplete_lines_stay_within_their_part_of_the_memory() {
+fn incomplete_lines_stay_within_their_memory_limit() {
     let (mut connections, mut outbox) = accepted_connections(&[1, 2]);
     let long = [&b"{\"msg\":\""[..], &[b'x'; 1 << 20][..(1 << 20) - 100]].concat();
     let lines = [1, 2].map(|conn| {
--- a/crates/director/service/src/reducer/tests/collector_reports.rs
+++ b/crates/director/service/src/reducer/tests/collector_reports.rs
@@ -1,4 +1,4 @@
-//! Peers that say what they must not, and reports that are corrupt.
+//! Peers that send messages that are not allowed, and corrupt reports.
 
 use super::{new_reducer, DEMAND_LINE, JOIN_LINE, PROBE_LINE};
 use crate::reducer::{ConnectionId, Effect, Event, Reducer};
@@ -10,7 +10,8 @@
 
 const CONN: ConnectionId = ConnectionId(7);
 
-/// A reducer that has accepted a connection at 0 s and got these bytes on it at 0.1 s, and the effects of these.
+/// A reducer that has accepted a connection at 0 s and received these bytes on it at 0.1 s, and the effects of the
+/// bytes.
 fn after_bytes(pieces: &[&[u8]]) -> (Reducer, Vec<Effect>) {
     let mut reducer = new_reducer();
     reducer.reduce(0.0, Event::Accepted(CONN));
@@ -26,7 +27,7 @@
 #[test_case(&[&[b'{'; 1025]] ; "a line that is too long")]
 #[test_case(&[b"{\"msg\":\n"] ; "half a message")]
 #[test_case(&[DEMAND_LINE] ; "a report")]
-#[test_case(&[PROBE_LINE, DEMAND_LINE] ; "a report after a sign of life")]
+#[test_case(&[PROBE_LINE, DEMAND_LINE] ; "a report after a liveness probe")]
 #[test_case(&[b"txn OUT,h1\r\n"] ; "an order")]
 #[test_case(&[b"{\"msg\":\"agent\",\"az\":\"b\"}\n"] ; "an unknown zone")]
 #[test_case(&[b"{\"msg\":\"agent\"}\n"] ; "no zone")]
@@ -39,13 +40,13 @@
     assert_eq!(
         reducer.reduce(0.2, Event::Received(CONN, DEMAND_LINE.to_vec())),
         [],
-        "nothing later is heard"
+        "later bytes are ignored"
     );
 }
 
-#[test_case(&[], true ; "that says nothing")]
-#[test_case(&[&JOIN_LINE[..9]], true ; "that says half a message")]
-#[test_case(&[PROBE_LINE], true ; "that asks for a sign of life and stays")]
+#[test_case(&[], true ; "that sends nothing")]
+#[test_case(&[&JOIN_LINE[..9]], true ; "that sends half a message")]
+#[test_case(&[PROBE_LINE], true ; "that sends a liveness probe and stays")]
 #[test_case(&[PROBE_LINE, &JOIN_LINE[..9], &JOIN_LINE[9..]], false ; "that joins in pieces")]
 fn peer_that_never_joins_is_dropped_after_a_second(pieces: &[&[u8]], dropped: bool) {
     let (mut reducer, effects) = after_bytes(pieces);
@@ -66,11 +67,11 @@
     assert_eq!(reducer.outbox.inputs.len(), 1);
 }
 
-#[test_case(&[UNREADABLE_LINE, UNREADABLE_LINE, DEMAND_LINE, UNREADABLE_LINE, UNREADABLE_LINE, DEMAND_LINE], None ; "now and then")]
-#[test_case(&[b"{\"msg\":\"hot\"}\n", b"{\"msg\":\"hot\"}\n", b"{\"msg\":\"hot\"}\n", DEMAND_LINE], None ; "messages with faults")]
-#[test_case(&[DEMAND_LINE, UNREADABLE_LINE, UNREADABLE_LINE, UNREADABLE_LINE], Some(0.1) ; "lines of them on end")]
-#[test_case(&[DEMAND_LINE, b"\x01\x02"], Some(0.6) ; "a line that does not end")]
-#[test_case(&[DEMAND_LINE, b"\x01", &[b'x'; 20_000]], Some(0.1) ; "much of one")]
+#[test_case(&[UNREADABLE_LINE, UNREADABLE_LINE, DEMAND_LINE, UNREADABLE_LINE, UNREADABLE_LINE, DEMAND_LINE], None ; "some unreadable lines")]
+#[test_case(&[b"{\"msg\":\"hot\"}\n", b"{\"msg\":\"hot\"}\n", b"{\"msg\":\"hot\"}\n", DEMAND_LINE], None ; "messages with invalid fields")]
+#[test_case(&[DEMAND_LINE, UNREADABLE_LINE, UNREADABLE_LINE, UNREADABLE_LINE], Some(0.1) ; "consecutive unreadable lines")]
+#[test_case(&[DEMAND_LINE, b"\x01\x02"], Some(0.6) ; "an unreadable line that does not end")]
+#[test_case(&[DEMAND_LINE, b"\x01", &[b'x'; 20_000]], Some(0.1) ; "a long unreadable line")]
 fn stream_that_stays_unreadable_is_closed(pieces: &[&[u8]], at: Option<f64>) {
     let (mut reducer, mut effects) = after_bytes(&[&[JOIN_LINE], pieces].concat());
     for now in [0.1, 0.6, 5.0] {
@@ -78,10 +79,10 @@
         assert_eq!(effects.contains(&Effect::CloseConnection(CONN)), at.is_some_and(|at| now >= at), "{now}");
     }
     let reports = pieces.iter().filter(|piece| **piece == DEMAND_LINE).count();
-    assert_eq!(reducer.outbox.counters.sums_of_calls, reports as u64, "what stands beside it is used");
+    assert_eq!(reducer.outbox.counters.sums_of_calls, reports as u64, "the valid reports are used");
 }
 
-/// Fields of a sound report of attempts, and their values as JSON.
+/// Fields of a valid report of attempts, and their values as JSON.
 const ATTEMPTS: [(&str, &str); 8] = [
     ("msg", "\"outcomes\""),
     ("az", "\"a\""),
@@ -93,7 +94,7 @@
     ("report", "{\"q\":1.0,\"lat_ms\":30.0}"),
 ];
 
-/// Fields of a sound report of demand.
+/// Fields of a valid report of demand.
 const DEMAND: [(&str, &str); 6] = [
     ("msg", "\"hot\""),
     ("partition", "0"),
@@ -103,7 +104,7 @@
     ("window", "1000.0"),
 ];
 
-/// Corrupt values as they were seen on sockets; an empty one stands for a missing field.
+/// Corrupt values that were observed on sockets; an empty one stands for a missing field.
 const CORRUPT_VALUES: [&str; 10] =
     ["", "-3", "1e30", "38654705664", "\"nan\"", "\"\"", "\"s-zz\"", "[1]", "{}", "true"];
 
@@ -129,8 +130,11 @@
     reducer.reduce(0.1, Event::Received(CONN, [line.as_bytes(), DEMAND_LINE].concat()));
     let mut inputs = reducer.outbox.inputs;
     let following = inputs.pop();
-    assert!(matches!(following, Some(Input::SliceDemand { requests: 4, .. })), "what follows {line} is used");
-    // Of a corrupt load report only that is lost.
+    assert!(
+        matches!(following, Some(Input::SliceDemand { requests: 4, .. })),
+        "the line after {line} is used"
+    );
+    // If the load report is corrupt, the rest of the report is used.
     let without_load = Input::AttemptStats {
         host,
         zone: ZoneId(0),
--- a/crates/director/service/src/reducer/tests/health_checks.rs
+++ b/crates/director/service/src/reducer/tests/health_checks.rs
@@ -1,16 +1,16 @@
-//! Answers to health checks that are corrupt or none.
+//! Health checks whose answers are corrupt.
 
 use super::new_reducer;
 use crate::reducer::{Event, ProbeOutcome};
 use coppersail::interface::{Input, Outcome};
 use test_case::test_case;
 
-#[test_case("q=1.0, lat_ms=20000", Some(1.0), Some(20.0) ; "sound, of a host that is slower than its callers wait")]
+#[test_case("q=1.0, lat_ms=20000", Some(1.0), Some(20.0) ; "valid, of a host that is slower than its callers' time limits")]
 #[test_case("q=-1.0, lat_ms=500", None, Some(0.5) ; "negative")]
-#[test_case("q=1e30, lat_ms=500", None, Some(0.5) ; "absurdly large")]
+#[test_case("q=1e30, lat_ms=500", None, Some(0.5) ; "implausibly large")]
 #[test_case("q=NaN, lat_ms=500", None, Some(0.5) ; "not finite")]
-#[test_case("q=2, lat_ms=38654705664", Some(2.0), None ; "a time that cannot be")]
-fn corrupt_figure_of_a_load_report_costs_only_itself(
+#[test_case("q=2, lat_ms=38654705664", Some(2.0), None ; "an impossible time")]
+fn corrupt_figure_of_a_load_report_is_ignored_and_the_others_used(
     figures: &str,
     waiting: Option<f64>,
     service_time: Option<f64>,
--- a/crates/director/service/src/reducer/tests/mass_joining.rs
+++ b/crates/director/service/src/reducer/tests/mass_joining.rs
@@ -1,4 +1,4 @@
-//! All proxies of a large deployment at one director.
+//! All proxies of a large deployment join one director at the same time.
 
 use super::{host_entry, host_list, lines, CONFIG, UPDATES_LINK};
 use crate::reducer::{Effect, Event, LinkId, Reducer};
@@ -18,7 +18,7 @@
 const STEPS: u32 = 200;
 /// The step in which a host begins to drain: five seconds after the start.
 const DRAIN_STEP: u32 = 100;
-/// When the drain must have been ordered at the latest.
+/// The time by which the host must be withdrawn.
 const DRAIN_DEADLINE_S: f64 = 5.5;
 const WATCH_LINK: LinkId = LinkId(1);
 
@@ -51,20 +51,21 @@
         self.queued_lines = f64::max(self.queued_lines - LINES_PER_S / STEPS_PER_SECOND, 0.0);
     }
 
-    /// Takes a call; the events that follow.
-    fn take_call(&mut self, now: f64, link: LinkId, call: &str) -> [Event; 3] {
+    /// Carries out a call and returns the events that follow.
+    fn carry_out_call(&mut self, now: f64, link: LinkId, call: &str) -> [Event; 3] {
         let orders = call.matches(';').count() + 1;
         self.queued_lines += PROXIES as f64 * (OVERHEAD + orders as f64);
         self.max_queued_lines = self.max_queued_lines.max(self.queued_lines);
         if call.contains("OUT,h3") {
             self.withdrawn_at.get_or_insert(now);
         }
-        let mark = call.split_once("SYNC,").and_then(|(_, rest)| rest.split(',').next()).unwrap_or("0");
-        let receipts: Vec<String> = (0..PROXIES).map(|proxy| format!("* ack {proxy} {mark} 90.0")).collect();
+        let round = call.split_once("SYNC,").and_then(|(_, rest)| rest.split(',').next()).unwrap_or("0");
+        let acknowledgements: Vec<String> =
+            (0..PROXIES).map(|proxy| format!("* ack {proxy} {round} 90.0")).collect();
         [
             Event::RelayLines(link, lines(&[&format!("OK {orders}")])),
             Event::EndOfBatch,
-            Event::RelayLines(UPDATES_LINK, lines(&receipts)),
+            Event::RelayLines(UPDATES_LINK, lines(&acknowledgements)),
         ]
     }
 
@@ -73,7 +74,7 @@
             Effect::ConnectRelay(link, _) => events.extend([Event::RelayConnected(link), Event::EndOfBatch]),
             Effect::SendToRelay(link, bytes) if bytes.starts_with(b"txn ") => {
                 let call = String::from_utf8(bytes).unwrap();
-                events.extend(self.take_call(now, link, &call));
+                events.extend(self.carry_out_call(now, link, &call));
             }
             Effect::SendToRelay(link, _) => {
                 events.push_back(Event::RelayLines(link, lines(&self.snapshot)));
@@ -135,5 +136,8 @@
     assert_eq!(reducer.outbox.counters.proxies_joined, PROXIES as u64);
     assert!(max_queued_lines > 0.1 * BACKLOG && max_queued_lines < BACKLOG, "{max_queued_lines}");
     let withdrawn_at = relay.withdrawn_at;
-    assert!(withdrawn_at.is_some_and(|at| at < DRAIN_DEADLINE_S), "a drain does not wait: {withdrawn_at:?}");
+    assert!(
+        withdrawn_at.is_some_and(|at| at < DRAIN_DEADLINE_S),
+        "the drain is ordered in time: {withdrawn_at:?}"
+    );
 }
--- a/crates/director/service/src/reducer/tests/mod.rs
+++ b/crates/director/service/src/reducer/tests/mod.rs
@@ -1,4 +1,4 @@
-//! Tests of the reducer, and what several of them need.
+//! Tests of the reducer, with fixtures that several of them use.
 
 mod channel_model;
 mod collector_connections;
@@ -24,7 +24,7 @@
 const CONFIG: &str = r#"{"name":"n","listen":"127.0.0.1:1","discovery":"127.0.0.1:2","seed":"1","relay":{"address":"127.0.0.1:3"},
     "settings":{"zones":["a"],"kinds":["m2"],"classes":[{"name":"r","give-up-ns":3000000000}],"specifics":{"slices":1,"proxy-count":2}}}"#;
 
-/// The first subscription's connection: it is dialled second, after the watch of discovery.
+/// The first update stream: its connection is the second one, after the watch of discovery.
 const UPDATES_LINK: LinkId = LinkId(2);
 
 /// A collector joins for zone `a`.
@@ -33,7 +33,7 @@
 /// A liveness check of the director.
 const PROBE_LINE: &[u8] = b"{\"msg\":\"probe\"}\n";
 
-/// A sound report of four calls.
+/// A valid report of four calls.
 const DEMAND_LINE: &[u8] =
     b"{\"msg\":\"hot\",\"partition\":0,\"kind\":\"r\",\"n\":4,\"bad\":0,\"window\":1000.0}\n";
 
@@ -48,7 +48,7 @@
     SocketAddr::from(([127, 0, 0, 1], 2))
 }
 
-/// All orders of a call may be written.
+/// The channel has capacity for all orders of a call.
 fn unlimited(request: WriteRequest) -> usize {
     request.orders
 }
@@ -71,7 +71,7 @@
     (calls, outbox)
 }
 
-/// What was written to the relay, in order.
+/// Everything that was written to the relay, in order.
 fn sent_calls(outbox: &Outbox) -> Vec<String> {
     let text = |effect: &Effect| match effect {
         Effect::SendToRelay(_, bytes) => Some(String::from_utf8_lossy(bytes).trim_end().to_string()),
@@ -89,7 +89,7 @@
     Reducer::new(&Config::parse(CONFIG.as_bytes()).unwrap(), 0).unwrap()
 }
 
-/// A reducer whose first subscription is synchronized and has assigned slice 0 to it.
+/// A reducer whose first update stream is synchronized, and to which slice 0 is assigned.
 fn reducer_with_slice() -> Reducer {
     let mut reducer = new_reducer();
     reducer.reduce(0.0, Event::EndOfBatch);
@@ -98,7 +98,8 @@
     reducer
 }
 
-/// The same with a queued call, which sets a weight of the returned host in the slice and withdraws the host.
+/// A reducer as of [`reducer_with_slice`] with a queued call, which sets a weight of the returned host in slice 0 and
+/// withdraws the host.
 fn reducer_with_slice_and_queued_call() -> (Reducer, HostId) {
     let mut reducer = reducer_with_slice();
     reducer.reduce(0.1, Event::EndOfBatch);
@@ -121,7 +122,7 @@
     )
 }
 
-/// A list of discovery, full or only with what has changed.
+/// A list of discovery, complete or incremental.
 fn host_list(version: usize, full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{full},"servers":[{}]}}"#, entries.join(","))
 }
--- a/crates/director/service/src/reducer/tests/relay_calls.rs
+++ b/crates/director/service/src/reducer/tests/relay_calls.rs
@@ -1,4 +1,4 @@
-//! The queue of calls against a relay that answers late, wrongly or not at all.
+//! The queue of calls with a relay that answers late, incorrectly or not at all.
 
 use super::{new_relay_address, queue_with, relay_address, sent_calls, unlimited, weight_order};
 use crate::reducer::outbox::Outbox;
@@ -19,15 +19,15 @@
     assert_eq!(sent_calls(&outbox)[1..], ["txn SET,2,h2,0.5"]);
 }
 
-#[test_case(&[b"OK 2"], 2, 0, 0 ; "all taken")]
-#[test_case(&[b"OK 1", b"OK 0"], 1, 1, 0 ; "the second refused")]
-#[test_case(&[b"OK 0", b"OK 0"], 0, 1, 0 ; "the first refused")]
-#[test_case(&[b"OK 0", b"OK 2"], 2, 0, 0 ; "a spoilt answer that refuses the first")]
-#[test_case(&[b"OK 1", b"OK 1"], 2, 0, 0 ; "a spoilt answer that refuses the second")]
-#[test_case(&[b"OK 3"], 0, 0, 1 ; "more than there were cannot be read")]
-#[test_case(&[b"OK -1"], 0, 0, 1 ; "fewer than none cannot be read")]
-#[test_case(&[b"ValidationError"], 0, 0, 1 ; "not valid once may be spoilt")]
-fn rejected_order_or_corrupt_answer_loses_nothing_that_is_sound(
+#[test_case(&[b"OK 2"], 2, 0, 0 ; "all accepted")]
+#[test_case(&[b"OK 1", b"OK 0"], 1, 1, 0 ; "the second rejected")]
+#[test_case(&[b"OK 0", b"OK 0"], 0, 1, 0 ; "the first rejected")]
+#[test_case(&[b"OK 0", b"OK 2"], 2, 0, 0 ; "a corrupt answer that rejects the first")]
+#[test_case(&[b"OK 1", b"OK 1"], 2, 0, 0 ; "a corrupt answer that rejects the second")]
+#[test_case(&[b"OK 3"], 0, 0, 1 ; "more than the call has is unreadable")]
+#[test_case(&[b"OK -1"], 0, 0, 1 ; "a negative number is unreadable")]
+#[test_case(&[b"ValidationError"], 0, 0, 1 ; "invalid once may be a corrupt answer")]
+fn rejected_order_or_corrupt_answer_loses_no_valid_order(
     answers: &[&[u8]],
     accepted: u64,
     rejected: u64,
@@ -37,7 +37,10 @@
     calls.enqueue(vec![weight_order(2, 1, 1.0)]);
     let mut in_force = 0;
     for answer in answers {
-        assert!(!sent_calls(&outbox).concat().contains("SET,2"), "nothing later before it is acknowledged");
+        assert!(
+            !sent_calls(&outbox).concat().contains("SET,2"),
+            "no later call is sent before it is acknowledged"
+        );
         in_force += calls.answer(0.01, LinkId(1), answer, &mut outbox).len() as u64;
         calls.poll(0.01, unlimited, &mut outbox);
     }
@@ -81,8 +84,9 @@
     assert_eq!(sent_calls(&outbox), ["txn SET,1,h1,1", "txn SET,1,h1,1"]);
 }
 
-/// A call that was decided for fewer proxies than have joined since goes in parts, if possible not within a table.
-#[test_case(1, &["txn SET,1,h1,1", "txn SET,1,h2,0;SET,2,h1,1;SET,2,h2,0"] ; "a table that is longer than the part is cut all the same")]
+/// A call may have been decided for fewer proxies than have joined since. It is then sent in parts, if possible split
+/// between tables.
+#[test_case(1, &["txn SET,1,h1,1", "txn SET,1,h2,0;SET,2,h1,1;SET,2,h2,0"] ; "within a table that is longer than the part")]
 #[test_case(2, &["txn SET,1,h1,1;SET,1,h2,0", "txn SET,2,h1,1;SET,2,h2,0"] ; "between tables")]
 #[test_case(3, &["txn SET,1,h1,1;SET,1,h2,0", "txn SET,2,h1,1;SET,2,h2,0"] ; "before the table that does not fit whole")]
 fn call_over_the_channel_capacity_is_split_between_tables(capacity: usize, expected: &[&str]) {
@@ -115,7 +119,7 @@
     assert_eq!(
         sent_calls(&outbox),
         ["txn SET,2,h0,1;SET,2,h1,1;SET,1,h1,39"],
-        "the last of each in their order, those of one slice together"
+        "the last order of each target, grouped by slice"
     );
     assert_eq!(outbox.counters.calls_merged, 1);
 }
@@ -130,14 +134,14 @@
     calls.poll(0.02, unlimited, &mut outbox);
     calls.connected(0.02, LinkId(2));
     calls.poll(0.02, unlimited, &mut outbox);
-    assert_eq!(sent_calls(&outbox)[1..], ["txn SET,1,h1,1"], "the same again, and nothing later with it");
+    assert_eq!(sent_calls(&outbox)[1..], ["txn SET,1,h1,1"], "the call is repeated without later orders");
     calls.answer(0.03, LinkId(2), b"OK 1", &mut outbox);
     calls.poll(0.03, unlimited, &mut outbox);
     assert_eq!(sent_calls(&outbox)[2..], ["txn SET,1,h1,39"]);
 }
 
-#[test_case(true, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "what waits")]
-#[test_case(false, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "a repeat that waits")]
+#[test_case(true, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "a queued call")]
+#[test_case(false, &["txn SET,1,h1,1", "txn SET,2,h2,1;SET,2,h3,1"] ; "a call that is to be repeated")]
 fn lost_slice_discards_its_queued_orders(acknowledged: bool, expected: &[&str]) {
     let (mut calls, mut outbox) = queue_with(&[
         &[weight_order(1, 1, 1.0)],
@@ -164,7 +168,7 @@
     assert_eq!(
         (sent_calls(&outbox).len(), calls.next_timeout()),
         (1, 1.6),
-        "so long after a call that was lost"
+        "the wait starts again after a lost call"
     );
     calls.set_relay_state_known(1.55, true);
     calls.poll(1.55, unlimited, &mut outbox);
@@ -172,18 +176,18 @@
 }
 
 #[test_case(b"OK 1", &["txn SET,1,h1,1", "txn SET,2,h1,1"] ; "answered")]
-#[test_case(b"O?", &["txn SET,1,h1,1", "txn SET,1,h1,1"] ; "with an answer that cannot be read")]
+#[test_case(b"O?", &["txn SET,1,h1,1", "txn SET,1,h1,1"] ; "with an unreadable answer")]
 fn relay_move_finishes_the_call_in_flight_first(answer: &[u8], expected: &[&str]) {
     let (mut calls, mut outbox) = queue_with(&[&[weight_order(1, 1, 1.0)], &[weight_order(2, 1, 1.0)]]);
     calls.set_address(new_relay_address(), &mut outbox);
     assert_eq!(
         outbox.effects.last(),
         Some(&Effect::ConnectRelay(LinkId(2), new_relay_address())),
-        "while the old one serves"
+        "while the old one is in use"
     );
     calls.connected(0.01, LinkId(2));
     calls.poll(0.01, unlimited, &mut outbox);
-    assert!(!outbox.effects.contains(&Effect::CloseRelay(LinkId(1))), "its answer is awaited");
+    assert!(!outbox.effects.contains(&Effect::CloseRelay(LinkId(1))), "its answer is outstanding");
     calls.answer(0.02, LinkId(1), answer, &mut outbox);
     calls.poll(0.02, unlimited, &mut outbox);
     assert!(outbox.effects.contains(&Effect::CloseRelay(LinkId(1))));
@@ -198,9 +202,12 @@
     calls.set_address(new_relay_address(), &mut outbox);
     calls.connection_down(0.02, LinkId(2), "refused", &mut outbox);
     calls.poll(0.02, unlimited, &mut outbox);
-    assert!(matches!(outbox.effects.last(), Some(Effect::SendToRelay(LinkId(1), _))), "nobody is there yet");
+    assert!(
+        matches!(outbox.effects.last(), Some(Effect::SendToRelay(LinkId(1), _))),
+        "the new address does not answer"
+    );
     calls.poll(0.2, unlimited, &mut outbox);
     let redial = Effect::ConnectRelay(LinkId(3), new_relay_address());
     let redials = outbox.effects.iter().filter(|effect| **effect == redial);
-    assert_eq!(redials.count(), 1, "it is dialled again");
+    assert_eq!(redials.count(), 1, "it is connected to again");
 }
--- a/crates/director/service/src/reducer/tests/relay_lines.rs
+++ b/crates/director/service/src/reducer/tests/relay_lines.rs
@@ -1,4 +1,4 @@
-//! Calls and updates of the relay that cross each other.
+//! Calls that are in flight or queued while updates of the relay arrive.
 
 use super::{lines, reducer_with_slice_and_queued_call, sent_calls, unlimited, UPDATES_LINK};
 use crate::reducer::{Effect, Event, LinkId};
@@ -28,9 +28,9 @@
     assert_eq!(sent_calls(&reducer.outbox), ["txn OUT,h9"]);
 }
 
-#[test_case(false, 1 ; "while updates come in")]
-#[test_case(true, 0 ; "without updates")]
-fn lost_subscription_holds_calls_back(lost: bool, dialled: usize) {
+#[test_case(false, 1 ; "with an update stream")]
+#[test_case(true, 0 ; "without an update stream")]
+fn lost_update_stream_delays_calls(lost: bool, dialled: usize) {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     if lost {
         reducer.reduce(0.2, Event::RelayDisconnected(UPDATES_LINK, "broken".to_string()));
--- a/crates/director/service/src/reducer/tests/relay_subscription.rs
+++ b/crates/director/service/src/reducer/tests/relay_subscription.rs
@@ -1,4 +1,4 @@
-//! The streams of updates when they break, repeat themselves or move.
+//! Update streams that break, repeat updates or move to another address.
 
 use super::{new_relay_address, relay_address};
 use crate::reducer::outbox::Outbox;
@@ -8,14 +8,19 @@
 use test_case::test_case;
 
 fn proxy_joined(proxy: u16) -> RelayUpdate {
-    RelayUpdate::ProxyJoined { proxy: ProxyId(proxy), zone: ZoneId(0), calls_per_s: 1.0, fresh: false }
+    RelayUpdate::ProxyJoined {
+        proxy: ProxyId(proxy),
+        zone: ZoneId(0),
+        requests_per_s: 1.0,
+        without_tables: false,
+    }
 }
 
 fn weight_stored(slice: u16, host: u32, weight: f64) -> RelayUpdate {
     RelayUpdate::WeightStored { slice: SliceId(slice), host: HostId(host), weight }
 }
 
-/// Applies updates of a stream, which is opened if it is not there yet, and returns what the decisions are told.
+/// Applies updates of a stream, which is opened if it is not there yet, and returns the inputs for the decisions.
 fn apply_updates(
     subscription: &mut RelaySubscription,
     now: f64,
@@ -33,7 +38,7 @@
     outbox.inputs
 }
 
-/// Breaks a stream and returns what the decisions are told.
+/// Breaks a stream and returns the inputs for the decisions.
 fn break_stream(subscription: &mut RelaySubscription, now: f64, link: u64) -> Vec<Input> {
     let mut outbox = Outbox::default();
     subscription.connection_down(now, LinkId(link), "broken", &mut outbox);
@@ -49,13 +54,13 @@
     [proxy_joined(1), slice_assigned(1), weight_stored(1, 1, 1.0), RelayUpdate::KeepAlive]
 }
 
-/// A snapshot with a slice alone.
+/// A snapshot with a slice and no proxy.
 fn slice_snapshot() -> [RelayUpdate; 3] {
     [slice_assigned(1), weight_stored(1, 1, 1.0), RelayUpdate::KeepAlive]
 }
 
 #[test]
-fn reconnect_reports_what_left_and_what_changed_elsewhere() {
+fn reconnect_reports_departed_proxies_and_tables_changed_by_others() {
     let mut subscription = RelaySubscription::new(relay_address());
     let first_snapshot = [
         proxy_joined(1),
@@ -86,24 +91,24 @@
     ];
     assert!(
         matches!(inputs[0], Input::ProxyJoined { proxy: ProxyId(1), .. }),
-        "it may have missed something"
+        "it may have missed an update"
     );
-    assert_eq!(inputs[1..], rest, "slice 1 stands as it was written");
+    assert_eq!(inputs[1..], rest, "slice 1 is unchanged since this director wrote it");
 }
 
 #[test]
-fn broken_leading_stream_is_replaced_without_a_gap() {
+fn broken_primary_stream_is_replaced_without_a_gap() {
     let mut subscription = RelaySubscription::new(relay_address());
     assert_eq!(apply_updates(&mut subscription, 0.0, 1, &snapshot()).len(), 3);
-    assert_eq!(apply_updates(&mut subscription, 1.0, 2, &snapshot()), [], "what it tells is known");
-    // The first breaks before it tells what the second has told.
+    assert_eq!(apply_updates(&mut subscription, 1.0, 2, &snapshot()), [], "its state is already known");
+    // The primary breaks before it reports the updates that the standby has received.
     let ahead = [RelayUpdate::ProxyLeft(ProxyId(1)), proxy_joined(9), slice_assigned(2)];
     assert_eq!(apply_updates(&mut subscription, 2.0, 2, &ahead), []);
     let inputs = break_stream(&mut subscription, 2.1, 1);
     assert_eq!(
         inputs[0],
         Input::RelayCall(RelayCallEvent::AcknowledgementsLost),
-        "receipts that only the first has told are missed"
+        "acknowledgements may be lost with the primary"
     );
     assert!(matches!(inputs[1], Input::ProxyJoined { proxy: ProxyId(9), .. }));
     assert_eq!(inputs[2..], [Input::ProxyLeft(ProxyId(1)), Input::SliceAssigned(SliceId(2))]);
@@ -117,9 +122,9 @@
     let mut outbox = Outbox::default();
     apply_updates(&mut subscription, 0.0, 1, &snapshot());
     subscription.set_address(1.0, new_relay_address(), &mut outbox);
-    assert_eq!(apply_updates(&mut subscription, 1.0, 2, &snapshot()[..3]), [], "what it tells is known");
+    assert_eq!(apply_updates(&mut subscription, 1.0, 2, &snapshot()[..3]), [], "its state is already known");
     let left = apply_updates(&mut subscription, 1.1, 1, &[RelayUpdate::ProxyLeft(ProxyId(1))]);
-    assert_eq!(left, [Input::ProxyLeft(ProxyId(1))], "the old one is heard meanwhile");
+    assert_eq!(left, [Input::ProxyLeft(ProxyId(1))], "the old stream is still in use");
     subscription.apply(1.2, LinkId(2), RelayUpdate::ProxyLeft(ProxyId(1)), &mut outbox);
     subscription.apply(1.3, LinkId(2), RelayUpdate::KeepAlive, &mut outbox);
     assert!(outbox.effects.contains(&Effect::CloseRelay(LinkId(1))));
@@ -129,7 +134,7 @@
 }
 
 #[test]
-fn broken_stream_does_not_make_own_writes_a_change_elsewhere() {
+fn own_writes_do_not_count_as_changes_by_others_after_a_broken_stream() {
     let mut subscription = RelaySubscription::new(relay_address());
     apply_updates(&mut subscription, 0.0, 1, &snapshot());
     apply_updates(&mut subscription, 1.0, 2, &snapshot());
@@ -141,8 +146,8 @@
 }
 
 #[test_case(0.0503073, 0.05, 0 ; "rounded to three decimals")]
-#[test_case(0.0503073, 0.052, 2 ; "another one")]
-fn rounded_weight_is_no_change_elsewhere(written: f64, stored: f64, inputs: usize) {
+#[test_case(0.0503073, 0.052, 2 ; "a different weight")]
+fn rounded_weight_does_not_count_as_changed_by_others(written: f64, stored: f64, inputs: usize) {
     let mut subscription = RelaySubscription::new(relay_address());
     apply_updates(&mut subscription, 0.0, 1, &[slice_assigned(1), RelayUpdate::KeepAlive]);
     subscription.weight_written(SliceId(1), HostId(1), written);
@@ -152,7 +157,7 @@
 }
 
 #[test]
-fn write_during_the_snapshot_is_no_change_elsewhere() {
+fn write_during_the_snapshot_does_not_count_as_a_change_by_others() {
     let mut subscription = RelaySubscription::new(relay_address());
     apply_updates(&mut subscription, 0.0, 1, &slice_snapshot());
     break_stream(&mut subscription, 1.0, 1);
@@ -162,7 +167,7 @@
 }
 
 #[test]
-fn reconnect_with_a_call_in_flight_is_no_change_elsewhere() {
+fn table_of_a_call_in_flight_does_not_count_as_changed_by_others() {
     let mut subscription = RelaySubscription::new(relay_address());
     apply_updates(&mut subscription, 0.0, 1, &slice_snapshot());
     break_stream(&mut subscription, 1.0, 1);
@@ -186,7 +191,7 @@
 }
 
 #[test_case(RelayUpdate::ProxyLeft(ProxyId(5)) ; "a proxy that never joined")]
-#[test_case(RelayUpdate::SliceRevoked(SliceId(5)) ; "a slice that was never given")]
+#[test_case(RelayUpdate::SliceRevoked(SliceId(5)) ; "a slice that was never assigned")]
 #[test_case(weight_stored(5, 1, 1.0) ; "a weight of a slice that is not assigned")]
 fn update_of_something_unknown_changes_nothing(update: RelayUpdate) {
     let mut subscription = RelaySubscription::new(relay_address());
--- a/crates/director/service/src/reducer/tests/reload.rs
+++ b/crates/director/service/src/reducer/tests/reload.rs
@@ -1,4 +1,4 @@
-//! Configurations that are read again, and the moves that they ask for.
+//! Reloaded configurations, and the changes of address in them.
 
 use super::{
     lines, new_reducer, reducer_with_slice, reducer_with_slice_and_queued_call, CONFIG, SNAPSHOT,
@@ -10,18 +10,18 @@
 use std::collections::BTreeSet;
 use test_case::test_case;
 
-/// The configuration with another port of the relay and other kinds.
+/// A reload of the configuration with another port of the relay and other machine kinds.
 fn reload_event(relay_port: u16, kinds: &str) -> Event {
     let text = CONFIG.replace("127.0.0.1:3", &format!("127.0.0.1:{relay_port}")).replace("\"m2\"", kinds);
     Event::Reload(Box::new(Config::parse(text.as_bytes()).map_err(FileError::new)))
 }
 
-#[test_case(reload_event(3, "\"m2\""), "taken, discovery 127.0.0.1:2, relay 127.0.0.1:3", 0 ; "unchanged")]
-#[test_case(reload_event(4, "\"m2\""), "taken, discovery 127.0.0.1:2, relay 127.0.0.1:4", 2 ; "another relay")]
-#[test_case(reload_event(3, "\"m3\""), "only a start takes settings", 0 ; "a setting that only a start takes")]
+#[test_case(reload_event(3, "\"m2\""), "applied, discovery 127.0.0.1:2, relay 127.0.0.1:3", 0 ; "unchanged")]
+#[test_case(reload_event(4, "\"m2\""), "applied, discovery 127.0.0.1:2, relay 127.0.0.1:4", 2 ; "another relay")]
+#[test_case(reload_event(3, "\"m3\""), "a restart is needed for settings", 0 ; "a setting that needs a restart")]
 #[test_case(reload_event(4, "\"m2\"],\"me\":[\"x\""), "field settings.me", 0 ; "a field that cannot be used")]
-#[test_case(Event::Reload(Box::new(Err(FileError::new("EOF")))), "all stays as it was, EOF", 0 ; "cut off")]
-fn unusable_configuration_is_not_taken_in_part(event: Event, expected: &str, dialled: usize) {
+#[test_case(Event::Reload(Box::new(Err(FileError::new("EOF")))), "not applied: EOF", 0 ; "cut off")]
+fn reloaded_configuration_is_applied_as_a_whole_or_not_at_all(event: Event, expected: &str, dialled: usize) {
     let (mut reducer, _) = reducer_with_slice_and_queued_call();
     reducer.calls.connected(0.2, LinkId(9));
     reducer.reduce(0.2, Event::EndOfBatch);
@@ -32,18 +32,18 @@
     assert_eq!(
         effects.len(),
         dialled,
-        "a dial for the calls; the stream that is not synchronized is closed: {effects:?}"
+        "one connects for the calls; the stream that is not synchronized is closed: {effects:?}"
     );
     let after = reducer.reduce(0.2, Event::EndOfBatch);
     assert!(
         !after.iter().any(|effect| matches!(effect, Effect::CloseRelay(_) | Effect::CloseWatch(_))),
         "{after:?}"
     );
-    assert!(reducer.subscription.is_synchronized(), "nothing learnt is lost");
+    assert!(reducer.subscription.is_synchronized(), "the known state is kept");
 }
 
 #[test]
-fn second_relay_move_abandons_the_first() {
+fn second_relay_move_replaces_an_unfinished_first_one() {
     let mut reducer = reducer_with_slice();
     let mut dialled = BTreeSet::new();
     let mut closed = BTreeSet::new();
@@ -65,8 +65,8 @@
     let dialled_to = |port| dialled.iter().filter(move |(to, _)| *to == port).map(|(_, link)| *link);
     assert!(dialled_to(4).all(|link| closed.contains(&link)), "{dialled:?} {closed:?}");
     assert!(dialled_to(5).count() > 0, "{dialled:?} {closed:?}");
-    assert!(!closed.contains(&UPDATES_LINK), "what served first serves on");
-    assert!(reducer.subscription.is_synchronized(), "what served first serves on");
+    assert!(!closed.contains(&UPDATES_LINK), "the first stream stays in use");
+    assert!(reducer.subscription.is_synchronized(), "the first stream stays in use");
     let new = dialled_to(5).find(|link| reducer.subscription.owns(*link)).unwrap();
     reducer.reduce(0.4, Event::RelayConnected(new));
     reducer.reduce(0.4, Event::RelayLines(new, lines(&SNAPSHOT)));
--- a/crates/director/service/src/reducer/tests/retention.rs
+++ b/crates/director/service/src/reducer/tests/retention.rs
@@ -1,4 +1,4 @@
-//! What is kept for hosts and connections that are gone.
+//! State of hosts and connections that are gone is released.
 
 use super::{host_entry, host_list, lines, CONFIG, DEMAND_LINE, JOIN_LINE};
 use crate::reducer::{ConnectionId, Effect, Event, LinkId, ProbeOutcome, Reducer};
@@ -6,14 +6,14 @@
 use std::collections::VecDeque;
 
 const STEPS_PER_SECOND: i32 = 5;
-/// Each second a host comes, and one goes that came so many seconds before.
+/// Each second a host is added, and the one that was added this many seconds before is removed.
 const HOST_LIFETIME_S: i32 = 4;
-/// How many of the newest connections are searched for subscriptions.
+/// How many of the newest connections are searched for update streams.
 const RECENT_LINKS: usize = 9;
 /// Most entries that may be kept of any kind.
 const MAX_KEPT: usize = 50;
 
-/// Handles an event in surroundings that answer every effect at once: a relay and hosts that do what they are asked.
+/// Handles an event with a relay and hosts that answer every effect at once and successfully.
 fn reduce_with_peers(reducer: &mut Reducer, now: f64, event: Event) {
     let mut events = VecDeque::from([event, Event::EndOfBatch]);
     while let Some(event) = events.pop_front() {
@@ -46,7 +46,7 @@
     }
 }
 
-/// Lists a new host as in service and an older one as gone.
+/// Lists a new host as in service and an older one as terminated.
 fn replace_host(reducer: &mut Reducer, now: f64, second: i32) {
     let entries = [
         host_entry(&format!("h{second}"), "in_service", 0),
@@ -69,18 +69,18 @@
     }
 }
 
-/// A line comes on each subscription.
+/// Delivers a line on each update stream.
 fn send_update(reducer: &mut Reducer, now: f64, line: &str) {
     let links = (1..=reducer.outbox.last_link).rev().take(RECENT_LINKS).map(LinkId);
-    let subscriptions: Vec<LinkId> = links.filter(|link| reducer.subscription.owns(*link)).collect();
-    for link in subscriptions {
+    let streams: Vec<LinkId> = links.filter(|link| reducer.subscription.owns(*link)).collect();
+    for link in streams {
         reduce_with_peers(reducer, now, Event::RelayLines(link, lines(&[line])));
     }
 }
 
 /// A thousand hosts are replaced by new ones with new names, and a thousand connections come and go.
 #[test]
-fn replaced_hosts_and_lost_connections_leak_nothing() {
+fn replaced_hosts_and_closed_connections_leak_nothing() {
     let text = CONFIG
         .replace("\"slices\"", "\"lines-per-s\":60000.0,\"backlog\":120000.0,\"overhead\":12.0,\"slices\"");
     let mut reducer = Reducer::new(&Config::parse(text.as_bytes()).unwrap(), 0).unwrap();
--- a/crates/director/service/src/reducer/tests/truncated_messages.rs
+++ b/crates/director/service/src/reducer/tests/truncated_messages.rs
@@ -1,11 +1,11 @@
-//! Each message cut off at each byte.
+//! Every message truncated at every byte.
 
 use super::{host_entry, host_list, new_reducer, JOIN_LINE};
 use crate::framing::FramedLine;
 use crate::reducer::{ConnectionId, Event, LinkId, Reducer};
 
 const COLLECTOR: ConnectionId = ConnectionId(0);
-/// A message goes to so many of the newest outgoing connections.
+/// How many of the newest outgoing connections receive a message.
 const RECENT_LINKS: usize = 6;
 const STEP_S: f64 = 0.5;
 
@@ -15,7 +15,7 @@
     ["* hello 1 a 2.0 1", "* lease 0 1", "* line 0 h 1.0", "* ack 1 2 3.0", "OK 3"];
 
 #[test]
-fn truncated_messages_do_no_harm() {
+fn reducer_survives_messages_truncated_at_any_byte() {
     let mut reducer = new_reducer();
     let list = host_list(3, true, &[host_entry("h", "in_service", 9)]);
     reducer.reduce(0.0, Event::Accepted(COLLECTOR));
@@ -42,7 +42,8 @@
     reducer.reduce(now, Event::Received(new, message.to_vec()));
     reducer.reduce(now, Event::Accepted(COLLECTOR));
     reducer.reduce(now, Event::Received(COLLECTOR, JOIN_LINE.to_vec()));
-    // Links are numbered from 1; a few go with each step, as some messages cost their connection.
+    // Link ids start at 1. Some messages close their connection, and its successor gets a new id, so the newest are
+    // used.
     for link in (0..=reducer.outbox.last_link).rev().take(RECENT_LINKS).map(LinkId) {
         reducer.reduce(now, Event::RelayConnected(link));
         reducer.reduce(now, Event::RelayLines(link, line.clone()));
--- a/crates/director/service/src/resource_limits.rs
+++ b/crates/director/service/src/resource_limits.rs
@@ -1,7 +1,7 @@
-//! How many descriptors and bytes each part of the director may hold.
+//! How many file descriptors and bytes each part of the director may hold.
 //!
-//! The figures follow from the configuration's `limits`. Where these are absent, the least that a director is ever
-//! given is assumed.
+//! They are derived from the configuration's `limits`. A limit that is absent is taken to be the least that any
+//! director is given.
 
 use coppersail_protocol::config::Limits;
 
@@ -18,28 +18,28 @@
     pub max_list_bytes: usize,
 }
 
-/// Descriptors of a director whose configuration names none.
+/// File descriptors of a director whose configuration does not limit them.
 const DEFAULT_SOCKETS: u64 = 256;
-/// Memory in MiB of a director whose configuration names none.
+/// Memory in MiB of a director whose configuration does not limit it.
 const DEFAULT_MEMORY_MB: u64 = 32;
 const BYTES_PER_MB_SHIFT: u32 = 20;
 /// The least that accepted connections and probes each get, however few descriptors there are.
 const MIN_CONNECTIONS: usize = 8;
-/// As many hosts as a fleet of the size that is served has, so that none waits for another that does not answer:
-/// such a one occupies its place for 0.7 s, and hosts are probed twice a second.
+/// The number of hosts in the largest supported fleet, so that no probe waits for a host that does not answer: such a
+/// host keeps its probe in flight for 0.7 s, and hosts are probed twice a second.
 const MAX_PROBES: usize = 1024;
-/// What a probe takes at most while it is in flight: two buffers of its connection and a report.
+/// Maximum memory of a probe in flight, in bytes: two buffers of its connection and a load report.
 const PROBE_BYTES: usize = 24 << 10;
-/// In bytes; a full list of ten thousand hosts fits.
+/// Maximum length of a line of discovery, in bytes: enough for a complete list of ten thousand hosts.
 const MAX_LIST_BYTES: usize = 4 << 20;
 
 impl ResourceLimits {
     /// Divides the limits among the parts.
     ///
-    /// Half of the descriptors are for accepted connections and a quarter for probes. The last quarter is for the relay
-    /// and discovery (twice while they move to another address), for what the runtime holds, and as reserve. Of the
-    /// memory a sixteenth each is for what has begun to come in from collectors and from discovery, and an eighth for
-    /// probes.
+    /// Half of the descriptors are for accepted connections and a quarter for probes. The last quarter is for the
+    /// connections to the relay and discovery (which double while these move to another address), for the runtime,
+    /// and as reserve. Of the memory, a sixteenth is for incomplete lines of collectors, another for incomplete lines
+    /// of discovery, and an eighth for probes.
     pub fn from_config_limits(limits: &Limits) -> Self {
         let sockets = limits.sockets.unwrap_or(DEFAULT_SOCKETS) as usize;
         let memory = (limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) as usize) << BYTES_PER_MB_SHIFT;
--- a/crates/director/service/src/signals.rs
+++ b/crates/director/service/src/signals.rs
@@ -3,7 +3,7 @@
 use std::io;
 use tokio::signal::unix::{signal, Signal, SignalKind};
 
-/// Handlers of all signals; without one, a signal would end the process.
+/// Handlers of all signals; a signal without a handler would end the process.
 pub(crate) struct Signals {
     /// SIGUSR1: log the counters.
     pub(crate) log_counters: Signal,
--- a/crates/director/service/src/start_error.rs
+++ b/crates/director/service/src/start_error.rs
@@ -1,4 +1,4 @@
-//! Why the director does not start.
+//! Errors that prevent the director's start.
 
 use crate::config_file::ConfigFileError;
 use crate::operator_file_reader::OperatorFileError;
@@ -6,10 +6,10 @@
 use std::error::Error;
 use std::io;
 
-/// The cause of an exit with status 2. Its text is what the program prints, and has the source's text in it.
+/// The cause of an exit with status 2. The program prints its text, which contains the source's text.
 #[derive(Debug, thiserror::Error)]
 pub(crate) enum StartError {
-    /// There is no runtime for the sockets.
+    /// The asynchronous runtime cannot be created.
     #[error("{0}")]
     Runtime(#[source] io::Error),
     /// A signal's handler cannot be installed.
@@ -21,7 +21,7 @@
     /// A field of the configuration has a value that the director cannot work with.
     #[error("configuration: {0}")]
     Settings(#[source] Box<dyn Error + Send + Sync>),
-    /// The address that the configuration names cannot be listened at.
+    /// The configured address cannot be bound.
     #[error("configuration: field listen: {0}")]
     Listen(#[source] io::Error),
     /// The operators' file cannot be used.
@@ -30,7 +30,7 @@
     /// The log of operators' changes cannot be opened.
     #[error("history: {0}")]
     ChangeLog(#[source] OpenError),
-    /// The records of the log do not fit together.
+    /// The records of the log contradict each other.
     #[error("history: {0}")]
     ChangeRecords(#[source] Box<dyn Error + Send + Sync>),
     /// The operators' socket cannot be bound.
--- a/crates/director/service/src/startup.rs
+++ b/crates/director/service/src/startup.rs
@@ -1,4 +1,4 @@
-//! What happens once, before the first event: the settings are read, the sockets bound, the change log replayed.
+//! The start, before the first event: reads the settings, binds the sockets and replays the change log.
 
 use crate::adapters::{
     Adapters, AdminSocket, ChangeLogWriter, CollectorListener, DiscoveryClient, HealthProber, RelayClient,
@@ -18,19 +18,19 @@
 use tokio::sync::mpsc::{channel, Sender};
 use tracing::Level;
 
-/// Names the operators' file; without it operators' changes are off.
+/// Holds the path of the operators' file; if it is unset, operators' changes are disabled.
 const OPERATOR_FILE_VARIABLE: &str = "EDGE_OPERATOR";
-/// Events on their way to the reducer; when there are as many, readers wait and so do their peers.
+/// Events queued for the reducer. While the queue is full, readers wait, which puts back pressure on their peers.
 const EVENT_QUEUE_LENGTH: usize = 64;
 
-/// Starts the director. `started` is the zero of the reducer's time, `wall_ns` what the wall clock showed then, in
-/// nanoseconds since the epoch.
+/// Starts the director. The reducer's time counts from `started`; `wall_ns` is the wall clock's time at that moment,
+/// in nanoseconds since the Unix epoch.
 pub(crate) async fn start(
     started: Instant,
     wall_ns: u64,
     logger: &LogHandle,
 ) -> Result<EventLoop, StartError> {
-    // First of all, as a signal without its handler ends the process.
+    // Comes first, because a signal without a handler ends the process.
     let signals = Signals::install().map_err(StartError::Signals)?;
     let config = config_file::read().map_err(StartError::Config)?;
     let mut reducer = Reducer::new(&config, wall_ns).map_err(|error| StartError::Settings(error.into()))?;
@@ -71,7 +71,7 @@
     })
 }
 
-/// Opens what the operators' file asks for; returns the change log's records, if one is kept.
+/// Opens the change log and the admin socket if the operators' file names them; returns the records of the log.
 fn open_operator_adapters(
     start_config: &StartConfig,
     adapters: &mut Adapters,
@@ -82,7 +82,7 @@
         let opened = ChangeLogWriter::open(path, events.clone()).map_err(StartError::ChangeLog)?;
         if opened.truncated_bytes > 0 {
             let text =
-                format!("history: {} bytes of a write that was cut off are given up", opened.truncated_bytes);
+                format!("history: {} bytes of an interrupted write were discarded", opened.truncated_bytes);
             logger::log(Level::WARN, None, &text);
         }
         adapters.change_log = Some(opened.writer);
--- a/crates/director/service/tests/director/collectors.rs
+++ b/crates/director/service/tests/director/collectors.rs
@@ -23,7 +23,7 @@
         (testbed.director.counter("lines_bad"), testbed.director.counter("collectors_dropped")),
         (1, 0)
     );
-    testbed.director.wait_for_log("collector: line passed over, ");
+    testbed.director.wait_for_log("collector: line ignored: ");
 }
 
 #[test]
@@ -33,7 +33,7 @@
     collector.send_line(ATTEMPTS_REPORT.replace("30.0", "\"slow\"").as_bytes());
     testbed.director.wait_for_counter("sums_of_tries", 1);
     assert_eq!(testbed.director.counter("load_figures_odd"), 1);
-    testbed.director.wait_for_log("load report: 1 figures passed over");
+    testbed.director.wait_for_log("load report: 1 figures ignored");
 }
 
 #[test]
@@ -59,7 +59,7 @@
         testbed.director.counter("strangers_dropped") + testbed.director.counter("connections_ended"),
         401
     );
-    testbed.director.wait_for_log("stranger: connection dropped, ");
+    testbed.director.wait_for_log("unjoined peer: connection closed: ");
 }
 
 #[test_case(b"GET / HTTP/1.1\r\n" ; "HTTP")]
--- a/crates/director/service/tests/director/config_reload.rs
+++ b/crates/director/service/tests/director/config_reload.rs
@@ -42,7 +42,7 @@
 fn an_unusable_configuration_on_reload_changes_nothing(text: Option<&str>) {
     let testbed = Testbed::with_tables();
     testbed.reload_config(text);
-    testbed.director.wait_for_log("configuration: all stays as it was, ");
+    testbed.director.wait_for_log("configuration: not applied: ");
     testbed.update_host(2, "s-1", "terminating");
     testbed.relay.wait_until("s-1 is withdrawn", |relay| relay.withdrawn.contains("s-1"));
     assert_eq!(
--- a/crates/director/service/tests/director/operator_changes.rs
+++ b/crates/director/service/tests/director/operator_changes.rs
@@ -35,7 +35,7 @@
     let _callers = Callers::start(&testbed, |_, _| 0);
     let whole = OPERATOR_FILE.replace("\"form\":1,", "\"form\":1,\"hosts\":{\"s-2\":{\"drained\":true}},");
     testbed.reload_operator_file(&whole[..whole.len() / 2]);
-    testbed.director.wait_for_log("operators' file: all stays as it was");
+    testbed.director.wait_for_log("operators' file: not applied: ");
     assert_eq!(testbed.admin_request(r#"{"do":"status"}"#)["version"], 0);
     testbed.reload_operator_file(&whole);
     testbed.relay.wait_until("s-2 has no line", |relay| !relay.any_table_names("s-2"));
--- a/crates/director/service/tests/director/relay_news.rs
+++ b/crates/director/service/tests/director/relay_news.rs
@@ -61,6 +61,6 @@
     let testbed = Testbed::with_tables();
     testbed.relay.update(|relay| relay.send_news(line));
     testbed.director.wait_for_counter("news_bad", 1);
-    testbed.director.wait_for_log("relay: news passed over, field ");
+    testbed.director.wait_for_log("relay: update ignored: field ");
     assert_eq!(testbed.director.counter("news_lost"), 0);
 }
