--- a/crates/director/service/tests/director/capacity_guard.rs
+++ b/crates/director/service/tests/director/capacity_guard.rs
@@ -1,4 +1,4 @@
-//! The capacity guard: what would overload the hosts that are left is refused or moderated.
+//! The capacity guard: changes and tables that would overload the remaining hosts are refused or moderated.
 
 use crate::fixtures::{GUARDED_FILE, OPERATOR_FILE};
 use crate::stand_ins::{RelayStandIn, WAIT_TIMEOUT};
@@ -8,10 +8,10 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-/// Between reports of a host.
+/// Time between the reports of a host.
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Reports so many calls in a tenth of a second at each host, and three in its queue.
+/// Reports `calls` calls in a tenth of a second at each host, and three in its queue.
 fn report_hosts(collector: &mut Collector, hosts: &[&str], calls: u64) {
     for host in hosts {
         let line = format!(
@@ -24,7 +24,7 @@
 #[test]
 fn a_drain_that_leaves_too_little_capacity_is_refused() {
     let testbed = Testbed::with_operator_file_and_tables(6, GUARDED_FILE);
-    // Six slices, 200 calls a second each; a host has been seen to answer 500 at most, with calls that wait.
+    // Six slices with 200 calls a second each. At most 500 calls a second were observed at a host, with a queue.
     let _callers = Callers::start(&testbed, |_, _| 0);
     let mut collector = testbed.connect_collector();
     let deadline = Instant::now() + WAIT_TIMEOUT;
@@ -37,7 +37,7 @@
         if answer["is"] == "refused" {
             break answer["why"].to_string();
         }
-        // It takes a few reports until it is known what comes and what hosts carry.
+        // The call rate and the hosts' capacity are known only after a few reports.
         assert!(Instant::now() < deadline, "not refused");
         std::thread::park_timeout(REPORT_INTERVAL);
     };
@@ -47,23 +47,23 @@
 #[test]
 fn a_relay_whose_tables_overload_one_host_is_corrected_through_the_guard() {
     let testbed = Testbed::with_operator_file_and_tables(12, GUARDED_FILE);
-    // What the director makes of tables that pile all on one host goes out, as it is less harmful.
+    // The director's correction of tables that load one host with everything is sent, as it is less harmful.
     testbed.relay.update(|relay| {
         for slice in 0..12 {
             relay.slices.insert(slice, [("s-1".to_string(), 1.0)].into());
         }
-        relay.close_news_connections();
+        relay.close_update_streams();
     });
     testbed.relay.wait_until("all slices have two lines again", |relay| relay.all_tables_have(2));
     assert!(testbed.director.counter("guard_judged") > 0);
     testbed.relay.update(|relay| {
         let owned = |host: &str| (0..12).filter(|slice| relay.heaviest_host(*slice) == host).count();
-        assert!(owned("s-1") < 12, "the rebalancer has spread them, the guard has let it");
+        assert!(owned("s-1") < 12, "the rebalancer has spread the slices, and the guard has permitted it");
     });
 }
 
 #[test]
-fn a_change_may_switch_the_guard_to_watching_without_refusals() {
+fn a_change_may_switch_the_guard_to_watch_mode_which_refuses_nothing() {
     let testbed = Testbed::with_operator_file_and_tables(6, OPERATOR_FILE);
     assert_eq!(testbed.director.counter("guard_judged"), 0);
     let watch = testbed.submit_change(0, 0.0, r#"{"guard.mode":"watch"}"#).unwrap();
@@ -71,14 +71,14 @@
     let drain = testbed.submit_change(watch, 0.0, r#"{"hosts.s-2.drained":true}"#).unwrap();
     testbed.wait_for_stage(drain, "kept");
     testbed.director.wait_for_counter("guard_judged", 1);
-    assert_eq!(testbed.director.counter("guard_refused"), 0, "a sound drain is nothing to refuse");
+    assert_eq!(testbed.director.counter("guard_refused"), 0, "a harmless drain is not refused");
 }
 
-/// What a host gets of the calls that proxies send by the tables as they are: each slice's calls are divided by the
-/// weights of the hosts that are not withdrawn.
+/// The rate of calls that proxies send to a host by the current tables: each slice's calls are divided by the weights
+/// of the hosts that are not withdrawn.
 ///
-/// A table of one line is the relay's own doing and not counted: how long it stands depends on how busy the machine is,
-/// which once made this test fail, and nothing that the director does can undo what was sent by it.
+/// A table of one line is set by the relay and not counted. How long it remains depends on the load of the machine,
+/// which would make the test flaky, and the director cannot prevent the calls that are sent by it.
 fn call_rate_of(host: &str, relay: &RelayStandIn, calls_per_s: f64) -> f64 {
     let tables = relay.slices.values().filter(|lines| lines.len() > 1);
     let rates = tables.map(|lines| {
@@ -95,7 +95,7 @@
 /// Samples in half a second.
 const RATE_SAMPLES: usize = 20;
 
-/// The most calls a second, as a mean over half a second, that a host gets while `act` runs.
+/// The highest rate of calls to a host while `act` runs, in calls per second as a mean over half a second.
 fn peak_call_rate(testbed: &Testbed, host: &'static str, calls_per_s: f64, act: impl FnOnce()) -> f64 {
     let is_sampling = Arc::new(AtomicBool::new(true));
     let continues = is_sampling.clone();
@@ -131,7 +131,7 @@
     });
     let _callers = Callers::start(&testbed, |_, _| 0);
     let mut collector = testbed.connect_collector();
-    // 12 slices with 200 calls a second each; hosts have answered 800 a second with calls that wait.
+    // 12 slices with 200 calls a second each. 800 calls a second were observed at a host, with a queue.
     let report_for = |collector: &mut Collector, count: usize| {
         for _ in 0..count {
             report_hosts(collector, &six, 80);
@@ -140,23 +140,24 @@
     };
     report_for(&mut collector, 30);
     let peak = peak_call_rate(&testbed, "s-3", 200.0, || {
-        // A weight that would pile the most on one host, and a relay that names one host alone.
+        // A weight that would load one host with most of the calls, and tables of the relay that name only one host.
         let _ = testbed.submit_change(0, 0.0, r#"{"hosts.s-3.weight":50}"#);
         report_for(&mut collector, 20);
         testbed.relay.update(|relay| {
             for slice in 0..6 {
                 relay.slices.insert(slice, [("s-1".to_string(), 1.0)].into());
             }
-            relay.close_news_connections();
+            relay.close_update_streams();
         });
         report_for(&mut collector, 30);
         testbed.relay.wait_until("the relay's tables are the director's again", |relay| {
             relay.slices.values().all(|lines| lines.len() > 1)
         });
     });
-    // With all slices in its charge it would be 2,182. What is refused again and again is let through up to a quarter
-    // past its bound, which is 1.25 times what it carries, 1,000; and what slices are asked is known to a tenth. With
-    // three hosts, of which each may have twice its fair part, there was hardly room between that and all of it.
+    // The host would get 2,182 calls a second if it had all slices. Its bound is 1.25 times its capacity, that is
+    // 1,000; a batch that is refused repeatedly is sent if it exceeds the bound by at most a quarter; and the rates
+    // of slices are known to a tenth. Six hosts are needed, because with three, each of which may have twice its fair
+    // share, the limit would be too close to the rate of all slices.
     assert!(peak <= 1_375.0, "{peak}");
     assert!(testbed.director.counter("guard_judged") > 0);
 }
--- a/crates/director/service/tests/director/change_trials.rs
+++ b/crates/director/service/tests/director/change_trials.rs
@@ -1,4 +1,4 @@
-//! Trials of changes by which callers lose, and by which they do not.
+//! Trials of changes that harm callers, and of changes that do not.
 
 use crate::fixtures::OPERATOR_FILE;
 use crate::stand_ins::RelayStandIn;
@@ -9,7 +9,7 @@
 /// More than half of a report's calls.
 const MANY_FAILURES: u64 = 12;
 
-/// Calls to slice 0 fail while it is on s-3.
+/// Calls to slice 0 fail while most of its weight is on s-3.
 fn failures_on_s3(relay: &RelayStandIn, slice: u16) -> u64 {
     if slice == 0 && relay.heaviest_host(0) == "s-3" {
         MANY_FAILURES
@@ -44,7 +44,8 @@
     (0..6).all(|slice| relay.heaviest_host(slice) != "s-1")
 }
 
-/// Nothing is left untouched, so the first harm only suspends the change; it recurs when the change is applied again.
+/// No slice is left for comparison, so harm at first only suspends the change. It recurs when the change is applied
+/// again.
 #[test]
 fn a_harmful_change_to_all_slices_is_suspended_and_undone_when_its_harm_recurs() {
     let testbed = Testbed::with_operator_file_and_tables(6, OPERATOR_FILE);
@@ -54,7 +55,7 @@
     testbed.relay.wait_until("all slices leave s-1", |relay| s1_owns_no_slice(relay));
     let begun = Instant::now();
     testbed.director.wait_for_log(&format!("WARN change {number}: set aside until the fleet is well"));
-    testbed.relay.wait_until("some go home", |relay| !s1_owns_no_slice(relay));
+    testbed.relay.wait_until("some slices return to s-1", |relay| !s1_owns_no_slice(relay));
     assert!(begun.elapsed().as_secs() < 30);
     let why = testbed.wait_for_stage(number, "undone")["stage"].to_string();
     assert!(why.contains("a second time"), "{why}");
@@ -100,7 +101,7 @@
     let callers = Callers::start(&testbed, |_, _| 0);
     let number = testbed.submit_change(0, 5.0, r#"{"hosts.s-2.weight":0.5}"#).unwrap();
     testbed.wait_for_stage(number, "trial");
-    callers.fall_silent();
+    callers.stop();
     let why = testbed.wait_for_stage(number, "undone")["stage"]["undone"].to_string();
     assert!(why.contains("unjudged"), "{why}");
 }
--- a/crates/director/service/tests/director/collectors.rs
+++ b/crates/director/service/tests/director/collectors.rs
@@ -1,11 +1,11 @@
-//! Connections at the director: invalid lines, connections that do not join, and floods of them.
+//! Connections to the director: invalid lines, peers that do not join, and floods of them.
 
 use crate::fixtures::ATTEMPTS_REPORT;
 use crate::testbed::Testbed;
 use test_case::test_case;
 
-#[test_case(b"{not json" ; "no JSON")]
-#[test_case(b"\xff\xfe\x00" ; "no text")]
+#[test_case(b"{not json" ; "not JSON")]
+#[test_case(b"\xff\xfe\x00" ; "not UTF-8")]
 #[test_case(br#"{"msg":"outcomes","az":"a","host":"s-1"}"# ; "fields missing")]
 #[test_case(br#"{"msg":"agent","az":"nowhere"}"# ; "an unknown zone")]
 #[test_case(br#"{"msg":"outcomes","az":"a","host":"s-9","n":1,"bad":0,"avg":1.0,"window":1.0}"# ; "an unknown host")]
@@ -13,7 +13,7 @@
 #[test_case(br#"{"msg":"hot","partition":2,"kind":"lookup","n":1,"bad":0,"window":1.0}"# ; "an unknown slice")]
 #[test_case(br#"{"msg":"hot","partition":0,"kind":"lookup","n":"one","bad":0,"window":1.0}"# ; "a wrong type")]
 #[test_case(br#"{"msg":"gossip"}"# ; "an unknown kind")]
-fn a_bad_line_costs_only_itself(line: &[u8]) {
+fn an_invalid_line_of_a_collector_is_skipped(line: &[u8]) {
     let testbed = Testbed::with_tables();
     let mut collector = testbed.connect_collector();
     collector.send_line(line);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn odd_figures_of_a_load_report_cost_only_themselves() {
+fn invalid_figures_of_a_load_report_are_ignored_and_the_report_is_used() {
     let testbed = Testbed::with_tables();
     let mut collector = testbed.connect_collector();
     collector.send_line(ATTEMPTS_REPORT.replace("30.0", "\"slow\"").as_bytes());
@@ -37,19 +37,19 @@
 }
 
 #[test]
-fn a_flood_of_connections_that_do_not_join_costs_no_collector_and_no_probe() {
+fn a_flood_of_connections_that_do_not_join_affects_no_collector_and_no_probe() {
     let testbed = Testbed::with_tables();
     let mut collector = testbed.connect_collector();
-    // More than descriptors: some say nothing, some half a message, some ask for a sign of life and stay.
-    let mut strangers: Vec<_> = (0..400).map(|_| testbed.connect()).collect();
-    for stranger in strangers.iter_mut().step_by(3) {
-        stranger.send_bytes(b"{\"msg\":");
+    // More connections than descriptors: every third sends half a message, the others send nothing.
+    let mut unjoined_peers: Vec<_> = (0..400).map(|_| testbed.connect()).collect();
+    for peer in unjoined_peers.iter_mut().step_by(3) {
+        peer.send_bytes(b"{\"msg\":");
     }
-    assert!(testbed.connect().is_answered(), "who comes last is answered");
+    assert!(testbed.connect().is_answered(), "a new probe is answered");
     let mut second = testbed.connect_collector();
     assert!(testbed.director.open_descriptors() < 250);
-    for stranger in &mut strangers {
-        assert!(stranger.is_closed(), "each is closed");
+    for peer in &mut unjoined_peers {
+        assert!(peer.is_closed(), "every peer that does not join is disconnected");
     }
     collector.send_line(ATTEMPTS_REPORT.as_bytes());
     second.send_line(ATTEMPTS_REPORT.as_bytes());
@@ -68,9 +68,9 @@
 #[test_case(br#"{"msg":"agent","az":"nowhere"}"# ; "an unknown zone")]
 fn a_connection_that_does_not_join_is_closed(line: &[u8]) {
     let testbed = Testbed::with_tables();
-    let mut stranger = testbed.connect();
-    stranger.send_line(line);
-    assert!(stranger.is_closed());
+    let mut peer = testbed.connect();
+    peer.send_line(line);
+    assert!(peer.is_closed());
     assert_eq!(
         (testbed.director.counter("sums_of_tries"), testbed.director.counter("strangers_dropped")),
         (0, 1)
@@ -80,8 +80,8 @@
 #[test]
 fn a_connection_that_never_ends_its_line_is_closed() {
     let testbed = Testbed::with_tables();
-    let mut stranger = testbed.connect();
-    while stranger.send_bytes(&[b' '; 1000]) {}
+    let mut peer = testbed.connect();
+    while peer.send_bytes(&[b' '; 1000]) {}
     assert!(testbed.connect().is_answered());
 }
 
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn a_line_that_comes_in_pieces_is_read() {
+fn a_line_that_arrives_in_pieces_is_read() {
     let testbed = Testbed::with_tables();
     let mut collector = testbed.connect_collector();
     let (head, tail) = ATTEMPTS_REPORT.as_bytes().split_at(31);
--- a/crates/director/service/tests/director/discovery.rs
+++ b/crates/director/service/tests/director/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery's lists, and watches that end, fall silent or bring invalid lists.
+//! Lists of discovery, and watches that end, time out or deliver invalid lists.
 
 use crate::testbed::Testbed;
 use test_case::test_case;
@@ -10,11 +10,11 @@
     testbed.relay.wait_until("s-1 is withdrawn", |relay| relay.withdrawn.contains("s-1"));
     testbed.relay.wait_until("no table names s-1", |relay| !relay.any_table_names("s-1"));
     testbed.update_host(3, "s-1", "in_service");
-    testbed.relay.wait_until("s-1 is let back", |relay| relay.withdrawn.is_empty());
+    testbed.relay.wait_until("s-1 is readmitted", |relay| relay.withdrawn.is_empty());
 }
 
 #[test]
-fn a_watch_that_ends_is_reopened_from_the_version_held() {
+fn a_watch_that_ends_is_reopened_from_the_current_version() {
     let testbed = Testbed::with_tables();
     testbed.update_host(7, "s-3", "terminating");
     testbed.relay.wait_until("s-3 is withdrawn", |relay| relay.withdrawn.contains("s-3"));
@@ -35,15 +35,15 @@
 }
 
 #[test_case("{\"version\":", "lists_bad" ; "an object that does not parse")]
-#[test_case(r#"{"version":0,"full":true,"servers":[]}"#, "lists_bad" ; "a version that goes back")]
-#[test_case(r#"{"version":2,"full":true,"servers":[{"id":"s-1"},{"id":"s-2"},{"id":"s-3"},7]}"#, "entries_unsound" ; "unsound entries")]
-fn a_bad_list_costs_only_itself(line: &str, counter: &str) {
+#[test_case(r#"{"version":0,"full":true,"servers":[]}"#, "lists_bad" ; "an outdated version")]
+#[test_case(r#"{"version":2,"full":true,"servers":[{"id":"s-1"},{"id":"s-2"},{"id":"s-3"},7]}"#, "entries_unsound" ; "invalid entries")]
+fn an_invalid_list_or_entry_is_skipped(line: &str, counter: &str) {
     let testbed = Testbed::with_tables();
     testbed.discovery.update(|discovery| discovery.send_line(line));
     testbed.director.wait_for_counter(counter, 1);
     testbed.update_host(3, "s-3", "terminating");
     testbed.relay.wait_until("s-3 is withdrawn", |relay| relay.withdrawn.contains("s-3"));
-    assert!(testbed.relay.update(|relay| relay.withdrawn.len() == 1), "no host seems gone");
+    assert!(testbed.relay.update(|relay| relay.withdrawn.len() == 1), "no other host is withdrawn");
 }
 
 #[test]
@@ -51,7 +51,7 @@
     let testbed = Testbed::with_tables();
     let full = testbed.full_host_list(2, &["s-2", "s-3", "s-4"]);
     testbed.discovery.update(|discovery| discovery.send_line(&full));
-    testbed.relay.wait_until("s-1 is gone from all tables", |relay| {
-        !relay.any_table_names("s-1") && relay.all_tables_have(2)
-    });
+    testbed
+        .relay
+        .wait_until("s-1 is in no table", |relay| !relay.any_table_names("s-1") && relay.all_tables_have(2));
 }
--- a/crates/director/service/tests/director/lifecycle.rs
+++ b/crates/director/service/tests/director/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Start, end and restart of a director, and a fleet of the greatest size.
+//! Start, exit and restart of a director, and a fleet of the largest size.
 
 use crate::fixtures::ATTEMPTS_REPORT;
 use crate::testbed::{host_list, DirectorConfig, DirectorProcess, Testbed};
@@ -15,10 +15,10 @@
     collector.send_line(br#"{"msg":"hot","partition":1,"kind":"lookup","n":4,"bad":0,"window":1000.0}"#);
     testbed.director.wait_for_counter("sums_of_calls", 1);
     assert_eq!((testbed.director.counter("sums_of_tries"), testbed.director.counter("zones_named")), (1, 1));
-    testbed.discovery.wait_until("a watch from the remembered version", |discovery| {
+    testbed.discovery.wait_until("a watch from the version of the cached list", |discovery| {
         discovery.requested_paths.iter().any(|path| path == "/v1/endpoints?follow=1&since=1")
     });
-    testbed.host.wait_until("a probe that asks for the load", |host| {
+    testbed.host.wait_until("a probe that requests the load", |host| {
         host.requested_paths.iter().any(|path| path == "/status/load")
     });
     testbed.director.wait_for_counter("probes_answered", 3);
@@ -27,20 +27,20 @@
     testbed.director.wait_for_log(" counters connections_taken=1 ");
 }
 
-#[test_case("{", "{\"name\":", "configuration: " ; "not whole")]
+#[test_case("{", "{\"name\":", "configuration: " ; "truncated")]
 #[test_case("\"relay\"", "\"relais\"", "field relay.address" ; "no relay")]
-#[test_case("\"seed\":\"8", "\"seed\":\"x", "field seed" ; "a seed that is no number")]
+#[test_case("\"seed\":\"8", "\"seed\":\"x", "field seed" ; "a seed that is not a number")]
 #[test_case("\"slices\":2", "\"slices\":\"many\"", "field settings.specifics.slices" ; "a word for a number")]
 #[test_case("\"slices\":2", "\"slices\":65536", "specifics.slices: 65536, expected 65535 at most" ; "more slices than have numbers")]
 #[test_case("\"proxy-count\":5", "\"proxy-count\":70000", "specifics.proxy-count: 70000, expected 65536 at most" ; "more proxies than have numbers")]
 #[test_case("\"known\":{", "\"known\":7,\"old\":{", "field known" ; "a list that is a number")]
 fn an_unusable_configuration_at_the_start_gets_one_line_and_status_2(
-    sound: &str,
-    unsound: &str,
+    valid: &str,
+    invalid: &str,
     expected: &str,
 ) {
     let at = "127.0.0.1:0".parse().unwrap();
-    let text = DirectorConfig::new(at, at, at, host_list(1, true, &[])).to_json().replacen(sound, unsound, 1);
+    let text = DirectorConfig::new(at, at, at, host_list(1, true, &[])).to_json().replacen(valid, invalid, 1);
     let path =
         std::env::temp_dir().join(format!("coppersail-{}-{}.json", std::process::id(), expected.len()));
     std::fs::write(&path, text).unwrap();
@@ -65,26 +65,27 @@
     assert!(testbed.connect().is_answered());
     testbed.director.wait_for_counter("slices_given", 2);
     testbed.director.wait_for_log("2 slices laid");
-    assert_eq!(testbed.director.counter("orders_given"), 0, "the tables of the relay are kept");
+    assert_eq!(testbed.director.counter("orders_given"), 0, "the relay's tables are kept");
     testbed.update_host(2, "s-1", "terminating");
     testbed.relay.wait_until("s-1 is withdrawn", |relay| relay.withdrawn.contains("s-1"));
 }
 
 #[test]
-fn a_log_that_nobody_reads_delays_nobody() {
+fn an_unread_log_does_not_block_the_director() {
     let testbed = Testbed::with_tables();
     assert!(testbed.connect().is_answered());
     let blocked = testbed.director.log.block();
-    // Each asks for a line of about a kilobyte: far more than a pipe takes.
+    // Each signal requests a line of about a kilobyte; together they are far more than a pipe buffers.
     for _ in 0..150 {
         testbed.director.signal("USR1");
-        assert!(testbed.connect().is_answered(), "it serves on");
+        assert!(testbed.connect().is_answered(), "it continues to serve");
     }
     drop(blocked);
     testbed.director.wait_for_counter("alive_answers", 151);
 }
 
-/// The size that no bound may cap, with as many slices as are one director's part of them.
+/// The size of the largest supported fleet, which every internal limit must allow, with one director's share of the
+/// slices.
 #[test]
 fn a_thousand_hosts_and_directors_and_five_thousand_proxies_are_served() {
     let testbed = Testbed::with_fleet(1024, 5000, 8);
--- a/crates/director/service/tests/director/main.rs
+++ b/crates/director/service/tests/director/main.rs
@@ -1,4 +1,4 @@
-//! The program as its surroundings see it: the binary is started among stand-ins and spoken to over sockets.
+//! Tests of the program from outside: the binary runs among stand-ins of its peers and is accessed over sockets.
 
 mod announced_shutdowns;
 mod capacity_guard;
--- a/crates/director/service/tests/director/operator_changes.rs
+++ b/crates/director/service/tests/director/operator_changes.rs
@@ -6,7 +6,7 @@
 use std::os::unix::net::UnixStream;
 
 #[test]
-fn two_operators_conflict_by_field_and_the_second_is_told_whose_it_is() {
+fn a_conflicting_change_of_a_field_is_refused_with_the_name_of_its_holder() {
     let testbed = Testbed::with_operator_file(6, OPERATOR_FILE);
     let first = testbed.submit_change(0, 0.0, r#"{"hosts.s-1.weight":2}"#).unwrap();
     testbed.wait_for_stage(first, "kept");
@@ -47,7 +47,7 @@
     let kept = testbed.submit_change(0, 0.0, r#"{"hosts.s-2.weight":2}"#).unwrap();
     testbed.wait_for_stage(kept, "kept");
     let tried = testbed.submit_change(kept, 60.0, r#"{"hosts.s-3.drained":true}"#).unwrap();
-    // Nothing is reported, so it waits for a time to compare with, and then goes on without.
+    // Nothing is reported, so the trial first waits for a baseline and then starts without one.
     testbed.wait_for_stage(tried, "trial");
     testbed.restart_director();
     let why = testbed.wait_for_stage(tried, "undone")["stage"].to_string();
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn an_invalid_operators_file_at_the_start_names_every_fault_and_ends() {
+fn an_invalid_operators_file_at_the_start_is_reported_with_every_fault_and_ends_the_director() {
     let mut testbed = Testbed::with_operator_file(6, r#"{"form":1,"log":"loud","zones":{"q":{"weight":2}}}"#);
     assert_eq!(testbed.director.wait_for_exit(), Some(2));
     testbed.director.wait_for_log("operator.json:1: field log: expected text or json");
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn the_socket_is_its_owners_alone_and_bad_requests_cost_only_themselves() {
+fn the_admin_socket_is_accessible_to_its_owner_only_and_survives_invalid_requests() {
     let testbed = Testbed::with_operator_file(6, OPERATOR_FILE);
     assert_eq!(testbed.admin_request("{\"do\":\"everything\"}")["is"], "unreadable");
     assert_eq!(testbed.admin_request("}{")["is"], "unreadable");
@@ -81,10 +81,7 @@
     );
     let held: Vec<_> =
         (0..20).map(|_| UnixStream::connect(testbed.folder().join("control.sock")).unwrap()).collect();
-    assert!(
-        testbed.director.open_descriptors() < 40,
-        "who connects and says nothing holds a few places at most"
-    );
+    assert!(testbed.director.open_descriptors() < 40, "idle connections beyond the limit are not accepted");
     drop(held);
     assert_eq!(testbed.admin_request(r#"{"do":"status"}"#)["hosts"], 3);
 }
--- a/crates/director/service/tests/director/relay_calls.rs
+++ b/crates/director/service/tests/director/relay_calls.rs
@@ -1,4 +1,4 @@
-//! Calls to the relay whose answers are lost, unreadable or refusals.
+//! Calls to the relay whose answers are lost, unreadable or rejections.
 
 use crate::stand_ins::RelayReply;
 use crate::testbed::Testbed;
@@ -10,7 +10,7 @@
 #[test_case(RelayReply::Unreadable { carried_out: false }, true ; "answered unreadably, not carried out")]
 #[test_case(RelayReply::Disconnect { carried_out: true }, true ; "broken off, carried out")]
 #[test_case(RelayReply::Disconnect { carried_out: false }, true ; "broken off, not carried out")]
-#[test_case(RelayReply::Throttling, false ; "turned away")]
+#[test_case(RelayReply::Throttling, false ; "throttled")]
 fn a_call_of_unknown_outcome_is_repeated_before_any_later_one(reply: RelayReply, repeated: bool) {
     let testbed = Testbed::with_tables();
     let before = testbed.relay.update(|relay| {
@@ -25,12 +25,12 @@
     });
     assert!(
         calls[..3].iter().all(|call| call.orders == calls[0].orders),
-        "the same until it is settled: {calls:?}"
+        "the first call is repeated until its outcome is known: {calls:?}"
     );
     assert_eq!(
         calls[1].connection != calls[0].connection,
         repeated,
-        "a late answer must not be taken for another call's"
+        "a call of unknown outcome is repeated on a new connection, where no late answer can arrive"
     );
     assert_eq!(testbed.director.counter("calls_repeated"), 2 * repeated as u64);
     assert_eq!(testbed.director.counter("calls_throttled"), 2 * !repeated as u64);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_refused_order_is_dropped_and_the_rest_sent() {
+fn a_rejected_order_is_dropped_and_the_rest_sent() {
     let testbed = Testbed::with_tables();
     let before = testbed.relay.update(|relay| {
         relay.replies.extend([RelayReply::RefuseOrder(0); 2]);
@@ -56,11 +56,11 @@
     );
     testbed.director.wait_for_counter("orders_refused", 1);
     testbed.director.wait_for_log("order refused: OUT,s-1");
-    assert!(testbed.relay.update(|relay| relay.withdrawn.is_empty()), "what was refused is not sent again");
+    assert!(testbed.relay.update(|relay| relay.withdrawn.is_empty()), "the rejected order is not sent again");
 }
 
 #[test]
-fn an_idle_connection_that_the_relay_closes_costs_no_call() {
+fn an_idle_connection_closed_by_the_relay_causes_no_repeated_call() {
     let testbed = Testbed::with_tables();
     testbed.relay.update(|relay| relay.replies.push_back(RelayReply::OkThenDisconnect));
     testbed.update_host(2, "s-3", "terminating");
--- a/crates/director/service/tests/director/stand_ins/discovery.rs
+++ b/crates/director/service/tests/director/stand_ins/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery: it answers a watch with lists of hosts, a line each, for as long as the watch is open.
+//! A stand-in of discovery, which sends host lists on each open watch, one per line.
 
 use super::heartbeats::spawn_heartbeats;
 use super::http_server::{self, HttpResponse};
@@ -10,10 +10,10 @@
 use hyper::Response;
 use std::net::TcpListener;
 
-/// Lines that a watch may have on their way.
+/// Maximum number of unread lines of a watch.
 const WATCH_QUEUE_LENGTH: usize = 1024;
 
-/// Discovery's state. Tests change it to bring failures about.
+/// The state of discovery. Tests change it to cause faults.
 #[derive(Default)]
 pub(crate) struct DiscoveryStandIn {
     /// Paths of the requests, in their order.
@@ -21,19 +21,19 @@
     /// The first line of the next watch.
     pub(crate) first_line: String,
     watches: Vec<Sender<Bytes>>,
-    /// It opens watches but sends nothing on them.
+    /// Watches can be opened but receive nothing.
     pub(crate) is_mute: bool,
-    /// How many of the watches were opened before it last moved to another address.
+    /// How many of the watches were opened before discovery last moved to another address.
     watches_at_old_address: usize,
 }
 
 impl DiscoveryStandIn {
-    /// Discovery that begins each watch with this line.
+    /// Creates a discovery whose watches begin with this line.
     pub(crate) fn new(first_line: String) -> Self {
         DiscoveryStandIn { first_line, ..DiscoveryStandIn::default() }
     }
 
-    /// Serves watches from now on, and sends heartbeats on them.
+    /// Starts to serve watches, and to send heartbeats on them.
     pub(crate) fn spawn(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
         http_server::spawn(listener, state.clone(), open_watch);
         spawn_heartbeats(state.clone(), |discovery| {
@@ -43,13 +43,13 @@
         });
     }
 
-    /// Serves watches at another address as well; those that are open stay open.
+    /// Starts to serve watches at another address; open watches stay open.
     pub(crate) fn relocate(listener: TcpListener, state: &Shared<DiscoveryStandIn>) {
         state.update(|discovery| discovery.watches_at_old_address = discovery.watches.len());
         http_server::spawn(listener, state.clone(), open_watch);
     }
 
-    /// Ends the watches that were opened before it moved.
+    /// Closes the watches that were opened before the last move.
     pub(crate) fn close_watches_at_old_address(&mut self) {
         self.watches.drain(..self.watches_at_old_address.min(self.watches.len()));
     }
@@ -60,7 +60,7 @@
         self.watches.retain_mut(|watch| watch.try_send(Frame::data(line.clone())).is_ok());
     }
 
-    /// Ends all watches.
+    /// Closes all watches.
     pub(crate) fn close_watches(&mut self) {
         self.watches.clear();
     }
--- a/crates/director/service/tests/director/stand_ins/host.rs
+++ b/crates/director/service/tests/director/stand_ins/host.rs
@@ -1,4 +1,4 @@
-//! A host that answers probes with its load; it stands for all hosts of a fleet.
+//! A stand-in host that answers probes with its load; all hosts of a fleet have its address.
 
 use super::http_server::{self, HttpResponse};
 use super::shared_state::Shared;
@@ -7,13 +7,13 @@
 use hyper::{Response, StatusCode};
 use std::net::TcpListener;
 
-/// The host's state. Tests change it to bring failures about.
+/// The host's state. Tests change it to cause faults.
 pub(crate) struct HostStandIn {
     /// Paths of the requests, in their order.
     pub(crate) requested_paths: Vec<String>,
     /// The status of its answers.
     pub(crate) status: u16,
-    /// So many further connections break before their answer.
+    /// How many further connections break before their answer.
     pub(crate) connections_to_break: usize,
 }
 
@@ -23,7 +23,7 @@
         HostStandIn { requested_paths: Vec::new(), status: 200, connections_to_break: 0 }
     }
 
-    /// Answers probes from now on.
+    /// Starts to answer probes.
     pub(crate) fn spawn(listener: TcpListener, state: &Shared<HostStandIn>) {
         http_server::spawn(listener, state.clone(), answer_probe);
     }
--- a/crates/director/service/tests/director/stand_ins/http_server.rs
+++ b/crates/director/service/tests/director/stand_ins/http_server.rs
@@ -14,7 +14,7 @@
 
 pub(crate) type HttpResponse = Response<BoxBody<Bytes, Infallible>>;
 
-/// Serves requests on a thread of its own; where `respond` has no response the connection breaks.
+/// Serves requests on a separate thread. If `respond` returns no response, the connection is closed.
 pub(crate) fn spawn<S: Send + 'static>(
     listener: TcpListener,
     state: Shared<S>,
--- a/crates/director/service/tests/director/stand_ins/mod.rs
+++ b/crates/director/service/tests/director/stand_ins/mod.rs
@@ -1,4 +1,5 @@
-//! Stand-ins for the services around a director, written from the public pages. They listen on free loopback ports.
+//! Stand-ins (fakes) for the services around a director, written from the protocol documentation. They listen on free
+//! loopback ports.
 
 mod discovery;
 mod heartbeats;
--- a/crates/director/service/tests/director/stand_ins/relay.rs
+++ b/crates/director/service/tests/director/stand_ins/relay.rs
@@ -1,4 +1,5 @@
-//! A relay: it takes calls, keeps the tables that they set, and sends news of proxies and slices.
+//! A stand-in relay, which carries out calls, keeps the tables that they set, and sends updates of proxies and
+//! slices.
 
 use super::heartbeats::spawn_heartbeats;
 use super::shared_state::Shared;
@@ -6,29 +7,29 @@
 use std::io::{BufRead, BufReader, Write};
 use std::net::{Shutdown, TcpListener, TcpStream};
 
-/// What the relay does with a call.
+/// How the relay handles a call.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RelayReply {
-    /// Carries it out and says so.
+    /// Carries it out and confirms it.
     Ok,
     /// Never answers.
     Silence { carried_out: bool },
-    /// Answers with bytes that are no answer.
+    /// Answers with bytes that are not a valid answer.
     Unreadable { carried_out: bool },
-    /// Closes the connection in place of an answer.
+    /// Closes the connection instead of answering.
     Disconnect { carried_out: bool },
-    /// Turns it away whole.
+    /// Rejects the whole call as too many.
     Throttling,
-    /// Carries out the orders before this one and says how many these are.
+    /// Carries out the orders before this one and answers with their number.
     RefuseOrder(usize),
-    /// Carries it out, says so and closes the connection.
+    /// Carries it out, confirms it and closes the connection.
     OkThenDisconnect,
 }
 
 /// The lines of a slice's table: hosts and their weights.
 pub(crate) type Table = BTreeMap<String, f64>;
 
-/// A call as it came.
+/// A call as it was received.
 #[derive(Clone, Debug)]
 pub(crate) struct ReceivedCall {
     /// The number of its connection.
@@ -36,22 +37,22 @@
     pub(crate) orders: Vec<String>,
 }
 
-/// All connections, by the address at which they came in.
+/// All connections, with the address to which they were made.
 #[derive(Default)]
 struct Connections {
     /// How many were accepted.
     accepted: usize,
     /// How often the relay has moved to another address.
     moves: usize,
-    /// The connections, and after how many moves each came in.
+    /// The connections, each with the number of moves before it was accepted.
     streams: Vec<(usize, TcpStream)>,
 }
 
-/// The relay's state. Tests change it to bring failures about.
+/// The relay's state. Tests change it to cause faults.
 #[derive(Default)]
 pub(crate) struct RelayStandIn {
     pub(crate) calls: Vec<ReceivedCall>,
-    /// The replies to the next calls; when there are none left, all are carried out and answered.
+    /// The replies to the next calls; further calls are carried out and confirmed.
     pub(crate) replies: VecDeque<RelayReply>,
     /// The proxies that have joined.
     pub(crate) proxies: BTreeSet<u16>,
@@ -59,33 +60,34 @@
     pub(crate) slices: BTreeMap<u16, Table>,
     /// Hosts that are withdrawn from all tables.
     pub(crate) withdrawn: BTreeSet<String>,
-    /// The least and the most lines that any table had at the end of any call since a test has set this to none.
+    /// The smallest and the largest number of lines that a table had after any call since a test reset this to
+    /// `None`.
     pub(crate) line_counts: Option<(usize, usize)>,
     connections: Connections,
-    /// How often news were asked for.
-    pub(crate) news_requests: usize,
-    news_streams: Vec<TcpStream>,
-    /// It accepts connections but sends no news and no heartbeats.
+    /// How many update streams were requested.
+    pub(crate) subscribe_requests: usize,
+    update_streams: Vec<TcpStream>,
+    /// The relay accepts connections but sends no updates and no heartbeats.
     pub(crate) is_mute: bool,
 }
 
 impl RelayStandIn {
-    /// A relay with these proxies and tables.
+    /// Creates a relay with these proxies and tables.
     pub(crate) fn new(proxies: BTreeSet<u16>, slices: BTreeMap<u16, Table>) -> Self {
         RelayStandIn { proxies, slices, ..RelayStandIn::default() }
     }
 
-    /// Accepts connections from now on, and sends heartbeats to those that have asked for news.
+    /// Starts to accept connections, and to send heartbeats on update streams.
     pub(crate) fn spawn(listener: TcpListener, state: &Shared<RelayStandIn>) {
         spawn_accepting(listener, 0, state.clone());
         spawn_heartbeats(state.clone(), |relay| {
             if !relay.is_mute {
-                relay.send_news("*");
+                relay.send_update("*");
             }
         });
     }
 
-    /// Accepts connections at another address only; those that are open stay open.
+    /// Accepts connections at another address only; open connections stay open.
     pub(crate) fn relocate(listener: TcpListener, state: &Shared<RelayStandIn>) {
         let moves = state.update(|relay| {
             relay.connections.moves += 1;
@@ -94,7 +96,7 @@
         spawn_accepting(listener, moves, state.clone());
     }
 
-    /// Closes all connections that came in at earlier addresses.
+    /// Closes all connections to earlier addresses.
     pub(crate) fn close_connections_at_old_address(&mut self) {
         for (moves, stream) in &self.connections.streams {
             if *moves < self.connections.moves {
@@ -103,24 +105,24 @@
         }
     }
 
-    /// Sends a line to all connections that have asked for news.
-    pub(crate) fn send_news(&mut self, line: &str) {
-        self.news_streams.retain_mut(|stream| stream.write_all(format!("{line}\r\n").as_bytes()).is_ok());
+    /// Sends a line on all update streams.
+    pub(crate) fn send_update(&mut self, line: &str) {
+        self.update_streams.retain_mut(|stream| stream.write_all(format!("{line}\r\n").as_bytes()).is_ok());
     }
 
-    /// Closes all news connections.
-    pub(crate) fn close_news_connections(&mut self) {
-        for stream in self.news_streams.drain(..) {
+    /// Closes all update streams.
+    pub(crate) fn close_update_streams(&mut self) {
+        for stream in self.update_streams.drain(..) {
             let _ = stream.shutdown(Shutdown::Both);
         }
     }
 
-    /// Closes the news connection that was opened first.
-    pub(crate) fn close_first_news_connection(&mut self) {
-        let _ = self.news_streams.remove(0).shutdown(Shutdown::Both);
+    /// Closes the oldest update stream.
+    pub(crate) fn close_first_update_stream(&mut self) {
+        let _ = self.update_streams.remove(0).shutdown(Shutdown::Both);
     }
 
-    /// Whether each slice's table has so many lines.
+    /// Whether every slice's table has this many lines.
     pub(crate) fn all_tables_have(&self, line_count: usize) -> bool {
         self.slices.values().all(|lines| lines.len() == line_count)
     }
@@ -130,14 +132,14 @@
         self.slices.values().any(|lines| lines.contains_key(host))
     }
 
-    /// The host with the greatest weight in the slice's table; empty: there is none.
+    /// The host with the largest weight in the slice's table, or an empty text if there is none.
     pub(crate) fn heaviest_host(&self, slice: u16) -> &str {
         let Some(lines) = self.slices.get(&slice) else { return "" };
         let heaviest = lines.iter().max_by(|a, b| a.1.total_cmp(b.1));
         heaviest.map_or("", |(host, _)| host)
     }
 
-    /// What a connection is told first that asks for news.
+    /// The snapshot at the start of an update stream.
     fn snapshot(&self) -> String {
         let mut text = String::from("OK\r\n");
         for proxy in &self.proxies {
@@ -156,7 +158,7 @@
         for order in orders {
             self.carry_out_order(order);
         }
-        // A call reaches each proxy as one message: what stands at its end is what proxies have.
+        // A call reaches each proxy as one message, so proxies only have the tables at its end.
         for line_count in self.slices.values().map(BTreeMap::len) {
             let (least, most) = self.line_counts.unwrap_or((line_count, line_count));
             self.line_counts = Some((least.min(line_count), most.max(line_count)));
@@ -181,29 +183,29 @@
                 self.withdrawn.remove(host);
             }
             ["LIMIT", ..] | ["SYNC", ..] | ["DEL", ..] => {}
-            _ => panic!("no order: {order}"),
+            _ => panic!("unknown order: {order}"),
         }
     }
 
-    /// Every proxy that gets a marker acknowledges it.
-    fn acknowledge_markers(&mut self, orders: &[String]) {
-        let marker = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
-        let Some(marker) = marker else { return };
+    /// Every proxy acknowledges the round that the orders end, if any.
+    fn acknowledge_round(&mut self, orders: &[String]) {
+        let round = orders.iter().find_map(|order| order.strip_prefix("SYNC,")?.split(',').next());
+        let Some(round) = round else { return };
         let acknowledgements: Vec<String> =
-            self.proxies.iter().map(|proxy| format!("* ack {proxy} {marker} 100.0")).collect();
+            self.proxies.iter().map(|proxy| format!("* ack {proxy} {round} 100.0")).collect();
         if !self.is_mute && !acknowledgements.is_empty() {
-            self.send_news(&acknowledgements.join("\r\n"));
+            self.send_update(&acknowledgements.join("\r\n"));
         }
     }
 
-    fn add_news_connection(&mut self, mut stream: TcpStream) {
-        self.news_requests += 1;
+    fn add_update_stream(&mut self, mut stream: TcpStream) {
+        self.subscribe_requests += 1;
         if !self.is_mute && stream.write_all(self.snapshot().as_bytes()).is_ok() {
-            self.news_streams.push(stream);
+            self.update_streams.push(stream);
         }
     }
 
-    /// Carries out as much of a call as the next reply says.
+    /// Carries out the part of a call that the next reply specifies.
     fn receive_call(&mut self, connection: usize, orders: Vec<String>) -> RelayReply {
         let reply = self.replies.pop_front().unwrap_or(RelayReply::Ok);
         let carried_out = match reply {
@@ -215,7 +217,7 @@
             RelayReply::RefuseOrder(index) => index.min(orders.len()),
         };
         self.carry_out(&orders[..carried_out]);
-        self.acknowledge_markers(&orders[..carried_out]);
+        self.acknowledge_round(&orders[..carried_out]);
         self.calls.push(ReceivedCall { connection, orders });
         reply
     }
@@ -235,7 +237,7 @@
     });
 }
 
-/// The connection's number, if the relay is still at the address at which it came in.
+/// Registers a connection and returns its number, unless the relay has moved from the address to which it was made.
 fn register(relay: &mut RelayStandIn, moves: usize, stream: &TcpStream) -> Option<usize> {
     let connections = &mut relay.connections;
     let kept = stream.try_clone().ok().filter(|_| connections.moves == moves)?;
@@ -248,12 +250,12 @@
     let Ok(mut writer) = stream.try_clone() else { return };
     for line in BufReader::new(stream).lines().map_while(Result::ok) {
         if line == "follow" {
-            if let Ok(news_stream) = writer.try_clone() {
-                state.update(|relay| relay.add_news_connection(news_stream));
+            if let Ok(update_stream) = writer.try_clone() {
+                state.update(|relay| relay.add_update_stream(update_stream));
             }
             continue;
         }
-        let Some(orders) = line.strip_prefix("txn ") else { panic!("no call: {line}") };
+        let Some(orders) = line.strip_prefix("txn ") else { panic!("not a call: {line}") };
         let orders: Vec<String> = orders.split(';').map(str::to_string).collect();
         let order_count = orders.len();
         let reply = state.update(|relay| relay.receive_call(connection, orders));
--- a/crates/director/service/tests/director/stand_ins/shared_state.rs
+++ b/crates/director/service/tests/director/stand_ins/shared_state.rs
@@ -1,14 +1,14 @@
-//! State that the threads of a stand-in share with a test, which waits for conditions on it, never for a time.
+//! State that the threads of a stand-in share with a test. Tests wait for conditions on it, never for a fixed time.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-/// Far more than anything here takes; only a director that is broken makes a test wait so long.
+/// Far longer than any condition takes to become true; reached only if the director is faulty.
 pub(crate) const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
-/// A condition is looked at again after this time also when nothing has changed.
+/// A condition is checked again after this time even if no change was notified.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A state behind a lock, and the notification that it has changed.
+/// A state behind a lock, with a notification of changes.
 pub(crate) struct Shared<T>(Arc<(Mutex<T>, Condvar)>);
 
 impl<T> Clone for Shared<T> {
@@ -22,14 +22,14 @@
         Shared(Arc::new((Mutex::new(state), Condvar::new())))
     }
 
-    /// Reads or changes the state and wakes whoever waits for a condition.
+    /// Reads or changes the state and wakes the threads that wait for a condition.
     pub(crate) fn update<R>(&self, update: impl FnOnce(&mut T) -> R) -> R {
         let result = update(&mut self.lock());
         self.0 .1.notify_all();
         result
     }
 
-    /// Nobody else gets at the state until the guard is dropped.
+    /// Blocks all other access to the state until the guard is dropped.
     pub(crate) fn block(&self) -> impl Drop + '_ {
         self.lock()
     }
@@ -47,7 +47,7 @@
                 return found;
             }
             let remaining = deadline.saturating_duration_since(Instant::now());
-            assert!(!remaining.is_zero(), "waited in vain: {what}");
+            assert!(!remaining.is_zero(), "timed out waiting for: {what}");
             let waited = self.0 .1.wait_timeout(state, remaining.min(MAX_CHECK_INTERVAL));
             state = waited.unwrap_or_else(|poisoned| poisoned.into_inner()).0;
         }
--- a/crates/director/service/tests/director/testbed/callers.rs
+++ b/crates/director/service/tests/director/testbed/callers.rs
@@ -1,4 +1,4 @@
-//! Reports of what callers of each slice meet, as a collector sends them.
+//! Reports of the outcomes of calls to each slice, as a collector sends them.
 
 use super::collector::Collector;
 use super::environment::Testbed;
@@ -9,7 +9,7 @@
 
 const REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How many of the 20 calls to a slice in a report have failed, by the tables as they are.
+/// Returns how many of the 20 calls to a slice in a report have failed, according to the current tables.
 type CountFailures = fn(&RelayStandIn, u16) -> u64;
 
 /// Reports ten times a second until this is dropped.
@@ -29,19 +29,19 @@
         Callers(is_reporting)
     }
 
-    /// No further reports come.
-    pub(crate) fn fall_silent(&self) {
+    /// Sends no further reports.
+    pub(crate) fn stop(&self) {
         self.0.store(false, Ordering::Relaxed);
     }
 }
 
 impl Drop for Callers {
     fn drop(&mut self) {
-        self.fall_silent();
+        self.stop();
     }
 }
 
-/// One report of each slice; false: the director has closed the connection.
+/// Sends one report for each slice. Returns false if the director has closed the connection.
 fn report(collector: &mut Collector, relay: &Shared<RelayStandIn>, count_failures: CountFailures) -> bool {
     let failures: Vec<(u16, u64)> = relay
         .update(|relay| relay.slices.keys().map(|slice| (*slice, count_failures(relay, *slice))).collect());
--- a/crates/director/service/tests/director/testbed/collector.rs
+++ b/crates/director/service/tests/director/testbed/collector.rs
@@ -1,4 +1,4 @@
-//! A connection to the director's address, as a collector's.
+//! A connection to the director's address, such as a collector's.
 
 use crate::stand_ins::WAIT_TIMEOUT;
 use std::io::{ErrorKind, Read, Write};
@@ -20,7 +20,7 @@
                     stream.set_read_timeout(Some(WAIT_TIMEOUT)).unwrap();
                     return Collector(stream);
                 }
-                Err(_) => assert!(Instant::now() < deadline, "the director does not listen"),
+                Err(_) => assert!(Instant::now() < deadline, "the director is not listening"),
             }
             std::thread::yield_now();
         }
@@ -31,12 +31,12 @@
         self.0.write_all(b"\n").unwrap();
     }
 
-    /// Bytes without an end of line; false: the director has closed the connection.
+    /// Sends bytes without an end of line. Returns false if the director has closed the connection.
     pub(crate) fn send_bytes(&mut self, bytes: &[u8]) -> bool {
         self.0.write_all(bytes).is_ok()
     }
 
-    /// Whether a request for a sign of life is answered.
+    /// Whether a liveness probe is answered.
     pub(crate) fn is_answered(&mut self) -> bool {
         let is_sent = self.0.write_all(PROBE).is_ok();
         let mut answer = [0; PROBE_ANSWER.len()];
@@ -47,7 +47,7 @@
     pub(crate) fn is_closed(&mut self) -> bool {
         match self.0.read(&mut [0; 16]) {
             Ok(count) => count == 0,
-            // The read timeout is no end of the connection.
+            // A read timeout does not mean that the connection is closed.
             Err(error) => !matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::TimedOut),
         }
     }
--- a/crates/director/service/tests/director/testbed/config.rs
+++ b/crates/director/service/tests/director/testbed/config.rs
@@ -1,20 +1,20 @@
-//! The director's configuration and discovery's lists, as text.
+//! The text of the director's configuration and of discovery's lists.
 
 use std::net::SocketAddr;
 
-/// What tests vary of the configuration.
+/// The values of the configuration that tests vary.
 pub(crate) struct DirectorConfig {
     pub(crate) listen: SocketAddr,
     pub(crate) discovery: SocketAddr,
     pub(crate) relay: SocketAddr,
-    /// The list of hosts that the director remembers, as JSON.
+    /// The cached host list, as JSON.
     pub(crate) known_hosts: String,
     pub(crate) director_count: usize,
     pub(crate) proxy_count: u16,
     pub(crate) slice_count: u16,
-    /// What proxies take of table lines in a second.
+    /// Table lines per second that pass the channel to the proxies.
     pub(crate) lines_per_s: f64,
-    /// Table lines that may wait for proxies.
+    /// Table lines that may be queued in the channel.
     pub(crate) backlog: f64,
     pub(crate) report_interval_ns: u64,
     pub(crate) memory_mb: u64,
@@ -22,7 +22,7 @@
 }
 
 impl DirectorConfig {
-    /// One director of two slices, with the least of descriptors and memory.
+    /// One director with two slices and the smallest limits of descriptors and memory.
     pub(crate) fn new(
         listen: SocketAddr,
         discovery: SocketAddr,
@@ -69,7 +69,7 @@
     )
 }
 
-/// A list of discovery: all hosts (`is_full`) or those that have changed.
+/// A list of discovery: all hosts (`is_full`), or those that have changed.
 pub(crate) fn host_list(version: u64, is_full: bool, entries: &[String]) -> String {
     format!(r#"{{"version":{version},"full":{is_full},"servers":[{}]}}"#, entries.join(","))
 }
--- a/crates/director/service/tests/director/testbed/director_process.rs
+++ b/crates/director/service/tests/director/testbed/director_process.rs
@@ -1,4 +1,4 @@
-//! The director's process: its signals, its log and counters, what it uses.
+//! The director's process: its signals, log, counters and resource usage.
 
 use crate::stand_ins::{Shared, WAIT_TIMEOUT};
 use std::io::{BufRead, BufReader};
@@ -35,13 +35,13 @@
     }
 
     pub(crate) fn signal(&self, name: &str) {
-        // The shell's own `kill`: a program of that name is not on every machine.
+        // Uses the shell's built-in `kill`, as not every machine has a program of that name.
         let script = format!("kill -s {name} {}", self.process.id());
         let status = Command::new("sh").args(["-c", &script]).status();
         assert!(status.unwrap().success());
     }
 
-    /// A counter, asked for by signal.
+    /// Returns the value of a counter, which the director logs on a signal.
     pub(crate) fn counter(&self, name: &str) -> u64 {
         let lines_before = self.log.update(|lines| lines.len());
         self.signal("USR1");
@@ -52,7 +52,7 @@
         })
     }
 
-    /// Waits until a counter has reached a value.
+    /// Waits until a counter has at least this value.
     pub(crate) fn wait_for_counter(&self, name: &str, least: u64) {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         while self.counter(name) < least {
@@ -65,7 +65,7 @@
         self.log.wait_until(text, |lines| lines.iter().any(|line| line.contains(text)));
     }
 
-    /// Waits for the process' end; its status, if no signal has ended it.
+    /// Waits for the process to exit. Returns its status, or `None` if a signal has ended it.
     pub(crate) fn wait_for_exit(&mut self) -> Option<i32> {
         let deadline = Instant::now() + WAIT_TIMEOUT;
         let mut status = None;
@@ -73,14 +73,14 @@
             status = self.process.try_wait().unwrap();
             std::thread::yield_now();
         }
-        status.expect("the director goes on").code()
+        status.expect("the director has not exited").code()
     }
 
     pub(crate) fn open_descriptors(&self) -> usize {
         std::fs::read_dir(format!("/proc/{}/fd", self.process.id())).unwrap().count()
     }
 
-    /// The most memory that it has held, in MiB.
+    /// Peak resident memory, in MiB.
     pub(crate) fn peak_memory_mb(&self) -> f64 {
         let status = std::fs::read_to_string(format!("/proc/{}/status", self.process.id())).unwrap();
         let line = status.lines().find_map(|line| line.strip_prefix("VmHWM:")).unwrap();
--- a/crates/director/service/tests/director/testbed/environment.rs
+++ b/crates/director/service/tests/director/testbed/environment.rs
@@ -1,4 +1,4 @@
-//! Starts a director among stand-ins, and changes what surrounds it.
+//! Starts a director among stand-ins, and changes the stand-ins and its files.
 
 use super::collector::Collector;
 use super::config::{host_entry, host_list, DirectorConfig};
@@ -10,7 +10,7 @@
 
 const CONFIG_FILE: &str = "config.json";
 
-/// A director and the stand-ins that it talks to. Dropping it kills the director and removes its folder.
+/// A director and the stand-ins of its peers. Dropping it kills the director and removes its folder.
 pub(crate) struct Testbed {
     pub(crate) relay: Shared<RelayStandIn>,
     pub(crate) discovery: Shared<DiscoveryStandIn>,
@@ -21,12 +21,12 @@
     folder: PathBuf,
 }
 
-/// What surrounds the director at its start.
+/// The surroundings of the director at its start.
 struct Surroundings<'a> {
     host_count: usize,
-    /// Those that have joined.
+    /// The proxies that have joined.
     proxies: BTreeSet<u16>,
-    /// The director's, all with one line for the first host.
+    /// Number of slices of the director; the table of each has one line, for the first host.
     slice_count: u16,
     operator_file: Option<&'a str>,
 }
@@ -37,15 +37,15 @@
         Testbed::with_slices(2, None, |_| {})
     }
 
-    /// The same, and waits until every slice has its second line.
+    /// Like [`Testbed::start`], and waits until every table has two lines.
     pub(crate) fn with_tables() -> Self {
         let testbed = Testbed::start();
         testbed.relay.wait_until("both slices have two lines", |relay| relay.all_tables_have(2));
         testbed
     }
 
-    /// The same with so many slices, reports ten times a second, and an operators' file, in which `DIR` is the
-    /// testbed's folder.
+    /// Like [`Testbed::start`] with this many slices, ten reports per second, and an operators' file, in which `DIR`
+    /// stands for the testbed's folder.
     pub(crate) fn with_operator_file(slice_count: u16, operator_file: &str) -> Self {
         Testbed::with_slices(slice_count, Some(operator_file), |config| {
             config.slice_count = slice_count;
@@ -53,14 +53,15 @@
         })
     }
 
-    /// As [`Testbed::with_operator_file`], and waits until every slice has its second line.
+    /// Like [`Testbed::with_operator_file`], and waits until every table has two lines.
     pub(crate) fn with_operator_file_and_tables(slice_count: u16, operator_file: &str) -> Self {
         let testbed = Testbed::with_operator_file(slice_count, operator_file);
         testbed.relay.wait_until("every slice has two lines", |relay| relay.all_tables_have(2));
         testbed
     }
 
-    /// A fleet of as many directors as hosts, of whose slices a quarter is this director's; all proxies have joined.
+    /// A fleet with as many directors as hosts. This director has a quarter of the slices, and all proxies have
+    /// joined.
     pub(crate) fn with_fleet(host_count: usize, proxy_count: u16, slice_count: u16) -> Self {
         let proxies = (0..proxy_count).collect();
         let surroundings = Surroundings { host_count, proxies, slice_count, operator_file: None };
@@ -89,7 +90,7 @@
         let (relay_listener, relay_address) = bind_loopback();
         let (discovery_listener, discovery_address) = bind_loopback();
         let (host_listener, host_address) = bind_loopback();
-        // The port is free again for the director.
+        // Frees the port again for the director.
         let (unused_listener, listen_address) = bind_loopback();
         drop(unused_listener);
 
@@ -123,7 +124,8 @@
         &self.folder
     }
 
-    /// Moves relay and discovery to new addresses and tells the director; what is open at the old ones stays open.
+    /// Moves relay and discovery to new addresses and has the director reload its configuration. Connections to the
+    /// old addresses stay open.
     pub(crate) fn relocate_services(&self) {
         let (relay_listener, relay_address) = bind_loopback();
         let (discovery_listener, discovery_address) = bind_loopback();
@@ -132,14 +134,14 @@
         self.reload_config_with_addresses(discovery_address, relay_address);
     }
 
-    /// Has the director read a configuration with these addresses of discovery and the relay.
+    /// Has the director reload a configuration with these addresses.
     pub(crate) fn reload_config_with_addresses(&self, discovery: SocketAddr, relay: SocketAddr) {
         let known_hosts = host_list(1, true, &[]);
         let config = DirectorConfig::new(self.listen_address, discovery, relay, known_hosts);
         self.reload_config(Some(&config.to_json()));
     }
 
-    /// Replaces the configuration file or removes it, and has the director read it.
+    /// Replaces or removes the configuration file, and has the director reload it.
     pub(crate) fn reload_config(&self, text: Option<&str>) {
         let path = self.folder.join(CONFIG_FILE);
         match text {
@@ -149,7 +151,7 @@
         self.director.signal("HUP");
     }
 
-    /// Replaces the operators' file and has the director read it.
+    /// Replaces the operators' file and has the director reload it.
     pub(crate) fn reload_operator_file(&self, text: &str) {
         write_operator_file(&self.folder, text);
         self.director.signal("HUP");
@@ -169,7 +171,7 @@
         collector
     }
 
-    /// Discovery tells of a host's new state.
+    /// Has discovery report a new state of a host.
     pub(crate) fn update_host(&self, version: u64, id: &str, state: &str) {
         let line = host_list(version, false, &[host_entry(id, self.host_address, state)]);
         self.discovery.update(|discovery| {
@@ -178,14 +180,14 @@
         });
     }
 
-    /// A full list of these hosts, all in service.
+    /// A complete list of these hosts, all in service.
     pub(crate) fn full_host_list(&self, version: u64, ids: &[&str]) -> String {
         let entries: Vec<String> =
             ids.iter().map(|id| host_entry(id, self.host_address, "in_service")).collect();
         host_list(version, true, &entries)
     }
 
-    /// Kills the director outright and starts it anew.
+    /// Kills the director with SIGKILL and starts it again.
     pub(crate) fn restart_director(&mut self) {
         self.director.kill();
         self.director = DirectorProcess::spawn(&self.folder.join(CONFIG_FILE));
