--- a/crates/director/service/src/reducer/health_checks.rs
+++ b/crates/director/service/src/reducer/health_checks.rs
@@ -1,4 +1,4 @@
-//! Health checks of hosts: what the decisions ask for, and how the checks end.
+//! Health checks of hosts: starts those that the decisions order, and reports their outcomes.
 
 use super::{Effect, ProbeOutcome, Reducer};
 use coppersail::interface::{HostId, Input, Outcome};
@@ -8,7 +8,7 @@
 const STATUS_SERVICE_UNAVAILABLE: u16 = 503;
 
 impl Reducer {
-    /// Starts a health check that the decisions ask for.
+    /// Starts a health check that the decisions have ordered.
     pub(super) fn start_health_check(&mut self, now: f64, host: HostId) {
         match self.discovery.address(host) {
             Some(address) => {
@@ -20,17 +20,17 @@
         }
     }
 
-    /// Reports the outcome to the decisions; the body of a successful answer may hold a load report.
+    /// Reports the outcome to the decisions. The body of a successful answer may contain a load report.
     pub(super) fn health_check_ended(
         &mut self,
         now: f64,
         host: HostId,
-        end: ProbeOutcome,
-        took: f64,
+        probe_outcome: ProbeOutcome,
+        duration: f64,
         body: &[u8],
     ) {
         let counters = &mut self.outbox.counters;
-        let (outcome, counter) = match end {
+        let (outcome, counter) = match probe_outcome {
             ProbeOutcome::Status(STATUS_OK) => (Outcome::Succeeded, &mut counters.probes_answered),
             ProbeOutcome::Status(STATUS_SERVICE_UNAVAILABLE) => {
                 (Outcome::Throttled, &mut counters.probes_throttled)
@@ -45,6 +45,6 @@
         *counter += 1;
         let report = Report::parse_text(if outcome == Outcome::Succeeded { body } else { b"" });
         let load = self.plausible_load(now, &report);
-        self.outbox.inputs.push(Input::ProbeFinished { host, outcome, duration: took, load });
+        self.outbox.inputs.push(Input::ProbeFinished { host, outcome, duration, load });
     }
 }
