--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -1,10 +1,11 @@
-//! The state machine of one node: `(now, input)` in, [`Output`]s out. Nothing here waits, sends or writes.
+//! The state machine of one node: `(now, input)` in, [`Output`]s out. It does no I/O and never blocks.
 //!
-//! A leader serves while a quorum grants it the lease, counted from when it sent the request. A change is written to its
-//! own disk and to every backup of the record; it is committed if the lease is still held then. Failover, replacing a
-//! backup and changing the voters are all a campaign for the next term, in the order prepare, own disk, disks of the
-//! backups, accept. Voters are changed by the leader only, from a record that was chosen: first to a joint
-//! configuration, then to the new one (Raft 6).
+//! A leader serves while a quorum grants it the lease; the lease counts from when the leader sent the
+//! request. A change is written to the leader's disk and to every backup of the record, and is committed if
+//! the leader still holds the lease once all of them have it. Failover, replacing a backup and changing the
+//! voters are all done by a campaign for the next term, in the order: prepare, sync the candidate's disk,
+//! sync the backups' disks, accept. Only the leader changes the voters, and only starting from a record that
+//! was chosen: first to a joint configuration, then to the new one (Raft 6).
 mod calls;
 mod election;
 mod lease;
@@ -25,11 +26,12 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use tracker::{Campaign, DiskWrite, InFlightAppend, PendingCall, PendingWrite, WriteBatch};
 
-/// The metadata key of the sequence number of the last change. It is written with each change; every other metadata
-/// key is a promise to other nodes.
+/// The metadata key of the sequence number of the last change. It is written with each change; the values of
+/// all other metadata keys are commitments to other nodes.
 pub const LAST_SEQUENCE_KEY: &str = "seq";
 
-/// The metadata keys of a node; their names are those of the first version, and stored disks have them.
+/// The metadata keys of a node. Their names stay as in the first version, because existing disks contain
+/// them.
 mod metadata_keys {
     pub(super) const VOTER_STATE: &str = "witness";
     pub(super) const LAST_DURABLE_TERM: &str = "floor";
@@ -38,7 +40,10 @@
     pub(super) const DISK_PROBE: &str = "probe";
 }
 
-/// Timeouts in milliseconds, from the settings, and the number of failures to tolerate.
+/// An append fails after this many RPC timeouts: a call and its retry take up to two of them.
+const APPEND_RPC_TIMEOUTS: Ms = 3;
+
+/// Configured timeouts in milliseconds, and the number of failures to tolerate.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub struct Timeouts {
     /// How long a voter grants the leader lease.
@@ -47,47 +52,47 @@
     pub heartbeat_interval: Ms,
     /// How long a call between nodes may take.
     pub rpc_timeout: Ms,
-    /// A voter that is silent for so long is replaced, if there is a spare member.
+    /// A voter that has been silent for this long is replaced, if there is a spare member.
     pub replace_after: Ms,
-    /// How long a node that shuts down may take to hand over.
+    /// How long a node that shuts down may take to hand over its roles.
     pub shutdown_grace: Ms,
-    /// How many disks may be lost at once: so many backups, and `2 * max_failures + 1` voters.
+    /// How many disks may be lost at once: there are this many backups, and `2 * max_failures + 1` voters.
     pub max_failures: usize,
 }
 
-/// What the node is in the newest term that it takes part in (Raft 5.1).
+/// The role of a node in the newest term in which it takes part (Raft 5.1).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub enum Role {
     /// Not the leader.
     #[default]
     Follower,
-    /// The leader by this record, which a quorum accepted. It serves only while it holds the lease.
+    /// The leader named in this record, which a quorum accepted. It serves only while it holds the lease.
     Leader(LeadershipRecord),
 }
 
-/// What is known of another node.
+/// What this node knows about another node.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Peer {
-    /// When a request or a response of it last came; 0: never.
+    /// When the last request or response from it arrived; 0 if none has.
     pub last_heard: Ms,
-    /// When the newest request was sent that it has answered; 0: none.
+    /// When this node sent the newest request that the peer has answered; 0 if it has answered none.
     pub last_contact: Ms,
-    /// The newest status that it sent.
+    /// The newest status received from it.
     pub status: PeerStatus,
 }
 
-/// What a node starts with: its settings, and what its disk holds.
+/// The input for the start of a node: its settings, and the contents of its disk.
 #[derive(Debug, Clone, Default)]
 pub struct InitialState {
     /// The id of this node.
     pub id: Id,
     /// Its zone; empty if unknown.
     pub zone: String,
-    /// Timeouts of the settings.
+    /// The configured timeouts.
     pub timeouts: Timeouts,
-    /// The members of the settings; at a bootstrap the first voters.
+    /// The configured members; at a bootstrap they become the first voters.
     pub peers: Vec<Id>,
-    /// The whole system starts for the first time, and the disk was empty.
+    /// Whether the whole system starts for the first time and the disk was empty.
     pub bootstrap: bool,
     /// The replicated state on the disk.
     pub state: BTreeMap<String, String>,
@@ -106,18 +111,18 @@
     pub id: Id,
     /// Its zone.
     pub zone: String,
-    /// The timeouts in force; they may change with the settings.
+    /// The timeouts in force; they may change when the settings are reloaded.
     pub timeouts: Timeouts,
     acceptor: Acceptor,
-    /// The state of the acceptor that is on the disk; no response shows a newer one.
+    /// The acceptor state that is on the disk; no response may reveal a newer one.
     durable_voter_state: Option<VoterState>,
     /// The newest record known: a hint until a quorum has confirmed it.
     pub record: LeadershipRecord,
-    /// The newest term in which this disk took part, and the sequence number of its last change there.
+    /// The newest term in which this disk took part, and the sequence number of its last change in that term.
     last_durable_term: Term,
     last_sequence: u64,
     state: BTreeMap<String, String>,
-    /// The disk may hold a change that was not committed: backups need a snapshot to agree with it.
+    /// The disk may hold a change that was not committed, so backups need a snapshot to match it.
     may_hold_uncommitted: bool,
     /// A write failed, so memory and disk may differ: only a snapshot is accepted.
     needs_snapshot: bool,
@@ -125,9 +130,9 @@
     pub role: Role,
     leases: LeaseGrants,
     renewal_sent_at: BTreeMap<Id, Ms>,
-    /// The other nodes from which a status came.
+    /// The other nodes from which this node has received a status.
     pub peers: BTreeMap<Id, Peer>,
-    /// All nodes that were ever named, this one included.
+    /// All nodes that this node has ever learned of, including itself.
     pub members: BTreeSet<Id>,
     campaign: Option<Campaign>,
     in_flight: Option<InFlightAppend>,
@@ -139,11 +144,11 @@
     /// The last write succeeded and none has been pending for longer than the RPC timeout.
     pub disk_healthy: bool,
     next_disk_probe: Ms,
-    /// The highest term number in any message.
+    /// The highest term number seen in any message.
     highest_term_number: u64,
     excluded_until: BTreeMap<Id, Ms>,
     next_campaign_at: Ms,
-    /// When a leader with a lease was last seen.
+    /// When this node last saw a leader that holds the lease.
     leader_seen_at: Ms,
     started_at: Ms,
     shutdown_began_at: Option<Ms>,
@@ -155,30 +160,31 @@
 }
 
 impl Core {
-    /// Starts a node from its settings and its disk; a disk without voter state is written first.
-    pub fn start(now: Ms, start: InitialState, out: &mut Vec<Output>) -> Core {
+    /// Starts a node from its settings and its disk; a disk without voter state is initialised first.
+    pub fn start(now: Ms, initial: InitialState, out: &mut Vec<Output>) -> Core {
         fn read<T: for<'a> Deserialize<'a>>(metadata: &BTreeMap<String, String>, name: &str) -> Option<T> {
             metadata.get(name).and_then(|text| serde_json::from_str(text).ok())
         }
         let mut core = Core {
-            id: start.id.clone(),
-            zone: start.zone,
-            timeouts: start.timeouts,
-            state: start.state.into_iter().filter(|(_, value)| !value.is_empty()).collect(),
+            id: initial.id.clone(),
+            zone: initial.zone,
+            timeouts: initial.timeouts,
+            state: initial.state.into_iter().filter(|(_, value)| !value.is_empty()).collect(),
             last_write_succeeded: true,
             disk_healthy: true,
             leader_seen_at: now,
             started_at: now,
-            jitter_state: start.new_incarnation | 1,
-            members: start.peers.iter().cloned().collect(),
+            jitter_state: initial.new_incarnation | 1,
+            members: initial.peers.iter().cloned().collect(),
             ..Core::default()
         };
-        core.members.insert(start.id.clone());
-        core.members.extend(read::<Vec<Id>>(&start.metadata, metadata_keys::MEMBERS).unwrap_or_default());
-        core.record = read(&start.metadata, metadata_keys::RECORD).unwrap_or_default();
-        core.last_durable_term = read(&start.metadata, metadata_keys::LAST_DURABLE_TERM).unwrap_or_default();
-        core.last_sequence = read(&start.metadata, LAST_SEQUENCE_KEY).unwrap_or_default();
-        if let Some(voter_state) = read::<VoterState>(&start.metadata, metadata_keys::VOTER_STATE) {
+        core.members.insert(initial.id.clone());
+        core.members.extend(read::<Vec<Id>>(&initial.metadata, metadata_keys::MEMBERS).unwrap_or_default());
+        core.record = read(&initial.metadata, metadata_keys::RECORD).unwrap_or_default();
+        core.last_durable_term =
+            read(&initial.metadata, metadata_keys::LAST_DURABLE_TERM).unwrap_or_default();
+        core.last_sequence = read(&initial.metadata, LAST_SEQUENCE_KEY).unwrap_or_default();
+        if let Some(voter_state) = read::<VoterState>(&initial.metadata, metadata_keys::VOTER_STATE) {
             if voter_state.record.term > core.record.term {
                 core.record = voter_state.record.clone();
             }
@@ -189,10 +195,10 @@
         core.acceptor = Acceptor::with_empty_disk(if is_injected(InjectedBug::LostDiskVotes) {
             0
         } else {
-            start.new_incarnation.max(1)
+            initial.new_incarnation.max(1)
         });
-        if start.bootstrap {
-            core.bootstrap(&start.peers);
+        if initial.bootstrap {
+            core.bootstrap(&initial.peers);
         }
         let voter_state = core.acceptor.state.clone();
         let mut metadata = core.term_metadata();
@@ -207,7 +213,7 @@
         core
     }
 
-    /// The first start of the whole system: the members of the settings are the voters, the first of them leads.
+    /// The first start of the whole system: the configured members are the voters, and the first by id leads.
     fn bootstrap(&mut self, peers: &[Id]) {
         let mut voter_ids = peers.to_vec();
         voter_ids.sort();
@@ -249,7 +255,7 @@
         }
     }
 
-    /// A request of another node.
+    /// Handles a request from another node.
     pub fn handle_request(
         &mut self,
         now: Ms,
@@ -263,7 +269,8 @@
         }
     }
 
-    /// Periodic work, about twenty times a second: disk probe, timeouts, lease renewal, campaigns.
+    /// Does the periodic work: disk probe, timeouts, lease renewal, campaigns. Called about twenty times a
+    /// second.
     pub fn tick(&mut self, now: Ms, out: &mut Vec<Output>) {
         let is_stuck = self
             .pending_writes
@@ -299,7 +306,7 @@
         if self
             .in_flight
             .as_ref()
-            .is_some_and(|append| now > append.started_at + 3 * self.timeouts.rpc_timeout)
+            .is_some_and(|append| now > append.started_at + APPEND_RPC_TIMEOUTS * self.timeouts.rpc_timeout)
         {
             self.fail_append(now, "in time", out);
         }
--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -1,5 +1,5 @@
-//! Calls to other nodes and what their responses lead to. A call without a response within its timeout comes back as
-//! `None`; each call comes back once.
+//! Calls to other nodes, and the handling of their results. Each call has exactly one result; it is `None` if
+//! there is no response within the timeout.
 use super::tracker::{Campaign, CampaignPhase, PendingCall};
 use super::{Core, Role};
 use crate::injected_bugs::{is_injected, InjectedBug};
@@ -7,11 +7,11 @@
     Id, Ms, OperationId, Output, ReplicaWriteResponse, Request, Response, Term, Voter, VoterResponse,
 };
 
-/// A replica that failed a write is the last choice as a backup for so many leases.
-const EXCLUDED_LEASES: Ms = 4;
+/// For this many lease durations, a replica that failed a write is avoided as a backup.
+const EXCLUSION_LEASES: Ms = 4;
 
 impl Core {
-    /// Sends a request to another node and remembers what its response is for.
+    /// Sends a request to another node; `pending` records how its result is handled.
     pub(super) fn send_request(
         &mut self,
         pending: PendingCall,
@@ -25,7 +25,7 @@
         out.push(Output::Send { operation_id, to: to.clone(), request, timeout });
     }
 
-    /// The result of a call: its response, or `None` after a timeout or a failed connection.
+    /// Handles the result of a call: its response, or `None` after a timeout or a failed connection.
     pub fn handle_response(
         &mut self,
         now: Ms,
@@ -157,7 +157,7 @@
             }
             Some(_) if !snapshot => self.sync_backup(&to, true, out),
             _ => {
-                self.exclude_for_a_while(now, to);
+                self.exclude_temporarily(now, to);
                 self.sync_next_backup(now, out);
             }
         }
@@ -184,13 +184,14 @@
                 append.unacknowledged.remove(&to);
                 self.commit_if_replicated(now, out);
             }
-            // The request or its response may be lost. One retry is safe: the sequence number makes it idempotent.
+            // The request or its response may be lost. One retry is safe: the sequence number makes it
+            // idempotent.
             None if !is_retry => {
                 let writes = append.writes.clone();
                 self.send_append(&to, term, sequence, writes, true, out);
             }
             _ => {
-                self.exclude_for_a_while(now, to.clone());
+                self.exclude_temporarily(now, to.clone());
                 self.fail_append(now, &format!("at {to}"), out);
             }
         }
@@ -200,8 +201,8 @@
         matches!(&self.role, Role::Leader(record) if record.term == *term)
     }
 
-    fn exclude_for_a_while(&mut self, now: Ms, replica: Id) {
-        self.excluded_until.insert(replica, now + EXCLUDED_LEASES * self.timeouts.lease);
+    fn exclude_temporarily(&mut self, now: Ms, replica: Id) {
+        self.excluded_until.insert(replica, now + EXCLUSION_LEASES * self.timeouts.lease);
     }
 
     pub(super) fn next_operation_id(&mut self) -> OperationId {
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -1,4 +1,5 @@
-//! A campaign for the next term: prepare at a quorum, own disk, backups synced, record accepted.
+//! A campaign for the next term: prepare at a quorum, sync the candidate's disk and the backups, have the
+//! record accepted.
 use super::tracker::{Campaign, CampaignPhase, DiskWrite, MembershipChange, PendingCall, WriteBatch};
 use super::{Core, Role};
 use crate::messages::{snapshot_checksum, REPLICA_WRITE_VERSION};
@@ -8,6 +9,11 @@
 };
 use std::collections::BTreeSet;
 
+/// A replica counts as ready if it was heard from within this many heartbeat intervals.
+const READY_HEARTBEATS: Ms = 2;
+/// The sync phase may take this many RPC timeouts: a probe that is rejected is followed by a snapshot.
+const SYNC_RPC_TIMEOUTS: Ms = 2;
+
 impl Core {
     /// Whether this node should campaign now.
     pub(super) fn should_campaign(&self, now: Ms) -> bool {
@@ -23,14 +29,14 @@
         let is_ready = |id: &Id| {
             let peer = self.peers.get(id);
             peer.is_some_and(|p| {
-                now < p.last_heard + 2 * self.timeouts.heartbeat_interval
+                now < p.last_heard + READY_HEARTBEATS * self.timeouts.heartbeat_interval
                     && p.status.disk_healthy
                     && !p.status.draining
             })
         };
         let another_is_ready =
             std::iter::once(&record.leader).chain(&record.backups).any(|id| *id != self.id && is_ready(id));
-        // A node that shuts down leaves the campaign to another replica, if one is ready.
+        // A node that is shutting down leaves the campaign to another replica, if one is ready.
         if self.shutdown_began_at.is_some() && another_is_ready {
             return false;
         }
@@ -38,12 +44,14 @@
         let rank = rank.unwrap_or(0);
         let earlier_is_ready =
             std::iter::once(&record.leader).chain(&record.backups).take(rank).any(is_ready);
-        // The first ready replica in the order of the record need not wait: the lease may be its own. Later ones wait
-        // for one lease more each, so that candidates do not collide.
+        // The first ready replica in the order of the record need not wait: if it was the leader, a lease
+        // that still runs is its own. Each replica after it waits for one more lease, so that candidates do
+        // not collide.
         rank == 0 || !earlier_is_ready || now > self.leader_seen_at + (1 + rank as Ms) * self.timeouts.lease
     }
 
-    /// Campaigns for the next term (Raft 5.2); `membership_change`: the voters to change by it.
+    /// Starts a campaign for the next term (Raft 5.2). `membership_change` holds the voters to propose, if
+    /// they change.
     pub(super) fn start_campaign(
         &mut self,
         now: Ms,
@@ -89,7 +97,7 @@
         }
     }
 
-    /// A campaign that can no longer reach a quorum ends at once.
+    /// Handles a rejection or a missing response. A campaign that can no longer reach a quorum ends at once.
     pub(super) fn handle_rejection(
         &mut self,
         now: Ms,
@@ -166,16 +174,18 @@
         self.start_sync_phase(now, term, out);
     }
 
-    /// The sync step of a campaign: the own disk and the backups take the term of the campaign.
+    /// The sync phase of a campaign: the term of the campaign is written to the candidate's disk and to the
+    /// backups.
     fn start_sync_phase(&mut self, now: Ms, term: &Term, out: &mut Vec<Output>) {
         let Some(campaign) = &self.campaign else { return };
-        // From here on nothing of an earlier term is accepted: the state that goes to the backups is final.
+        // From here on this node accepts no write of an earlier term, so the state that it sends to backups
+        // is final.
         let base_record = campaign.base_record.clone();
         let position =
             (!self.may_hold_uncommitted).then(|| (self.last_durable_term.clone(), self.last_sequence));
         let candidates = self.backup_candidates(now, &base_record);
         (self.last_durable_term, self.last_sequence) = (term.clone(), 0);
-        let deadline = now + 2 * self.timeouts.rpc_timeout;
+        let deadline = now + SYNC_RPC_TIMEOUTS * self.timeouts.rpc_timeout;
         if let Some(campaign) = self.campaign.as_mut() {
             (campaign.phase, campaign.deadline, campaign.previous_position, campaign.candidates) =
                 (CampaignPhase::SyncBackups, deadline, position, candidates);
@@ -235,7 +245,7 @@
         );
     }
 
-    /// Once the own disk and enough backups are at the term of the campaign, its record is proposed.
+    /// Proposes the record of the campaign once the candidate's disk and enough backups are at its term.
     pub(super) fn propose_record_if_synced(&mut self, now: Ms, out: &mut Vec<Output>) {
         let lease = self.timeouts.lease;
         let Some(campaign) =
@@ -267,7 +277,7 @@
         }
     }
 
-    /// Once a quorum has accepted the record it is chosen, and this node leads by it.
+    /// Makes this node the leader once a quorum has accepted its record, which is then chosen.
     pub(super) fn become_leader_if_chosen(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Some(campaign) = &self.campaign else { return };
         let CampaignPhase::Accept(record) = &campaign.phase else { return };
@@ -298,6 +308,7 @@
         self.next_campaign_at = now + self.jitter(self.timeouts.heartbeat_interval / 2);
     }
 
+    /// A pseudo-random duration of less than `below` ms (xorshift64).
     pub(super) fn jitter(&mut self, below: Ms) -> Ms {
         self.jitter_state ^= self.jitter_state << 13;
         self.jitter_state ^= self.jitter_state >> 7;
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease (Raft 6.4.1): renewal, loss, release at a leadership transfer.
+//! The leader lease (Raft 6.4.1): renewal, loss, and release at a leadership transfer.
 use super::tracker::{PendingCall, Reconfiguration};
 use super::{Core, Role};
 use crate::injected_bugs::{is_injected, InjectedBug};
@@ -76,7 +76,7 @@
         }
         let mut failed: Vec<u64> = Vec::new();
         if let Some(append) = self.in_flight.take() {
-            // It may be on this disk, and on others.
+            // The append may already be on this disk, and on those of backups.
             self.may_hold_uncommitted = true;
             failed.extend(append.changes.iter().map(|change| change.ticket));
         }
--- a/crates/control-plane/consensus/src/core/membership.rs
+++ b/crates/control-plane/consensus/src/core/membership.rs
@@ -1,12 +1,13 @@
-//! Who should be a backup or a voter. Voters change one at a time, through a joint configuration (Raft 6).
+//! The choice of backups and voters. Voters change one at a time, through a joint configuration (Raft 6).
 use super::tracker::{MembershipChange, Reconfiguration};
 use super::{Core, Role};
 use crate::injected_bugs::{is_injected, InjectedBug};
 use crate::{Id, LeadershipRecord, Ms, Voter};
 
 impl Core {
-    /// The live members with a healthy disk, best backup first: not draining; not excluded after a failed write; in
-    /// another zone than this node, as a zone may fail as a whole; a replica already, as it needs no snapshot; a voter.
+    /// The live members with a healthy disk, best backup first. Preferred, in this order, are members that
+    /// are not draining, are not excluded after a failed write, are in another zone than this node (a zone
+    /// may fail as a whole), are replicas already (they need no snapshot), and are voters.
     pub(super) fn backup_candidates(&self, now: Ms, base_record: &LeadershipRecord) -> Vec<Id> {
         let has_healthy_disk = |id: &Id| {
             self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.disk_healthy)
@@ -29,8 +30,8 @@
         candidates
     }
 
-    /// What the leader should change by a campaign of its own: first the end of a joint configuration, then a backup
-    /// that failed, then one voter.
+    /// The next change that the leader should make by a campaign, if any: first the end of a joint
+    /// configuration, then the replacement of a failed backup, then a change of one voter.
     pub(super) fn wanted_change(&self, now: Ms) -> Option<Reconfiguration> {
         let Role::Leader(record) = &self.role else { return None };
         if !record.outgoing_voters.is_empty() {
@@ -40,7 +41,7 @@
         if self.should_replace_backups(now, record) {
             return Some(Reconfiguration::Backups);
         }
-        self.reincarnated_voter(now, record)
+        self.incarnation_update(now, record)
             .or_else(|| self.voter_replacement(now, record))
             .or_else(|| self.voter_addition(now, record))
             .map(Reconfiguration::Voters)
@@ -62,8 +63,8 @@
         (record.backups.iter().any(has_failed) || record.backups.len() < wanted) && usable >= wanted
     }
 
-    /// A voter that came back with another disk: its new incarnation takes the place of the old one.
-    fn reincarnated_voter(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
+    /// Replaces a voter that came back with another disk: its new incarnation takes the place of the old one.
+    fn incarnation_update(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
         record.voters.iter().find_map(|voter| {
             let incarnation = if voter.id == self.id {
                 Some(self.incarnation())
@@ -75,11 +76,11 @@
         })
     }
 
-    /// A voter that drains or has been silent for too long, or this node itself while it shuts down, is replaced by a
-    /// spare member.
+    /// Replaces by a spare member a voter that is draining or has been silent for too long, or else this node
+    /// itself while it shuts down.
     fn voter_replacement(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
         let spare = self.spare_voters(now, record).into_iter().next()?;
-        let must_go = |voter: &&Voter| {
+        let must_be_replaced = |voter: &&Voter| {
             let peer = self.peers.get(&voter.id);
             let last_heard = peer.map_or(0, |peer| peer.last_heard).max(self.started_at);
             let is_draining =
@@ -89,11 +90,12 @@
         let others = record.voters.iter().filter(|voter| voter.id != self.id);
         let own = record.voters.iter().find(|voter| voter.id == self.id);
         let own = own.filter(|_| self.shutdown_began_at.is_some());
-        let outgoing = others.clone().find(must_go).or(own)?;
+        let outgoing = others.clone().find(must_be_replaced).or(own)?;
         Some(self.replace_voter(record, outgoing, spare))
     }
 
-    /// One more voter, where there are fewer than `2 * max_failures + 1` and enough spares to reach that number.
+    /// Adds a voter if there are fewer than `2 * max_failures + 1` and enough spare members to reach that
+    /// number.
     fn voter_addition(&self, now: Ms, record: &LeadershipRecord) -> Option<MembershipChange> {
         let wanted = 2 * self.timeouts.max_failures + 1;
         let spares = self.spare_voters(now, record);
@@ -104,7 +106,7 @@
         Some(MembershipChange { voters, outgoing_voters: record.voters.clone() })
     }
 
-    /// Members that are no voters and could be, in the order of their ids.
+    /// The members that are not voters but could be, in the order of their ids.
     fn spare_voters(&self, now: Ms, record: &LeadershipRecord) -> Vec<Voter> {
         let is_spare = |id: &&Id| **id != self.id && !record.is_voter(id) && self.is_usable_backup(now, id);
         let spares = self.members.iter().filter(is_spare);
--- a/crates/control-plane/consensus/src/core/peers.rs
+++ b/crates/control-plane/consensus/src/core/peers.rs
@@ -1,18 +1,19 @@
-//! Peers: their status, contact with them, and whom heartbeats go to.
+//! Peers: their status, contact with them, and the targets of heartbeats.
 use super::tracker::{DiskWrite, WriteBatch};
 use super::{json, metadata_keys, Core, Peer};
 use crate::{Id, LeadershipRecord, Ms, Output, PeerStatus, Voter};
 use std::collections::BTreeSet;
 
 impl Core {
-    /// The leader, if a peer reported within a lease that it holds the leader lease.
+    /// The leader: a peer that reported, within the last lease duration, that it holds the leader lease.
     pub fn known_leader(&self, now: Ms) -> Option<&Id> {
         let holds_lease = |p: &&Peer| now < p.last_heard + self.timeouts.lease && p.status.holds_lease;
         let leader = self.peers.values().filter(holds_lease).max_by_key(|p| p.status.record.term.clone());
         leader.map(|p| &p.status.id)
     }
 
-    /// Whether a quorum of voters has answered calls that this node sent within a lease (check quorum, Raft 6.2).
+    /// Whether a quorum of voters has answered calls that this node sent within the last lease duration
+    /// (check quorum, Raft 6.2).
     pub fn has_quorum_contact(&self, now: Ms) -> bool {
         let is_in_contact = |voter: &Voter| {
             if voter.id == self.id {
@@ -27,12 +28,12 @@
         self.record.has_quorum(is_in_contact)
     }
 
-    /// Whether a request or response of the peer came within a lease.
+    /// Whether a request or response from the peer arrived within the last lease duration.
     pub fn is_peer_alive(&self, now: Ms, id: &str) -> bool {
         self.peers.get(id).is_some_and(|p| p.last_heard > 0 && now < p.last_heard + self.timeouts.lease)
     }
 
-    /// Alive, with a healthy disk, and not draining.
+    /// Whether the peer is alive, has a healthy disk, and is not draining.
     pub(super) fn is_usable_backup(&self, now: Ms, id: &str) -> bool {
         self.is_peer_alive(now, id)
             && self.peers.get(id).is_some_and(|p| p.status.disk_healthy && !p.status.draining)
@@ -53,7 +54,8 @@
         }
     }
 
-    /// A heartbeat, or the response to one of this node's: `sent_at` is then when the request was sent.
+    /// Handles a heartbeat, or the response to one that this node sent; `sent_at` is set for a response, to
+    /// the time at which this node sent its heartbeat.
     pub fn handle_peer_status(
         &mut self,
         now: Ms,
@@ -86,9 +88,9 @@
         }
     }
 
-    /// Whom heartbeats go to: the voters, the replicas, `few` successors on the ring of live members, and in turn `few`
-    /// of the others.
-    pub fn heartbeat_targets(&self, now: Ms, turn: usize, few: usize) -> BTreeSet<Id> {
+    /// The targets of the next heartbeats: the voters, the replicas, the known leader, `count` successors on
+    /// the ring of live members, and `count` of the silent members, which rotate with `turn`.
+    pub fn heartbeat_targets(&self, now: Ms, turn: usize, count: usize) -> BTreeSet<Id> {
         let (alive, silent): (Vec<Id>, Vec<Id>) = self
             .members
             .iter()
@@ -100,10 +102,12 @@
         all.extend(self.known_leader(now).cloned());
         let mut ring = alive;
         ring.push(self.id.clone());
-        all.extend(crate::ring_successors(&self.id, &ring, few));
+        all.extend(crate::ring_successors(&self.id, &ring, count));
         let silent: Vec<Id> = silent.into_iter().filter(|id| !all.contains(id)).collect();
         if !silent.is_empty() {
-            all.extend((0..few.min(silent.len())).map(|n| silent[(turn * few + n) % silent.len()].clone()));
+            all.extend(
+                (0..count.min(silent.len())).map(|n| silent[(turn * count + n) % silent.len()].clone()),
+            );
         }
         all.remove(&self.id);
         all.remove("");
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -1,4 +1,5 @@
-//! Disk writes under way, their results, and the health of the disk. Writes are synced in the order of their output.
+//! Pending disk writes, their results, and the health of the disk. Writes are synced in the order of their
+//! outputs.
 use super::tracker::{DiskWrite, PendingCall, PendingWrite, WriteBatch};
 use super::{json, metadata_keys, Core, LAST_SEQUENCE_KEY};
 use crate::{
@@ -7,7 +8,7 @@
 };
 
 impl Core {
-    /// Writes a batch; `write` says what its result leads to.
+    /// Emits the write of a batch; `write` says how its result is handled.
     pub(super) fn persist(&mut self, now: Ms, write: DiskWrite, batch: WriteBatch, out: &mut Vec<Output>) {
         let operation_id = self.next_operation_id();
         self.pending_writes.push_back(PendingWrite { operation_id, started_at: now, write });
@@ -15,7 +16,7 @@
         out.push(Output::Persist { operation_id, state, replace, metadata });
     }
 
-    /// The result of a disk write. `ok`: it is synced.
+    /// Handles the result of a disk write; `ok` means that it is synced.
     pub fn handle_write_result(
         &mut self,
         now: Ms,
@@ -62,12 +63,12 @@
         response: VoterResponse,
         out: &mut Vec<Output>,
     ) {
-        // The very first write, of an empty disk, has nobody to answer.
+        // The first write of an empty disk belongs to no request, so there is no response to send.
         let is_first_write = matches!(to, Err(PendingCall::Release));
         if ok {
             self.durable_voter_state = Some(voter_state);
         } else if is_first_write {
-            // That write had the term of this disk as well: everything is written again.
+            // That write also contained the term of this disk, so everything must be written again.
             self.needs_snapshot = true;
         }
         if is_first_write {
@@ -94,7 +95,7 @@
         self.propose_record_if_synced(now, out);
     }
 
-    /// A backup answers its leader once the write is on the disk.
+    /// A backup responds to its leader once the write is on the disk.
     fn handle_replica_write_written(
         &mut self,
         ok: bool,
@@ -105,7 +106,7 @@
         out: &mut Vec<Output>,
     ) {
         let is_current = self.last_durable_term == *term;
-        // A failed write of an earlier term counts, too: later ones without a snapshot build upon it.
+        // A failed write of an earlier term counts as well: later writes, except for snapshots, build on it.
         if !ok {
             self.needs_snapshot = true;
         } else if snapshot && is_current && self.last_sequence == sequence {
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -1,4 +1,5 @@
-//! Replication: writes accepted from a leader; changes proposed, appended at the backups and committed.
+//! Replication: a backup accepts writes of the leader; a leader appends proposed changes at the backups and
+//! commits them.
 use super::tracker::{DiskWrite, InFlightAppend, PendingCall, WriteBatch};
 use super::{json, Core, Role, LAST_SEQUENCE_KEY};
 use crate::injected_bugs::{is_injected, InjectedBug};
@@ -9,7 +10,7 @@
 };
 
 impl Core {
-    /// A leader writes to this replica.
+    /// Handles a write that a leader sends to this replica.
     pub(super) fn handle_replica_write(
         &mut self,
         now: Ms,
@@ -24,7 +25,8 @@
         }
         if write.term > self.last_durable_term {
             self.campaign = None;
-            // Two candidates would cancel each other's campaigns for ever: the sender gets time to finish its own.
+            // Two candidates could cancel each other's campaigns forever, so the sender gets time to finish
+            // its own.
             let rpc_timeout = self.timeouts.rpc_timeout;
             self.next_campaign_at = self.next_campaign_at.max(now + rpc_timeout + self.jitter(rpc_timeout));
             self.step_down(now, out);
@@ -35,7 +37,7 @@
             (self.needs_snapshot, self.may_hold_uncommitted) = (true, false);
         }
         (self.last_durable_term, self.last_sequence) = (write.term.clone(), write.sequence);
-        // A repeated change is written again: its first write may have failed.
+        // A retried append is written again, because its first write may have failed.
         self.apply_writes(&write.writes);
         let metadata = if write.kind == ReplicaWriteKind::Append {
             vec![(LAST_SEQUENCE_KEY.into(), json(&self.last_sequence))]
@@ -63,7 +65,7 @@
             ReplicaWriteKind::Snapshot { checksum } if snapshot_checksum(&write.writes) != *checksum => {
                 (false, "the sum is wrong")
             }
-            // A snapshot that comes late or twice must not undo the changes since.
+            // A late or duplicate snapshot must not undo the changes that followed it.
             ReplicaWriteKind::Snapshot { .. } => {
                 let repairs = same_term && self.needs_snapshot && write.sequence >= self.last_sequence;
                 let injected = same_term && is_injected(InjectedBug::StaleSnapshot);
@@ -165,7 +167,8 @@
         self.send_request(pending, to, Request::ReplicaWrite(append), out);
     }
 
-    /// Commits the append once it is on all disks. Time has passed: without the lease another node may lead already.
+    /// Commits the append once it is on all disks of the record. The lease is checked again, because it may
+    /// have expired in the meantime and another node may lead already.
     pub(super) fn commit_if_replicated(&mut self, now: Ms, out: &mut Vec<Output>) {
         if !self.in_flight.as_ref().is_some_and(|append| {
             append.persisted_locally
--- a/crates/control-plane/consensus/src/core/shutdown.rs
+++ b/crates/control-plane/consensus/src/core/shutdown.rs
@@ -13,9 +13,9 @@
         self.shutdown_began_at.is_some()
     }
 
-    /// Whether the process may end: a leader is known and this node is neither a replica nor a replaceable voter, or all
-    /// others drain as well, or the grace period is over. An isolated node waits out the grace period: a role that
-    /// nobody has taken over would be lost with it.
+    /// Whether the process may exit: a leader is known and this node is neither a replica nor a replaceable
+    /// voter, or all other members are draining as well, or the grace period is over. An isolated node waits
+    /// for the end of the grace period: a role that no other node has taken over would be lost with it.
     pub fn may_exit(&self, now: Ms) -> bool {
         let Some(began_at) = self.shutdown_began_at else { return false };
         if now > began_at + self.timeouts.shutdown_grace {
@@ -25,7 +25,7 @@
         let mut others = self.members.iter().filter(|id| **id != self.id && self.is_usable_backup(now, id));
         let has_spare = others.any(|id| !self.record.is_voter(id));
         let is_needed = self.record.is_replica(&self.id) || self.record.is_voter(&self.id) && has_spare;
-        // The whole system shuts down: there is nobody to hand a role over to.
+        // If the whole system shuts down, there is no node to hand a role over to.
         let is_draining =
             |id: &Id| self.is_peer_alive(now, id) && self.peers.get(id).is_some_and(|p| p.status.draining);
         let all_draining = self.members.iter().filter(|id| **id != self.id).all(is_draining);
--- a/crates/control-plane/consensus/src/core/tracker.rs
+++ b/crates/control-plane/consensus/src/core/tracker.rs
@@ -1,6 +1,7 @@
-//! What a node keeps track of between inputs: calls and disk writes under way, its campaign, the append in flight.
+//! What a node keeps track of between inputs: pending calls and disk writes, its campaign, the append in
+//! flight.
 //!
-//! The order of variants and fields is part of the hash of a state; the search of the model depends on it.
+//! The order of variants and fields is part of the hash of a state, by which the model search counts states.
 use crate::{
     Change, Id, KeyValue, LeadershipRecord, LeaseGrants, Ms, OperationId, RequestId, Term, Voter,
     VoterResponse, VoterState,
@@ -18,10 +19,11 @@
     Release,
 }
 
-/// What the result of a disk write leads to.
+/// The purpose of a disk write, by which its result is handled.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) enum DiskWrite {
-    /// A new state of the voter; `to`: the request to answer then, or the call of this node to itself.
+    /// A new state of the voter. `to` is the request to answer once it is written, or the call of this node
+    /// to itself.
     VoterState {
         to: Result<RequestId, PendingCall>,
         voter_state: Box<VoterState>,
@@ -41,7 +43,7 @@
         term: Term,
         sequence: u64,
     },
-    /// All of the state anew, after a write that failed.
+    /// A rewrite of the whole state, after a write that failed.
     RewriteState {
         term: Term,
         sequence: u64,
@@ -67,7 +69,7 @@
 }
 
 impl WriteBatch {
-    /// Leaves the replicated state as it is.
+    /// A batch that leaves the replicated state as it is.
     pub(super) fn metadata(metadata: Vec<KeyValue>) -> WriteBatch {
         WriteBatch { state: Vec::new(), replace: false, metadata }
     }
@@ -92,9 +94,9 @@
     pub(super) term: Term,
     /// The newest record among the responses.
     pub(super) base_record: LeadershipRecord,
-    /// The voters to propose, where the leader changes them.
+    /// The voters to propose, if the leader changes them.
     pub(super) membership_change: Option<MembershipChange>,
-    /// The term in which the candidate leads already, if it does.
+    /// The term in which the candidate is already the leader, if it is.
     pub(super) leading_term: Option<Term>,
     pub(super) phase: CampaignPhase,
     pub(super) deadline: Ms,
@@ -102,7 +104,8 @@
     pub(super) prepared_by: BTreeSet<Voter>,
     pub(super) rejected_by: BTreeSet<Id>,
     pub(super) own_disk_synced: bool,
-    /// Term and sequence number of this disk before the campaign: a backup that holds the same needs no snapshot.
+    /// Term and sequence number of this disk before the campaign: a backup that holds the same needs no
+    /// snapshot.
     pub(super) previous_position: Option<(Term, u64)>,
     pub(super) candidates: Vec<Id>,
     pub(super) syncing: BTreeSet<Id>,
@@ -110,7 +113,7 @@
     pub(super) leases: LeaseGrants,
 }
 
-/// A change that is not on all disks of the record yet.
+/// A batch of changes that is not on all disks of the record yet.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct InFlightAppend {
     pub(super) sequence: u64,
@@ -121,7 +124,7 @@
     pub(super) unacknowledged: BTreeSet<Id>,
 }
 
-/// What a leader changes by a campaign for the next term.
+/// What a leader changes by means of a campaign for the next term.
 pub(super) enum Reconfiguration {
     /// The backups; the voters stay.
     Backups,
--- a/crates/control-plane/consensus/src/core/voter.rs
+++ b/crates/control-plane/consensus/src/core/voter.rs
@@ -1,10 +1,11 @@
-//! The voter of this node: requests to its acceptor, answered only after the disk has its new state (Paxos).
+//! The voter of this node: requests to its acceptor, answered only once its new state is on the disk (Paxos).
 use super::tracker::{DiskWrite, PendingCall, WriteBatch};
 use super::{json, metadata_keys, Core, Role};
 use crate::{Id, Ms, Output, Request, RequestId, Response, VoterRequest, VoterResponse};
 
 impl Core {
-    /// Handles a request to the acceptor; a change of its state is on the disk before the response.
+    /// Handles a request to the acceptor; a change of its state is written to the disk before the response is
+    /// sent.
     pub(super) fn handle_voter_request(
         &mut self,
         now: Ms,
@@ -35,8 +36,8 @@
                 }
                 self.observe_record(now, record, out);
             }
-            // Also if nothing changed now: an earlier write may have failed or may still be pending, and a response must
-            // not show a state that is not on the disk.
+            // The state is also written if this request did not change it: an earlier write may have failed
+            // or may still be pending, and a response must not reveal a state that is not on the disk.
             if self.durable_voter_state.as_ref() != Some(&self.acceptor.state) {
                 let voter_state = self.acceptor.state.clone();
                 let metadata = vec![(metadata_keys::VOTER_STATE.to_string(), json(&voter_state))];
--- a/crates/control-plane/consensus/src/lib.rs
+++ b/crates/control-plane/consensus/src/lib.rs
@@ -1,12 +1,16 @@
-//! Consensus of the control plane: leader leases, voters and replication, as a pure state machine without I/O. Times are
-//! milliseconds of a steady clock, given in.
+//! Consensus of the control plane: leader leases, voters and replication, as a pure state machine without
+//! I/O. Times are milliseconds of a monotonic clock; the caller passes the current time with each input.
 //!
-//! A few voters hold one [`LeadershipRecord`] (term, leader, backups, and the voters themselves) as a register that a
-//! quorum changes (Paxos): a candidate has its term promised, reads the newest record, and only a replica named there
-//! may propose the next one. Every acknowledged change is on the disks of all replicas that the record names, so each of
-//! them can lead alone. Voters hold no state and no log. They change one at a time, by a record with a joint
-//! configuration that both sets accept before the new one stands alone (Raft 6). [`Core`] is one node;
-//! `docs/control.md` says what holds and why.
+//! A few voters hold one [`LeadershipRecord`] (term, leader, backups, and the voters themselves) as a
+//! register that changes by Paxos: a candidate obtains promises for its term from a quorum and reads the
+//! newest record, and only a replica named there may propose the next one. Every acknowledged change is on
+//! the disks of all replicas that the record names, so each of them can take over on its own. Voters store
+//! neither the replicated state nor a log. They change one at a time, through a joint configuration that
+//! majorities of the old and of the new voters accept (Raft 6). [`Core`] is one node; `docs/control.md`
+//! describes the invariants and their reasons.
+//!
+//! Of the Raft sections cited in this crate, 3.10, 6.2 and 6.4.1 are those of Ongaro's dissertation, and the
+//! others those of the Raft paper.
 //!
 //! ```
 //! use coppersail_consensus::{Acceptor, LeadershipRecord, Term, Voter};
@@ -23,7 +27,7 @@
 //! assert_eq!(acceptor.prepare(0, &term), Ok(first.clone()));
 //! let next = LeadershipRecord { term: term.clone(), leader: "b".into(), backups: vec!["c".into()], ..first };
 //! assert!(acceptor.accept(0, &next, 1000).is_ok());
-//! assert!(acceptor.prepare(10, &Term::new(3, "c")).is_err(), "b has a lease of a second");
+//! assert!(acceptor.prepare(10, &Term::new(3, "c")).is_err(), "b holds a lease of 1000 ms");
 //! ```
 mod acceptor;
 mod core;
@@ -45,17 +49,21 @@
 #[cfg(test)]
 mod tests;
 
-/// Milliseconds of a steady clock, as a point in time or a span.
+/// Parameters of the 64-bit FNV-1a hash.
+pub(crate) const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+pub(crate) const FNV_PRIME: u64 = 0x100_0000_01b3;
+
+/// Milliseconds of a monotonic clock: a point in time or a duration.
 pub type Ms = u64;
 
 /// The id of a node: the address at which it serves, "ip:port".
 pub type Id = String;
 
-/// A proposal number; no two candidates share one. The term of a record is the proposal number under which it was
-/// accepted.
+/// A proposal number; no two candidates share one. The term of a record is the proposal number under which it
+/// was accepted.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Term {
-    /// The number; it only rises.
+    /// The number; it only increases.
     #[serde(rename = "n")]
     pub number: u64,
     /// The candidate that chose the number.
@@ -70,13 +78,13 @@
     }
 }
 
-/// One disk of one node. A node whose disk was lost is another voter with the same id: it has forgotten what it
-/// promised, and does not count until a record names its new incarnation.
+/// A voter is one disk of one node. A node that lost its disk is a different voter with the same id: its
+/// promises are gone, so its votes do not count until a record names its new incarnation.
 #[derive(Debug, Clone, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Voter {
     /// The node.
     pub id: Id,
-    /// Which disk of the node.
+    /// Identifies the disk among all that the node has had.
     #[serde(rename = "life")]
     pub incarnation: u64,
 }
@@ -88,10 +96,11 @@
     }
 }
 
-/// The register that a quorum of voters accepts: who leads in a term, whose disks hold the state, and who votes.
+/// The register that a quorum of voters accepts: who leads in a term, whose disks hold the state, and who
+/// votes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct LeadershipRecord {
-    /// The term; no two records have the same.
+    /// The term; no two records have the same term.
     #[serde(rename = "epoch")]
     pub term: Term,
     /// The leader of the term.
@@ -109,18 +118,20 @@
 }
 
 impl LeadershipRecord {
-    /// Whether the node holds all acknowledged changes by this record.
+    /// Whether this record names the node as a replica, that is, as one that holds all acknowledged changes.
     pub fn is_replica(&self, id: &str) -> bool {
         self.leader == id || self.backups.iter().any(|backup| backup == id)
     }
 
-    /// Only a replica that holds all acknowledged changes may be the next leader: it is named in the record, and the last
-    /// term of its disk shows that it is the disk that was named, not an empty one in its place.
+    /// Whether the node may be the next leader, which must hold all acknowledged changes: the record names it
+    /// as a replica, and its last durable term shows that its disk is the one that was named, not an empty
+    /// replacement.
     pub fn may_lead(&self, id: &str, last_durable_term: &Term) -> bool {
         self.is_replica(id) && *last_durable_term >= self.term
     }
 
-    /// Whether these voters are a quorum: a majority, in a joint configuration of both sets.
+    /// Whether the voters for which `accepts` is true are a quorum: a majority of the voters and, in a joint
+    /// configuration, of the outgoing voters as well.
     pub fn has_quorum(&self, accepts: impl Fn(&Voter) -> bool) -> bool {
         let has_majority =
             |voters: &[Voter]| voters.iter().filter(|voter| accepts(voter)).count() > voters.len() / 2;
@@ -145,27 +156,28 @@
     }
 }
 
-/// The nodes that follow one on a ring, in the order of a hash of their ids (consistent hashing); heartbeats go to them.
+/// The `count` nodes that follow `me` on a ring ordered by a hash of the ids (consistent hashing). A node
+/// sends heartbeats to its successors.
 ///
 /// ```
 /// let all: Vec<String> = (0..9).map(|n| format!("10.0.0.{n}:80")).collect();
-/// let few = coppersail_consensus::ring_successors(&all[0], &all, 3);
-/// assert_eq!(few.len(), 3);
-/// assert!(!few.contains(&all[0]));
+/// let successors = coppersail_consensus::ring_successors(&all[0], &all, 3);
+/// assert_eq!(successors.len(), 3);
+/// assert!(!successors.contains(&all[0]));
 /// ```
 pub fn ring_successors(me: &str, all: &[Id], count: usize) -> Vec<Id> {
     let position = |id: &str| {
-        id.bytes().fold(0xcbf2_9ce4_8422_2325u64, |h, b| (h ^ b as u64).wrapping_mul(0x100_0000_01b3))
+        id.bytes().fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ byte as u64).wrapping_mul(FNV_PRIME))
     };
     let mut ring: Vec<(u64, &Id)> = all.iter().filter(|id| *id != me).map(|id| (position(id), id)).collect();
     ring.sort_unstable();
     ring.dedup();
     let own_position = position(me);
-    let start = ring.partition_point(|(p, _)| *p < own_position);
+    let start = ring.partition_point(|(position, _)| *position < own_position);
     (0..ring.len().min(count)).map(|n| ring[(start + n) % ring.len()].1.clone()).collect()
 }
 
-/// The smallest majority of so many voters.
+/// The size of the smallest majority among this number of voters.
 pub fn majority(voters: usize) -> usize {
     voters / 2 + 1
 }
--- a/crates/control-plane/consensus/src/messages.rs
+++ b/crates/control-plane/consensus/src/messages.rs
@@ -1,21 +1,22 @@
-//! Messages between nodes, and the changes that they carry. Times are milliseconds. The serialized names are those of
-//! the first version: builds of different versions talk to each other.
+//! Messages between nodes, and the changes that they carry. Times are in milliseconds. The serialized names
+//! stay as in the first version, because nodes of different versions exchange messages.
 use crate::{Id, LeadershipRecord, Term, VoterRequest, VoterResponse};
+use crate::{FNV_OFFSET_BASIS, FNV_PRIME};
 use serde::{Deserialize, Serialize};
 
-/// A name of the control state and its value.
+/// An entry of the replicated state or of the metadata: its name and its value.
 pub type KeyValue = (String, String);
 
 /// What kind of write a leader sends to a backup (Raft 5.3, 7).
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ReplicaWriteKind {
-    /// All of the state, with a checksum.
+    /// The whole state, with a checksum.
     Snapshot {
         /// The checksum of the writes.
         #[serde(rename = "sum")]
         checksum: u64,
     },
-    /// No writes; accepted only by a backup that holds exactly this sequence number of this term.
+    /// Without writes; accepted only by a backup whose last change has exactly this term and sequence number.
     #[serde(rename = "Join")]
     Probe {
         /// The term that the backup must hold.
@@ -35,7 +36,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct ReplicaWrite {
-    /// The form of what follows; another one is refused.
+    /// The version of the message format; a backup rejects any other than its own.
     pub version: u32,
     /// The sender's term.
     #[serde(rename = "epoch")]
@@ -65,13 +66,20 @@
     pub incarnation: u64,
 }
 
+/// The version of the format of [`ReplicaWrite`].
 pub(crate) const REPLICA_WRITE_VERSION: u32 = 1;
 
-/// The checksum of a snapshot, so that a truncated or altered one is rejected (FNV-1a).
+/// Ends each text in a checksum; UTF-8 never contains this byte.
+const TEXT_TERMINATOR: u8 = 0xff;
+/// Low bits shifted out of the hash: the checksum stays below 2^53, so every JSON reader reads it exactly.
+const UNUSED_BITS: u32 = 12;
+
+/// The checksum of a snapshot, by which a truncated or altered one is rejected (FNV-1a).
 pub(crate) fn snapshot_checksum(writes: &[KeyValue]) -> u64 {
-    let mix = |h: u64, b: u8| (h ^ u64::from(b)).wrapping_mul(0x100_0000_01b3);
-    let text = |h: u64, t: &str| mix(t.bytes().fold(h, mix), 0xff);
-    writes.iter().fold(0xcbf2_9ce4_8422_2325, |h, (n, v)| text(text(h, n), v)) >> 12
+    let add_byte = |hash: u64, byte: u8| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME);
+    let add_text = |hash: u64, text: &str| add_byte(text.bytes().fold(hash, add_byte), TEXT_TERMINATOR);
+    let add_entry = |hash: u64, (name, value): &KeyValue| add_text(add_text(hash, name), value);
+    writes.iter().fold(FNV_OFFSET_BASIS, add_entry) >> UNUSED_BITS
 }
 
 /// A request between nodes.
@@ -100,7 +108,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(default)]
 pub struct PeerStatus {
-    /// Its id.
+    /// The id of the sender.
     pub id: Id,
     /// It is the leader and holds the lease.
     #[serde(rename = "acting")]
@@ -108,7 +116,7 @@
     /// Its disk takes writes.
     #[serde(rename = "fit")]
     pub disk_healthy: bool,
-    /// It shuts down.
+    /// It is shutting down.
     #[serde(rename = "leaving")]
     pub draining: bool,
     /// The incarnation of its disk.
@@ -126,10 +134,10 @@
     pub members: Vec<Id>,
 }
 
-/// A change that waits to be written, with the ticket by which its caller is known.
+/// A proposed change, with a ticket that identifies it to its proposer.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct Change {
-    /// The id by which the proposer knows the change.
+    /// Identifies the change to its proposer; the outcome is reported under it.
     pub ticket: u64,
     /// The entries to write.
     pub writes: Vec<KeyValue>,
--- a/crates/control-plane/consensus/src/tests.rs
+++ b/crates/control-plane/consensus/src/tests.rs
@@ -1,4 +1,4 @@
-//! Voters under restarts, lost disks and competing candidates. The core as a whole is tested in `tests/`.
+//! Voters under restarts, lost disks and competing candidates. The tests of the whole core are in `tests/`.
 use super::*;
 use assert_matches::assert_matches;
 
@@ -39,24 +39,24 @@
         longest_lease: 100,
         ..VoterState::default()
     };
-    // The settings were others when the lease was granted.
+    // The configured lease is 50 ms now, and was 100 ms when the lease was granted.
     let mut acceptor = Acceptor::restart(0, voter_state, 50);
     assert_matches!(acceptor.prepare(99, &Term::new(3, "b")), Err(_));
     let mut other = acceptor.clone();
-    assert_matches!(
-        other.prepare(1, &Term::new(3, "a")),
-        Ok(_),
-        "the old leader knows that its lease has ended"
-    );
+    assert_matches!(other.prepare(1, &Term::new(3, "a")), Ok(_), "the earlier lease is the candidate's own");
     assert_matches!(acceptor.prepare(100, &Term::new(3, "b")), Ok(_));
 }
 
 #[test]
-fn a_released_lease_ends_at_once_and_a_release_of_an_older_term_ends_nothing() {
+fn a_release_ends_the_lease_of_its_own_term_only() {
     let mut acceptor = Acceptor::bootstrap(first_record());
     acceptor.accept(0, &record(2, "a", "b"), 100).unwrap();
     acceptor.release(&Term::new(1, ""));
-    assert_matches!(acceptor.prepare(1, &Term::new(3, "b")), Err(_), "a release of an earlier term");
+    assert_matches!(
+        acceptor.prepare(1, &Term::new(3, "b")),
+        Err(_),
+        "a release of an earlier term does not end the lease"
+    );
     acceptor.release(&Term::new(2, "a"));
     assert_matches!(acceptor.prepare(1, &Term::new(3, "b")), Ok(_));
 }
@@ -83,7 +83,7 @@
     leases.add(Voter::new("c", 0), 900, 500);
     assert!(leases.is_held(&record, 1388) && !leases.is_held(&record, 1390));
     leases.add(Voter::new("c", 9), 5000, 500);
-    assert!(!leases.is_held(&record, 1390), "another disk of the same node");
+    assert!(!leases.is_held(&record, 1390), "a grant of another disk of the same node does not count");
 }
 
 #[test]
@@ -107,7 +107,10 @@
     };
     let (mut core, mut out) = (Core::start(0, start, &mut Vec::new()), Vec::new());
     core.begin_shutdown(100);
-    assert!(!core.may_exit(2000) && core.may_exit(3101), "its vote would be lost with it");
+    assert!(
+        !core.may_exit(2000) && core.may_exit(3101),
+        "the vote of an isolated node would be lost with it"
+    );
     for id in ["a", "c"] {
         core.handle_peer_status(
             3000,
@@ -116,5 +119,5 @@
             &mut out,
         );
     }
-    assert!(core.may_exit(3050), "all nodes shut down");
+    assert!(core.may_exit(3050), "all nodes are shutting down");
 }
