--- a/crates/control-plane/consensus/src/core.rs
+++ b/crates/control-plane/consensus/src/core.rs
@@ -204,6 +204,7 @@
         let mut metadata = core.term_metadata();
         metadata.push((metadata_keys::RECORD.into(), json(&core.record)));
         metadata.push((metadata_keys::VOTER_STATE.into(), json(&voter_state)));
+        // No request waits for this write. The result of a release is ignored.
         let write = DiskWrite::VoterState {
             to: Err(PendingCall::Release),
             voter_state: Box::new(voter_state),
@@ -301,14 +302,14 @@
         }
         self.excluded_until.retain(|_, until| now < *until);
         if self.campaign.as_ref().is_some_and(|campaign| now > campaign.deadline) {
-            self.abandon_campaign(now, "no answer from enough", out);
+            self.abandon_campaign(now, "it timed out", out);
         }
         if self
             .in_flight
             .as_ref()
             .is_some_and(|append| now > append.started_at + APPEND_RPC_TIMEOUTS * self.timeouts.rpc_timeout)
         {
-            self.fail_append(now, "in time", out);
+            self.fail_append(now, "it timed out", out);
         }
         if matches!(self.role, Role::Leader(_)) {
             self.tick_leader(now, out);
--- a/crates/control-plane/consensus/src/core/calls.rs
+++ b/crates/control-plane/consensus/src/core/calls.rs
@@ -192,7 +192,7 @@
             }
             _ => {
                 self.exclude_temporarily(now, to.clone());
-                self.fail_append(now, &format!("at {to}"), out);
+                self.fail_append(now, &format!("the write at backup {to} failed"), out);
             }
         }
     }
--- a/crates/control-plane/consensus/src/core/election.rs
+++ b/crates/control-plane/consensus/src/core/election.rs
@@ -119,8 +119,8 @@
                 && (voter.id == self.id || self.is_peer_alive(now, &voter.id))
         };
         if !record.has_quorum(may_still_accept) {
-            let reason = rejection.map_or("no answer".into(), |rejection| rejection.reason);
-            self.abandon_campaign(now, &format!("{voter_id}: {reason}"), out);
+            let reason = rejection.map_or("no response".into(), |rejection| rejection.reason);
+            self.abandon_campaign(now, &format!("voter {voter_id}: {reason}"), out);
         }
     }
 
@@ -169,7 +169,7 @@
             || self.last_durable_term > *term
             || self.needs_snapshot
         {
-            return self.abandon_campaign(now, "another stands in the record", out);
+            return self.abandon_campaign(now, "this node is no longer eligible to lead", out);
         }
         self.start_sync_phase(now, term, out);
     }
@@ -212,7 +212,7 @@
         };
         if campaign.candidates.is_empty() {
             if campaign.syncing.len() + campaign.synced.len() < self.timeouts.max_failures {
-                self.abandon_campaign(now, "nobody to be the backup", out);
+                self.abandon_campaign(now, "not enough usable backups", out);
             }
             return;
         }
@@ -289,10 +289,10 @@
         self.campaign = None;
         self.renewal_sent_at.clear();
         (self.leases, self.next_campaign_at) = (leases, now);
-        let joint_note = if record.outgoing_voters.is_empty() { "" } else { ", the group changes" };
+        let joint_note = if record.outgoing_voters.is_empty() { "" } else { ", in a joint configuration" };
         let backups = record.backups.join(", ");
         out.push(Output::Log(format!(
-            "Acts in epoch {} with backup {backups}{joint_note}.",
+            "Leads in term {} with backups {backups}{joint_note}.",
             record.term.number
         )));
         self.observe_record(now, &record, out);
@@ -303,7 +303,7 @@
 
     pub(super) fn abandon_campaign(&mut self, now: Ms, reason: &str, out: &mut Vec<Output>) {
         self.campaign = None;
-        out.push(Output::Log(format!("Could not take the next epoch: {reason}.")));
+        out.push(Output::Log(format!("Campaign for the next term failed: {reason}.")));
         self.step_down(now, out);
         self.next_campaign_at = now + self.jitter(self.timeouts.heartbeat_interval / 2);
     }
--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -14,7 +14,7 @@
     pub(super) fn tick_leader(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Leader(record) = self.role.clone() else { return };
         if !self.disk_healthy || self.campaign.is_none() && !self.holds_leader_lease(now) {
-            out.push(Output::Log("The lease is over or the disk fails: steps down.".into()));
+            out.push(Output::Log("Steps down: the lease has expired or the disk is unhealthy.".into()));
             return self.step_down(now, out);
         }
         self.leader_seen_at = now;
@@ -48,7 +48,7 @@
             && self.proposals.is_empty()
             && record.backups.iter().any(|id| self.is_usable_backup(now, id))
         {
-            out.push(Output::Log("Hands over and stops acting.".into()));
+            out.push(Output::Log("Steps down to hand over the leadership before shutdown.".into()));
             self.step_down(now, out);
             for id in record.voter_ids() {
                 self.call_voter(
--- a/crates/control-plane/consensus/src/core/persistence.rs
+++ b/crates/control-plane/consensus/src/core/persistence.rs
@@ -30,10 +30,10 @@
         };
         let Some(PendingWrite { write, .. }) = self.pending_writes.remove(index) else { return };
         if ok && !self.last_write_succeeded {
-            out.push(Output::Log("The disk takes writes again.".into()));
+            out.push(Output::Log("The disk accepts writes again.".into()));
         }
         if !ok && self.last_write_succeeded {
-            out.push(Output::Log("The disk does not take a write.".into()));
+            out.push(Output::Log("A disk write failed.".into()));
         }
         self.last_write_succeeded = ok;
         match write {
@@ -88,7 +88,7 @@
             return;
         };
         if !ok || self.needs_snapshot {
-            return self.abandon_campaign(now, "the disk does not take it", out);
+            return self.abandon_campaign(now, "a write to the local disk failed", out);
         }
         campaign.own_disk_synced = true;
         self.may_hold_uncommitted = false;
@@ -134,7 +134,7 @@
             return;
         };
         if !ok {
-            return self.fail_append(now, "here", out);
+            return self.fail_append(now, "a write to the local disk failed", out);
         }
         append.persisted_locally = true;
         self.commit_if_replicated(now, out);
--- a/crates/control-plane/consensus/src/core/replication.rs
+++ b/crates/control-plane/consensus/src/core/replication.rs
@@ -177,7 +177,7 @@
             return;
         }
         if !self.holds_leader_lease(now) {
-            return self.fail_append(now, "within the lease", out);
+            return self.fail_append(now, "the lease has expired", out);
         }
         let Some(append) = self.in_flight.take() else { return };
         self.apply_writes(&append.writes);
@@ -185,8 +185,8 @@
         self.append_next(now, out);
     }
 
-    pub(super) fn fail_append(&mut self, now: Ms, failure: &str, out: &mut Vec<Output>) {
-        out.push(Output::Log(format!("A change is not written {failure}: steps down.")));
+    pub(super) fn fail_append(&mut self, now: Ms, reason: &str, out: &mut Vec<Output>) {
+        out.push(Output::Log(format!("Steps down, because a change could not be replicated: {reason}.")));
         self.step_down(now, out);
     }
 }
--- a/crates/control-plane/consensus/tests/core.rs
+++ b/crates/control-plane/consensus/tests/core.rs
@@ -1,4 +1,4 @@
-//! Failure scenarios, scripted step by step on the very core.
+//! Failure scenarios, scripted step by step on the production core.
 #[path = "model/cluster.rs"]
 // The model and the scripted scenarios share this module; each uses a part of it.
 #[allow(dead_code)]
@@ -42,13 +42,13 @@
         };
         apply_all(cluster, &[step]);
     }
-    panic!("the cores never stop sending");
+    panic!("messages are still in flight after 200 deliveries");
 }
 
 const ADVANCE: Step = Step::Advance { delayed: None, isolation: Isolation::None };
 
 #[test]
-fn a_backup_whose_earlier_write_fails_after_a_probe_does_not_join() {
+fn a_probe_is_rejected_if_an_earlier_write_of_the_backup_fails() {
     let mut cluster = started_cluster(ModelConfig { async_disks: 0b10, ..config() });
     apply_all(&mut cluster, &[Step::Propose(0)]);
     deliver_all(&mut cluster);
@@ -65,7 +65,7 @@
     assert_eq!((cluster.lease_holders(), cluster.reference.committed.clone()), (vec![0], vec![1]));
 }
 
-/// Time passes with a node paused until another one leads.
+/// Advances the time with one node paused until another node leads.
 fn fail_over_from(cluster: &mut Cluster, paused: usize) {
     for _ in 0..200 {
         apply_all(cluster, &[Step::Advance { delayed: None, isolation: Isolation::Paused(paused) }]);
@@ -79,7 +79,7 @@
             return;
         }
     }
-    panic!("nobody takes over from {paused}");
+    panic!("no node takes over from {paused}");
 }
 
 fn commit_change(cluster: &mut Cluster) {
@@ -97,7 +97,7 @@
     let leader = cluster.lease_holders()[0];
     match &cluster.core(leader).unwrap().role {
         Role::Leader(record) => record.clone(),
-        Role::Follower => panic!("a lease holder that is no leader"),
+        Role::Follower => panic!("a node holds the lease but is not the leader"),
     }
 }
 
@@ -106,13 +106,13 @@
 }
 
 #[test]
-fn a_second_leader_lost_right_after_a_failover() {
+fn no_change_is_lost_if_the_next_leader_fails_right_after_a_failover() {
     let mut cluster = started_cluster(config());
     commit_change(&mut cluster);
     fail_over_from(&mut cluster, 0);
     let next = cluster.lease_holders()[0];
     commit_change(&mut cluster);
-    // a is back, and the second leader is paused at once.
+    // a runs again, and the second leader is paused immediately.
     apply_all(&mut cluster, &[ADVANCE]);
     deliver_all(&mut cluster);
     fail_over_from(&mut cluster, next);
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn a_leader_frozen_past_its_lease_does_not_commit() {
+fn a_leader_that_is_paused_past_its_lease_does_not_commit() {
     let mut cluster = started_cluster(ModelConfig { async_disks: 0b1, ..config() });
     apply_all(&mut cluster, &[Step::Propose(0)]);
     deliver_all(&mut cluster);
@@ -134,14 +134,14 @@
     assert_eq!(
         (cluster.reference.committed.clone(), cluster.lease_holders()),
         (vec![1], vec![1]),
-        "b commits what it has on its disk"
+        "b commits the change that is on its disk"
     );
     cluster.run_without_faults(50).unwrap();
     commit_change(&mut cluster);
 }
 
-/// b is down, and a sends a snapshot to its next backup.
-fn during_a_snapshot() -> Cluster {
+/// A cluster in which b is down and a snapshot from a to its next backup is in flight.
+fn cluster_during_snapshot() -> Cluster {
     let mut cluster = started_cluster(config());
     commit_change(&mut cluster);
     apply_all(&mut cluster, &[Step::Crash(1, 0)]);
@@ -162,11 +162,11 @@
 }
 
 #[test]
-fn the_next_backup_crashes_during_its_snapshot() {
-    let mut cluster = during_a_snapshot();
+fn the_cluster_recovers_if_the_next_backup_crashes_during_its_snapshot() {
+    let mut cluster = cluster_during_snapshot();
     apply_all(&mut cluster, &[Step::Crash(2, 0)]);
     cluster.run_without_faults(100).unwrap();
-    assert!(cluster.lease_holders().is_empty(), "a alone is no quorum of a, b, c");
+    assert!(cluster.lease_holders().is_empty(), "a alone is not a quorum of a, b, c");
     apply_all(&mut cluster, &[ADVANCE, Step::Restart(2)]);
     cluster.run_without_faults(100).unwrap();
     commit_change(&mut cluster);
@@ -174,8 +174,8 @@
 }
 
 #[test]
-fn a_voter_loses_its_disk_during_a_snapshot() {
-    let mut cluster = during_a_snapshot();
+fn a_voter_that_loses_its_disk_during_a_snapshot_votes_with_its_new_disk() {
+    let mut cluster = cluster_during_snapshot();
     apply_all(&mut cluster, &[ADVANCE, Step::RestartWithEmptyDisk(1)]);
     deliver_all(&mut cluster);
     assert_eq!(cluster.nodes[1].state.get("k1"), None);
@@ -191,7 +191,7 @@
 }
 
 #[test]
-fn a_leader_lost_right_after_an_earlier_loss_was_repaired() {
+fn no_change_is_lost_if_a_leader_is_lost_right_after_a_repair() {
     let mut cluster =
         started_cluster(ModelConfig { timeouts: Timeouts { replace_after: 60, ..timeouts() }, ..config() });
     commit_change(&mut cluster);
@@ -203,7 +203,7 @@
         assert!(ticks < 200, "not repaired");
     }
     commit_change(&mut cluster);
-    // The leader of the three nodes that are left is lost as well; the two others are a quorum.
+    // The leader of the three remaining nodes is lost as well; the two others are a quorum.
     let leader = cluster.lease_holders()[0];
     apply_all(&mut cluster, &[Step::Remove(leader)]);
     cluster.run_without_faults(100).unwrap();
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn all_disks_lost_in_turn_and_then_a_power_failure_of_all_nodes() {
+fn no_change_is_lost_if_all_disks_are_lost_in_turn_and_all_nodes_then_crash() {
     let mut cluster = started_cluster(config());
     commit_change(&mut cluster);
     for node in [1, 0, 2, 3] {
@@ -221,7 +221,7 @@
         while !cluster.is_repaired() {
             cluster.run_without_faults(1).unwrap();
             ticks += 1;
-            assert!(ticks < 300, "not repaired after {node}");
+            assert!(ticks < 300, "not repaired after the loss of disk {node}");
         }
         cluster.run_without_faults(40).unwrap();
         commit_change(&mut cluster);
@@ -239,7 +239,7 @@
 }
 
 #[test]
-fn a_draining_leader_killed_before_its_transfer_is_complete() {
+fn no_change_is_lost_if_a_draining_leader_is_killed_before_its_transfer_is_complete() {
     for steps in 0..30 {
         let mut cluster = started_cluster(config());
         commit_change(&mut cluster);
@@ -264,9 +264,9 @@
     while !cluster.core(0).unwrap().may_exit(cluster.clock(0)) {
         cluster.run_without_faults(1).unwrap();
         ticks += 1;
-        assert!(ticks < 100, "may never exit");
+        assert!(ticks < 100, "the node is still not allowed to exit after {ticks} ticks");
     }
-    assert!(ticks < 60, "{ticks}: only when the grace period is over");
+    assert!(ticks < 60, "{ticks} ticks: the node may exit only because its grace period is over");
     let record = leader_record(&cluster);
     assert!(!record.is_replica("a") && !record.is_voter("a"), "{record:?}");
     apply_all(&mut cluster, &[Step::Remove(0)]);
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_replaced_node_back_with_its_old_disk_does_not_lead() {
+fn a_replaced_node_that_returns_with_its_old_disk_does_not_lead() {
     let mut cluster =
         started_cluster(ModelConfig { timeouts: Timeouts { replace_after: 40, ..timeouts() }, ..config() });
     commit_change(&mut cluster);
@@ -284,7 +284,7 @@
     for _ in 0..3 {
         commit_change(&mut cluster);
     }
-    // It was the leader in the newest record that it knows.
+    // a was the leader in the newest record that it knows.
     apply_all(&mut cluster, &[Step::Restart(0)]);
     for _ in 0..20 {
         apply_all(&mut cluster, &[ADVANCE]);
--- a/crates/control-plane/consensus/tests/model.rs
+++ b/crates/control-plane/consensus/tests/model.rs
@@ -1,5 +1,5 @@
-//! Exhaustive searches, within bounds, over the very core: every order of messages, every loss, faults by budget. And
-//! random walks with the same faults.
+//! Model checking of the production core: exhaustive searches within bounds (every order of messages, every
+//! message loss, and other faults within a budget), and random walks with the same faults.
 #[global_allocator]
 static ALLOCATOR: mimalloc::MiMalloc = mimalloc::MiMalloc;
 
@@ -20,11 +20,11 @@
 use search::search;
 use walk::run_walks;
 
-/// Parts in a thousand by which the clocks of the nodes run fast.
+/// By how many parts in a thousand the clock of each node runs faster than true time.
 const CLOCK_DRIFT: [i64; 5] = [0, 10, -10, 7, -4];
 
 #[test]
-fn random_faults_with_two_disks_lost_of_five() {
+fn invariants_hold_in_random_faults_with_two_of_five_disks_lost() {
     let timeouts = Timeouts { max_failures: 2, replace_after: 300, shutdown_grace: 1_000_000, ..timeouts() };
     run_walks(
         "five, two",
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn random_faults_with_one_disk_lost_of_five() {
+fn invariants_hold_in_random_faults_with_one_of_five_disks_lost() {
     let timeouts = Timeouts { replace_after: 300, shutdown_grace: 1_000_000, ..timeouts() };
     run_walks(
         "five, one",
@@ -56,9 +56,10 @@
     );
 }
 
-/// No search may find more states; one that is cut off proves nothing.
+/// The limit of states of a search. A search that exceeds it fails, because a search that is cut off
+/// proves nothing.
 const MAX_STATES: usize = 2_000_000;
-/// One state of so many is checked for liveness.
+/// One state in this many is checked for liveness.
 const LIVENESS_SAMPLING: u64 = 997;
 
 fn assert_no_violation(name: &str) {
@@ -85,14 +86,14 @@
 }
 
 #[test]
-fn failovers_during_appends() {
+fn invariants_hold_in_failovers_during_appends() {
     assert_no_violation("takeovers");
     assert_no_violation("two changes");
     assert_no_violation("frozen");
 }
 
 #[test]
-fn failures_during_membership_changes() {
+fn invariants_hold_in_failures_during_membership_changes() {
     assert_no_violation("lost disk");
     assert_no_violation("replaced");
     assert_no_violation("old group");
@@ -101,19 +102,19 @@
 }
 
 #[test]
-fn disks_that_fail_a_write_or_lose_it_in_a_crash() {
+fn invariants_hold_if_disks_fail_a_write_or_lose_it_in_a_crash() {
     assert_no_violation("disk of the primary");
     assert_no_violation("disk of the backup");
 }
 
 #[test]
-fn messages_late_or_duplicated() {
+fn invariants_hold_if_messages_are_late_or_duplicated() {
     assert_no_violation("new backup");
     assert_no_violation("late copies");
     assert_no_violation("late answers");
 }
 
-/// Each bug put in on purpose, and the search that finds it.
+/// Each injected bug must be found by the search that is listed with it.
 #[cfg(feature = "injected-bugs")]
 #[test]
 fn every_injected_bug_is_found() {
--- a/crates/control-plane/consensus/tests/model/apply.rs
+++ b/crates/control-plane/consensus/tests/model/apply.rs
@@ -1,13 +1,15 @@
-//! One step of the model: it is noted in the trace, paid from the budget and carried out; then the invariants are checked.
+//! One step of the model: it is added to the trace, subtracted from the fault budget and executed; then the
+//! invariants are checked.
 use super::step::{Delivery, Isolation, Step, TraceStep};
 use super::Cluster;
 use std::sync::Arc;
 
 impl Cluster {
-    /// Carries out one step. Errors: the invariant that does not hold afterwards.
+    /// Executes one step. The error names the invariant that does not hold afterwards.
     pub(crate) fn apply(&mut self, step: &Step) -> Result<(), String> {
         self.extend_trace(step);
-        // These may only happen right after time has passed: later in the same instant comes to the same.
+        // These steps are enabled only right after an advance of the time: at a later point of the same
+        // instant they would lead to the same states.
         self.time_just_advanced = matches!(
             step,
             Step::Propose(_) | Step::BeginShutdown(_) | Step::Restart(_) | Step::RestartWithEmptyDisk(_)
--- a/crates/control-plane/consensus/tests/model/cases.rs
+++ b/crates/control-plane/consensus/tests/model/cases.rs
@@ -1,4 +1,4 @@
-//! The searches: where each starts, its fault budget, and how many states it must find.
+//! The searches: the start state, the fault budget and the expected number of states of each.
 use super::cluster::{timeouts, Cluster, FaultBudget, Isolation, ModelConfig, Step};
 use coppersail_consensus::Timeouts;
 
@@ -6,7 +6,7 @@
 const B: u8 = 2;
 const C: u8 = 4;
 
-/// Four nodes, three of them voters; faults strike the voters.
+/// Four nodes, three of them voters; only the voters fail.
 pub(crate) fn config() -> ModelConfig {
     ModelConfig {
         node_count: 4,
@@ -20,7 +20,8 @@
     }
 }
 
-/// The steps before a search, run to quiescence after each; after the last one only if it does not advance the time.
+/// Applies the steps before a search, and runs to quiescence after each; after the last one only if it does
+/// not advance the time.
 fn run_prefix(mut cluster: Cluster, budget: FaultBudget, steps: &[Step]) -> Cluster {
     for step in steps {
         cluster.budget = FaultBudget::unlimited();
@@ -34,7 +35,8 @@
     cluster
 }
 
-/// The state from which the search of this name starts. Studies and the journal know the searches by these names.
+/// The state from which the search of this name starts. The names stay, because earlier results refer to
+/// them.
 #[expect(clippy::too_many_lines, reason = "a table of the searches")]
 pub(crate) fn search_start(name: &str) -> Cluster {
     let none = FaultBudget::default();
@@ -53,7 +55,7 @@
             run_prefix(Cluster::started(ModelConfig { fault_targets: A | B, ..config() }), budget, &[])
         }
         "old group" => {
-            // With a partition in the budget as well, 6,000,000 states are not the end.
+            // No partition in the budget: with one, the search has more than 6,000,000 states.
             let budget = FaultBudget { time_steps: 2, lease_expiries: 1, crashes: 1, ..none };
             let config = ModelConfig { fault_targets: A | B, ..quick_replacement };
             run_prefix(
@@ -65,7 +67,8 @@
         "new group" => {
             let budget = FaultBudget { time_steps: 2, lease_expiries: 1, crashes: 1, ..none };
             let mut cluster = Cluster::started(ModelConfig { fault_targets: A | B, ..quick_replacement });
-            // Until the joint configuration is chosen, and the campaign for the next one has begun.
+            // Advance until the joint configuration is chosen and the campaign for the new configuration has
+            // begun.
             while cluster.reference.memberships < 2 {
                 cluster = run_prefix(cluster, budget, &[advance(Isolation::Partitioned(2))]);
                 cluster.run_to_quiescence().unwrap();
--- a/crates/control-plane/consensus/tests/model/cluster.rs
+++ b/crates/control-plane/consensus/tests/model/cluster.rs
@@ -1,5 +1,5 @@
-//! A cluster of cores under the model: nodes with disks, messages under way, a clock, faults within a budget, and the
-//! invariants that must hold in every state.
+//! The model of a cluster of cores: nodes with disks, messages in flight, a clock, faults within a budget,
+//! and the invariants that must hold in every state.
 mod apply;
 mod config;
 mod disk;
@@ -22,22 +22,23 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A state of the model. Nodes and the reference state are shared with the states before until they change.
+/// A state of the model. Nodes and the reference state are shared with preceding states until they change.
 #[derive(Clone)]
 pub(crate) struct Cluster {
     /// True time in ms; see [`Cluster::clock`].
     pub(crate) now: u64,
     pub(crate) config: Arc<ModelConfig>,
     pub(crate) nodes: Vec<Arc<Node>>,
-    /// The fingerprint of each node; 0: not computed since it changed.
+    /// The fingerprint of each node; 0 if it was not computed since the node changed.
     node_fingerprints: Vec<u64>,
-    /// Messages under way with their fingerprints, in the order of these.
+    /// Messages in flight with their fingerprints, sorted by fingerprint.
     network: Vec<(u64, Arc<Message>)>,
-    /// Nothing has happened since time passed last, but for steps that may only happen then.
+    /// Whether nothing has happened since the last advance of the time, except for steps that are enabled
+    /// only then.
     time_just_advanced: bool,
-    /// By voter, when the last lease that it granted ends.
+    /// The end of the last lease that each voter granted.
     lease_ends: BTreeMap<usize, u64>,
-    /// Responses given in this step are lost.
+    /// Whether responses sent in this step are lost.
     drops_responses: bool,
     pub(crate) budget: FaultBudget,
     /// The number of the last proposed change; they are numbered from 1.
@@ -47,7 +48,7 @@
 }
 
 impl Cluster {
-    /// All nodes have just started with empty disks.
+    /// A cluster in which all nodes have just started with empty disks.
     pub(crate) fn new(config: ModelConfig) -> Cluster {
         let mut cluster = Cluster {
             now: 1_000,
@@ -94,7 +95,7 @@
         self.running().into_iter().filter(holds_lease).collect()
     }
 
-    /// Equal for equal states, however they were reached.
+    /// The fingerprint of the state; equal states have equal ones, whatever steps led to them.
     pub(crate) fn fingerprint(&mut self) -> u64 {
         for node in 0..self.nodes.len() {
             if self.node_fingerprints[node] == 0 {
@@ -117,7 +118,7 @@
         ))
     }
 
-    /// Hands an input to a node's core and carries out its outputs.
+    /// Passes an input to a node's core and executes its outputs.
     fn run_core(
         &mut self,
         node: usize,
@@ -159,7 +160,7 @@
         Ok(())
     }
 
-    /// Proposes the next change: it writes an entry of its own, and its number into `last`.
+    /// Proposes the next change, which writes an entry of its own and its number into the entry `last`.
     pub(crate) fn propose(&mut self, node: usize) -> Result<(), String> {
         self.last_proposal += 1;
         let number = self.last_proposal;
@@ -167,7 +168,7 @@
         self.run_core(node, |core, now, out| core.propose(now, Change { ticket: number, writes }, out))
     }
 
-    /// The node to which a step belongs, where there is one.
+    /// The node at which a step happens, if it is a single one.
     pub(crate) fn node_of(&self, step: &Step) -> Option<usize> {
         match step {
             Step::Deliver(index, _) => Some(self.network[*index].1.receiver()),
@@ -176,18 +177,18 @@
         }
     }
 
-    /// Whether the record of the leader names this node.
+    /// Whether the leader's record names this node as a replica or a voter.
     pub(crate) fn is_in_leaders_record(&self, node: usize) -> bool {
         let leader = self.lease_holders().first().and_then(|leader| self.core(*leader));
         leader.is_some_and(|core| core.record.is_replica(NAMES[node]) || core.record.is_voter(NAMES[node]))
     }
 
-    /// How many messages whose text contains this are under way.
+    /// The number of messages in flight whose debug text contains `text`.
     pub(crate) fn messages_containing(&self, text: &str) -> usize {
         self.network.iter().filter(|(_, message)| format!("{:?}", message.payload).contains(text)).count()
     }
 
-    /// A node as a line of text, for a failed test.
+    /// A node as a line of text, for the report of a failed test.
     pub(crate) fn describe_node(&self, index: usize) -> String {
         let (node, name) = (&self.nodes[index], NAMES[index]);
         let Some(core) = &node.core else {
--- a/crates/control-plane/consensus/tests/model/config.rs
+++ b/crates/control-plane/consensus/tests/model/config.rs
@@ -1,27 +1,27 @@
-//! Bounds of the model: what the cluster is like, and how many faults of each kind may happen.
+//! Bounds of the model: the configuration of the cluster, and how many faults of each kind may happen.
 use coppersail_consensus::Timeouts;
 
 /// How many faults of each kind may still happen. Part of the state of a search.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Hash)]
 pub(crate) struct FaultBudget {
-    /// Steps of time, each of which ends in a heartbeat and a tick of all nodes.
+    /// Advances of the time, each of which ends in a heartbeat and a tick of all nodes.
     pub(crate) time_steps: u8,
-    /// Of them, those to the end of a lease.
+    /// Those of the time steps that go to the end of a lease.
     pub(crate) lease_expiries: u8,
     pub(crate) proposals: u8,
     pub(crate) crashes: u8,
     /// Restarts with an empty disk.
     pub(crate) disk_losses: u8,
-    /// Nodes removed for ever.
+    /// Nodes that are removed permanently.
     pub(crate) removals: u8,
-    /// Steps of time without one node's heartbeats.
+    /// Time steps during which one node's heartbeats are lost.
     pub(crate) partitions: u8,
     pub(crate) write_failures: u8,
-    /// Messages that come late or twice.
+    /// Messages that are late or duplicated.
     pub(crate) late_messages: u8,
-    /// Requests that are handled but whose response is lost. Requests that are lost themselves are not counted.
+    /// Requests that are handled but whose response is lost. Lost requests are unlimited and not counted.
     pub(crate) lost_responses: u8,
-    /// Steps of time over which one node is paused.
+    /// Time steps during which one node is paused.
     pub(crate) pauses: u8,
     pub(crate) shutdowns: u8,
 }
@@ -47,27 +47,29 @@
     }
 }
 
-/// What the cluster is like; the same in all states of a search. Masks have a bit per node.
+/// The configuration of the cluster, which is the same in all states of a search. Masks have one bit per
+/// node.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct ModelConfig {
     pub(crate) node_count: usize,
-    /// The first so many nodes are the voters of the bootstrap.
+    /// How many nodes, counted from the first, are the voters of the bootstrap.
     pub(crate) initial_voters: usize,
     pub(crate) timeouts: Timeouts,
-    /// Mask of the nodes on whose disks each write is a step of its own: it may fail, and a crash keeps or loses it.
-    /// Writes of the others complete at once.
+    /// Mask of the nodes with asynchronous disks. There each write is a separate step, which may fail, and
+    /// which a crash may keep or lose. Writes of other nodes complete at once.
     pub(crate) async_disks: u8,
-    /// A response arrives as soon as it is given, or is lost; else it is a message under way like a request.
+    /// Whether a response arrives (or is lost) as soon as it is sent. Otherwise it is a message in flight
+    /// like a request.
     pub(crate) instant_responses: bool,
-    /// The shorter step of time in ms. Where it is less than the RPC timeout, calls outlive a step.
+    /// The length of a normal time step in ms. If it is less than the RPC timeout, calls can outlast a step.
     pub(crate) time_step: u64,
-    /// Mask of the nodes that faults may strike.
+    /// Mask of the nodes that may fail.
     pub(crate) fault_targets: u8,
     /// How much faster than true time the clock of each node runs, in parts in a thousand.
     pub(crate) clock_drift: [i64; 5],
 }
 
-/// Timeouts of the model in ms, small so that few steps of time pass through all of them.
+/// Timeouts of the model in ms. They are small, so that few time steps are needed to exceed them.
 pub(crate) fn timeouts() -> Timeouts {
     Timeouts {
         lease: 100,
--- a/crates/control-plane/consensus/tests/model/disk.rs
+++ b/crates/control-plane/consensus/tests/model/disk.rs
@@ -1,11 +1,11 @@
-//! Starts and crashes of nodes, and their disks.
+//! Starts and crashes of nodes, and writes to their disks.
 use super::state::{incarnation, QueuedWrite, NAMES};
 use super::Cluster;
 use coppersail_consensus::{Core, InitialState, Voter, VoterState};
 use std::sync::Arc;
 
 impl Cluster {
-    /// Starts the process of a node; `bootstrap`: it may create the first record if its disk is empty.
+    /// Starts the process of a node. With `bootstrap` it may create the first record if its disk is empty.
     pub(super) fn start_node(&mut self, index: usize, bootstrap: bool) -> Result<(), String> {
         let (now, config) = (self.clock(index), self.config.clone());
         let node = self.node_mut(index);
@@ -29,7 +29,8 @@
         self.carry_out(index, out)
     }
 
-    /// Completes writes that are no steps of their own: all of a synchronous disk, else those that are hints only.
+    /// Completes the writes that are not separate steps: all writes of a synchronous disk, and those of an
+    /// asynchronous disk that contain only hints.
     pub(super) fn complete_implicit_writes(&mut self, node: usize) -> Result<(), String> {
         let is_async = self.config.async_disks >> node & 1 == 1;
         while let Some(write) = self.nodes[node].queued_writes.front() {
@@ -41,7 +42,7 @@
         Ok(())
     }
 
-    /// The oldest queued write of a node completes or fails.
+    /// Completes or fails the oldest queued write of a node.
     pub(super) fn complete_write(&mut self, node: usize, succeeds: bool) -> Result<(), String> {
         let Some(write) = self.node_mut(node).queued_writes.pop_front() else { return Ok(()) };
         let operation_id = write.operation_id;
@@ -70,7 +71,7 @@
         Arc::make_mut(&mut self.reference).note_accepted(record, voter)
     }
 
-    /// A node crashes; its oldest `kept_writes` queued writes are on the disk all the same.
+    /// Crashes a node. Its oldest `kept_writes` queued writes reach the disk; the others are lost.
     pub(super) fn crash(&mut self, index: usize, kept_writes: usize) -> Result<(), String> {
         for _ in 0..kept_writes {
             if let Some(write) = self.node_mut(index).queued_writes.pop_front() {
@@ -81,7 +82,8 @@
         node.core = None;
         node.queued_writes.clear();
         node.call_deadlines.clear();
-        // Its requests to others are still under way; nobody waits for responses to it.
+        // The requests of this node to others stay in flight. Responses to it are dropped, because no caller
+        // waits for them.
         self.network.retain(|(_, message)| {
             message.late || message.from != index || message.is_request() && message.to != index
         });
--- a/crates/control-plane/consensus/tests/model/enabled.rs
+++ b/crates/control-plane/consensus/tests/model/enabled.rs
@@ -1,4 +1,5 @@
-//! The steps that are enabled in a state. Their order is the order of the search, and of the draws of a random walk.
+//! The steps that are enabled in a state. Searches take them in this order, and a random walk draws from them
+//! by index.
 use super::state::{Message, Payload};
 use super::step::{Delivery, Isolation, Step};
 use super::Cluster;
--- a/crates/control-plane/consensus/tests/model/fingerprint.rs
+++ b/crates/control-plane/consensus/tests/model/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints of states, by which a search knows what it has visited.
+//! Fingerprints of states, by which a search recognises the states that it has visited.
 use std::hash::{Hash, Hasher};
 
 /// Faster than the standard hasher, whose protection against chosen inputs the model does not need.
@@ -35,7 +35,7 @@
     }
 }
 
-/// The fingerprint of a value: equal values have equal ones, in every run.
+/// The fingerprint of a value. Equal values have equal fingerprints, also in different runs.
 pub(super) fn fingerprint_of<T: Hash>(value: &T) -> u64 {
     let mut hasher = FastHasher(0x243f_6a88_85a3_08d3);
     value.hash(&mut hasher);
--- a/crates/control-plane/consensus/tests/model/invariants.rs
+++ b/crates/control-plane/consensus/tests/model/invariants.rs
@@ -1,4 +1,4 @@
-//! The invariants: what must hold in every state, checked against the reference state.
+//! The invariants, which must hold in every state; they are checked against the reference state.
 use super::state::{index_of, Node, NAMES};
 use super::Cluster;
 use coppersail_consensus::{Change, Core, LeadershipRecord, Role, Term};
@@ -15,7 +15,7 @@
 }
 
 impl Cluster {
-    /// A leader acknowledges changes; it must hold the lease.
+    /// Records that a leader has acknowledged changes, for which it must hold the lease.
     pub(super) fn note_acknowledged(&mut self, node: usize, changes: &[Change]) -> Result<(), String> {
         if !self.lease_holders().contains(&node) {
             return Err(format!("{} acknowledges without the lease", NAMES[node]));
@@ -26,7 +26,7 @@
         self.check_invariants()
     }
 
-    /// Checks all invariants, and notes in the reference state what can be read now.
+    /// Checks all invariants, and records in the reference state the changes that are readable now.
     pub(crate) fn check_invariants(&mut self) -> Result<(), String> {
         let lease_holders = self.lease_holders();
         if let [first, second, ..] = lease_holders[..] {
@@ -34,7 +34,7 @@
         }
         let Some(leader) = lease_holders.first().copied() else { return Ok(()) };
         let core = self.core(leader).unwrap();
-        let Role::Leader(record) = &core.role else { return Err("a lease without a record".into()) };
+        let Role::Leader(record) = &core.role else { return Err("a lease holder without a record".into()) };
         self.check_record(leader, record)?;
         let committed = self.check_changes(leader, core)?;
         self.check_replicas(record, &committed)?;
@@ -59,8 +59,8 @@
         Ok(())
     }
 
-    /// The leader has all changes that were acknowledged or could be read, in the same order. Returns those that can be
-    /// read now.
+    /// The leader has all changes that were ever acknowledged or readable, in the same order. Returns those
+    /// that are readable now.
     fn check_changes(&self, leader: usize, core: &Core) -> Result<Vec<u64>, String> {
         let (state, reference) = (core.state(), &self.reference);
         let is_new = |number: &u64| holds_change(state, *number) && !reference.committed.contains(number);
@@ -78,11 +78,13 @@
         Ok(committed)
     }
 
-    /// Every disk that the record names has the changes and the term of the record, unless the disk was lost since.
+    /// Every replica that the record names has the changes and the term of the record on its disk, unless
+    /// that disk was lost later.
     fn check_replicas(&self, record: &LeadershipRecord, committed: &[u64]) -> Result<(), String> {
         for id in std::iter::once(&record.leader).chain(&record.backups) {
             let node = &self.nodes[index_of(id)];
-            // A lost disk is replaced by the leader later. A disk in a newer campaign has the changes all the same.
+            // The leader replaces a lost disk later. A disk that takes part in a newer campaign still has the
+            // changes.
             let is_lost = node.removed || !has_durable_term(node, &record.term);
             if !is_lost && committed.iter().any(|number| !holds_change(&node.state, *number)) {
                 return Err(format!("a change of {committed:?} is not on the disk of replica {id}"));
--- a/crates/control-plane/consensus/tests/model/liveness.rs
+++ b/crates/control-plane/consensus/tests/model/liveness.rs
@@ -1,11 +1,11 @@
-//! Runs without faults: to quiescence, for some time, and to a state in which the cluster serves again.
+//! Runs without faults: until quiescence, for a number of ticks, and until the cluster serves again.
 use super::config::{FaultBudget, ModelConfig};
 use super::state::{index_of, Message};
 use super::step::Isolation;
 use super::Cluster;
 use coppersail_consensus::{Role, Voter};
 
-/// How much time passes with each tick of a run without faults, in ms.
+/// The length of a tick of a run without faults, in ms.
 const TICK: u64 = 5;
 
 /// Ticks without a fault after which the first leader holds its lease and all nodes know each other.
@@ -21,7 +21,7 @@
         cluster
     }
 
-    /// Completes all writes and delivers all messages, in order, until nothing is under way.
+    /// Completes all writes and delivers all messages, in order, until none is pending.
     pub(crate) fn run_to_quiescence(&mut self) -> Result<(), String> {
         loop {
             let has_writes = |node: &usize| !self.nodes[*node].queued_writes.is_empty();
@@ -37,7 +37,7 @@
         }
     }
 
-    /// Lets time pass without a fault.
+    /// Advances the time by a number of ticks without a fault.
     pub(crate) fn run_without_faults(&mut self, ticks: usize) -> Result<(), String> {
         for _ in 0..ticks {
             self.advance_time(TICK, None, Isolation::None)?;
@@ -46,8 +46,8 @@
         Ok(())
     }
 
-    /// Liveness: once all nodes that were not removed run, and nothing fails any more, two changes are committed.
-    /// Returns after how many ticks; the cluster itself stays as it is.
+    /// Liveness: once all nodes that were not removed run and no more faults occur, two changes are
+    /// committed. Returns the number of ticks that this takes; the check runs on a copy of the cluster.
     pub(crate) fn check_liveness(&self, max_ticks: usize) -> Result<usize, String> {
         let mut cluster = self.clone();
         cluster.budget = FaultBudget::default();
@@ -73,7 +73,8 @@
         Err(format!("no leader commits within {max_ticks} ticks without a fault"))
     }
 
-    /// Whether all losses are repaired: there is a leader, and all disks that its record names are the ones it means.
+    /// Whether all losses are repaired: there is a leader, its record has no joint configuration, its voters
+    /// have the disks that the record names, and its backups have reached the term of the record.
     pub(crate) fn is_repaired(&self) -> bool {
         let Some(leader) = self.lease_holders().first().and_then(|node| self.core(*node)) else {
             return false;
--- a/crates/control-plane/consensus/tests/model/network.rs
+++ b/crates/control-plane/consensus/tests/model/network.rs
@@ -1,4 +1,4 @@
-//! The network: messages under way, their delivery, and the time that passes for them.
+//! The network: messages in flight, their delivery, and their timeouts.
 use super::fingerprint::fingerprint_of;
 use super::state::{CallOrigin, Message, Payload};
 use super::step::Isolation;
@@ -13,7 +13,7 @@
         self.network.insert(index, message);
     }
 
-    /// A node responds to a call: at once, by a message, or not at all.
+    /// Sends the response of a node to a call: it arrives at once, becomes a message in flight, or is lost.
     pub(super) fn respond(
         &mut self,
         node: usize,
@@ -38,7 +38,7 @@
         Ok(())
     }
 
-    /// Delivers a message; `duplicate`: it stays under way, to come once more.
+    /// Delivers a message. With `duplicate` a copy stays in flight and arrives later.
     pub(super) fn deliver(&mut self, index: usize, duplicate: bool) -> Result<(), String> {
         let (_, message) = self.network.remove(index);
         if duplicate {
@@ -68,8 +68,8 @@
         }
     }
 
-    /// Time passes: calls past their deadline time out, then the nodes exchange heartbeats, then they tick.
-    /// `delayed`: this message is not lost with its call.
+    /// Advances the time by `span` ms: calls past their deadline time out, then the nodes exchange
+    /// heartbeats, then they tick. The message with index `delayed` is not lost when its call times out.
     pub(super) fn advance_time(
         &mut self,
         span: u64,
@@ -98,8 +98,8 @@
         for index in 0..self.nodes.len() {
             if self.nodes[index].call_deadlines.values().any(|deadline| *deadline <= now) {
                 let deadlines = &mut self.node_mut(index).call_deadlines;
-                let over = deadlines.iter().filter(|(_, deadline)| **deadline <= now);
-                timed_out.extend(over.map(|(operation_id, _)| (index, *operation_id)));
+                let expired = deadlines.iter().filter(|(_, deadline)| **deadline <= now);
+                timed_out.extend(expired.map(|(operation_id, _)| (index, *operation_id)));
                 deadlines.retain(|_, deadline| *deadline > now);
             }
         }
@@ -119,7 +119,8 @@
         Ok(())
     }
 
-    /// All nodes send the status that they have now; none sees what another makes of it.
+    /// All nodes send the status that they have at this time, before any of them handles the status of
+    /// another.
     fn exchange_heartbeats(&mut self, isolation: Isolation) -> Result<(), String> {
         let statuses: Vec<Option<PeerStatus>> = (0..self.nodes.len())
             .map(|node| self.core(node).map(|core| core.status(self.clock(node))))
--- a/crates/control-plane/consensus/tests/model/reference.rs
+++ b/crates/control-plane/consensus/tests/model/reference.rs
@@ -1,22 +1,22 @@
-//! The reference state: what an observer of all nodes has seen, against which the invariants are checked.
+//! The reference state: what an observer of all nodes has seen. The invariants are checked against it.
 //!
-//! It counts quorums by itself, so that the code under test is not its own oracle.
+//! It counts quorums independently of the core, so that the code under test is not its own test oracle.
 use coppersail_consensus::{LeadershipRecord, Term, Voter};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an observer of all nodes knows. The order of the fields is part of the fingerprint of a state.
+/// The knowledge of an observer of all nodes. The order of the fields is part of the fingerprint of a state.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ReferenceState {
-    /// By term: the record, and the disks that ever accepted it.
+    /// By term, the record and the disks that have ever accepted it.
     accepted: BTreeMap<Term, (LeadershipRecord, BTreeSet<Voter>)>,
-    /// Changes that were acknowledged or could be read, in their order.
+    /// Changes that were acknowledged or readable, in order of commit.
     pub(crate) committed: Vec<u64>,
     pub(crate) acknowledged: BTreeSet<u64>,
     /// The highest term in which a leader held the lease.
     pub(crate) highest_term: Term,
-    /// In how many terms a leader held the lease.
+    /// The number of terms in which a leader held the lease.
     pub(crate) terms: usize,
-    /// How many memberships were chosen.
+    /// The number of memberships that were chosen.
     pub(crate) memberships: usize,
 }
 
@@ -29,8 +29,8 @@
         && (record.outgoing_voters.is_empty() || is_majority(&record.outgoing_voters, accepted_by))
 }
 
-/// Whether one membership may follow another: the same, the end of a joint configuration, or the begin of one that
-/// replaces or adds at most one voter.
+/// Whether one membership may follow another: it is the same, leaves a joint configuration, or enters one
+/// that replaces or adds at most one voter.
 fn may_follow(old: &LeadershipRecord, new: &LeadershipRecord) -> bool {
     let is_same = old.voters == new.voters && old.outgoing_voters == new.outgoing_voters;
     let ends_joint =
@@ -42,13 +42,13 @@
 }
 
 impl ReferenceState {
-    /// Whether this disk is known to have accepted the record of the term.
+    /// Whether this disk has accepted the record of the term.
     pub(super) fn has_accepted(&self, term: &Term, voter: &Voter) -> bool {
         self.accepted.get(term).is_some_and(|(_, accepted_by)| accepted_by.contains(voter))
     }
 
-    /// Notes that a disk has accepted a record. Invariants: one record a term, and each chosen membership follows from
-    /// the one before.
+    /// Records that a disk has accepted a record. Invariants: there is one record per term, and each chosen
+    /// membership may follow the preceding one.
     pub(super) fn note_accepted(&mut self, record: LeadershipRecord, voter: Voter) -> Result<(), String> {
         if self.accepted.get(&record.term).is_some_and(|(known, _)| *known != record) {
             return Err(format!("two records of term {:?}", record.term));
@@ -79,7 +79,9 @@
         for pair in chosen.windows(2) {
             let (old, new) = (pair[0], pair[1]);
             if !may_follow(old, new) {
-                return Err(format!("a membership that does not follow: {old:?} then {new:?}"));
+                return Err(format!(
+                    "a membership that may not follow its predecessor: {old:?} then {new:?}"
+                ));
             }
         }
         let differ = |pair: &&[&LeadershipRecord]| {
--- a/crates/control-plane/consensus/tests/model/search.rs
+++ b/crates/control-plane/consensus/tests/model/search.rs
@@ -1,6 +1,6 @@
-//! Exhaustive search of the reachable states, on four threads: breadth-first while a level fits into memory, which
-//! gives a shortest trace to a violation, then depth-first from each state of the last level. Visited states are known
-//! by a fingerprint of 64 bits.
+//! Exhaustive search of the reachable states, on four threads: breadth-first while a level fits into memory,
+//! which gives a shortest trace to a violation, then depth-first from each state of the last level. Visited
+//! states are recognised by a 64-bit fingerprint.
 use super::cluster::{Cluster, TraceStep};
 use std::collections::HashSet;
 use std::sync::atomic::{AtomicBool, AtomicUsize, Ordering};
@@ -8,18 +8,19 @@
 use std::time::Instant;
 
 const THREADS: usize = 4;
+/// Into how many sets, each with a lock of its own, the visited states are divided.
 const SHARDS: usize = 256;
 /// The widest level, in states, that is kept in memory.
 const MAX_LEVEL: usize = 60_000;
 /// How many states a thread takes from the queue at once.
 const CHUNK: usize = 16;
-/// Liveness: within so many ticks without a fault the cluster serves again.
+/// Liveness: the cluster must serve again within this many ticks without a fault.
 const MAX_RECOVERY_TICKS: usize = 400;
 
 /// A state and its depth.
 type Node = (Cluster, usize);
 
-/// An invariant that does not hold, and the trace that leads there.
+/// A violated invariant, and the trace that leads to the violation.
 #[derive(Debug)]
 pub(crate) struct Violation {
     pub(crate) reason: String,
@@ -27,26 +28,26 @@
     pub(crate) trace: String,
 }
 
-/// What a search has found.
+/// The result of a search.
 #[derive(Debug, Default)]
 pub(crate) struct SearchResult {
     pub(crate) states: usize,
     pub(crate) steps: usize,
     pub(crate) depth: usize,
-    /// How many states were checked for liveness, and the most ticks that one needed.
+    /// How many states were checked for liveness, and the largest number of ticks that one needed.
     pub(crate) liveness_checks: usize,
     pub(crate) slowest_recovery: usize,
-    /// The most that any state has seen: terms with a lease holder, chosen memberships, acknowledged changes.
+    /// The maximum over all states of: terms with a lease holder, chosen memberships, acknowledged changes.
     pub(crate) terms: usize,
     pub(crate) memberships: usize,
     pub(crate) acknowledged: usize,
     pub(crate) violation: Option<Violation>,
-    /// All reachable states were visited: neither the limit nor a violation ended the search.
+    /// Whether all reachable states were visited: neither the limit nor a violation ended the search.
     pub(crate) exhausted: bool,
     pub(crate) seconds: f64,
 }
 
-/// The number of steps of a trace, and their text, a line a step.
+/// The number of steps of a trace, and their text, one line per step.
 pub(crate) fn describe_trace(last: &Option<Arc<TraceStep>>) -> (usize, String) {
     let (mut lines, mut current) = (Vec::new(), last.as_ref());
     while let Some(step) = current {
@@ -57,7 +58,7 @@
     (lines.len(), lines.join("\n"))
 }
 
-/// What the threads of a search share.
+/// The state that the threads of a search share.
 struct Search<'a> {
     visited: Vec<Mutex<HashSet<u64>>>,
     states: AtomicUsize,
@@ -99,7 +100,7 @@
         self.stopped.load(Ordering::Relaxed)
     }
 
-    /// Adds the states that follow directly and were not visited yet.
+    /// Adds the direct successors of a state that were not visited yet.
     fn expand(&self, cluster: &Cluster, depth: usize, successors: &mut Vec<Node>) {
         for step in cluster.enabled_steps() {
             let mut next = cluster.clone();
@@ -144,7 +145,8 @@
         Ok(())
     }
 
-    /// Expands all states of a level on all threads. Returns the next level; depth-first there is none left.
+    /// Expands all states of a level on all threads. Returns the next level, which is empty after a
+    /// depth-first search.
     fn explore(&self, level: Vec<Node>, depth_first: bool) -> Vec<Node> {
         let queue = Mutex::new(level);
         std::thread::scope(|scope| {
@@ -199,8 +201,8 @@
     }
 }
 
-/// Searches all states that can be reached from `start`, at most about `max_states`. `init_thread` runs first in each
-/// thread. One state of `liveness_sampling` is checked for liveness; 0: none.
+/// Searches all states that are reachable from `start`, but at most about `max_states`. `init_thread` runs
+/// first in each thread. One state in `liveness_sampling` is checked for liveness; 0 disables the check.
 pub(crate) fn search(
     start: Cluster,
     max_states: usize,
--- a/crates/control-plane/consensus/tests/model/state.rs
+++ b/crates/control-plane/consensus/tests/model/state.rs
@@ -1,4 +1,4 @@
-//! What a state of the model consists of: nodes with disks, and messages under way.
+//! The parts of a state of the model: nodes with disks, and messages in flight.
 //!
 //! The order of fields and variants is part of the fingerprint of a state.
 use coppersail_consensus::{Core, KeyValue, Request, Response};
@@ -7,7 +7,7 @@
 /// The ids of the nodes, by index.
 pub(crate) const NAMES: [&str; 5] = ["a", "b", "c", "d", "e"];
 
-/// The flag in a request id of a message that came late: its response has no receiver.
+/// Flag in the request id of a late message: its caller no longer waits, so the response has no receiver.
 const LATE_FLAG: u64 = 1 << 63;
 
 /// The index of a node.
@@ -15,7 +15,7 @@
     NAMES.iter().position(|name| *name == id).unwrap()
 }
 
-/// The incarnation that the model gives a disk of a node: 0 for the first disks of the initial voters.
+/// The incarnation that the model assigns to a disk of a node; 0 for the first disks of the initial voters.
 pub(super) fn incarnation(node: usize, lost_disks: u64, initial_voters: usize) -> u64 {
     if lost_disks == 0 && node < initial_voters {
         return 0;
@@ -34,24 +34,24 @@
 }
 
 impl QueuedWrite {
-    /// Whether the write holds nothing that the core relies upon after a restart.
+    /// Whether the write contains nothing that the core relies on after a restart.
     pub(super) fn is_hint(&self) -> bool {
         let is_hint = |(name, _): &KeyValue| ["record", "members", "probe"].contains(&name.as_str());
         self.state.is_empty() && !self.replace && self.metadata.iter().all(is_hint)
     }
 }
 
-/// A node: its process, if it runs, and its disk.
+/// A node: its process, if it is running, and its disk.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Node {
     pub(crate) core: Option<Core>,
     pub(crate) state: BTreeMap<String, String>,
     pub(super) metadata: BTreeMap<String, String>,
     pub(super) queued_writes: VecDeque<QueuedWrite>,
-    /// Calls without a response, and until when they wait for it.
+    /// The deadlines of calls that have no response yet.
     pub(super) call_deadlines: BTreeMap<u64, u64>,
     pub(super) boot_count: u64,
-    /// How many disks it has lost.
+    /// The number of disks that it has lost.
     pub(super) lost_disks: u64,
     pub(crate) removed: bool,
 }
@@ -63,17 +63,17 @@
     Response(Response),
 }
 
-/// A message under way.
+/// A message in flight.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) struct Message {
-    /// The caller, also of a response.
+    /// The caller, for a request as well as for its response.
     pub(super) from: usize,
-    /// The boot count of the caller when it called.
+    /// The boot count of the caller at the time of the call.
     pub(super) boot: u64,
     pub(super) operation_id: u64,
-    /// Who was called, also of a response.
+    /// The node that was called, for a request as well as for its response.
     pub(super) to: usize,
-    /// It comes after its time, or a second time.
+    /// Whether it arrives after its call timed out, or as a duplicate.
     pub(super) late: bool,
     pub(super) payload: Payload,
 }
@@ -92,7 +92,8 @@
         }
     }
 
-    /// The id under which the receiver's core answers: it names the call.
+    /// The id that the receiver's core gets with the request. It identifies the call, so that a response
+    /// finds its caller.
     pub(super) fn request_id(&self) -> u64 {
         let late = if self.late { LATE_FLAG } else { 0 };
         (self.from as u64) << 48 | self.boot << 32 | self.operation_id | late
@@ -107,7 +108,8 @@
 }
 
 impl CallOrigin {
-    /// The reverse of [`Message::request_id`]; `None` for a late message, to which nobody waits for a response.
+    /// The inverse of [`Message::request_id`]; `None` for a late message, because no caller waits for its
+    /// response.
     pub(super) fn of(request_id: u64) -> Option<CallOrigin> {
         (request_id & LATE_FLAG == 0).then_some(CallOrigin {
             caller: (request_id >> 48) as usize,
--- a/crates/control-plane/consensus/tests/model/step.rs
+++ b/crates/control-plane/consensus/tests/model/step.rs
@@ -2,50 +2,50 @@
 use super::state::{Message, Payload, NAMES};
 use std::sync::Arc;
 
-/// A node that is cut off while time passes.
+/// Which node is cut off during an advance of the time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Isolation {
     None,
     /// Heartbeats from and to it are lost.
     Partitioned(usize),
-    /// As partitioned, and it does not tick either.
+    /// As if partitioned; the node does not tick either.
     Paused(usize),
 }
 
-/// What happens at the delivery of a message.
+/// The outcome of the delivery of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub(crate) enum Delivery {
     Normal,
-    /// The request is handled and its response lost.
+    /// The request is handled, but its response is lost.
     ResponseLost,
-    /// The request comes once more, at any time.
+    /// The request is handled, and a duplicate may arrive at any later time.
     Duplicated,
 }
 
-/// One step; nodes and messages are named by their index.
+/// One step; nodes and messages are identified by their index.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(crate) enum Step {
     Deliver(usize, Delivery),
     CompleteWrite(usize),
     FailWrite(usize),
-    /// `delayed`: this message, of those whose call times out, comes late.
+    /// A normal time step. The message with index `delayed`, whose call times out, arrives late.
     Advance {
         delayed: Option<usize>,
         isolation: Isolation,
     },
-    /// To the end of the next lease that a voter has granted.
+    /// An advance of the time to the end of the next lease that a voter has granted.
     AdvanceToLeaseEnd(Isolation),
-    /// The node, and how many of its queued writes are on the disk all the same.
+    /// The node, and how many of its queued writes reach the disk.
     Crash(usize, usize),
     Restart(usize),
     RestartWithEmptyDisk(usize),
-    /// The node never comes back.
+    /// The node stops permanently.
     Remove(usize),
     Propose(usize),
     BeginShutdown(usize),
 }
 
-/// The last step of a trace, linked to the one before.
+/// A step of a trace, linked to its predecessor.
 #[derive(Debug)]
 pub(crate) struct TraceStep {
     pub(super) at: u64,
@@ -85,7 +85,7 @@
         let message = self.message.as_ref().map_or(String::new(), |message| describe_message(message));
         let is_late = self.message.as_ref().is_some_and(|message| message.late);
         let text = match &self.step {
-            Step::Deliver(_, Delivery::Duplicated) => format!("{message}, and will come again"),
+            Step::Deliver(_, Delivery::Duplicated) => format!("{message}; a duplicate will arrive"),
             Step::Deliver(_, Delivery::ResponseLost) => format!("{message}; the response is lost"),
             Step::Deliver(..) if is_late => format!("{message}, late"),
             Step::Deliver(..) => message,
@@ -103,7 +103,7 @@
             }
             Step::Restart(node) => format!("{} restarts", name(node)),
             Step::RestartWithEmptyDisk(node) => format!("{} restarts with an empty disk", name(node)),
-            Step::Remove(node) => format!("{} is removed for ever", name(node)),
+            Step::Remove(node) => format!("{} is removed permanently", name(node)),
             Step::Propose(node) => format!("a change is proposed at {}", name(node)),
             Step::BeginShutdown(node) => format!("{} begins to shut down", name(node)),
         };
--- a/crates/control-plane/consensus/tests/model/walk.rs
+++ b/crates/control-plane/consensus/tests/model/walk.rs
@@ -1,12 +1,13 @@
-//! Random walks: long runs with faults drawn by lot, for states deeper than a search can reach.
+//! Random walks: long runs with random faults, which reach states that are too deep for a search.
 use super::cluster::{Cluster, Delivery, FaultBudget, Isolation, ModelConfig, Step};
 use super::search::describe_trace;
 
-/// Random walks of this many steps, and the ticks without a fault within which the cluster serves again at their end.
+/// The number of steps of a random walk.
 const WALK_STEPS: usize = 2_000;
+/// At the end of a walk the cluster must serve again within this many ticks without a fault.
 const MAX_RECOVERY_TICKS: usize = 600;
 
-/// What random walks have been through.
+/// Totals over all random walks of a test.
 #[derive(Debug, Default)]
 struct WalkTotals {
     faults: usize,
@@ -15,13 +16,14 @@
     exits: usize,
 }
 
-/// A random walk: crashes, lost disks one after the other, pauses, clocks that differ by a fiftieth.
+/// A random walk with crashes, lost disks (no more at once than the cluster tolerates), pauses, and clocks
+/// that differ by a fiftieth.
 struct Walk {
     seed: u64,
     random: fastrand::Rng,
     cluster: Cluster,
     max_failures: usize,
-    /// The node that is paused.
+    /// The node that is currently paused.
     paused: Option<usize>,
     /// Disks lost since the cluster was last repaired.
     losses: usize,
@@ -48,7 +50,7 @@
         }
     }
 
-    /// Fails the test with the last steps of the walk.
+    /// Fails the test on an error, and prints the last steps of the walk and all nodes.
     fn expect<T>(&self, outcome: Result<T, String>) -> T {
         outcome.unwrap_or_else(|reason| {
             let (_, trace) = describe_trace(&self.cluster.trace);
@@ -74,7 +76,7 @@
         }
     }
 
-    /// The order of the draws is part of what a seed means.
+    /// Takes one step. The order of the draws must stay, because the walk of a seed depends on it.
     fn step(&mut self) {
         self.cluster.budget = FaultBudget::unlimited();
         self.cluster.budget.late_messages = self.random.u8(0..2);
@@ -103,7 +105,7 @@
         self.expect(outcome);
     }
 
-    /// Some time without faults, in which a change can be committed.
+    /// Runs for some ticks without faults, and then proposes a change if there is a leader.
     fn run_without_faults(&mut self) {
         let ticks = self.random.usize(0..30);
         let outcome = self.cluster.run_without_faults(ticks).and_then(|()| {
@@ -115,8 +117,8 @@
         self.expect(outcome);
     }
 
-    /// A node that may exit does. That is a loss only where the leader's record still names it: then it was isolated,
-    /// and nobody has taken its place.
+    /// Lets one node exit, if one may. Its exit is not a loss if the cluster is repaired and the leader's
+    /// record no longer names the node. An isolated node exits although no other node has its roles.
     fn let_one_node_exit(&mut self) {
         let cluster = &self.cluster;
         let may_exit =
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Deliveries and writes are drawn more often than other steps.
+    /// Draws one of the steps; deliveries and writes are more likely than other steps.
     fn draw(&mut self, steps: &[Step]) -> Option<Step> {
         let quick: Vec<&Step> = steps
             .iter()
@@ -173,12 +175,12 @@
     }
 }
 
-/// Random walks with one seed after the other; prints what they have been through.
+/// Runs random walks with consecutive seeds and prints their totals.
 pub(crate) fn run_walks(name: &str, config: ModelConfig) {
     let seeds = walk_count();
     let mut totals = WalkTotals::default();
     for seed in 0..seeds {
-        // Every other one with disks that take time, and most with responses that do.
+        // Every other walk has asynchronous disks, and two of three have responses that are not instant.
         let async_disks = if seed % 2 == 0 { 0xff } else { 0 };
         let walk =
             Walk::new(seed, ModelConfig { async_disks, instant_responses: seed % 3 == 0, ..config }).run();
@@ -191,7 +193,7 @@
     println!("{name}: {seeds} walks, {faults} faults, {terms} terms, {changes} changes, {exits} exits");
 }
 
-/// The number of random walks of each test.
+/// The number of random walks per test: the environment variable `WALKS`, or 300.
 fn walk_count() -> u64 {
     std::env::var("WALKS").ok().and_then(|text| text.parse().ok()).unwrap_or(300)
 }
--- a/crates/control-plane/consensus/tests/wire_format.rs
+++ b/crates/control-plane/consensus/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of messages between nodes, and of what a node has on its disk. These bytes are read by builds of
-//! other versions; a change here breaks rolling upgrades or stored data.
+//! The exact bytes of messages between nodes and of the data on a node's disk. Builds of other versions read
+//! these bytes; a change here breaks rolling upgrades or stored data.
 use coppersail_consensus::{
     Change, KeyValue, LeadershipRecord, Output, PeerStatus, Rejection, ReplicaWrite, ReplicaWriteKind,
     ReplicaWriteResponse, Request, Response, Role, Term, Voter, VoterRequest, VoterResponse, VoterState,
@@ -11,14 +11,14 @@
 mod recorded_cluster;
 use recorded_cluster::{start_core, RecordedCluster};
 
-/// Both directions: the value is written as this text, and the text is read as this value.
+/// Checks both directions: the value is written as this text, and the text is read as this value.
 #[track_caller]
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-/// One direction: what another version may send.
+/// Checks one direction: a text that another version may send is read as this value.
 #[track_caller]
 fn assert_read<T: DeserializeOwned + PartialEq + Debug>(text: &str, value: T) {
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
@@ -204,7 +204,7 @@
 
 #[test]
 #[expect(clippy::too_many_lines, reason = "one recorded exchange from its start to its end")]
-fn what_three_nodes_write_and_send_from_their_first_start_to_a_snapshot_keeps_its_bytes() {
+fn writes_and_messages_of_three_nodes_from_first_start_to_snapshot_keep_their_bytes() {
     let mut cluster = RecordedCluster::start();
     cluster.assert_lines(&[
         r#"a own floor {"n":1,"by":""}"#,
@@ -261,7 +261,7 @@
         "b own seq 1",
         r#"b says {"Copy":{"ok":true,"why":"","life":0}}"#,
     ]);
-    // The checksum over names and values is part of what is sent.
+    // The checksum over names and values is part of the message.
     for (checksum, response) in [
         (1483233912482674u64, r#"{"ok":true,"why":"","life":0}"#),
         (1, r#"{"ok":false,"why":"the sum is wrong","life":0}"#),
@@ -285,7 +285,7 @@
         Output::Persist { operation_id, metadata, .. } => Some((*operation_id, metadata.clone())),
         _ => None,
     });
-    writes.expect("something is written")
+    writes.expect("a write is emitted")
 }
 
 #[test]
@@ -293,7 +293,7 @@
     let mut out = Vec::new();
     let mut core = start_core("a:1", &[], false, &mut out);
     let (operation_id, metadata) = first_write(&out);
-    // It is not a voter yet: its incarnation is random.
+    // This node is not a voter yet, so its incarnation is random (77 in these tests).
     let no_record = r#"{"epoch":{"n":0,"by":""},"primary":"","backups":[],"witnesses":[]}"#;
     let voter_state = r#"{"life":77,"promised":{"n":0,"by":""},"record":@,"span":0}"#.replace('@', no_record);
     let last_durable_term = entry("floor", r#"{"n":0,"by":""}"#);
@@ -335,7 +335,8 @@
         ..PeerStatus::default()
     };
     assert_eq!(core.status(1), PeerStatus { record: record(), ..status });
-    // So is the sequence number of its last change: only the next one, or the same again, is accepted.
+    // The sequence number of the last change was read as well: only the next number or the same one is
+    // accepted.
     for (sequence, is_accepted) in [(6, false), (5, true)] {
         let write =
             ReplicaWrite { version: 1, term: Term::new(7, "a:1"), sequence, ..ReplicaWrite::default() };
--- a/crates/control-plane/consensus/tests/wire_format/recorded_cluster.rs
+++ b/crates/control-plane/consensus/tests/wire_format/recorded_cluster.rs
@@ -1,4 +1,4 @@
-//! Three nodes on one clock, without faults: what they send and write, as lines of text.
+//! Three nodes on one clock, without faults, whose messages and disk writes are recorded as lines of text.
 use coppersail_consensus::{Core, InitialState, KeyValue, Output, Request, Response, Timeouts};
 use std::collections::{BTreeMap, VecDeque};
 
@@ -16,7 +16,8 @@
     max_failures: 1,
 };
 
-/// Starts a node of three with what its disk holds; `bootstrap`: the whole system starts for the first time.
+/// Starts one node of three with the metadata on its disk. With `bootstrap` the whole system starts for the
+/// first time.
 pub(crate) fn start_core(
     id: &str,
     metadata: &[(&str, &str)],
@@ -38,7 +39,7 @@
     Core::start(1, start, out)
 }
 
-/// A line for each entry that a node writes.
+/// Adds a line for each entry that a node writes.
 fn record_write(
     lines: &mut Vec<String>,
     node: &str,
@@ -51,7 +52,7 @@
     lines.extend(metadata.iter().map(|(name, value)| format!("{node} own {name} {value}")));
 }
 
-/// Three nodes on one clock. It records what they send and write as lines of text.
+/// Three nodes on one clock, and the record of their messages and disk writes as lines of text.
 pub(crate) struct RecordedCluster {
     pub(crate) cores: Vec<Core>,
     pub(crate) now: u64,
@@ -69,7 +70,8 @@
         cluster
     }
 
-    /// Carries out the outputs of a node and all that follow; returns its response to another node.
+    /// Executes the outputs of a node and all further outputs that follow from them. Returns the node's
+    /// response to another node.
     pub(crate) fn carry_out(&mut self, at: usize, out: Vec<Output>) -> Option<Response> {
         let (mut pending, mut own_response) = (VecDeque::from(out), None);
         while let Some(output) = pending.pop_front() {
@@ -102,7 +104,7 @@
         response
     }
 
-    /// All nodes exchange heartbeats; then the first of them ticks.
+    /// Lets all nodes exchange heartbeats, and then the first one tick.
     pub(crate) fn tick(&mut self) {
         self.now += 50;
         for receiver in 0..3 {
@@ -118,7 +120,8 @@
         self.carry_out(0, out);
     }
 
-    /// What was written and sent since the last check; `@1` and `@2` stand for the records of the first two terms.
+    /// Checks the lines recorded since the last check; `@1` and `@2` stand for the records of the first two
+    /// terms.
     #[track_caller]
     pub(crate) fn assert_lines(&mut self, expected: &[&str]) {
         let lines = std::mem::take(&mut self.lines);
