--- a/crates/control-plane/peer-client/src/error.rs
+++ b/crates/control-plane/peer-client/src/error.rs
@@ -5,25 +5,25 @@
 /// Why a call failed. The text is the one line that callers log.
 #[derive(Debug, thiserror::Error)]
 pub enum PeerError {
-    /// The body can't be written as JSON. Nothing was sent.
+    /// The body can't be serialised as JSON. Nothing was sent.
     #[error("{0}")]
     Encode(#[source] serde_json::Error),
-    /// The address is not numeric "ip:port", or the path is not one of a URL. Nothing was sent.
+    /// The address is not a numeric "ip:port", or the path is not valid in a URL. Nothing was sent.
     #[error("{0}")]
     Address(#[source] ureq::Error),
-    /// No connection: refused, unreachable, or not made within its timeout. Nothing was sent.
+    /// No connection: it was refused, unreachable, or not made within its timeout. Nothing was sent.
     #[error("{0}")]
     Connect(#[source] ureq::Error),
-    /// The call, or the beginning of its answer, took too long.
+    /// The call, or the wait for the beginning of its response, exceeded its timeout.
     #[error("{0}")]
     Timeout(#[source] ureq::Error),
-    /// The connection ended, or the answer is not HTTP or too long.
+    /// The connection ended, or the response is not HTTP or is too long.
     #[error("{0}")]
     Transport(#[source] ureq::Error),
-    /// The answer has this status instead of 200.
+    /// The response has this status instead of 200.
     #[error("status {0}")]
     Status(StatusCode),
-    /// The answer is not the JSON that was expected.
+    /// The response is not the expected JSON.
     #[error("{0}")]
     Decode(#[source] serde_json::Error),
 }
@@ -41,7 +41,7 @@
     }
 }
 
-/// Kinds that only the making of a connection returns.
+/// Whether only connecting, and no later operation, fails with this kind.
 fn is_connect_failure(kind: ErrorKind) -> bool {
     matches!(kind, ErrorKind::ConnectionRefused | ErrorKind::AddrNotAvailable)
 }
--- a/crates/control-plane/peer-client/src/lib.rs
+++ b/crates/control-plane/peer-client/src/lib.rs
@@ -1,13 +1,14 @@
-//! Calls to control-plane nodes: JSON by HTTP POST, to numeric addresses.
+//! Calls to control-plane nodes: JSON over HTTP POST, to numeric addresses.
 //!
-//! A call is sent once. It is never repeated here, because only the caller knows whether the peer may run it twice.
+//! A call is sent once. It is never retried here, because only the caller knows whether the peer may execute
+//! it twice.
 //!
 //! ```no_run
 //! use coppersail_peer_client::{PeerClient, PeerError};
 //! use std::time::Duration;
 //! let client = PeerClient::new(Duration::from_millis(300), Duration::from_secs(2));
 //! match client.post::<_, u64>("10.1.0.1:7540", "/follow", &1) {
-//!     Ok(answer) => println!("{answer}"),
+//!     Ok(response) => println!("{response}"),
 //!     Err(PeerError::Status(status)) => println!("rejected with {}", status.as_u16()),
 //!     Err(error) => println!("{error}"),
 //! }
@@ -23,9 +24,9 @@
 use ureq::http::StatusCode;
 use ureq::unversioned::transport::DefaultConnector;
 
-/// The longest answer that is read, in bytes. A snapshot of all assignments and endpoints is far below it.
-const MAX_ANSWER_BYTES: u64 = 64 << 20;
-/// Of the buffers of a connection, each, in bytes.
+/// The longest response that is read, in bytes. A snapshot of all assignments and endpoints is far smaller.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
+/// The size of the input buffer and of the output buffer of a connection, in bytes.
 const BUFFER_BYTES: usize = 8 * 1024;
 
 /// A client that keeps one connection to each peer.
@@ -34,29 +35,31 @@
 }
 
 impl PeerClient {
-    /// `connect`: the timeout for a connection; `whole`: for a complete call, from connecting to the end of the answer.
-    pub fn new(connect: Duration, whole: Duration) -> PeerClient {
+    /// Creates a client. `connect_timeout` limits the making of a connection, and `call_timeout` a complete
+    /// call, from connecting to the end of the response.
+    pub fn new(connect_timeout: Duration, call_timeout: Duration) -> PeerClient {
         let config = ureq::Agent::config_builder()
             .http_status_as_error(false)
             .proxy(None)
             .max_redirects(0)
-            .timeout_connect(Some(connect))
-            .timeout_global(Some(whole))
+            .timeout_connect(Some(connect_timeout))
+            .timeout_global(Some(call_timeout))
             .max_idle_connections(2)
             .max_idle_connections_per_host(1)
-            // Calls follow each other closely. A connection that was idle for longer may be dead.
-            .max_idle_age(whole)
+            // Calls follow each other closely. A connection that was idle for longer may be broken.
+            .max_idle_age(call_timeout)
             .input_buffer_size(BUFFER_BYTES)
             .output_buffer_size(BUFFER_BYTES)
             .build();
         PeerClient { agent: ureq::Agent::with_parts(config, DefaultConnector::default(), NumericResolver) }
     }
 
-    /// Posts `body` as JSON to `path` at `address` ("ip:port"), and reads the answer.
+    /// Posts `body` as JSON to `path` at `address` ("ip:port"), and reads the response.
     ///
     /// # Errors
-    /// Anything but an answer with status 200 and the expected JSON. Unless the error is [`PeerError::Encode`],
-    /// [`PeerError::Address`] or [`PeerError::Connect`], the peer may have run the call.
+    /// Anything but a response with status 200 and the expected JSON. Unless the error is
+    /// [`PeerError::Encode`], [`PeerError::Address`] or [`PeerError::Connect`], the peer may have executed
+    /// the call.
     pub fn post<T: Serialize, R: DeserializeOwned>(
         &self,
         address: &str,
@@ -66,8 +69,8 @@
         self.call(address, path, body, None)
     }
 
-    /// [`PeerClient::post`] for a call that the peer answers at once: the connection has to be made within `begin`, and the
-    /// answer has to begin within it, though all of it may take longer.
+    /// [`PeerClient::post`] for a call to which the peer responds at once. The connection must be made within
+    /// `response_timeout`, and the response must begin within it; the complete call may take longer.
     ///
     /// # Errors
     /// As [`PeerClient::post`].
@@ -76,9 +79,9 @@
         address: &str,
         path: &str,
         body: &T,
-        begin: Duration,
+        response_timeout: Duration,
     ) -> Result<R, PeerError> {
-        self.call(address, path, body, Some(begin))
+        self.call(address, path, body, Some(response_timeout))
     }
 
     fn call<T: Serialize, R: DeserializeOwned>(
@@ -91,8 +94,8 @@
         let text = serde_json::to_vec(body).map_err(PeerError::Encode)?;
         let request = self.agent.post(format!("http://{address}{path}")).content_type("application/json");
         let request = match response_timeout {
-            Some(begin) => {
-                request.config().timeout_connect(Some(begin)).timeout_recv_response(Some(begin)).build()
+            Some(timeout) => {
+                request.config().timeout_connect(Some(timeout)).timeout_recv_response(Some(timeout)).build()
             }
             None => request,
         };
@@ -100,7 +103,7 @@
         if response.status() != StatusCode::OK {
             return Err(PeerError::Status(response.status()));
         }
-        let answer = response.body_mut().with_config().limit(MAX_ANSWER_BYTES).read_to_vec()?;
-        serde_json::from_slice(&answer).map_err(PeerError::Decode)
+        let text = response.body_mut().with_config().limit(MAX_RESPONSE_BYTES).read_to_vec()?;
+        serde_json::from_slice(&text).map_err(PeerError::Decode)
     }
 }
--- a/crates/control-plane/peer-client/src/resolver.rs
+++ b/crates/control-plane/peer-client/src/resolver.rs
@@ -1,10 +1,11 @@
-//! Name resolution, which peers don't need.
+//! A resolver for numeric addresses; peers are never addressed by host names.
 use ureq::config::Config;
 use ureq::http::Uri;
 use ureq::unversioned::resolver::{ResolvedSocketAddrs, Resolver};
 use ureq::unversioned::transport::NextTimeout;
 
-/// Reads numeric addresses. The client's default resolver starts a thread for each call, in order to keep its timeout.
+/// Parses numeric addresses. The default resolver of the HTTP client starts a thread for each call, in order
+/// to enforce its timeout.
 #[derive(Debug)]
 pub(crate) struct NumericResolver;
 
--- a/crates/control-plane/peer-client/tests/calls.rs
+++ b/crates/control-plane/peer-client/tests/calls.rs
@@ -1,4 +1,4 @@
-//! No call is sent twice, and no answer is taken for another call's.
+//! No call is sent twice, and no response is taken for that of another call.
 use coppersail_peer_client::{PeerClient, PeerError};
 use std::io::{Read, Write};
 use std::net::{TcpListener, TcpStream};
@@ -6,28 +6,28 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-/// What a peer does with a call that it has received.
+/// What a peer does when it receives a call.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Behaviour {
-    Answer,
-    /// Sends a second answer together with the right one.
-    AnswerTwice,
-    /// Answers, then closes the connection although it was to be kept alive.
-    AnswerAndClose,
-    /// Closes without an answer.
+    Respond,
+    /// Sends a second response together with the right one.
+    RespondTwice,
+    /// Responds, then closes the connection, which the client expects to stay open.
+    RespondAndClose,
+    /// Closes the connection without a response.
     Close,
     Reset,
-    /// Answers only after the caller has given up.
-    AnswerLate,
-    /// Closes in the middle of the answer.
+    /// Responds only after the caller's timeout.
+    RespondLate,
+    /// Closes the connection in the middle of the response.
     Truncate,
 }
 
-/// In the place of a call's number, when its connection has ended.
+/// Reported in place of a call's number when a connection has ended.
 const ENDED: u32 = 0;
 
-/// A peer that behaves as given, one call after the other, then answers all; each answer is the call's own number. It reports
-/// which call came on which of its connections.
+/// A peer that handles each call by the next of the given behaviours, and responds to all calls after those.
+/// Each response is the call's own number. The peer reports on which of its connections each call arrived.
 fn peer(behaviours: Vec<Behaviour>) -> (String, Receiver<(usize, u32)>) {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
@@ -52,35 +52,39 @@
     seen: &Sender<(usize, u32)>,
 ) {
     while let Some((length, call)) = read(&stream) {
-        let behaviour = behaviours.lock().unwrap().next().unwrap_or(Behaviour::Answer);
+        let behaviour = behaviours.lock().unwrap().next().unwrap_or(Behaviour::Respond);
         seen.send((connection, call)).unwrap();
         if behaviour == Behaviour::Reset {
-            // What is left unread makes a close a reset.
+            // Closing a connection with unread input resets it.
             return;
         }
         stream.read_exact(&mut vec![0; length]).unwrap();
         let text = call.to_string();
-        let answer = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
-        let answer = answer.as_bytes();
-        let (bytes, stays) = match behaviour {
-            Behaviour::AnswerTwice => ([answer; 2].concat(), true),
-            Behaviour::AnswerAndClose => (answer.to_vec(), false),
-            Behaviour::Truncate => (answer[..answer.len() - 1].to_vec(), false),
+        let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{text}", text.len());
+        let response = response.as_bytes();
+        let (bytes, stays_open) = match behaviour {
+            Behaviour::RespondTwice => ([response; 2].concat(), true),
+            Behaviour::RespondAndClose => (response.to_vec(), false),
+            Behaviour::Truncate => (response[..response.len() - 1].to_vec(), false),
             Behaviour::Close => (vec![], false),
-            Behaviour::AnswerLate => {
-                let gone = stream.read(&mut [0]);
-                assert!(!matches!(gone, Ok(1..)), "the next call came on the connection of a silent one");
-                (answer.to_vec(), true)
+            Behaviour::RespondLate => {
+                let end = stream.read(&mut [0]);
+                assert!(
+                    !matches!(end, Ok(1..)),
+                    "the next call reused the connection of a call without a response"
+                );
+                (response.to_vec(), true)
             }
-            Behaviour::Answer | Behaviour::Reset => (answer.to_vec(), true),
+            Behaviour::Respond | Behaviour::Reset => (response.to_vec(), true),
         };
-        if stream.write_all(&bytes).is_err() || !stays {
+        if stream.write_all(&bytes).is_err() || !stays_open {
             return;
         }
     }
 }
 
-/// The length of the message that waits, and the call in it.
+/// Waits for a complete request without consuming it. Returns its length in bytes, and the number of the call
+/// in it.
 fn read(stream: &TcpStream) -> Option<(usize, u32)> {
     let mut bytes = [0; 4096];
     loop {
@@ -95,18 +99,19 @@
 }
 
 #[test]
-fn a_call_is_sent_once_whatever_becomes_of_its_answer() {
+fn a_call_is_sent_once_whatever_happens_to_its_response() {
     use Behaviour::*;
-    for behaviour in [AnswerTwice, AnswerAndClose, Close, Reset, AnswerLate, Truncate] {
-        // The second call goes on a kept connection, where a client might think that sending it again does no harm.
-        let (address, calls) = peer(vec![Answer, behaviour]);
+    for behaviour in [RespondTwice, RespondAndClose, Close, Reset, RespondLate, Truncate] {
+        // The second call reuses a connection. HTTP clients often retry automatically when a reused
+        // connection fails.
+        let (address, calls) = peer(vec![Respond, behaviour]);
         let client = PeerClient::new(Duration::from_millis(300), Duration::from_millis(300));
         let call = |number: u32| client.post::<u32, u32>(&address, "/follow", &number).ok();
-        let answered = matches!(behaviour, AnswerTwice | AnswerAndClose).then_some(2);
-        assert_eq!([call(1), call(2)], [Some(1), answered], "{behaviour:?}");
+        let expected = matches!(behaviour, RespondTwice | RespondAndClose).then_some(2);
+        assert_eq!([call(1), call(2)], [Some(1), expected], "{behaviour:?}");
         let mut seen: Vec<(usize, u32)> = calls.iter().take(2).collect();
-        if behaviour == AnswerAndClose {
-            // Else the closing may cross the next call.
+        if behaviour == RespondAndClose {
+            // Without this wait the next call might be sent before the client sees the close.
             assert_eq!(calls.recv().unwrap(), (0, ENDED));
         }
         assert_eq!([call(3), call(4)], [Some(3), Some(4)], "{behaviour:?}");
@@ -116,12 +121,12 @@
 }
 
 #[test]
-fn a_peer_that_accepts_and_does_not_answer_times_out_after_the_response_timeout() {
+fn a_call_to_a_peer_that_accepts_and_does_not_respond_ends_after_the_response_timeout() {
     let silent = TcpListener::bind("127.0.0.1:0").unwrap();
     let client = PeerClient::new(Duration::from_secs(5), Duration::from_secs(60));
-    let begun = std::time::Instant::now();
+    let started_at = std::time::Instant::now();
     let address = silent.local_addr().unwrap().to_string();
-    let answer = client.post_with_response_timeout::<_, u32>(&address, "/", &1, Duration::from_millis(50));
-    assert!(matches!(answer, Err(PeerError::Timeout(_))), "{answer:?}");
-    assert!(begun.elapsed() < Duration::from_secs(30));
+    let result = client.post_with_response_timeout::<_, u32>(&address, "/", &1, Duration::from_millis(50));
+    assert!(matches!(result, Err(PeerError::Timeout(_))), "{result:?}");
+    assert!(started_at.elapsed() < Duration::from_secs(30));
 }
--- a/crates/control-plane/peer-client/tests/errors.rs
+++ b/crates/control-plane/peer-client/tests/errors.rs
@@ -1,46 +1,48 @@
-//! Each cause of a failed call has its own error, whose text callers log.
+//! Each cause of a failed call has its own error variant, whose text callers log.
 use coppersail_peer_client::{PeerClient, PeerError};
 use std::io::{Read, Write};
 use std::net::TcpListener;
 use std::time::Duration;
 
-const LONG: Duration = Duration::from_secs(60);
+/// A timeout that no test reaches.
+const LONG_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Calls a peer that reads the request and answers with these bytes.
-fn call_answered_with(answer: &'static str) -> PeerError {
+/// Calls a peer that reads the request and responds with these bytes.
+fn error_of_call_with_response(response: &'static str) -> PeerError {
     let listener = TcpListener::bind("127.0.0.1:0").unwrap();
     let address = listener.local_addr().unwrap().to_string();
     std::thread::spawn(move || {
         let (mut stream, _) = listener.accept().unwrap();
         let mut request = Vec::new();
-        // The body is the number 7, and no header of a request ends with it.
+        // The body of the request is "7"; these five bytes do not occur before its end.
         while !request.ends_with(b"\r\n\r\n7") {
             let mut byte = [0];
             stream.read_exact(&mut byte).unwrap();
             request.push(byte[0]);
         }
-        stream.write_all(answer.as_bytes()).unwrap();
+        stream.write_all(response.as_bytes()).unwrap();
     });
-    PeerClient::new(LONG, LONG).post::<_, u32>(&address, "/follow", &7).unwrap_err()
+    PeerClient::new(LONG_TIMEOUT, LONG_TIMEOUT).post::<_, u32>(&address, "/follow", &7).unwrap_err()
 }
 
 #[test]
 fn a_status_other_than_200_is_an_error_with_its_number() {
-    let error = call_answered_with("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\n{}");
+    let error =
+        error_of_call_with_response("HTTP/1.1 503 Service Unavailable\r\nContent-Length: 2\r\n\r\n{}");
     assert!(matches!(&error, PeerError::Status(status) if status.as_u16() == 503), "{error:?}");
     assert_eq!(error.to_string(), "status 503 Service Unavailable");
 }
 
 #[test]
-fn an_answer_that_is_not_json_is_a_decode_error() {
-    let error = call_answered_with("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone");
+fn a_response_that_is_not_json_is_a_decode_error() {
+    let error = error_of_call_with_response("HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nnone");
     assert!(matches!(error, PeerError::Decode(_)), "{error:?}");
     assert_eq!(error.to_string(), "expected ident at line 1 column 2");
 }
 
 #[test]
-fn an_answer_that_ends_early_is_a_transport_error() {
-    let error = call_answered_with("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1");
+fn a_response_that_ends_early_is_a_transport_error() {
+    let error = error_of_call_with_response("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\n1");
     assert!(matches!(error, PeerError::Transport(_)), "{error:?}");
 }
 
@@ -48,15 +50,17 @@
 fn a_refused_connection_is_a_connect_error() {
     // The port is free again once the listener is dropped.
     let address = TcpListener::bind("127.0.0.1:0").unwrap().local_addr().unwrap().to_string();
-    let error = PeerClient::new(LONG, LONG).post::<_, u32>(&address, "/follow", &7).unwrap_err();
+    let error =
+        PeerClient::new(LONG_TIMEOUT, LONG_TIMEOUT).post::<_, u32>(&address, "/follow", &7).unwrap_err();
     assert!(matches!(error, PeerError::Connect(_)), "{error:?}");
     assert_eq!(error.to_string(), "io: Connection refused (os error 111)");
     assert!(std::error::Error::source(&error).is_some());
 }
 
 #[test]
-fn a_name_instead_of_an_address_is_an_address_error() {
-    let error = PeerClient::new(LONG, LONG).post::<_, u32>("peer:7540", "/follow", &7).unwrap_err();
+fn a_host_name_instead_of_a_numeric_address_is_an_address_error() {
+    let error =
+        PeerClient::new(LONG_TIMEOUT, LONG_TIMEOUT).post::<_, u32>("peer:7540", "/follow", &7).unwrap_err();
     assert!(matches!(error, PeerError::Address(_)), "{error:?}");
     assert_eq!(error.to_string(), "host not found");
 }
--- a/crates/control-plane/peer-protocol/src/lib.rs
+++ b/crates/control-plane/peer-protocol/src/lib.rs
@@ -1,12 +1,13 @@
-//! The messages between edges and control-plane nodes, and between control-plane nodes, as JSON over HTTP on the first of the
-//! spare ports.
+//! The messages between edges and control-plane nodes, and between control-plane nodes. They are JSON over
+//! HTTP, on the first of the configured spare ports.
 //!
-//! An edge watches one control-plane node at a time, and each node watches every other one: `POST /follow` with a
-//! [`WatchRequest`]. The node answers with an [`Update`] as soon as there is something new, or after `wait_ms`. The sequence
-//! number in a request acknowledges the answer before it.
+//! An edge watches one control-plane node at a time, and each node watches every other one: `POST /follow`
+//! with a [`WatchRequest`]. The node responds with an [`Update`] as soon as there is something new, or after
+//! `wait_ms`. The sequence number in a request acknowledges the preceding response.
 //!
-//! Fields are added, never renamed or removed: builds of several versions run side by side during a rolling upgrade. Fields
-//! that a message leaves out have their default, unknown ones are skipped. `tests/wire_format.rs` holds the bytes.
+//! Fields may be added, but never renamed or removed, because different versions run side by side during a
+//! rolling upgrade. Fields that a message omits have their default value, and unknown fields are ignored.
+//! `tests/wire_format.rs` checks the exact bytes.
 //!
 //! ```
 //! use coppersail_peer_protocol::WatchRequest;
--- a/crates/control-plane/peer-protocol/src/status.rs
+++ b/crates/control-plane/peer-protocol/src/status.rs
@@ -3,9 +3,10 @@
 use coppersail_consensus::{Id, LeadershipRecord, Term};
 use serde::{Deserialize, Serialize};
 
-/// What a control-plane node says of itself in every poll of another node and in every answer to one.
+/// The status of a control-plane node, in each of its polls of another node and each of its responses to one.
 ///
-/// What seldom changes is in [`MemberDetail`], which is sent only until the receiver acknowledges its checksum.
+/// The fields that seldom change are in [`MemberDetail`], which is sent only until the receiver acknowledges
+/// its checksum.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberStatus {
@@ -14,7 +15,7 @@
     /// It is the leader and holds the leader lease.
     #[serde(rename = "acting")]
     pub holds_lease: bool,
-    /// Its disk takes writes.
+    /// Its disk accepts writes.
     #[serde(rename = "fit")]
     pub disk_healthy: bool,
     /// It is shutting down.
@@ -36,7 +37,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct MemberDetail {
-    /// Identifies the node's disk: a lost disk comes back with another number.
+    /// Identifies the node's disk; a disk that replaces a lost one has another incarnation.
     #[serde(rename = "life")]
     pub incarnation: u64,
     /// The newest term in which its disk took part.
@@ -48,7 +49,7 @@
     pub members: Vec<Id>,
     /// The addresses of the edges that watch it.
     pub edges: Vec<String>,
-    /// Its zone: the leader and its backup are chosen in different ones where possible.
+    /// Its zone; the leader and its backups are chosen in different zones if possible.
     #[serde(rename = "area")]
     pub zone: String,
 }
@@ -60,7 +61,8 @@
 const UNUSED_BITS: u32 = 12;
 
 impl MemberDetail {
-    /// A checksum of the JSON form: FNV-1a, below 2^53 and never 0. Nodes of all versions must compute the same number.
+    /// A checksum of the JSON form: FNV-1a, below 2^53 and never 0. Nodes of all versions must compute the
+    /// same number.
     pub fn checksum(&self) -> u64 {
         let text = serde_json::to_vec(self).unwrap_or_default();
         let add = |hash: u64, byte: &u8| (hash ^ u64::from(*byte)).wrapping_mul(FNV_PRIME);
--- a/crates/control-plane/peer-protocol/tests/wire_format.rs
+++ b/crates/control-plane/peer-protocol/tests/wire_format.rs
@@ -1,5 +1,5 @@
-//! The bytes of polls and answers between members, and to edges. These bytes are read by builds of other versions; a
-//! change here breaks rolling upgrades or stored data.
+//! The exact bytes of polls and responses between control-plane nodes, and between them and edges. Builds of
+//! other versions read these bytes; a change here breaks rolling upgrades or stored data.
 use coppersail_consensus::{LeadershipRecord, Term, Voter};
 use coppersail_peer_protocol::{
     AssignmentRow, AssignmentUpdate, ConfigDocument, EndpointState, EndpointUpdate, MemberDetail,
@@ -11,28 +11,28 @@
 use serde::{de::DeserializeOwned, Serialize};
 use std::fmt::Debug;
 
-/// Both directions: the value is written as this text, and the text is read as this value.
+/// Checks both directions: the value is written as this text, and the text is read as this value.
 #[track_caller]
 fn assert_text<T: Serialize + DeserializeOwned + PartialEq + Debug>(value: T, text: &str) {
     assert_eq!(serde_json::to_string(&value).unwrap(), text);
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-/// One direction: what another version may send.
+/// Checks one direction: a text that another version may send is read as this value.
 #[track_caller]
 fn assert_read<T: DeserializeOwned + PartialEq + Debug>(text: &str, value: T) {
     assert_eq!(serde_json::from_str::<T>(text).unwrap(), value);
 }
 
-/// `DETAIL`, `REPORT`, `STAND`, `HOST` and so on stand for the texts of those.
+/// Replaces each placeholder (`DETAIL`, `REPORT` and so on) by the text of the constant of the same name.
 fn with_parts(text: &str) -> String {
     let parts = [
-        ("STANDING", STANDING),
+        ("STATUS", STATUS),
         ("DETAIL", DETAIL),
         ("REPORT", REPORT),
-        ("STAND", STAND),
-        ("HOST", HOST),
-        ("SLICES", SLICES),
+        ("ROLLOUT", ROLLOUT),
+        ("ENDPOINT", ENDPOINT),
+        ("ASSIGNMENT", ASSIGNMENT),
     ];
     parts.iter().fold(text.to_string(), |text, (name, part)| text.replace(name, part))
 }
@@ -70,7 +70,7 @@
     }
 }
 
-const STANDING: &str =
+const STATUS: &str =
     r#"{"id":"a:1","acting":true,"fit":true,"leaving":true,"sum":9,"seen":8,"detail":DETAIL}"#;
 
 fn report() -> EvidenceReport {
@@ -107,7 +107,7 @@
     }
 }
 
-const STAND: &str =
+const ROLLOUT: &str =
     r#"{"name":"p","number":4,"phase":"frozen","step":1,"run":2,"ran":5000,"why":"late","body":"{}"}"#;
 
 fn endpoint() -> EndpointUpdate {
@@ -126,7 +126,7 @@
     }
 }
 
-const HOST: &str = r#"{"ident":"i-1","backend":"s","address":"10.9.0.1:80","area":"east","capacity":10,"revision":"v2","stage":"ready","silent":true,"cold_ms":1500,"calls":4,"via":"a:1"}"#;
+const ENDPOINT: &str = r#"{"ident":"i-1","backend":"s","address":"10.9.0.1:80","area":"east","capacity":10,"revision":"v2","stage":"ready","silent":true,"cold_ms":1500,"calls":4,"via":"a:1"}"#;
 
 fn assignment() -> AssignmentUpdate {
     let rows = vec![
@@ -136,7 +136,7 @@
     AssignmentUpdate { service: "s".into(), slice_count: 4, rows }
 }
 
-const SLICES: &str = r#"{"backend":"s","slices":4,"rows":[[0,2,"i-1",4294967297],[3,3,"",4294967298]]}"#;
+const ASSIGNMENT: &str = r#"{"backend":"s","slices":4,"rows":[[0,2,"i-1",4294967297],[3,3,"",4294967298]]}"#;
 
 #[test]
 fn a_watch_request_keeps_its_bytes() {
@@ -155,7 +155,7 @@
     assert_text(
         request,
         &with_parts(
-            r#"{"edge":"10.1.0.34","area":"east","feed":3,"seq":7,"wait_ms":500,"revision":4,"max_bytes":8192,"asked":[{"backend":"s","counts":[[0,12],[4095,1]]}],"evidence":[REPORT],"standing":STANDING}"#,
+            r#"{"edge":"10.1.0.34","area":"east","feed":3,"seq":7,"wait_ms":500,"revision":4,"max_bytes":8192,"asked":[{"backend":"s","counts":[[0,12],[4095,1]]}],"evidence":[REPORT],"standing":STATUS}"#,
         ),
     );
     assert_text(WatchRequest::default(), r#"{"edge":"","feed":0,"seq":0,"wait_ms":0}"#);
@@ -165,7 +165,7 @@
 #[test]
 fn a_status_and_its_detail_keep_their_bytes() {
     assert_text(detail(), DETAIL);
-    assert_text(status(), &with_parts("STANDING"));
+    assert_text(status(), &with_parts("STATUS"));
     assert_text(MemberStatus::default(), r#"{"id":"","acting":false,"fit":false,"sum":0,"seen":0}"#);
     assert_text(
         MemberDetail::default(),
@@ -201,12 +201,12 @@
     assert_text(
         update,
         &with_parts(
-            r#"{"feed":3,"seq":7,"whole":true,"more":true,"alone":true,"up_ms":60000,"centres":["10.1.0.1:7540"],"edges":2,"standing":STANDING,"settings":{"revision":5,"body":"{}"},"hosts":[HOST],"slices":[SLICES],"plans":[STAND],"plans_seen":{"epoch":7,"age_ms":40}}"#,
+            r#"{"feed":3,"seq":7,"whole":true,"more":true,"alone":true,"up_ms":60000,"centres":["10.1.0.1:7540"],"edges":2,"standing":STATUS,"settings":{"revision":5,"body":"{}"},"hosts":[ENDPOINT],"slices":[ASSIGNMENT],"plans":[ROLLOUT],"plans_seen":{"epoch":7,"age_ms":40}}"#,
         ),
     );
     assert_text(Update::default(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
-    let asked = Update { requested_at: Some(std::time::Instant::now()), ..Update::default() };
-    assert_eq!(serde_json::to_string(&asked).unwrap(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
+    let requested = Update { requested_at: Some(std::time::Instant::now()), ..Update::default() };
+    assert_eq!(serde_json::to_string(&requested).unwrap(), r#"{"feed":0,"seq":0,"up_ms":0}"#);
 }
 
 #[test]
@@ -216,7 +216,7 @@
         r#"{"revision":5,"body":"{\"revision\":\"r5\"}"}"#,
     );
     assert_text(RolloutsAsOf { term: 7, age_ms: 40 }, r#"{"epoch":7,"age_ms":40}"#);
-    assert_text(assignment(), SLICES);
+    assert_text(assignment(), ASSIGNMENT);
     assert_text(AssignmentUpdate::default(), r#"{"backend":"","slices":0,"rows":[]}"#);
     let states = [
         (EndpointState::Ready, "ready"),
@@ -224,7 +224,7 @@
         (EndpointState::Removed, "gone"),
     ];
     for (state, name) in states {
-        assert_text(EndpointUpdate { state, ..endpoint() }, &HOST.replace("ready", name));
+        assert_text(EndpointUpdate { state, ..endpoint() }, &ENDPOINT.replace("ready", name));
     }
     assert_text(
         EndpointUpdate::default(),
@@ -244,7 +244,7 @@
         (Phase::Ended, "ended"),
     ];
     for (phase, name) in phases {
-        assert_text(RolloutState { phase, ..rollout() }, &STAND.replace("frozen", name));
+        assert_text(RolloutState { phase, ..rollout() }, &ROLLOUT.replace("frozen", name));
     }
 }
 
