--- a/crates/control-plane/consensus/src/core/lease.rs
+++ b/crates/control-plane/consensus/src/core/lease.rs
@@ -1,4 +1,4 @@
-//! The leader lease (Raft 6.4.1): renewal, loss, release at a leadership transfer.
+//! The leader lease (Raft 6.4.1): renewal, loss, and release at a leadership transfer.
 use super::tracker::{PendingCall, Reconfiguration};
 use super::{Core, Role};
 use crate::injected_bugs::{is_injected, InjectedBug};
@@ -14,7 +14,7 @@
     pub(super) fn tick_leader(&mut self, now: Ms, out: &mut Vec<Output>) {
         let Role::Leader(record) = self.role.clone() else { return };
         if !self.disk_healthy || self.campaign.is_none() && !self.holds_leader_lease(now) {
-            out.push(Output::Log("The lease is over or the disk fails: steps down.".into()));
+            out.push(Output::Log("Steps down: the lease has expired or the disk is unhealthy.".into()));
             return self.step_down(now, out);
         }
         self.leader_seen_at = now;
@@ -48,7 +48,7 @@
             && self.proposals.is_empty()
             && record.backups.iter().any(|id| self.is_usable_backup(now, id))
         {
-            out.push(Output::Log("Hands over and stops acting.".into()));
+            out.push(Output::Log("Steps down to hand over the leadership before shutdown.".into()));
             self.step_down(now, out);
             for id in record.voter_ids() {
                 self.call_voter(
@@ -76,7 +76,7 @@
         }
         let mut failed: Vec<u64> = Vec::new();
         if let Some(append) = self.in_flight.take() {
-            // It may be on this disk, and on others.
+            // The append may already be on this disk, and on those of backups.
             self.may_hold_uncommitted = true;
             failed.extend(append.changes.iter().map(|change| change.ticket));
         }
